--- a/adapter/fields.hpp
+++ b/adapter/fields.hpp
@@ -1,6 +1,6 @@
 // Typed fields of JSON objects, for the wire's lines and the settings.
-#ifndef BASALTVANE_ADAPTER_FIELDS_HPP_
-#define BASALTVANE_ADAPTER_FIELDS_HPP_
+#ifndef DISPATCHER_ADAPTER_FIELDS_HPP_
+#define DISPATCHER_ADAPTER_FIELDS_HPP_
 
 #include <cmath>
 #include <limits>
@@ -9,7 +9,7 @@
 
 #include "wire.hpp"
 
-namespace basaltvane::wire {
+namespace dispatcher::wire {
 
 // What is expected of a field of this type; converts a value that has it.
 template <class T>
@@ -40,7 +40,7 @@
   if constexpr (std::is_same_v<T, int>) return static_cast<int>(std::llround(value.get<double>()));
   return value.get<T>();
 }
-inline Duration from_ms(double ms) { return Duration(std::llround(ms * 1000.0)); }
+inline routing::Duration from_ms(double ms) { return routing::Duration(std::llround(ms * 1000.0)); }
 
 // The value of a key, or nothing where it is missing or null.
 inline const Json* find(const Json& object, const std::string& key) {
@@ -48,6 +48,6 @@
   return it == object.end() || it->is_null() ? nullptr : &*it;
 }
 
-}  // namespace basaltvane::wire
+}  // namespace dispatcher::wire
 
-#endif  // BASALTVANE_ADAPTER_FIELDS_HPP_
+#endif  // DISPATCHER_ADAPTER_FIELDS_HPP_
--- a/adapter/main.cpp
+++ b/adapter/main.cpp
@@ -6,7 +6,7 @@
 
 int main() {
   std::ios::sync_with_stdio(false);
-  basaltvane::wire::Session session;
+  dispatcher::wire::Session session;
   std::string line;
   long number = 0;
   while (std::getline(std::cin, line)) {
--- a/adapter/settings.cpp
+++ b/adapter/settings.cpp
@@ -6,7 +6,10 @@
 #include "fields.hpp"
 #include "wire.hpp"
 
-namespace basaltvane::wire {
+namespace dispatcher::wire {
+
+using namespace routing;  // the types that are translated
+
 namespace {
 
 using settings::Finding;
@@ -284,4 +287,4 @@
   return s;
 }
 
-}  // namespace basaltvane::wire
+}  // namespace dispatcher::wire
--- a/adapter/wire.cpp
+++ b/adapter/wire.cpp
@@ -4,7 +4,10 @@
 
 #include "fields.hpp"
 
-namespace basaltvane::wire {
+namespace dispatcher::wire {
+
+using namespace routing;  // the types that are translated
+
 namespace {
 
 [[noreturn]] void misfit(const std::string& key, const char* wanted) {
@@ -279,4 +282,4 @@
   }
 }
 
-}  // namespace basaltvane::wire
+}  // namespace dispatcher::wire
--- a/adapter/wire.hpp
+++ b/adapter/wire.hpp
@@ -1,6 +1,6 @@
 // Translates the wire's JSON lines to router events and router actions back. Holds no decision.
-#ifndef BASALTVANE_ADAPTER_WIRE_HPP_
-#define BASALTVANE_ADAPTER_WIRE_HPP_
+#ifndef DISPATCHER_ADAPTER_WIRE_HPP_
+#define DISPATCHER_ADAPTER_WIRE_HPP_
 
 #include <array>
 #include <map>
@@ -10,10 +10,10 @@
 #include <string>
 #include <vector>
 
-#include "basaltvane/router.hpp"
+#include "routing/router.hpp"
 #include "settings/check.hpp"
 
-namespace basaltvane::wire {
+namespace dispatcher::wire {
 
 using Json = nlohmann::json;
 
@@ -29,13 +29,13 @@
 };
 
 // What is odd of settings that can be read goes to `warnings`.
-Settings parse_settings(const Json& env,
-                        std::vector<settings::Finding>* warnings = nullptr);  // throws SettingsError
-LoadReport parse_load(const Json& fields);                                    // throws WireError
-HostList parse_list(const Json& topology, const Json& page);                  // throws WireError
-std::optional<Event> parse_event(const std::string& name,
-                                 const Json& fields);  // empty: a name not known here
-std::string format_action(const std::string& dispatcher, const Action& action);
+routing::Settings parse_settings(const Json& env,
+                                 std::vector<settings::Finding>* warnings = nullptr);  // throws SettingsError
+routing::LoadReport parse_load(const Json& fields);                                    // throws WireError
+routing::HostList parse_list(const Json& topology, const Json& page);                  // throws WireError
+std::optional<routing::Event> parse_event(const std::string& name,
+                                          const Json& fields);  // empty: a name not known here
+std::string format_action(const std::string& dispatcher, const routing::Action& action);
 
 // Reads lines of a process's input and returns the reply lines once a batch is complete.
 class Session {
@@ -44,12 +44,12 @@
 
  private:
   void dispatch(const std::string& name, const Json& fields);
-  Time now_{};
+  routing::Time now_{};
   std::array<Json, 16> pages_;
-  std::map<std::string, std::optional<Router>> routers_;
+  std::map<std::string, std::optional<routing::Router>> routers_;
   std::string reply_;
 };
 
-}  // namespace basaltvane::wire
+}  // namespace dispatcher::wire
 
-#endif  // BASALTVANE_ADAPTER_WIRE_HPP_
+#endif  // DISPATCHER_ADAPTER_WIRE_HPP_
--- a/bench/rules_bench.cpp
+++ b/bench/rules_bench.cpp
@@ -2,7 +2,7 @@
 // reading a large file, and the table under a million keys. Times are per request, in ns, a million requests
 // each.
 //   cmake -B build-bench -DCMAKE_BUILD_TYPE=Release -DBASALTVANE_BENCH=ON && cmake --build build-bench -j4
-//   build-bench/bench/bitternferry_rules_bench
+//   build-bench/bench/dispatcher_rules_bench
 #include <benchmark/benchmark.h>
 
 #include <algorithm>
@@ -12,13 +12,13 @@
 #include <string>
 #include <vector>
 
-#include "limits/gate.hpp"
+#include "rate_limit/gate.hpp"
 
 namespace {
 
-using namespace bitternferry;
-using limits::Facts;
-using limits::RuleSet;
+using namespace dispatcher;
+using rate_limit::Facts;
+using rate_limit::RuleSet;
 
 constexpr std::size_t kRequests = 1'000'000;
 
@@ -72,7 +72,7 @@
     try {
       last = read(slow(conditions));
       failed = 0;
-    } catch (const record::Errors&) {
+    } catch (const cue::Errors&) {
       conditions.pop_back();
       ++failed;
     }
@@ -83,7 +83,7 @@
 using MakeFacts = std::function<Facts(std::size_t)>;
 
 void decide(benchmark::State& state, const RuleSet& rules, const MakeFacts& facts) {
-  match::Scratch scratch;
+  expression::Scratch scratch;
   rules.reserve(scratch);
   std::vector<Facts> requests;
   for (std::size_t i = 0; i < 4096; ++i) requests.push_back(facts(i));
@@ -168,17 +168,17 @@
 
 // One expression on the longest texts it may meet, over and over, against its computed worst cost.
 void one_expression(benchmark::State& state, const std::string& expression) {
-  match::Environment fields;
-  fields.add({"a", match::Kind::kString, false, 1024, {}});
-  fields.add({"b", match::Kind::kString, false, 1024, {}});
-  fields.add({"n", match::Kind::kInt, false, 0, {}});
-  const auto program = match::Program::compile(expression, fields, match::Kind::kBool);
-  match::Scratch scratch;
+  expression::Environment fields;
+  fields.add({"a", expression::Kind::kString, false, 1024, {}});
+  fields.add({"b", expression::Kind::kString, false, 1024, {}});
+  fields.add({"n", expression::Kind::kInt, false, 0, {}});
+  const auto program = expression::Program::compile(expression, fields, expression::Kind::kBool);
+  expression::Scratch scratch;
   scratch.reserve(program.most_values(), program.most_text());
   const std::string a(1024, 'x'), b = std::string(511, 'x') + "y" + std::string(512, 'x');
-  const std::vector<match::Value> values = {match::Value::of(std::string_view(a)),
-                                            match::Value::of(std::string_view(b)),
-                                            match::Value::of(std::int64_t{1'000'000'007})};
+  const std::vector<expression::Value> values = {expression::Value::of(std::string_view(a)),
+                                                 expression::Value::of(std::string_view(b)),
+                                                 expression::Value::of(std::int64_t{1'000'000'007})};
   const auto begin = std::chrono::steady_clock::now();
   for (auto _ : state) benchmark::DoNotOptimize(program.run(values, scratch));
   const std::chrono::duration<double, std::nano> took = std::chrono::steady_clock::now() - begin;
@@ -195,12 +195,13 @@
 
 void million_keys(benchmark::State& state) {
   for (auto _ : state) {
-    limits::Table table(1'000'000);
-    const limits::Bound bound{1, std::chrono::seconds(10), std::chrono::seconds(0), limits::Bound::kAny, {}};
+    rate_limit::Table table(1'000'000);
+    const rate_limit::Bound bound{
+        1, std::chrono::seconds(10), std::chrono::seconds(0), rate_limit::Bound::kAny, {}};
     std::mt19937_64 random(3);
-    limits::Held held;
+    rate_limit::Held held;
     for (std::size_t i = 0; i < kRequests; ++i) {
-      const limits::Charge charge{bound, random() | 1U};
+      const rate_limit::Charge charge{bound, random() | 1U};
       benchmark::DoNotOptimize(table.admit({&charge, 1}, std::chrono::nanoseconds(i), {&held, 1}));
     }
     state.counters["bytes"] = static_cast<double>(table.bytes());
--- a/fuzz/record_fuzz.cpp
+++ b/fuzz/cue_fuzz.cpp
@@ -4,10 +4,10 @@
 #include <cstdlib>
 #include <string>
 
-#include "record/schema.hpp"
+#include "cue/schema.hpp"
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
-  using namespace bitternferry::record;
+  using namespace dispatcher::cue;
   static const Schema schema(R"cue(
 #File: {
 	name:   *"" | string
--- a/fuzz/match_fuzz.cpp
+++ b/fuzz/expression_fuzz.cpp
@@ -6,10 +6,10 @@
 #include <string_view>
 #include <vector>
 
-#include "match/program.hpp"
+#include "expression/program.hpp"
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
-  using namespace bitternferry::match;
+  using namespace dispatcher::expression;
   static const Environment fields = [] {
     Environment e;
     e.add({"a", Kind::kString, true, 16, {}});
--- a/fuzz/gossip_fuzz.cpp
+++ b/fuzz/gossip_fuzz.cpp
@@ -5,18 +5,18 @@
 #include <cstdlib>
 
 #include "gossip/node.hpp"
-#include "shared/doubt.hpp"
+#include "replicated_state/doubt.hpp"
 
 namespace {
 
-using namespace bitternferry;
+using namespace dispatcher;
 using std::chrono::milliseconds;
 
 struct Fleet {
-  shared::Kinds kinds;
+  replicated_state::Kinds kinds;
   gossip::Options options;
   Fleet() {
-    kinds.add(shared::doubt_kind());
+    kinds.add(replicated_state::doubt_kind());
     options.count = 40;
   }
 };
@@ -34,7 +34,7 @@
   static const Fleet fleet;
   const std::span bytes(data, size);
   gossip::Node node(fleet.options, fleet.kinds, 1'800'000'000'000, 7, milliseconds(1000));
-  const shared::Whole whole{{1, 7}, shared::Nature::kRate, 4000, std::chrono::seconds(5)};
+  const replicated_state::Whole whole{{1, 7}, replicated_state::Nature::kRate, 4000, std::chrono::seconds(5)};
   node.rights().open(milliseconds(1000), whole, true);
   // The input names its sender, as the speaker would by the address.
   for (const gossip::Number from : {1U, 2U}) check(node.received(milliseconds(1100), from, bytes));
--- a/include/basaltvane/router.hpp
+++ b/include/routing/router.hpp
@@ -1,12 +1,12 @@
-// Interface of the basaltvane router: settings, events, actions and the class itself. Types only; every
+// Interface of the router: settings, events, actions and the class itself. Types only; every
 // decision and tuned value lives in src/router.cpp.
 //
 // A dispatcher builds one Router, passes each thing that happens to handle() in order and carries out the
 // returned actions in order, at once. One Router is used by one thread at a time; instances share nothing.
 // Times are microseconds on the dispatcher's own steady clock, from any origin. `now` must not go back (an
 // earlier value is taken as the latest seen). Only the constructor throws.
-#ifndef BASALTVANE_ROUTER_HPP_
-#define BASALTVANE_ROUTER_HPP_
+#ifndef DISPATCHER_ROUTING_ROUTER_HPP_
+#define DISPATCHER_ROUTING_ROUTER_HPP_
 
 #include <array>
 #include <chrono>
@@ -17,7 +17,7 @@
 #include <variant>
 #include <vector>
 
-namespace basaltvane {
+namespace dispatcher::routing {
 
 using Duration = std::chrono::microseconds;
 using Time = std::chrono::microseconds;  // since the origin of the dispatcher's clock
@@ -279,6 +279,6 @@
   std::unique_ptr<Impl> impl_;
 };
 
-}  // namespace basaltvane
+}  // namespace dispatcher::routing
 
-#endif  // BASALTVANE_ROUTER_HPP_
+#endif  // DISPATCHER_ROUTING_ROUTER_HPP_
--- a/src/console/console.cpp
+++ b/src/admin/console.cpp
@@ -1,11 +1,11 @@
-#include "console/console.hpp"
+#include "admin/console.hpp"
 
 #include <algorithm>
 #include <cctype>
 #include <nlohmann/json.hpp>
 #include <utility>
 
-namespace bitternferry::console {
+namespace dispatcher::admin {
 
 namespace {
 
@@ -46,12 +46,12 @@
   return Order{std::string(host), word == "offline"};
 }
 
-Console::Console(boost::asio::io_context& io, const net::tcp::endpoint& at, core::Deadlines& deadlines,
-                 core::Clock clock, Calls calls, std::function<bool()> shed)
+Console::Console(boost::asio::io_context& io, const net::tcp::endpoint& at, engine::Deadlines& deadlines,
+                 engine::Clock clock, Calls calls, std::function<bool()> shed)
     : server_(io, at, *this, deadlines, std::move(clock), options(), std::move(shed)),
       calls_(std::move(calls)) {}
 
-void Console::on_request(net::SlotId client, http::Server::Request& request, core::Time) {
+void Console::on_request(net::SlotId client, http::Server::Request& request, engine::Time) {
   const auto method = request.method_string(), target = request.target();
   const std::string_view path = std::string_view(target.data(), target.size());
   if (calls_.level && path.starts_with(kLevel)) return on_level(client, {method.data(), method.size()}, path);
@@ -82,4 +82,4 @@
 
 std::string Console::error_body(int, std::string_view what) { return text({{"error", what}}); }
 
-}  // namespace bitternferry::console
+}  // namespace dispatcher::admin
--- a/src/console/console.hpp
+++ b/src/admin/console.hpp
@@ -1,6 +1,6 @@
 // The operators' address: whether this process is ready, and which replicas are left out. Decides nothing.
-#ifndef BITTERNFERRY_CONSOLE_CONSOLE_HPP_
-#define BITTERNFERRY_CONSOLE_CONSOLE_HPP_
+#ifndef DISPATCHER_ADMIN_CONSOLE_HPP_
+#define DISPATCHER_ADMIN_CONSOLE_HPP_
 
 #include <functional>
 #include <nlohmann/json.hpp>
@@ -10,7 +10,7 @@
 
 #include "http/server.hpp"
 
-namespace bitternferry::console {
+namespace dispatcher::admin {
 
 // Connections to this address at once. Whoever is one too many takes the place of the one that has kept
 // its place longest without finishing a call.
@@ -25,15 +25,15 @@
 
 class Console : private http::Server::Handler {
  public:
-  Console(boost::asio::io_context& io, const net::tcp::endpoint& at, core::Deadlines& deadlines,
-          core::Clock clock, Calls calls, std::function<bool()> shed);
+  Console(boost::asio::io_context& io, const net::tcp::endpoint& at, engine::Deadlines& deadlines,
+          engine::Clock clock, Calls calls, std::function<bool()> shed);
   Console(const Console&) = delete;
   Console& operator=(const Console&) = delete;
   void open() { server_.open(); }
   net::tcp::endpoint local() const { return server_.local(); }
 
  private:
-  void on_request(net::SlotId client, http::Server::Request& request, core::Time arrived) override;
+  void on_request(net::SlotId client, http::Server::Request& request, engine::Time arrived) override;
   void on_gone(net::SlotId) override {}
   void on_level(net::SlotId client, std::string_view method, std::string_view path);
   void on_room(net::SlotId) override {}
@@ -50,6 +50,6 @@
 };
 std::optional<Order> parse_order(std::string_view path);
 
-}  // namespace bitternferry::console
+}  // namespace dispatcher::admin
 
-#endif  // BITTERNFERRY_CONSOLE_CONSOLE_HPP_
+#endif  // DISPATCHER_ADMIN_CONSOLE_HPP_
--- a/src/record/data.cpp
+++ b/src/cue/data.cpp
@@ -1,9 +1,9 @@
-#include "record/data.hpp"
+#include "cue/data.hpp"
 
 #include <algorithm>
 #include <stdexcept>
 
-namespace bitternferry::record {
+namespace dispatcher::cue {
 
 namespace {
 template <class T>
@@ -33,4 +33,4 @@
   return whole != nullptr ? static_cast<double>(*whole) : need(scalar<double>(), path_, "a number");
 }
 
-}  // namespace bitternferry::record
+}  // namespace dispatcher::cue
--- a/src/record/data.hpp
+++ b/src/cue/data.hpp
@@ -1,6 +1,6 @@
 // A record that has been checked: plain values, each with where it stands in its file.
-#ifndef BITTERNFERRY_RECORD_DATA_HPP_
-#define BITTERNFERRY_RECORD_DATA_HPP_
+#ifndef DISPATCHER_CUE_DATA_HPP_
+#define DISPATCHER_CUE_DATA_HPP_
 
 #include <cstdint>
 #include <string>
@@ -9,9 +9,9 @@
 #include <variant>
 #include <vector>
 
-#include "record/syntax.hpp"
+#include "cue/syntax.hpp"
 
-namespace bitternferry::record {
+namespace dispatcher::cue {
 
 struct Null {
   auto operator<=>(const Null&) const = default;
@@ -52,6 +52,6 @@
   Content content_ = Scalar(Null{});
 };
 
-}  // namespace bitternferry::record
+}  // namespace dispatcher::cue
 
-#endif  // BITTERNFERRY_RECORD_DATA_HPP_
+#endif  // DISPATCHER_CUE_DATA_HPP_
--- a/src/record/nearest.hpp
+++ b/src/cue/nearest.hpp
@@ -1,6 +1,6 @@
 // The name that was probably meant, for errors about one that is not known.
-#ifndef BITTERNFERRY_RECORD_NEAREST_HPP_
-#define BITTERNFERRY_RECORD_NEAREST_HPP_
+#ifndef DISPATCHER_CUE_NEAREST_HPP_
+#define DISPATCHER_CUE_NEAREST_HPP_
 
 #include <algorithm>
 #include <string>
@@ -8,7 +8,7 @@
 #include <utility>
 #include <vector>
 
-namespace bitternferry::record {
+namespace dispatcher::cue {
 
 // How many letters differ.
 inline std::size_t edit_distance(std::string_view a, std::string_view b) {
@@ -43,6 +43,6 @@
   return best.empty() ? std::string() : "; '" + std::string(best) + "' is known";
 }
 
-}  // namespace bitternferry::record
+}  // namespace dispatcher::cue
 
-#endif  // BITTERNFERRY_RECORD_NEAREST_HPP_
+#endif  // DISPATCHER_CUE_NEAREST_HPP_
--- a/src/record/schema.cpp
+++ b/src/cue/schema.cpp
@@ -1,10 +1,10 @@
-#include "record/schema.hpp"
+#include "cue/schema.hpp"
 
 #include <algorithm>
 
-#include "record/unify.hpp"
+#include "cue/unify.hpp"
 
-namespace bitternferry::record {
+namespace dispatcher::cue {
 
 namespace {
 
@@ -47,4 +47,4 @@
 
 Problem problem(const Data& at, std::string what) { return {at.where(), at.path(), std::move(what)}; }
 
-}  // namespace bitternferry::record
+}  // namespace dispatcher::cue
--- a/src/record/schema.hpp
+++ b/src/cue/schema.hpp
@@ -1,15 +1,15 @@
 // What a file may say, written in the same subset of CUE, and the one way to read a file by it.
-#ifndef BITTERNFERRY_RECORD_SCHEMA_HPP_
-#define BITTERNFERRY_RECORD_SCHEMA_HPP_
+#ifndef DISPATCHER_CUE_SCHEMA_HPP_
+#define DISPATCHER_CUE_SCHEMA_HPP_
 
 #include <memory>
 #include <string>
 #include <string_view>
 
-#include "record/data.hpp"
-#include "record/syntax.hpp"
+#include "cue/data.hpp"
+#include "cue/syntax.hpp"
 
-namespace bitternferry::record {
+namespace dispatcher::cue {
 
 struct Value;
 
@@ -28,6 +28,6 @@
 // A fault that shows only once a record is known to be well-formed, such as a name that is nowhere declared.
 Problem problem(const Data& at, std::string what);
 
-}  // namespace bitternferry::record
+}  // namespace dispatcher::cue
 
-#endif  // BITTERNFERRY_RECORD_SCHEMA_HPP_
+#endif  // DISPATCHER_CUE_SCHEMA_HPP_
--- a/src/record/syntax.cpp
+++ b/src/cue/syntax.cpp
@@ -1,4 +1,4 @@
-#include "record/syntax.hpp"
+#include "cue/syntax.hpp"
 
 #include <algorithm>
 #include <charconv>
@@ -9,9 +9,9 @@
 #include <tao/pegtl/contrib/limit_depth.hpp>
 #include <tao/pegtl/contrib/parse_tree.hpp>
 
-#include "record/utf8.hpp"
+#include "cue/utf8.hpp"
 
-namespace bitternferry::record {
+namespace dispatcher::cue {
 
 namespace {
 
@@ -615,4 +615,4 @@
   return whole;
 }
 
-}  // namespace bitternferry::record
+}  // namespace dispatcher::cue
--- a/src/record/syntax.hpp
+++ b/src/cue/syntax.hpp
@@ -1,7 +1,7 @@
 // The grammar of the files under deploy/: a subset of CUE, JSON included, read into a tree of expressions.
 // docs/design/matching.md has the subset. Nothing is evaluated here.
-#ifndef BITTERNFERRY_RECORD_SYNTAX_HPP_
-#define BITTERNFERRY_RECORD_SYNTAX_HPP_
+#ifndef DISPATCHER_CUE_SYNTAX_HPP_
+#define DISPATCHER_CUE_SYNTAX_HPP_
 
 #include <cstdint>
 #include <memory>
@@ -10,7 +10,7 @@
 #include <string_view>
 #include <vector>
 
-namespace bitternferry::record {
+namespace dispatcher::cue {
 
 inline constexpr std::size_t kMostBytes = 8U << 20U;  // of one file
 inline constexpr std::size_t kMostNesting = 48;       // of values in one another, brackets included
@@ -79,6 +79,6 @@
 // on at the next line that begins a field. Its work is bounded by a multiple of the text's length.
 Expr parse(const File& file);
 
-}  // namespace bitternferry::record
+}  // namespace dispatcher::cue
 
-#endif  // BITTERNFERRY_RECORD_SYNTAX_HPP_
+#endif  // DISPATCHER_CUE_SYNTAX_HPP_
--- a/src/record/unify.cpp
+++ b/src/cue/unify.cpp
@@ -1,4 +1,4 @@
-#include "record/unify.hpp"
+#include "cue/unify.hpp"
 
 #include <re2/re2.h>
 
@@ -8,10 +8,10 @@
 #include <unordered_map>
 #include <unordered_set>
 
-#include "record/nearest.hpp"
-#include "record/utf8.hpp"
+#include "cue/nearest.hpp"
+#include "cue/utf8.hpp"
 
-namespace bitternferry::record {
+namespace dispatcher::cue {
 
 namespace {
 
@@ -634,4 +634,4 @@
   return {};
 }
 
-}  // namespace bitternferry::record
+}  // namespace dispatcher::cue
--- a/src/record/unify.hpp
+++ b/src/cue/unify.hpp
@@ -1,7 +1,7 @@
 // CUE's values as far as the subset goes, and their unification: the most general value that is an instance
 // of both. A value may still be open (a type, a bound, a choice); decided() takes the defaults.
-#ifndef BITTERNFERRY_RECORD_UNIFY_HPP_
-#define BITTERNFERRY_RECORD_UNIFY_HPP_
+#ifndef DISPATCHER_CUE_UNIFY_HPP_
+#define DISPATCHER_CUE_UNIFY_HPP_
 
 #include <map>
 #include <memory>
@@ -10,14 +10,14 @@
 #include <string>
 #include <vector>
 
-#include "record/data.hpp"
-#include "record/syntax.hpp"
+#include "cue/data.hpp"
+#include "cue/syntax.hpp"
 
 namespace re2 {
 class RE2;
 }
 
-namespace bitternferry::record {
+namespace dispatcher::cue {
 
 struct Value;
 using ValuePtr = std::shared_ptr<const Value>;  // never changed once made
@@ -98,6 +98,6 @@
 
 std::string describe(const Value& value);  // as errors tell what was expected or found
 
-}  // namespace bitternferry::record
+}  // namespace dispatcher::cue
 
-#endif  // BITTERNFERRY_RECORD_UNIFY_HPP_
+#endif  // DISPATCHER_CUE_UNIFY_HPP_
--- a/src/record/utf8.hpp
+++ b/src/cue/utf8.hpp
@@ -1,13 +1,13 @@
 // UTF-8 as RFC 3629 has it: what is well-formed, how long it is, and how it is written.
-#ifndef BITTERNFERRY_RECORD_UTF8_HPP_
-#define BITTERNFERRY_RECORD_UTF8_HPP_
+#ifndef DISPATCHER_CUE_UTF8_HPP_
+#define DISPATCHER_CUE_UTF8_HPP_
 
 #include <cstddef>
 #include <cstdint>
 #include <string>
 #include <string_view>
 
-namespace bitternferry::record {
+namespace dispatcher::cue {
 
 // The length of the character at the front of `s`; 0: none is well-formed there.
 inline std::size_t utf8_length(std::string_view s) {
@@ -60,6 +60,6 @@
   return std::string(s.substr(0, end));
 }
 
-}  // namespace bitternferry::record
+}  // namespace dispatcher::cue
 
-#endif  // BITTERNFERRY_RECORD_UTF8_HPP_
+#endif  // DISPATCHER_CUE_UTF8_HPP_
--- a/src/app/config.cpp
+++ b/src/daemon/config.cpp
@@ -1,4 +1,4 @@
-#include "app/config.hpp"
+#include "daemon/config.hpp"
 
 #include <algorithm>
 #include <charconv>
@@ -12,12 +12,12 @@
 #include "settings/report.hpp"
 #include "wire.hpp"
 
-namespace bitternferry::app {
+namespace dispatcher::daemon {
 
 using Json = nlohmann::json;
 
-using basaltvane::settings::Finding;
-using basaltvane::settings::Severity;
+using dispatcher::settings::Finding;
+using dispatcher::settings::Severity;
 
 namespace {
 
@@ -95,29 +95,29 @@
   }
 }
 
-basaltvane::Settings read_settings(const Json& source, std::vector<Finding>& findings) {
+routing::Settings read_settings(const Json& source, std::vector<Finding>& findings) {
   try {
     std::vector<Finding> odd;
-    basaltvane::Settings settings = basaltvane::wire::parse_settings(source, &odd);
+    routing::Settings settings = dispatcher::wire::parse_settings(source, &odd);
     // On sockets an attempt counts once its last byte has come.
     settings.free_connects = kConnectsPerAttempt * settings.max_attempts;
     settings.pinned_while_connecting = true;  // and what is held waits on while connections fail
     add_all(findings, std::move(odd));
-    add_all(findings, basaltvane::settings::check(settings));
-    add_all(findings, basaltvane::settings::check_sockets(settings));
+    add_all(findings, dispatcher::settings::check(settings));
+    add_all(findings, dispatcher::settings::check_sockets(settings));
     return settings;
-  } catch (const basaltvane::wire::SettingsError& e) {
+  } catch (const dispatcher::wire::SettingsError& e) {
     add_all(findings, e.findings);
     return {};
   }
 }
 
-discovery::Servers read_known(const Json& source, std::vector<Finding>& findings) {
-  discovery::Servers known;
+service_discovery::Servers read_known(const Json& source, std::vector<Finding>& findings) {
+  service_discovery::Servers known;
   try {
-    known = discovery::parse_servers(source);
+    known = service_discovery::parse_servers(source);
     known.whole = true;
-    known.list.kind = basaltvane::ListKind::kCached;
+    known.list.kind = routing::ListKind::kCached;
   } catch (const std::exception& e) {
     findings.push_back({Severity::kRefuse, "known", e.what(), ""});
   }
@@ -194,7 +194,7 @@
   if (const Json* settings = top.object("settings", true))
     config.settings = read_settings(*settings, findings);
   if (const Json* known = member(object, "known")) config.known = read_known(*known, findings);
-  std::vector<std::string> lines = basaltvane::settings::report(file, source, findings);
+  std::vector<std::string> lines = dispatcher::settings::report(file, source, findings);
   if (std::any_of(findings.begin(), findings.end(),
                   [](const Finding& f) { return f.severity == Severity::kRefuse; }))
     throw ConfigError(lines);
@@ -248,4 +248,4 @@
   return parse_config(source, environment);
 }
 
-}  // namespace bitternferry::app
+}  // namespace dispatcher::daemon
--- a/src/app/config.hpp
+++ b/src/daemon/config.hpp
@@ -1,6 +1,6 @@
 // What the program is told at its start: the platform's configuration and its environment.
-#ifndef BITTERNFERRY_APP_CONFIG_HPP_
-#define BITTERNFERRY_APP_CONFIG_HPP_
+#ifndef DISPATCHER_DAEMON_CONFIG_HPP_
+#define DISPATCHER_DAEMON_CONFIG_HPP_
 
 #include <cstdint>
 #include <map>
@@ -10,11 +10,11 @@
 #include <string>
 #include <vector>
 
-#include "basaltvane/router.hpp"
-#include "discovery/servers.hpp"
 #include "net/connection.hpp"
+#include "routing/router.hpp"
+#include "service_discovery/servers.hpp"
 
-namespace bitternferry::app {
+namespace dispatcher::daemon {
 
 // what() has a line for each thing that is wrong, which names the field.
 struct ConfigError : std::runtime_error {
@@ -30,9 +30,9 @@
   std::string scratch;  // a folder that a second process started beside this one shares; empty: none
   std::uint64_t seed = 0;
   std::size_t sockets = 1024, memory_mb = 192;
-  basaltvane::Settings settings;
+  routing::Settings settings;
   nlohmann::json source;  // the file, but for its list of replicas: a later one must have all of its keys
-  discovery::Servers known;
+  service_discovery::Servers known;
   std::vector<std::string> warnings;  // a line for each thing that is odd, but can be served by
 };
 
@@ -51,6 +51,6 @@
 void check_keys(const nlohmann::json& before, const nlohmann::json& after, const std::string& path = {});
 std::string read_file(const std::string& path);  // throws ConfigError
 
-}  // namespace bitternferry::app
+}  // namespace dispatcher::daemon
 
-#endif  // BITTERNFERRY_APP_CONFIG_HPP_
+#endif  // DISPATCHER_DAEMON_CONFIG_HPP_
--- a/src/app/dispatcher.cpp
+++ b/src/daemon/dispatcher.cpp
@@ -1,4 +1,4 @@
-#include "app/dispatcher.hpp"
+#include "daemon/dispatcher.hpp"
 
 #include <algorithm>
 #include <cctype>
@@ -6,16 +6,16 @@
 #include <string>
 #include <utility>
 
-namespace bitternferry::app {
+namespace dispatcher::daemon {
 
 using std::chrono::milliseconds;
 
 namespace {
 
 // New connections come for up to 0.4 s after SIGTERM; what comes more than 0.7 s after it may be lost.
-constexpr core::Duration kKeepAccepting = milliseconds(550);
-constexpr core::Duration kListenAgain = milliseconds(250);
-constexpr core::Duration kDrainLook = milliseconds(20);
+constexpr engine::Duration kKeepAccepting = milliseconds(550);
+constexpr engine::Duration kListenAgain = milliseconds(250);
+constexpr engine::Duration kDrainLook = milliseconds(20);
 constexpr int kWakeEvery = 3;  // looks for which a stream is kept still that could not be handed over yet
 // Rounds of calls to let go of a state: several must fit into the pin limit.
 constexpr int kLeaseRounds = 6;
@@ -27,7 +27,7 @@
 
 // Some descriptors stay for all that is neither a client nor a replica: the operators' callers have theirs
 // however many of the others there are.
-constexpr std::size_t kSpare = 32 + console::kMostCallers;
+constexpr std::size_t kSpare = 32 + admin::kMostCallers;
 // While two processes are this dispatcher, each keeps to half of what one may have.
 std::size_t usable(const Config& config, bool shared) {
   return (config.sockets - std::min(kSpare, config.sockets / 2)) / (shared ? 2 : 1);
@@ -43,14 +43,14 @@
   return config.scratch + "/bitternferry-" + name + suffix;
 }
 
-replica::Options pool_options(const Config& config, bool shared = false) {
-  replica::Options options;
+upstream::Options pool_options(const Config& config, bool shared = false) {
+  upstream::Options options;
   options.connect_timeout = config.settings.connect_timeout;
   options.idle_close = config.settings.idle_close;
   options.lease_patience =
-      std::max<core::Duration>(milliseconds(20), config.settings.pin_limit / kLeaseRounds);
+      std::max<engine::Duration>(milliseconds(20), config.settings.pin_limit / kLeaseRounds);
   options.drain_grace = config.settings.drain_grace;
-  options.release_again = std::max<core::Duration>(milliseconds(20), config.settings.pin_limit * 2 / 3);
+  options.release_again = std::max<engine::Duration>(milliseconds(20), config.settings.pin_limit * 2 / 3);
   options.most_open = std::min<std::size_t>(options.most_open, usable(config, shared) * 46 / 100);
   options.most_idle_all = std::min(options.most_idle_all, options.most_open / 2);
   return options;
@@ -65,29 +65,29 @@
   return options;
 }
 
-std::optional<chat::Config> parse_chat(const record::File& file, const basaltvane::Settings& settings) {
-  return file.text.empty() ? std::nullopt : chat::parse_config(file, settings);
+std::optional<openai_api::Config> parse_chat(const cue::File& file, const routing::Settings& settings) {
+  return file.text.empty() ? std::nullopt : openai_api::parse_config(file, settings);
 }
 
-std::shared_ptr<const limits::RuleSet> parse_rules(const std::optional<record::File>& file,
-                                                   const basaltvane::Settings& settings) {
-  return file ? limits::RuleSet::read(*file, limits::vocabulary_of(settings)) : nullptr;
+std::shared_ptr<const rate_limit::RuleSet> parse_rules(const std::optional<cue::File>& file,
+                                                       const routing::Settings& settings) {
+  return file ? rate_limit::RuleSet::read(*file, rate_limit::vocabulary_of(settings)) : nullptr;
 }
 
-std::shared_ptr<const levels::LevelSet> parse_levels(const std::optional<record::File>& file,
-                                                     const basaltvane::Settings& settings) {
-  return file ? levels::Control::read(*file, settings) : std::make_shared<const levels::LevelSet>();
+std::shared_ptr<const degradation::LevelSet> parse_levels(const std::optional<cue::File>& file,
+                                                          const routing::Settings& settings) {
+  return file ? degradation::Control::read(*file, settings) : std::make_shared<const degradation::LevelSet>();
 }
 
 }  // namespace
 
-Dispatcher::Dispatcher(Loop& loop, const Config& config, const Texts& texts, core::Log log,
+Dispatcher::Dispatcher(Loop& loop, const Config& config, const Texts& texts, engine::Log log,
                        ReadAgain read_again)
     : loop_(loop),
       config_(config),
       log_(log),
       read_again_(std::move(read_again)),
-      rules_(std::make_shared<const basaltvane::Settings>(config.settings)),
+      rules_(std::make_shared<const routing::Settings>(config.settings)),
       chat_config_(parse_chat(texts.chat, config_.settings)),
       first_rules_(parse_rules(texts.rules, config_.settings)),
       gate_(config.seed, log),
@@ -100,9 +100,10 @@
                 server_options(config, chat_config_ ? 2 : 1), [this] { return pool_.shed(); }),
       watch_(
           loop.io(), config.discovery, loop.deadlines(), loop.clock(), log,
-          [this](const discovery::Servers& servers) { apply(servers); }, config.settings.router_count,
+          [this](const service_discovery::Servers& servers) { apply(servers); }, config.settings.router_count,
           config.seed ^ 0x5bd1e995,
-          config.settings.list_by_asking ? discovery::Lists::kAskedFor : discovery::Lists::kPushed),
+          config.settings.list_by_asking ? service_discovery::Lists::kAskedFor
+                                         : service_discovery::Lists::kPushed),
       bans_(shared_path(config, ".bans"), log),
       partner_(loop.io(), shared_path(config, ".sock"), loop.deadlines(), loop.clock(), log, *this),
       signals_(loop.io(), SIGTERM, SIGINT, SIGHUP) {
@@ -121,10 +122,10 @@
   if (config.console) {
     console_.emplace(
         loop.io(), *config.console, loop.deadlines(), loop.clock(),
-        console::Calls{[this] { return ready(); },
-                       [this](const std::string& host, bool offline) { return maintain(host, offline); },
-                       [this] { return levels_.level(); }, [this] { return levels_.changes(); },
-                       [this](const std::string& name) { return levels_.order(name); }},
+        admin::Calls{[this] { return ready(); },
+                     [this](const std::string& host, bool offline) { return maintain(host, offline); },
+                     [this] { return levels_.level(); }, [this] { return levels_.changes(); },
+                     [this](const std::string& name) { return levels_.order(name); }},
         [this] { return pool_.shed(); });
   }
   engine_.attach(&partner_);
@@ -149,11 +150,11 @@
   partner_.start();
 }
 
-void Dispatcher::inherit(upgrade::Estate estate) {
+void Dispatcher::inherit(hot_restart::Estate estate) {
   if (!draining_) serve(std::move(estate));  // else: told to end before it began
 }
 
-void Dispatcher::serve(upgrade::Estate estate) {
+void Dispatcher::serve(hot_restart::Estate estate) {
   // What operators left out goes before any list.
   bans_.load();
   for (const std::string& host : bans_.hosts()) {
@@ -164,7 +165,7 @@
   apply(config_.known);
   if (!estate.list.is_null()) {
     try {
-      apply(discovery::parse_servers(estate.list));
+      apply(service_discovery::parse_servers(estate.list));
     } catch (const std::exception& e) {
       log_(std::string("upgrade: the list can't be read: ") + e.what());
     }
@@ -238,7 +239,7 @@
 
 void Dispatcher::watch_levels() {
   levels_.tick(engine_.open(), watch_.heard());
-  loop_.deadlines().add(loop_.now() + levels::Control::kTick, [this] { watch_levels(); });
+  loop_.deadlines().add(loop_.now() + degradation::Control::kTick, [this] { watch_levels(); });
 }
 
 void Dispatcher::await_signal() {
@@ -274,7 +275,7 @@
 void Dispatcher::adopt(const Files& files) {
   const Config& next = files.config;
   check_keys(config_.source, next.source);
-  const auto rules = std::make_shared<const basaltvane::Settings>(next.settings);
+  const auto rules = std::make_shared<const routing::Settings>(next.settings);
   const auto chat = parse_chat(files.texts.chat, *rules);
   if (chat_ && !chat) throw ConfigError("the chat front's file no longer says where to listen");
   const auto requests = parse_rules(files.texts.rules, *rules);
@@ -348,8 +349,8 @@
   pool_.maintain(host, offline);
 }
 
-void Dispatcher::apply(const discovery::Servers& servers) {
-  discovery::merge(servers_, servers);
+void Dispatcher::apply(const service_discovery::Servers& servers) {
+  service_discovery::merge(servers_, servers);
   pool_.hosts(servers.addresses, servers.whole);
   engine_.hosts(servers.list);
   levels_.hosts(servers.list);
@@ -390,8 +391,8 @@
 void Dispatcher::hand_over_streams() {
   if (!partner_.succeeded()) return;
   http::Server& server = platform_.server();
-  for (const core::Engine::Stream& s : engine_.streams(platform_.answerer())) {
-    const core::AttemptId attempt{s.request, s.attempt};
+  for (const engine::Engine::Stream& s : engine_.streams(platform_.answerer())) {
+    const engine::AttemptId attempt{s.request, s.attempt};
     // Both reads are taken back first; it is given once they are, unless more came in between.
     const bool client_still = server.hush(s.client), replica_still = pool_.hush(attempt);
     if (client_still && replica_still) {
@@ -416,10 +417,10 @@
 void Dispatcher::on_stream(const Json& facts, net::UniqueFd client, net::UniqueFd replica) {
   try {
     const auto unread = facts.at("unread").get<std::vector<unsigned char>>();
-    const replica::Pool::Given given{facts.at("host").get<std::string>(),
-                                     {unread.begin(), unread.end()},
-                                     facts.at("chunk_left").get<std::uint64_t>(),
-                                     facts.at("keep_alive").get<bool>()};
+    const upstream::Pool::Given given{facts.at("host").get<std::string>(),
+                                      {unread.begin(), unread.end()},
+                                      facts.at("chunk_left").get<std::uint64_t>(),
+                                      facts.at("keep_alive").get<bool>()};
     const auto id = facts.at("id").get<std::string>();
     engine_.request_elsewhere(id, false);
     const net::SlotId request = platform_.take_over(std::move(client), id, given.host);
@@ -447,4 +448,4 @@
   loop_.stop();
 }
 
-}  // namespace bitternferry::app
+}  // namespace dispatcher::daemon
--- a/src/app/dispatcher.hpp
+++ b/src/daemon/dispatcher.hpp
@@ -1,6 +1,6 @@
 // The whole dispatcher, put together: who is built from what, and its life from start to SIGTERM.
-#ifndef BITTERNFERRY_APP_DISPATCHER_HPP_
-#define BITTERNFERRY_APP_DISPATCHER_HPP_
+#ifndef DISPATCHER_DAEMON_DISPATCHER_HPP_
+#define DISPATCHER_DAEMON_DISPATCHER_HPP_
 
 #include <boost/asio/signal_set.hpp>
 #include <functional>
@@ -10,28 +10,28 @@
 #include <string>
 #include <vector>
 
-#include "app/config.hpp"
-#include "app/loop.hpp"
-#include "chat/front.hpp"
-#include "console/console.hpp"
-#include "core/engine.hpp"
-#include "discovery/watch.hpp"
-#include "levels/control.hpp"
-#include "limits/gate.hpp"
-#include "platform/front.hpp"
-#include "replica/pool.hpp"
-#include "upgrade/bans.hpp"
-#include "upgrade/partner.hpp"
+#include "admin/console.hpp"
+#include "daemon/config.hpp"
+#include "daemon/loop.hpp"
+#include "degradation/control.hpp"
+#include "engine/engine.hpp"
+#include "hot_restart/bans.hpp"
+#include "hot_restart/partner.hpp"
+#include "openai_api/front.hpp"
+#include "platform_api/front.hpp"
+#include "rate_limit/gate.hpp"
+#include "service_discovery/watch.hpp"
+#include "upstream/pool.hpp"
 #include "vrrp/speaker.hpp"
 
-namespace bitternferry::app {
+namespace dispatcher::daemon {
 
 using Json = nlohmann::json;
 
 // The files of our own, each as it was read; without text: there is none.
 struct Texts {
-  record::File chat = {}, vrrp = {};
-  std::optional<record::File> rules = {}, levels = {};  // none: there are no rules, no levels
+  cue::File chat = {}, vrrp = {};
+  std::optional<cue::File> rules = {}, levels = {};  // none: there are no rules, no levels
 };
 
 // What SIGHUP reads anew.
@@ -40,26 +40,26 @@
   Texts texts;
 };
 
-class Dispatcher : private upgrade::Partner::Owner {
+class Dispatcher : private hot_restart::Partner::Owner {
  public:
   using ReadAgain = std::function<Files()>;  // throws where a file can't be read or is bad
-  Dispatcher(Loop& loop, const Config& config, const Texts& texts, core::Log log,
+  Dispatcher(Loop& loop, const Config& config, const Texts& texts, engine::Log log,
              ReadAgain read_again = {});  // throws where a file is bad
   void start();
   // From here on a line for each thing that happens to a request.
-  void log_requests() { engine_.attach(core::RequestLog(log_)); }
+  void log_requests() { engine_.attach(engine::RequestLog(log_)); }
   void reload();  // as SIGHUP asks: all of the new files takes effect or, where one is bad, nothing
   void drain();   // as SIGTERM asks: takes what still comes for a while, finishes everything, ends the loop
   net::tcp::endpoint address() { return platform_.server().local(); }
   net::tcp::endpoint console() const { return console_->local(); }
 
  private:
-  Json list() override { return discovery::to_json(servers_); }
+  Json list() override { return service_discovery::to_json(servers_); }
   std::map<std::string, int> listening() override;
   std::vector<std::string> open_ids() override { return engine_.open_ids(); }
-  basaltvane::Knowledge knowledge() override { return engine_.knowledge(); }
+  routing::Knowledge knowledge() override { return engine_.knowledge(); }
   Json level() override { return levels_.level(); }
-  void inherit(upgrade::Estate estate) override;
+  void inherit(hot_restart::Estate estate) override;
   void on_ban(const std::string& host, bool offline) override { order(host, offline); }
   void on_request(const std::string& id, bool open) override { engine_.request_elsewhere(id, open); }
   void on_sent(const std::string& host) override { engine_.sent_elsewhere(host); }
@@ -67,8 +67,8 @@
   void on_vrrp(bool was_active) override;
   void on_partners() override;
 
-  void apply(const discovery::Servers& servers);
-  void serve(upgrade::Estate estate);
+  void apply(const service_discovery::Servers& servers);
+  void serve(hot_restart::Estate estate);
   void order(const std::string& host, bool offline);
   void enforce(const std::string& host, bool offline);
   void bound();
@@ -87,25 +87,25 @@
 
   Loop& loop_;
   Config config_;
-  core::Log log_;
+  engine::Log log_;
   ReadAgain read_again_;
-  core::Rules rules_;
-  std::optional<chat::Config> chat_config_;             // before the fronts, which share the descriptors
-  std::shared_ptr<const limits::RuleSet> first_rules_;  // read before anything is opened
-  limits::Gate gate_;
+  engine::Rules rules_;
+  std::optional<openai_api::Config> chat_config_;           // before the fronts, which share the descriptors
+  std::shared_ptr<const rate_limit::RuleSet> first_rules_;  // read before anything is opened
+  rate_limit::Gate gate_;
   std::mt19937_64 random_;
-  levels::Control levels_;
-  replica::Pool pool_;
-  core::Engine engine_;
-  platform::Front platform_;
-  std::optional<chat::Front> chat_;
-  std::optional<console::Console> console_;
-  discovery::Watch watch_;
+  degradation::Control levels_;
+  upstream::Pool pool_;
+  engine::Engine engine_;
+  platform_api::Front platform_;
+  std::optional<openai_api::Front> chat_;
+  std::optional<admin::Console> console_;
+  service_discovery::Watch watch_;
   std::optional<vrrp::Speaker> vrrp_;
   bool fronting_ = false;  // this instance of the pair answers at the chat address
-  upgrade::Bans bans_;
-  upgrade::Partner partner_;
-  discovery::Servers servers_;  // the whole list as it is now
+  hot_restart::Bans bans_;
+  hot_restart::Partner partner_;
+  service_discovery::Servers servers_;  // the whole list as it is now
   std::optional<vrrp::Config> pair_;
   net::UniqueFd chat_socket_;  // handed over, for when this instance fronts the chat address
   bool serving_ = false;
@@ -114,6 +114,6 @@
   bool draining_ = false, took_last_ = false;
 };
 
-}  // namespace bitternferry::app
+}  // namespace dispatcher::daemon
 
-#endif  // BITTERNFERRY_APP_DISPATCHER_HPP_
+#endif  // DISPATCHER_DAEMON_DISPATCHER_HPP_
--- a/src/app/loop.hpp
+++ b/src/daemon/loop.hpp
@@ -1,14 +1,14 @@
 // The event loop: Asio's, the clock and the one timer behind all deadlines.
-#ifndef BITTERNFERRY_APP_LOOP_HPP_
-#define BITTERNFERRY_APP_LOOP_HPP_
+#ifndef DISPATCHER_DAEMON_LOOP_HPP_
+#define DISPATCHER_DAEMON_LOOP_HPP_
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/steady_timer.hpp>
 #include <chrono>
 
-#include "core/deadlines.hpp"
+#include "engine/deadlines.hpp"
 
-namespace bitternferry::app {
+namespace dispatcher::daemon {
 
 class Loop {
  public:
@@ -16,22 +16,22 @@
     deadlines_.on_sooner([this] { arm(); });
   }
   boost::asio::io_context& io() { return io_; }
-  core::Deadlines& deadlines() { return deadlines_; }
+  engine::Deadlines& deadlines() { return deadlines_; }
   // Steady, yet with the origin of Unix time, in which discovery tells the replicas' starts: read once, so
   // that a step of the system's clock moves no deadline.
-  core::Time now() const { return anchor_ + steady_now(); }
-  core::Clock clock() {
+  engine::Time now() const { return anchor_ + steady_now(); }
+  engine::Clock clock() {
     return [this] { return now(); };
   }
   void run() { io_.run(); }
   void stop() { io_.stop(); }
 
  private:
-  static core::Time steady_now() {
-    return std::chrono::duration_cast<core::Time>(std::chrono::steady_clock::now().time_since_epoch());
+  static engine::Time steady_now() {
+    return std::chrono::duration_cast<engine::Time>(std::chrono::steady_clock::now().time_since_epoch());
   }
-  static core::Time system_now() {
-    return std::chrono::duration_cast<core::Time>(std::chrono::system_clock::now().time_since_epoch());
+  static engine::Time system_now() {
+    return std::chrono::duration_cast<engine::Time>(std::chrono::system_clock::now().time_since_epoch());
   }
   void arm() {
     const auto next = deadlines_.next();
@@ -46,10 +46,10 @@
 
   boost::asio::io_context io_{1};
   boost::asio::steady_timer timer_;
-  core::Deadlines deadlines_;
-  core::Time anchor_;
+  engine::Deadlines deadlines_;
+  engine::Time anchor_;
 };
 
-}  // namespace bitternferry::app
+}  // namespace dispatcher::daemon
 
-#endif  // BITTERNFERRY_APP_LOOP_HPP_
+#endif  // DISPATCHER_DAEMON_LOOP_HPP_
--- a/src/app/main.cpp
+++ b/src/daemon/main.cpp
@@ -9,43 +9,43 @@
 #include <string>
 #include <vector>
 
-#include "app/config.hpp"
-#include "app/dispatcher.hpp"
-#include "app/loop.hpp"
-#include "app/rules_command.hpp"
+#include "daemon/config.hpp"
+#include "daemon/dispatcher.hpp"
+#include "daemon/loop.hpp"
+#include "daemon/rules_command.hpp"
 
 namespace {
 
-using namespace bitternferry;
+using namespace dispatcher;
 
 constexpr const char* kVersion = "bitternferry 0.1.0";
 
-void log_line(core::Time now, std::string_view text) {
+void log_line(engine::Time now, std::string_view text) {
   const auto ms = now.count() / 1000;
   std::fprintf(stderr, "%lld.%03lld %.*s\n", static_cast<long long>(ms / 1000),
                static_cast<long long>(ms % 1000), static_cast<int>(text.size()), text.data());
 }
 
 // A file that was named must be there; the one at the usual place need not be.
-record::File read_optional(const std::string& path, bool named) {
-  return {path, named || std::filesystem::exists(path) ? app::read_file(path) : std::string()};
+cue::File read_optional(const std::string& path, bool named) {
+  return {path, named || std::filesystem::exists(path) ? daemon::read_file(path) : std::string()};
 }
 
 // PROXY_CONFIG's, or the one that was named.
-app::Config load(const std::string& path) {
-  app::Environment environment = app::read_environment();
+daemon::Config load(const std::string& path) {
+  daemon::Environment environment = daemon::read_environment();
   if (!path.empty()) environment["PROXY_CONFIG"] = path;
-  return app::load_config(environment);
+  return daemon::load_config(environment);
 }
 
-int serve(const std::function<app::Texts()>& texts, bool log_requests) {
-  const app::Config config = load({});
-  app::Loop loop;
+int serve(const std::function<daemon::Texts()>& texts, bool log_requests) {
+  const daemon::Config config = load({});
+  daemon::Loop loop;
   for (const std::string& line : config.warnings) log_line(loop.now(), line);
-  app::Dispatcher dispatcher(
+  daemon::Dispatcher dispatcher(
       loop, config, texts(), [&loop](std::string_view text) { log_line(loop.now(), text); },
       [&texts] {
-        return app::Files{app::reload_config(app::read_environment()), texts()};
+        return daemon::Files{daemon::reload_config(daemon::read_environment()), texts()};
       });
   if (log_requests) dispatcher.log_requests();
   dispatcher.start();
@@ -53,11 +53,12 @@
   return 0;
 }
 
-int check_config(const std::string& path, const app::Texts& texts) {
-  const app::Config config = load(path);
-  const bool chats = !texts.chat.text.empty() && chat::parse_config(texts.chat, config.settings).has_value();
-  if (texts.rules) limits::RuleSet::read(*texts.rules, limits::vocabulary_of(config.settings));
-  if (texts.levels) levels::Control::read(*texts.levels, config.settings);
+int check_config(const std::string& path, const daemon::Texts& texts) {
+  const daemon::Config config = load(path);
+  const bool chats =
+      !texts.chat.text.empty() && openai_api::parse_config(texts.chat, config.settings).has_value();
+  if (texts.rules) rate_limit::RuleSet::read(*texts.rules, rate_limit::vocabulary_of(config.settings));
+  if (texts.levels) degradation::Control::read(*texts.levels, config.settings);
   const bool paired = !texts.vrrp.text.empty() && vrrp::parse_config(texts.vrrp).has_value();
   for (const std::string& line : config.warnings) std::cout << line << "\n";
   std::cout << "ok: " << config.name << ", " << config.settings.classes.size() << " classes, "
@@ -68,20 +69,20 @@
 }
 
 // The names that the configuration knows, where there is one.
-limits::Vocabulary known_names(const std::string& config) {
-  const bool any = !config.empty() || app::read_environment().contains("PROXY_CONFIG");
-  return any ? limits::vocabulary_of(load(config).settings) : limits::Vocabulary{};
+rate_limit::Vocabulary known_names(const std::string& config) {
+  const bool any = !config.empty() || daemon::read_environment().contains("PROXY_CONFIG");
+  return any ? rate_limit::vocabulary_of(load(config).settings) : rate_limit::Vocabulary{};
 }
 
 // A file's name, or a record itself.
-record::File read_sample(const std::string& given) {
+cue::File read_sample(const std::string& given) {
   if (given.starts_with('{')) return {"request", given};
-  return {given, app::read_file(given)};
+  return {given, daemon::read_file(given)};
 }
 
-int show_config(const std::string& path, const std::optional<record::File>& rules) {
-  const app::Config config = load(path);
-  const auto ms = [](core::Duration d) { return std::to_string(d.count() / 1000) + " ms"; };
+int show_config(const std::string& path, const std::optional<cue::File>& rules) {
+  const daemon::Config config = load(path);
+  const auto ms = [](engine::Duration d) { return std::to_string(d.count() / 1000) + " ms"; };
   std::cout << "name " << config.name << "\nlisten " << config.listen << "\ndiscovery " << config.discovery
             << "\nconsole ";
   config.console ? std::cout << *config.console : std::cout << "off";
@@ -93,17 +94,17 @@
   for (const auto& a : config.known.addresses)
     std::cout << "replica " << a.host << " at " << a.endpoint << (a.ready ? ": up" : ": not up") << "\n";
   if (!rules) return 0;
-  const auto set = limits::RuleSet::read(*rules, limits::vocabulary_of(config.settings));
+  const auto set = rate_limit::RuleSet::read(*rules, rate_limit::vocabulary_of(config.settings));
   const auto instances = static_cast<std::size_t>(std::max(1, config.settings.router_count));
-  for (const limits::Rule& rule : set->rules()) {
+  for (const rate_limit::Rule& rule : set->rules()) {
     std::cout << "rule " << rule.name << ": " << rule.when << "\n";
-    for (const limits::Limit& l : rule.limits) {
+    for (const rate_limit::Limit& l : rule.limits) {
       const auto part =
-          limits::part_of(l, static_cast<std::size_t>(config.settings.router_number), instances);
+          rate_limit::part_of(l, static_cast<std::size_t>(config.settings.router_number), instances);
       std::cout << "  limit " << l.name << ", this instance's part:";
       if (part.interval.count() > 0)
         std::cout << " one each " << static_cast<double>(part.interval.count()) / 1e6 << " ms";
-      if (part.most != limits::Bound::kAny) std::cout << " " << part.most << " in progress";
+      if (part.most != rate_limit::Bound::kAny) std::cout << " " << part.most << " in progress";
       std::cout << "\n";
     }
   }
@@ -164,38 +165,39 @@
       std::cout << kVersion << "\n";
       return 0;
     }
-    const auto rule_text = [&](bool named) -> std::optional<record::File> {
+    const auto rule_text = [&](bool named) -> std::optional<cue::File> {
       if (!named) return std::nullopt;
-      return record::File{rules, app::read_file(rules)};
+      return cue::File{rules, daemon::read_file(rules)};
     };
     const bool rules_named = rules_option->count() > 0;
     if (*rules_check) {
-      std::vector<record::File> files;
-      for (const std::string& file : rule_files) files.push_back({file, app::read_file(file)});
-      return app::rules_check(files, known_names(config_path), costs, std::cout, std::cerr);
+      std::vector<cue::File> files;
+      for (const std::string& file : rule_files) files.push_back({file, daemon::read_file(file)});
+      return daemon::rules_check(files, known_names(config_path), costs, std::cout, std::cerr);
     }
     if (*rules_explain) {
-      return app::rules_explain({rule_file, app::read_file(rule_file)}, read_sample(sample),
-                                known_names(config_path), std::cout, std::cerr);
+      return daemon::rules_explain({rule_file, daemon::read_file(rule_file)}, read_sample(sample),
+                                   known_names(config_path), std::cout, std::cerr);
     }
     if (*rules_bench) {
-      return app::rules_bench({rule_file, app::read_file(rule_file)}, requests, known_names(config_path),
-                              std::cout, std::cerr);
+      return daemon::rules_bench({rule_file, daemon::read_file(rule_file)}, requests,
+                                 known_names(config_path), std::cout, std::cerr);
     }
     if (*show) return show_config(path, rule_text(rules_named));
     // A check reads the file at the usual place as well, which is not served by until it is named.
     const bool read_rules = rules_named || (*check && std::filesystem::exists(rules));
     const bool read_levels = levels_option->count() > 0 || (*check && std::filesystem::exists(levels));
-    const auto level_text = [&]() -> std::optional<record::File> {
+    const auto level_text = [&]() -> std::optional<cue::File> {
       if (!read_levels) return std::nullopt;
-      return record::File{levels, app::read_file(levels)};
+      return cue::File{levels, daemon::read_file(levels)};
     };
     const auto texts = [&] {
-      return app::Texts{read_optional(chat, chat_option->count() > 0),
-                        read_optional(vrrp, vrrp_option->count() > 0), rule_text(read_rules), level_text()};
+      return daemon::Texts{read_optional(chat, chat_option->count() > 0),
+                           read_optional(vrrp, vrrp_option->count() > 0), rule_text(read_rules),
+                           level_text()};
     };
     return *check ? check_config(path, texts()) : serve(texts, log_requests);
-  } catch (const app::ConfigError& e) {
+  } catch (const daemon::ConfigError& e) {
     for (const std::string& line : e.lines()) std::cerr << "bitternferry: " << line << "\n";
   } catch (const std::exception& e) {
     std::cerr << "bitternferry: " << e.what() << "\n";
--- a/src/app/rules_command.cpp
+++ b/src/daemon/rules_command.cpp
@@ -1,4 +1,4 @@
-#include "app/rules_command.hpp"
+#include "daemon/rules_command.hpp"
 
 #include <algorithm>
 #include <chrono>
@@ -7,11 +7,11 @@
 #include <ostream>
 #include <random>
 
-#include "limits/explain.hpp"
+#include "rate_limit/explain.hpp"
 
-namespace bitternferry::app {
+namespace dispatcher::daemon {
 
-using limits::RuleSet;
+using rate_limit::RuleSet;
 
 namespace {
 
@@ -28,23 +28,23 @@
   }
 
  private:
-  void collect(const match::Node& n, int field) {
-    if (n.op == match::Op::kField) return;
-    for (const match::Node& kid : n.kids) {
-      if (kid.op == match::Op::kField) field = static_cast<int>(kid.integer);
+  void collect(const expression::Node& n, int field) {
+    if (n.op == expression::Op::kField) return;
+    for (const expression::Node& kid : n.kids) {
+      if (kid.op == expression::Op::kField) field = static_cast<int>(kid.integer);
     }
-    if (n.op == match::Op::kLiteral && n.type.kind == match::Kind::kString && field >= 0)
+    if (n.op == expression::Op::kLiteral && n.type.kind == expression::Kind::kString && field >= 0)
       by_field_[static_cast<std::size_t>(field)].push_back(n.text);
-    for (const match::Node& kid : n.kids) collect(kid, field);
+    for (const expression::Node& kid : n.kids) collect(kid, field);
   }
   std::vector<std::vector<std::string>> by_field_;
 };
 
-std::shared_ptr<const RuleSet> load(const record::File& file, const limits::Vocabulary& names,
+std::shared_ptr<const RuleSet> load(const cue::File& file, const rate_limit::Vocabulary& names,
                                     std::ostream& errors) {
   try {
     return RuleSet::read(file, names);
-  } catch (const record::Errors& e) {
+  } catch (const cue::Errors& e) {
     errors << e.what() << "\n";
     return nullptr;
   }
@@ -52,17 +52,17 @@
 
 }  // namespace
 
-int rules_check(const std::vector<record::File>& files, const limits::Vocabulary& names, bool costs,
+int rules_check(const std::vector<cue::File>& files, const rate_limit::Vocabulary& names, bool costs,
                 std::ostream& out, std::ostream& errors) {
   int status = 0;
-  for (const record::File& file : files) {
+  for (const cue::File& file : files) {
     const auto rules = load(file, names, errors);
     if (rules == nullptr) {
       status = 1;
       continue;
     }
-    for (const record::Problem& p : limits::warnings(*rules))
-      out << "warning: " << record::to_text(file.name, p) << "\n";
+    for (const cue::Problem& p : rate_limit::warnings(*rules))
+      out << "warning: " << cue::to_text(file.name, p) << "\n";
     out << file.name << ": ok, " << rules->rules().size() << " rules, at most "
         << std::llround(rules->worst_ns()) << " ns a request (budget " << std::llround(rules->budget_ns())
         << ")\n";
@@ -73,34 +73,34 @@
   return status;
 }
 
-int rules_explain(const record::File& file, const record::File& request, const limits::Vocabulary& names,
+int rules_explain(const cue::File& file, const cue::File& request, const rate_limit::Vocabulary& names,
                   std::ostream& out, std::ostream& errors) {
   const auto rules = load(file, names, errors);
   if (rules == nullptr) return 1;
   try {
-    const auto sample = limits::read_sample(request, *rules);
-    for (const std::string& line : limits::explain(*rules, sample->facts)) out << line << "\n";
-  } catch (const record::Errors& e) {
+    const auto sample = rate_limit::read_sample(request, *rules);
+    for (const std::string& line : rate_limit::explain(*rules, sample->facts)) out << line << "\n";
+  } catch (const cue::Errors& e) {
     errors << e.what() << "\n";
     return 1;
   }
   return 0;
 }
 
-int rules_bench(const record::File& file, std::size_t requests, const limits::Vocabulary& names,
+int rules_bench(const cue::File& file, std::size_t requests, const rate_limit::Vocabulary& names,
                 std::ostream& out, std::ostream& errors) {
   const auto rules = load(file, names, errors);
   if (rules == nullptr) return 1;
   constexpr std::size_t kFixed = 10;  // fields before the headers
   const Values values(*rules);
   std::mt19937_64 random(1);
-  match::Scratch scratch;
+  expression::Scratch scratch;
   rules->reserve(scratch);
   std::vector<float> times;
   times.reserve(requests);
   std::size_t matched = 0;
   for (std::size_t n = 0; n < requests; ++n) {
-    limits::Facts facts;
+    rate_limit::Facts facts;
     facts.request_class = values.any(0, random);
     facts.account = values.any(1, random);
     facts.model = values.any(2, random);
@@ -112,7 +112,7 @@
       facts.headers.push_back(
           random() % 2 == 0 ? std::nullopt : std::optional<std::string_view>(values.any(kFixed + h, random)));
     const auto begin = std::chrono::steady_clock::now();
-    const limits::Decision decision = rules->decide(facts, scratch);
+    const rate_limit::Decision decision = rules->decide(facts, scratch);
     times.push_back(
         std::chrono::duration<float, std::nano>(std::chrono::steady_clock::now() - begin).count());
     matched += decision.rule >= 0 ? 1 : 0;
@@ -131,4 +131,4 @@
   return 0;
 }
 
-}  // namespace bitternferry::app
+}  // namespace dispatcher::daemon
--- a/src/levels/control.cpp
+++ b/src/degradation/control.cpp
@@ -1,21 +1,21 @@
-#include "levels/control.hpp"
+#include "degradation/control.hpp"
 
 #include <array>
 #include <utility>
 
-namespace bitternferry::levels {
+namespace dispatcher::degradation {
 
 using Json = nlohmann::json;
 
 namespace {
 
-Json to_json(const match::Value& v) {
-  if (v.kind == match::Kind::kDouble) return v.real;
-  if (v.kind == match::Kind::kInt) return v.integer;
+Json to_json(const expression::Value& v) {
+  if (v.kind == expression::Kind::kDouble) return v.real;
+  if (v.kind == expression::Kind::kInt) return v.integer;
   return nullptr;
 }
 
-Json named(const match::Environment& fields, const std::vector<match::Value>& values) {
+Json named(const expression::Environment& fields, const std::vector<expression::Value>& values) {
   Json all = Json::object();
   for (std::size_t i = 0; i < values.size() && i < fields.fields().size(); ++i)
     all[fields.fields()[i].path] = to_json(values[i]);
@@ -24,18 +24,17 @@
 
 }  // namespace
 
-std::shared_ptr<const LevelSet> Control::read(const record::File& file,
-                                              const basaltvane::Settings& settings) {
-  const match::Environment signals = Signals::fields(settings);
-  match::Environment request = signals;
-  request.add({"account.use", match::Kind::kDouble, true, 0, {}});
-  const limits::Vocabulary names = limits::vocabulary_of(settings);
-  limits::add_request_fields(request, names);
+std::shared_ptr<const LevelSet> Control::read(const cue::File& file, const routing::Settings& settings) {
+  const expression::Environment signals = Signals::fields(settings);
+  expression::Environment request = signals;
+  request.add({"account.use", expression::Kind::kDouble, true, 0, {}});
+  const rate_limit::Vocabulary names = rate_limit::vocabulary_of(settings);
+  rate_limit::add_request_fields(request, names);
   return LevelSet::read(file, signals, request, names.classes);
 }
 
-Control::Control(const basaltvane::Settings& settings, std::shared_ptr<const LevelSet> levels,
-                 core::Clock clock, core::Log log, std::function<double()> random)
+Control::Control(const routing::Settings& settings, std::shared_ptr<const LevelSet> levels,
+                 engine::Clock clock, engine::Log log, std::function<double()> random)
     : clock_(std::move(clock)),
       log_(std::move(log)),
       random_(std::move(random)),
@@ -43,7 +42,7 @@
       signals_(settings),
       machine_(std::move(levels)) {}
 
-void Control::adopt(const basaltvane::Settings& settings, std::shared_ptr<const LevelSet> levels) {
+void Control::adopt(const routing::Settings& settings, std::shared_ptr<const LevelSet> levels) {
   signals_.adopt(settings);
   fields_ = Signals::fields(settings);
   last_.clear();
@@ -70,18 +69,18 @@
   log_(line);
 }
 
-std::optional<Duration> Control::shed(const basaltvane::Request& request, limits::Facts facts) {
+std::optional<Duration> Control::shed(const routing::Request& request, rate_limit::Facts facts) {
   if (!active()) return std::nullopt;
   signals_.asked(request.tenant, clock_());
   if (machine_.level() == 0) return std::nullopt;
   facts.request_class = request.request_class;
   facts.account = request.tenant;
   facts.session = request.session;
-  std::array<match::Value, limits::kRequestFields> fields;
+  std::array<expression::Value, rate_limit::kRequestFields> fields;
   std::array<char, 16> session{};
-  limits::fill_request(facts, session, fields);
-  std::vector<match::Value> values = last_;
-  values.resize(fields_.fields().size(), match::Value::of(match::Fault::kAbsent));
+  rate_limit::fill_request(facts, session, fields);
+  std::vector<expression::Value> values = last_;
+  values.resize(fields_.fields().size(), expression::Value::of(expression::Fault::kAbsent));
   values.push_back(signals_.use(request.tenant, clock_()));
   values.insert(values.end(), fields.begin(), fields.end());
   const auto retry = machine_.shed(request.request_class, values, random_());
@@ -146,4 +145,4 @@
   if (active()) signals_.given_up(request_class, refused, clock_());
 }
 
-}  // namespace bitternferry::levels
+}  // namespace dispatcher::degradation
--- a/src/levels/control.hpp
+++ b/src/degradation/control.hpp
@@ -1,7 +1,7 @@
 // Levels in a running dispatcher: signals in, the state machine, and whether a request is shed. No I/O;
 // whoever owns it calls tick() and passes the clock in.
-#ifndef BITTERNFERRY_LEVELS_CONTROL_HPP_
-#define BITTERNFERRY_LEVELS_CONTROL_HPP_
+#ifndef DISPATCHER_DEGRADATION_CONTROL_HPP_
+#define DISPATCHER_DEGRADATION_CONTROL_HPP_
 
 #include <functional>
 #include <memory>
@@ -10,30 +10,30 @@
 #include <string>
 #include <string_view>
 
-#include "core/engine.hpp"
-#include "levels/signals.hpp"
-#include "levels/state_machine.hpp"
-#include "limits/facts.hpp"
+#include "degradation/signals.hpp"
+#include "degradation/state_machine.hpp"
+#include "engine/engine.hpp"
+#include "rate_limit/facts.hpp"
 
-namespace bitternferry::levels {
+namespace dispatcher::degradation {
 
-class Control : public core::Witness {
+class Control : public engine::Witness {
  public:
   static constexpr Duration kTick = std::chrono::milliseconds(500);
 
   // `random`: numbers from 0 to 1.
-  Control(const basaltvane::Settings& settings, std::shared_ptr<const LevelSet> levels, core::Clock clock,
-          core::Log log, std::function<double()> random);
-  static std::shared_ptr<const LevelSet> read(const record::File& file, const basaltvane::Settings& settings);
+  Control(const routing::Settings& settings, std::shared_ptr<const LevelSet> levels, engine::Clock clock,
+          engine::Log log, std::function<double()> random);
+  static std::shared_ptr<const LevelSet> read(const cue::File& file, const routing::Settings& settings);
 
   // Where the file names no level nothing is shed and nothing counted.
   bool active() const { return !machine_.levels().levels().empty(); }
-  void adopt(const basaltvane::Settings& settings, std::shared_ptr<const LevelSet> levels);
+  void adopt(const routing::Settings& settings, std::shared_ptr<const LevelSet> levels);
   void tick(std::size_t open, std::optional<Time> heard);
-  void hosts(const basaltvane::HostList& list) { signals_.hosts(list, clock_()); }
+  void hosts(const routing::HostList& list) { signals_.hosts(list, clock_()); }
 
   // None: it passes. Else it is refused at once, to come again after this. `request`: as the rules left it.
-  std::optional<Duration> shed(const basaltvane::Request& request, limits::Facts facts);
+  std::optional<Duration> shed(const routing::Request& request, rate_limit::Facts facts);
 
   // For operators, and for the process that takes over.
   nlohmann::json level() const;
@@ -49,16 +49,16 @@
  private:
   void tell(const Change& change);
 
-  core::Clock clock_;
-  core::Log log_;
+  engine::Clock clock_;
+  engine::Log log_;
   std::function<double()> random_;
-  match::Environment fields_;
+  expression::Environment fields_;
   Signals signals_;
   StateMachine machine_;
-  std::vector<match::Value> last_;  // signals, as they were at the last tick
-  std::uint64_t shed_ = 0;          // since the level in force was entered
+  std::vector<expression::Value> last_;  // signals, as they were at the last tick
+  std::uint64_t shed_ = 0;               // since the level in force was entered
 };
 
-}  // namespace bitternferry::levels
+}  // namespace dispatcher::degradation
 
-#endif  // BITTERNFERRY_LEVELS_CONTROL_HPP_
+#endif  // DISPATCHER_DEGRADATION_CONTROL_HPP_
--- a/src/levels/levels.cpp
+++ b/src/degradation/levels.cpp
@@ -1,4 +1,4 @@
-#include "levels/levels.hpp"
+#include "degradation/levels.hpp"
 
 #include <algorithm>
 #include <cmath>
@@ -6,10 +6,10 @@
 #include <random>
 #include <set>
 
-#include "match/from_record.hpp"
-#include "record/schema.hpp"
+#include "cue/schema.hpp"
+#include "expression/from_record.hpp"
 
-namespace bitternferry::levels {
+namespace dispatcher::degradation {
 
 namespace {
 
@@ -39,35 +39,35 @@
 
 constexpr std::size_t kMostSamples = 4096;
 
-using match::Kind;
-using match::Value;
+using expression::Kind;
+using expression::Value;
 
 // The numbers that a condition compares each signal with, and a little to either side of each.
-void collect(const match::Node& n, std::map<std::int64_t, std::set<double>>& points) {
-  for (const match::Node& a : n.kids) {
-    if (a.op != match::Op::kField) continue;
-    for (const match::Node& b : n.kids) {
-      if (b.op != match::Op::kLiteral) continue;
+void collect(const expression::Node& n, std::map<std::int64_t, std::set<double>>& points) {
+  for (const expression::Node& a : n.kids) {
+    if (a.op != expression::Op::kField) continue;
+    for (const expression::Node& b : n.kids) {
+      if (b.op != expression::Op::kLiteral) continue;
       const double at = b.type.kind == Kind::kInt ? static_cast<double>(b.integer) : b.real;
       const double near = b.type.kind == Kind::kInt ? 1 : std::max(1e-6, std::abs(at) * 1e-3);
       points[a.integer].insert({at - near, at, at + near});
     }
   }
-  for (const match::Node& kid : n.kids) collect(kid, points);
+  for (const expression::Node& kid : n.kids) collect(kid, points);
 }
 
 // May both hold at once? Tried at all the places where either changes; beyond the bound, at some of them.
-bool both_may_hold(const Level& level, const match::Environment& signals) {
+bool both_may_hold(const Level& level, const expression::Environment& signals) {
   std::map<std::int64_t, std::set<double>> points;
   collect(level.enter.tree(), points);
   collect(level.leave.tree(), points);
-  std::vector<Value> values(signals.fields().size(), Value::of(match::Fault::kAbsent));
+  std::vector<Value> values(signals.fields().size(), Value::of(expression::Fault::kAbsent));
   for (std::size_t i = 0; i < values.size(); ++i) {
     if (signals.fields()[i].kind == Kind::kBool) values[i] = Value::of(false);
   }
   std::size_t combinations = 1;
   for (const auto& [field, at] : points) combinations = std::min(combinations * at.size(), kMostSamples + 1);
-  match::Scratch scratch;
+  expression::Scratch scratch;
   for (const auto* p : {&level.enter, &level.leave}) scratch.reserve(p->most_values(), p->most_text());
   std::mt19937 random(1);
   const bool all = combinations <= kMostSamples;
@@ -88,31 +88,29 @@
 
 class Reader {
  public:
-  std::vector<record::Problem> problems;
+  std::vector<cue::Problem> problems;
 
-  void bad(const record::Data& at, std::string what) {
-    problems.push_back(record::problem(at, std::move(what)));
-  }
+  void bad(const cue::Data& at, std::string what) { problems.push_back(cue::problem(at, std::move(what))); }
 };
 
-Duration ms(const record::Data& data) { return std::chrono::milliseconds(data.integer()); }
+Duration ms(const cue::Data& data) { return std::chrono::milliseconds(data.integer()); }
 
 }  // namespace
 
-std::shared_ptr<const LevelSet> LevelSet::read(const record::File& file, const match::Environment& signals,
-                                               const match::Environment& request,
+std::shared_ptr<const LevelSet> LevelSet::read(const cue::File& file, const expression::Environment& signals,
+                                               const expression::Environment& request,
                                                const std::vector<std::string>& classes) {
-  static const record::Schema schema(kSchema, "#Levels");
-  const record::Data data = schema.read(file);
+  static const cue::Schema schema(kSchema, "#Levels");
+  const cue::Data data = schema.read(file);
   if (!data["levels"].where().in_file())
-    throw record::Errors(file.name, {{{}, "levels", "missing: a file without levels says levels: []"}});
+    throw cue::Errors(file.name, {{{}, "levels", "missing: a file without levels says levels: []"}});
   auto made = std::make_shared<LevelSet>();
   Reader reader;
   if (data["levels"].items().size() > kMostLevels)
     reader.bad(data["levels"],
                "more than " + std::to_string(kMostLevels) + " levels: the bound on changes would not hold");
   std::set<std::string> names;
-  for (const record::Data& l : data["levels"].items()) {
+  for (const cue::Data& l : data["levels"].items()) {
     Level level;
     level.name = l["name"].text();
     if (!names.insert(level.name).second) reader.bad(l["name"], "the name stands twice");
@@ -122,11 +120,11 @@
     level.leave_for = ms(l["leave_for_ms"]);
     level.least_stay = ms(l["least_stay_ms"]);
     level.most_stay = std::max(level.least_stay, ms(l["most_stay_ms"]));
-    auto enter = match::compile(l["enter"], signals, Kind::kBool, reader.problems),
-         leave = match::compile(l["leave"], signals, Kind::kBool, reader.problems);
-    for (const record::Data& s : l["shed"].items()) {
+    auto enter = expression::compile(l["enter"], signals, Kind::kBool, reader.problems),
+         leave = expression::compile(l["leave"], signals, Kind::kBool, reader.problems);
+    for (const cue::Data& s : l["shed"].items()) {
       Shed shed;
-      for (const record::Data& name : s["classes"].items()) {
+      for (const cue::Data& name : s["classes"].items()) {
         shed.classes.push_back(name.text());
         if (!classes.empty() && std::find(classes.begin(), classes.end(), name.text()) == classes.end())
           reader.bad(name, "no class '" + name.text() + "' in the settings");
@@ -134,7 +132,7 @@
       shed.retry_least = ms(s["retry_ms"]["least"]);
       shed.retry_most = ms(s["retry_ms"]["most"]);
       if (shed.retry_most < shed.retry_least) reader.bad(s["retry_ms"], "most is less than least");
-      if (auto when = match::compile(s["when"], request, Kind::kBool, reader.problems)) {
+      if (auto when = expression::compile(s["when"], request, Kind::kBool, reader.problems)) {
         shed.when = std::move(*when);
         level.shed.push_back(std::move(shed));
       }
@@ -146,7 +144,7 @@
       reader.bad(l["leave"], "can hold while 'enter' does: the level would swing");
     made->levels_.push_back(std::move(level));
   }
-  if (!reader.problems.empty()) throw record::Errors(file.name, std::move(reader.problems));
+  if (!reader.problems.empty()) throw cue::Errors(file.name, std::move(reader.problems));
   return made;
 }
 
@@ -158,8 +156,8 @@
   return static_cast<std::size_t>(it - levels_.begin()) + 1;
 }
 
-void LevelSet::reserve(match::Scratch& scratch) const {
-  const auto one = [&](const match::Program& p) { scratch.reserve(p.most_values(), p.most_text()); };
+void LevelSet::reserve(expression::Scratch& scratch) const {
+  const auto one = [&](const expression::Program& p) { scratch.reserve(p.most_values(), p.most_text()); };
   for (const Level& l : levels_) {
     one(l.enter);
     one(l.leave);
@@ -167,4 +165,4 @@
   }
 }
 
-}  // namespace bitternferry::levels
+}  // namespace dispatcher::degradation
--- a/src/levels/levels.hpp
+++ b/src/degradation/levels.hpp
@@ -1,34 +1,34 @@
 // Levels of reduced service as the operators' file has them: when each is entered and left, and what it
 // sheds.
-#ifndef BITTERNFERRY_LEVELS_LEVELS_HPP_
-#define BITTERNFERRY_LEVELS_LEVELS_HPP_
+#ifndef DISPATCHER_DEGRADATION_LEVELS_HPP_
+#define DISPATCHER_DEGRADATION_LEVELS_HPP_
 
 #include <memory>
 #include <optional>
 #include <string>
 #include <vector>
 
-#include "basaltvane/router.hpp"
-#include "match/program.hpp"
-#include "record/data.hpp"
+#include "cue/data.hpp"
+#include "expression/program.hpp"
+#include "routing/router.hpp"
 
-namespace bitternferry::levels {
+namespace dispatcher::degradation {
 
-using basaltvane::Duration;
-using basaltvane::Time;
+using routing::Duration;
+using routing::Time;
 
 // Above normal service. The bounds on changes could not be kept with more (state_machine.hpp).
 inline constexpr std::size_t kMostLevels = 3;
 
 struct Shed {
   std::vector<std::string> classes;  // by name, and no others
-  match::Program when;               // over the request and the signals
+  expression::Program when;          // over the request and the signals
   Duration retry_least{}, retry_most{};
 };
 
 struct Level {
   std::string name;
-  match::Program enter, leave;  // over the signals
+  expression::Program enter, leave;  // over the signals
   std::string enter_text, leave_text;
   Duration enter_for{}, leave_for{};   // how long a condition must hold
   Duration least_stay{}, most_stay{};  // a level that is soon entered again is kept twice as long each time
@@ -39,20 +39,20 @@
 class LevelSet {
  public:
   // `signals` and `request`: the fields that conditions and `shed.when` may ask for; the latter begins with
-  // the signals. `classes`: the names that the settings know, none: any. Throws record::Errors.
-  static std::shared_ptr<const LevelSet> read(const record::File& file, const match::Environment& signals,
-                                              const match::Environment& request,
+  // the signals. `classes`: the names that the settings know, none: any. Throws cue::Errors.
+  static std::shared_ptr<const LevelSet> read(const cue::File& file, const expression::Environment& signals,
+                                              const expression::Environment& request,
                                               const std::vector<std::string>& classes);
 
   const std::vector<Level>& levels() const { return levels_; }
   std::optional<std::size_t> find(const std::string& name) const;  // 0: normal
   std::string name(std::size_t level) const { return level == 0 ? "normal" : levels_[level - 1].name; }
-  void reserve(match::Scratch& scratch) const;
+  void reserve(expression::Scratch& scratch) const;
 
  private:
   std::vector<Level> levels_;
 };
 
-}  // namespace bitternferry::levels
+}  // namespace dispatcher::degradation
 
-#endif  // BITTERNFERRY_LEVELS_LEVELS_HPP_
+#endif  // DISPATCHER_DEGRADATION_LEVELS_HPP_
--- a/src/levels/signals.cpp
+++ b/src/degradation/signals.cpp
@@ -1,14 +1,14 @@
-#include "levels/signals.hpp"
+#include "degradation/signals.hpp"
 
 #include <algorithm>
 #include <set>
 
-namespace bitternferry::levels {
+namespace dispatcher::degradation {
 
-using basaltvane::HostState;
-using basaltvane::Role;
-using match::Kind;
-using match::Value;
+using expression::Kind;
+using expression::Value;
+using routing::HostState;
+using routing::Role;
 
 namespace {
 
@@ -19,7 +19,7 @@
 bool plays(Role host, Role wanted) { return host == wanted || host == Role::kMixed; }
 
 Value known(std::optional<double> value) {
-  return value ? Value::of(*value) : Value::of(match::Fault::kAbsent);
+  return value ? Value::of(*value) : Value::of(expression::Fault::kAbsent);
 }
 
 }  // namespace
@@ -62,8 +62,8 @@
   now_ = std::max(now_, n);
 }
 
-match::Environment Signals::fields(const basaltvane::Settings& settings) {
-  match::Environment e;
+expression::Environment Signals::fields(const routing::Settings& settings) {
+  expression::Environment e;
   for (const char* name :
        {"ready.readers", "ready.writers", "ready.least_zone_readers", "ready.least_zone_writers", "refused"})
     e.add({name, Kind::kDouble, true, 0, {}});
@@ -72,7 +72,7 @@
   return e;
 }
 
-void Signals::adopt(const basaltvane::Settings& settings) {
+void Signals::adopt(const routing::Settings& settings) {
   kinds_.clear();
   quotas_.clear();
   classes_.clear();
@@ -85,8 +85,8 @@
   std::erase_if(asked_, [&](const auto& a) { return !quotas_.contains(a.first); });
 }
 
-void Signals::hosts(const basaltvane::HostList& list, Time now) {
-  if (list.kind != basaltvane::ListKind::kDelta) hosts_.clear();
+void Signals::hosts(const routing::HostList& list, Time now) {
+  if (list.kind != routing::ListKind::kDelta) hosts_.clear();
   for (const auto& entry : list.entries) {
     const auto kind = kinds_.find(entry.kind);
     if (entry.state == HostState::kGone || kind == kinds_.end()) {
@@ -126,7 +126,7 @@
 
 Value Signals::use(const std::string& account, Time now) const {
   const auto quota = quotas_.find(account);
-  if (quota == quotas_.end() || quota->second <= 0) return Value::of(match::Fault::kAbsent);
+  if (quota == quotas_.end() || quota->second <= 0) return Value::of(expression::Fault::kAbsent);
   const auto asked = asked_.find(account);
   return Value::of(asked == asked_.end() ? 0.0 : asked->second.rate(now) / quota->second);
 }
@@ -137,14 +137,14 @@
   }));
   Peak& peak = peaks_[{zone == nullptr ? std::string() : *zone, role}];
   peak.see(count, now);
-  if (peak.most() == 0) return Value::of(match::Fault::kAbsent);
+  if (peak.most() == 0) return Value::of(expression::Fault::kAbsent);
   return Value::of(static_cast<double>(count) / static_cast<double>(peak.most()));
 }
 
 std::vector<Value> Signals::values(std::size_t open, std::optional<Time> heard, Time now) {
   std::vector<Value> all;
   const bool fresh = heard && now - *heard <= kListStale;
-  const Value absent = Value::of(match::Fault::kAbsent);
+  const Value absent = Value::of(expression::Fault::kAbsent);
   for (const Role role : {Role::kReader, Role::kWriter})
     all.push_back(fresh ? ready(role, nullptr, now) : absent);
   for (const Role role : {Role::kReader, Role::kWriter}) {
@@ -167,4 +167,4 @@
   return all;
 }
 
-}  // namespace bitternferry::levels
+}  // namespace dispatcher::degradation
--- a/src/levels/signals.hpp
+++ b/src/degradation/signals.hpp
@@ -1,7 +1,7 @@
 // What levels are entered and left by: how an instance fares, over the last seconds. No I/O; the clock is
 // passed in. What is not known, or no longer, is absent.
-#ifndef BITTERNFERRY_LEVELS_SIGNALS_HPP_
-#define BITTERNFERRY_LEVELS_SIGNALS_HPP_
+#ifndef DISPATCHER_DEGRADATION_SIGNALS_HPP_
+#define DISPATCHER_DEGRADATION_SIGNALS_HPP_
 
 #include <array>
 #include <map>
@@ -10,13 +10,13 @@
 #include <utility>
 #include <vector>
 
-#include "basaltvane/router.hpp"
-#include "match/value.hpp"
+#include "expression/value.hpp"
+#include "routing/router.hpp"
 
-namespace bitternferry::levels {
+namespace dispatcher::degradation {
 
-using basaltvane::Duration;
-using basaltvane::Time;
+using routing::Duration;
+using routing::Time;
 
 // How many of how many, over the last ten seconds.
 class Share {
@@ -55,40 +55,40 @@
   // ready lately that still are), ready.least_zone_readers and ready.least_zone_writers (in the worst zone),
   // refused (the share of requests), open (requests in progress), and for each class late.CLASS (the share of
   // first tokens past the class's aim).
-  static match::Environment fields(const basaltvane::Settings& settings);
+  static expression::Environment fields(const routing::Settings& settings);
 
-  explicit Signals(const basaltvane::Settings& settings) { adopt(settings); }
-  void adopt(const basaltvane::Settings& settings);
+  explicit Signals(const routing::Settings& settings) { adopt(settings); }
+  void adopt(const routing::Settings& settings);
 
-  void hosts(const basaltvane::HostList& list, Time now);
+  void hosts(const routing::HostList& list, Time now);
   void first_token(const std::string& request_class, bool late, Time now);
   void given_up(const std::string& request_class, bool refused, Time now);  // without a first token
   void asked(const std::string& account, Time now);
 
   // `heard`: when discovery last spoke, if it has.
-  std::vector<match::Value> values(std::size_t open, std::optional<Time> heard, Time now);
+  std::vector<expression::Value> values(std::size_t open, std::optional<Time> heard, Time now);
   // What an account asks for, as a part of its quota over the whole fleet; absent where it has none.
-  match::Value use(const std::string& account, Time now) const;
+  expression::Value use(const std::string& account, Time now) const;
 
  private:
   struct Host {
     std::string zone;
-    basaltvane::Role role{};
+    routing::Role role{};
     bool ready = false;
   };
   static constexpr std::size_t kLeastSamples = 20;
-  match::Value ready(basaltvane::Role role, const std::string* zone, Time now);
+  expression::Value ready(routing::Role role, const std::string* zone, Time now);
 
-  std::map<std::string, basaltvane::Role> kinds_;
+  std::map<std::string, routing::Role> kinds_;
   std::map<std::string, double> quotas_;  // of this instance, a second
   std::vector<std::string> classes_;
   std::map<std::string, Host> hosts_;
-  std::map<std::pair<std::string, basaltvane::Role>, Peak> peaks_;  // by zone; "": all
+  std::map<std::pair<std::string, routing::Role>, Peak> peaks_;  // by zone; "": all
   std::map<std::string, Share> late_;
   std::map<std::string, Share> asked_;
   Share refused_;
 };
 
-}  // namespace bitternferry::levels
+}  // namespace dispatcher::degradation
 
-#endif  // BITTERNFERRY_LEVELS_SIGNALS_HPP_
+#endif  // DISPATCHER_DEGRADATION_SIGNALS_HPP_
--- a/src/levels/state_machine.cpp
+++ b/src/degradation/state_machine.cpp
@@ -1,8 +1,8 @@
-#include "levels/state_machine.hpp"
+#include "degradation/state_machine.hpp"
 
 #include <algorithm>
 
-namespace bitternferry::levels {
+namespace dispatcher::degradation {
 
 const char* name(Change::Cause cause) {
   constexpr std::array<const char*, 4> kNames = {"entered", "left", "pinned", "reloaded"};
@@ -21,7 +21,7 @@
   if (holds && !since) since = now;
 }
 
-bool StateMachine::step(std::span<const match::Value> signals, Time now) {
+bool StateMachine::step(std::span<const expression::Value> signals, Time now) {
   for (std::size_t i = 1; i < watches_.size(); ++i) {
     const Level& level = levels_->levels()[i - 1];
     hold(watches_[i].enters, level.enter.run(signals, scratch_).is(true), now);
@@ -65,10 +65,11 @@
 }
 
 void StateMachine::change(std::size_t to, Change::Cause cause, const std::string& condition,
-                          std::span<const match::Value> signals, Time now) {
+                          std::span<const expression::Value> signals, Time now) {
   Change made{now, levels_->name(level_), levels_->name(to), cause, condition, {}};
-  for (const match::Value& v : signals)
-    made.signals.push_back(v.kind == match::Kind::kString ? match::Value::of(match::Fault::kAbsent) : v);
+  for (const expression::Value& v : signals)
+    made.signals.push_back(
+        v.kind == expression::Kind::kString ? expression::Value::of(expression::Fault::kAbsent) : v);
   history_.push_back(std::move(made));
   if (history_.size() > kKept) history_.pop_front();
   if (cause == Change::Cause::kEntered || cause == Change::Cause::kLeft) recent_.push_back(now);
@@ -114,7 +115,7 @@
 }
 
 std::optional<Duration> StateMachine::shed(const std::string& request_class,
-                                           std::span<const match::Value> request, double random) {
+                                           std::span<const expression::Value> request, double random) {
   if (level_ == 0) return std::nullopt;
   for (const Shed& s : levels_->levels()[level_ - 1].shed) {
     if (std::find(s.classes.begin(), s.classes.end(), request_class) == s.classes.end()) continue;
@@ -125,4 +126,4 @@
   return std::nullopt;
 }
 
-}  // namespace bitternferry::levels
+}  // namespace dispatcher::degradation
--- a/src/levels/state_machine.hpp
+++ b/src/degradation/state_machine.hpp
@@ -7,8 +7,8 @@
 // above it: a step up adds one to k and takes one or more from n - c, a step down is checked, and with time k
 // only falls. As n - c is never below 0, nor is k(W) ever above the bound. With three levels a step down to
 // normal service asks for a minute without a change, so that it is always allowed in the end.
-#ifndef BITTERNFERRY_LEVELS_STATE_MACHINE_HPP_
-#define BITTERNFERRY_LEVELS_STATE_MACHINE_HPP_
+#ifndef DISPATCHER_DEGRADATION_STATE_MACHINE_HPP_
+#define DISPATCHER_DEGRADATION_STATE_MACHINE_HPP_
 
 #include <array>
 #include <deque>
@@ -18,17 +18,18 @@
 #include <string>
 #include <vector>
 
-#include "levels/levels.hpp"
+#include "degradation/levels.hpp"
 
-namespace bitternferry::levels {
+namespace dispatcher::degradation {
 
 struct Change {
   enum class Cause { kEntered, kLeft, kPinned, kReloaded };
   Time at{};
   std::string from, to;
   Cause cause{};
-  std::string condition;              // that held; empty where an operator or a file made the change
-  std::vector<match::Value> signals;  // as they were, in the environment's order; numbers and truths only
+  std::string condition;  // that held; empty where an operator or a file made the change
+  std::vector<expression::Value>
+      signals;  // as they were, in the environment's order; numbers and truths only
 };
 const char* name(Change::Cause cause);
 
@@ -47,7 +48,7 @@
   // Looks at the signals as they are now; a signal that is missing or stale is a fault among them, and
   // neither enters a level nor leaves one. True: the level changed, as history().back() tells. Asked often,
   // but for a condition's time to be kept no more rarely than a fifth of it.
-  bool step(std::span<const match::Value> signals, Time now);
+  bool step(std::span<const expression::Value> signals, Time now);
 
   std::size_t level() const { return level_; }  // 0: normal service
   std::string level_name() const { return levels_->name(level_); }
@@ -62,7 +63,7 @@
 
   // What the level in force sheds: when the request may come again, if it is to be shed. `request`: the
   // values of the request's environment; `random` from 0 to 1 spreads those that are shed together.
-  std::optional<Duration> shed(const std::string& request_class, std::span<const match::Value> request,
+  std::optional<Duration> shed(const std::string& request_class, std::span<const expression::Value> request,
                                double random);
 
   const std::deque<Change>& history() const { return history_; }
@@ -76,13 +77,13 @@
   };
   void take(std::shared_ptr<const LevelSet> levels);
   void change(std::size_t to, Change::Cause cause, const std::string& condition,
-              std::span<const match::Value> signals, Time now);
+              std::span<const expression::Value> signals, Time now);
   bool may_step_down(Time now);
   Duration stay() const;
   static void hold(std::optional<Time>& since, bool holds, Time now);
 
   std::shared_ptr<const LevelSet> levels_;
-  match::Scratch scratch_;
+  expression::Scratch scratch_;
   std::vector<Watch> watches_;  // by level, the first one's at 1
   std::size_t level_ = 0;
   Time since_{};  // when the level in force was entered
@@ -91,6 +92,6 @@
   std::deque<Change> history_;
 };
 
-}  // namespace bitternferry::levels
+}  // namespace dispatcher::degradation
 
-#endif  // BITTERNFERRY_LEVELS_STATE_MACHINE_HPP_
+#endif  // DISPATCHER_DEGRADATION_STATE_MACHINE_HPP_
--- a/src/core/deadlines.hpp
+++ b/src/engine/deadlines.hpp
@@ -1,7 +1,7 @@
 // All deadlines of the program, in one ordered structure. Whoever drives it asks for the next one, sleeps
 // until then and calls run(); the clock is the caller's.
-#ifndef BITTERNFERRY_CORE_DEADLINES_HPP_
-#define BITTERNFERRY_CORE_DEADLINES_HPP_
+#ifndef DISPATCHER_ENGINE_DEADLINES_HPP_
+#define DISPATCHER_ENGINE_DEADLINES_HPP_
 
 #include <chrono>
 #include <cstdint>
@@ -10,7 +10,7 @@
 #include <optional>
 #include <utility>
 
-namespace bitternferry::core {
+namespace dispatcher::engine {
 
 using Time = std::chrono::microseconds;  // since the origin of the dispatcher's clock, the Unix epoch
 using Duration = std::chrono::microseconds;
@@ -56,6 +56,6 @@
   std::function<void()> on_sooner_;
 };
 
-}  // namespace bitternferry::core
+}  // namespace dispatcher::engine
 
-#endif  // BITTERNFERRY_CORE_DEADLINES_HPP_
+#endif  // DISPATCHER_ENGINE_DEADLINES_HPP_
--- a/src/core/engine.cpp
+++ b/src/engine/engine.cpp
@@ -1,12 +1,12 @@
-#include "core/engine.hpp"
+#include "engine/engine.hpp"
 
 #include <algorithm>
 #include <type_traits>
 #include <utility>
 
-namespace bitternferry::core {
+namespace dispatcher::engine {
 
-using namespace basaltvane;
+using namespace dispatcher::routing;
 using std::chrono::milliseconds;
 
 namespace {
@@ -404,7 +404,7 @@
           deadlines_.add(clock_() + a.after, [this, tag = a.tag] { feed(Timer{tag}); });
         } else if constexpr (std::is_same_v<A, Subscribe>) {
           if (subscribe_) subscribe_();
-        } else if constexpr (std::is_same_v<A, basaltvane::Log>) {
+        } else if constexpr (std::is_same_v<A, routing::Log>) {
           log_(a.text);
         } else {  // Refuse, Fail, Move: the request's end
           const SlotId id = find(a.request);
@@ -462,4 +462,4 @@
   give_up_attempt(id, cancel.attempt, Verdict::kCancelled);
 }
 
-}  // namespace bitternferry::core
+}  // namespace dispatcher::engine
--- a/src/core/engine.hpp
+++ b/src/engine/engine.hpp
@@ -1,7 +1,7 @@
 // The core: feeds the router its events, carries out its actions, owns every request taken and its
 // deadlines. Fronts and the upstream are met through the small interfaces below; no wire is known here.
-#ifndef BITTERNFERRY_CORE_ENGINE_HPP_
-#define BITTERNFERRY_CORE_ENGINE_HPP_
+#ifndef DISPATCHER_ENGINE_ENGINE_HPP_
+#define DISPATCHER_ENGINE_ENGINE_HPP_
 
 #include <compare>
 #include <deque>
@@ -15,18 +15,18 @@
 #include <unordered_set>
 #include <vector>
 
-#include "basaltvane/router.hpp"
-#include "core/deadlines.hpp"
-#include "core/held_states.hpp"
-#include "core/request_log.hpp"
+#include "engine/deadlines.hpp"
+#include "engine/held_states.hpp"
+#include "engine/request_log.hpp"
 #include "net/slot_table.hpp"
+#include "routing/router.hpp"
 
-namespace bitternferry::core {
+namespace dispatcher::engine {
 
-using basaltvane::Verdict;
 using net::SlotId;
+using routing::Verdict;
 using Log = std::function<void(std::string_view)>;
-using Rules = std::shared_ptr<const basaltvane::Settings>;  // a snapshot: nobody changes it
+using Rules = std::shared_ptr<const routing::Settings>;  // a snapshot: nobody changes it
 
 // What passes on to a replica. The core reads nothing of it.
 struct Message {
@@ -79,8 +79,8 @@
 
 struct Ending {
   Verdict verdict{};
-  int note = 0;  // as in basaltvane::Outcome
-  basaltvane::LoadReport report;
+  int note = 0;  // as in routing::Outcome
+  routing::LoadReport report;
   bool unusable = false;  // the replica can't use this request, nor could another
 };
 
@@ -98,7 +98,7 @@
   Engine(Rules rules, std::uint64_t seed, Upstream& upstream, Deadlines& deadlines, Clock clock, Log log);
 
   // From the fronts.
-  SlotId submit(Answerer& front, SlotId client, const basaltvane::Request& request,
+  SlotId submit(Answerer& front, SlotId client, const routing::Request& request,
                 std::shared_ptr<const Message> message);
   void client_gone(SlotId request);
   void resume(SlotId request);
@@ -109,14 +109,14 @@
   void adopt(Rules rules);
 
   // From discovery.
-  void hosts(const basaltvane::HostList& list);
+  void hosts(const routing::HostList& list);
   void on_subscribe(std::function<void()> action) { subscribe_ = std::move(action); }
   // Has any list had this host? Those that left lately count: they may return.
   bool knows(const std::string& host) const;
   std::size_t hosts_known() const { return roles_.size(); }
 
   // From the operators: nothing new for this host until it is online again, whatever the lists say.
-  void maintain(const std::string& host, bool offline) { feed(basaltvane::Maintenance{host, offline}); }
+  void maintain(const std::string& host, bool offline) { feed(routing::Maintenance{host, offline}); }
 
   // Between two processes of one dispatcher, of which one takes over from the other.
   class Twin {
@@ -128,8 +128,8 @@
   void attach(Twin* twin) { twin_ = twin; }
   void attach(Witness* witness) { witness_ = witness; }
   void attach(RequestLog log) { request_log_ = std::move(log); }
-  basaltvane::Knowledge knowledge() const { return router_.knowledge(); }
-  void learn(const basaltvane::Knowledge& knowledge) { feed(knowledge); }
+  routing::Knowledge knowledge() const { return router_.knowledge(); }
+  void learn(const routing::Knowledge& knowledge) { feed(knowledge); }
   std::vector<std::string> open_ids() const;
   // Streams that run for a front's clients, and how one goes on at the other process: adopt() there, after
   // give_away() here. Whose attempt number 0 it is then.
@@ -142,7 +142,7 @@
   void give_away(SlotId request);
   SlotId adopt(Answerer& front, SlotId client, const std::string& id, const std::string& host);
   void request_elsewhere(const std::string& id, bool open);
-  void sent_elsewhere(const std::string& host) { feed(basaltvane::SentElsewhere{host}); }
+  void sent_elsewhere(const std::string& host) { feed(routing::SentElsewhere{host}); }
   void alone() { elsewhere_.clear(); }
 
   // From the upstream.
@@ -180,10 +180,10 @@
     Deadlines::Id overdue, silence, letting_go;
   };
 
-  void feed(basaltvane::Event event);
-  void perform(const basaltvane::Action& action);
-  void do_send(const basaltvane::Send& send);
-  void do_cancel(const basaltvane::Cancel& cancel);
+  void feed(routing::Event event);
+  void perform(const routing::Action& action);
+  void do_send(const routing::Send& send);
+  void do_cancel(const routing::Cancel& cancel);
   void close(SlotId id, int number, const Ending& ending);
   void give_up_attempt(SlotId id, int number, Verdict verdict);
   void give_up_unwritten(SlotId id);
@@ -200,9 +200,9 @@
   Deadlines& deadlines_;
   Clock clock_;
   Log log_;
-  basaltvane::Router router_;
+  routing::Router router_;
   std::function<void()> subscribe_;
-  std::deque<basaltvane::Event> queue_;
+  std::deque<routing::Event> queue_;
   bool feeding_ = false;
   net::SlotTable<Flight> requests_;
   std::unordered_map<std::string, SlotId> by_id_;
@@ -211,11 +211,11 @@
   Witness* witness_ = nullptr;
   RequestLog request_log_;
   void depart(const std::string& host);
-  std::map<std::string, basaltvane::Role> roles_;  // by host
-  std::deque<std::string> departed_;               // hosts that left the list, the last one at the back
+  std::map<std::string, routing::Role> roles_;  // by host
+  std::deque<std::string> departed_;            // hosts that left the list, the last one at the back
   std::size_t unanswered_ = 0;
 };
 
-}  // namespace bitternferry::core
+}  // namespace dispatcher::engine
 
-#endif  // BITTERNFERRY_CORE_ENGINE_HPP_
+#endif  // DISPATCHER_ENGINE_ENGINE_HPP_
--- a/src/core/held_states.cpp
+++ b/src/engine/held_states.cpp
@@ -1,10 +1,10 @@
-#include "core/held_states.hpp"
+#include "engine/held_states.hpp"
 
 #include <algorithm>
 
-namespace bitternferry::core {
+namespace dispatcher::engine {
 
-using basaltvane::Verdict;
+using routing::Verdict;
 
 bool HeldStates::attempt_ended(const End& end, Time now) {
   const Verdict v = end.verdict;
@@ -31,4 +31,4 @@
   may_hold_ = true;  // until it is answered
 }
 
-}  // namespace bitternferry::core
+}  // namespace dispatcher::engine
--- a/src/core/held_states.hpp
+++ b/src/engine/held_states.hpp
@@ -1,17 +1,17 @@
 // What may be held at replicas for one request, as its attempts' ends tell. No I/O; the clock is passed in.
-#ifndef BITTERNFERRY_CORE_HELD_STATES_HPP_
-#define BITTERNFERRY_CORE_HELD_STATES_HPP_
+#ifndef DISPATCHER_ENGINE_HELD_STATES_HPP_
+#define DISPATCHER_ENGINE_HELD_STATES_HPP_
 
-#include "basaltvane/router.hpp"
-#include "core/deadlines.hpp"
+#include "engine/deadlines.hpp"
+#include "routing/router.hpp"
 
-namespace bitternferry::core {
+namespace dispatcher::engine {
 
 class HeldStates {
  public:
   struct End {
-    basaltvane::Verdict verdict{};
-    int note = 0;        // as in basaltvane::Outcome
+    routing::Verdict verdict{};
+    int note = 0;        // as in routing::Outcome
     bool reads = false;  // at a reader
     Time runs_until{};   // if it broke, it may run on up to then
   };
@@ -36,6 +36,6 @@
   Time runs_until_{};
 };
 
-}  // namespace bitternferry::core
+}  // namespace dispatcher::engine
 
-#endif  // BITTERNFERRY_CORE_HELD_STATES_HPP_
+#endif  // DISPATCHER_ENGINE_HELD_STATES_HPP_
--- a/src/core/request_log.cpp
+++ b/src/engine/request_log.cpp
@@ -1,16 +1,16 @@
-#include "core/request_log.hpp"
+#include "engine/request_log.hpp"
 
 #include <array>
 #include <cstdio>
 
-namespace bitternferry::core {
+namespace dispatcher::engine {
 
 namespace {
 
 constexpr std::array<std::string_view, 9> kVerdicts = {
     "served", "error", "full", "timeout", "connect-failed", "reset", "cancelled", "never-sent", "read"};
 
-std::string ms(basaltvane::Duration d) {
+std::string ms(routing::Duration d) {
   std::array<char, 32> text{};
   std::snprintf(text.data(), text.size(), "%.1f", static_cast<double>(d.count()) / 1000);
   return text.data();
@@ -22,7 +22,7 @@
 
 }  // namespace
 
-void RequestLog::taken(const basaltvane::Request& r, basaltvane::Time now) const {
+void RequestLog::taken(const routing::Request& r, routing::Time now) const {
   if (!sink_) return;
   line(r.id, "taken class=" + r.request_class + " account=" + r.tenant +
                  " left=" + ms(r.client_deadline - now) + " prompt=" + std::to_string(r.prompt_tokens) +
@@ -35,11 +35,11 @@
 }
 
 void RequestLog::first(const std::string& id, const std::string& host, int attempt,
-                       basaltvane::Duration after) const {
+                       routing::Duration after) const {
   if (sink_) line(id, "first" + at(host, attempt) + " ms=" + ms(after));
 }
 
-void RequestLog::ended(const basaltvane::Outcome& o) const {
+void RequestLog::ended(const routing::Outcome& o) const {
   if (!sink_) return;
   std::string rest = "ended" + at(o.host, o.attempt) +
                      " verdict=" + std::string(kVerdicts.at(static_cast<std::size_t>(o.verdict))) +
@@ -53,4 +53,4 @@
   if (sink_) line(id, "answered " + std::string(how));
 }
 
-}  // namespace bitternferry::core
+}  // namespace dispatcher::engine
--- a/src/core/request_log.hpp
+++ b/src/engine/request_log.hpp
@@ -1,15 +1,15 @@
 // A line for each thing that happens to a request, for those who must find out afterwards why it went as it
 // did, or count over a fleet. Off unless the command line asks for it: it costs a line or two an attempt.
-#ifndef BITTERNFERRY_CORE_REQUEST_LOG_HPP_
-#define BITTERNFERRY_CORE_REQUEST_LOG_HPP_
+#ifndef DISPATCHER_ENGINE_REQUEST_LOG_HPP_
+#define DISPATCHER_ENGINE_REQUEST_LOG_HPP_
 
 #include <functional>
 #include <string>
 #include <string_view>
 
-#include "basaltvane/router.hpp"
+#include "routing/router.hpp"
 
-namespace bitternferry::core {
+namespace dispatcher::engine {
 
 class RequestLog {
  public:
@@ -18,10 +18,10 @@
   explicit RequestLog(Sink sink) : sink_(std::move(sink)) {}
 
   // Each line begins `request ID` and goes on with key=value. Times are milliseconds.
-  void taken(const basaltvane::Request& request, basaltvane::Time now) const;
+  void taken(const routing::Request& request, routing::Time now) const;
   void sent(const std::string& id, const std::string& host, int attempt) const;
-  void first(const std::string& id, const std::string& host, int attempt, basaltvane::Duration after) const;
-  void ended(const basaltvane::Outcome& outcome) const;
+  void first(const std::string& id, const std::string& host, int attempt, routing::Duration after) const;
+  void ended(const routing::Outcome& outcome) const;
   void answered(const std::string& id, std::string_view how) const;
 
  private:
@@ -30,6 +30,6 @@
   Sink sink_;
 };
 
-}  // namespace bitternferry::core
+}  // namespace dispatcher::engine
 
-#endif  // BITTERNFERRY_CORE_REQUEST_LOG_HPP_
+#endif  // DISPATCHER_ENGINE_REQUEST_LOG_HPP_
--- a/src/match/automaton.cpp
+++ b/src/expression/automaton.cpp
@@ -1,4 +1,4 @@
-#include "match/automaton.hpp"
+#include "expression/automaton.hpp"
 
 #include <re2/re2.h>
 
@@ -6,9 +6,9 @@
 #include <map>
 #include <optional>
 
-#include "record/utf8.hpp"
+#include "cue/utf8.hpp"
 
-namespace bitternferry::match {
+namespace dispatcher::expression {
 
 namespace {
 
@@ -146,7 +146,7 @@
     return true;
   }
   std::uint32_t character() {
-    const std::size_t length = record::utf8_length(text_.substr(at_));
+    const std::size_t length = cue::utf8_length(text_.substr(at_));
     if (length == 0) throw PatternError("not UTF-8");
     const auto byte = [&](std::size_t i) { return static_cast<unsigned char>(text_[at_ + i]); };
     std::uint32_t c = length == 1 ? byte(0) : byte(0) & (0xFFU >> (length + 1));
@@ -459,8 +459,8 @@
       }
     }
     std::string a, b;
-    record::encode_utf8(a, low);
-    record::encode_utf8(b, high);
+    cue::encode_utf8(a, low);
+    cue::encode_utf8(b, high);
     for (std::size_t i = a.size(); i-- > 0;)
       next = steps.byte(static_cast<std::uint8_t>(a[i]), static_cast<std::uint8_t>(b[i]), next);
     or_else(all, next);
@@ -581,4 +581,4 @@
   start_ = begin * width_;
 }
 
-}  // namespace bitternferry::match
+}  // namespace dispatcher::expression
--- a/src/match/automaton.hpp
+++ b/src/expression/automaton.hpp
@@ -1,8 +1,8 @@
 // A regular expression as a whole deterministic automaton over bytes, made at load: matching is one look-up a
 // byte, without allocation. RE2 judges the pattern; what it does not take, or what grows too large, is
 // turned down.
-#ifndef BITTERNFERRY_MATCH_AUTOMATON_HPP_
-#define BITTERNFERRY_MATCH_AUTOMATON_HPP_
+#ifndef DISPATCHER_EXPRESSION_AUTOMATON_HPP_
+#define DISPATCHER_EXPRESSION_AUTOMATON_HPP_
 
 #include <array>
 #include <cstdint>
@@ -11,7 +11,7 @@
 #include <string_view>
 #include <vector>
 
-namespace bitternferry::match {
+namespace dispatcher::expression {
 
 struct PatternError : std::runtime_error {
   using std::runtime_error::runtime_error;
@@ -45,6 +45,6 @@
   std::vector<std::uint8_t> at_end_;  // does the text match if it ends here?
 };
 
-}  // namespace bitternferry::match
+}  // namespace dispatcher::expression
 
-#endif  // BITTERNFERRY_MATCH_AUTOMATON_HPP_
+#endif  // DISPATCHER_EXPRESSION_AUTOMATON_HPP_
--- a/src/match/check.cpp
+++ b/src/expression/check.cpp
@@ -1,12 +1,12 @@
-#include "match/check.hpp"
+#include "expression/check.hpp"
 
 #include <algorithm>
 #include <map>
 #include <string>
 
-#include "record/nearest.hpp"
+#include "cue/nearest.hpp"
 
-namespace bitternferry::match {
+namespace dispatcher::expression {
 
 namespace {
 
@@ -109,9 +109,9 @@
     const int number = fields_.find(path);
     if (n.op == Op::kSelect) return field(n.kids[0], path);  // where the path begins
     if (number < 0) {
-      return bad(n, "unknown field '" + path + "'" +
-                        record::nearest(path, fields_.fields(),
-                                        [](const Field& f) { return std::string_view(f.path); }));
+      return bad(n, "unknown field '" + path + "'" + cue::nearest(path, fields_.fields(), [](const Field& f) {
+                      return std::string_view(f.path);
+                    }));
     }
     Node made;
     made.op = Op::kField;
@@ -314,7 +314,7 @@
                                                "endsWith", "contains", "exists",  "all",
                                                "int",      "double",   "string"};
       return bad(n, "unknown function '" + f + "'" +
-                        record::nearest(f, kKnown, [](const char* k) { return std::string_view(k); }));
+                        cue::nearest(f, kKnown, [](const char* k) { return std::string_view(k); }));
     }
     std::string types;
     for (const Node& kid : made.kids) types += (types.empty() ? "" : ", ") + to_text(kid.type);
@@ -385,4 +385,4 @@
   return checked;
 }
 
-}  // namespace bitternferry::match
+}  // namespace dispatcher::expression
--- a/src/match/first_match.cpp
+++ b/src/expression/first_match.cpp
@@ -1,9 +1,9 @@
-#include "match/first_match.hpp"
+#include "expression/first_match.hpp"
 
 #include <algorithm>
 #include <array>
 
-namespace bitternferry::match {
+namespace dispatcher::expression {
 
 namespace {
 
@@ -158,4 +158,4 @@
   return all;
 }
 
-}  // namespace bitternferry::match
+}  // namespace dispatcher::expression
--- a/src/match/first_match.hpp
+++ b/src/expression/first_match.hpp
@@ -1,8 +1,8 @@
 // An ordered list of conditions, of which the first one that holds counts. Those that can only hold for one
 // value of a field, or a few, are found by that value, so that the worst cost grows with the largest group
 // and not with the list.
-#ifndef BITTERNFERRY_MATCH_FIRST_MATCH_HPP_
-#define BITTERNFERRY_MATCH_FIRST_MATCH_HPP_
+#ifndef DISPATCHER_EXPRESSION_FIRST_MATCH_HPP_
+#define DISPATCHER_EXPRESSION_FIRST_MATCH_HPP_
 
 #include <cstddef>
 #include <cstdint>
@@ -13,9 +13,9 @@
 #include <unordered_map>
 #include <vector>
 
-#include "match/program.hpp"
+#include "expression/program.hpp"
 
-namespace bitternferry::match {
+namespace dispatcher::expression {
 
 // What must hold of one field for a condition to hold: its value is one of these.
 struct Membership {
@@ -63,6 +63,6 @@
   int costliest_ = -1;
 };
 
-}  // namespace bitternferry::match
+}  // namespace dispatcher::expression
 
-#endif  // BITTERNFERRY_MATCH_FIRST_MATCH_HPP_
+#endif  // DISPATCHER_EXPRESSION_FIRST_MATCH_HPP_
--- /dev/null
+++ b/src/expression/from_record.cpp
@@ -0,0 +1,23 @@
+#include "expression/from_record.hpp"
+
+#include <string>
+
+#include "cue/schema.hpp"
+
+namespace dispatcher::expression {
+
+std::optional<Program> compile(const cue::Data& field, const Environment& fields, Kind wanted,
+                               std::vector<cue::Problem>& problems) {
+  if (field.is_null()) return std::nullopt;
+  try {
+    return Program::compile(field.text(), fields, wanted);
+  } catch (const Errors& e) {
+    for (const Problem& p : e.problems) {
+      problems.push_back(
+          cue::problem(field, "in the expression, at " + std::to_string(p.at + 1) + ": " + p.what));
+    }
+  }
+  return std::nullopt;
+}
+
+}  // namespace dispatcher::expression
--- a/src/match/program.cpp
+++ b/src/expression/program.cpp
@@ -1,4 +1,4 @@
-#include "match/program.hpp"
+#include "expression/program.hpp"
 
 #include <re2/re2.h>
 
@@ -8,9 +8,9 @@
 #include <cstring>
 #include <optional>
 
-#include "match/check.hpp"
+#include "expression/check.hpp"
 
-namespace bitternferry::match {
+namespace dispatcher::expression {
 
 namespace {
 
@@ -534,4 +534,4 @@
   return fits ? Value::of(static_cast<std::int64_t>(v.real)) : Value::of(Fault::kOverflow);
 }
 
-}  // namespace bitternferry::match
+}  // namespace dispatcher::expression
--- a/src/match/program.hpp
+++ b/src/expression/program.hpp
@@ -1,7 +1,7 @@
 // An expression as a flat program for a small stack machine. All jumps lead forwards, so that the longest way
 // through it, and with it its worst cost, is known before it ever runs.
-#ifndef BITTERNFERRY_MATCH_PROGRAM_HPP_
-#define BITTERNFERRY_MATCH_PROGRAM_HPP_
+#ifndef DISPATCHER_EXPRESSION_PROGRAM_HPP_
+#define DISPATCHER_EXPRESSION_PROGRAM_HPP_
 
 #include <cstdint>
 #include <memory>
@@ -10,11 +10,11 @@
 #include <string_view>
 #include <vector>
 
-#include "match/automaton.hpp"
-#include "match/syntax.hpp"
-#include "match/value.hpp"
+#include "expression/automaton.hpp"
+#include "expression/syntax.hpp"
+#include "expression/value.hpp"
 
-namespace bitternferry::match {
+namespace dispatcher::expression {
 
 inline constexpr std::size_t kMostMade = 64 * 1024;  // bytes of text that one evaluation may make
 
@@ -112,6 +112,6 @@
   double worst_ns_ = 0;
 };
 
-}  // namespace bitternferry::match
+}  // namespace dispatcher::expression
 
-#endif  // BITTERNFERRY_MATCH_PROGRAM_HPP_
+#endif  // DISPATCHER_EXPRESSION_PROGRAM_HPP_
--- a/src/match/syntax.cpp
+++ b/src/expression/syntax.cpp
@@ -1,4 +1,4 @@
-#include "match/syntax.hpp"
+#include "expression/syntax.hpp"
 
 #include <array>
 #include <charconv>
@@ -7,9 +7,9 @@
 #include <tao/pegtl/contrib/limit_depth.hpp>
 #include <tao/pegtl/contrib/parse_tree.hpp>
 
-#include "record/utf8.hpp"
+#include "cue/utf8.hpp"
 
-namespace bitternferry::match {
+namespace dispatcher::expression {
 
 namespace {
 
@@ -323,7 +323,7 @@
                         end == number.data() + number.size() && point <= 0x10FFFF &&
                         (point < 0xD800 || point > 0xDFFF);
       if (!good) fail(where, "unknown escape in the text");
-      record::encode_utf8(out, point);
+      cue::encode_utf8(out, point);
       i += octal ? 2 : digits;
     }
     return out;
@@ -399,8 +399,7 @@
 
 Node parse(std::string_view text) {
   if (text.size() > kMostText) fail(0, "longer than " + std::to_string(kMostText) + " bytes");
-  if (const std::size_t bad = record::invalid_utf8(text); bad != std::string_view::npos)
-    fail(bad, "not UTF-8");
+  if (const std::size_t bad = cue::invalid_utf8(text); bad != std::string_view::npos) fail(bad, "not UTF-8");
   pegtl::memory_input<pegtl::tracking_mode::lazy, pegtl::eol::lf_crlf, const char*> in(
       text.data(), text.data() + text.size(), "");
   try {
@@ -456,4 +455,4 @@
   }
 }
 
-}  // namespace bitternferry::match
+}  // namespace dispatcher::expression
--- a/src/match/syntax.hpp
+++ b/src/expression/syntax.hpp
@@ -1,6 +1,6 @@
 // The grammar of expressions, a subset of CEL, read into a tree. Nothing is known of types or fields yet.
-#ifndef BITTERNFERRY_MATCH_SYNTAX_HPP_
-#define BITTERNFERRY_MATCH_SYNTAX_HPP_
+#ifndef DISPATCHER_EXPRESSION_SYNTAX_HPP_
+#define DISPATCHER_EXPRESSION_SYNTAX_HPP_
 
 #include <cstdint>
 #include <stdexcept>
@@ -8,9 +8,9 @@
 #include <string_view>
 #include <vector>
 
-#include "match/value.hpp"
+#include "expression/value.hpp"
 
-namespace bitternferry::match {
+namespace dispatcher::expression {
 
 inline constexpr std::size_t kMostText = 16 * 1024;  // bytes of one expression
 inline constexpr int kMostDepth = 64;                // of its tree
@@ -70,6 +70,6 @@
 Node parse(std::string_view text);
 std::string to_text(const Node& node);  // one way to write it, whatever the spacing was
 
-}  // namespace bitternferry::match
+}  // namespace dispatcher::expression
 
-#endif  // BITTERNFERRY_MATCH_SYNTAX_HPP_
+#endif  // DISPATCHER_EXPRESSION_SYNTAX_HPP_
--- a/src/match/value.cpp
+++ b/src/expression/value.cpp
@@ -1,10 +1,10 @@
-#include "match/value.hpp"
+#include "expression/value.hpp"
 
 #include <algorithm>
 #include <array>
 #include <charconv>
 
-namespace bitternferry::match {
+namespace dispatcher::expression {
 
 const char* name(Kind kind) {
   constexpr std::array<const char*, 7> kNames = {"error", "bool", "int", "double", "string", "list", "map"};
@@ -68,4 +68,4 @@
   return it == fields_.end() ? -1 : static_cast<int>(it - fields_.begin());
 }
 
-}  // namespace bitternferry::match
+}  // namespace dispatcher::expression
--- a/src/match/value.hpp
+++ b/src/expression/value.hpp
@@ -1,6 +1,6 @@
 // Types and values of the matching language, and the fields that expressions may ask for.
-#ifndef BITTERNFERRY_MATCH_VALUE_HPP_
-#define BITTERNFERRY_MATCH_VALUE_HPP_
+#ifndef DISPATCHER_EXPRESSION_VALUE_HPP_
+#define DISPATCHER_EXPRESSION_VALUE_HPP_
 
 #include <cstdint>
 #include <optional>
@@ -8,7 +8,7 @@
 #include <string_view>
 #include <vector>
 
-namespace bitternferry::match {
+namespace dispatcher::expression {
 
 enum class Kind : std::uint8_t { kError, kBool, kInt, kDouble, kString, kList, kMap };
 const char* name(Kind kind);
@@ -99,6 +99,6 @@
   std::vector<Field> fields_;
 };
 
-}  // namespace bitternferry::match
+}  // namespace dispatcher::expression
 
-#endif  // BITTERNFERRY_MATCH_VALUE_HPP_
+#endif  // DISPATCHER_EXPRESSION_VALUE_HPP_
--- a/src/gossip/budget.hpp
+++ b/src/gossip/budget.hpp
@@ -1,14 +1,14 @@
 // How many bytes a member may send, over the fleet: a token bucket. What answers a probe may run it into
 // debt, up to a bound; what can wait finds out how much room there is.
-#ifndef BITTERNFERRY_GOSSIP_BUDGET_HPP_
-#define BITTERNFERRY_GOSSIP_BUDGET_HPP_
+#ifndef DISPATCHER_GOSSIP_BUDGET_HPP_
+#define DISPATCHER_GOSSIP_BUDGET_HPP_
 
 #include <algorithm>
 #include <cstdint>
 
 #include "membership/member.hpp"
 
-namespace bitternferry::gossip {
+namespace dispatcher::gossip {
 
 using membership::Duration;
 using membership::Time;
@@ -40,6 +40,6 @@
   Time at_;
 };
 
-}  // namespace bitternferry::gossip
+}  // namespace dispatcher::gossip
 
-#endif  // BITTERNFERRY_GOSSIP_BUDGET_HPP_
+#endif  // DISPATCHER_GOSSIP_BUDGET_HPP_
--- a/src/gossip/codec.cpp
+++ b/src/gossip/codec.cpp
@@ -5,7 +5,7 @@
 
 #include "gossip/wire.pb.h"
 
-namespace bitternferry::gossip {
+namespace dispatcher::gossip {
 
 namespace {
 
@@ -65,7 +65,7 @@
   return w;
 }
 
-wire::Ask to_wire(const shared::Ask& ask) {
+wire::Ask to_wire(const replicated_state::Ask& ask) {
   wire::Ask w;
   w.set_kind(ask.whole.kind);
   w.set_key(ask.whole.key);
@@ -75,7 +75,7 @@
   return w;
 }
 
-wire::Grant to_wire(const shared::Grant& grant) {
+wire::Grant to_wire(const replicated_state::Grant& grant) {
   wire::Grant w;
   w.set_kind(grant.whole.kind);
   w.set_key(grant.whole.key);
@@ -86,7 +86,7 @@
   return w;
 }
 
-wire::Return to_wire(const shared::Return& back) {
+wire::Return to_wire(const replicated_state::Return& back) {
   wire::Return w;
   w.set_kind(back.whole.kind);
   w.set_key(back.whole.key);
@@ -113,7 +113,8 @@
   row.place = {w.kind(), w.key(), w.has_owner() ? w.owner() : sender.number};
   row.life = w.has_owner() ? w.life() : sender.incarnation.life;
   if (row.place.owner >= count || bad_life(row.life) || w.version() == 0 ||
-      w.version() > shared::kMostVersion || w.age() > kMostAge || w.payload().size() > shared::kMostPayload)
+      w.version() > replicated_state::kMostVersion || w.age() > kMostAge ||
+      w.payload().size() > replicated_state::kMostPayload)
     return std::nullopt;
   row.version = w.version();
   row.gone = w.gone();
@@ -123,25 +124,26 @@
 }
 
 std::optional<Summary> from_wire(const wire::Summary& w, Number count) {
-  if (w.owner() >= count || w.top() > shared::kMostVersion) return std::nullopt;
+  if (w.owner() >= count || w.top() > replicated_state::kMostVersion) return std::nullopt;
   return Summary{w.owner(), w.top(), w.hash()};
 }
 
-std::optional<shared::Ask> from_wire(const wire::Ask& w) {
-  if (w.sequence() == 0 || w.amount() == 0 || w.amount() > shared::kMostAmount) return std::nullopt;
-  return shared::Ask{{w.kind(), w.key()}, w.sequence(), w.renews(), w.amount()};
+std::optional<replicated_state::Ask> from_wire(const wire::Ask& w) {
+  if (w.sequence() == 0 || w.amount() == 0 || w.amount() > replicated_state::kMostAmount) return std::nullopt;
+  return replicated_state::Ask{{w.kind(), w.key()}, w.sequence(), w.renews(), w.amount()};
 }
 
-std::optional<shared::Grant> from_wire(const wire::Grant& w) {
-  if (w.sequence() == 0 || w.amount() > shared::kMostAmount || bad_life(w.life()) ||
-      milliseconds(w.lease_ms()) > shared::kMostLease)
+std::optional<replicated_state::Grant> from_wire(const wire::Grant& w) {
+  if (w.sequence() == 0 || w.amount() > replicated_state::kMostAmount || bad_life(w.life()) ||
+      milliseconds(w.lease_ms()) > replicated_state::kMostLease)
     return std::nullopt;
-  return shared::Grant{{w.kind(), w.key()}, w.life(), w.sequence(), w.amount(), milliseconds(w.lease_ms())};
+  return replicated_state::Grant{
+      {w.kind(), w.key()}, w.life(), w.sequence(), w.amount(), milliseconds(w.lease_ms())};
 }
 
-std::optional<shared::Return> from_wire(const wire::Return& w) {
+std::optional<replicated_state::Return> from_wire(const wire::Return& w) {
   if (w.sequence() == 0) return std::nullopt;
-  return shared::Return{{w.kind(), w.key()}, w.sequence()};
+  return replicated_state::Return{{w.kind(), w.key()}, w.sequence()};
 }
 
 // Takes a list's entries that are within their bounds.
@@ -253,13 +255,13 @@
 bool Packer::add(const Claim& claim) {
   return place(to_wire(claim), content_->size, most_, [&] { return content_->envelope.add_claims(); });
 }
-bool Packer::add(const shared::Ask& ask) {
+bool Packer::add(const replicated_state::Ask& ask) {
   return place(to_wire(ask), content_->size, most_, [&] { return content_->envelope.add_asks(); });
 }
-bool Packer::add(const shared::Grant& grant) {
+bool Packer::add(const replicated_state::Grant& grant) {
   return place(to_wire(grant), content_->size, most_, [&] { return content_->envelope.add_grants(); });
 }
-bool Packer::add(const shared::Return& back) {
+bool Packer::add(const replicated_state::Return& back) {
   return place(to_wire(back), content_->size, most_, [&] { return content_->envelope.add_returns(); });
 }
 bool Packer::add(const Row& row) {
@@ -284,4 +286,4 @@
                       [&](std::span<std::uint8_t> room) { e.SerializeWithCachedSizesToArray(room.data()); });
 }
 
-}  // namespace bitternferry::gossip
+}  // namespace dispatcher::gossip
--- a/src/gossip/codec.hpp
+++ b/src/gossip/codec.hpp
@@ -1,6 +1,6 @@
 // Datagrams and what they mean. wire.proto has the format; nothing of protobuf is seen outside the codec.
-#ifndef BITTERNFERRY_GOSSIP_CODEC_HPP_
-#define BITTERNFERRY_GOSSIP_CODEC_HPP_
+#ifndef DISPATCHER_GOSSIP_CODEC_HPP_
+#define DISPATCHER_GOSSIP_CODEC_HPP_
 
 #include <memory>
 #include <optional>
@@ -9,17 +9,17 @@
 
 #include "gossip/datagram.hpp"
 #include "membership/member.hpp"
-#include "shared/rights.hpp"
-#include "shared/rows.hpp"
+#include "replicated_state/rights.hpp"
+#include "replicated_state/rows.hpp"
 
-namespace bitternferry::gossip {
+namespace dispatcher::gossip {
 
 using membership::Claim;
 using membership::Incarnation;
 using membership::Number;
 using membership::Probe;
-using shared::Row;
-using shared::Summary;
+using replicated_state::Row;
+using replicated_state::Summary;
 
 inline constexpr std::uint32_t kVersion = 1;
 
@@ -36,9 +36,9 @@
   std::optional<Probe> probe;
   std::optional<std::uint32_t> members_hash;
   std::vector<Claim> claims;
-  std::vector<shared::Ask> asks;
-  std::vector<shared::Grant> grants;
-  std::vector<shared::Return> returns;
+  std::vector<replicated_state::Ask> asks;
+  std::vector<replicated_state::Grant> grants;
+  std::vector<replicated_state::Return> returns;
   std::vector<Row> rows;
   std::vector<Summary> summaries;
   bool reply = false;
@@ -78,9 +78,9 @@
   bool add_members_hash(std::uint32_t hash);
   bool add_group(Number group, std::uint32_t hash);
   bool add(const Claim& claim);
-  bool add(const shared::Ask& ask);
-  bool add(const shared::Grant& grant);
-  bool add(const shared::Return& back);
+  bool add(const replicated_state::Ask& ask);
+  bool add(const replicated_state::Grant& grant);
+  bool add(const replicated_state::Return& back);
   bool add(const Row& row);
   bool add(const Summary& summary, bool reply);
   void limit(std::size_t most);  // for what comes, at least what is there already
@@ -96,6 +96,6 @@
   std::size_t most_ = kMostBytes;
 };
 
-}  // namespace bitternferry::gossip
+}  // namespace dispatcher::gossip
 
-#endif  // BITTERNFERRY_GOSSIP_CODEC_HPP_
+#endif  // DISPATCHER_GOSSIP_CODEC_HPP_
--- a/src/gossip/config.cpp
+++ b/src/gossip/config.cpp
@@ -6,10 +6,10 @@
 #include <string_view>
 #include <utility>
 
+#include "cue/schema.hpp"
 #include "net/connection.hpp"
-#include "record/schema.hpp"
 
-namespace bitternferry::gossip {
+namespace dispatcher::gossip {
 
 namespace {
 
@@ -62,9 +62,9 @@
   return tier->get<std::uint32_t>();
 }
 
-membership::Duration ms(const record::Data& data) { return std::chrono::milliseconds(data.integer()); }
+membership::Duration ms(const cue::Data& data) { return std::chrono::milliseconds(data.integer()); }
 
-membership::Parameters read_members(const record::Data& data) {
+membership::Parameters read_members(const cue::Data& data) {
   membership::Parameters p;
   p.period = ms(data["period_ms"]);
   p.probe_timeout = ms(data["probe_timeout_ms"]);
@@ -77,8 +77,8 @@
   return p;
 }
 
-shared::Terms read_terms(const record::Data& data) {
-  shared::Terms terms;
+replicated_state::Terms read_terms(const cue::Data& data) {
+  replicated_state::Terms terms;
   terms.lends = data["lend"].flag();
   terms.lease = ms(data["lease_ms"]);
   terms.kept = data["kept"].real();
@@ -86,7 +86,7 @@
   return terms;
 }
 
-void check(const Links& links, const basaltvane::Settings& settings) {
+void check(const Links& links, const routing::Settings& settings) {
   const auto count = static_cast<std::size_t>(settings.router_count);
   if (!links.listen) throw std::runtime_error("field 'peer_listen': missing, though talk is allowed");
   if (links.peers.size() != count)
@@ -121,17 +121,17 @@
   return links;
 }
 
-std::optional<Config> parse_config(const record::File& file, const basaltvane::Settings& settings,
+std::optional<Config> parse_config(const cue::File& file, const routing::Settings& settings,
                                    const Links& links) {
-  static const record::Schema schema(kSchema, "#Fleet");
-  const record::Data data = schema.read(file);
+  static const cue::Schema schema(kSchema, "#Fleet");
+  const cue::Data data = schema.read(file);
   Config config;
   config.links = links;
   Options& o = config.options;
   o.swim = read_members(data["members"]);
   if (o.swim.probe_timeout * 3 >= o.swim.period) {
     const auto& at = data["members"]["probe_timeout_ms"];
-    throw record::Errors(file.name, {record::problem(at, "below a third of period_ms expected")});
+    throw cue::Errors(file.name, {cue::problem(at, "below a third of period_ms expected")});
   }
   o.rights = read_terms(data["rights"]);
   o.rows = static_cast<std::size_t>(data["rows"].integer());
@@ -145,4 +145,4 @@
   return config;
 }
 
-}  // namespace bitternferry::gossip
+}  // namespace dispatcher::gossip
--- a/src/gossip/config.hpp
+++ b/src/gossip/config.hpp
@@ -1,7 +1,7 @@
 // Whether dispatchers talk to each other, and how much: what the platform's configuration allows, and what
 // our own file says (deploy/fleet.cue).
-#ifndef BITTERNFERRY_GOSSIP_CONFIG_HPP_
-#define BITTERNFERRY_GOSSIP_CONFIG_HPP_
+#ifndef DISPATCHER_GOSSIP_CONFIG_HPP_
+#define DISPATCHER_GOSSIP_CONFIG_HPP_
 
 #include <boost/asio/ip/udp.hpp>
 #include <cstdint>
@@ -10,12 +10,12 @@
 #include <stdexcept>
 #include <vector>
 
-#include "basaltvane/router.hpp"
+#include "cue/syntax.hpp"
 #include "membership/membership.hpp"
-#include "record/syntax.hpp"
-#include "shared/rights.hpp"
+#include "replicated_state/rights.hpp"
+#include "routing/router.hpp"
 
-namespace bitternferry::gossip {
+namespace dispatcher::gossip {
 
 using boost::asio::ip::udp;
 using membership::Number;
@@ -37,7 +37,7 @@
   Number self = 0, count = 1;
   std::uint32_t tier = 0;
   membership::Parameters swim;
-  shared::Terms rights;
+  replicated_state::Terms rights;
   std::size_t rows = 4096;              // kept at most, of all owners together
   std::int64_t bytes_per_second = 768;  // sent by this member, each receiver of a datagram to all counted
   std::int64_t burst_bytes = 16384;
@@ -49,11 +49,11 @@
 };
 
 // None: the dispatcher works alone, as the file says, the links do not allow more, or there is no other.
-// Throws record::Errors with all that is wrong with the file, and std::runtime_error where the links don't
+// Throws cue::Errors with all that is wrong with the file, and std::runtime_error where the links don't
 // fit the settings.
-std::optional<Config> parse_config(const record::File& file, const basaltvane::Settings& settings,
+std::optional<Config> parse_config(const cue::File& file, const routing::Settings& settings,
                                    const Links& links);
 
-}  // namespace bitternferry::gossip
+}  // namespace dispatcher::gossip
 
-#endif  // BITTERNFERRY_GOSSIP_CONFIG_HPP_
+#endif  // DISPATCHER_GOSSIP_CONFIG_HPP_
--- a/src/gossip/datagram.hpp
+++ b/src/gossip/datagram.hpp
@@ -1,8 +1,8 @@
 // One datagram between dispatchers: at most 256 bytes, which its type guarantees. The platform voids a run in
 // which a longer one is sent, so the only thing that a speaker can send is a Datagram, and the only way to
 // make one is of() with its check.
-#ifndef BITTERNFERRY_GOSSIP_DATAGRAM_HPP_
-#define BITTERNFERRY_GOSSIP_DATAGRAM_HPP_
+#ifndef DISPATCHER_GOSSIP_DATAGRAM_HPP_
+#define DISPATCHER_GOSSIP_DATAGRAM_HPP_
 
 #include <array>
 #include <cstddef>
@@ -10,7 +10,7 @@
 #include <optional>
 #include <span>
 
-namespace bitternferry::gossip {
+namespace dispatcher::gossip {
 
 inline constexpr std::size_t kMostBytes = 256;
 
@@ -34,6 +34,6 @@
   std::uint16_t size_ = 0;
 };
 
-}  // namespace bitternferry::gossip
+}  // namespace dispatcher::gossip
 
-#endif  // BITTERNFERRY_GOSSIP_DATAGRAM_HPP_
+#endif  // DISPATCHER_GOSSIP_DATAGRAM_HPP_
--- a/src/gossip/node.cpp
+++ b/src/gossip/node.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <utility>
 
-namespace bitternferry::gossip {
+namespace dispatcher::gossip {
 
 namespace {
 
@@ -21,8 +21,8 @@
 
 }  // namespace
 
-Node::Node(const Options& options, const shared::Kinds& kinds, std::uint64_t life, std::uint64_t seed,
-           Time now)
+Node::Node(const Options& options, const replicated_state::Kinds& kinds, std::uint64_t life,
+           std::uint64_t seed, Time now)
     : options_(options),
       members_(options.swim, options.self, options.count, life, now, random(seed, 1)),
       rows_(kinds, options.self, options.count, life, options.rows),
@@ -50,7 +50,7 @@
 void Node::pack_core(Packer& packer, const Draft& draft) {
   if (draft.probe) packer.add(*draft.probe);
   for (const Claim& claim : draft.claims) packer.add(claim);
-  for (const shared::Transfer& transfer : draft.transfers)
+  for (const replicated_state::Transfer& transfer : draft.transfers)
     std::visit([&](const auto& what) { packer.add(what); }, transfer.what);
 }
 
@@ -113,8 +113,8 @@
   }
 }
 
-void Node::add(std::vector<Draft>& drafts, const std::vector<shared::Transfer>& transfers) {
-  for (const shared::Transfer& transfer : transfers) {
+void Node::add(std::vector<Draft>& drafts, const std::vector<replicated_state::Transfer>& transfers) {
+  for (const replicated_state::Transfer& transfer : transfers) {
     Draft& draft = draft_for(drafts, transfer.to);
     // A core of a probe and four transfers stays within a datagram.
     if (draft.transfers.size() < 4) {
@@ -133,7 +133,7 @@
   const std::vector<Row> urgent = rows_.queue(now, true);
   if (urgent.empty()) return;
   Packer packer(next_sender());
-  std::vector<shared::Place> told;
+  std::vector<replicated_state::Place> told;
   for (const Row& row : urgent) {
     if (packer.add(row)) told.push_back(row.place);
   }
@@ -145,7 +145,7 @@
     ++counts_.held_back;  // it goes round with the probes
     return;
   }
-  for (const shared::Place& place : told) rows_.sent(place, true);
+  for (const replicated_state::Place& place : told) rows_.sent(place, true);
   out.push_back({std::nullopt, *datagram});
 }
 
@@ -185,7 +185,7 @@
   return at;
 }
 
-bool Node::set(Time now, std::uint32_t kind, std::uint64_t key, shared::Bytes payload) {
+bool Node::set(Time now, std::uint32_t kind, std::uint64_t key, replicated_state::Bytes payload) {
   if (!rows_.set(now, kind, key, payload)) return false;
   if (!rows_.queue(now, true).empty()) soon_ = now;
   return true;
@@ -272,4 +272,4 @@
   }
 }
 
-}  // namespace bitternferry::gossip
+}  // namespace dispatcher::gossip
--- a/src/gossip/node.hpp
+++ b/src/gossip/node.hpp
@@ -1,8 +1,8 @@
 // One dispatcher's part in its fleet: who is alive, what each has told, and the rights that add up. No I/O:
 // the clock, the randomness and the datagrams are passed in, and datagrams to be sent are handed back. The
 // speaker carries them.
-#ifndef BITTERNFERRY_GOSSIP_NODE_HPP_
-#define BITTERNFERRY_GOSSIP_NODE_HPP_
+#ifndef DISPATCHER_GOSSIP_NODE_HPP_
+#define DISPATCHER_GOSSIP_NODE_HPP_
 
 #include <array>
 #include <functional>
@@ -15,10 +15,10 @@
 #include "gossip/config.hpp"
 #include "gossip/replays.hpp"
 #include "membership/membership.hpp"
-#include "shared/rights.hpp"
-#include "shared/rows.hpp"
+#include "replicated_state/rights.hpp"
+#include "replicated_state/rows.hpp"
 
-namespace bitternferry::gossip {
+namespace dispatcher::gossip {
 
 struct Outgoing {
   std::optional<Number> to;  // none: everybody
@@ -31,7 +31,8 @@
   using OnChange = std::function<void(const membership::Change&)>;
 
   // `life`: when this process started, ms since the Unix epoch. `kinds` outlives the node, complete.
-  Node(const Options& options, const shared::Kinds& kinds, std::uint64_t life, std::uint64_t seed, Time now);
+  Node(const Options& options, const replicated_state::Kinds& kinds, std::uint64_t life, std::uint64_t seed,
+       Time now);
 
   Sent start(Time now);                                                       // says that we are there
   Sent tick(Time now);                                                        // at or after next()
@@ -41,11 +42,11 @@
 
   // Each of the three is this node's to write to; messages follow with the next tick, at once where next()
   // says so.
-  bool set(Time now, std::uint32_t kind, std::uint64_t key, shared::Bytes payload);
+  bool set(Time now, std::uint32_t kind, std::uint64_t key, replicated_state::Bytes payload);
   void erase(Time now, std::uint32_t kind, std::uint64_t key) { rows_.erase(now, kind, key); }
-  const shared::Rows& rows() const { return rows_; }
-  shared::Rights& rights() { return rights_; }
-  const shared::Rights& rights() const { return rights_; }
+  const replicated_state::Rows& rows() const { return rows_; }
+  replicated_state::Rights& rights() { return rights_; }
+  const replicated_state::Rights& rights() const { return rights_; }
   const membership::Membership& members() const { return members_; }
   void on_change(OnChange on_change) { on_change_ = std::move(on_change); }
 
@@ -64,7 +65,7 @@
   struct Draft {
     Number to = 0;
     std::optional<Probe> probe;
-    std::vector<shared::Transfer> transfers;
+    std::vector<replicated_state::Transfer> transfers;
     std::vector<Claim> claims;          // that the receiver needs whatever has been sent before
     bool page = false, agreed = false;  // its table of members differs from ours, is ours
     std::vector<Summary> summaries;
@@ -80,7 +81,7 @@
   bool pay(Time now, const Datagram& datagram, std::int64_t receivers);
   Draft& draft_for(std::vector<Draft>& drafts, Number to);
   void add(std::vector<Draft>& drafts, const std::vector<membership::Sending>& sendings);
-  void add(std::vector<Draft>& drafts, const std::vector<shared::Transfer>& transfers);
+  void add(std::vector<Draft>& drafts, const std::vector<replicated_state::Transfer>& transfers);
   void compare(Time now, Number from, const Message& message, std::vector<Draft>& drafts);
   std::vector<Draft> outdated(Number from, const Message& message);
   void follow_changes(Time now);
@@ -89,8 +90,8 @@
 
   Options options_;
   membership::Membership members_;
-  shared::Rows rows_;
-  shared::Rights rights_;
+  replicated_state::Rows rows_;
+  replicated_state::Rights rights_;
   Budget budget_;
   Replays replays_;
   std::uint32_t serial_ = 0;
@@ -100,6 +101,6 @@
   Counts counts_;
 };
 
-}  // namespace bitternferry::gossip
+}  // namespace dispatcher::gossip
 
-#endif  // BITTERNFERRY_GOSSIP_NODE_HPP_
+#endif  // DISPATCHER_GOSSIP_NODE_HPP_
--- a/src/gossip/replays.hpp
+++ b/src/gossip/replays.hpp
@@ -1,14 +1,14 @@
 // Which datagrams of each sender have been seen: of its present life, the last 64 serial numbers. A repeated
 // one is known, and one from before that counts as repeated.
-#ifndef BITTERNFERRY_GOSSIP_REPLAYS_HPP_
-#define BITTERNFERRY_GOSSIP_REPLAYS_HPP_
+#ifndef DISPATCHER_GOSSIP_REPLAYS_HPP_
+#define DISPATCHER_GOSSIP_REPLAYS_HPP_
 
 #include <cstdint>
 #include <vector>
 
 #include "membership/member.hpp"
 
-namespace bitternferry::gossip {
+namespace dispatcher::gossip {
 
 class Replays {
  public:
@@ -41,6 +41,6 @@
   std::vector<Window> senders_;
 };
 
-}  // namespace bitternferry::gossip
+}  // namespace dispatcher::gossip
 
-#endif  // BITTERNFERRY_GOSSIP_REPLAYS_HPP_
+#endif  // DISPATCHER_GOSSIP_REPLAYS_HPP_
--- a/src/gossip/speaker.cpp
+++ b/src/gossip/speaker.cpp
@@ -3,10 +3,10 @@
 #include <boost/asio/buffer.hpp>
 #include <utility>
 
-namespace bitternferry::gossip {
+namespace dispatcher::gossip {
 
-Speaker::Speaker(boost::asio::io_context& io, const Links& links, Node& node, core::Deadlines& deadlines,
-                 core::Clock clock)
+Speaker::Speaker(boost::asio::io_context& io, const Links& links, Node& node, engine::Deadlines& deadlines,
+                 engine::Clock clock)
     : node_(node), deadlines_(deadlines), clock_(std::move(clock)), socket_(io, links.listen.value()) {
   // The loop must not wait for room: a datagram that finds none is lost, as others are.
   socket_.non_blocking(true);
@@ -90,4 +90,4 @@
   });
 }
 
-}  // namespace bitternferry::gossip
+}  // namespace dispatcher::gossip
--- a/src/gossip/speaker.hpp
+++ b/src/gossip/speaker.hpp
@@ -1,6 +1,6 @@
 // Carries a node's datagrams over UDP, and tells it the time. Nothing is decided here.
-#ifndef BITTERNFERRY_GOSSIP_SPEAKER_HPP_
-#define BITTERNFERRY_GOSSIP_SPEAKER_HPP_
+#ifndef DISPATCHER_GOSSIP_SPEAKER_HPP_
+#define DISPATCHER_GOSSIP_SPEAKER_HPP_
 
 #include <array>
 #include <boost/asio/io_context.hpp>
@@ -8,16 +8,16 @@
 #include <map>
 #include <memory>
 
-#include "core/deadlines.hpp"
+#include "engine/deadlines.hpp"
 #include "gossip/node.hpp"
 
-namespace bitternferry::gossip {
+namespace dispatcher::gossip {
 
 class Speaker {
  public:
   // Binds to links.listen; throws boost::system::system_error where it can't. The node outlives the speaker.
-  Speaker(boost::asio::io_context& io, const Links& links, Node& node, core::Deadlines& deadlines,
-          core::Clock clock);
+  Speaker(boost::asio::io_context& io, const Links& links, Node& node, engine::Deadlines& deadlines,
+          engine::Clock clock);
   ~Speaker() { stop(); }
   void start();
   void poke();   // the node was written to: it may have something to say at once
@@ -37,15 +37,15 @@
   Links links_;
   std::map<udp::endpoint, Number> numbers_;
   Node& node_;
-  core::Deadlines& deadlines_;
-  core::Clock clock_;
+  engine::Deadlines& deadlines_;
+  engine::Clock clock_;
   udp::socket socket_;
   udp::endpoint from_;
   std::array<std::uint8_t, kMostBytes + 1> packet_{};  // one more: a longer one is noticed
-  core::Deadlines::Id timer_;
+  engine::Deadlines::Id timer_;
   std::shared_ptr<char> alive_ = std::make_shared<char>();  // a datagram may complete after our end
 };
 
-}  // namespace bitternferry::gossip
+}  // namespace dispatcher::gossip
 
-#endif  // BITTERNFERRY_GOSSIP_SPEAKER_HPP_
+#endif  // DISPATCHER_GOSSIP_SPEAKER_HPP_
--- a/src/upgrade/bans.cpp
+++ b/src/hot_restart/bans.cpp
@@ -1,4 +1,4 @@
-#include "upgrade/bans.hpp"
+#include "hot_restart/bans.hpp"
 
 #include <fcntl.h>
 #include <unistd.h>
@@ -11,7 +11,7 @@
 
 #include "net/unique_fd.hpp"
 
-namespace bitternferry::upgrade {
+namespace dispatcher::hot_restart {
 
 using Json = nlohmann::json;
 
@@ -66,4 +66,4 @@
   ::unlink(fresh.c_str());
 }
 
-}  // namespace bitternferry::upgrade
+}  // namespace dispatcher::hot_restart
--- a/src/upgrade/bans.hpp
+++ b/src/hot_restart/bans.hpp
@@ -1,19 +1,19 @@
 // The replicas that operators left out, kept in a file that outlives the process. A missing, stale or damaged
 // file is no reason not to start.
-#ifndef BITTERNFERRY_UPGRADE_BANS_HPP_
-#define BITTERNFERRY_UPGRADE_BANS_HPP_
+#ifndef DISPATCHER_HOT_RESTART_BANS_HPP_
+#define DISPATCHER_HOT_RESTART_BANS_HPP_
 
 #include <set>
 #include <string>
 
-#include "core/engine.hpp"
+#include "engine/engine.hpp"
 
-namespace bitternferry::upgrade {
+namespace dispatcher::hot_restart {
 
 class Bans {
  public:
   // `path` empty: nothing is kept.
-  Bans(std::string path, core::Log log) : path_(std::move(path)), log_(std::move(log)) {}
+  Bans(std::string path, engine::Log log) : path_(std::move(path)), log_(std::move(log)) {}
   void load();
   const std::set<std::string>& hosts() const { return hosts_; }
   bool contains(const std::string& host) const { return hosts_.contains(host); }
@@ -22,10 +22,10 @@
  private:
   void save() const;
   std::string path_;
-  core::Log log_;
+  engine::Log log_;
   std::set<std::string> hosts_;
 };
 
-}  // namespace bitternferry::upgrade
+}  // namespace dispatcher::hot_restart
 
-#endif  // BITTERNFERRY_UPGRADE_BANS_HPP_
+#endif  // DISPATCHER_HOT_RESTART_BANS_HPP_
--- a/src/upgrade/link.cpp
+++ b/src/hot_restart/link.cpp
@@ -1,4 +1,4 @@
-#include "upgrade/link.hpp"
+#include "hot_restart/link.hpp"
 
 #include <fcntl.h>
 #include <sys/socket.h>
@@ -12,7 +12,7 @@
 #include <cstring>
 #include <utility>
 
-namespace bitternferry::upgrade {
+namespace dispatcher::hot_restart {
 
 namespace asio = boost::asio;
 
@@ -208,4 +208,4 @@
   socket_.close(ignored);
 }
 
-}  // namespace bitternferry::upgrade
+}  // namespace dispatcher::hot_restart
--- a/src/upgrade/link.hpp
+++ b/src/hot_restart/link.hpp
@@ -1,7 +1,7 @@
 // The line between two processes of one dispatcher during an upgrade: JSON messages, and descriptors with
 // them, over a Unix socket in $TMPDIR.
-#ifndef BITTERNFERRY_UPGRADE_LINK_HPP_
-#define BITTERNFERRY_UPGRADE_LINK_HPP_
+#ifndef DISPATCHER_HOT_RESTART_LINK_HPP_
+#define DISPATCHER_HOT_RESTART_LINK_HPP_
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/posix/stream_descriptor.hpp>
@@ -14,7 +14,7 @@
 
 #include "net/unique_fd.hpp"
 
-namespace bitternferry::upgrade {
+namespace dispatcher::hot_restart {
 
 using Json = nlohmann::json;
 using Fds = std::vector<net::UniqueFd>;
@@ -71,6 +71,6 @@
   boost::asio::posix::stream_descriptor socket_;
 };
 
-}  // namespace bitternferry::upgrade
+}  // namespace dispatcher::hot_restart
 
-#endif  // BITTERNFERRY_UPGRADE_LINK_HPP_
+#endif  // DISPATCHER_HOT_RESTART_LINK_HPP_
--- a/src/upgrade/partner.cpp
+++ b/src/hot_restart/partner.cpp
@@ -1,18 +1,18 @@
-#include "upgrade/partner.hpp"
+#include "hot_restart/partner.hpp"
 
 #include <algorithm>
 #include <cmath>
 #include <utility>
 
-namespace bitternferry::upgrade {
+namespace dispatcher::hot_restart {
 
-using basaltvane::Average;
-using basaltvane::Knowledge;
+using routing::Average;
+using routing::Knowledge;
 
 namespace {
 
 // An elder that is busy or stuck must not keep the new process from serving.
-constexpr core::Duration kPatience = std::chrono::milliseconds(1500);
+constexpr engine::Duration kPatience = std::chrono::milliseconds(1500);
 constexpr int kMostServed = 20000;
 
 Json to_json(const Average& a) { return Json::array({a.mean, a.dev, a.n}); }
@@ -44,8 +44,8 @@
   return value.is_boolean() && value.get<bool>();
 }
 
-basaltvane::Time time(const Json& value) {
-  return basaltvane::Time(value.is_number_integer() ? value.get<std::int64_t>() : 0);
+routing::Time time(const Json& value) {
+  return routing::Time(value.is_number_integer() ? value.get<std::int64_t>() : 0);
 }
 
 }  // namespace
@@ -54,7 +54,7 @@
   Json hosts = Json::array();
   for (const Knowledge::OfHost& h : k.hosts) {
     Json sends = Json::array();
-    for (const basaltvane::Time sent : h.sends) sends.push_back(sent.count());
+    for (const routing::Time sent : h.sends) sends.push_back(sent.count());
     hosts.push_back({{"host", h.host}, {"sends", sends}, {"back", h.back.count()}});
   }
   Json starts = Json::array();
@@ -88,8 +88,8 @@
   return k;
 }
 
-Partner::Partner(boost::asio::io_context& io, const std::string& path, core::Deadlines& deadlines,
-                 core::Clock clock, core::Log log, Owner& owner)
+Partner::Partner(boost::asio::io_context& io, const std::string& path, engine::Deadlines& deadlines,
+                 engine::Clock clock, engine::Log log, Owner& owner)
     : io_(io),
       path_(path),
       deadlines_(deadlines),
@@ -214,4 +214,4 @@
   if (shared()) tell({{"sent", host}});
 }
 
-}  // namespace bitternferry::upgrade
+}  // namespace dispatcher::hot_restart
--- a/src/upgrade/partner.hpp
+++ b/src/hot_restart/partner.hpp
@@ -1,31 +1,31 @@
 // The other process of this dispatcher while one takes over from the other: what each tells the other, in
 // typed form. Which of it binds whom is said in docs/architecture.md, "Upgrade".
-#ifndef BITTERNFERRY_UPGRADE_PARTNER_HPP_
-#define BITTERNFERRY_UPGRADE_PARTNER_HPP_
+#ifndef DISPATCHER_HOT_RESTART_PARTNER_HPP_
+#define DISPATCHER_HOT_RESTART_PARTNER_HPP_
 
 #include <map>
 #include <memory>
 #include <string>
 #include <vector>
 
-#include "core/engine.hpp"
-#include "upgrade/link.hpp"
+#include "engine/engine.hpp"
+#include "hot_restart/link.hpp"
 
-namespace bitternferry::upgrade {
+namespace dispatcher::hot_restart {
 
 // What the process that serves hands to the one that takes over.
 struct Estate {
   Json list;  // in discovery's form; null: none
   std::vector<std::string> ids;
-  basaltvane::Knowledge knowledge;
+  routing::Knowledge knowledge;
   Json level;                                      // of reduced service, as the elder tells it
   std::map<std::string, net::UniqueFd> listening;  // sockets, by the front that they are for
 };
 
-Json to_json(const basaltvane::Knowledge& knowledge);
-basaltvane::Knowledge parse_knowledge(const Json& object);  // what can't be read is left at its default
+Json to_json(const routing::Knowledge& knowledge);
+routing::Knowledge parse_knowledge(const Json& object);  // what can't be read is left at its default
 
-class Partner : public core::Engine::Twin {
+class Partner : public engine::Engine::Twin {
  public:
   class Owner {
    public:
@@ -34,7 +34,7 @@
     virtual Json list() = 0;
     virtual std::map<std::string, int> listening() = 0;
     virtual std::vector<std::string> open_ids() = 0;
-    virtual basaltvane::Knowledge knowledge() = 0;
+    virtual routing::Knowledge knowledge() = 0;
     virtual Json level() = 0;
     virtual void inherit(Estate estate) = 0;  // once, also where there is nobody: with an empty estate then
     virtual void on_ban(const std::string& host, bool offline) = 0;
@@ -45,8 +45,8 @@
     virtual void on_partners() = 0;             // there is one now, or none any more, or it serves
   };
   // `path` empty: there never is another.
-  Partner(boost::asio::io_context& io, const std::string& path, core::Deadlines& deadlines, core::Clock clock,
-          core::Log log, Owner& owner);
+  Partner(boost::asio::io_context& io, const std::string& path, engine::Deadlines& deadlines,
+          engine::Clock clock, engine::Log log, Owner& owner);
   void start();    // looks for the process to take over from
   void serving();  // from now on another may take over from this one
   void close();
@@ -78,17 +78,17 @@
 
   boost::asio::io_context& io_;
   std::string path_;
-  core::Deadlines& deadlines_;
-  core::Clock clock_;
-  core::Log log_;
+  engine::Deadlines& deadlines_;
+  engine::Clock clock_;
+  engine::Log log_;
   Owner& owner_;
   Door door_;
   End elder_{*this}, younger_{*this};
   bool begun_ = false;  // the owner has its estate
   bool younger_serves_ = false;
-  core::Deadlines::Id patience_;
+  engine::Deadlines::Id patience_;
 };
 
-}  // namespace bitternferry::upgrade
+}  // namespace dispatcher::hot_restart
 
-#endif  // BITTERNFERRY_UPGRADE_PARTNER_HPP_
+#endif  // DISPATCHER_HOT_RESTART_PARTNER_HPP_
--- a/src/http/event_framer.cpp
+++ b/src/http/event_framer.cpp
@@ -2,7 +2,7 @@
 
 #include <utility>
 
-namespace bitternferry::http {
+namespace dispatcher::http {
 
 std::vector<std::string> EventFramer::feed(std::string_view bytes) {
   std::vector<std::string> events;
@@ -47,4 +47,4 @@
   return value;
 }
 
-}  // namespace bitternferry::http
+}  // namespace dispatcher::http
--- a/src/http/event_framer.hpp
+++ b/src/http/event_framer.hpp
@@ -1,13 +1,13 @@
 // Cuts a server-sent event stream into whole events as it comes, without changing a byte.
-#ifndef BITTERNFERRY_HTTP_EVENT_FRAMER_HPP_
-#define BITTERNFERRY_HTTP_EVENT_FRAMER_HPP_
+#ifndef DISPATCHER_HTTP_EVENT_FRAMER_HPP_
+#define DISPATCHER_HTTP_EVENT_FRAMER_HPP_
 
 #include <string>
 #include <string_view>
 #include <utility>
 #include <vector>
 
-namespace bitternferry::http {
+namespace dispatcher::http {
 
 class EventFramer {
  public:
@@ -33,6 +33,6 @@
 // The values of an event's lines of one field ("data"), joined by LF; comments are the lines of field "".
 std::string event_field(std::string_view event, std::string_view field);
 
-}  // namespace bitternferry::http
+}  // namespace dispatcher::http
 
-#endif  // BITTERNFERRY_HTTP_EVENT_FRAMER_HPP_
+#endif  // DISPATCHER_HTTP_EVENT_FRAMER_HPP_
--- a/src/http/front.hpp
+++ b/src/http/front.hpp
@@ -1,24 +1,24 @@
 // What the two fronts share: a server on one side, the core on the other, and which client waits for which
 // request.
-#ifndef BITTERNFERRY_HTTP_FRONT_HPP_
-#define BITTERNFERRY_HTTP_FRONT_HPP_
+#ifndef DISPATCHER_HTTP_FRONT_HPP_
+#define DISPATCHER_HTTP_FRONT_HPP_
 
 #include <map>
 #include <memory>
 #include <string>
 #include <string_view>
 
-#include "core/engine.hpp"
+#include "degradation/control.hpp"
+#include "engine/engine.hpp"
 #include "http/server.hpp"
-#include "levels/control.hpp"
-#include "limits/gate.hpp"
+#include "rate_limit/gate.hpp"
 
-namespace bitternferry::http {
+namespace dispatcher::http {
 
-class Front : private Server::Handler, private core::Answerer {
+class Front : private Server::Handler, private engine::Answerer {
  public:
-  Front(boost::asio::io_context& io, const net::tcp::endpoint& at, core::Engine& engine,
-        core::Deadlines& deadlines, core::Clock clock, const ServerOptions& options,
+  Front(boost::asio::io_context& io, const net::tcp::endpoint& at, engine::Engine& engine,
+        engine::Deadlines& deadlines, engine::Clock clock, const ServerOptions& options,
         std::function<bool()> shed)
       : clock_(clock),
         server_(io, at, *this, deadlines, std::move(clock), options, std::move(shed)),
@@ -26,7 +26,7 @@
   Front(const Front&) = delete;
   Front& operator=(const Front&) = delete;
   Server& server() { return server_; }
-  const core::Answerer& answerer() const { return *this; }
+  const engine::Answerer& answerer() const { return *this; }
   // A stream that began at another process goes on here.
   SlotId take_over(net::UniqueFd socket, const std::string& id, const std::string& host) {
     const SlotId client = server_.adopt(std::move(socket));
@@ -34,23 +34,23 @@
   }
   void forget_given(SlotId client) { forget(client); }
   // Every request passes this gate before it is taken.
-  void attach(limits::Gate& gate) { gate_ = &gate; }
-  void attach(levels::Control& levels) { levels_ = &levels; }
+  void attach(rate_limit::Gate& gate) { gate_ = &gate; }
+  void attach(degradation::Control& levels) { levels_ = &levels; }
 
  protected:
   // Hands a request to the core, which may answer it before this returns.
-  void submit(SlotId client, const basaltvane::Request& request,
-              std::shared_ptr<const core::Message> message) {
+  void submit(SlotId client, const routing::Request& request,
+              std::shared_ptr<const engine::Message> message) {
     const SlotId id = engine_.submit(*this, client, request, std::move(message));
     if (engine_.waits(id)) requests_[client] = id;
   }
   // Has the rules judge a request, which gets what they compute. False: it is refused, and limited()
   // answered.
-  bool admit(SlotId client, const Server::Request& http, basaltvane::Request& request, limits::Facts facts,
-             const basaltvane::Settings& settings) {
+  bool admit(SlotId client, const Server::Request& http, routing::Request& request, rate_limit::Facts facts,
+             const routing::Settings& settings) {
     const bool rules = gate_ != nullptr && gate_->rules() != nullptr;
     if (gate_ == nullptr || (!rules && (levels_ == nullptr || !levels_->active()))) return true;
-    const core::Time now = clock_();
+    const engine::Time now = clock_();
     facts.request_class = request.request_class;
     facts.account = request.tenant;
     facts.session = request.session;
@@ -59,8 +59,8 @@
     facts.most_tokens = request.max_tokens;
     facts.time_left_ms = (request.client_deadline - now).count() / 1000;
     facts.retry = request.client_retry;
-    static const std::vector<limits::Header> none;
-    for (const limits::Header& wanted : rules ? gate_->rules()->headers() : none) {
+    static const std::vector<rate_limit::Header> none;
+    for (const rate_limit::Header& wanted : rules ? gate_->rules()->headers() : none) {
       // One that comes twice has no one value: it counts as absent.
       const auto [first, last] = http.equal_range({wanted.name.data(), wanted.name.size()});
       const bool once = first != last && std::next(first) == last;
@@ -69,13 +69,14 @@
                : std::nullopt);
     }
     bool shed = false;
-    const limits::Gate::Stop stop = [&](const basaltvane::Request& judged) -> std::optional<core::Duration> {
+    const rate_limit::Gate::Stop stop =
+        [&](const routing::Request& judged) -> std::optional<engine::Duration> {
       if (levels_ == nullptr) return std::nullopt;
       const auto retry_in = levels_->shed(judged, facts);
       shed = retry_in.has_value();
       return retry_in;
     };
-    limits::Gate::Passage passage = gate_->pass(request, facts, settings, now, stop);
+    rate_limit::Gate::Passage passage = gate_->pass(request, facts, settings, now, stop);
     if (passage.refused) {
       shed ? busy(client, *passage.refused) : limited(client, *passage.refused);
       return false;
@@ -83,8 +84,8 @@
     if (!passage.ticket.empty()) tickets_.insert_or_assign(client, passage.ticket);
     return true;
   }
-  virtual void limited(SlotId client, core::Duration retry_in) = 0;
-  virtual void busy(SlotId client, core::Duration retry_in) = 0;  // shed
+  virtual void limited(SlotId client, engine::Duration retry_in) = 0;
+  virtual void busy(SlotId client, engine::Duration retry_in) = 0;  // shed
 
   struct Route {
     std::string_view method, path;  // path: without the query
@@ -114,9 +115,9 @@
     }
   }
 
-  core::Clock clock_;
+  engine::Clock clock_;
   Server server_;
-  core::Engine& engine_;
+  engine::Engine& engine_;
 
  private:
   bool present(SlotId client) override { return server_.present(client); }
@@ -126,11 +127,11 @@
   }
 
   std::map<SlotId, SlotId> requests_;  // by client: its request in the core
-  limits::Gate* gate_ = nullptr;
-  levels::Control* levels_ = nullptr;
-  std::map<SlotId, limits::Ticket> tickets_;  // by client: what its request counts for
+  rate_limit::Gate* gate_ = nullptr;
+  degradation::Control* levels_ = nullptr;
+  std::map<SlotId, rate_limit::Ticket> tickets_;  // by client: what its request counts for
 };
 
-}  // namespace bitternferry::http
+}  // namespace dispatcher::http
 
-#endif  // BITTERNFERRY_HTTP_FRONT_HPP_
+#endif  // DISPATCHER_HTTP_FRONT_HPP_
--- a/src/http/message.cpp
+++ b/src/http/message.cpp
@@ -5,7 +5,7 @@
 #include <chrono>
 #include <cstdio>
 
-namespace bitternferry::http {
+namespace dispatcher::http {
 
 namespace {
 bool same(std::string_view a, std::string_view b) {
@@ -75,4 +75,4 @@
   return text;
 }
 
-}  // namespace bitternferry::http
+}  // namespace dispatcher::http
--- a/src/http/message.hpp
+++ b/src/http/message.hpp
@@ -1,6 +1,6 @@
 // HTTP/1.1 on ring buffers: Beast's parsers fed from them, and the few messages that are written.
-#ifndef BITTERNFERRY_HTTP_MESSAGE_HPP_
-#define BITTERNFERRY_HTTP_MESSAGE_HPP_
+#ifndef DISPATCHER_HTTP_MESSAGE_HPP_
+#define DISPATCHER_HTTP_MESSAGE_HPP_
 
 #include <algorithm>
 #include <boost/beast/http/parser.hpp>
@@ -12,7 +12,7 @@
 
 #include "net/ring_buffer.hpp"
 
-namespace bitternferry::http {
+namespace dispatcher::http {
 
 namespace beast_http = boost::beast::http;
 
@@ -156,6 +156,6 @@
 // A Retry-After value in seconds, with decimals where they are needed.
 std::string seconds_text(std::chrono::microseconds time);
 
-}  // namespace bitternferry::http
+}  // namespace dispatcher::http
 
-#endif  // BITTERNFERRY_HTTP_MESSAGE_HPP_
+#endif  // DISPATCHER_HTTP_MESSAGE_HPP_
--- a/src/http/server.cpp
+++ b/src/http/server.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <utility>
 
-namespace bitternferry::http {
+namespace dispatcher::http {
 
 namespace {
 constexpr std::size_t kMostIn = 64 * 1024;
@@ -29,7 +29,7 @@
 }  // namespace
 
 Server::Server(boost::asio::io_context& io, const net::tcp::endpoint& at, Handler& handler,
-               core::Deadlines& deadlines, core::Clock clock, const ServerOptions& options,
+               engine::Deadlines& deadlines, engine::Clock clock, const ServerOptions& options,
                std::function<bool()> shed)
     : io_(io),
       handler_(handler),
@@ -383,4 +383,4 @@
   wait(id, client.connection->output().empty() ? options_.linger : options_.stall);
 }
 
-}  // namespace bitternferry::http
+}  // namespace dispatcher::http
--- a/src/http/server.hpp
+++ b/src/http/server.hpp
@@ -1,6 +1,6 @@
 // The serving half of HTTP/1.1: takes connections, reads requests, writes answers. Both fronts stand on it.
-#ifndef BITTERNFERRY_HTTP_SERVER_HPP_
-#define BITTERNFERRY_HTTP_SERVER_HPP_
+#ifndef DISPATCHER_HTTP_SERVER_HPP_
+#define DISPATCHER_HTTP_SERVER_HPP_
 
 #include <boost/asio/io_context.hpp>
 #include <deque>
@@ -8,14 +8,14 @@
 #include <memory>
 #include <string>
 
-#include "core/deadlines.hpp"
+#include "engine/deadlines.hpp"
 #include "http/message.hpp"
 #include "net/connection.hpp"
 
-namespace bitternferry::http {
+namespace dispatcher::http {
 
-using core::Duration;
-using core::Time;
+using engine::Duration;
+using engine::Time;
 using net::SlotId;
 
 struct ServerOptions {
@@ -46,7 +46,7 @@
 
   // `shed` is asked to free a descriptor elsewhere when there are none left.
   Server(boost::asio::io_context& io, const net::tcp::endpoint& at, Handler& handler,
-         core::Deadlines& deadlines, core::Clock clock, const ServerOptions& options,
+         engine::Deadlines& deadlines, engine::Clock clock, const ServerOptions& options,
          std::function<bool()> shed);
 
   void answer(SlotId client, int status, std::string_view type, std::string_view body,
@@ -96,7 +96,7 @@
     std::size_t discarded = 0;  // bytes that came after its last answer
     Time arrived{};             // the first byte of the request
     Time since{};               // accepted, went idle or began to linger
-    core::Deadlines::Id limit;
+    engine::Deadlines::Id limit;
   };
 
   void on_accepted(net::tcp::socket socket) override;
@@ -123,8 +123,8 @@
 
   boost::asio::io_context& io_;
   Handler& handler_;
-  core::Deadlines& deadlines_;
-  core::Clock clock_;
+  engine::Deadlines& deadlines_;
+  engine::Clock clock_;
   ServerOptions options_;
   std::function<bool()> shed_elsewhere_;
   net::Listener listener_;
@@ -133,6 +133,6 @@
   bool draining_ = false;
 };
 
-}  // namespace bitternferry::http
+}  // namespace dispatcher::http
 
-#endif  // BITTERNFERRY_HTTP_SERVER_HPP_
+#endif  // DISPATCHER_HTTP_SERVER_HPP_
--- a/src/membership/member.hpp
+++ b/src/membership/member.hpp
@@ -1,19 +1,19 @@
 // What members of a fleet say of one another. Numbers and their count come from the settings, so nobody joins
 // or leaves the set; what changes is who is alive, and in which of its lives.
-#ifndef BITTERNFERRY_MEMBERSHIP_MEMBER_HPP_
-#define BITTERNFERRY_MEMBERSHIP_MEMBER_HPP_
+#ifndef DISPATCHER_MEMBERSHIP_MEMBER_HPP_
+#define DISPATCHER_MEMBERSHIP_MEMBER_HPP_
 
 #include <boost/random/taus88.hpp>
 #include <compare>
 #include <cstdint>
 #include <tuple>
 
-#include "basaltvane/router.hpp"
+#include "routing/router.hpp"
 
-namespace bitternferry::membership {
+namespace dispatcher::membership {
 
-using basaltvane::Duration;
-using basaltvane::Time;                // of this process's own steady clock
+using routing::Duration;
+using routing::Time;                   // of this process's own steady clock
 using Number = std::uint32_t;          // a dispatcher's, from 0
 using Random = boost::random::taus88;  // small and reproducible; seeded by whoever owns the machine
 
@@ -51,6 +51,6 @@
   bool operator==(const Probe&) const = default;
 };
 
-}  // namespace bitternferry::membership
+}  // namespace dispatcher::membership
 
-#endif  // BITTERNFERRY_MEMBERSHIP_MEMBER_HPP_
+#endif  // DISPATCHER_MEMBERSHIP_MEMBER_HPP_
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -8,7 +8,7 @@
 #include <cmath>
 #include <utility>
 
-namespace bitternferry::membership {
+namespace dispatcher::membership {
 
 namespace {
 
@@ -386,4 +386,4 @@
   return out;
 }
 
-}  // namespace bitternferry::membership
+}  // namespace dispatcher::membership
--- a/src/membership/membership.hpp
+++ b/src/membership/membership.hpp
@@ -11,8 +11,8 @@
 // - a process that was stopped notices the pause by its own clock: its probe of before is void, suspicions
 // wait
 //   on by the pause, and it counts itself as unwell.
-#ifndef BITTERNFERRY_MEMBERSHIP_MEMBERSHIP_HPP_
-#define BITTERNFERRY_MEMBERSHIP_MEMBERSHIP_HPP_
+#ifndef DISPATCHER_MEMBERSHIP_MEMBERSHIP_HPP_
+#define DISPATCHER_MEMBERSHIP_MEMBERSHIP_HPP_
 
 #include <cstddef>
 #include <optional>
@@ -21,7 +21,7 @@
 #include "membership/member.hpp"
 #include "membership/suspicion.hpp"
 
-namespace bitternferry::membership {
+namespace dispatcher::membership {
 
 struct Parameters {
   Duration period = std::chrono::seconds(1);                // from one probe to the next
@@ -142,6 +142,6 @@
   Counts counts_;
 };
 
-}  // namespace bitternferry::membership
+}  // namespace dispatcher::membership
 
-#endif  // BITTERNFERRY_MEMBERSHIP_MEMBERSHIP_HPP_
+#endif  // DISPATCHER_MEMBERSHIP_MEMBERSHIP_HPP_
--- a/src/membership/suspicion.cpp
+++ b/src/membership/suspicion.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <cmath>
 
-namespace bitternferry::membership {
+namespace dispatcher::membership {
 
 Suspicion::Suspicion(Time since, Number accuser, unsigned wanted, Duration least, Duration most)
     : since_(since), wanted_(wanted), least_(least), most_(std::max(least, most)), accusers_{accuser} {}
@@ -23,4 +23,4 @@
   return std::max(least_, most_ - Duration(static_cast<Duration::rep>(shorter)));
 }
 
-}  // namespace bitternferry::membership
+}  // namespace dispatcher::membership
--- a/src/membership/suspicion.hpp
+++ b/src/membership/suspicion.hpp
@@ -1,13 +1,13 @@
 // How long a suspicion waits for its member's answer, and how far a member trusts itself: the two scales of
 // Lifeguard (Dadgar, Phillips, Currey, 2018).
-#ifndef BITTERNFERRY_MEMBERSHIP_SUSPICION_HPP_
-#define BITTERNFERRY_MEMBERSHIP_SUSPICION_HPP_
+#ifndef DISPATCHER_MEMBERSHIP_SUSPICION_HPP_
+#define DISPATCHER_MEMBERSHIP_SUSPICION_HPP_
 
 #include <vector>
 
 #include "membership/member.hpp"
 
-namespace bitternferry::membership {
+namespace dispatcher::membership {
 
 // Begins with the longest wait and shortens it, logarithmically, with each other member that suspects the
 // same on its own: a slow accuser alone waits long enough to be answered.
@@ -43,6 +43,6 @@
   unsigned score_ = 0;
 };
 
-}  // namespace bitternferry::membership
+}  // namespace dispatcher::membership
 
-#endif  // BITTERNFERRY_MEMBERSHIP_SUSPICION_HPP_
+#endif  // DISPATCHER_MEMBERSHIP_SUSPICION_HPP_
--- a/src/net/connection.cpp
+++ b/src/net/connection.cpp
@@ -6,7 +6,7 @@
 #include <boost/asio/post.hpp>
 #include <charconv>
 
-namespace bitternferry::net {
+namespace dispatcher::net {
 
 namespace asio = boost::asio;
 
@@ -212,4 +212,4 @@
   acceptor_.close(ignored);
 }
 
-}  // namespace bitternferry::net
+}  // namespace dispatcher::net
--- a/src/net/connection.hpp
+++ b/src/net/connection.hpp
@@ -1,6 +1,6 @@
 // One TCP connection with a ring buffer in each direction, driven by completion handlers on one thread.
-#ifndef BITTERNFERRY_NET_CONNECTION_HPP_
-#define BITTERNFERRY_NET_CONNECTION_HPP_
+#ifndef DISPATCHER_NET_CONNECTION_HPP_
+#define DISPATCHER_NET_CONNECTION_HPP_
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/ip/tcp.hpp>
@@ -13,7 +13,7 @@
 #include "net/slot_table.hpp"
 #include "net/unique_fd.hpp"
 
-namespace bitternferry::net {
+namespace dispatcher::net {
 
 using boost::asio::ip::tcp;
 using boost::system::error_code;
@@ -98,6 +98,6 @@
   bool wanted_ = false, accepting_ = false;
 };
 
-}  // namespace bitternferry::net
+}  // namespace dispatcher::net
 
-#endif  // BITTERNFERRY_NET_CONNECTION_HPP_
+#endif  // DISPATCHER_NET_CONNECTION_HPP_
--- a/src/net/ring_buffer.hpp
+++ b/src/net/ring_buffer.hpp
@@ -2,8 +2,8 @@
 // powers of two up to a limit and gives large memory back once it is empty. A read that is under way writes
 // into what prepare() gave: until commit() that space stays where it is, whatever is consumed meanwhile. A
 // write that is under way reads from what data() gave: it holds storage(), which a growing queue leaves.
-#ifndef BITTERNFERRY_NET_RING_BUFFER_HPP_
-#define BITTERNFERRY_NET_RING_BUFFER_HPP_
+#ifndef DISPATCHER_NET_RING_BUFFER_HPP_
+#define DISPATCHER_NET_RING_BUFFER_HPP_
 
 #include <algorithm>
 #include <array>
@@ -14,7 +14,7 @@
 #include <string>
 #include <string_view>
 
-namespace bitternferry::net {
+namespace dispatcher::net {
 
 class RingBuffer {
  public:
@@ -105,6 +105,6 @@
   bool prepared_ = false;  // a read is under way into the free space
 };
 
-}  // namespace bitternferry::net
+}  // namespace dispatcher::net
 
-#endif  // BITTERNFERRY_NET_RING_BUFFER_HPP_
+#endif  // DISPATCHER_NET_RING_BUFFER_HPP_
--- a/src/net/slot_table.hpp
+++ b/src/net/slot_table.hpp
@@ -1,7 +1,7 @@
 // A table of numbered slots. A slot's number is used again, its generation is not: a handle that outlived
 // its entry finds nothing instead of a stranger. Knows no sockets; the core uses it too.
-#ifndef BITTERNFERRY_NET_SLOT_TABLE_HPP_
-#define BITTERNFERRY_NET_SLOT_TABLE_HPP_
+#ifndef DISPATCHER_NET_SLOT_TABLE_HPP_
+#define DISPATCHER_NET_SLOT_TABLE_HPP_
 
 #include <compare>
 #include <cstddef>
@@ -11,7 +11,7 @@
 #include <utility>
 #include <vector>
 
-namespace bitternferry::net {
+namespace dispatcher::net {
 
 struct SlotId {
   std::uint32_t index = 0;
@@ -69,6 +69,6 @@
   std::size_t size_ = 0;
 };
 
-}  // namespace bitternferry::net
+}  // namespace dispatcher::net
 
-#endif  // BITTERNFERRY_NET_SLOT_TABLE_HPP_
+#endif  // DISPATCHER_NET_SLOT_TABLE_HPP_
--- a/src/net/unique_fd.hpp
+++ b/src/net/unique_fd.hpp
@@ -1,12 +1,12 @@
 // A file descriptor that closes itself.
-#ifndef BITTERNFERRY_NET_UNIQUE_FD_HPP_
-#define BITTERNFERRY_NET_UNIQUE_FD_HPP_
+#ifndef DISPATCHER_NET_UNIQUE_FD_HPP_
+#define DISPATCHER_NET_UNIQUE_FD_HPP_
 
 #include <unistd.h>
 
 #include <utility>
 
-namespace bitternferry::net {
+namespace dispatcher::net {
 
 class UniqueFd {
  public:
@@ -30,6 +30,6 @@
   int fd_ = -1;
 };
 
-}  // namespace bitternferry::net
+}  // namespace dispatcher::net
 
-#endif  // BITTERNFERRY_NET_UNIQUE_FD_HPP_
+#endif  // DISPATCHER_NET_UNIQUE_FD_HPP_
--- a/src/chat/answer.cpp
+++ b/src/openai_api/answer.cpp
@@ -1,10 +1,10 @@
-#include "chat/answer.hpp"
+#include "openai_api/answer.hpp"
 
 #include <utility>
 
-#include "chat/request.hpp"
+#include "openai_api/request.hpp"
 
-namespace bitternferry::chat {
+namespace dispatcher::openai_api {
 
 using Json = nlohmann::json;
 
@@ -102,4 +102,4 @@
   return object.dump(-1, ' ', false, Json::error_handler_t::replace);
 }
 
-}  // namespace bitternferry::chat
+}  // namespace dispatcher::openai_api
--- a/src/chat/answer.hpp
+++ b/src/openai_api/answer.hpp
@@ -1,6 +1,6 @@
 // A replica's stream of events, turned into the standard's chunks or into one whole completion.
-#ifndef BITTERNFERRY_CHAT_ANSWER_HPP_
-#define BITTERNFERRY_CHAT_ANSWER_HPP_
+#ifndef DISPATCHER_OPENAI_API_ANSWER_HPP_
+#define DISPATCHER_OPENAI_API_ANSWER_HPP_
 
 #include <cstdint>
 #include <nlohmann/json.hpp>
@@ -10,7 +10,7 @@
 
 #include "http/event_framer.hpp"
 
-namespace bitternferry::chat {
+namespace dispatcher::openai_api {
 
 class Answer {
  public:
@@ -41,6 +41,6 @@
   nlohmann::json message_, finish_reason_, usage_;
 };
 
-}  // namespace bitternferry::chat
+}  // namespace dispatcher::openai_api
 
-#endif  // BITTERNFERRY_CHAT_ANSWER_HPP_
+#endif  // DISPATCHER_OPENAI_API_ANSWER_HPP_
--- a/src/chat/config.cpp
+++ b/src/openai_api/config.cpp
@@ -1,12 +1,12 @@
-#include "chat/config.hpp"
+#include "openai_api/config.hpp"
 
 #include <algorithm>
 #include <string_view>
 #include <utility>
 
-#include "record/schema.hpp"
+#include "cue/schema.hpp"
 
-namespace bitternferry::chat {
+namespace dispatcher::openai_api {
 
 namespace {
 
@@ -33,9 +33,9 @@
 // What the schema alone can't tell: what the platform's settings name.
 class Reader {
  public:
-  explicit Reader(const basaltvane::Settings& settings) : settings_(settings) {}
+  explicit Reader(const routing::Settings& settings) : settings_(settings) {}
 
-  Model model(const record::Data& data) {
+  Model model(const cue::Data& data) {
     Model model;
     model.id = data["id"].text();
     const std::string& name = data["class"].text();
@@ -50,7 +50,7 @@
     return model;
   }
 
-  std::string account(const record::Data& data) {
+  std::string account(const cue::Data& data) {
     if (data.is_null()) return {};
     const auto& tenants = settings_.tenants;
     const auto known = [&](const auto& t) { return t.name == data.text(); };
@@ -59,41 +59,39 @@
     return data.text();
   }
 
-  void bad(const record::Data& at, std::string what) {
-    problems.push_back(record::problem(at, std::move(what)));
-  }
-  std::vector<record::Problem> problems;
+  void bad(const cue::Data& at, std::string what) { problems.push_back(cue::problem(at, std::move(what))); }
+  std::vector<cue::Problem> problems;
 
  private:
-  const basaltvane::Settings& settings_;
+  const routing::Settings& settings_;
 };
 
 }  // namespace
 
-std::optional<Config> parse_config(const record::File& file, const basaltvane::Settings& settings) {
-  static const record::Schema schema(kSchema, "#Chat");
-  const record::Data data = schema.read(file);
+std::optional<Config> parse_config(const cue::File& file, const routing::Settings& settings) {
+  static const cue::Schema schema(kSchema, "#Chat");
+  const cue::Data data = schema.read(file);
   if (!data.has("listen")) return std::nullopt;
   Config config;
-  config.rules = std::make_shared<const basaltvane::Settings>(settings);
+  config.rules = std::make_shared<const routing::Settings>(settings);
   Reader reader(*config.rules);
   if (const auto endpoint = net::parse_endpoint(data["listen"].text())) {
     config.listen = *endpoint;
   } else {
     reader.bad(data["listen"], "address and port expected");
   }
-  for (const record::Data& m : data["models"].items()) config.models.push_back(reader.model(m));
+  for (const cue::Data& m : data["models"].items()) config.models.push_back(reader.model(m));
   if (config.models.empty()) reader.bad(data["models"], "at least one expected");
   config.account = reader.account(data["account"]);
-  for (const record::Data& k : data["keys"].items())
+  for (const cue::Data& k : data["keys"].items())
     config.keys.push_back({k["key"].text(), reader.account(k["account"])});
   if (config.keys.empty() && config.account.empty())
     reader.bad(data["account"], "expected where no keys are set");
   if (data.has("max_open")) config.max_open = static_cast<std::size_t>(data["max_open"].integer());
   if (data.has("default_max_tokens"))
     config.default_max_tokens = static_cast<int>(data["default_max_tokens"].integer());
-  if (!reader.problems.empty()) throw record::Errors(file.name, std::move(reader.problems));
+  if (!reader.problems.empty()) throw cue::Errors(file.name, std::move(reader.problems));
   return config;
 }
 
-}  // namespace bitternferry::chat
+}  // namespace dispatcher::openai_api
--- a/src/chat/config.hpp
+++ b/src/openai_api/config.hpp
@@ -1,23 +1,23 @@
 // The chat front's file under deploy/: where to listen, and how the standard's fields map to ours.
-#ifndef BITTERNFERRY_CHAT_CONFIG_HPP_
-#define BITTERNFERRY_CHAT_CONFIG_HPP_
+#ifndef DISPATCHER_OPENAI_API_CONFIG_HPP_
+#define DISPATCHER_OPENAI_API_CONFIG_HPP_
 
 #include <memory>
 #include <optional>
 #include <string>
 #include <vector>
 
-#include "basaltvane/router.hpp"
+#include "cue/syntax.hpp"
 #include "net/connection.hpp"
-#include "record/syntax.hpp"
+#include "routing/router.hpp"
 
-namespace bitternferry::chat {
+namespace dispatcher::openai_api {
 
 struct Model {
   std::string id;
-  const basaltvane::RequestClass* cls = nullptr;
+  const routing::RequestClass* cls = nullptr;
   // To the first token, before the prompt's length is added; none: the class's.
-  std::optional<basaltvane::Duration> deadline;
+  std::optional<routing::Duration> deadline;
 };
 
 struct Key {
@@ -25,7 +25,7 @@
 };
 
 struct Config {
-  std::shared_ptr<const basaltvane::Settings> rules;  // the models point into it
+  std::shared_ptr<const routing::Settings> rules;  // the models point into it
   net::tcp::endpoint listen;
   std::vector<Model> models;
   std::vector<Key> keys;  // none: every client is served, on `account`
@@ -34,9 +34,9 @@
   int default_max_tokens = 300;
 };
 
-// Empty where the file names no address: the front is off. Throws record::Errors.
-std::optional<Config> parse_config(const record::File& file, const basaltvane::Settings& settings);
+// Empty where the file names no address: the front is off. Throws cue::Errors.
+std::optional<Config> parse_config(const cue::File& file, const routing::Settings& settings);
 
-}  // namespace bitternferry::chat
+}  // namespace dispatcher::openai_api
 
-#endif  // BITTERNFERRY_CHAT_CONFIG_HPP_
+#endif  // DISPATCHER_OPENAI_API_CONFIG_HPP_
--- a/src/chat/front.cpp
+++ b/src/openai_api/front.cpp
@@ -1,10 +1,10 @@
-#include "chat/front.hpp"
+#include "openai_api/front.hpp"
 
 #include <algorithm>
 #include <cstdio>
 #include <utility>
 
-namespace bitternferry::chat {
+namespace dispatcher::openai_api {
 
 using Json = nlohmann::json;
 using std::chrono::milliseconds;
@@ -13,7 +13,7 @@
 
 constexpr std::string_view kCompletions = "/v1/chat/completions", kModels = "/v1/models",
                            kHealth = "/healthz";
-constexpr core::Duration kComeLater = milliseconds(500);  // where the module gives no advice
+constexpr engine::Duration kComeLater = milliseconds(500);  // where the module gives no advice
 
 // All of both is compared, so that the time taken tells nothing of where they differ.
 bool same_secret(std::string_view a, std::string_view b) {
@@ -29,8 +29,8 @@
 
 }  // namespace
 
-Front::Front(boost::asio::io_context& io, const Config& config, core::Engine& engine,
-             core::Deadlines& deadlines, core::Clock clock, std::uint64_t seed,
+Front::Front(boost::asio::io_context& io, const Config& config, engine::Engine& engine,
+             engine::Deadlines& deadlines, engine::Clock clock, std::uint64_t seed,
              const http::ServerOptions& options, std::function<bool()> shed)
     : http::Front(io, config.listen, engine, deadlines, std::move(clock), options, std::move(shed)),
       config_(config),
@@ -51,7 +51,7 @@
   return found;
 }
 
-void Front::on_request(SlotId client, http::Server::Request& request, core::Time arrived) {
+void Front::on_request(SlotId client, http::Server::Request& request, engine::Time arrived) {
   const auto [method, path] = route(request);
   const bool one_model =
       path.starts_with(kModels) && path.size() > kModels.size() + 1 && path[kModels.size()] == '/';
@@ -80,7 +80,7 @@
   server_.answer(client, 200, "application/json", Json{{"object", "list"}, {"data", list}}.dump());
 }
 
-void Front::complete(SlotId client, http::Server::Request& request, core::Time arrived,
+void Front::complete(SlotId client, http::Server::Request& request, engine::Time arrived,
                      const std::string& who) {
   if (exchanges_.size() >= config_.max_open) {
     return come_later(client,
@@ -93,19 +93,19 @@
   } catch (const ApiError& error) {
     return reply(client, error);
   }
-  basaltvane::Request r = chat.routing;
+  routing::Request r = chat.routing;
   r.id = new_id();
   r.client_deadline = arrived + time_to_first_token(chat, *chat.model->cls);
   // The standard's client libraries count their retries in this header.
   const auto retry = http::header(request, "X-Stainless-Retry-Count");
   r.client_retry = !retry.empty() && retry != "0";
-  limits::Facts facts;
+  rate_limit::Facts facts;
   facts.chat = true;
   facts.model = chat.model->id;
   if (!admit(client, request, r, facts, *config_.rules)) return;
-  const basaltvane::RequestClass& cls = class_of(r, *chat.model);
+  const routing::RequestClass& cls = class_of(r, *chat.model);
   if (&cls != chat.model->cls) r.client_deadline = arrived + time_to_first_token(chat, cls);
-  auto message = std::make_shared<core::Message>();
+  auto message = std::make_shared<engine::Message>();
   message->id = r.id;
   message->method = "POST";
   message->target = kCompletions;
@@ -114,13 +114,12 @@
   const std::int64_t created = clock_().count() / 1'000'000;
   exchanges_.emplace(
       client, Exchange{Answer("chatcmpl-" + r.id, chat.model->id, created, chat.stream, chat.include_usage),
-                       cls.repeat == basaltvane::Repeat::kSafe});
+                       cls.repeat == routing::Repeat::kSafe});
   submit(client, r, std::move(message));
 }
 
 // The rules may have put the request into another class than its model's.
-const basaltvane::RequestClass& Front::class_of(const basaltvane::Request& request,
-                                                const Model& model) const {
+const routing::RequestClass& Front::class_of(const routing::Request& request, const Model& model) const {
   const auto& classes = config_.rules->classes;
   const auto it = std::find_if(classes.begin(), classes.end(),
                                [&](const auto& c) { return c.name == request.request_class; });
@@ -186,14 +185,14 @@
   server_.cut(client);
 }
 
-void Front::refuse(SlotId client, std::optional<core::Duration> retry_in) {
+void Front::refuse(SlotId client, std::optional<engine::Duration> retry_in) {
   forget(client);
   come_later(client,
              server_error(503, "the service is busy: nothing was done, try again later", "overloaded"),
              retry_in.value_or(kComeLater));
 }
 
-void Front::limited(SlotId client, core::Duration retry_in) {
+void Front::limited(SlotId client, engine::Duration retry_in) {
   come_later(client,
              {429,
               "a limit is reached: nothing was done, try again later",
@@ -203,18 +202,18 @@
              retry_in);
 }
 
-void Front::busy(SlotId client, core::Duration retry_in) {
+void Front::busy(SlotId client, engine::Duration retry_in) {
   come_later(client, server_error(503, "reduced service: nothing was done, try again later", "overloaded"),
              retry_in);
 }
 
-void Front::fail(SlotId client, core::Failure why) {
+void Front::fail(SlotId client, engine::Failure why) {
   const auto it = exchanges_.find(client);
   const bool repeatable = it != exchanges_.end() && it->second.repeatable;
   forget(client);
-  if (why == core::Failure::kUnusable)
+  if (why == engine::Failure::kUnusable)
     return reply(client, {400, "the model can't use this request", "invalid_request_error", {}, {}});
-  const ApiError error = why == core::Failure::kTooLate
+  const ApiError error = why == engine::Failure::kTooLate
                              ? server_error(504, "no answer came in time; it may have run", "timeout")
                              : server_error(502, "the attempt failed; it may have run", "upstream_failed");
   may_have_run(client, error, repeatable);
@@ -226,7 +225,7 @@
   reply(client, error, {{"X-Should-Retry", "false"}});
 }
 
-void Front::come_later(SlotId client, const ApiError& error, core::Duration wait) {
+void Front::come_later(SlotId client, const ApiError& error, engine::Duration wait) {
   const auto ms = std::max<std::int64_t>(1, wait.count() / 1000);
   reply(client, error,
         {{"Retry-After", std::to_string((ms + 999) / 1000)},
@@ -243,4 +242,4 @@
   return to_body({status, std::string(what), ours ? "server_error" : "invalid_request_error", {}, {}});
 }
 
-}  // namespace bitternferry::chat
+}  // namespace dispatcher::openai_api
--- a/src/chat/front.hpp
+++ b/src/openai_api/front.hpp
@@ -1,51 +1,51 @@
 // The OpenAI-style front: chat completions, whole or streamed, over the same core as the platform's.
-#ifndef BITTERNFERRY_CHAT_FRONT_HPP_
-#define BITTERNFERRY_CHAT_FRONT_HPP_
+#ifndef DISPATCHER_OPENAI_API_FRONT_HPP_
+#define DISPATCHER_OPENAI_API_FRONT_HPP_
 
 #include <map>
 #include <string>
 
-#include "chat/answer.hpp"
-#include "chat/config.hpp"
-#include "chat/request.hpp"
 #include "http/front.hpp"
+#include "openai_api/answer.hpp"
+#include "openai_api/config.hpp"
+#include "openai_api/request.hpp"
 
-namespace bitternferry::chat {
+namespace dispatcher::openai_api {
 
 using net::SlotId;
 
 class Front : public http::Front {
  public:
-  Front(boost::asio::io_context& io, const Config& config, core::Engine& engine, core::Deadlines& deadlines,
-        core::Clock clock, std::uint64_t seed, const http::ServerOptions& options,
-        std::function<bool()> shed);
+  Front(boost::asio::io_context& io, const Config& config, engine::Engine& engine,
+        engine::Deadlines& deadlines, engine::Clock clock, std::uint64_t seed,
+        const http::ServerOptions& options, std::function<bool()> shed);
 
   // Models, keys, accounts and limits of another file, for the requests from now on. Where this front listens
   // stays. What is under way keeps what it began with.
   void adopt(const Config& config) { config_ = config; }
 
  private:
-  void on_request(SlotId client, http::Server::Request& request, core::Time arrived) override;
+  void on_request(SlotId client, http::Server::Request& request, engine::Time arrived) override;
   std::string error_body(int status, std::string_view what) override;
   void begin(SlotId client) override;
   bool pass(SlotId client, std::string_view events) override;
   void finish(SlotId client) override;
   void cut(SlotId client) override;
-  void refuse(SlotId client, std::optional<core::Duration> retry_in) override;
-  void fail(SlotId client, core::Failure why) override;
-  void limited(SlotId client, core::Duration retry_in) override;
-  void busy(SlotId client, core::Duration retry_in) override;
+  void refuse(SlotId client, std::optional<engine::Duration> retry_in) override;
+  void fail(SlotId client, engine::Failure why) override;
+  void limited(SlotId client, engine::Duration retry_in) override;
+  void busy(SlotId client, engine::Duration retry_in) override;
   void forget(SlotId client) override;
 
   // The account that the request may use; empty: its key is not known.
   std::optional<std::string> account(const http::Server::Request& request) const;
   void models(SlotId client, std::string_view id);
-  void complete(SlotId client, http::Server::Request& request, core::Time arrived,
+  void complete(SlotId client, http::Server::Request& request, engine::Time arrived,
                 const std::string& account);
   void reply(SlotId client, const ApiError& error, std::initializer_list<http::Header> more = {});
   void may_have_run(SlotId client, const ApiError& error, bool repeatable);
-  void come_later(SlotId client, const ApiError& error, core::Duration wait);
-  const basaltvane::RequestClass& class_of(const basaltvane::Request& request, const Model& model) const;
+  void come_later(SlotId client, const ApiError& error, engine::Duration wait);
+  const routing::RequestClass& class_of(const routing::Request& request, const Model& model) const;
   std::string new_id();
 
   Config config_;
@@ -57,6 +57,6 @@
   std::map<SlotId, Exchange> exchanges_;  // by client: those that are under way
 };
 
-}  // namespace bitternferry::chat
+}  // namespace dispatcher::openai_api
 
-#endif  // BITTERNFERRY_CHAT_FRONT_HPP_
+#endif  // DISPATCHER_OPENAI_API_FRONT_HPP_
--- a/src/chat/request.cpp
+++ b/src/openai_api/request.cpp
@@ -1,10 +1,10 @@
-#include "chat/request.hpp"
+#include "openai_api/request.hpp"
 
 #include <algorithm>
 #include <array>
 #include <cmath>
 
-namespace bitternferry::chat {
+namespace dispatcher::openai_api {
 
 using Json = nlohmann::json;
 
@@ -148,7 +148,7 @@
   const auto old_limit = count(object, "max_tokens");
   const Prompt prompt = read_messages(object);
 
-  basaltvane::Request& r = request.routing;
+  routing::Request& r = request.routing;
   r.request_class = found->cls->name;
   r.tenant = account;
   r.shared_prefix = prompt.opening_key;
@@ -165,11 +165,11 @@
   return request;
 }
 
-basaltvane::Duration time_to_first_token(const ChatRequest& request, const basaltvane::RequestClass& cls) {
+routing::Duration time_to_first_token(const ChatRequest& request, const routing::RequestClass& cls) {
   // The deadline grows by twice as much with the prompt as the wanted time does.
   const double growth = 2.0 * static_cast<double>(cls.objective_per_1000_tokens.count()) *
                         request.routing.prompt_tokens / 1000.0;
-  return request.model->deadline.value_or(cls.deadline) + basaltvane::Duration(std::llround(growth));
+  return request.model->deadline.value_or(cls.deadline) + routing::Duration(std::llround(growth));
 }
 
-}  // namespace bitternferry::chat
+}  // namespace dispatcher::openai_api
--- a/src/chat/request.hpp
+++ b/src/openai_api/request.hpp
@@ -1,16 +1,16 @@
 // A chat completion request: checked, and turned into what the router decides by and a replica is sent.
-#ifndef BITTERNFERRY_CHAT_REQUEST_HPP_
-#define BITTERNFERRY_CHAT_REQUEST_HPP_
+#ifndef DISPATCHER_OPENAI_API_REQUEST_HPP_
+#define DISPATCHER_OPENAI_API_REQUEST_HPP_
 
 #include <nlohmann/json.hpp>
 #include <optional>
 #include <string>
 #include <string_view>
 
-#include "basaltvane/router.hpp"
-#include "chat/config.hpp"
+#include "openai_api/config.hpp"
+#include "routing/router.hpp"
 
-namespace bitternferry::chat {
+namespace dispatcher::openai_api {
 
 // An answer that is an error in the standard's form.
 struct ApiError {
@@ -22,7 +22,7 @@
 ApiError no_such_model(std::string_view id);
 
 struct ChatRequest {
-  basaltvane::Request routing;  // without its id and deadline
+  routing::Request routing;  // without its id and deadline
   const Model* model = nullptr;
   std::string body;  // as a replica gets it: always streamed, with the usage at the end
   bool stream = false, include_usage = false;
@@ -35,8 +35,8 @@
 // Throws ApiError.
 ChatRequest parse_request(std::string_view body, const Config& config, const std::string& account);
 // The time that the client is taken to wait for its first token.
-basaltvane::Duration time_to_first_token(const ChatRequest& request, const basaltvane::RequestClass& cls);
+routing::Duration time_to_first_token(const ChatRequest& request, const routing::RequestClass& cls);
 
-}  // namespace bitternferry::chat
+}  // namespace dispatcher::openai_api
 
-#endif  // BITTERNFERRY_CHAT_REQUEST_HPP_
+#endif  // DISPATCHER_OPENAI_API_REQUEST_HPP_
--- a/src/platform/front.cpp
+++ b/src/platform_api/front.cpp
@@ -1,4 +1,4 @@
-#include "platform/front.hpp"
+#include "platform_api/front.hpp"
 
 #include <algorithm>
 #include <charconv>
@@ -6,7 +6,7 @@
 #include <stdexcept>
 #include <utility>
 
-namespace bitternferry::platform {
+namespace dispatcher::platform_api {
 
 namespace {
 
@@ -28,7 +28,7 @@
   return value;
 }
 
-void parse_facts(std::string_view facts, basaltvane::Request& r) {
+void parse_facts(std::string_view facts, routing::Request& r) {
   while (!facts.empty()) {
     const std::size_t comma = facts.find(',');
     std::string_view fact = facts.substr(0, comma);
@@ -46,10 +46,10 @@
 
 }  // namespace
 
-basaltvane::Request parse_request(const http::Server::Request& request, const basaltvane::Settings& settings,
-                                  core::Time arrived) {
+routing::Request parse_request(const http::Server::Request& request, const routing::Settings& settings,
+                               engine::Time arrived) {
   const auto get = [&](std::string_view name) { return http::header(request, name); };
-  basaltvane::Request r;
+  routing::Request r;
   r.id = get("X-Correlation-Id");
   const bool word =
       std::all_of(r.id.begin(), r.id.end(), [](unsigned char c) { return std::isalnum(c) != 0; });
@@ -63,7 +63,7 @@
   if (const auto key = get("X-Session-Key"); !key.empty())
     r.session = parse_number<std::uint64_t>(key, "X-Session-Key", 16);
   parse_facts(get("X-Facts"), r);
-  core::Duration left = cls->deadline;
+  engine::Duration left = cls->deadline;
   if (const auto text = get("X-Time-Left-Ms"); !text.empty()) {
     const auto ms = parse_number<std::int64_t>(text, "X-Time-Left-Ms");
     if (ms < 0 || ms > 86'400'000) throw std::invalid_argument("X-Time-Left-Ms: out of range");
@@ -76,13 +76,13 @@
   return r;
 }
 
-Front::Front(boost::asio::io_context& io, const net::tcp::endpoint& at, core::Engine& engine,
-             core::Rules rules, core::Deadlines& deadlines, core::Clock clock,
+Front::Front(boost::asio::io_context& io, const net::tcp::endpoint& at, engine::Engine& engine,
+             engine::Rules rules, engine::Deadlines& deadlines, engine::Clock clock,
              const http::ServerOptions& options, std::function<bool()> shed)
     : http::Front(io, at, engine, deadlines, std::move(clock), options, std::move(shed)),
       rules_(std::move(rules)) {}
 
-void Front::on_request(SlotId client, http::Server::Request& request, core::Time arrived) {
+void Front::on_request(SlotId client, http::Server::Request& request, engine::Time arrived) {
   const auto [method, path] = route(request);
   const bool health = path == "/healthz", chat = path == "/v1/chat/completions";
   if (!health && !chat) return server_.error(client, 404, "no such path");
@@ -92,8 +92,8 @@
   answer_health(client);
 }
 
-void Front::take(SlotId client, http::Server::Request& request, core::Time arrived) {
-  basaltvane::Request r;
+void Front::take(SlotId client, http::Server::Request& request, engine::Time arrived) {
+  routing::Request r;
   try {
     r = parse_request(request, *rules_, arrived);
   } catch (const std::invalid_argument& e) {
@@ -101,7 +101,7 @@
   }
   if (engine_.in_progress(r.id)) return server_.error(client, 409, "X-Correlation-Id: already in progress");
   if (!admit(client, request, r, {}, *rules_)) return;
-  auto message = std::make_shared<core::Message>();
+  auto message = std::make_shared<engine::Message>();
   message->id = r.id;
   message->method.assign(request.method_string().data(), request.method_string().size());
   message->target.assign(request.target().data(), request.target().size());
@@ -125,32 +125,32 @@
   server_.cut(client);
 }
 
-void Front::refuse(SlotId client, std::optional<core::Duration> retry_in) {
+void Front::refuse(SlotId client, std::optional<engine::Duration> retry_in) {
   forget(client);
   if (!retry_in) return server_.error(client, 503, "try again");
   server_.error(client, 503, "try again", {{"Retry-After", http::seconds_text(*retry_in)}});
 }
 
-void Front::limited(SlotId client, core::Duration retry_in) {
+void Front::limited(SlotId client, engine::Duration retry_in) {
   come_later(client, 429, "over a limit: nothing was done, try again later", retry_in);
 }
 
-void Front::busy(SlotId client, core::Duration retry_in) {
+void Front::busy(SlotId client, engine::Duration retry_in) {
   come_later(client, 503, "reduced service: nothing was done, try again later", retry_in);
 }
 
-void Front::come_later(SlotId client, int status, std::string_view what, core::Duration retry_in) {
+void Front::come_later(SlotId client, int status, std::string_view what, engine::Duration retry_in) {
   if (!rules_->retry_advice) return server_.error(client, status, what);
   server_.error(client, status, what,
                 {{"Retry-After", http::seconds_text(std::min(retry_in, rules_->max_retry_in))}});
 }
 
-void Front::fail(SlotId client, core::Failure why) {
+void Front::fail(SlotId client, engine::Failure why) {
   forget(client);
-  if (why == core::Failure::kUnusable)
+  if (why == engine::Failure::kUnusable)
     return server_.error(client, 400, "the replicas can't use this request");
-  const bool late = why == core::Failure::kTooLate;
+  const bool late = why == engine::Failure::kTooLate;
   server_.error(client, late ? 504 : 502, late ? "no answer in time" : "the attempt failed");
 }
 
-}  // namespace bitternferry::platform
+}  // namespace dispatcher::platform_api
--- a/src/limits/explain.cpp
+++ b/src/rate_limit/explain.cpp
@@ -1,12 +1,12 @@
-#include "limits/explain.hpp"
+#include "rate_limit/explain.hpp"
 
 #include <algorithm>
 #include <cctype>
 #include <charconv>
 
-#include "record/schema.hpp"
+#include "cue/schema.hpp"
 
-namespace bitternferry::limits {
+namespace dispatcher::rate_limit {
 
 namespace {
 
@@ -31,28 +31,31 @@
                     [](unsigned char x, unsigned char y) { return std::tolower(x) == std::tolower(y); });
 }
 
-match::Value evaluate(const match::Node& node, const RuleSet& rules, std::span<const match::Value> values) {
-  const auto program = match::Program::compile(match::to_text(node), rules.fields(), node.type.kind);
-  match::Scratch scratch;
+expression::Value evaluate(const expression::Node& node, const RuleSet& rules,
+                           std::span<const expression::Value> values) {
+  const auto program =
+      expression::Program::compile(expression::to_text(node), rules.fields(), node.type.kind);
+  expression::Scratch scratch;
   scratch.reserve(program.most_values(), program.most_text());
   return program.run(values, scratch);
 }
 
-std::string reason(const RuleSet& rules, std::size_t i, std::span<const match::Value> values) {
+std::string reason(const RuleSet& rules, std::size_t i, std::span<const expression::Value> values) {
   std::string fault;
-  for (const match::Node* part : match::parts(rules.conditions().condition(i).tree())) {
-    const match::Value v = evaluate(*part, rules, values);
-    if (v.is(false)) return match::to_text(*part) + " is false";
-    if (v.failed() && fault.empty()) fault = match::to_text(*part) + " has no value: " + match::name(v.fault);
+  for (const expression::Node* part : expression::parts(rules.conditions().condition(i).tree())) {
+    const expression::Value v = evaluate(*part, rules, values);
+    if (v.is(false)) return expression::to_text(*part) + " is false";
+    if (v.failed() && fault.empty())
+      fault = expression::to_text(*part) + " has no value: " + expression::name(v.fault);
   }
   return fault;
 }
 
 }  // namespace
 
-std::unique_ptr<Sample> read_sample(const record::File& file, const RuleSet& rules) {
-  static const record::Schema schema(kSchema, "#Request");
-  const record::Data data = schema.read(file);
+std::unique_ptr<Sample> read_sample(const cue::File& file, const RuleSet& rules) {
+  static const cue::Schema schema(kSchema, "#Request");
+  const cue::Data data = schema.read(file);
   auto sample = std::make_unique<Sample>();
   Sample& s = *sample;
   s.request_class = data["class"].text();
@@ -84,7 +87,7 @@
   std::vector<std::string> lines;
   std::array<char, 16> session{};
   const auto values = rules.values(facts, session);
-  match::Scratch scratch;
+  expression::Scratch scratch;
   rules.reserve(scratch);
   const Decision decision = rules.decide(facts, scratch);
   const std::size_t before =
@@ -99,29 +102,29 @@
   }
   const Rule& rule = rules.rules()[before];
   lines.push_back("yes   " + rule.name + ": " + rule.when);
-  const auto computed = [&](const char* what, const std::optional<match::Program>& program, bool taken,
+  const auto computed = [&](const char* what, const std::optional<expression::Program>& program, bool taken,
                             const std::string& as) {
     if (!program) return;
-    const match::Value v = program->run(values, scratch);
-    lines.push_back(std::string("      ") + what + " = " + match::to_text(v) +
+    const expression::Value v = program->run(values, scratch);
+    lines.push_back(std::string("      ") + what + " = " + expression::to_text(v) +
                     (taken ? as : ": not known, its own stays"));
   };
   computed("class", rule.request_class, decision.request_class != nullptr, "");
   computed("account", rule.account, decision.account.has_value(), "");
   computed("session", rule.session, decision.session.has_value(), "");
   for (const Limit& l : rule.limits) {
-    const match::Value key = l.key.run(values, scratch);
+    const expression::Value key = l.key.run(values, scratch);
     std::string line =
         "      limit " + l.name + ": key " +
-        (key.failed() ? "shared by all that lack it (" + std::string(match::name(key.fault)) + ")"
-                      : match::to_text(key));
+        (key.failed() ? "shared by all that lack it (" + std::string(expression::name(key.fault)) + ")"
+                      : expression::to_text(key));
     if (l.rate > 0)
-      line += ", " + match::to_text(match::Value::of(l.rate)) + " a second in bursts of " +
-              match::to_text(match::Value::of(l.burst));
+      line += ", " + expression::to_text(expression::Value::of(l.rate)) + " a second in bursts of " +
+              expression::to_text(expression::Value::of(l.burst));
     if (l.in_progress) line += ", " + std::to_string(*l.in_progress) + " in progress";
     lines.push_back(line + ", over the whole fleet");
   }
   return lines;
 }
 
-}  // namespace bitternferry::limits
+}  // namespace dispatcher::rate_limit
