--- a/src/limits/explain.hpp
+++ b/src/rate_limit/explain.hpp
@@ -1,14 +1,14 @@
 // Why a request meets the rule that it meets: for operators who wonder about a file.
-#ifndef BITTERNFERRY_LIMITS_EXPLAIN_HPP_
-#define BITTERNFERRY_LIMITS_EXPLAIN_HPP_
+#ifndef DISPATCHER_RATE_LIMIT_EXPLAIN_HPP_
+#define DISPATCHER_RATE_LIMIT_EXPLAIN_HPP_
 
 #include <map>
 #include <string>
 #include <vector>
 
-#include "limits/rules.hpp"
+#include "rate_limit/rules.hpp"
 
-namespace bitternferry::limits {
+namespace dispatcher::rate_limit {
 
 // A request as a file describes it: a record with the names that expressions use.
 struct Sample {
@@ -18,13 +18,13 @@
   std::map<std::string, std::string> headers;  // by their names on the wire
 };
 
-// Throws record::Errors. `rules`: whose headers the sample may give.
-std::unique_ptr<Sample> read_sample(const record::File& file, const RuleSet& rules);
+// Throws cue::Errors. `rules`: whose headers the sample may give.
+std::unique_ptr<Sample> read_sample(const cue::File& file, const RuleSet& rules);
 
 // A line for each rule up to the one that matches (of more than `most` only the last ones), then what that
 // one computes.
 std::vector<std::string> explain(const RuleSet& rules, const Facts& facts, std::size_t most = 50);
 
-}  // namespace bitternferry::limits
+}  // namespace dispatcher::rate_limit
 
-#endif  // BITTERNFERRY_LIMITS_EXPLAIN_HPP_
+#endif  // DISPATCHER_RATE_LIMIT_EXPLAIN_HPP_
--- a/src/limits/facts.hpp
+++ b/src/rate_limit/facts.hpp
@@ -1,6 +1,6 @@
 // What expressions may ask of a request: the fields, and their values for one.
-#ifndef BITTERNFERRY_LIMITS_FACTS_HPP_
-#define BITTERNFERRY_LIMITS_FACTS_HPP_
+#ifndef DISPATCHER_RATE_LIMIT_FACTS_HPP_
+#define DISPATCHER_RATE_LIMIT_FACTS_HPP_
 
 #include <cstdint>
 #include <optional>
@@ -9,17 +9,17 @@
 #include <string_view>
 #include <vector>
 
-#include "basaltvane/router.hpp"
-#include "match/value.hpp"
+#include "expression/value.hpp"
+#include "routing/router.hpp"
 
-namespace bitternferry::limits {
+namespace dispatcher::rate_limit {
 
 // The names that the platform's settings know. None of a kind: any name may come.
 struct Vocabulary {
   std::vector<std::string> classes, accounts;
 };
 
-Vocabulary vocabulary_of(const basaltvane::Settings& settings);
+Vocabulary vocabulary_of(const routing::Settings& settings);
 
 // What is known of a request before anything is taken or sent. Views outlive the decision only.
 struct Facts {
@@ -33,14 +33,14 @@
 
 // Adds request.class, request.account and the rest, kRequestFields of them.
 inline constexpr std::size_t kRequestFields = 10;
-void add_request_fields(match::Environment& fields, const Vocabulary& vocabulary);
+void add_request_fields(expression::Environment& fields, const Vocabulary& vocabulary);
 // Their values, in the same order. `session` holds the session's text for as long as they are used.
 void fill_request(const Facts& facts, std::span<char, 16> session,
-                  std::span<match::Value, kRequestFields> values);
+                  std::span<expression::Value, kRequestFields> values);
 
 // A text as expressions may see it: absent where it is longer than declared or no UTF-8.
-match::Value text_value(std::optional<std::string_view> given, std::size_t longest);
+expression::Value text_value(std::optional<std::string_view> given, std::size_t longest);
 
-}  // namespace bitternferry::limits
+}  // namespace dispatcher::rate_limit
 
-#endif  // BITTERNFERRY_LIMITS_FACTS_HPP_
+#endif  // DISPATCHER_RATE_LIMIT_FACTS_HPP_
--- a/src/limits/gate.cpp
+++ b/src/rate_limit/gate.cpp
@@ -1,20 +1,20 @@
-#include "limits/gate.hpp"
+#include "rate_limit/gate.hpp"
 
 #include <algorithm>
 
-namespace bitternferry::limits {
+namespace dispatcher::rate_limit {
 
 namespace {
 
-const basaltvane::RequestClass* find_class(const basaltvane::Settings& settings, const std::string& name) {
+const routing::RequestClass* find_class(const routing::Settings& settings, const std::string& name) {
   const auto it = std::find_if(settings.classes.begin(), settings.classes.end(),
                                [&](const auto& c) { return c.name == name; });
   return it == settings.classes.end() ? nullptr : &*it;
 }
 
 // May a request of `from` be treated as one of `to` without being repeated where it must not be?
-bool may_become(const basaltvane::RequestClass* from, const basaltvane::RequestClass* to) {
-  using basaltvane::Repeat;
+bool may_become(const routing::RequestClass* from, const routing::RequestClass* to) {
+  using routing::Repeat;
   if (to == nullptr) return false;
   if (from == nullptr || from->repeat == Repeat::kSafe) return true;
   return to->repeat == Repeat::kUnsafe;
@@ -22,7 +22,7 @@
 
 }  // namespace
 
-void Gate::adopt(std::shared_ptr<const RuleSet> rules, basaltvane::Time now) {
+void Gate::adopt(std::shared_ptr<const RuleSet> rules, routing::Time now) {
   rules_ = std::move(rules);
   if (rules_ == nullptr) return;  // the table stays: what is in progress is still counted
   rules_->reserve(scratch_);
@@ -31,8 +31,8 @@
   if (limited) table_.resize(rules_->keys(), now);
 }
 
-Gate::Passage Gate::pass(basaltvane::Request& request, const Facts& facts,
-                         const basaltvane::Settings& settings, basaltvane::Time now, const Stop& stop) {
+Gate::Passage Gate::pass(routing::Request& request, const Facts& facts, const routing::Settings& settings,
+                         routing::Time now, const Stop& stop) {
   Passage passage;
   Decision decision;
   if (rules_ != nullptr) {
@@ -54,7 +54,7 @@
   const std::span<const Charge> all(charges.data(), decision.limit_count);
   if (const Nanoseconds wait = table_.admit(all, now, held); wait.count() > 0) {
     ++counts_.refused;
-    passage.refused = std::chrono::ceil<basaltvane::Duration>(wait);
+    passage.refused = std::chrono::ceil<routing::Duration>(wait);
     tell(passage.rule->name, now);
     return passage;
   }
@@ -65,8 +65,7 @@
   return passage;
 }
 
-void Gate::apply(const Decision& decision, basaltvane::Request& request,
-                 const basaltvane::Settings& settings) {
+void Gate::apply(const Decision& decision, routing::Request& request, const routing::Settings& settings) {
   if (decision.request_class != nullptr) {
     const bool may = may_become(find_class(settings, request.request_class),
                                 find_class(settings, *decision.request_class));
@@ -76,8 +75,8 @@
   if (decision.session) request.session = *decision.session;
 }
 
-void Gate::tell(const std::string& rule, basaltvane::Time now) {
-  constexpr basaltvane::Duration kEvery = std::chrono::seconds(10);
+void Gate::tell(const std::string& rule, routing::Time now) {
+  constexpr routing::Duration kEvery = std::chrono::seconds(10);
   ++untold_;
   if (!log_ || now < tell_next_) return;
   tell_next_ = now + kEvery;
@@ -90,4 +89,4 @@
   ticket.count_ = 0;
 }
 
-}  // namespace bitternferry::limits
+}  // namespace dispatcher::rate_limit
--- a/src/limits/gate.hpp
+++ b/src/rate_limit/gate.hpp
@@ -1,7 +1,7 @@
 // Where every request passes before anything is taken or sent: the rules decide, the table counts. One gate
 // serves all fronts of an instance. No I/O; the clock is passed in.
-#ifndef BITTERNFERRY_LIMITS_GATE_HPP_
-#define BITTERNFERRY_LIMITS_GATE_HPP_
+#ifndef DISPATCHER_RATE_LIMIT_GATE_HPP_
+#define DISPATCHER_RATE_LIMIT_GATE_HPP_
 
 #include <array>
 #include <functional>
@@ -11,11 +11,11 @@
 #include <string_view>
 #include <utility>
 
-#include "basaltvane/router.hpp"
-#include "limits/rules.hpp"
-#include "limits/table.hpp"
+#include "rate_limit/rules.hpp"
+#include "rate_limit/table.hpp"
+#include "routing/router.hpp"
 
-namespace bitternferry::limits {
+namespace dispatcher::rate_limit {
 
 // What a request counts for until it comes to its end. Moved, never copied; dropped unreleased it stays
 // counted.
@@ -37,7 +37,7 @@
 
   // Other rules for the requests from now on; none: every request passes as it is. Counters of limits that
   // stay the same go on.
-  void adopt(std::shared_ptr<const RuleSet> rules, basaltvane::Time now);
+  void adopt(std::shared_ptr<const RuleSet> rules, routing::Time now);
   // Whose part of the limits this is: `instance`, from 0, of `instances`.
   void share(std::size_t instance, std::size_t instances) {
     instance_ = instance;
@@ -46,16 +46,16 @@
   const RuleSet* rules() const { return rules_.get(); }
 
   struct Passage {
-    std::optional<basaltvane::Duration> refused;  // and when to come back
-    const Rule* rule = nullptr;                   // that decided
+    std::optional<routing::Duration> refused;  // and when to come back
+    const Rule* rule = nullptr;                // that decided
     Ticket ticket;
   };
   // Applies what the rules compute to the request: its class, account and session. A class that may be
   // repeated is never put in place of one that may not. `stop` is asked in between, with the request as it is
   // then: what it gives is a refusal that counts under no limit.
-  using Stop = std::function<std::optional<basaltvane::Duration>(const basaltvane::Request&)>;
-  Passage pass(basaltvane::Request& request, const Facts& facts, const basaltvane::Settings& settings,
-               basaltvane::Time now, const Stop& stop = {});
+  using Stop = std::function<std::optional<routing::Duration>(const routing::Request&)>;
+  Passage pass(routing::Request& request, const Facts& facts, const routing::Settings& settings,
+               routing::Time now, const Stop& stop = {});
   void release(Ticket& ticket);
 
   struct Counts {
@@ -65,20 +65,20 @@
   const Table& table() const { return table_; }
 
  private:
-  void apply(const Decision& decision, basaltvane::Request& request, const basaltvane::Settings& settings);
-  void tell(const std::string& rule, basaltvane::Time now);
+  void apply(const Decision& decision, routing::Request& request, const routing::Settings& settings);
+  void tell(const std::string& rule, routing::Time now);
 
   std::shared_ptr<const RuleSet> rules_;
   std::uint64_t seed_;
   Log log_;
   std::size_t instance_ = 0, instances_ = 1;
-  match::Scratch scratch_;
+  expression::Scratch scratch_;
   Table table_;
   Counts counts_;
   std::uint64_t untold_ = 0;  // refusals since the last line
-  basaltvane::Time tell_next_{};
+  routing::Time tell_next_{};
 };
 
-}  // namespace bitternferry::limits
+}  // namespace dispatcher::rate_limit
 
-#endif  // BITTERNFERRY_LIMITS_GATE_HPP_
+#endif  // DISPATCHER_RATE_LIMIT_GATE_HPP_
--- a/src/limits/rules.cpp
+++ b/src/rate_limit/rules.cpp
@@ -1,4 +1,4 @@
-#include "limits/rules.hpp"
+#include "rate_limit/rules.hpp"
 
 #define XXH_INLINE_ALL
 #include <xxhash.h>
@@ -8,10 +8,10 @@
 #include <map>
 #include <set>
 
-#include "match/from_record.hpp"
-#include "record/schema.hpp"
+#include "cue/schema.hpp"
+#include "expression/from_record.hpp"
 
-namespace bitternferry::limits {
+namespace dispatcher::rate_limit {
 
 namespace {
 
@@ -57,23 +57,21 @@
 // Reads one file. Problems collect; what has one is left out of what is made.
 class Reader {
  public:
-  std::vector<record::Problem> problems;
+  std::vector<cue::Problem> problems;
 
-  void bad(const record::Data& at, std::string what) {
-    problems.push_back(record::problem(at, std::move(what)));
-  }
+  void bad(const cue::Data& at, std::string what) { problems.push_back(cue::problem(at, std::move(what))); }
 
   // A constant result must be a name that the settings know; a computed one is looked at when it is there.
-  void check_name(const record::Data& data, const std::optional<match::Program>& program,
+  void check_name(const cue::Data& data, const std::optional<expression::Program>& program,
                   const std::vector<std::string>& known, const char* what) {
-    if (!program || known.empty() || program->tree().op != match::Op::kLiteral) return;
+    if (!program || known.empty() || program->tree().op != expression::Op::kLiteral) return;
     const std::string& name = program->tree().text;
     if (std::find(known.begin(), known.end(), name) == known.end())
       bad(data, std::string("no ") + what + " '" + name + "' in the settings");
   }
 
-  Limit limit(const record::Data& data, const std::string& rule, std::size_t number,
-              const match::Environment& fields) {
+  Limit limit(const cue::Data& data, const std::string& rule, std::size_t number,
+              const expression::Environment& fields) {
     Limit limit;
     limit.name = rule + "/" + std::to_string(number);
     if (data.has("rate")) limit.rate = data["rate"].real();
@@ -81,7 +79,7 @@
     if (data.has("in_progress")) limit.in_progress = data["in_progress"].integer();
     limit.retry_ms = data["retry_ms"].integer();
     if (limit.rate == 0 && !limit.in_progress) bad(data, "a limit needs a rate, in_progress or both");
-    if (auto key = match::compile(data["key"], fields, match::Kind::kString, problems)) {
+    if (auto key = expression::compile(data["key"], fields, expression::Kind::kString, problems)) {
       if (key->longest() > kLongestKey)
         bad(data["key"], "may be " + std::to_string(key->longest()) + " bytes long, more than " +
                              std::to_string(kLongestKey));
@@ -119,12 +117,12 @@
   return bound;
 }
 
-std::shared_ptr<const RuleSet> RuleSet::read(const record::File& file, const Vocabulary& vocabulary) {
-  static const record::Schema schema(kSchema, "#Rules");
-  const record::Data data = schema.read(file);
+std::shared_ptr<const RuleSet> RuleSet::read(const cue::File& file, const Vocabulary& vocabulary) {
+  static const cue::Schema schema(kSchema, "#Rules");
+  const cue::Data data = schema.read(file);
   // An empty file, or one cut before its rules, must not pass for one that has none.
   if (!data["rules"].where().in_file())
-    throw record::Errors(file.name, {{{}, "rules", "missing: a file without rules says rules: []"}});
+    throw cue::Errors(file.name, {{{}, "rules", "missing: a file without rules says rules: []"}});
   auto made = std::make_shared<RuleSet>();
   RuleSet& set = *made;
   Reader reader;
@@ -132,7 +130,7 @@
   set.budget_ns_ = static_cast<double>(data["budget_ns"].integer());
   set.keys_ = static_cast<std::size_t>(data["keys"].integer());
 
-  using match::Kind;
+  using expression::Kind;
   add_request_fields(set.fields_, vocabulary);
   for (const auto& [field, header] : data["headers"].fields()) {
     const bool word = std::all_of(field.begin(), field.end(),
@@ -150,19 +148,19 @@
 
   if (data["rules"].items().size() > kMostRules)
     reader.bad(data["rules"], "more than " + std::to_string(kMostRules) + " rules");
-  std::vector<match::Program> conditions;
+  std::vector<expression::Program> conditions;
   std::set<std::string> names;
   double bytes = 0;
-  for (const record::Data& r : data["rules"].items()) {
+  for (const cue::Data& r : data["rules"].items()) {
     Rule rule;
     rule.at = r.where();
     rule.name = r["name"].text();
     rule.when = r["when"].text();
     if (!names.insert(rule.name).second) reader.bad(r["name"], "the name stands twice");
-    auto when = match::compile(r["when"], set.fields_, Kind::kBool, reader.problems);
-    rule.request_class = match::compile(r["class"], set.fields_, Kind::kString, reader.problems);
-    rule.account = match::compile(r["account"], set.fields_, Kind::kString, reader.problems);
-    rule.session = match::compile(r["session"], set.fields_, Kind::kString, reader.problems);
+    auto when = expression::compile(r["when"], set.fields_, Kind::kBool, reader.problems);
+    rule.request_class = expression::compile(r["class"], set.fields_, Kind::kString, reader.problems);
+    rule.account = expression::compile(r["account"], set.fields_, Kind::kString, reader.problems);
+    rule.session = expression::compile(r["session"], set.fields_, Kind::kString, reader.problems);
     reader.check_name(r["class"], rule.request_class, vocabulary.classes, "class");
     reader.check_name(r["account"], rule.account, vocabulary.accounts, "account");
     const auto& limits = r["limits"].items();
@@ -181,9 +179,9 @@
       break;
     }
   }
-  if (!reader.problems.empty()) throw record::Errors(file.name, std::move(reader.problems));
+  if (!reader.problems.empty()) throw cue::Errors(file.name, std::move(reader.problems));
 
-  set.conditions_ = match::FirstMatch(std::move(conditions), set.fields_);
+  set.conditions_ = expression::FirstMatch(std::move(conditions), set.fields_);
   double results = 0;
   std::size_t costliest_result = 0;
   for (std::size_t i = 0; i < set.rules_.size(); ++i) {
@@ -205,9 +203,9 @@
     if (!set.rules_.empty())
       what += "; the costliest rule is '" + set.rules_[worst].name + "' with " +
               std::to_string(std::llround(set.worst_ns(worst)));
-    throw record::Errors(file.name,
-                         {{set.rules_.empty() ? record::Position{} : set.rules_[worst].at,
-                           set.rules_.empty() ? "headers" : "rules[" + std::to_string(worst) + "]", what}});
+    throw cue::Errors(file.name,
+                      {{set.rules_.empty() ? cue::Position{} : set.rules_[worst].at,
+                        set.rules_.empty() ? "headers" : "rules[" + std::to_string(worst) + "]", what}});
   }
   return made;
 }
@@ -223,9 +221,9 @@
   return ns;
 }
 
-void RuleSet::reserve(match::Scratch& scratch) const {
+void RuleSet::reserve(expression::Scratch& scratch) const {
   conditions_.reserve(scratch);
-  const auto one = [&](const match::Program& p) { scratch.reserve(p.most_values(), p.most_text()); };
+  const auto one = [&](const expression::Program& p) { scratch.reserve(p.most_values(), p.most_text()); };
   for (const Rule& rule : rules_) {
     for (const auto* p : {&rule.request_class, &rule.account, &rule.session}) {
       if (*p) one(**p);
@@ -234,22 +232,22 @@
   }
 }
 
-std::span<const match::Value> RuleSet::fill(const Facts& facts, std::span<char, 16> session,
-                                            Values& values) const {
-  fill_request(facts, session, std::span<match::Value, kRequestFields>(values.data(), kRequestFields));
+std::span<const expression::Value> RuleSet::fill(const Facts& facts, std::span<char, 16> session,
+                                                 Values& values) const {
+  fill_request(facts, session, std::span<expression::Value, kRequestFields>(values.data(), kRequestFields));
   std::size_t n = kRequestFields;
   for (std::size_t i = 0; i < headers_.size(); ++i)
     values[n++] = text_value(i < facts.headers.size() ? facts.headers[i] : std::nullopt, headers_[i].longest);
   return {values.data(), n};
 }
 
-std::vector<match::Value> RuleSet::values(const Facts& facts, std::span<char, 16> session) const {
+std::vector<expression::Value> RuleSet::values(const Facts& facts, std::span<char, 16> session) const {
   Values values;
   const auto filled = fill(facts, session, values);
   return {filled.begin(), filled.end()};
 }
 
-Decision RuleSet::decide(const Facts& facts, match::Scratch& scratch) const {
+Decision RuleSet::decide(const Facts& facts, expression::Scratch& scratch) const {
   Decision decision;
   Values all;
   std::array<char, 16> session{};
@@ -257,9 +255,9 @@
   decision.rule = conditions_.find(values, scratch);
   if (decision.rule < 0) return decision;
   const Rule& rule = rules_[static_cast<std::size_t>(decision.rule)];
-  const auto run = [&](const std::optional<match::Program>& p) -> std::optional<std::string_view> {
+  const auto run = [&](const std::optional<expression::Program>& p) -> std::optional<std::string_view> {
     if (!p) return std::nullopt;
-    const match::Value v = p->run(values, scratch);
+    const expression::Value v = p->run(values, scratch);
     if (v.failed()) ++decision.faults;
     return v.failed() ? std::nullopt : std::optional(v.text());
   };
@@ -276,7 +274,7 @@
   if (const auto name = run(rule.session)) decision.session = std::max<std::uint64_t>(1, hash(*name, 0));
   for (const Limit& l : rule.limits) {
     // Requests that lack what the key is made of share one: to leave it out frees nobody.
-    const match::Value key = l.key.run(values, scratch);
+    const expression::Value key = l.key.run(values, scratch);
     if (key.failed()) ++decision.faults;
     const std::uint64_t h =
         hash(key.failed() ? std::string_view() : key.text(), l.id + (key.failed() ? 1 : 0));
@@ -296,23 +294,23 @@
   bool never = false;
 };
 
-Needs needs_of(const match::Node& condition, const match::Environment& fields) {
+Needs needs_of(const expression::Node& condition, const expression::Environment& fields) {
   Needs needs;
-  for (const match::Node* part : match::parts(condition)) {
-    if (part->op == match::Op::kLiteral) {
+  for (const expression::Node* part : expression::parts(condition)) {
+    if (part->op == expression::Op::kLiteral) {
       needs.never = needs.never || part->integer == 0;
       continue;
     }
-    const auto membership = match::membership(*part);
+    const auto membership = expression::membership(*part);
     if (!membership) {
-      needs.parts.insert(match::to_text(*part));
+      needs.parts.insert(expression::to_text(*part));
       continue;
     }
     std::set<std::string> values;
     const auto& domain = fields.fields()[static_cast<std::size_t>(membership->field)].domain;
-    for (const match::Value& v : membership->values) {
+    for (const expression::Value& v : membership->values) {
       const bool possible = !domain || std::find(domain->begin(), domain->end(), v.text()) != domain->end();
-      if (possible) values.insert(match::to_text(v));
+      if (possible) values.insert(expression::to_text(v));
     }
     const auto [it, first] = needs.values.emplace(membership->field, values);
     if (!first) std::erase_if(it->second, [&](const std::string& v) { return !values.contains(v); });
@@ -333,8 +331,8 @@
 
 }  // namespace
 
-std::vector<record::Problem> warnings(const RuleSet& set) {
-  std::vector<record::Problem> found;
+std::vector<cue::Problem> warnings(const RuleSet& set) {
+  std::vector<cue::Problem> found;
   std::vector<Needs> needs;
   // Earlier rules by one thing that they need, so that each is held only against rules that could meet it.
   std::map<std::string, std::vector<std::size_t>> by_need;
@@ -378,4 +376,4 @@
   return found;
 }
 
-}  // namespace bitternferry::limits
+}  // namespace dispatcher::rate_limit
--- a/src/limits/rules.hpp
+++ b/src/rate_limit/rules.hpp
@@ -1,7 +1,7 @@
 // The operators' rules: which requests each is for, and what it computes for them. Read, checked and compiled
 // once; deciding allocates nothing but the text of an account that the settings do not list.
-#ifndef BITTERNFERRY_LIMITS_RULES_HPP_
-#define BITTERNFERRY_LIMITS_RULES_HPP_
+#ifndef DISPATCHER_RATE_LIMIT_RULES_HPP_
+#define DISPATCHER_RATE_LIMIT_RULES_HPP_
 
 #include <array>
 #include <cstdint>
@@ -12,12 +12,12 @@
 #include <string_view>
 #include <vector>
 
-#include "limits/facts.hpp"
-#include "limits/table.hpp"
-#include "match/first_match.hpp"
-#include "record/data.hpp"
+#include "cue/data.hpp"
+#include "expression/first_match.hpp"
+#include "rate_limit/facts.hpp"
+#include "rate_limit/table.hpp"
 
-namespace bitternferry::limits {
+namespace dispatcher::rate_limit {
 
 inline constexpr std::size_t kMostLimits = 4;  // of one rule
 
@@ -35,7 +35,7 @@
   double burst = 1;                         // requests
   std::optional<std::int64_t> in_progress;  // over the whole fleet
   std::int64_t retry_ms = 0;
-  match::Program key;
+  expression::Program key;
 };
 
 // The part of a limit that one of `instances` keeps. Of requests in progress the parts add up to the limit,
@@ -44,9 +44,9 @@
 
 struct Rule {
   std::string name, when;
-  std::optional<match::Program> request_class, session, account;
+  std::optional<expression::Program> request_class, session, account;
   std::vector<Limit> limits;
-  record::Position at;
+  cue::Position at;
 };
 
 struct Decision {
@@ -61,40 +61,41 @@
 
 class RuleSet {
  public:
-  // Throws record::Errors with all that is wrong, also where the rules could take longer than their budget.
-  static std::shared_ptr<const RuleSet> read(const record::File& file, const Vocabulary& vocabulary);
+  // Throws cue::Errors with all that is wrong, also where the rules could take longer than their budget.
+  static std::shared_ptr<const RuleSet> read(const cue::File& file, const Vocabulary& vocabulary);
 
-  Decision decide(const Facts& facts, match::Scratch& scratch) const;
-  void reserve(match::Scratch& scratch) const;
+  Decision decide(const Facts& facts, expression::Scratch& scratch) const;
+  void reserve(expression::Scratch& scratch) const;
 
   const std::vector<Rule>& rules() const { return rules_; }
-  const match::FirstMatch& conditions() const { return conditions_; }
+  const expression::FirstMatch& conditions() const { return conditions_; }
   const std::vector<Header>& headers() const { return headers_; }
-  const match::Environment& fields() const { return fields_; }
+  const expression::Environment& fields() const { return fields_; }
   const Vocabulary& vocabulary() const { return vocabulary_; }
   std::size_t keys() const { return keys_; }
   double worst_ns() const { return worst_ns_; }
   double budget_ns() const { return budget_ns_; }
   double worst_ns(std::size_t rule) const;  // of its condition and all that it computes
   // The values that expressions see, in the order of fields().
-  std::vector<match::Value> values(const Facts& facts, std::span<char, 16> session) const;
+  std::vector<expression::Value> values(const Facts& facts, std::span<char, 16> session) const;
 
  private:
-  using Values = std::array<match::Value, 64>;
-  std::span<const match::Value> fill(const Facts& facts, std::span<char, 16> session, Values& values) const;
+  using Values = std::array<expression::Value, 64>;
+  std::span<const expression::Value> fill(const Facts& facts, std::span<char, 16> session,
+                                          Values& values) const;
 
   std::vector<Rule> rules_;
-  match::FirstMatch conditions_;
+  expression::FirstMatch conditions_;
   std::vector<Header> headers_;
-  match::Environment fields_;
+  expression::Environment fields_;
   Vocabulary vocabulary_;
   std::size_t keys_ = 0;
   double worst_ns_ = 0, budget_ns_ = 0;
 };
 
 // What is no error and yet hardly meant: rules that can never match.
-std::vector<record::Problem> warnings(const RuleSet& rules);
+std::vector<cue::Problem> warnings(const RuleSet& rules);
 
-}  // namespace bitternferry::limits
+}  // namespace dispatcher::rate_limit
 
-#endif  // BITTERNFERRY_LIMITS_RULES_HPP_
+#endif  // DISPATCHER_RATE_LIMIT_RULES_HPP_
--- a/src/limits/table.cpp
+++ b/src/rate_limit/table.cpp
@@ -1,10 +1,10 @@
-#include "limits/table.hpp"
+#include "rate_limit/table.hpp"
 
 #include <algorithm>
 #include <array>
 #include <utility>
 
-namespace bitternferry::limits {
+namespace dispatcher::rate_limit {
 
 namespace {
 __extension__ using Wide = unsigned __int128;
@@ -122,4 +122,4 @@
       entries_.begin(), entries_.end(), [&](const Entry& e) { return e.key != 0 && !e.idle(now.count()); }));
 }
 
-}  // namespace bitternferry::limits
+}  // namespace dispatcher::rate_limit
--- a/src/limits/table.hpp
+++ b/src/rate_limit/table.hpp
@@ -1,7 +1,7 @@
 // Counters of limits by key, in a table of fixed size: rates by GCRA (the generic cell rate algorithm, ITU-T
 // I.371) and requests in progress. No I/O; the clock is passed in.
-#ifndef BITTERNFERRY_LIMITS_TABLE_HPP_
-#define BITTERNFERRY_LIMITS_TABLE_HPP_
+#ifndef DISPATCHER_RATE_LIMIT_TABLE_HPP_
+#define DISPATCHER_RATE_LIMIT_TABLE_HPP_
 
 #include <chrono>
 #include <cstdint>
@@ -10,7 +10,7 @@
 #include <unordered_map>
 #include <vector>
 
-namespace bitternferry::limits {
+namespace dispatcher::rate_limit {
 
 using Nanoseconds = std::chrono::nanoseconds;
 
@@ -76,6 +76,6 @@
   std::uint64_t shared_ = 0;
 };
 
-}  // namespace bitternferry::limits
+}  // namespace dispatcher::rate_limit
 
-#endif  // BITTERNFERRY_LIMITS_TABLE_HPP_
+#endif  // DISPATCHER_RATE_LIMIT_TABLE_HPP_
--- a/src/shared/doubt.cpp
+++ b/src/replicated_state/doubt.cpp
@@ -1,8 +1,8 @@
-#include "shared/doubt.hpp"
+#include "replicated_state/doubt.hpp"
 
-#include "shared/facts.pb.h"
+#include "replicated_state/facts.pb.h"
 
-namespace bitternferry::shared {
+namespace dispatcher::replicated_state {
 
 std::vector<std::uint8_t> encode(const Doubt& doubt) {
   wire::Doubt w;
@@ -34,4 +34,4 @@
   return kind;
 }
 
-}  // namespace bitternferry::shared
+}  // namespace dispatcher::replicated_state
--- a/src/shared/doubt.hpp
+++ b/src/replicated_state/doubt.hpp
@@ -1,14 +1,14 @@
 // A member's doubt about a replica: the part of its latest attempts there that failed. A hint to others, to
 // be weighed by its age and its owner's silence.
-#ifndef BITTERNFERRY_SHARED_DOUBT_HPP_
-#define BITTERNFERRY_SHARED_DOUBT_HPP_
+#ifndef DISPATCHER_REPLICATED_STATE_DOUBT_HPP_
+#define DISPATCHER_REPLICATED_STATE_DOUBT_HPP_
 
 #include <optional>
 #include <vector>
 
-#include "shared/kinds.hpp"
+#include "replicated_state/kinds.hpp"
 
-namespace bitternferry::shared {
+namespace dispatcher::replicated_state {
 
 inline constexpr std::uint32_t kDoubtKind = 1;
 
@@ -21,6 +21,6 @@
 std::vector<std::uint8_t> encode(const Doubt& doubt);
 std::optional<Doubt> decode_doubt(Bytes payload);  // none: not within the bounds
 
-}  // namespace bitternferry::shared
+}  // namespace dispatcher::replicated_state
 
-#endif  // BITTERNFERRY_SHARED_DOUBT_HPP_
+#endif  // DISPATCHER_REPLICATED_STATE_DOUBT_HPP_
--- a/src/shared/kinds.cpp
+++ b/src/replicated_state/kinds.cpp
@@ -1,4 +1,4 @@
-#include "shared/kinds.hpp"
+#include "replicated_state/kinds.hpp"
 
 #define XXH_INLINE_ALL
 #include <xxhash.h>
@@ -6,7 +6,7 @@
 #include <stdexcept>
 #include <utility>
 
-namespace bitternferry::shared {
+namespace dispatcher::replicated_state {
 
 const Kind& Kinds::add(Kind kind) {
   const std::string name = "kind " + std::to_string(kind.id) + " (" + kind.name + "): ";
@@ -27,4 +27,4 @@
 
 std::uint64_t key_of(std::string_view name) { return XXH3_64bits(name.data(), name.size()) >> 24U; }
 
-}  // namespace bitternferry::shared
+}  // namespace dispatcher::replicated_state
--- a/src/shared/kinds.hpp
+++ b/src/replicated_state/kinds.hpp
@@ -1,7 +1,7 @@
 // The kinds of rows that members share. A part of the program that shares something registers its kind here;
 // the core carries any kind and knows none.
-#ifndef BITTERNFERRY_SHARED_KINDS_HPP_
-#define BITTERNFERRY_SHARED_KINDS_HPP_
+#ifndef DISPATCHER_REPLICATED_STATE_KINDS_HPP_
+#define DISPATCHER_REPLICATED_STATE_KINDS_HPP_
 
 #include <cstddef>
 #include <cstdint>
@@ -10,12 +10,12 @@
 #include <span>
 #include <string>
 
-#include "basaltvane/router.hpp"
+#include "routing/router.hpp"
 
-namespace bitternferry::shared {
+namespace dispatcher::replicated_state {
 
-using basaltvane::Duration;
-using basaltvane::Time;
+using routing::Duration;
+using routing::Time;
 using Number = std::uint32_t;
 using Bytes = std::span<const std::uint8_t>;
 
@@ -49,6 +49,6 @@
 // A key from a name, such as a replica's: 40 bits, so that it takes six bytes on the wire.
 std::uint64_t key_of(std::string_view name);
 
-}  // namespace bitternferry::shared
+}  // namespace dispatcher::replicated_state
 
-#endif  // BITTERNFERRY_SHARED_KINDS_HPP_
+#endif  // DISPATCHER_REPLICATED_STATE_KINDS_HPP_
--- a/src/shared/rights.cpp
+++ b/src/replicated_state/rights.cpp
@@ -1,4 +1,4 @@
-#include "shared/rights.hpp"
+#include "replicated_state/rights.hpp"
 
 #define XXH_INLINE_ALL
 #include <xxhash.h>
@@ -7,7 +7,7 @@
 #include <boost/random/uniform_int_distribution.hpp>
 #include <cmath>
 
-namespace bitternferry::shared {
+namespace dispatcher::replicated_state {
 
 namespace {
 
@@ -374,4 +374,4 @@
   return at;
 }
 
-}  // namespace bitternferry::shared
+}  // namespace dispatcher::replicated_state
--- a/src/shared/rights.hpp
+++ b/src/replicated_state/rights.hpp
@@ -19,8 +19,8 @@
 //
 // Clocks: steady, running on while the process is stopped, each within `drift` of true rate. They are
 // compared with themselves only. docs/design/fleet-as-one.md has the argument in full.
-#ifndef BITTERNFERRY_SHARED_RIGHTS_HPP_
-#define BITTERNFERRY_SHARED_RIGHTS_HPP_
+#ifndef DISPATCHER_REPLICATED_STATE_RIGHTS_HPP_
+#define DISPATCHER_REPLICATED_STATE_RIGHTS_HPP_
 
 #include <boost/random/taus88.hpp>
 #include <compare>
@@ -31,9 +31,9 @@
 #include <variant>
 #include <vector>
 
-#include "shared/kinds.hpp"
+#include "replicated_state/kinds.hpp"
 
-namespace bitternferry::shared {
+namespace dispatcher::replicated_state {
 
 using Random = boost::random::taus88;
 
@@ -183,6 +183,6 @@
   Counts counts_;
 };
 
-}  // namespace bitternferry::shared
+}  // namespace dispatcher::replicated_state
 
-#endif  // BITTERNFERRY_SHARED_RIGHTS_HPP_
+#endif  // DISPATCHER_REPLICATED_STATE_RIGHTS_HPP_
--- a/src/shared/rows.cpp
+++ b/src/replicated_state/rows.cpp
@@ -1,4 +1,4 @@
-#include "shared/rows.hpp"
+#include "replicated_state/rows.hpp"
 
 #define XXH_INLINE_ALL
 #include <xxhash.h>
@@ -8,7 +8,7 @@
 #include <tuple>
 #include <utility>
 
-namespace bitternferry::shared {
+namespace dispatcher::replicated_state {
 
 namespace {
 
@@ -305,4 +305,4 @@
   return theirs.top > ours.top || theirs.hash != ours.hash;
 }
 
-}  // namespace bitternferry::shared
+}  // namespace dispatcher::replicated_state
--- a/src/shared/rows.hpp
+++ b/src/replicated_state/rows.hpp
@@ -6,8 +6,8 @@
 // those with the highest versions are kept, up to the quota. A row that falls out of the quota has as many
 // younger ones above it, whose versions only grow: it would never come back in. So the cap is a part of the
 // join. `floor` is the highest version that fell out; nothing at or below it is taken.
-#ifndef BITTERNFERRY_SHARED_ROWS_HPP_
-#define BITTERNFERRY_SHARED_ROWS_HPP_
+#ifndef DISPATCHER_REPLICATED_STATE_ROWS_HPP_
+#define DISPATCHER_REPLICATED_STATE_ROWS_HPP_
 
 #include <array>
 #include <boost/container/static_vector.hpp>
@@ -17,9 +17,9 @@
 #include <optional>
 #include <vector>
 
-#include "shared/kinds.hpp"
+#include "replicated_state/kinds.hpp"
 
-namespace bitternferry::shared {
+namespace dispatcher::replicated_state {
 
 using Payload = boost::container::static_vector<std::uint8_t, kMostPayload>;
 
@@ -147,6 +147,6 @@
   std::array<std::uint64_t, kVerdicts> verdicts_{};
 };
 
-}  // namespace bitternferry::shared
+}  // namespace dispatcher::replicated_state
 
-#endif  // BITTERNFERRY_SHARED_ROWS_HPP_
+#endif  // DISPATCHER_REPLICATED_STATE_ROWS_HPP_
--- a/src/fleet/prefix_index.hpp
+++ b/src/routing/prefix_index.hpp
@@ -1,7 +1,7 @@
 // A bounded index of the texts that one router has sent to one reader, as a stand-in of that one's prefix
 // cache. A table, no decision: what a covered length is worth is the module's to say.
-#ifndef BITTERNFERRY_FLEET_PREFIX_INDEX_HPP_
-#define BITTERNFERRY_FLEET_PREFIX_INDEX_HPP_
+#ifndef DISPATCHER_ROUTING_PREFIX_INDEX_HPP_
+#define DISPATCHER_ROUTING_PREFIX_INDEX_HPP_
 
 #include <cstddef>
 #include <cstdint>
@@ -9,7 +9,7 @@
 #include <map>
 #include <utility>
 
-namespace basaltvane {
+namespace dispatcher::routing {
 
 constexpr int kBlockTokens = 16;  // lengths are counted in these
 
@@ -47,6 +47,6 @@
   }
 };
 
-}  // namespace basaltvane
+}  // namespace dispatcher::routing
 
-#endif  // BITTERNFERRY_FLEET_PREFIX_INDEX_HPP_
+#endif  // DISPATCHER_ROUTING_PREFIX_INDEX_HPP_
--- a/src/router.cpp
+++ b/src/routing/router.cpp
@@ -1,5 +1,5 @@
-// The decision module: every decision, table and tuned value of basaltvane. Interface: basaltvane/router.hpp.
-#include "basaltvane/router.hpp"
+// The decision module: every decision, table and tuned value. Interface: routing/router.hpp.
+#include "routing/router.hpp"
 
 #include <algorithm>
 #include <array>
@@ -9,11 +9,11 @@
 #include <set>
 #include <utility>
 
-#include "fleet/prefix_index.hpp"
-#include "fleet/slow_start.hpp"
+#include "routing/prefix_index.hpp"
+#include "routing/slow_start.hpp"
 #include "settings/check.hpp"
 
-namespace basaltvane {
+namespace dispatcher::routing {
 namespace {
 
 // ---- tuned constants ----
@@ -1045,4 +1045,4 @@
 TableSizes Router::table_sizes() const { return impl_->table_sizes(); }
 Knowledge Router::knowledge() const { return impl_->knowledge(); }
 
-}  // namespace basaltvane
+}  // namespace dispatcher::routing
--- a/src/fleet/slow_start.hpp
+++ b/src/routing/slow_start.hpp
@@ -1,15 +1,15 @@
 // Slow start of a host that has just started, by many processes that share nothing but the settings. Pure;
 // the choice and its arithmetic stand in docs/design/slow-start.md.
-#ifndef BITTERNFERRY_FLEET_SLOW_START_HPP_
-#define BITTERNFERRY_FLEET_SLOW_START_HPP_
+#ifndef DISPATCHER_ROUTING_SLOW_START_HPP_
+#define DISPATCHER_ROUTING_SLOW_START_HPP_
 
 #include <algorithm>
 #include <chrono>
 #include <cmath>
 
-#include "basaltvane/router.hpp"
+#include "routing/router.hpp"
 
-namespace basaltvane::slow_start {
+namespace dispatcher::routing::slow_start {
 
 constexpr double kBudget = 0.6, kDraw = 0.36;  // of N
 constexpr double kFarDraw = 0.25;  // of a cold writer's draws, by requests that were read in any cell
@@ -37,6 +37,6 @@
   return part_of_reads <= 0 ? 1 : kFarDraw + (own ? (1 - kFarDraw) / part_of_reads : 0);
 }
 
-}  // namespace basaltvane::slow_start
+}  // namespace dispatcher::routing::slow_start
 
-#endif  // BITTERNFERRY_FLEET_SLOW_START_HPP_
+#endif  // DISPATCHER_ROUTING_SLOW_START_HPP_
--- a/src/fleet/backoff.cpp
+++ b/src/service_discovery/backoff.cpp
@@ -1,9 +1,9 @@
-#include "fleet/backoff.hpp"
+#include "service_discovery/backoff.hpp"
 
 #include <algorithm>
 #include <cmath>
 
-namespace bitternferry::fleet {
+namespace dispatcher::service_discovery {
 
 Backoff::Backoff(const BackoffShape& shape) : shape_(shape) {
   shape_.growth = std::max(1.0, shape_.growth);
@@ -48,4 +48,4 @@
   return {std::chrono::milliseconds(20), std::chrono::milliseconds(250), 2, 0.5};
 }
 
-}  // namespace bitternferry::fleet
+}  // namespace dispatcher::service_discovery
--- a/src/fleet/backoff.hpp
+++ b/src/service_discovery/backoff.hpp
@@ -3,12 +3,12 @@
 //
 // After the k-th failure in a row the pause is drawn in [least_part, 1] x min(most, first x growth^(k-1)), so
 // that dispatchers that failed together part. A success starts again from `first`.
-#ifndef BITTERNFERRY_FLEET_BACKOFF_HPP_
-#define BITTERNFERRY_FLEET_BACKOFF_HPP_
+#ifndef DISPATCHER_SERVICE_DISCOVERY_BACKOFF_HPP_
+#define DISPATCHER_SERVICE_DISCOVERY_BACKOFF_HPP_
 
 #include <chrono>
 
-namespace bitternferry::fleet {
+namespace dispatcher::service_discovery {
 
 using Duration = std::chrono::microseconds;
 
@@ -76,6 +76,6 @@
 // Between calls that cost nobody anything, and fail at once several times in a row.
 BackoffShape against_spinning();
 
-}  // namespace bitternferry::fleet
+}  // namespace dispatcher::service_discovery
 
-#endif  // BITTERNFERRY_FLEET_BACKOFF_HPP_
+#endif  // DISPATCHER_SERVICE_DISCOVERY_BACKOFF_HPP_
--- a/src/discovery/call_plan.cpp
+++ b/src/service_discovery/call_plan.cpp
@@ -1,26 +1,26 @@
-#include "discovery/call_plan.hpp"
+#include "service_discovery/call_plan.hpp"
 
 #include <algorithm>
 #include <utility>
 
-namespace bitternferry::discovery {
+namespace dispatcher::service_discovery {
 
 using std::chrono::milliseconds;
 
 namespace {
 constexpr std::size_t kMostCalls = 2;
 // A call that lived for less has failed at once; several of these in a row would spin.
-constexpr fleet::Duration kShortLife = milliseconds(1000);
+constexpr service_discovery::Duration kShortLife = milliseconds(1000);
 // What dispatchers that lost their watch in one moment part by where calls cost nothing.
-constexpr fleet::Duration kJitter = milliseconds(5);
+constexpr service_discovery::Duration kJitter = milliseconds(5);
 }  // namespace
 
 CallPlan::CallPlan(Lists lists, int fleet)
     : lists_(lists),
-      refusals_(fleet::list_calls(fleet)),
-      resets_(fleet::after_reset(fleet)),
-      silences_(fleet::after_silence(fleet)),
-      spinning_(fleet::against_spinning()) {}
+      refusals_(service_discovery::list_calls(fleet)),
+      resets_(service_discovery::after_reset(fleet)),
+      silences_(service_discovery::after_silence(fleet)),
+      spinning_(service_discovery::against_spinning()) {}
 
 CallPlan::Orders CallPlan::restart(Time now) {
   Orders orders;
@@ -40,7 +40,7 @@
 CallPlan::Orders CallPlan::tick(Time now, double draw) {
   Orders orders;
   for (const Call& call : calls_) {
-    if (call.object_since && *call.object_since + fleet::kObject <= now)
+    if (call.object_since && *call.object_since + service_discovery::kObject <= now)
       return unreadable(call.id, now, draw);
   }
   if (lists_ == Lists::kAskedFor && !calls_.empty() && calls_.front().limit() <= now) {
@@ -106,7 +106,7 @@
   Time next = open_at();
   if (lists_ == Lists::kAskedFor && !calls_.empty()) next = calls_.front().limit();
   for (const Call& call : calls_) {
-    if (call.object_since) next = std::min(next, *call.object_since + fleet::kObject);
+    if (call.object_since) next = std::min(next, *call.object_since + service_discovery::kObject);
   }
   return next;
 }
@@ -138,12 +138,13 @@
   calls_.push_back({newest_, now, now, false, std::nullopt});
 }
 
-fleet::Duration CallPlan::pause_after_failure(const Call& call, Time now, double draw) {
+service_discovery::Duration CallPlan::pause_after_failure(const Call& call, Time now, double draw) {
   if (lists_ == Lists::kAskedFor) return resets_.failed(draw);
   if (now - call.opened >= kShortLife) spinning_.succeeded();
   const bool first = spinning_.failures() == 0;
-  const fleet::Duration pause = spinning_.failed(draw);
-  return first ? std::chrono::duration_cast<fleet::Duration>(kJitter * std::clamp(draw, 0.0, 1.0)) : pause;
+  const service_discovery::Duration pause = spinning_.failed(draw);
+  return first ? std::chrono::duration_cast<service_discovery::Duration>(kJitter * std::clamp(draw, 0.0, 1.0))
+               : pause;
 }
 
 CallPlan::Time CallPlan::open_at() const {
@@ -152,4 +153,4 @@
   return at;
 }
 
-}  // namespace bitternferry::discovery
+}  // namespace dispatcher::service_discovery
--- a/src/discovery/call_plan.hpp
+++ b/src/service_discovery/call_plan.hpp
@@ -8,17 +8,17 @@
 //
 // Where lists are asked for, discovery is one service for the whole fleet: there is one call at a time, and
 // each failure is followed by a pause by the fleet's size.
-#ifndef BITTERNFERRY_DISCOVERY_CALL_PLAN_HPP_
-#define BITTERNFERRY_DISCOVERY_CALL_PLAN_HPP_
+#ifndef DISPATCHER_SERVICE_DISCOVERY_CALL_PLAN_HPP_
+#define DISPATCHER_SERVICE_DISCOVERY_CALL_PLAN_HPP_
 
 #include <algorithm>
 #include <cstdint>
 #include <optional>
 #include <vector>
 
-#include "fleet/backoff.hpp"
+#include "service_discovery/backoff.hpp"
 
-namespace bitternferry::discovery {
+namespace dispatcher::service_discovery {
 
 enum class Lists { kPushed, kAskedFor };
 
@@ -56,24 +56,26 @@
     Time opened{}, last{};  // the last sign of life, its opening at first
     bool answered = false;
     std::optional<Time> object_since;
-    Time limit() const { return last + (answered ? fleet::kSilence : fleet::kCallLimit); }
+    Time limit() const {
+      return last + (answered ? service_discovery::kSilence : service_discovery::kCallLimit);
+    }
   };
   Call* find(CallId id);
   bool drop(CallId id, Orders& orders);
   void close_all(Orders& orders);
   void open(Time now, Orders& orders);
-  void rest(fleet::Duration pause, Time now) { not_before_ = std::max(not_before_, now + pause); }
-  fleet::Duration pause_after_failure(const Call& call, Time now, double draw);
+  void rest(service_discovery::Duration pause, Time now) { not_before_ = std::max(not_before_, now + pause); }
+  service_discovery::Duration pause_after_failure(const Call& call, Time now, double draw);
   Time open_at() const;  // when another call is due, as far as is known now
 
   Lists lists_;
-  fleet::Backoff refusals_, resets_, silences_, spinning_;
+  service_discovery::Backoff refusals_, resets_, silences_, spinning_;
   std::vector<Call> calls_;
   CallId newest_ = 0;
   Time not_before_{};
   bool started_ = false;
 };
 
-}  // namespace bitternferry::discovery
+}  // namespace dispatcher::service_discovery
 
-#endif  // BITTERNFERRY_DISCOVERY_CALL_PLAN_HPP_
+#endif  // DISPATCHER_SERVICE_DISCOVERY_CALL_PLAN_HPP_
--- a/src/discovery/json_framer.cpp
+++ b/src/service_discovery/json_framer.cpp
@@ -1,8 +1,8 @@
-#include "discovery/json_framer.hpp"
+#include "service_discovery/json_framer.hpp"
 
 #include <utility>
 
-namespace bitternferry::discovery {
+namespace dispatcher::service_discovery {
 
 std::vector<std::string> JsonFramer::feed(std::string_view bytes) {
   std::vector<std::string> objects;
@@ -37,4 +37,4 @@
   }
 }
 
-}  // namespace bitternferry::discovery
+}  // namespace dispatcher::service_discovery
--- a/src/discovery/json_framer.hpp
+++ b/src/service_discovery/json_framer.hpp
@@ -1,13 +1,13 @@
 // Cuts a stream of JSON objects into whole objects as it comes, however they are indented or cut.
-#ifndef BITTERNFERRY_DISCOVERY_JSON_FRAMER_HPP_
-#define BITTERNFERRY_DISCOVERY_JSON_FRAMER_HPP_
+#ifndef DISPATCHER_SERVICE_DISCOVERY_JSON_FRAMER_HPP_
+#define DISPATCHER_SERVICE_DISCOVERY_JSON_FRAMER_HPP_
 
 #include <cstddef>
 #include <string>
 #include <string_view>
 #include <vector>
 
-namespace bitternferry::discovery {
+namespace dispatcher::service_discovery {
 
 class JsonFramer {
  public:
@@ -29,6 +29,6 @@
   bool in_string_ = false, escaped_ = false, bad_ = false;
 };
 
-}  // namespace bitternferry::discovery
+}  // namespace dispatcher::service_discovery
 
-#endif  // BITTERNFERRY_DISCOVERY_JSON_FRAMER_HPP_
+#endif  // DISPATCHER_SERVICE_DISCOVERY_JSON_FRAMER_HPP_
--- a/src/discovery/servers.cpp
+++ b/src/service_discovery/servers.cpp
@@ -1,12 +1,12 @@
-#include "discovery/servers.hpp"
+#include "service_discovery/servers.hpp"
 
 #include <algorithm>
 #include <cmath>
 #include <stdexcept>
 
-namespace bitternferry::discovery {
+namespace dispatcher::service_discovery {
 
-using basaltvane::HostState;
+using routing::HostState;
 using Json = nlohmann::json;
 
 namespace {
@@ -46,12 +46,12 @@
   const auto whole = object.find("whole");
   if (whole != object.end() && !whole->is_boolean()) bad("whole", "true or false expected");
   servers.whole = whole != object.end() && whole->get<bool>();
-  servers.list.kind = servers.whole ? basaltvane::ListKind::kFull : basaltvane::ListKind::kDelta;
+  servers.list.kind = servers.whole ? routing::ListKind::kFull : routing::ListKind::kDelta;
   const auto hosts = object.find("hosts");
   if (hosts == object.end() || !hosts->is_array()) bad("hosts", "array expected");
   for (const Json& h : *hosts) {
     if (!h.is_object()) bad("hosts", "objects expected");
-    basaltvane::HostEntry entry;
+    routing::HostEntry entry;
     entry.host = text(h, "host");
     entry.state = state(text(h, "health"));
     entry.zone = text(h, "site");
@@ -59,7 +59,7 @@
     entry.cell = static_cast<int>(std::lround(number(h, "block", 0)) & 0x7fffffff);
     entry.weight = number(h, "share", 1);
     // Unix time, as is the dispatcher's clock; 0 (long ago) stays 0.
-    entry.started = basaltvane::Time(std::llround(number(h, "born_ms", 0) * 1000));
+    entry.started = routing::Time(std::llround(number(h, "born_ms", 0) * 1000));
     const auto endpoint = net::parse_endpoint(text(h, "dial"));
     if (!endpoint) bad("dial", "address and port expected");
     servers.addresses.push_back({entry.host, *endpoint, entry.state == HostState::kReady,
@@ -72,7 +72,7 @@
 Json to_json(const Servers& servers) {
   Json hosts = Json::array();
   for (std::size_t i = 0; i < servers.list.entries.size(); ++i) {
-    const basaltvane::HostEntry& e = servers.list.entries[i];
+    const routing::HostEntry& e = servers.list.entries[i];
     const net::tcp::endpoint& at = servers.addresses[i].endpoint;
     const std::string address = at.address().to_string();
     hosts.push_back(
@@ -97,8 +97,8 @@
   }
   all.seq = news.seq;
   for (std::size_t i = 0; i < news.list.entries.size(); ++i) {
-    const basaltvane::HostEntry& entry = news.list.entries[i];
-    const auto same = [&](const basaltvane::HostEntry& e) { return e.host == entry.host; };
+    const routing::HostEntry& entry = news.list.entries[i];
+    const auto same = [&](const routing::HostEntry& e) { return e.host == entry.host; };
     const auto at = std::find_if(all.list.entries.begin(), all.list.entries.end(), same);
     const auto index = at - all.list.entries.begin();
     if (at != all.list.entries.end()) {
@@ -111,4 +111,4 @@
   }
 }
 
-}  // namespace bitternferry::discovery
+}  // namespace dispatcher::service_discovery
--- a/src/discovery/servers.hpp
+++ b/src/service_discovery/servers.hpp
@@ -1,21 +1,21 @@
 // The form in which discovery and the configuration list the replicas.
-#ifndef BITTERNFERRY_DISCOVERY_SERVERS_HPP_
-#define BITTERNFERRY_DISCOVERY_SERVERS_HPP_
+#ifndef DISPATCHER_SERVICE_DISCOVERY_SERVERS_HPP_
+#define DISPATCHER_SERVICE_DISCOVERY_SERVERS_HPP_
 
 #include <cstdint>
 #include <nlohmann/json.hpp>
 #include <vector>
 
-#include "basaltvane/router.hpp"
-#include "replica/pool.hpp"
+#include "routing/router.hpp"
+#include "upstream/pool.hpp"
 
-namespace bitternferry::discovery {
+namespace dispatcher::service_discovery {
 
 struct Servers {
   std::uint64_t seq = 0;
   bool whole = false;
-  basaltvane::HostList list;
-  std::vector<replica::Address> addresses;
+  routing::HostList list;
+  std::vector<upstream::Address> addresses;
 };
 
 // Throws std::invalid_argument naming the field. Fields that are not known here are skipped.
@@ -24,6 +24,6 @@
 // Takes a change, or another whole list, into `all`, which stays whole.
 void merge(Servers& all, const Servers& news);
 
-}  // namespace bitternferry::discovery
+}  // namespace dispatcher::service_discovery
 
-#endif  // BITTERNFERRY_DISCOVERY_SERVERS_HPP_
+#endif  // DISPATCHER_SERVICE_DISCOVERY_SERVERS_HPP_
--- a/src/discovery/watch.cpp
+++ b/src/service_discovery/watch.cpp
@@ -1,8 +1,8 @@
-#include "discovery/watch.hpp"
+#include "service_discovery/watch.hpp"
 
 #include <utility>
 
-namespace bitternferry::discovery {
+namespace dispatcher::service_discovery {
 
 namespace {
 constexpr std::size_t kMostIn = 256 * 1024, kMostOut = 4096;
@@ -10,8 +10,9 @@
 bool blank(std::string_view text) { return text.find_first_not_of(" \t\r\n") == std::string_view::npos; }
 }  // namespace
 
-Watch::Watch(boost::asio::io_context& io, const net::tcp::endpoint& at, core::Deadlines& deadlines,
-             core::Clock clock, core::Log log, OnChange on_change, int fleet, std::uint64_t seed, Lists lists)
+Watch::Watch(boost::asio::io_context& io, const net::tcp::endpoint& at, engine::Deadlines& deadlines,
+             engine::Clock clock, engine::Log log, OnChange on_change, int fleet, std::uint64_t seed,
+             Lists lists)
     : io_(io),
       at_(at),
       deadlines_(deadlines),
@@ -190,4 +191,4 @@
   ask(call);
 }
 
-}  // namespace bitternferry::discovery
+}  // namespace dispatcher::service_discovery
--- a/src/discovery/watch.hpp
+++ b/src/service_discovery/watch.hpp
@@ -1,6 +1,6 @@
 // Follows discovery's list: carries out what the plan of calls decides and reads what the calls bring.
-#ifndef BITTERNFERRY_DISCOVERY_WATCH_HPP_
-#define BITTERNFERRY_DISCOVERY_WATCH_HPP_
+#ifndef DISPATCHER_SERVICE_DISCOVERY_WATCH_HPP_
+#define DISPATCHER_SERVICE_DISCOVERY_WATCH_HPP_
 
 #include <boost/asio/io_context.hpp>
 #include <functional>
@@ -11,22 +11,22 @@
 #include <string>
 #include <string_view>
 
-#include "core/engine.hpp"
-#include "discovery/call_plan.hpp"
-#include "discovery/json_framer.hpp"
-#include "discovery/servers.hpp"
+#include "engine/engine.hpp"
 #include "http/message.hpp"
 #include "net/connection.hpp"
+#include "service_discovery/call_plan.hpp"
+#include "service_discovery/json_framer.hpp"
+#include "service_discovery/servers.hpp"
 
-namespace bitternferry::discovery {
+namespace dispatcher::service_discovery {
 
 class Watch : private net::Connection::Owner {
  public:
   using OnChange = std::function<void(const Servers&)>;
   // `fleet` and `lists` tell what a call costs discovery; see CallPlan. Pauses are drawn from `seed`'s
   // numbers.
-  Watch(boost::asio::io_context& io, const net::tcp::endpoint& at, core::Deadlines& deadlines,
-        core::Clock clock, core::Log log, OnChange on_change, int fleet = 1, std::uint64_t seed = 0,
+  Watch(boost::asio::io_context& io, const net::tcp::endpoint& at, engine::Deadlines& deadlines,
+        engine::Clock clock, engine::Log log, OnChange on_change, int fleet = 1, std::uint64_t seed = 0,
         Lists lists = Lists::kPushed);
   ~Watch() override;
   // Opens the watch for what came after `seq`.
@@ -36,7 +36,7 @@
   // is taken first. The list that was told last serves until then. Before start() it opens nothing.
   void move(const net::tcp::endpoint& at);
   std::uint64_t seq() const { return seq_; }
-  std::optional<core::Time> heard() const { return heard_; }  // when discovery last said anything
+  std::optional<engine::Time> heard() const { return heard_; }  // when discovery last said anything
 
  private:
   struct Call {
@@ -45,7 +45,7 @@
     JsonFramer framer;
     bool whole = false;     // it asked for the whole list, else for the changes
     bool has_list = false;  // the whole list has come
-    std::optional<core::Time> object_since;
+    std::optional<engine::Time> object_since;
   };
   using CallId = CallPlan::CallId;
 
@@ -66,20 +66,20 @@
 
   boost::asio::io_context& io_;
   net::tcp::endpoint at_;
-  core::Deadlines& deadlines_;
-  core::Clock clock_;
-  core::Log log_;
+  engine::Deadlines& deadlines_;
+  engine::Clock clock_;
+  engine::Log log_;
   OnChange on_change_;
   std::uint64_t seq_ = 0;
   bool whole_ = false;  // the whole list is to be asked for before it is followed
   CallPlan plan_;
   std::map<CallId, std::shared_ptr<Call>> calls_;
   bool healthy_ = true;  // to log a loss once
-  core::Deadlines::Id next_;
-  std::optional<core::Time> heard_;
+  engine::Deadlines::Id next_;
+  std::optional<engine::Time> heard_;
   std::mt19937_64 random_;
 };
 
-}  // namespace bitternferry::discovery
+}  // namespace dispatcher::service_discovery
 
-#endif  // BITTERNFERRY_DISCOVERY_WATCH_HPP_
+#endif  // DISPATCHER_SERVICE_DISCOVERY_WATCH_HPP_
--- a/src/settings/check.cpp
+++ b/src/settings/check.cpp
@@ -7,9 +7,11 @@
 #include <stdexcept>
 #include <utility>
 
-namespace basaltvane::settings {
+namespace dispatcher::settings {
 namespace {
 
+using namespace routing;  // the module's types, which all of this file is about
+
 std::string number(double value) {
   std::ostringstream out;
   out.precision(10);
@@ -315,7 +317,7 @@
     if (finding.severity != Severity::kRefuse) continue;
     refused += (refused.empty() ? "" : "; ") + text(finding);
   }
-  if (!refused.empty()) throw std::invalid_argument("basaltvane: bad settings: " + refused);
+  if (!refused.empty()) throw std::invalid_argument("routing: bad settings: " + refused);
 }
 
 std::string text(const Finding& finding) {
@@ -323,4 +325,4 @@
   return "field '" + finding.field + "': " + finding.wrong + wanted;
 }
 
-}  // namespace basaltvane::settings
+}  // namespace dispatcher::settings
--- a/src/settings/check.hpp
+++ b/src/settings/check.hpp
@@ -1,15 +1,17 @@
 // What is wrong with settings before anything is served by them: values out of bounds, and values that
 // contradict each other. Pure; part of the module, whose constructor turns down what check() refuses.
 // docs/settings.md argues for each finding why it refuses or only warns.
-#ifndef BASALTVANE_SETTINGS_CHECK_HPP_
-#define BASALTVANE_SETTINGS_CHECK_HPP_
+#ifndef DISPATCHER_SETTINGS_CHECK_HPP_
+#define DISPATCHER_SETTINGS_CHECK_HPP_
 
 #include <string>
 #include <vector>
 
-#include "basaltvane/router.hpp"
+#include "routing/router.hpp"
 
-namespace basaltvane::settings {
+namespace dispatcher::settings {
+
+using routing::Settings;
 
 enum class Severity {
   kRefuse,  // means nothing, contradicts itself, or nobody could be served
@@ -33,6 +35,6 @@
 // "field 'limits.mostTries': 0; wanted: at least 1".
 std::string text(const Finding& finding);
 
-}  // namespace basaltvane::settings
+}  // namespace dispatcher::settings
 
-#endif  // BASALTVANE_SETTINGS_CHECK_HPP_
+#endif  // DISPATCHER_SETTINGS_CHECK_HPP_
--- a/src/settings/positions.cpp
+++ b/src/settings/positions.cpp
@@ -5,7 +5,7 @@
 #include <nlohmann/json.hpp>
 #include <vector>
 
-namespace basaltvane::settings {
+namespace dispatcher::settings {
 namespace {
 
 using Json = nlohmann::json;
@@ -132,4 +132,4 @@
   return 1;
 }
 
-}  // namespace basaltvane::settings
+}  // namespace dispatcher::settings
--- a/src/settings/positions.hpp
+++ b/src/settings/positions.hpp
@@ -1,12 +1,12 @@
 // Where the fields of a JSON text stand, which nlohmann's values do not keep.
-#ifndef BASALTVANE_SETTINGS_POSITIONS_HPP_
-#define BASALTVANE_SETTINGS_POSITIONS_HPP_
+#ifndef DISPATCHER_SETTINGS_POSITIONS_HPP_
+#define DISPATCHER_SETTINGS_POSITIONS_HPP_
 
 #include <map>
 #include <string>
 #include <string_view>
 
-namespace basaltvane::settings {
+namespace dispatcher::settings {
 
 class Positions {
  public:
@@ -20,6 +20,6 @@
   std::map<std::string, int> lines_;
 };
 
-}  // namespace basaltvane::settings
+}  // namespace dispatcher::settings
 
-#endif  // BASALTVANE_SETTINGS_POSITIONS_HPP_
+#endif  // DISPATCHER_SETTINGS_POSITIONS_HPP_
--- a/src/settings/report.cpp
+++ b/src/settings/report.cpp
@@ -5,7 +5,7 @@
 
 #include "settings/positions.hpp"
 
-namespace basaltvane::settings {
+namespace dispatcher::settings {
 
 std::vector<std::string> report(const std::string& file, std::string_view json,
                                 const std::vector<Finding>& findings) {
@@ -23,4 +23,4 @@
   return lines;
 }
 
-}  // namespace basaltvane::settings
+}  // namespace dispatcher::settings
--- a/src/settings/report.hpp
+++ b/src/settings/report.hpp
@@ -1,6 +1,6 @@
 // Findings as lines for operators, each with the place in the file that it came from.
-#ifndef BASALTVANE_SETTINGS_REPORT_HPP_
-#define BASALTVANE_SETTINGS_REPORT_HPP_
+#ifndef DISPATCHER_SETTINGS_REPORT_HPP_
+#define DISPATCHER_SETTINGS_REPORT_HPP_
 
 #include <string>
 #include <string_view>
@@ -8,13 +8,13 @@
 
 #include "settings/check.hpp"
 
-namespace basaltvane::settings {
+namespace dispatcher::settings {
 
 // "FILE:12: field 'settings.limits.mostTries': 0; wanted: at least 1", in the order of the file. Of what is
 // only warned of: "FILE:12: warning: field ...". `findings` have their paths from the top of `json`.
 std::vector<std::string> report(const std::string& file, std::string_view json,
                                 const std::vector<Finding>& findings);
 
-}  // namespace basaltvane::settings
+}  // namespace dispatcher::settings
 
-#endif  // BASALTVANE_SETTINGS_REPORT_HPP_
+#endif  // DISPATCHER_SETTINGS_REPORT_HPP_
--- a/src/model/day.cpp
+++ b/src/simulation/day.cpp
@@ -1,4 +1,4 @@
-#include "model/day.hpp"
+#include "simulation/day.hpp"
 
 #include <algorithm>
 #include <array>
@@ -9,15 +9,15 @@
 #include <map>
 #include <memory>
 
-#include "levels/control.hpp"
-#include "model/fleet.hpp"
+#include "degradation/control.hpp"
+#include "simulation/fleet.hpp"
 
-namespace bitternferry::model {
+namespace dispatcher::simulation {
 
 namespace {
 
 using Random = boost::random::mt19937_64;  // and its distributions: the same numbers everywhere
-using core::SlotId;
+using engine::SlotId;
 
 constexpr Time kStart = std::chrono::seconds(1'800'000'000);
 constexpr Duration kEnding = std::chrono::seconds(60);  // for what is open when the traffic ends
@@ -26,19 +26,20 @@
 int below(Random& random, int n) { return boost::random::uniform_int_distribution<int>(0, n - 1)(random); }
 
 // One dispatcher: the real engine between its clients and the model fleet.
-class Instance : public core::Upstream, public core::Answerer {
+class Instance : public engine::Upstream, public engine::Answerer {
  public:
-  Instance(const Figures& figures, int number, std::uint64_t seed, Fleet& fleet, core::Deadlines& deadlines,
-           core::Clock clock, std::vector<Outcome>& outcomes, std::shared_ptr<const levels::LevelSet> levels)
+  Instance(const Figures& figures, int number, std::uint64_t seed, Fleet& fleet, engine::Deadlines& deadlines,
+           engine::Clock clock, std::vector<Outcome>& outcomes,
+           std::shared_ptr<const degradation::LevelSet> levels)
       : fleet_(fleet),
         clock_(clock),
         outcomes_(outcomes),
         random_(seed),
         settings_(numbered(figures, number)),
-        engine_(std::make_shared<const basaltvane::Settings>(settings_), seed, *this, deadlines, clock,
+        engine_(std::make_shared<const routing::Settings>(settings_), seed, *this, deadlines, clock,
                 [](std::string_view) {}),
         control_(
-            settings_, levels ? levels : std::make_shared<const levels::LevelSet>(), clock,
+            settings_, levels ? levels : std::make_shared<const degradation::LevelSet>(), clock,
             [](std::string_view) {}, [this] { return uniform(random_); }) {
     engine_.attach(&control_);
     hosts();
@@ -52,21 +53,21 @@
   void tick(Time now) { control_.tick(engine_.open(), now); }
   std::size_t changes() const { return control_.machine().history().size(); }
 
-  void ask(const Job& job, basaltvane::Request request, std::size_t number) {
-    limits::Facts facts;
+  void ask(const Job& job, routing::Request request, std::size_t number) {
+    rate_limit::Facts facts;
     facts.prompt_tokens = request.prompt_tokens;
     facts.time_left_ms = (request.client_deadline - clock_()).count() / 1000;
     if (control_.shed(request, facts)) return void(outcomes_[number].end = Outcome::End::kShed);
     const SlotId client{static_cast<std::uint32_t>(number), 1};
-    auto message = std::make_shared<core::Message>();
+    auto message = std::make_shared<engine::Message>();
     message->id = request.id;
     jobs_[request.id] = job;
     engine_.submit(*this, client, request, std::move(message));
   }
 
  private:
-  static basaltvane::Settings numbered(const Figures& figures, int number) {
-    basaltvane::Settings s = figures.settings;
+  static routing::Settings numbered(const Figures& figures, int number) {
+    routing::Settings s = figures.settings;
     s.router_number = number;
     s.zone = "z" + std::to_string(number % figures.zones);
     return s;
@@ -74,28 +75,28 @@
   Outcome& outcome(SlotId client) { return outcomes_[client.index]; }
 
   // ---- to the fleet ----
-  void send(core::AttemptId attempt, const std::string& host, std::shared_ptr<const core::Message> message,
-            Time, Time) override {
+  void send(engine::AttemptId attempt, const std::string& host,
+            std::shared_ptr<const engine::Message> message, Time, Time) override {
     Fleet::Callbacks callbacks;
     callbacks.first = [this, attempt] { engine_.events(attempt, "data: {}\n\n"); };
-    callbacks.ended = [this, attempt](const core::Ending& ending) {
+    callbacks.ended = [this, attempt](const engine::Ending& ending) {
       works_.erase(attempt);
       engine_.ended(attempt, ending);
     };
     works_[attempt] = fleet_.send(host, jobs_[message->id], std::move(callbacks));
   }
-  bool abandon(core::AttemptId attempt) override {
+  bool abandon(engine::AttemptId attempt) override {
     if (const auto it = works_.find(attempt); it != works_.end()) {
       fleet_.abandon(it->second);
       works_.erase(it);
     }
     return true;
   }
-  void pause(core::AttemptId) override {}
-  void resume(core::AttemptId) override {}
-  void hold(core::AttemptId, const std::string&, const std::string&) override {}
+  void pause(engine::AttemptId) override {}
+  void resume(engine::AttemptId) override {}
+  void hold(engine::AttemptId, const std::string&, const std::string&) override {}
   void release(const std::string& id, Time) override { fleet_.release(id); }
-  bool under_way(core::AttemptId attempt) override { return works_.contains(attempt); }
+  bool under_way(engine::AttemptId attempt) override { return works_.contains(attempt); }
 
   // ---- to the clients ----
   void begin(SlotId client) override {
@@ -109,17 +110,17 @@
   void refuse(SlotId client, std::optional<Duration>) override {
     outcome(client).end = Outcome::End::kRefused;
   }
-  void fail(SlotId client, core::Failure) override { outcome(client).end = Outcome::End::kFailed; }
+  void fail(SlotId client, engine::Failure) override { outcome(client).end = Outcome::End::kFailed; }
 
   Fleet& fleet_;
-  core::Clock clock_;
+  engine::Clock clock_;
   std::vector<Outcome>& outcomes_;
   Random random_;
-  basaltvane::Settings settings_;
-  core::Engine engine_;
-  levels::Control control_;
+  routing::Settings settings_;
+  engine::Engine engine_;
+  degradation::Control control_;
   std::map<std::string, Job> jobs_;
-  std::map<core::AttemptId, Fleet::Work> works_;
+  std::map<engine::AttemptId, Fleet::Work> works_;
 };
 
 // What the clients ask, one after another.
@@ -131,8 +132,8 @@
     const double s = boost::random::exponential_distribution<double>(f_.rate * times)(random_);
     return Duration(1 + static_cast<std::int64_t>(s * 1e6));
   }
-  std::pair<Job, basaltvane::Request> next(Time now) {
-    basaltvane::Request r;
+  std::pair<Job, routing::Request> next(Time now) {
+    routing::Request r;
     const auto number = ++made_;
     r.id = std::to_string(number);
     const bool command = uniform(random_) < f_.commands;
@@ -199,11 +200,11 @@
   return text;
 }
 
-Result play(const Figures& figures, std::uint64_t seed, std::shared_ptr<const levels::LevelSet> levels) {
+Result play(const Figures& figures, std::uint64_t seed, std::shared_ptr<const degradation::LevelSet> levels) {
   Result result;
   Time now = kStart;
-  core::Deadlines deadlines;
-  const core::Clock clock = [&now] { return now; };
+  engine::Deadlines deadlines;
+  const engine::Clock clock = [&now] { return now; };
   Fleet fleet(figures, deadlines, clock);
   std::vector<std::unique_ptr<Instance>> instances;
   for (int i = 0; i < figures.instances; ++i) {
@@ -246,7 +247,7 @@
   deadlines.add(kStart + traffic.pause(times), ask);
   std::function<void()> tick = [&] {
     for (auto& instance : instances) instance->tick(now);
-    if (now < end) deadlines.add(now + levels::Control::kTick, tick);
+    if (now < end) deadlines.add(now + degradation::Control::kTick, tick);
   };
   tick();
   while (const auto next = deadlines.next()) {
@@ -262,11 +263,11 @@
     o.in_time = o.first <= o.aim;
     result.most_worth += cls.worth;
     if (o.end == Outcome::End::kServed) result.worth += cls.worth * (o.in_time ? 1 : cls.late_value);
-    if (cls.repeat == basaltvane::Repeat::kUnsafe && fleet.begun(std::to_string(i + 1)) > 1) ++result.twice;
+    if (cls.repeat == routing::Repeat::kUnsafe && fleet.begun(std::to_string(i + 1)) > 1) ++result.twice;
   }
   for (const auto& instance : instances) result.changes += instance->changes();
   result.pinned = fleet.states();
   return result;
 }
 
-}  // namespace bitternferry::model
+}  // namespace dispatcher::simulation
--- a/src/model/day.hpp
+++ b/src/simulation/day.hpp
@@ -1,15 +1,15 @@
 // A day in virtual time: any number of instances of the real engine and module before a model fleet.
-#ifndef BITTERNFERRY_MODEL_DAY_HPP_
-#define BITTERNFERRY_MODEL_DAY_HPP_
+#ifndef DISPATCHER_SIMULATION_DAY_HPP_
+#define DISPATCHER_SIMULATION_DAY_HPP_
 
 #include <cstdint>
 #include <string>
 #include <vector>
 
-#include "levels/levels.hpp"
-#include "model/figures.hpp"
+#include "degradation/levels.hpp"
+#include "simulation/figures.hpp"
 
-namespace bitternferry::model {
+namespace dispatcher::simulation {
 
 struct Outcome {
   std::string request_class;
@@ -33,8 +33,8 @@
 
 // The same figures and seed give the same result. `levels`: what each instance is reduced by; none.
 Result play(const Figures& figures, std::uint64_t seed,
-            std::shared_ptr<const levels::LevelSet> levels = nullptr);
+            std::shared_ptr<const degradation::LevelSet> levels = nullptr);
 
-}  // namespace bitternferry::model
+}  // namespace dispatcher::simulation
 
-#endif  // BITTERNFERRY_MODEL_DAY_HPP_
+#endif  // DISPATCHER_SIMULATION_DAY_HPP_
--- a/src/model/figures.cpp
+++ b/src/simulation/figures.cpp
@@ -1,10 +1,10 @@
-#include "model/figures.hpp"
+#include "simulation/figures.hpp"
 
 #include <map>
 
-#include "record/schema.hpp"
+#include "cue/schema.hpp"
 
-namespace bitternferry::model {
+namespace dispatcher::simulation {
 
 namespace {
 
@@ -48,30 +48,30 @@
 }
 )cue";
 
-basaltvane::Settings settings_of(const Figures& f) {
+routing::Settings settings_of(const Figures& f) {
   using std::chrono::milliseconds;
-  basaltvane::Settings s;
+  routing::Settings s;
   s.router_count = f.instances;
   s.zone = "z0";
-  basaltvane::RequestClass ask;
+  routing::RequestClass ask;
   ask.name = "ask";
-  ask.repeat = basaltvane::Repeat::kSafe;
+  ask.repeat = routing::Repeat::kSafe;
   ask.objective = milliseconds(1500);
   ask.objective_per_1000_tokens = milliseconds(100);
   ask.deadline = milliseconds(6000);
   ask.token_objective = milliseconds(50);
   ask.worth = 1;
   ask.late_value = 0.3;
-  basaltvane::RequestClass command = ask;
+  routing::RequestClass command = ask;
   command.name = "command";
-  command.repeat = basaltvane::Repeat::kUnsafe;
+  command.repeat = routing::Repeat::kUnsafe;
   command.objective = milliseconds(800);
   command.deadline = milliseconds(2500);
   command.worth = 3;
   command.late_value = 0.2;
   s.classes = {ask, command};
   s.tenants = {{"one", f.rate}, {"two", f.rate}};
-  s.kinds = {{"reader", basaltvane::Role::kReader, 400'000}, {"writer", basaltvane::Role::kWriter, 400'000}};
+  s.kinds = {{"reader", routing::Role::kReader, 400'000}, {"writer", routing::Role::kWriter, 400'000}};
   s.may_cancel = s.retry_advice = true;
   s.max_retry_in = milliseconds(2000);
   s.max_attempts = 4;
@@ -90,17 +90,17 @@
 
 }  // namespace
 
-Figures read_figures(const record::File& file) {
-  static const record::Schema schema(kSchema, "#Scenario");
-  const record::Data data = schema.read(file);
-  const auto number = [](const record::Data& d) { return static_cast<int>(d.integer()); };
-  const auto us = [](const record::Data& d) { return Duration(d.integer()); };
-  const auto ms = [](const record::Data& d) { return Duration(std::chrono::milliseconds(d.integer())); };
-  const auto s = [](const record::Data& d) { return Duration(std::chrono::seconds(d.integer())); };
+Figures read_figures(const cue::File& file) {
+  static const cue::Schema schema(kSchema, "#Scenario");
+  const cue::Data data = schema.read(file);
+  const auto number = [](const cue::Data& d) { return static_cast<int>(d.integer()); };
+  const auto us = [](const cue::Data& d) { return Duration(d.integer()); };
+  const auto ms = [](const cue::Data& d) { return Duration(std::chrono::milliseconds(d.integer())); };
+  const auto s = [](const cue::Data& d) { return Duration(std::chrono::seconds(d.integer())); };
   Figures f;
   f.lasts = s(data["lasts_s"]);
   f.instances = number(data["instances"]);
-  const record::Data &fleet = data["fleet"], &traffic = data["traffic"];
+  const cue::Data &fleet = data["fleet"], &traffic = data["traffic"];
   f.zones = number(fleet["zones"]);
   f.cells = number(fleet["cells"]);
   f.readers = number(fleet["readers"]);
@@ -126,18 +126,18 @@
                                                               {"readers-dead", Trouble::Kind::kReadersDead},
                                                               {"slow-links", Trouble::Kind::kSlowLinks},
                                                               {"jump", Trouble::Kind::kJump}};
-  std::vector<record::Problem> problems;
-  for (const record::Data& t : data["troubles"].items()) {
+  std::vector<cue::Problem> problems;
+  for (const cue::Data& t : data["troubles"].items()) {
     Trouble trouble{kKinds.at(t["kind"].text()), s(t["from_s"]), s(t["to_s"]), number(t["zone"]),
                     t["share"].real()};
-    if (trouble.to <= trouble.from) problems.push_back(record::problem(t["to_s"], "not after from_s"));
+    if (trouble.to <= trouble.from) problems.push_back(cue::problem(t["to_s"], "not after from_s"));
     if (trouble.kind == Trouble::Kind::kZoneLost && trouble.zone >= f.zones)
-      problems.push_back(record::problem(t["zone"], "no such zone"));
+      problems.push_back(cue::problem(t["zone"], "no such zone"));
     f.troubles.push_back(trouble);
   }
-  if (!problems.empty()) throw record::Errors(file.name, std::move(problems));
+  if (!problems.empty()) throw cue::Errors(file.name, std::move(problems));
   f.settings = settings_of(f);
   return f;
 }
 
-}  // namespace bitternferry::model
+}  // namespace dispatcher::simulation
--- a/src/model/figures.hpp
+++ b/src/simulation/figures.hpp
@@ -1,17 +1,17 @@
 // The figures of a model fleet and its traffic: a typed record, so that scenarios are files.
-#ifndef BITTERNFERRY_MODEL_FIGURES_HPP_
-#define BITTERNFERRY_MODEL_FIGURES_HPP_
+#ifndef DISPATCHER_SIMULATION_FIGURES_HPP_
+#define DISPATCHER_SIMULATION_FIGURES_HPP_
 
 #include <string>
 #include <vector>
 
-#include "basaltvane/router.hpp"
-#include "record/data.hpp"
+#include "cue/data.hpp"
+#include "routing/router.hpp"
 
-namespace bitternferry::model {
+namespace dispatcher::simulation {
 
-using basaltvane::Duration;
-using basaltvane::Time;
+using routing::Duration;
+using routing::Time;
 
 struct Trouble {
   enum class Kind { kZoneLost, kReadersDead, kSlowLinks, kJump } kind{};
@@ -37,12 +37,12 @@
   int prompt = 0, opening = 0, answer = 0;  // tokens: mean, shared, mean
   int sessions = 0, openings = 0;
   std::vector<Trouble> troubles;
-  basaltvane::Settings settings;  // as each instance is given them, but for its number
+  routing::Settings settings;  // as each instance is given them, but for its number
 };
 
-// Throws record::Errors.
-Figures read_figures(const record::File& file);
+// Throws cue::Errors.
+Figures read_figures(const cue::File& file);
 
-}  // namespace bitternferry::model
+}  // namespace dispatcher::simulation
 
-#endif  // BITTERNFERRY_MODEL_FIGURES_HPP_
+#endif  // DISPATCHER_SIMULATION_FIGURES_HPP_
--- a/src/model/fleet.cpp
+++ b/src/simulation/fleet.cpp
@@ -1,19 +1,19 @@
-#include "model/fleet.hpp"
+#include "simulation/fleet.hpp"
 
 #include <algorithm>
 #include <utility>
 
-namespace bitternferry::model {
+namespace dispatcher::simulation {
 
-using basaltvane::HostState;
-using core::Ending;
-using core::Verdict;
+using engine::Ending;
+using engine::Verdict;
+using routing::HostState;
 
 namespace {
 constexpr std::size_t kMostQueue = 64;
 }
 
-Fleet::Fleet(const Figures& figures, core::Deadlines& deadlines, core::Clock clock)
+Fleet::Fleet(const Figures& figures, engine::Deadlines& deadlines, engine::Clock clock)
     : figures_(figures), deadlines_(deadlines), clock_(std::move(clock)) {
   for (int zone = 0; zone < figures.zones; ++zone) {
     for (int cell = 0; cell < figures.cells; ++cell) {
@@ -208,8 +208,8 @@
   });
 }
 
-basaltvane::HostList Fleet::list() const {
-  basaltvane::HostList list{basaltvane::ListKind::kFull, {}};
+routing::HostList Fleet::list() const {
+  routing::HostList list{routing::ListKind::kFull, {}};
   for (const auto& [name, h] : hosts_) {
     if (!h.listed) continue;
     list.entries.push_back(
@@ -218,4 +218,4 @@
   return list;
 }
 
-}  // namespace bitternferry::model
+}  // namespace dispatcher::simulation
--- a/src/model/fleet.hpp
+++ b/src/simulation/fleet.hpp
@@ -1,7 +1,7 @@
 // Readers and writers in virtual time: slots, queues, caches of openings, links between cells, cold starts
 // and loss. Everything happens through one ordered structure of deadlines; nothing here knows a socket.
-#ifndef BITTERNFERRY_MODEL_FLEET_HPP_
-#define BITTERNFERRY_MODEL_FLEET_HPP_
+#ifndef DISPATCHER_SIMULATION_FLEET_HPP_
+#define DISPATCHER_SIMULATION_FLEET_HPP_
 
 #include <cstdint>
 #include <deque>
@@ -14,10 +14,10 @@
 #include <unordered_map>
 #include <vector>
 
-#include "core/engine.hpp"
-#include "model/figures.hpp"
+#include "engine/engine.hpp"
+#include "simulation/figures.hpp"
 
-namespace bitternferry::model {
+namespace dispatcher::simulation {
 
 // A request as a replica sees it.
 struct Job {
@@ -30,12 +30,12 @@
  public:
   // How an attempt fares. Either `first` and then one end, or one end alone.
   struct Callbacks {
-    std::function<void()> first;                     // the first token
-    std::function<void(const core::Ending&)> ended;  // the last word
+    std::function<void()> first;                       // the first token
+    std::function<void(const engine::Ending&)> ended;  // the last word
   };
   using Work = std::uint64_t;  // a handle; 0: none
 
-  Fleet(const Figures& figures, core::Deadlines& deadlines, core::Clock clock);
+  Fleet(const Figures& figures, engine::Deadlines& deadlines, engine::Clock clock);
 
   Work send(const std::string& host, const Job& job, Callbacks callbacks);
   void abandon(Work work);                         // its callbacks are not called any more
@@ -49,7 +49,7 @@
   void slow_links(double times) { link_factor_ = times; }
 
   // The list as discovery tells it; told again after each change, when its time has come.
-  basaltvane::HostList list() const;
+  routing::HostList list() const;
   void on_list(std::function<void()> action) { told_ = std::move(action); }
 
  private:
@@ -58,7 +58,7 @@
     Job job;
     Callbacks callbacks;
     bool running = false, streaming = false;
-    core::Deadlines::Id next;
+    engine::Deadlines::Id next;
   };
   struct Host {
     std::string name, zone;
@@ -70,12 +70,12 @@
     std::map<Work, Task> tasks;
     std::list<std::uint64_t> recent;  // keys of what is cached, the latest first
     std::unordered_map<std::uint64_t, std::pair<int, std::list<std::uint64_t>::iterator>> cached;
-    basaltvane::LoadReport report;
+    routing::LoadReport report;
     Time reported{};
   };
   void arrive(Host& host, Work work);
   void begin(Host& host, Task& task);
-  void end(Host& host, Work work, const core::Ending& ending);
+  void end(Host& host, Work work, const engine::Ending& ending);
   void serve_next(Host& host);
   int cached(Host& host, const Job& job);
   void keep(Host& host, std::uint64_t key, int tokens);
@@ -84,8 +84,8 @@
   void tell_later();
 
   const Figures& figures_;
-  core::Deadlines& deadlines_;
-  core::Clock clock_;
+  engine::Deadlines& deadlines_;
+  engine::Clock clock_;
   std::map<std::string, Host> hosts_;
   std::unordered_map<Work, Host*> where_;
   std::unordered_map<std::string, int> read_at_;  // by id: the cell whose reader holds its state
@@ -95,6 +95,6 @@
   double link_factor_ = 1;
 };
 
-}  // namespace bitternferry::model
+}  // namespace dispatcher::simulation
 
-#endif  // BITTERNFERRY_MODEL_FLEET_HPP_
+#endif  // DISPATCHER_SIMULATION_FLEET_HPP_
--- a/src/lab/main.cpp
+++ b/src/simulator/main.cpp
@@ -1,4 +1,4 @@
-// bitternferry-lab: tries designs on a model fleet in virtual time. The dispatcher has no part of it.
+// dispatcher-simulator: tries designs on a model fleet in virtual time. The dispatcher has no part of it.
 #include <CLI/CLI.hpp>
 #include <algorithm>
 #include <array>
@@ -13,27 +13,28 @@
 #include <thread>
 #include <vector>
 
-#include "levels/control.hpp"
-#include "model/day.hpp"
+#include "degradation/control.hpp"
+#include "simulation/day.hpp"
 
 namespace {
 
-using namespace bitternferry;
+using namespace dispatcher;
 
-record::File read(const std::string& path) {
+cue::File read(const std::string& path) {
   std::ifstream file(path, std::ios::binary);
   std::ostringstream text;
   if (!file || !(text << file.rdbuf())) throw std::runtime_error("cannot read '" + path + "'");
   return {path, text.str()};
 }
 
-void print(const model::Result& result) {
+void print(const simulation::Result& result) {
   std::map<std::string, std::array<std::size_t, 6>> ends;
-  for (const model::Outcome& o : result.outcomes) ++ends[o.request_class][static_cast<std::size_t>(o.end)];
+  for (const simulation::Outcome& o : result.outcomes)
+    ++ends[o.request_class][static_cast<std::size_t>(o.end)];
   for (const auto& [name, counts] : ends) {
     std::printf("%-10s in time %.4f:", name.c_str(), result.in_time(name));
     for (std::size_t i = 0; i < counts.size(); ++i)
-      std::printf(" %s %zu", model::name(static_cast<model::Outcome::End>(i)), counts[i]);
+      std::printf(" %s %zu", simulation::name(static_cast<simulation::Outcome::End>(i)), counts[i]);
     std::printf("\n");
   }
   std::printf("worth %.4f, run twice %zu, states left %zu, changes of level %zu\n",
@@ -50,15 +51,15 @@
 };
 
 // Plays all points on all cores; which core plays which changes nothing in the results.
-void play_all(std::vector<Point>& points, const model::Figures& figures,
-              const std::shared_ptr<const levels::LevelSet>& levels) {
+void play_all(std::vector<Point>& points, const simulation::Figures& figures,
+              const std::shared_ptr<const degradation::LevelSet>& levels) {
   std::atomic<std::size_t> next = 0, done = 0;
   const auto work = [&] {
     for (std::size_t i = next++; i < points.size(); i = next++) {
       Point& p = points[i];
-      model::Figures f = figures;
+      simulation::Figures f = figures;
       f.rate *= p.load;
-      const model::Result r = model::play(f, p.seed, p.levels ? levels : nullptr);
+      const simulation::Result r = simulation::play(f, p.seed, p.levels ? levels : nullptr);
       p.worth = r.worth / r.most_worth;
       p.ask = r.in_time("ask");
       p.command = r.in_time("command");
@@ -73,8 +74,8 @@
   std::fprintf(stderr, "\n");
 }
 
-int sweep(const model::Figures& figures, const std::vector<double>& loads, std::size_t seeds,
-          const std::shared_ptr<const levels::LevelSet>& levels, std::ostream& csv) {
+int sweep(const simulation::Figures& figures, const std::vector<double>& loads, std::size_t seeds,
+          const std::shared_ptr<const degradation::LevelSet>& levels, std::ostream& csv) {
   std::vector<Point> points;
   for (const double load : loads) {
     for (const bool with : {false, true}) {
@@ -130,21 +131,22 @@
   sweeps->add_option("--csv", csv, "where to write a line for each day");
   CLI11_PARSE(cli, argc, argv);
   try {
-    const model::Figures figures = model::read_figures(read(scenario));
-    const auto reduced = levels.empty() ? nullptr : levels::Control::read(read(levels), figures.settings);
+    const simulation::Figures figures = simulation::read_figures(read(scenario));
+    const auto reduced =
+        levels.empty() ? nullptr : degradation::Control::read(read(levels), figures.settings);
     if (*sweeps) {
       std::ofstream file;
       if (!csv.empty()) file.open(csv);
       if (!csv.empty() && !file) throw std::runtime_error("cannot write '" + csv + "'");
       return sweep(figures, loads, seeds, reduced, file);
     }
-    const model::Result result = model::play(figures, seed, reduced);
+    const simulation::Result result = simulation::play(figures, seed, reduced);
     print(result);
     if (!csv.empty() && !(std::ofstream(csv) << result.csv()))
       throw std::runtime_error("cannot write '" + csv + "'");
     return 0;
   } catch (const std::exception& e) {
-    std::cerr << "bitternferry-lab: " << e.what() << "\n";
+    std::cerr << "dispatcher-simulator: " << e.what() << "\n";
     return 1;
   }
 }
--- a/src/reach/connect_timer.cpp
+++ b/src/upstream/connect_timer.cpp
@@ -1,9 +1,9 @@
-#include "reach/connect_timer.hpp"
+#include "upstream/connect_timer.hpp"
 
 #include <algorithm>
 #include <cmath>
 
-namespace bitternferry::reach {
+namespace dispatcher::upstream {
 
 namespace {
 // As in RFC 6298, section 2.
@@ -36,4 +36,4 @@
 
 void ConnectTimer::timed_out() { timeouts_ = std::min(timeouts_ + 1, kMostTimeouts); }
 
-}  // namespace bitternferry::reach
+}  // namespace dispatcher::upstream
--- a/src/reach/connect_timer.hpp
+++ b/src/upstream/connect_timer.hpp
@@ -1,12 +1,12 @@
 // How long a new connection is waited for: the retransmission timer of RFC 6298 (smoothed time, mean
 // deviation, doubled by time-outs, kept so until a new connection has come up), on the times that connections
 // to all hosts take. One time-out tells of its host alone, so only several in a row double. No I/O.
-#ifndef BITTERNFERRY_REACH_CONNECT_TIMER_HPP_
-#define BITTERNFERRY_REACH_CONNECT_TIMER_HPP_
+#ifndef DISPATCHER_UPSTREAM_CONNECT_TIMER_HPP_
+#define DISPATCHER_UPSTREAM_CONNECT_TIMER_HPP_
 
 #include <chrono>
 
-namespace bitternferry::reach {
+namespace dispatcher::upstream {
 
 using Duration = std::chrono::microseconds;
 
@@ -27,6 +27,6 @@
   int timeouts_ = 0;  // in a row
 };
 
-}  // namespace bitternferry::reach
+}  // namespace dispatcher::upstream
 
-#endif  // BITTERNFERRY_REACH_CONNECT_TIMER_HPP_
+#endif  // DISPATCHER_UPSTREAM_CONNECT_TIMER_HPP_
--- a/src/replica/exchange.cpp
+++ b/src/upstream/exchange.cpp
@@ -1,12 +1,12 @@
-#include "replica/exchange.hpp"
+#include "upstream/exchange.hpp"
 
 #include <nlohmann/json.hpp>
 
 #include "wire.hpp"
 
-namespace bitternferry::replica {
+namespace dispatcher::upstream {
 
-using basaltvane::Verdict;
+using routing::Verdict;
 using Json = nlohmann::json;
 
 namespace {
@@ -30,24 +30,24 @@
   return it != object.end() && it->is_number_integer() ? it->get<int>() : 0;
 }
 
-basaltvane::LoadReport parse_report(std::string_view text) {
+routing::LoadReport parse_report(std::string_view text) {
   const Json fields = Json::parse(text, nullptr, false);
   if (!fields.is_object()) return {};
   try {
-    const basaltvane::LoadReport report = basaltvane::wire::parse_load(fields);
+    const routing::LoadReport report = dispatcher::wire::parse_load(fields);
     const auto sound = [](const std::optional<double>& value) {
       return !value || (*value >= 0 && *value < 1e6);
     };
     const bool all = sound(report.in_hand) && sound(report.memory_share) && sound(report.prompt_kilotokens);
-    return all ? report : basaltvane::LoadReport{};
-  } catch (const basaltvane::wire::WireError&) {
+    return all ? report : routing::LoadReport{};
+  } catch (const dispatcher::wire::WireError&) {
     return {};  // the answer is good all the same
   }
 }
 
 }  // namespace
 
-std::string request_text(const core::Message& m, core::Duration left) {
+std::string request_text(const engine::Message& m, engine::Duration left) {
   std::string text = request_head(m.method, m.target);
   text += "X-Correlation-Id: " + m.id + "\r\nX-Time-Left-Ms: " + std::to_string(left.count() / 1000) + "\r\n";
   text += m.headers;
@@ -59,7 +59,7 @@
   return request_head(method, "/kv/leases/" + id) + "Content-Length: 0\r\n\r\n";
 }
 
-void note_event(const std::string& event, core::Ending& ending) {
+void note_event(const std::string& event, engine::Ending& ending) {
   if (event.starts_with(kLoadComment)) {
     ending.report = parse_report(std::string_view(event).substr(kLoadComment.size()));
   } else if (event.find("\"cached_tokens\"") != std::string::npos) {
@@ -69,7 +69,8 @@
   }
 }
 
-core::Ending judge(const http::ResponseReader::Message& message, std::string_view rest, core::Ending ending) {
+engine::Ending judge(const http::ResponseReader::Message& message, std::string_view rest,
+                     engine::Ending ending) {
   const auto load = http::header(message, "X-Backend-Load");
   if (!load.empty()) ending.report = parse_report(load);
   const bool never_ran = http::header(message, "X-Unprocessed") == "1";
@@ -107,4 +108,4 @@
   return status == 200 || status == 202 || status == 410 || status == 500 || status == 503 || status == 504;
 }
 
-}  // namespace bitternferry::replica
+}  // namespace dispatcher::upstream
--- a/src/replica/leases.cpp
+++ b/src/upstream/leases.cpp
@@ -1,9 +1,9 @@
-#include "replica/leases.hpp"
+#include "upstream/leases.hpp"
 
 #include <algorithm>
 #include <chrono>
 
-namespace bitternferry::replica {
+namespace dispatcher::upstream {
 
 namespace {
 
@@ -25,7 +25,7 @@
 
 void Leases::begin(const std::string& id, Lease& lease) {
   lease.rests = false;
-  lease.plan = reach::ReleasePlan(clock_(), kGiveUp, bounds_.patience);
+  lease.plan = upstream::ReleasePlan(clock_(), kGiveUp, bounds_.patience);
   ask(id);
 }
 
@@ -103,4 +103,4 @@
   }));
 }
 
-}  // namespace bitternferry::replica
+}  // namespace dispatcher::upstream
--- a/src/replica/leases.hpp
+++ b/src/upstream/leases.hpp
@@ -1,20 +1,20 @@
 // The calls that let go of what is held for requests: to further and further replicas until one answers, ever
 // more slowly where none can be reached, and anew for as long as something may still leave a state.
-#ifndef BITTERNFERRY_REPLICA_LEASES_HPP_
-#define BITTERNFERRY_REPLICA_LEASES_HPP_
+#ifndef DISPATCHER_UPSTREAM_LEASES_HPP_
+#define DISPATCHER_UPSTREAM_LEASES_HPP_
 
 #include <deque>
 #include <map>
 #include <string>
 #include <vector>
 
-#include "core/engine.hpp"
-#include "reach/release_plan.hpp"
+#include "engine/engine.hpp"
+#include "upstream/release_plan.hpp"
 
-namespace bitternferry::replica {
+namespace dispatcher::upstream {
 
-using core::Duration;
-using core::Time;
+using engine::Duration;
+using engine::Time;
 using net::SlotId;
 
 class Leases {
@@ -26,14 +26,15 @@
     // Empty: no connection may be opened now.
     virtual SlotId call_release(const std::string& host, const std::string& id) = 0;
     virtual void drop(SlotId line) = 0;
-    virtual std::vector<reach::Listener> listeners() = 0;
+    virtual std::vector<upstream::Listener> listeners() = 0;
   };
   struct Bounds {
     Duration patience{};         // with one round of calls, until the next
     Duration again{};            // from an answer to the next call, where something may still leave a state
     std::size_t most_calls = 0;  // calls out at once, for all requests together
   };
-  Leases(Lines& lines, core::Deadlines& deadlines, core::Clock clock, core::Log log, const Bounds& bounds)
+  Leases(Lines& lines, engine::Deadlines& deadlines, engine::Clock clock, engine::Log log,
+         const Bounds& bounds)
       : lines_(lines),
         deadlines_(deadlines),
         clock_(std::move(clock)),
@@ -58,25 +59,25 @@
 
  private:
   struct Lease {
-    reach::ReleasePlan plan;
+    upstream::ReleasePlan plan;
     std::deque<SlotId> lines;  // the oldest call at the front
     Time until{};
     bool rests = false;  // answered, to be asked for again
-    core::Deadlines::Id next;
+    engine::Deadlines::Id next;
   };
   void begin(const std::string& id, Lease& lease);
   void ask(const std::string& id);
   void hang_up(Lease& lease, std::size_t left);
 
   Lines& lines_;
-  core::Deadlines& deadlines_;
-  core::Clock clock_;
-  core::Log log_;
+  engine::Deadlines& deadlines_;
+  engine::Clock clock_;
+  engine::Log log_;
   Bounds bounds_;
   std::map<std::string, Lease> leases_;
   std::size_t calls_ = 0;
 };
 
-}  // namespace bitternferry::replica
+}  // namespace dispatcher::upstream
 
-#endif  // BITTERNFERRY_REPLICA_LEASES_HPP_
+#endif  // DISPATCHER_UPSTREAM_LEASES_HPP_
--- a/src/replica/pool.cpp
+++ b/src/upstream/pool.cpp
@@ -1,11 +1,11 @@
-#include "replica/pool.hpp"
+#include "upstream/pool.hpp"
 
 #include <algorithm>
 #include <utility>
 
-#include "replica/exchange.hpp"
+#include "upstream/exchange.hpp"
 
-namespace bitternferry::replica {
+namespace dispatcher::upstream {
 
 using std::chrono::milliseconds;
 
@@ -42,7 +42,7 @@
 
 }  // namespace
 
-Pool::Pool(boost::asio::io_context& io, core::Deadlines& deadlines, core::Clock clock, core::Log log,
+Pool::Pool(boost::asio::io_context& io, engine::Deadlines& deadlines, engine::Clock clock, engine::Log log,
            const Options& options)
     : io_(io),
       deadlines_(deadlines),
@@ -238,7 +238,7 @@
 
 // ---- attempts ----
 
-void Pool::send(AttemptId attempt, const std::string& name, std::shared_ptr<const core::Message> message,
+void Pool::send(AttemptId attempt, const std::string& name, std::shared_ptr<const engine::Message> message,
                 Time not_past, Time connect_by) {
   const Duration patience = connects_.patience();
   const Duration bound = connect_by == Time{} ? patience : connect_by - clock_();
@@ -384,8 +384,8 @@
   return line_id;
 }
 
-std::vector<reach::Listener> Pool::listeners() {
-  std::vector<reach::Listener> all;
+std::vector<upstream::Listener> Pool::listeners() {
+  std::vector<upstream::Listener> all;
   const Time now = clock_();
   for (const auto& [name, host] : hosts_) {
     if (!host.ready) continue;
@@ -506,7 +506,7 @@
   const Kind kind = line->kind;
   const AttemptId attempt = line->attempt;
   const std::string lease = line->id;
-  core::Ending ending = line->ending;
+  engine::Ending ending = line->ending;
   ending.verdict = verdict;
   const bool made = verdict == Verdict::kConnectFailed && line->connected;
   ending.note = line->answers || made || blameless ? 1 : 0;
@@ -528,7 +528,7 @@
   const std::string lease = line.id;
   const std::string host = line.host;
   const int status = static_cast<int>(line.reader.message().result_int());
-  const core::Ending ending = judge(line.reader.message(), line.framer.rest(), line.ending);
+  const engine::Ending ending = judge(line.reader.message(), line.framer.rest(), line.ending);
   if (kind == Kind::kAttempt && !is_usual(status))
     log_("host " + host + " answered " + std::to_string(status));
   // Bytes past the answer are nobody's, and a connection that would be closed is not kept.
@@ -546,4 +546,4 @@
   if (engine_ != nullptr) engine_->released(lease);
 }
 
-}  // namespace bitternferry::replica
+}  // namespace dispatcher::upstream
--- a/src/replica/pool.hpp
+++ b/src/upstream/pool.hpp
@@ -1,8 +1,8 @@
 // The replicas' side: pooled connections, one exchange at a time on each, and the calls about leases.
 // Never sends anything twice by itself: what is tried again is the router's to say. Only the lease calls,
 // which may be repeated freely, go to further replicas by themselves.
-#ifndef BITTERNFERRY_REPLICA_POOL_HPP_
-#define BITTERNFERRY_REPLICA_POOL_HPP_
+#ifndef DISPATCHER_UPSTREAM_POOL_HPP_
+#define DISPATCHER_UPSTREAM_POOL_HPP_
 
 #include <boost/asio/io_context.hpp>
 #include <deque>
@@ -12,20 +12,20 @@
 #include <string>
 #include <vector>
 
-#include "core/engine.hpp"
+#include "engine/engine.hpp"
 #include "http/event_framer.hpp"
 #include "http/message.hpp"
 #include "net/connection.hpp"
-#include "reach/connect_timer.hpp"
-#include "replica/leases.hpp"
+#include "upstream/connect_timer.hpp"
+#include "upstream/leases.hpp"
 
-namespace bitternferry::replica {
+namespace dispatcher::upstream {
 
-using basaltvane::Verdict;
-using core::AttemptId;
+using engine::AttemptId;
+using routing::Verdict;
 
 struct Options {
-  Duration connect_timeout{};  // the longest that a new connection is waited for; see reach::ConnectTimer
+  Duration connect_timeout{};  // the longest that a new connection is waited for; see upstream::ConnectTimer
   Duration idle_close{};       // the replica's side closes a connection that has stood idle for so long
   Duration lease_patience{};   // until further replicas are asked to let go of a state
   std::size_t most_idle = 24;  // idle connections kept to one replica ...
@@ -44,11 +44,11 @@
   int cell = 0;
 };
 
-class Pool : public core::Upstream, private net::Connection::Owner, private Leases::Lines {
+class Pool : public engine::Upstream, private net::Connection::Owner, private Leases::Lines {
  public:
-  Pool(boost::asio::io_context& io, core::Deadlines& deadlines, core::Clock clock, core::Log log,
+  Pool(boost::asio::io_context& io, engine::Deadlines& deadlines, engine::Clock clock, engine::Log log,
        const Options& options);
-  void attach(core::Engine& engine) { engine_ = &engine; }
+  void attach(engine::Engine& engine) { engine_ = &engine; }
   void hosts(const std::vector<Address>& addresses, bool whole);
   // Offline, a host gets no first byte of anything any more: what waits for a connection there has failed
   // without having been sent. What runs goes on.
@@ -73,7 +73,7 @@
   std::size_t leases_out() const { return leases_.out(); }
   std::size_t leases_pressing() const { return leases_.pressing(); }  // that a process's end must wait for
 
-  void send(AttemptId attempt, const std::string& host, std::shared_ptr<const core::Message> message,
+  void send(AttemptId attempt, const std::string& host, std::shared_ptr<const engine::Message> message,
             Time not_past, Time connect_by) override;
   bool abandon(AttemptId attempt) override;
   void pause(AttemptId attempt) override;
@@ -101,8 +101,8 @@
     std::string request;  // to be written once the connection is up
     http::ResponseReader reader{std::nullopt};
     http::EventFramer framer;
-    core::Ending ending;
-    core::Deadlines::Id limit;  // to connect, to begin a stream, to answer a lease call, or to stand idle
+    engine::Ending ending;
+    engine::Deadlines::Id limit;  // to connect, to begin a stream, to answer a lease call, or to stand idle
   };
   struct Host {
     net::tcp::endpoint endpoint;
@@ -143,15 +143,15 @@
   bool too_late(const Line& line);
   static Leases::Bounds lease_bounds(const Options& options);
   SlotId call_release(const std::string& host, const std::string& id) override;
-  std::vector<reach::Listener> listeners() override;
+  std::vector<upstream::Listener> listeners() override;
   void fail_later(AttemptId attempt, Verdict verdict);
 
   boost::asio::io_context& io_;
-  core::Deadlines& deadlines_;
-  core::Clock clock_;
-  core::Log log_;
+  engine::Deadlines& deadlines_;
+  engine::Clock clock_;
+  engine::Log log_;
   Options options_;
-  core::Engine* engine_ = nullptr;
+  engine::Engine* engine_ = nullptr;
   net::SlotTable<Line> lines_;
   std::map<std::string, Host> hosts_;
   std::set<std::string> offline_;  // by the operators' word, whether listed or not
@@ -159,10 +159,10 @@
   Leases leases_;
   std::deque<SlotId> idle_order_;  // all that went idle, oldest first; may name lines gone or taken since
   std::size_t idle_ = 0;
-  reach::ConnectTimer connects_;
+  upstream::ConnectTimer connects_;
   Time reuse_failed_{};  // when a connection that was used again last broke without an answer
 };
 
-}  // namespace bitternferry::replica
+}  // namespace dispatcher::upstream
 
-#endif  // BITTERNFERRY_REPLICA_POOL_HPP_
+#endif  // DISPATCHER_UPSTREAM_POOL_HPP_
--- a/src/reach/release_plan.cpp
+++ b/src/upstream/release_plan.cpp
@@ -1,9 +1,9 @@
-#include "reach/release_plan.hpp"
+#include "upstream/release_plan.hpp"
 
 #include <algorithm>
 #include <tuple>
 
-namespace bitternferry::reach {
+namespace dispatcher::upstream {
 
 namespace {
 constexpr std::size_t kMostAtOnce = 8;  // calls of one round: the others of the fleet may be asking as well
@@ -59,4 +59,4 @@
   return std::max(interval_, std::min(pause, kLongestPause));
 }
 
-}  // namespace bitternferry::reach
+}  // namespace dispatcher::upstream
--- a/src/reach/release_plan.hpp
+++ b/src/upstream/release_plan.hpp
@@ -1,8 +1,8 @@
 // Whom to ask to let go of what is held for a request. Any replica that runs takes the call, so the calls go
 // on, in rounds that double and spread over zones and cells, until one is answered: a zone that has just
 // fallen silent holds most of those that were heard last. No I/O; the clock is passed in.
-#ifndef BITTERNFERRY_REACH_RELEASE_PLAN_HPP_
-#define BITTERNFERRY_REACH_RELEASE_PLAN_HPP_
+#ifndef DISPATCHER_UPSTREAM_RELEASE_PLAN_HPP_
+#define DISPATCHER_UPSTREAM_RELEASE_PLAN_HPP_
 
 #include <chrono>
 #include <map>
@@ -10,7 +10,7 @@
 #include <string>
 #include <vector>
 
-namespace bitternferry::reach {
+namespace dispatcher::upstream {
 
 using Time = std::chrono::microseconds;
 using Duration = std::chrono::microseconds;
@@ -50,6 +50,6 @@
   std::map<std::pair<std::string, int>, int> cells_;  // ... and by cell
 };
 
-}  // namespace bitternferry::reach
+}  // namespace dispatcher::upstream
 
-#endif  // BITTERNFERRY_REACH_RELEASE_PLAN_HPP_
+#endif  // DISPATCHER_UPSTREAM_RELEASE_PLAN_HPP_
--- a/src/vrrp/packet.cpp
+++ b/src/vrrp/packet.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-namespace bitternferry::vrrp {
+namespace dispatcher::vrrp {
 
 namespace {
 
@@ -57,4 +57,4 @@
   return a;
 }
 
-}  // namespace bitternferry::vrrp
+}  // namespace dispatcher::vrrp
--- a/src/vrrp/packet.hpp
+++ b/src/vrrp/packet.hpp
@@ -1,6 +1,6 @@
 // VRRPv3 advertisements (RFC 9568, section 5): what they say, and their bytes.
-#ifndef BITTERNFERRY_VRRP_PACKET_HPP_
-#define BITTERNFERRY_VRRP_PACKET_HPP_
+#ifndef DISPATCHER_VRRP_PACKET_HPP_
+#define DISPATCHER_VRRP_PACKET_HPP_
 
 #include <array>
 #include <cstdint>
@@ -9,7 +9,7 @@
 #include <variant>
 #include <vector>
 
-namespace bitternferry::vrrp {
+namespace dispatcher::vrrp {
 
 using Address = std::array<std::uint8_t, 4>;  // IPv4, in network order: compares as the standard asks
 
@@ -27,6 +27,6 @@
 // The advertisement, or what is wrong with the packet.
 std::variant<Advertisement, std::string> decode(std::span<const std::uint8_t> packet);
 
-}  // namespace bitternferry::vrrp
+}  // namespace dispatcher::vrrp
 
-#endif  // BITTERNFERRY_VRRP_PACKET_HPP_
+#endif  // DISPATCHER_VRRP_PACKET_HPP_
--- a/src/vrrp/speaker.cpp
+++ b/src/vrrp/speaker.cpp
@@ -5,10 +5,10 @@
 #include <string_view>
 #include <utility>
 
+#include "cue/schema.hpp"
 #include "net/connection.hpp"
-#include "record/schema.hpp"
 
-namespace bitternferry::vrrp {
+namespace dispatcher::vrrp {
 
 namespace {
 
@@ -27,29 +27,29 @@
 // What the schema can't tell: addresses, and lists that only a pair needs.
 class Reader {
  public:
-  udp::endpoint endpoint(const record::Data& data) {
+  udp::endpoint endpoint(const cue::Data& data) {
     const auto parsed = net::parse_endpoint(data.text());
     if (parsed && parsed->address().is_v4()) return {parsed->address(), parsed->port()};
     bad(data, "IPv4 address and port expected");
     return {};
   }
 
-  Address address(const record::Data& data) {
+  Address address(const cue::Data& data) {
     boost::system::error_code error;
     const auto parsed = boost::asio::ip::make_address_v4(data.text(), error);
     if (error) bad(data, "IPv4 address expected");
     return parsed.to_bytes();
   }
 
-  const record::Data::Items& list(const record::Data& data) {
+  const cue::Data::Items& list(const cue::Data& data) {
     if (data.items().empty() || data.items().size() > 255) bad(data, "list of 1 to 255 expected");
     return data.items();
   }
 
-  std::vector<record::Problem> problems;
+  std::vector<cue::Problem> problems;
 
  private:
-  void bad(const record::Data& at, const char* what) { problems.push_back(record::problem(at, what)); }
+  void bad(const cue::Data& at, const char* what) { problems.push_back(cue::problem(at, what)); }
 };
 
 const char* name(State state) {
@@ -58,27 +58,27 @@
 
 }  // namespace
 
-std::optional<Config> parse_config(const record::File& file) {
-  static const record::Schema schema(kSchema, "#Vrrp");
-  const record::Data data = schema.read(file);
+std::optional<Config> parse_config(const cue::File& file) {
+  static const cue::Schema schema(kSchema, "#Vrrp");
+  const cue::Data data = schema.read(file);
   if (!data.has("listen")) return std::nullopt;
   Config config;
   Reader reader;
   config.listen = reader.endpoint(data["listen"]);
-  for (const record::Data& peer : reader.list(data["peers"])) config.peers.push_back(reader.endpoint(peer));
+  for (const cue::Data& peer : reader.list(data["peers"])) config.peers.push_back(reader.endpoint(peer));
   Parameters& p = config.parameters;
   p.vrid = static_cast<std::uint8_t>(data["vrid"].integer());
   p.priority = static_cast<std::uint8_t>(data["priority"].integer());
   p.interval_cs = static_cast<std::uint16_t>(data["interval_cs"].integer());
   p.preempt = data["preempt"].flag();
-  for (const record::Data& one : reader.list(data["addresses"])) p.addresses.push_back(reader.address(one));
-  if (!reader.problems.empty()) throw record::Errors(file.name, std::move(reader.problems));
+  for (const cue::Data& one : reader.list(data["addresses"])) p.addresses.push_back(reader.address(one));
+  if (!reader.problems.empty()) throw cue::Errors(file.name, std::move(reader.problems));
   p.primary = config.listen.address().to_v4().to_bytes();
   return config;
 }
 
-Speaker::Speaker(boost::asio::io_context& io, const Config& config, core::Deadlines& deadlines,
-                 core::Clock clock, core::Log log, OnState on_state)
+Speaker::Speaker(boost::asio::io_context& io, const Config& config, engine::Deadlines& deadlines,
+                 engine::Clock clock, engine::Log log, OnState on_state)
     : config_(config),
       deadlines_(deadlines),
       clock_(std::move(clock)),
@@ -146,4 +146,4 @@
   on_state_(told_);
 }
 
-}  // namespace bitternferry::vrrp
+}  // namespace dispatcher::vrrp
--- a/src/vrrp/speaker.hpp
+++ b/src/vrrp/speaker.hpp
@@ -1,6 +1,6 @@
 // Carries the state machine's advertisements over UDP between the instances of a pair.
-#ifndef BITTERNFERRY_VRRP_SPEAKER_HPP_
-#define BITTERNFERRY_VRRP_SPEAKER_HPP_
+#ifndef DISPATCHER_VRRP_SPEAKER_HPP_
+#define DISPATCHER_VRRP_SPEAKER_HPP_
 
 #include <array>
 #include <boost/asio/io_context.hpp>
@@ -10,12 +10,12 @@
 #include <string>
 #include <vector>
 
-#include "core/deadlines.hpp"
-#include "core/engine.hpp"
-#include "record/syntax.hpp"
+#include "cue/syntax.hpp"
+#include "engine/deadlines.hpp"
+#include "engine/engine.hpp"
 #include "vrrp/state_machine.hpp"
 
-namespace bitternferry::vrrp {
+namespace dispatcher::vrrp {
 
 using boost::asio::ip::udp;
 
@@ -24,14 +24,14 @@
   std::vector<udp::endpoint> peers;
   Parameters parameters;
 };
-// Empty where the file names no address: VRRP is off. Throws record::Errors.
-std::optional<Config> parse_config(const record::File& file);
+// Empty where the file names no address: VRRP is off. Throws cue::Errors.
+std::optional<Config> parse_config(const cue::File& file);
 
 class Speaker {
  public:
   using OnState = std::function<void(State)>;
-  Speaker(boost::asio::io_context& io, const Config& config, core::Deadlines& deadlines, core::Clock clock,
-          core::Log log, OnState on_state);
+  Speaker(boost::asio::io_context& io, const Config& config, engine::Deadlines& deadlines,
+          engine::Clock clock, engine::Log log, OnState on_state);
   void start(bool succeeds = false);
   void stop();   // tells the peers
   void leave();  // without a word: another process of this router takes the address and its state over
@@ -45,18 +45,18 @@
   void carry_out(const StateMachine::Sent& sent);
 
   Config config_;
-  core::Deadlines& deadlines_;
-  core::Clock clock_;
-  core::Log log_;
+  engine::Deadlines& deadlines_;
+  engine::Clock clock_;
+  engine::Log log_;
   OnState on_state_;
   StateMachine machine_;
   State told_ = State::kInitialize;
   udp::socket socket_;
   udp::endpoint from_;
   std::array<std::uint8_t, 1500> packet_{};
-  core::Deadlines::Id timer_;
+  engine::Deadlines::Id timer_;
 };
 
-}  // namespace bitternferry::vrrp
+}  // namespace dispatcher::vrrp
 
-#endif  // BITTERNFERRY_VRRP_SPEAKER_HPP_
+#endif  // DISPATCHER_VRRP_SPEAKER_HPP_
--- a/src/vrrp/state_machine.cpp
+++ b/src/vrrp/state_machine.cpp
@@ -1,6 +1,6 @@
 #include "vrrp/state_machine.hpp"
 
-namespace bitternferry::vrrp {
+namespace dispatcher::vrrp {
 
 namespace {
 Duration centiseconds(std::int64_t n) { return std::chrono::milliseconds(10 * n); }
@@ -67,4 +67,4 @@
   return become_active(now);  // a lower one claims the addresses: assert who is active
 }
 
-}  // namespace bitternferry::vrrp
+}  // namespace dispatcher::vrrp
--- a/src/vrrp/state_machine.hpp
+++ b/src/vrrp/state_machine.hpp
@@ -1,7 +1,7 @@
 // The VRRPv3 state machine (RFC 9568, section 6.4), pure: time, timers and packets are passed in, and what
 // is to be sent is handed back. It decides which instance of a pair fronts an address.
-#ifndef BITTERNFERRY_VRRP_STATE_MACHINE_HPP_
-#define BITTERNFERRY_VRRP_STATE_MACHINE_HPP_
+#ifndef DISPATCHER_VRRP_STATE_MACHINE_HPP_
+#define DISPATCHER_VRRP_STATE_MACHINE_HPP_
 
 #include <chrono>
 #include <cstdint>
@@ -11,7 +11,7 @@
 
 #include "vrrp/packet.hpp"
 
-namespace bitternferry::vrrp {
+namespace dispatcher::vrrp {
 
 using Time = std::chrono::microseconds;
 using Duration = std::chrono::microseconds;
@@ -55,6 +55,6 @@
   std::optional<Time> timer_;         // Active_Down_Timer of a backup, Adver_Timer of the active router
 };
 
-}  // namespace bitternferry::vrrp
+}  // namespace dispatcher::vrrp
 
-#endif  // BITTERNFERRY_VRRP_STATE_MACHINE_HPP_
+#endif  // DISPATCHER_VRRP_STATE_MACHINE_HPP_
--- a/tests/confine/confine_test.cpp
+++ b/tests/confine/confine_test.cpp
@@ -14,7 +14,7 @@
 
 extern char** environ;
 
-namespace bitternferry::testing {
+namespace dispatcher::testing {
 namespace {
 
 namespace fs = std::filesystem;
@@ -138,7 +138,7 @@
 
 TEST_CASE("confined as on the fleet, the daemon starts, streams, reloads and drains", "[confine]") {
   Site site;
-  Confined daemon(BITTERNFERRY_DAEMON, {});
+  Confined daemon(DISPATCHER_DAEMON, {});
   daemon.write_config(configuration(site.port, 1, site.reader, site.writer));
   daemon.start();
   REQUIRE(healthy(site.work, site.port));
@@ -166,8 +166,8 @@
 TEST_CASE("where TMPDIR offers a hand-over, the refused Unix socket is told and the start goes on",
           "[confine]") {
   Site site;
-  Confined daemon(BITTERNFERRY_DAEMON, {});
-  Confined with_folder(BITTERNFERRY_DAEMON, {"TMPDIR=" + daemon.folder().string()});
+  Confined daemon(DISPATCHER_DAEMON, {});
+  Confined with_folder(DISPATCHER_DAEMON, {"TMPDIR=" + daemon.folder().string()});
   with_folder.write_config(configuration(site.port, 1, site.reader, site.writer));
   with_folder.start();
   REQUIRE(healthy(site.work, site.port));
@@ -201,4 +201,4 @@
 }
 
 }  // namespace
-}  // namespace bitternferry::testing
+}  // namespace dispatcher::testing
--- a/tests/conformance/book.cpp
+++ b/tests/conformance/book.cpp
@@ -4,7 +4,7 @@
 #include <cmath>
 #include <numeric>
 
-namespace basaltvane::conformance {
+namespace dispatcher::routing::conformance {
 namespace {
 
 constexpr int kBlock = 16;
@@ -266,4 +266,4 @@
   return {};
 }
 
-}  // namespace basaltvane::conformance
+}  // namespace dispatcher::routing::conformance
--- a/tests/conformance/book.hpp
+++ b/tests/conformance/book.hpp
@@ -1,7 +1,7 @@
 // The design's scores, worked out apart from the module: from the events that a router was given and the
 // actions that it returned, and from nothing else.
-#ifndef BASALTVANE_TESTS_CONFORMANCE_BOOK_HPP_
-#define BASALTVANE_TESTS_CONFORMANCE_BOOK_HPP_
+#ifndef DISPATCHER_TESTS_CONFORMANCE_BOOK_HPP_
+#define DISPATCHER_TESTS_CONFORMANCE_BOOK_HPP_
 
 #include <list>
 #include <map>
@@ -10,9 +10,9 @@
 #include <string>
 #include <utility>
 
-#include "basaltvane/router.hpp"
+#include "routing/router.hpp"
 
-namespace basaltvane::conformance {
+namespace dispatcher::routing::conformance {
 
 // Where the module departs from the design on purpose: the figures of deviations.json.
 struct Bounds {
@@ -110,6 +110,6 @@
   std::map<std::string, Open> open_;
 };
 
-}  // namespace basaltvane::conformance
+}  // namespace dispatcher::routing::conformance
 
-#endif  // BASALTVANE_TESTS_CONFORMANCE_BOOK_HPP_
+#endif  // DISPATCHER_TESTS_CONFORMANCE_BOOK_HPP_
--- a/tests/conformance/conformance_test.cpp
+++ b/tests/conformance/conformance_test.cpp
@@ -10,11 +10,11 @@
 
 #include "rows.hpp"
 
-namespace basaltvane::conformance {
+namespace dispatcher::routing::conformance {
 namespace {
 
 const Tables& tables() {
-  static const Tables all = load_tables(BASALTVANE_CONFORMANCE);
+  static const Tables all = load_tables(CONFORMANCE_FOLDER);
   return all;
 }
 
@@ -120,6 +120,6 @@
   return session.run(count, words);
 }
 
-}  // namespace basaltvane::conformance
+}  // namespace dispatcher::routing::conformance
 
-int main(int count, char** words) { return basaltvane::conformance::run(count, words); }
+int main(int count, char** words) { return dispatcher::routing::conformance::run(count, words); }
--- a/tests/conformance/player.cpp
+++ b/tests/conformance/player.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <stdexcept>
 
-namespace basaltvane::conformance {
+namespace dispatcher::routing::conformance {
 namespace {
 
 using Ms = std::chrono::milliseconds;
@@ -352,4 +352,4 @@
   }
 }
 
-}  // namespace basaltvane::conformance
+}  // namespace dispatcher::routing::conformance
--- a/tests/conformance/player.hpp
+++ b/tests/conformance/player.hpp
@@ -1,6 +1,6 @@
 // Plays steps of a table's row on one router, as a dispatcher would, and keeps its books.
-#ifndef BASALTVANE_TESTS_CONFORMANCE_PLAYER_HPP_
-#define BASALTVANE_TESTS_CONFORMANCE_PLAYER_HPP_
+#ifndef DISPATCHER_TESTS_CONFORMANCE_PLAYER_HPP_
+#define DISPATCHER_TESTS_CONFORMANCE_PLAYER_HPP_
 
 #include <deque>
 #include <initializer_list>
@@ -11,7 +11,7 @@
 
 #include "book.hpp"
 
-namespace basaltvane::conformance {
+namespace dispatcher::routing::conformance {
 
 using Json = nlohmann::json;
 
@@ -76,6 +76,6 @@
   int made_up_ = 0;  // requests of the script that have no name
 };
 
-}  // namespace basaltvane::conformance
+}  // namespace dispatcher::routing::conformance
 
-#endif  // BASALTVANE_TESTS_CONFORMANCE_PLAYER_HPP_
+#endif  // DISPATCHER_TESTS_CONFORMANCE_PLAYER_HPP_
--- a/tests/conformance/rows.cpp
+++ b/tests/conformance/rows.cpp
@@ -8,7 +8,7 @@
 #include <sstream>
 #include <stdexcept>
 
-namespace basaltvane::conformance {
+namespace dispatcher::routing::conformance {
 namespace {
 
 namespace fs = std::filesystem;
@@ -323,4 +323,4 @@
   return wrong;
 }
 
-}  // namespace basaltvane::conformance
+}  // namespace dispatcher::routing::conformance
--- a/tests/conformance/rows.hpp
+++ b/tests/conformance/rows.hpp
@@ -1,6 +1,6 @@
 // The tables: rows that each stand for one sentence of the design, and how a row is played.
-#ifndef BASALTVANE_TESTS_CONFORMANCE_ROWS_HPP_
-#define BASALTVANE_TESTS_CONFORMANCE_ROWS_HPP_
+#ifndef DISPATCHER_TESTS_CONFORMANCE_ROWS_HPP_
+#define DISPATCHER_TESTS_CONFORMANCE_ROWS_HPP_
 
 #include <map>
 #include <string>
@@ -8,7 +8,7 @@
 
 #include "player.hpp"
 
-namespace basaltvane::conformance {
+namespace dispatcher::routing::conformance {
 
 struct Tables {
   Json base;        // settings
@@ -27,6 +27,6 @@
 // The same row with an expectation that is false if the row holds.
 std::vector<Json> told_wrongly(const Json& row, const Tables& tables);
 
-}  // namespace basaltvane::conformance
+}  // namespace dispatcher::routing::conformance
 
-#endif  // BASALTVANE_TESTS_CONFORMANCE_ROWS_HPP_
+#endif  // DISPATCHER_TESTS_CONFORMANCE_ROWS_HPP_
--- a/tests/consumer/main.cpp
+++ b/tests/consumer/main.cpp
@@ -1,10 +1,10 @@
 // A dispatcher in miniature: feeds one request through reading and writing to its end.
-#include <basaltvane/router.hpp>
+#include <routing/router.hpp>
 #include <iostream>
 #include <string>
 
 int main() {
-  using namespace basaltvane;
+  using namespace dispatcher::routing;
   using std::chrono::milliseconds;
   Settings s;
   s.router_count = 1;
--- a/tests/dispatcher/allocations.cpp
+++ b/tests/dispatcher/allocations.cpp
@@ -5,13 +5,13 @@
 #include <cstdlib>
 #include <new>
 
-namespace bitternferry::testing {
+namespace dispatcher::testing {
 std::size_t allocations = 0;
 }
 
 #ifndef __SANITIZE_ADDRESS__
 void* operator new(std::size_t size) {
-  ++bitternferry::testing::allocations;
+  ++dispatcher::testing::allocations;
   if (void* p = std::malloc(size)) return p;
   throw std::bad_alloc();
 }
--- a/tests/dispatcher/allocations.hpp
+++ b/tests/dispatcher/allocations.hpp
@@ -1,10 +1,10 @@
-#ifndef BITTERNFERRY_TESTS_DISPATCHER_ALLOCATIONS_HPP_
-#define BITTERNFERRY_TESTS_DISPATCHER_ALLOCATIONS_HPP_
+#ifndef DISPATCHER_TESTS_DISPATCHER_ALLOCATIONS_HPP_
+#define DISPATCHER_TESTS_DISPATCHER_ALLOCATIONS_HPP_
 
 #include <cstddef>
 
-namespace bitternferry::testing {
+namespace dispatcher::testing {
 extern std::size_t allocations;  // so far, by operator new
 }
 
-#endif  // BITTERNFERRY_TESTS_DISPATCHER_ALLOCATIONS_HPP_
+#endif  // DISPATCHER_TESTS_DISPATCHER_ALLOCATIONS_HPP_
--- a/tests/dispatcher/app_test.cpp
+++ b/tests/dispatcher/app_test.cpp
@@ -4,10 +4,10 @@
 #include <filesystem>
 #include <fstream>
 
-#include "app/dispatcher.hpp"
+#include "daemon/dispatcher.hpp"
 #include "world.hpp"
 
-namespace bitternferry::testing {
+namespace dispatcher::testing {
 namespace {
 
 const std::string kUp =
@@ -35,11 +35,11 @@
     }
   });
   std::vector<std::string> logs;
-  std::vector<discovery::Servers> told;
-  discovery::Watch watch(
+  std::vector<service_discovery::Servers> told;
+  service_discovery::Watch watch(
       work.io, agent.server.local(), work.deadlines, work.clock(),
       [&](std::string_view line) { logs.emplace_back(line); },
-      [&](const discovery::Servers& servers) { told.push_back(servers); });
+      [&](const service_discovery::Servers& servers) { told.push_back(servers); });
   watch.start(40);
   REQUIRE(work.until([&] { return told.size() == 1; }));
   CHECK(told[0].whole);
@@ -47,7 +47,7 @@
   work.advance(milliseconds(300));
   REQUIRE(work.until([&] { return told.size() == 3; }));
   CHECK(told[1].whole);
-  CHECK(told[1].list.entries[0].state == basaltvane::HostState::kDraining);
+  CHECK(told[1].list.entries[0].state == routing::HostState::kDraining);
   CHECK(told[2].seq == 44);
   CHECK(agent.seen[0].target == "/v1/servers?follow=1&since=40");
   CHECK(agent.seen[1].target == "/v1/servers");
@@ -70,35 +70,35 @@
     r.server.begin(client);
     r.server.pass(client, list(8, false, entry("b", "draining")));
   });
-  std::vector<discovery::Servers> told;
-  discovery::Watch watch(
+  std::vector<service_discovery::Servers> told;
+  service_discovery::Watch watch(
       work.io, old.server.local(), work.deadlines, work.clock(), [](std::string_view) {},
-      [&](const discovery::Servers& servers) { told.push_back(servers); });
+      [&](const service_discovery::Servers& servers) { told.push_back(servers); });
   watch.start(40);
   REQUIRE(work.until([&] { return told.size() == 1; }));
   watch.move(agent.server.local());
   REQUIRE(work.until([&] { return told.size() == 3; }));
   CHECK(told[1].whole);
   CHECK(told[1].list.entries[0].host == "b");
-  CHECK(told[2].list.entries[0].state == basaltvane::HostState::kDraining);
+  CHECK(told[2].list.entries[0].state == routing::HostState::kDraining);
   CHECK(agent.seen[1].target == "/v1/servers?follow=1&since=7");
   CHECK(work.until([&] { return old.gone.size() == 1; }));
 }
 
 // Discovery is silent here: what the configuration knows must serve.
 TEST_CASE("a dispatcher serves from the list it knows, and ends once it is drained", "[app]") {
-  app::Loop loop;
-  app::Config config;
+  daemon::Loop loop;
+  daemon::Config config;
   config.listen = config.discovery = loopback();
   config.discovery.port(1);  // nobody listens there
   config.settings = make_settings();
   std::vector<std::string> logs;
-  app::Dispatcher dispatcher(loop, config, {{"chat.json", kChat}, {}},
-                             [&](std::string_view line) { logs.emplace_back(line); });
+  daemon::Dispatcher dispatcher(loop, config, {{"chat.json", kChat}, {}},
+                                [&](std::string_view line) { logs.emplace_back(line); });
   dispatcher.start();
   // The client runs on the dispatcher's own loop.
   struct Client : net::Connection::Owner {
-    explicit Client(app::Loop& l, const net::tcp::endpoint& to)
+    explicit Client(daemon::Loop& l, const net::tcp::endpoint& to)
         : connection(net::Connection::connect(l.io(), to, *this, {}, 4096, 4096)) {}
     void on_connected(SlotId, net::error_code) override {
       connection->write("GET /healthz HTTP/1.1\r\n\r\n");
@@ -117,20 +117,22 @@
 }
 
 TEST_CASE("SIGHUP moves the watch or, with a bad file, changes nothing; SIGTERM still drains", "[app]") {
-  app::Loop loop;
-  app::Config config;
+  daemon::Loop loop;
+  daemon::Config config;
   config.listen = config.discovery = loopback();
   config.discovery.port(1);
   config.settings = make_settings();
   net::tcp::acceptor agent(loop.io(), loopback());
   bool moved = false;
   agent.async_accept([&](net::error_code, net::tcp::socket) { moved = true; });
-  app::Files next{config, {{"chat.json", kChat}, {}}};
+  daemon::Files next{config, {{"chat.json", kChat}, {}}};
   next.config.discovery = agent.local_endpoint();
   next.config.name = "another";
   std::vector<std::string> logs;
-  std::function<app::Files()> read = [] { return throw app::ConfigError("field 'x': bad"), app::Files{}; };
-  app::Dispatcher dispatcher(
+  std::function<daemon::Files()> read = [] {
+    return throw daemon::ConfigError("field 'x': bad"), daemon::Files{};
+  };
+  daemon::Dispatcher dispatcher(
       loop, config, {{"chat.json", kChat}, {}},
       [&](std::string_view line) { line.starts_with("discovery") ? void() : void(logs.emplace_back(line)); },
       [&] { return read(); });
@@ -143,7 +145,7 @@
   hang_up();
   CHECK(logs.back() == "reload failed, the old configuration stays: field 'x': bad");
   read = [&] {
-    return app::Files{next.config, {{"chat.json", R"({"listen":"127.0.0.1:0","models":[]})"}, {}}};
+    return daemon::Files{next.config, {{"chat.json", R"({"listen":"127.0.0.1:0","models":[]})"}, {}}};
   };
   hang_up();
   CHECK(logs.back() ==
@@ -163,17 +165,18 @@
 TEST_CASE("a file read again goes before the environment of the start", "[app]") {
   const std::string path = std::filesystem::temp_directory_path() / "bitternferry_reload_test.json";
   std::ofstream(path) << R"({"listen":"127.0.0.1:1","discovery":"127.0.0.1:3"})";
-  app::Environment environment{{"PROXY_CONFIG", path}, {"PROXY_DISCOVERY", "nowhere"}};
-  CHECK_THROWS_WITH(app::load_config(environment), Catch::Contains("field 'discovery'"));
-  CHECK_THROWS_WITH(app::reload_config(environment), Catch::Contains("field 'settings'"));  // the next field
+  daemon::Environment environment{{"PROXY_CONFIG", path}, {"PROXY_DISCOVERY", "nowhere"}};
+  CHECK_THROWS_WITH(daemon::load_config(environment), Catch::Contains("field 'discovery'"));
+  CHECK_THROWS_WITH(daemon::reload_config(environment),
+                    Catch::Contains("field 'settings'"));  // the next field
   std::filesystem::remove(path);
 }
 
 // Of a pair only the active instance listens at the chat address.
 TEST_CASE("VRRP decides who fronts the chat address", "[app][vrrp]") {
   const int priority = GENERATE(255, 100);
-  app::Loop loop;
-  app::Config config;
+  daemon::Loop loop;
+  daemon::Config config;
   config.listen = config.discovery = loopback();
   config.discovery.port(1);
   config.settings = make_settings();
@@ -181,8 +184,8 @@
   const std::string vrrp =
       R"({"listen":"127.0.0.1:0","peers":["127.0.0.1:9"],"addresses":["127.0.0.1"],"priority":)" +
       std::to_string(priority) + "}";
-  app::Dispatcher dispatcher(loop, config, {{"chat.json", kChat}, {"vrrp.json", vrrp}},
-                             [&](std::string_view line) { logs.emplace_back(line); });
+  daemon::Dispatcher dispatcher(loop, config, {{"chat.json", kChat}, {"vrrp.json", vrrp}},
+                                [&](std::string_view line) { logs.emplace_back(line); });
   dispatcher.start();
   const auto logged = [&](const std::string& start) {
     return std::any_of(logs.begin(), logs.end(),
@@ -190,10 +193,11 @@
   };
   CHECK(logged(priority == 255 ? "vrrp: active" : "vrrp: backup"));
   CHECK(logged("chat front on") == (priority == 255));
-  CHECK_THROWS_WITH(app::Dispatcher(loop, config, {{"chat.json", R"({"listen":null})"}, {"vrrp.json", vrrp}},
-                                    [](std::string_view) {}),
-                    "vrrp: field 'listen': set, but the chat front that it is for is off");
+  CHECK_THROWS_WITH(
+      daemon::Dispatcher(loop, config, {{"chat.json", R"({"listen":null})"}, {"vrrp.json", vrrp}},
+                         [](std::string_view) {}),
+      "vrrp: field 'listen': set, but the chat front that it is for is off");
 }
 
 }  // namespace
-}  // namespace bitternferry::testing
+}  // namespace dispatcher::testing
--- a/tests/dispatcher/attempt_endings_test.cpp
+++ b/tests/dispatcher/attempt_endings_test.cpp
@@ -10,7 +10,7 @@
 
 #include "world.hpp"
 
-namespace bitternferry::testing {
+namespace dispatcher::testing {
 namespace {
 
 using Seen = StandInReplica::Seen;
@@ -25,21 +25,21 @@
 class BarePeer;
 
 // A world whose requests come from the test itself, so that nothing runs between two steps.
-struct Direct : World, private core::Answerer {
+struct Direct : World, private engine::Answerer {
   Direct(Script reader, Script writer) : World(std::move(reader), std::move(writer)) {}
   SlotId submit(const std::string& id, const std::string& cls = "ask", std::size_t size = 40) {
-    auto message = std::make_shared<core::Message>();
+    auto message = std::make_shared<engine::Message>();
     *message = {id, "POST", "/v1/chat/completions", "Content-Type: application/json\r\n",
                 std::string(size, 'x')};
-    basaltvane::Request r;
+    routing::Request r;
     r.id = id;
     r.request_class = cls;
     r.prompt_tokens = 1000;
     r.client_deadline = now + seconds(cls == "ask" ? 6 : 3);
     return engine.submit(*this, {1, 1}, r, std::move(message));
   }
-  void adopt(const basaltvane::Settings& changed) {
-    engine.adopt(std::make_shared<const basaltvane::Settings>(changed));
+  void adopt(const routing::Settings& changed) {
+    engine.adopt(std::make_shared<const routing::Settings>(changed));
   }
   void write_at(const BarePeer& peer);  // both writers are the peer
   int posts() const { return total("POST", false) + total("POST", true); }
@@ -54,8 +54,8 @@
   }
   void finish(SlotId) override { story.emplace_back("finish"); }
   void cut(SlotId) override { story.emplace_back("cut"); }
-  void refuse(SlotId, std::optional<core::Duration>) override { story.emplace_back("refuse"); }
-  void fail(SlotId, core::Failure) override { story.emplace_back("fail"); }
+  void refuse(SlotId, std::optional<engine::Duration>) override { story.emplace_back("refuse"); }
+  void fail(SlotId, engine::Failure) override { story.emplace_back("fail"); }
   bool present(SlotId) override { return there; }
   bool there = true;
   std::vector<std::string> story;
@@ -230,7 +230,7 @@
   const auto grace = GENERATE(milliseconds(100), milliseconds(250), milliseconds(1000));
   const bool late = GENERATE(false, true);
   Direct world(read_well, write_well);
-  replica::Options options{milliseconds(250), seconds(15), milliseconds(50)};
+  upstream::Options options{milliseconds(250), seconds(15), milliseconds(50)};
   options.drain_grace = grace;
   world.pool.adopt(options);
   world.submit("a1");
@@ -429,11 +429,11 @@
 // A read whose connection broke may run on at its replica, and leave a state as late as it was told to run.
 TEST_CASE("what a broken read may leave is asked for until its time is over", "[endings]") {
   Direct world([](StandInReplica& r, SlotId client, const Seen&) { r.server.cut(client); }, write_well);
-  replica::Options options{milliseconds(250), seconds(15), milliseconds(50)};
+  upstream::Options options{milliseconds(250), seconds(15), milliseconds(50)};
   world.pool.adopt(options);
-  const core::Time begun = world.now;
+  const engine::Time begun = world.now;
   world.submit("a1");
-  std::vector<core::Time> calls;
+  std::vector<engine::Time> calls;
   for (int known = 0; world.now < begun + seconds(8);) {
     world.advance(milliseconds(20));
     for (; known < world.releases(); ++known) calls.push_back(world.now - begun);
@@ -488,11 +488,11 @@
     pool.hosts({{"h1", peer.address(), true, false, "z"}, {"h2", peer.address(), true, false, "z"}}, true);
   }
   BarePeer peer{*this};  // takes connections and says nothing
-  replica::Pool pool{io,
-                     deadlines,
-                     clock(),
-                     [](std::string_view) {},
-                     {milliseconds(250), seconds(15), milliseconds(50), 24, 160, 40}};
+  upstream::Pool pool{io,
+                      deadlines,
+                      clock(),
+                      [](std::string_view) {},
+                      {milliseconds(250), seconds(15), milliseconds(50), 24, 160, 40}};
 };
 
 TEST_CASE("releases in a cut go on, ever more slowly, on few connections", "[endings]") {
@@ -529,8 +529,8 @@
 struct Chaos {
   explicit Chaos(unsigned seed) : random(seed) {}
   int roll() { return std::uniform_int_distribution<int>(0, 99)(random); }
-  core::Duration wait(int most_ms) { return milliseconds(roll() * most_ms / 100); }
-  core::Time now() const { return world.now; }
+  engine::Duration wait(int most_ms) { return milliseconds(roll() * most_ms / 100); }
+  engine::Time now() const { return world.now; }
   void hold(const std::string& id) {
     if (!begun.contains(id)) held[id] = now();
   }
@@ -542,7 +542,7 @@
     } else if (dice < 65) {
       r.server.cut(client);
       if (dice < 55)
-        left_later.emplace_back(now() + std::min<core::Duration>(wait(1500), seen.left), seen.id);
+        left_later.emplace_back(now() + std::min<engine::Duration>(wait(1500), seen.left), seen.id);
     } else if (dice < 75) {
       r.say(client, 503, {}, true);
     } else {
@@ -598,16 +598,16 @@
     }
   }
   struct Later {
-    core::Time at;
+    engine::Time at;
     StandInReplica* replica;
     SlotId client;
   };
   std::mt19937 random;
-  std::map<std::string, core::Time> held;  // since when, with no attempt out
+  std::map<std::string, engine::Time> held;  // since when, with no attempt out
   std::map<std::pair<StandInReplica*, SlotId>, std::string> out;
   std::map<std::string, int> ran;
   std::set<std::string> begun, pinned;
-  std::vector<std::pair<core::Time, std::string>> left_later;
+  std::vector<std::pair<engine::Time, std::string>> left_later;
   std::vector<Later> answered_later;
   std::map<StandInReplica*, std::size_t> read_up_to;
   Direct world{[this](StandInReplica& r, SlotId c, const Seen& s) { read(r, c, s); },
@@ -646,4 +646,4 @@
 }
 
 }  // namespace
-}  // namespace bitternferry::testing
+}  // namespace dispatcher::testing
--- a/tests/dispatcher/call_plan_test.cpp
+++ b/tests/dispatcher/call_plan_test.cpp
@@ -1,5 +1,5 @@
 // When discovery is called, in virtual time.
-#include "discovery/call_plan.hpp"
+#include "service_discovery/call_plan.hpp"
 
 #include <algorithm>
 #include <array>
@@ -8,14 +8,14 @@
 #include <queue>
 #include <random>
 
-#include "fleet/backoff.hpp"
+#include "service_discovery/backoff.hpp"
 #include "world.hpp"
 
-namespace bitternferry::testing {
+namespace dispatcher::testing {
 namespace {
 
-using discovery::CallPlan;
-using discovery::Lists;
+using service_discovery::CallPlan;
+using service_discovery::Lists;
 using CallId = CallPlan::CallId;
 
 // What becomes of a call. All but kAnswer are outages.
@@ -39,16 +39,16 @@
 class Outage {
  public:
   // `slowest` answer once discovery is back; so many calls opened after the return never come up.
-  Outage(Lists lists, int fleet, std::uint64_t seed, core::Duration slowest, int lose)
+  Outage(Lists lists, int fleet, std::uint64_t seed, engine::Duration slowest, int lose)
       : lists_(lists), slowest_(slowest), lose_(lose), random_(seed), plan_(lists, fleet) {}
 
-  core::Duration known_after{};  // the return, or the last refusal that came later
-  std::vector<core::Time> opened;
+  engine::Duration known_after{};  // the return, or the last refusal that came later
+  std::vector<engine::Time> opened;
   std::size_t most_calls = 0;
-  core::Duration longest_gap{};  // with no call out, and without a refusal before it
+  engine::Duration longest_gap{};  // with no call out, and without a refusal before it
 
   void run() {
-    const core::Time start = seconds(100), outage = start + milliseconds(random_() % 4000);
+    const engine::Time start = seconds(100), outage = start + milliseconds(random_() % 4000);
     back_ = outage + milliseconds(random_() % 14000);
     mixed_ = random_() % 2 == 0;
     same_ = kOutages[random_() % kOutages.size()];
@@ -56,7 +56,7 @@
     old_answer_at_return_ = lists_ == Lists::kPushed && random_() % 2 == 0;
     outage_ = outage;
     obey(plan_.restart(start), start);
-    for (core::Time now = start; !known_;) {
+    for (engine::Time now = start; !known_;) {
       REQUIRE(now < back_ + seconds(30));
       now = step(now);
     }
@@ -65,25 +65,25 @@
  private:
   enum class What { kHead, kByte, kHalf, kRefused, kFailed, kUnreadable };
   struct Event {
-    core::Time at;
+    engine::Time at;
     CallId id;
     What what;
     bool operator>(const Event& other) const { return at > other.at; }
   };
   Lists lists_;
-  core::Duration slowest_;
+  engine::Duration slowest_;
   int lose_;
   std::mt19937_64 random_;
   CallPlan plan_;
   std::priority_queue<Event, std::vector<Event>, std::greater<>> events_;
   std::map<CallId, Fate> calls_;
-  core::Time back_{}, outage_{}, empty_since_{};
+  engine::Time back_{}, outage_{}, empty_since_{};
   Fate same_{};
   bool mixed_ = false, watch_dies_ = false, old_answer_at_return_ = false, known_ = false;
   bool after_refusal_ = false;
 
   double draw() { return std::uniform_real_distribution<double>(0, 1)(random_); }
-  core::Time step(core::Time now) {
+  engine::Time step(engine::Time now) {
     const auto next = plan_.next();
     REQUIRE(next);
     if (!events_.empty() && events_.top().at <= *next) {
@@ -98,7 +98,7 @@
     }
     return now;
   }
-  void happen(const Event& event, core::Time now) {
+  void happen(const Event& event, engine::Time now) {
     switch (event.what) {
       case What::kHead:
         obey(plan_.answered(event.id, now), now);
@@ -119,16 +119,16 @@
     }
   }
   // The watch from before the outage: an empty line every 2 s, then nothing or a reset.
-  void byte(CallId id, core::Time now) {
+  void byte(CallId id, engine::Time now) {
     if (now >= outage_) return watch_dies_ ? void() : obey(plan_.failed(id, now, draw()), now);
     plan_.heard(id, now, std::nullopt);
     events_.push({now + seconds(2), id, What::kByte});
   }
-  void know(core::Time now) {
+  void know(engine::Time now) {
     known_ = true;
     known_after = now - back_;
   }
-  void obey(const CallPlan::Orders& orders, core::Time now) {
+  void obey(const CallPlan::Orders& orders, engine::Time now) {
     for (const CallId id : orders.close) calls_.erase(id);
     if (orders.open != 0) open(orders.open, now);
     if (calls_.empty()) {
@@ -137,9 +137,9 @@
     }
     most_calls = std::max(most_calls, calls_.size());
   }
-  void open(CallId id, core::Time now) {
+  void open(CallId id, engine::Time now) {
     opened.push_back(now);
-    if (calls_.empty() && empty_since_ != core::Time{} && !after_refusal_)
+    if (calls_.empty() && empty_since_ != engine::Time{} && !after_refusal_)
       longest_gap = std::max(longest_gap, now - empty_since_);
     after_refusal_ = false;
     calls_[id] = Fate::kAnswer;
@@ -148,13 +148,13 @@
       events_.push({now + milliseconds(1), id, What::kByte});
     } else if (now >= back_) {
       if (lose_-- > 0) return void(calls_[id] = Fate::kNeverUp);
-      events_.push({now + core::Duration(std::llround(draw() * static_cast<double>(slowest_.count()))), id,
+      events_.push({now + engine::Duration(std::llround(draw() * static_cast<double>(slowest_.count()))), id,
                     What::kHead});
     } else {
       suffer(id, now, mixed_ ? kOutages[random_() % kOutages.size()] : same_);
     }
   }
-  void suffer(CallId id, core::Time now, Fate fate) {
+  void suffer(CallId id, engine::Time now, Fate fate) {
     calls_[id] = fate;
     const auto later = [&](int ms, What what) { events_.push({now + milliseconds(ms), id, what}); };
     switch (fate) {
@@ -183,7 +183,7 @@
 };
 
 template <class Check>
-void over_outages(Lists lists, core::Duration slowest, int lose, Check check) {
+void over_outages(Lists lists, engine::Duration slowest, int lose, Check check) {
   for (const int fleet : {1, 3, 100, 300}) {
     for (std::uint64_t seed = 1; seed <= 400; ++seed) {
       Outage outage{lists, fleet, seed, slowest, lose};
@@ -195,10 +195,10 @@
 }
 
 TEST_CASE("pushed: whatever the calls met before, a change is known within 6 s", "[discovery][plan]") {
-  core::Duration worst{};
+  engine::Duration worst{};
   over_outages(Lists::kPushed, milliseconds(2100), 0, [&](const Outage& o, int) {
     worst = std::max(worst, o.known_after);
-    REQUIRE(o.known_after < seconds(6) - fleet::kMargin);
+    REQUIRE(o.known_after < seconds(6) - service_discovery::kMargin);
     REQUIRE(o.most_calls <= 2);
     REQUIRE(o.longest_gap <= milliseconds(250));
   });
@@ -206,19 +206,20 @@
 }
 
 TEST_CASE("pushed: nor does it matter that the first call after the return is lost", "[discovery][plan]") {
-  over_outages(Lists::kPushed, milliseconds(50), 1,
-               [&](const Outage& o, int) { REQUIRE(o.known_after < seconds(6) - fleet::kMargin); });
+  over_outages(Lists::kPushed, milliseconds(50), 1, [&](const Outage& o, int) {
+    REQUIRE(o.known_after < seconds(6) - service_discovery::kMargin);
+  });
 }
 
 TEST_CASE("asked for: whatever the calls met before, a change is known within 6 s", "[discovery][plan]") {
-  core::Duration worst{};
+  engine::Duration worst{};
   over_outages(Lists::kAskedFor, milliseconds(2100), 0, [&](const Outage& o, int fleet) {
     worst = std::max(worst, o.known_after);
-    REQUIRE(o.known_after < seconds(6) - fleet::kMargin);
+    REQUIRE(o.known_after < seconds(6) - service_discovery::kMargin);
     REQUIRE(o.most_calls <= 1);
     // Each further call comes after a pause by the fleet's size.
     for (std::size_t i = 1; i < o.opened.size(); ++i)
-      REQUIRE(o.opened[i] - o.opened[i - 1] >= fleet::after_silence(fleet).first / 2);
+      REQUIRE(o.opened[i] - o.opened[i - 1] >= service_discovery::after_silence(fleet).first / 2);
   });
   CHECK(worst > milliseconds(4000));
 }
@@ -228,9 +229,9 @@
     CallPlan plan(Lists::kPushed, 300);
     std::mt19937_64 random(5);
     std::uniform_real_distribution<double> draw(0, 1);
-    core::Time now = seconds(50);
+    engine::Time now = seconds(50);
     CallId id = plan.restart(now).open;
-    std::vector<core::Duration> pauses;
+    std::vector<engine::Duration> pauses;
     while (pauses.size() < 50) {
       const auto failed = now;
       if (unreadable) plan.answered(id, now);
@@ -260,36 +261,36 @@
 TEST_CASE("pushed: an unanswered call is joined, not dropped, and the older of two goes for a third",
           "[discovery][plan]") {
   CallPlan plan(Lists::kPushed, 300);
-  const core::Time start = seconds(50);
+  const engine::Time start = seconds(50);
   const CallId first = plan.restart(start).open;
-  REQUIRE(plan.next() == start + fleet::kCallLimit);
-  CHECK(plan.tick(start + fleet::kCallLimit - milliseconds(1), 0.5).open == 0);
+  REQUIRE(plan.next() == start + service_discovery::kCallLimit);
+  CHECK(plan.tick(start + service_discovery::kCallLimit - milliseconds(1), 0.5).open == 0);
   auto orders = plan.tick(*plan.next(), 0.5);
   const CallId second = orders.open;
   CHECK(second != 0);
   CHECK(orders.close.empty());
   CHECK(orders.silent);
-  REQUIRE(plan.next() == start + 2 * fleet::kCallLimit);
+  REQUIRE(plan.next() == start + 2 * service_discovery::kCallLimit);
   orders = plan.tick(*plan.next(), 0.5);
   CHECK(orders.close == std::vector<CallId>{first});
   const CallId third = orders.open;
   orders = plan.answered(second, start + seconds(5));
   CHECK(orders.close == std::vector<CallId>{third});
   CHECK(plan.calls() == 1);
-  CHECK(plan.next() == start + seconds(5) + fleet::kSilence);
+  CHECK(plan.next() == start + seconds(5) + service_discovery::kSilence);
 }
 
 TEST_CASE("pushed: a silent watch is joined at once and may still speak; the call that answers replaces it",
           "[discovery][plan]") {
   CallPlan plan(Lists::kPushed, 300);
-  const core::Time start = seconds(50);
+  const engine::Time start = seconds(50);
   const CallId watch = plan.restart(start).open;
   plan.answered(watch, start);
-  REQUIRE(plan.next() == start + fleet::kSilence);
+  REQUIRE(plan.next() == start + service_discovery::kSilence);
   const auto joined = plan.tick(*plan.next(), 0.9);
   CHECK(joined.close.empty());
   REQUIRE(joined.open != 0);
-  const core::Time later = start + seconds(3);
+  const engine::Time later = start + seconds(3);
   CHECK(plan.answered(watch, later).close.empty());  // as with any byte of it
   plan.heard(watch, later, std::nullopt);
   CHECK(plan.calls() == 2);
@@ -300,13 +301,13 @@
           "[discovery][plan]") {
   for (const int fleet : {1, 300}) {
     CallPlan plan(Lists::kPushed, fleet);
-    core::Time now = seconds(50);
+    engine::Time now = seconds(50);
     const CallId first = plan.restart(now).open;
-    now += fleet::kCallLimit;
+    now += service_discovery::kCallLimit;
     const CallId second = plan.tick(now, 0).open;
     CHECK(plan.refused(second, now, 1).open == 0);
     CHECK(plan.failed(first, now, 0).open == 0);
-    CHECK(plan.next() == now + fleet::list_calls(fleet).first);
+    CHECK(plan.next() == now + service_discovery::list_calls(fleet).first);
     CHECK(plan.tick(now + milliseconds(100), 0).open == 0);
     CHECK(plan.tick(*plan.next(), 0).open != 0);
   }
@@ -317,29 +318,29 @@
           "[discovery][plan]") {
   for (const Lists lists : {Lists::kPushed, Lists::kAskedFor}) {
     for (const int refusals : {1, 2, 3, 8}) {
-      for (const core::Duration off : {milliseconds(-1), milliseconds(0), milliseconds(1)}) {
+      for (const engine::Duration off : {milliseconds(-1), milliseconds(0), milliseconds(1)}) {
         CallPlan plan(lists, 300);
-        core::Time now = seconds(50), pause{};
+        engine::Time now = seconds(50), pause{};
         CallId id = plan.restart(now).open;
         for (int i = 0; i < refusals; ++i) {
-          now += fleet::kOverbookedWait;
+          now += service_discovery::kOverbookedWait;
           plan.refused(id, now, 1.0);
           pause = *plan.next() - now;
           now = *plan.next();
           id = plan.tick(now, 1.0).open;
           REQUIRE(id != 0);
         }
-        CHECK(pause <= fleet::kLongestPause);
+        CHECK(pause <= service_discovery::kLongestPause);
         // Back after the pause's end, discovery knows nothing of the call, which stays silent.
-        const core::Time back = now + off;
-        if (off > core::Duration(0)) {
+        const engine::Time back = now + off;
+        if (off > engine::Duration(0)) {
           for (id = 0; id == 0;) {
             REQUIRE(plan.next());
             now = *plan.next();
             id = plan.tick(now, 1.0).open;
           }
         }
-        CHECK(now + milliseconds(2100) - back < seconds(6) - fleet::kMargin);
+        CHECK(now + milliseconds(2100) - back < seconds(6) - service_discovery::kMargin);
       }
     }
   }
@@ -348,15 +349,15 @@
 TEST_CASE("an object that stalls ends its call, and the whole list is owed", "[discovery][plan]") {
   for (const Lists lists : {Lists::kPushed, Lists::kAskedFor}) {
     CallPlan plan(lists, 3);
-    const core::Time start = seconds(50);
-    core::Time now = start;
+    const engine::Time start = seconds(50);
+    engine::Time now = start;
     const CallId watch = plan.restart(now).open;
     plan.answered(watch, now);
-    for (; now < start + fleet::kObject; now += milliseconds(100)) {  // it trickles
+    for (; now < start + service_discovery::kObject; now += milliseconds(100)) {  // it trickles
       REQUIRE(*plan.next() > now);
       plan.heard(watch, now, start);
     }
-    REQUIRE(plan.next() == start + fleet::kObject);
+    REQUIRE(plan.next() == start + service_discovery::kObject);
     const auto orders = plan.tick(*plan.next(), 0.5);
     CHECK(orders.unreadable);
     CHECK(orders.close == std::vector<CallId>{watch});
@@ -369,7 +370,7 @@
           "[discovery][plan]") {
   for (const Lists lists : {Lists::kPushed, Lists::kAskedFor}) {
     CallPlan plan(lists, 300);
-    core::Time now = seconds(50);
+    engine::Time now = seconds(50);
     CallId id = plan.restart(now).open;
     for (int i = 0; i < 5; ++i) {
       plan.refused(id, now, 0.99);
@@ -377,7 +378,7 @@
       id = plan.tick(now, 0.99).open;
     }
     plan.refused(id, now, 0.99);
-    const core::Time moved = now + milliseconds(1);
+    const engine::Time moved = now + milliseconds(1);
     REQUIRE(plan.move(moved).open != 0);  // this one stays silent
     CallId next = 0;
     while (next == 0) {
@@ -385,9 +386,9 @@
       now = *plan.next();
       next = plan.tick(now, 0.999).open;
     }
-    CHECK(now - moved + fleet::kMargin < seconds(4));
+    CHECK(now - moved + service_discovery::kMargin < seconds(4));
   }
 }
 
 }  // namespace
-}  // namespace bitternferry::testing
+}  // namespace dispatcher::testing
--- a/tests/dispatcher/chat_test.cpp
+++ b/tests/dispatcher/chat_test.cpp
@@ -4,7 +4,7 @@
 
 #include "world.hpp"
 
-namespace bitternferry::testing {
+namespace dispatcher::testing {
 namespace {
 
 using Json = nlohmann::json;
@@ -294,20 +294,20 @@
 
 TEST_CASE("a conversation keeps its keys from turn to turn", "[chat]") {
   const auto settings = make_settings();
-  const auto config = *chat::parse_config({"chat.json", kChat}, settings);
+  const auto config = *openai_api::parse_config({"chat.json", kChat}, settings);
   Json body = Json::parse(chat_body("ask", false));
-  const auto first = chat::parse_request(body.dump(), config, "acme");
+  const auto first = openai_api::parse_request(body.dump(), config, "acme");
   body["messages"].push_back({{"role", "assistant"}, {"content", "Yes."}});
   body["messages"].push_back({{"role", "user"}, {"content", {{{"type", "text"}, {"text", "Since when?"}}}}});
-  const auto second = chat::parse_request(body.dump(), config, "acme");
+  const auto second = openai_api::parse_request(body.dump(), config, "acme");
   CHECK(first.routing.session == second.routing.session);
   CHECK(first.routing.shared_prefix == second.routing.shared_prefix);
   CHECK(first.routing.prefix_tokens == 6);  // 21 characters
   CHECK(first.routing.prompt_tokens == 10);
   CHECK(second.routing.prompt_tokens == 14);
   body["messages"][1]["content"] = "Another question";
-  CHECK(chat::parse_request(body.dump(), config, "acme").routing.session != first.routing.session);
-  CHECK(chat::parse_request(body.dump(), config, "other").routing.session != second.routing.session);
+  CHECK(openai_api::parse_request(body.dump(), config, "acme").routing.session != first.routing.session);
+  CHECK(openai_api::parse_request(body.dump(), config, "other").routing.session != second.routing.session);
 }
 
 TEST_CASE("a bad file of the front is refused by the name of its field", "[chat]") {
@@ -316,9 +316,9 @@
     Json config = Json::parse(kChat);
     config[Json::json_pointer(path)] = value;
     try {
-      chat::parse_config({"chat.json", config.dump()}, settings);
-    } catch (const record::Errors& e) {
-      const record::Problem& first = e.problems.front();
+      openai_api::parse_config({"chat.json", config.dump()}, settings);
+    } catch (const cue::Errors& e) {
+      const cue::Problem& first = e.problems.front();
       return first.path + ": " + first.what;
     }
     return std::string("none");
@@ -328,7 +328,7 @@
   CHECK(problem("/account", "nobody") == "account: no account 'nobody' in the settings");
   CHECK(problem("/max_open", 0) == "max_open: expected 256 | int & >=1 & <=100000 | null, found 0");
   CHECK(problem("/models/0/deadline", 5) == "models[0].deadline: unknown field");
-  CHECK_FALSE(chat::parse_config({"chat.json", R"({"listen":null})"}, settings).has_value());
+  CHECK_FALSE(openai_api::parse_config({"chat.json", R"({"listen":null})"}, settings).has_value());
 }
 
 // The same mixed traffic through both fronts: the same outcomes, and each effect once.
@@ -400,4 +400,4 @@
 }
 
 }  // namespace
-}  // namespace bitternferry::testing
+}  // namespace dispatcher::testing
--- a/tests/dispatcher/cold_test.cpp
+++ b/tests/dispatcher/cold_test.cpp
@@ -9,7 +9,7 @@
 #include "router_world.hpp"
 #include "world.hpp"
 
-namespace bitternferry::testing {
+namespace dispatcher::testing {
 namespace {
 
 struct Traffic {
@@ -40,8 +40,8 @@
 
 constexpr double kBefore = 6, kAway = 1, kRamp = 8, kAfter = 5;
 
-model::Figures figures(const Scenario& s) {
-  model::Figures f;
+simulation::Figures figures(const Scenario& s) {
+  simulation::Figures f;
   f.zones = 2;
   f.readers = f.writers = 4;
   f.prompt = 1000;
@@ -68,7 +68,7 @@
  public:
   Play(const Scenario& s, std::uint64_t seed)
       : s_(s), figures_(figures(s)), chance_(seed), world_(figures_, s.processes, seed) {
-    world_.listed = [lost = s.lost_writers](const basaltvane::HostEntry& e) {
+    world_.listed = [lost = s.lost_writers](const routing::HostEntry& e) {
       return e.zone != "z0" || e.host[0] != 'w' || e.host.back() - '0' < 4 - lost;
     };
     for (std::size_t i = 0; i < s.processes; ++i)
@@ -158,7 +158,7 @@
   }
 
   Scenario s_;
-  model::Figures figures_;
+  simulation::Figures figures_;
   Chance chance_;
   RouterWorld world_;
   std::vector<double> shares_;
@@ -259,4 +259,4 @@
 }
 
 }  // namespace
-}  // namespace bitternferry::testing
+}  // namespace dispatcher::testing
--- a/tests/dispatcher/config_test.cpp
+++ b/tests/dispatcher/config_test.cpp
@@ -2,15 +2,15 @@
 // it.
 #include <random>
 
-#include "app/dispatcher.hpp"
+#include "daemon/dispatcher.hpp"
 #include "settings/positions.hpp"
 #include "settings/report.hpp"
 #include "world.hpp"
 
-namespace bitternferry::testing {
+namespace dispatcher::testing {
 namespace {
 
-using basaltvane::settings::Positions;
+using dispatcher::settings::Positions;
 using Json = nlohmann::json;
 
 TEST_CASE("a field is found by the line of its key, an array's value by its own", "[config]") {
@@ -116,11 +116,13 @@
 std::string with(std::string text, const std::string& what, const std::string& instead) {
   return text.replace(text.find(what), what.size(), instead);
 }
-app::Config parse(const std::string& text) { return app::parse_config(text, {{"PROXY_CONFIG", "c.json"}}); }
+daemon::Config parse(const std::string& text) {
+  return daemon::parse_config(text, {{"PROXY_CONFIG", "c.json"}});
+}
 std::vector<std::string> wrong(const std::string& text) {
   try {
     parse(text);
-  } catch (const app::ConfigError& e) {
+  } catch (const daemon::ConfigError& e) {
     return e.lines();
   }
   return {};
@@ -182,13 +184,13 @@
 }
 
 TEST_CASE("a reload that contradicts itself is turned down whole, and told line by line", "[config][app]") {
-  app::Loop loop;
+  daemon::Loop loop;
   std::string next = kGood;
   Lines logs;
-  app::Dispatcher dispatcher(
+  daemon::Dispatcher dispatcher(
       loop, parse(kGood), {{"chat.json", kChat}, {}}, [&](std::string_view line) { logs.emplace_back(line); },
       [&] {
-        return app::Files{parse(next), {{"chat.json", kChat}, {}}};
+        return daemon::Files{parse(next), {{"chat.json", kChat}, {}}};
       });
   // A new class, which would show in the line of a reload, beside a contradiction.
   next =
@@ -212,4 +214,4 @@
 }
 
 }  // namespace
-}  // namespace bitternferry::testing
+}  // namespace dispatcher::testing
--- a/tests/dispatcher/console_test.cpp
+++ b/tests/dispatcher/console_test.cpp
@@ -1,14 +1,14 @@
 // The operators' address, and what their word does in the module and the pool.
-#include "console/console.hpp"
+#include "admin/console.hpp"
 
 #include <algorithm>
 #include <random>
 #include <set>
 
-#include "app/config.hpp"
+#include "daemon/config.hpp"
 #include "world.hpp"
 
-namespace bitternferry::testing {
+namespace dispatcher::testing {
 namespace {
 
 struct Desk : Clockwork {
@@ -31,7 +31,7 @@
   }
   bool ready = false;
   std::vector<std::string> told;
-  console::Console console;
+  admin::Console console;
 };
 
 std::string post(const std::string& path) {
@@ -59,7 +59,7 @@
 TEST_CASE("callers that never finish a call give way to the next", "[console]") {
   Desk desk;
   std::vector<std::unique_ptr<StandInClient>> slow;
-  for (std::size_t i = 0; i < 3 * console::kMostCallers; ++i) {
+  for (std::size_t i = 0; i < 3 * admin::kMostCallers; ++i) {
     slow.push_back(desk.caller());
     slow.back()->send("GET /control/re");
   }
@@ -101,10 +101,10 @@
 
 TEST_CASE("PROXY_CONSOLE goes before the file's console", "[console]") {
   const std::string source = R"({"listen":"127.0.0.1:1","discovery":"127.0.0.1:3","console":"here"})";
-  const auto problem = [&](const app::Environment& environment) -> std::string {
+  const auto problem = [&](const daemon::Environment& environment) -> std::string {
     try {
-      app::parse_config(source, environment);
-    } catch (const app::ConfigError& e) {
+      daemon::parse_config(source, environment);
+    } catch (const daemon::ConfigError& e) {
       return e.what();
     }
     return {};
@@ -117,17 +117,17 @@
 // ---- the module ----
 
 struct Fleet {
-  Fleet() : router(make_settings(), 1) { list(basaltvane::ListKind::kFull, {"r1", "r2", "w1", "w2"}); }
-  void list(basaltvane::ListKind kind, const std::vector<std::string>& hosts,
-            basaltvane::HostState state = basaltvane::HostState::kReady) {
-    basaltvane::HostList all{kind, {}};
+  Fleet() : router(make_settings(), 1) { list(routing::ListKind::kFull, {"r1", "r2", "w1", "w2"}); }
+  void list(routing::ListKind kind, const std::vector<std::string>& hosts,
+            routing::HostState state = routing::HostState::kReady) {
+    routing::HostList all{kind, {}};
     for (const std::string& host : hosts)
       all.entries.push_back({host, "here", host[0] == 'r' ? "reader" : "writer", 0, state, 1, {}});
     router.handle(now, all);
   }
   // Where a new request is read; empty: nowhere.
   std::string reader_of_next() {
-    basaltvane::Request r;
+    routing::Request r;
     r.id = "q" + std::to_string(++count);
     r.request_class = "ask";
     r.session = 1;  // a conversation: its texts draw it to where they are kept
@@ -135,12 +135,12 @@
     r.client_deadline = now + seconds(6);
     std::string host;
     for (const auto& action : router.handle(now, r)) {
-      if (const auto* send = std::get_if<basaltvane::Send>(&action)) host = send->host;
+      if (const auto* send = std::get_if<routing::Send>(&action)) host = send->host;
     }
     if (!host.empty()) {
-      basaltvane::Outcome read{r.id, host, 0, basaltvane::Verdict::kRead, milliseconds(50), false, 0, {}};
+      routing::Outcome read{r.id, host, 0, routing::Verdict::kRead, milliseconds(50), false, 0, {}};
       router.handle(now, read);
-      router.handle(now, basaltvane::ClientGone{r.id});
+      router.handle(now, routing::ClientGone{r.id});
     }
     now += milliseconds(100);
     return host;
@@ -151,16 +151,16 @@
     return all;
   }
   void maintain(const std::string& host, bool offline) {
-    router.handle(now, basaltvane::Maintenance{host, offline});
+    router.handle(now, routing::Maintenance{host, offline});
   }
-  basaltvane::Router router;
-  core::Time now = seconds(1000);
+  routing::Router router;
+  engine::Time now = seconds(1000);
   int count = 0;
 };
 
 TEST_CASE("an offline host gets nothing, through lists, leaving and returning", "[console]") {
-  using basaltvane::HostState;
-  using basaltvane::ListKind;
+  using routing::HostState;
+  using routing::ListKind;
   Fleet fleet;
   const std::string home = fleet.reader_of_next(), other = home == "r1" ? "r2" : "r1";
   fleet.maintain(home, true);
@@ -212,4 +212,4 @@
 }
 
 }  // namespace
-}  // namespace bitternferry::testing
+}  // namespace dispatcher::testing
--- a/tests/dispatcher/drain_test.cpp
+++ b/tests/dispatcher/drain_test.cpp
@@ -2,10 +2,10 @@
 #include <array>
 #include <boost/asio/write.hpp>
 
-#include "app/dispatcher.hpp"
+#include "daemon/dispatcher.hpp"
 #include "world.hpp"
 
-namespace bitternferry::testing {
+namespace dispatcher::testing {
 namespace {
 
 // A dispatcher on its own loop and clock, before stand-in replicas on the test's.
@@ -16,15 +16,15 @@
     config.discovery.port(1);  // nobody listens there
     config.settings = make_settings();
     config.known.whole = true;
-    config.known.list.kind = basaltvane::ListKind::kFull;
+    config.known.list.kind = routing::ListKind::kFull;
     add("r", "reader", reader.server.local());
     add("w", "writer", writer.server.local());
-    dispatcher.emplace(loop, config, app::Texts{},
+    dispatcher.emplace(loop, config, daemon::Texts{},
                        [this](std::string_view line) { logs.emplace_back(line); });
     dispatcher->start();
   }
   void add(const std::string& host, const std::string& kind, const net::tcp::endpoint& at) {
-    config.known.list.entries.push_back({host, "here", kind, 0, basaltvane::HostState::kReady, 1, {}});
+    config.known.list.entries.push_back({host, "here", kind, 0, routing::HostState::kReady, 1, {}});
     config.known.addresses.push_back({host, at, true, false, "here", 0});
   }
   // Runs both sides until the condition holds; the bound only ends a test that has failed.
@@ -49,11 +49,11 @@
     return std::make_unique<StandInClient>(work, dispatcher->address());
   }
   Clockwork work;
-  app::Loop loop;
-  app::Config config;
+  daemon::Loop loop;
+  daemon::Config config;
   std::vector<std::string> logs;
   StandInReplica reader, writer;
-  std::optional<app::Dispatcher> dispatcher;
+  std::optional<daemon::Dispatcher> dispatcher;
 };
 
 void keep(StandInReplica&, SlotId, const StandInReplica::Seen&) {}  // its answer is the test's to give
@@ -149,4 +149,4 @@
 }
 
 }  // namespace
-}  // namespace bitternferry::testing
+}  // namespace dispatcher::testing
--- a/tests/dispatcher/endings_test.cpp
+++ b/tests/dispatcher/endings_test.cpp
@@ -9,7 +9,7 @@
 #include "net/ring_buffer.hpp"
 #include "world.hpp"
 
-namespace bitternferry::testing {
+namespace dispatcher::testing {
 namespace {
 
 // A front that keeps its requests until the test answers them.
@@ -25,7 +25,7 @@
   bool at_once = false;  // answers each request from inside its call
 
  private:
-  void on_request(SlotId client, http::Server::Request& request, core::Time) override {
+  void on_request(SlotId client, http::Server::Request& request, engine::Time) override {
     asked.emplace_back(client, std::string(request.target()));
     if (at_once) server.answer(client, 200, "text/plain", "ok");
   }
@@ -289,4 +289,4 @@
 }
 
 }  // namespace
-}  // namespace bitternferry::testing
+}  // namespace dispatcher::testing
--- a/tests/dispatcher/engine_test.cpp
+++ b/tests/dispatcher/engine_test.cpp
@@ -3,77 +3,77 @@
 
 #include "world.hpp"
 
-namespace bitternferry::testing {
+namespace dispatcher::testing {
 namespace {
 
-using basaltvane::Verdict;
+using routing::Verdict;
 
-struct Rig : core::Upstream, core::Answerer {
+struct Rig : engine::Upstream, engine::Answerer {
   Rig()
       : engine(
-            std::make_shared<const basaltvane::Settings>(make_settings()), 1, *this, deadlines,
+            std::make_shared<const routing::Settings>(make_settings()), 1, *this, deadlines,
             [this] { return now; }, [](std::string_view) {}) {
-    basaltvane::HostList list{basaltvane::ListKind::kFull, {}};
+    routing::HostList list{routing::ListKind::kFull, {}};
     for (const std::string host : {"r1", "r2", "w1", "w2"})
       list.entries.push_back(
-          {host, "here", host[0] == 'r' ? "reader" : "writer", 0, basaltvane::HostState::kReady, 1, {}});
+          {host, "here", host[0] == 'r' ? "reader" : "writer", 0, routing::HostState::kReady, 1, {}});
     engine.hosts(list);
   }
   net::SlotId submit(const std::string& id, const std::string& cls = "command") {
-    auto message = std::make_shared<core::Message>();
+    auto message = std::make_shared<engine::Message>();
     message->id = id;
-    basaltvane::Request r;
+    routing::Request r;
     r.id = id;
     r.request_class = cls;
     r.prompt_tokens = 1000;
     r.client_deadline = now + seconds(3);
     return engine.submit(*this, {1, 1}, r, message);
   }
-  void advance(core::Duration time) {
-    for (const core::Time end = now + time; now < end;) {
+  void advance(engine::Duration time) {
+    for (const engine::Time end = now + time; now < end;) {
       now += milliseconds(5);
       deadlines.run(now);
     }
   }
   void read(int attempt) { engine.ended(sent[static_cast<std::size_t>(attempt)], {Verdict::kRead, 0, {}}); }
 
-  void send(core::AttemptId attempt, const std::string& host, std::shared_ptr<const core::Message>,
-            core::Time, core::Time) override {
+  void send(engine::AttemptId attempt, const std::string& host, std::shared_ptr<const engine::Message>,
+            engine::Time, engine::Time) override {
     sent.push_back(attempt);
     story.push_back("send " + host.substr(0, 1));
   }
-  bool abandon(core::AttemptId) override {
+  bool abandon(engine::AttemptId) override {
     story.push_back("abandon");
     return delivered;
   }
-  void pause(core::AttemptId) override { story.push_back("pause"); }
-  void resume(core::AttemptId) override { story.push_back("resume"); }
-  void hold(core::AttemptId, const std::string&, const std::string&) override {}
-  void release(const std::string& id, core::Time until) override {
+  void pause(engine::AttemptId) override { story.push_back("pause"); }
+  void resume(engine::AttemptId) override { story.push_back("resume"); }
+  void hold(engine::AttemptId, const std::string&, const std::string&) override {}
+  void release(const std::string& id, engine::Time until) override {
     story.push_back("release");
     asked_until = until;
     if (answers_releases) deadlines.add(now, [this, id] { engine.released(id); });
   }
   bool present(SlotId) override { return client_there; }
-  bool under_way(core::AttemptId) override { return connected; }
+  bool under_way(engine::AttemptId) override { return connected; }
   void begin(SlotId) override { story.push_back("begin"); }
   bool pass(SlotId, std::string_view) override { return takes_more; }
   void finish(SlotId) override { story.push_back("finish"); }
   void cut(SlotId) override { story.push_back("cut"); }
-  void refuse(SlotId, std::optional<core::Duration> retry_in) override {
+  void refuse(SlotId, std::optional<engine::Duration> retry_in) override {
     story.push_back(retry_in ? "refuse with advice" : "refuse");
   }
-  void fail(SlotId, core::Failure why) override {
-    story.push_back(why == core::Failure::kTooLate ? "fail late" : "fail");
+  void fail(SlotId, engine::Failure why) override {
+    story.push_back(why == engine::Failure::kTooLate ? "fail late" : "fail");
   }
   using Story = std::vector<std::string>;
-  core::Time now = seconds(1'800'000'000);
-  core::Deadlines deadlines;
+  engine::Time now = seconds(1'800'000'000);
+  engine::Deadlines deadlines;
   bool delivered = true, takes_more = true, connected = true, answers_releases = true, client_there = true;
-  core::Time asked_until{};
-  std::vector<core::AttemptId> sent;
+  engine::Time asked_until{};
+  std::vector<engine::AttemptId> sent;
   Story story;
-  core::Engine engine;
+  engine::Engine engine;
 };
 
 TEST_CASE("an attempt that was not connected is none of the few that a request may have", "[core]") {
@@ -81,7 +81,7 @@
     Rig rig;
     auto rules = make_settings();
     rules.free_connects = free_connects;
-    rig.engine.adopt(std::make_shared<const basaltvane::Settings>(rules));
+    rig.engine.adopt(std::make_shared<const routing::Settings>(rules));
     rig.submit("a");
     for (std::size_t i = 0; i < rig.sent.size() && i < 8; ++i)
       rig.engine.ended(rig.sent[i], {Verdict::kConnectFailed, 0, {}});
@@ -118,7 +118,7 @@
   Rig rig;
   auto rules = make_settings();
   rules.free_connects = 16;
-  rig.engine.adopt(std::make_shared<const basaltvane::Settings>(rules));
+  rig.engine.adopt(std::make_shared<const routing::Settings>(rules));
   rig.submit("a");
   rig.engine.ended(rig.sent[0], {Verdict::kReset, 0, {}});
   rig.connected = false;
@@ -285,7 +285,7 @@
   rig.engine.client_gone(id);
   rig.advance(milliseconds(400));
   CHECK(rig.story == Rig::Story{"send r", "abandon", "release"});
-  CHECK(rig.asked_until == core::Time{});
+  CHECK(rig.asked_until == engine::Time{});
 }
 
 TEST_CASE("a state that the router knows of is not released for a read that broke", "[core]") {
@@ -306,7 +306,7 @@
   Rig rig;
   auto rules = make_settings();
   rules.may_cancel = GENERATE(false, true);
-  rig.engine.adopt(std::make_shared<const basaltvane::Settings>(rules));
+  rig.engine.adopt(std::make_shared<const routing::Settings>(rules));
   rig.connected = rig.delivered = false;
   const auto id = rig.submit("a");
   rig.engine.client_gone(id);
@@ -332,7 +332,7 @@
   Rig rig;
   auto rules = make_settings();
   rules.may_cancel = false;
-  rig.engine.adopt(std::make_shared<const basaltvane::Settings>(rules));
+  rig.engine.adopt(std::make_shared<const routing::Settings>(rules));
   rig.submit("a", "ask");
   rig.connected = false;
   rig.engine.ended(rig.sent[0], {Verdict::kReset, 0, {}});
@@ -410,4 +410,4 @@
 }
 
 }  // namespace
-}  // namespace bitternferry::testing
+}  // namespace dispatcher::testing
--- a/tests/dispatcher/fairness_test.cpp
+++ b/tests/dispatcher/fairness_test.cpp
@@ -9,7 +9,7 @@
 #include "router_world.hpp"
 #include "world.hpp"
 
-namespace bitternferry::testing {
+namespace dispatcher::testing {
 namespace {
 
 using End = RouterWorld::End;
@@ -25,8 +25,8 @@
   bool slow = false;  // one reader and one writer work at 0.3 of their speed
 };
 
-basaltvane::Settings settings() {
-  basaltvane::Settings s = make_settings();
+routing::Settings settings() {
+  routing::Settings s = make_settings();
   s.tick = std::chrono::milliseconds(20);
   s.answer_slack = std::chrono::milliseconds(60);
   s.classes.push_back(s.classes[0]);
@@ -42,8 +42,8 @@
   return s;
 }
 
-model::Figures figures() {
-  model::Figures f;
+simulation::Figures figures() {
+  simulation::Figures f;
   f.zones = 2;
   f.readers = f.writers = kReplicas / 2;
   f.prompt = 1000;
@@ -257,16 +257,16 @@
 // The wait in line is the same for all, so that it takes less of a long prompt's time than of a short one's.
 TEST_CASE("a long prompt in time by its own deadline is not hopeless because short ones are late",
           "[fairness]") {
-  const basaltvane::Settings rules = settings();
-  basaltvane::Router router(rules, 1);
+  const routing::Settings rules = settings();
+  routing::Router router(rules, 1);
   Time now = std::chrono::seconds(1000);
-  basaltvane::HostList list{basaltvane::ListKind::kFull, {}};
+  routing::HostList list{routing::ListKind::kFull, {}};
   for (const char* kind : {"reader", "writer"})
-    list.entries.push_back({kind, "z0", kind, 0, basaltvane::HostState::kReady, 1, {}});
+    list.entries.push_back({kind, "z0", kind, 0, routing::HostState::kReady, 1, {}});
   router.handle(now, list);
   const auto ask = [&](const std::string& id, int tokens) {
     const auto& cls = rules.classes[1];
-    basaltvane::Request r;
+    routing::Request r;
     r.id = id;
     r.request_class = cls.name;
     r.tenant = "modest";
@@ -275,14 +275,13 @@
     r.client_deadline = now + cls.deadline + 2 * cls.objective_per_1000_tokens * tokens / 1000;
     const auto actions = router.handle(now, r);
     return std::any_of(actions.begin(), actions.end(),
-                       [](const auto& a) { return std::holds_alternative<basaltvane::Send>(a); });
+                       [](const auto& a) { return std::holds_alternative<routing::Send>(a); });
   };
   const auto serve = [&](const std::string& id) {  // late by an eighth, of which little was reading
     const Duration read = std::chrono::milliseconds(50), write = std::chrono::milliseconds(1330);
-    router.handle(now, basaltvane::Outcome{id, "reader", 0, basaltvane::Verdict::kRead, read, false, 0, {}});
-    router.handle(now, basaltvane::FirstToken{id, "writer", 1, write});
-    router.handle(now,
-                  basaltvane::Outcome{id, "writer", 1, basaltvane::Verdict::kServed, write, true, 0, {}});
+    router.handle(now, routing::Outcome{id, "reader", 0, routing::Verdict::kRead, read, false, 0, {}});
+    router.handle(now, routing::FirstToken{id, "writer", 1, write});
+    router.handle(now, routing::Outcome{id, "writer", 1, routing::Verdict::kServed, write, true, 0, {}});
   };
   for (int i = 0; i < 200; ++i) {
     const std::string id = "s" + std::to_string(i);
@@ -312,4 +311,4 @@
 }
 
 }  // namespace
-}  // namespace bitternferry::testing
+}  // namespace dispatcher::testing
--- a/tests/dispatcher/fleet_figures.cpp
+++ b/tests/dispatcher/fleet_figures.cpp
@@ -3,7 +3,7 @@
 
 #include "fleet_world.hpp"
 
-namespace bitternferry::testing {
+namespace dispatcher::testing {
 namespace {
 
 struct Figures {
@@ -50,9 +50,9 @@
   f.false_suspicions = static_cast<double>(suspicions) / (count - 1) / member_minutes;
   f.false_deaths = static_cast<double>(deaths) / (count - 1) / member_minutes;
 
-  const std::uint64_t key = shared::key_of("s-1");
+  const std::uint64_t key = replicated_state::key_of("s-1");
   const Time written = world.now();
-  world.node(0).set(world.clock(0), shared::kDoubtKind, key, shared::encode({1, 2}));
+  world.node(0).set(world.clock(0), replicated_state::kDoubtKind, key, replicated_state::encode({1, 2}));
   world.until([&] { return world.told(key) * 2 >= count; }, seconds(29));
   f.half_told = to_seconds(world.now() - written);
   world.until([&] { return world.told(key) == count; }, seconds(29) - (world.now() - written));
@@ -63,7 +63,8 @@
   before = bytes_of(world);
   for (Number i = 0; i < 60; ++i) {
     const Number n = i % count;
-    world.node(n).set(world.clock(n), shared::kDoubtKind, 1000 + i, shared::encode({1, 2}));
+    world.node(n).set(world.clock(n), replicated_state::kDoubtKind, 1000 + i,
+                      replicated_state::encode({1, 2}));
     world.run(seconds(1));
   }
   f.busy_bytes = static_cast<double>(bytes_of(world) - before) / 60 / count;
@@ -132,12 +133,12 @@
         p.add(membership::Claim{77, {life, 1}, Standing::kSuspect, 5});
       },
       by_hand({77, life, 1, 5}));
-  shared::Row row;
-  row.place = {1, shared::key_of("s-5be2a07c"), 42};
+  replicated_state::Row row;
+  row.place = {1, replicated_state::key_of("s-5be2a07c"), 42};
   row.life = life;
   row.version = 300;
   row.age = seconds(2);
-  const auto payload = shared::encode({3, 4});
+  const auto payload = replicated_state::encode({3, 4});
   row.payload.assign(payload.begin(), payload.end());
   const std::size_t own = by_hand({1, row.place.key, 300, 200}) + 1 + 2 + 1;  // flags, payload, its length
   print(
@@ -148,19 +149,19 @@
   print(
       "summary",
       [](Packer& p) {
-        p.add(shared::Summary{77, 300, 1}, false);
+        p.add(replicated_state::Summary{77, 300, 1}, false);
       },
       by_hand({77, 300}) + 4);
   print(
       "ask",
       [](Packer& p) {
-        p.add(shared::Ask{{1, 1000}, 300, 0, 500});
+        p.add(replicated_state::Ask{{1, 1000}, 300, 0, 500});
       },
       by_hand({1, 1000, 300, 0, 500}));
   print(
       "grant",
       [&](Packer& p) {
-        p.add(shared::Grant{{1, 1000}, life, 300, 500, seconds(10)});
+        p.add(replicated_state::Grant{{1, 1000}, life, 300, 500, seconds(10)});
       },
       by_hand({1, 1000, life, 300, 500, 10000}));
 }
@@ -189,4 +190,4 @@
 }
 
 }  // namespace
-}  // namespace bitternferry::testing
+}  // namespace dispatcher::testing
--- a/tests/dispatcher/fleet_test.cpp
+++ b/tests/dispatcher/fleet_test.cpp
@@ -4,15 +4,15 @@
 #include <queue>
 #include <random>
 
-#include "discovery/watch.hpp"
-#include "fleet/backoff.hpp"
+#include "service_discovery/backoff.hpp"
+#include "service_discovery/watch.hpp"
 #include "world.hpp"
 
-namespace bitternferry::testing {
+namespace dispatcher::testing {
 namespace {
 
-using fleet::Backoff;
-using fleet::BackoffShape;
+using service_discovery::Backoff;
+using service_discovery::BackoffShape;
 
 // A discovery of fixed capacity: calls wait in turn, each costs it the same, and one that waited for 2 s by
 // then is refused. All of the fleet lose their watch in one moment and ask again after their pauses. Returns
@@ -20,17 +20,17 @@
 struct Outage {
   int back = 0, calls = 0;
 };
-Outage outage(int dispatchers, const BackoffShape& shape, core::Duration after,
-              core::Duration cost = milliseconds(50)) {
-  const core::Duration patience = fleet::kOverbookedWait;
+Outage outage(int dispatchers, const BackoffShape& shape, engine::Duration after,
+              engine::Duration cost = milliseconds(50)) {
+  const engine::Duration patience = service_discovery::kOverbookedWait;
   std::mt19937_64 chance(7);
   std::uniform_real_distribution<double> draw(0, 1);
   std::vector<Backoff> fleet(static_cast<std::size_t>(dispatchers), Backoff(shape));
-  using Call = std::pair<core::Time, std::size_t>;
+  using Call = std::pair<engine::Time, std::size_t>;
   std::priority_queue<Call, std::vector<Call>, std::greater<>> calls;
   for (std::size_t i = 0; i < fleet.size(); ++i) calls.emplace(fleet[i].failed(draw(chance)), i);
   Outage result;
-  core::Time free{};  // when it has done with the calls before
+  engine::Time free{};  // when it has done with the calls before
   while (!calls.empty() && calls.top().first < after) {
     const auto [at, who] = calls.top();
     calls.pop();
@@ -48,22 +48,24 @@
   CHECK(outage(100, fixed, seconds(120)).back < 50);
   // A change must be known 6 s after it could be, so no pause is longer than kLongestPause, and a fleet that
   // is refused comes again within 5 s: 300 dispatchers can only be relieved where they can be served so fast.
-  const core::Duration cost = milliseconds(50), less = milliseconds(20);
+  const engine::Duration cost = milliseconds(50), less = milliseconds(20);
   CHECK(outage(300, fixed, seconds(120), less).back < 150);
   for (const auto& [dispatchers, each] : {std::pair{1, cost}, {3, cost}, {100, cost}, {300, less}}) {
-    const Outage relieved = outage(dispatchers, fleet::list_calls(dispatchers), seconds(120), each);
+    const Outage relieved =
+        outage(dispatchers, service_discovery::list_calls(dispatchers), seconds(120), each);
     CHECK(relieved.back == dispatchers);
     CHECK(relieved.calls <= 6 * dispatchers);
   }
-  CHECK(outage(3, fleet::list_calls(3), milliseconds(400)).back == 3);  // few have no reason to wait
+  CHECK(outage(3, service_discovery::list_calls(3), milliseconds(400)).back ==
+        3);  // few have no reason to wait
 }
 
 TEST_CASE("the pause of a fleet is bounded, whatever size the configuration tells", "[fleet]") {
   for (const int dispatchers : {-5, 0, 1, 3, 10})
-    CHECK(fleet::list_calls(dispatchers).first == milliseconds(200));
+    CHECK(service_discovery::list_calls(dispatchers).first == milliseconds(200));
   for (const int dispatchers : {100, 300, 2'000'000'000}) {
-    CHECK(fleet::list_calls(dispatchers).first == seconds(2));
-    CHECK(fleet::list_calls(dispatchers).most == fleet::kLongestPause);
+    CHECK(service_discovery::list_calls(dispatchers).first == seconds(2));
+    CHECK(service_discovery::list_calls(dispatchers).most == service_discovery::kLongestPause);
   }
 }
 
@@ -78,8 +80,8 @@
   b.succeeded();
   CHECK(b.failed(0.0) == milliseconds(200));
   Backoff odd({milliseconds(0), milliseconds(0), -3, 7});  // nonsense is clamped to something that works
-  CHECK(odd.failed(-1) >= core::Duration(1));
-  CHECK(odd.failed(5) >= core::Duration(1));
+  CHECK(odd.failed(-1) >= engine::Duration(1));
+  CHECK(odd.failed(5) >= engine::Duration(1));
 }
 
 TEST_CASE("a watch whose discovery drops every connection asks ever less often, up to its cap",
@@ -98,9 +100,9 @@
     });
   };
   accept();
-  discovery::Watch watch(
+  service_discovery::Watch watch(
       work.io, agent.local_endpoint(), work.deadlines, work.clock(), [](std::string_view) {},
-      [](const discovery::Servers&) {}, 100, 3);
+      [](const service_discovery::Servers&) {}, 100, 3);
   watch.start(1);
   work.settle();
   work.advance(seconds(10));
@@ -110,4 +112,4 @@
 }
 
 }  // namespace
-}  // namespace bitternferry::testing
+}  // namespace dispatcher::testing
--- a/tests/dispatcher/fleet_world.cpp
+++ b/tests/dispatcher/fleet_world.cpp
@@ -2,12 +2,12 @@
 
 #include <algorithm>
 
-namespace bitternferry::testing {
+namespace dispatcher::testing {
 
 FleetWorld::FleetWorld(Number count, std::uint64_t seed, gossip::Options options)
     : skew(count), rate(count, 1.0), options_(options), seed_(seed), random_(seed), members_(count) {
   options_.count = count;
-  kinds.add(shared::doubt_kind());
+  kinds.add(replicated_state::doubt_kind());
 }
 
 Time FleetWorld::clock(Number n) const {
@@ -117,8 +117,8 @@
   Number found = 0;
   for (Number n = 0; n < count(); ++n) {
     if (!runs(n)) continue;
-    node(n).rows().each(clock(n), shared::kDoubtKind,
-                        [&](const shared::Heard& heard) { found += heard.key == key; });
+    node(n).rows().each(clock(n), replicated_state::kDoubtKind,
+                        [&](const replicated_state::Heard& heard) { found += heard.key == key; });
   }
   return found;
 }
@@ -130,4 +130,4 @@
   return true;
 }
 
-}  // namespace bitternferry::testing
+}  // namespace dispatcher::testing
--- a/tests/dispatcher/fleet_world.hpp
+++ b/tests/dispatcher/fleet_world.hpp
@@ -1,7 +1,7 @@
 // A fleet of nodes in virtual time with a network that loses, delays, repeats and cuts: everything follows
 // from the seed. Each member has a clock of its own, off by an offset and a rate.
-#ifndef BITTERNFERRY_TESTS_DISPATCHER_FLEET_WORLD_HPP_
-#define BITTERNFERRY_TESTS_DISPATCHER_FLEET_WORLD_HPP_
+#ifndef DISPATCHER_TESTS_DISPATCHER_FLEET_WORLD_HPP_
+#define DISPATCHER_TESTS_DISPATCHER_FLEET_WORLD_HPP_
 
 #include <catch2/catch.hpp>
 #include <deque>
@@ -13,9 +13,9 @@
 #include <vector>
 
 #include "gossip/node.hpp"
-#include "shared/doubt.hpp"
+#include "replicated_state/doubt.hpp"
 
-namespace bitternferry::testing {
+namespace dispatcher::testing {
 
 using gossip::Node;
 using membership::Number;
@@ -23,7 +23,7 @@
 using std::chrono::microseconds;
 using std::chrono::milliseconds;
 using std::chrono::seconds;
-using Time = basaltvane::Time;
+using Time = routing::Time;
 
 struct Weather {
   double loss = 0, repeated = 0;
@@ -60,7 +60,7 @@
   std::vector<double> rate;        // of each steady clock
   std::function<void(Number observer, const membership::Change&)> on_change;
   std::function<void(Number from, Number to, std::span<const std::uint8_t>)> on_datagram;
-  shared::Kinds kinds;
+  replicated_state::Kinds kinds;
 
  private:
   struct Member {
@@ -88,6 +88,6 @@
   std::uint64_t lives_ = 0;
 };
 
-}  // namespace bitternferry::testing
+}  // namespace dispatcher::testing
 
-#endif  // BITTERNFERRY_TESTS_DISPATCHER_FLEET_WORLD_HPP_
+#endif  // DISPATCHER_TESTS_DISPATCHER_FLEET_WORLD_HPP_
--- a/tests/dispatcher/gossip_test.cpp
+++ b/tests/dispatcher/gossip_test.cpp
@@ -9,7 +9,7 @@
 #include "property.hpp"
 #include "world.hpp"
 
-namespace bitternferry::testing {
+namespace dispatcher::testing {
 namespace {
 
 using gossip::Drop;
@@ -17,7 +17,7 @@
 using gossip::Options;
 using gossip::Speaker;
 using gossip::udp;
-using shared::Doubt;
+using replicated_state::Doubt;
 
 // Stands between the members: each has an address here, datagrams to it come late or not at all, and from the
 // sender's address here.
@@ -77,7 +77,8 @@
 };
 
 struct Process {
-  Process(Clockwork& work, const shared::Kinds& kinds, const Links& links, Number number, Number count)
+  Process(Clockwork& work, const replicated_state::Kinds& kinds, const Links& links, Number number,
+          Number count)
       : node(options(number, count), kinds, 1'800'000'000'000 + number, 40 + number, work.now),
         speaker(work.io, links, node, work.deadlines, work.clock()) {}
   static Options options(Number number, Number count) {
@@ -90,19 +91,20 @@
   Speaker speaker;
 };
 
-std::optional<std::pair<Doubt, shared::Duration>> read_doubt(const Node& node, Time now,
-                                                             std::string_view replica) {
-  std::optional<std::pair<Doubt, shared::Duration>> found;
-  node.rows().each(now, shared::kDoubtKind, [&](const shared::Heard& heard) {
-    if (heard.key == shared::key_of(replica)) found.emplace(*shared::decode_doubt(heard.payload), heard.age);
+std::optional<std::pair<Doubt, replicated_state::Duration>> read_doubt(const Node& node, Time now,
+                                                                       std::string_view replica) {
+  std::optional<std::pair<Doubt, replicated_state::Duration>> found;
+  node.rows().each(now, replicated_state::kDoubtKind, [&](const replicated_state::Heard& heard) {
+    if (heard.key == replicated_state::key_of(replica))
+      found.emplace(*replicated_state::decode_doubt(heard.payload), heard.age);
   });
   return found;
 }
 
 TEST_CASE("two processes over UDP: a doubt that one has, the other reads with its age", "[gossip]") {
   Clockwork work;
-  shared::Kinds kinds;
-  kinds.add(shared::doubt_kind());
+  replicated_state::Kinds kinds;
+  kinds.add(replicated_state::doubt_kind());
   Relay relay(work, 2);
   relay.loss = 0.3;
   Process a(work, kinds, relay.links(0), 0, 2), b(work, kinds, relay.links(1), 1, 2);
@@ -117,7 +119,8 @@
   for (int i = 0; i < 100 && !both(); ++i) work.advance(milliseconds(100));
   REQUIRE(both());
 
-  REQUIRE(a.node.set(work.now, shared::kDoubtKind, shared::key_of("s-5be2a07c"), shared::encode({3, 4})));
+  REQUIRE(a.node.set(work.now, replicated_state::kDoubtKind, replicated_state::key_of("s-5be2a07c"),
+                     replicated_state::encode({3, 4})));
   a.speaker.poke();
   const Time written = work.now;
   for (int i = 0; i < 200 && !read_doubt(b.node, work.now, "s-5be2a07c"); ++i)
@@ -157,12 +160,12 @@
   return {datagram->bytes().begin(), datagram->bytes().end()};
 }
 
-shared::Row any_row(std::mt19937_64& random) {
-  shared::Row row;
+replicated_state::Row any_row(std::mt19937_64& random) {
+  replicated_state::Row row;
   row.place = {static_cast<std::uint32_t>(random() % 20), random() >> (random() % 64),
                static_cast<Number>(random() % 40)};
   row.life = 1 + random() % membership::kMostLife;
-  row.version = 1 + random() % shared::kMostVersion;
+  row.version = 1 + random() % replicated_state::kMostVersion;
   row.gone = random() % 4 == 0;
   row.age = milliseconds(10) * static_cast<int>(random() % 6000);
   row.payload.assign(random() % 41, static_cast<std::uint8_t>(random()));
@@ -180,7 +183,7 @@
                  1 + static_cast<std::uint32_t>(random() >> 33U)};
         Packer packer(s);
         std::vector<Claim> claims;
-        std::vector<shared::Row> rows;
+        std::vector<replicated_state::Row> rows;
         std::size_t asks = 0, grants = 0, returns = 0, summaries = 0;
         const std::optional<Probe> probe =
             random() % 2 == 0
@@ -202,24 +205,26 @@
               break;
             }
             case 1: {
-              const shared::Row r = any_row(random);
+              const replicated_state::Row r = any_row(random);
               if (packer.add(r)) rows.push_back(r);
               break;
             }
             case 2:
-              asks += packer.add(shared::Ask{
+              asks += packer.add(replicated_state::Ask{
                   {1, random()}, 1 + static_cast<std::uint32_t>(random() >> 33U), 0, 1 + random() % 1000});
               break;
             case 3:
-              grants += packer.add(shared::Grant{{1, random()}, kLife, 9, random() % 1000, seconds(10)});
+              grants +=
+                  packer.add(replicated_state::Grant{{1, random()}, kLife, 9, random() % 1000, seconds(10)});
               break;
             case 4:
-              returns += packer.add(shared::Return{{1, random()}, 9});
+              returns += packer.add(replicated_state::Return{{1, random()}, 9});
               break;
             case 5:
-              summaries += packer.add(shared::Summary{static_cast<Number>(random() % 40), random() % 1000,
-                                                      static_cast<std::uint32_t>(random())},
-                                      random() % 2 == 0);
+              summaries +=
+                  packer.add(replicated_state::Summary{static_cast<Number>(random() % 40), random() % 1000,
+                                                       static_cast<std::uint32_t>(random())},
+                             random() % 2 == 0);
               break;
           }
         }
@@ -239,7 +244,7 @@
         RC_ASSERT(m->summaries.size() == summaries);
         RC_ASSERT(m->rows.size() == rows.size());
         for (std::size_t i = 0; i < rows.size(); ++i) {
-          const shared::Row &a = rows[i], &b = m->rows[i];
+          const replicated_state::Row &a = rows[i], &b = m->rows[i];
           RC_ASSERT(a.place == b.place);
           RC_ASSERT(std::tie(a.life, a.version, a.gone, a.age, a.payload) ==
                     std::tie(b.life, b.version, b.gone, b.age, b.payload));
@@ -255,11 +260,11 @@
 
 // Sends one datagram as it is to a node that knows nobody yet, and tells why it was dropped.
 struct Receiver {
-  shared::Kinds kinds;
+  replicated_state::Kinds kinds;
   Options options;
   std::unique_ptr<Node> node;
   Receiver() {
-    kinds.add(shared::doubt_kind());
+    kinds.add(replicated_state::doubt_kind());
     options.count = 40;
     options.tier = 2;
     node = std::make_unique<Node>(options, kinds, kLife, 1, seconds(10));
@@ -343,8 +348,8 @@
   packer.add(Claim{6, {kLife, 0}, Standing::kSuspect, 77});
   packer.add(Claim{8, {kLife, 0}, static_cast<Standing>(4), 0});
   packer.add(Claim{7, {kLife, 0}, Standing::kAlive, 0});
-  shared::Row row;
-  row.place = {shared::kDoubtKind, 1, 3};
+  replicated_state::Row row;
+  row.place = {replicated_state::kDoubtKind, 1, 3};
   row.life = kLife;
   row.version = 0;
   packer.add(row);
@@ -404,7 +409,7 @@
   FleetWorld world(20, 21);
   world.start_all();
   REQUIRE(world.until([&] { return world.all_alive(); }, seconds(20)));
-  world.node(4).set(world.clock(4), shared::kDoubtKind, 99, shared::encode({1, 2}));
+  world.node(4).set(world.clock(4), replicated_state::kDoubtKind, 99, replicated_state::encode({1, 2}));
   world.run(milliseconds(100));
   CHECK(world.told(99) == 20);
   // Nobody hears the owner but one; from there it goes on.
@@ -413,7 +418,7 @@
     if (n != 4 && n != 5) others.insert(n);
   }
   world.cut({4}, others);
-  world.node(4).set(world.clock(4), shared::kDoubtKind, 100, shared::encode({1, 2}));
+  world.node(4).set(world.clock(4), replicated_state::kDoubtKind, 100, replicated_state::encode({1, 2}));
   world.run(milliseconds(100));
   CHECK(world.told(100) <= 2);
   CHECK(world.until([&] { return world.told(100) == 20; }, seconds(25)));
@@ -426,7 +431,7 @@
   world.start_all();
   world.run(seconds(20));
   for (Number n = 0; n < 15; ++n)
-    world.node(n).set(world.clock(n), shared::kDoubtKind, n, shared::encode({1, 2}));
+    world.node(n).set(world.clock(n), replicated_state::kDoubtKind, n, replicated_state::encode({1, 2}));
   CHECK(world.until(
       [&] {
         for (Number n = 0; n < 15; ++n) {
@@ -454,7 +459,8 @@
   const auto before = world.node(0).counts().sent_bytes;
   for (std::uint32_t i = 0; i < 300; ++i) {
     for (Number n = 0; n < 20; ++n)
-      world.node(n).set(world.clock(n), shared::kDoubtKind, i % 40, shared::encode({i % 50, 50}));
+      world.node(n).set(world.clock(n), replicated_state::kDoubtKind, i % 40,
+                        replicated_state::encode({i % 50, 50}));
     // A flood of pings, each owed an answer.
     for (std::uint32_t k = 0; k < 20; ++k) {
       Packer packer(Sender{0, 20, 19, world.node(19).members().incarnation(), 1'000'000 + i * 20 + k});
@@ -474,8 +480,8 @@
   FleetWorld world(count, 24);
   world.weather = {0.2, 0.2, milliseconds(1), milliseconds(500)};
   for (Number n = 0; n < count; ++n) world.rate[n] = 1 + 0.001 * (static_cast<int>(n % 3) - 1);
-  const shared::Whole rate{{1, 7}, shared::Nature::kRate, 8000, seconds(5)};
-  const shared::Whole units{{2, 7}, shared::Nature::kSpent, 800, {}};
+  const replicated_state::Whole rate{{1, 7}, replicated_state::Nature::kRate, 8000, seconds(5)};
+  const replicated_state::Whole units{{2, 7}, replicated_state::Nature::kSpent, 800, {}};
   std::uint64_t spent = 0;
   const auto begin = [&](Number n, bool first) {
     world.start(n);
@@ -534,7 +540,7 @@
 TEST_CASE("a need is met by members that have no need, and goes back when they do", "[gossip]") {
   FleetWorld world(5, 25);
   world.start_all();
-  const shared::Whole rate{{1, 7}, shared::Nature::kRate, 5000, seconds(5)};
+  const replicated_state::Whole rate{{1, 7}, replicated_state::Nature::kRate, 5000, seconds(5)};
   for (Number n = 0; n < 5; ++n) world.node(n).rights().open(world.clock(n), rate, true);
   world.run(seconds(20));
   const auto rate_of = [&](Number n) { return world.node(n).rights().rate(world.clock(n), rate.id); };
@@ -554,7 +560,7 @@
   try {
     Links links;
     gossip::parse_config({"fleet.cue", file}, make_settings(), links);
-  } catch (const record::Errors& e) {
+  } catch (const cue::Errors& e) {
     return e.what();
   }
   return "";
@@ -570,15 +576,15 @@
 }
 
 TEST_CASE("the file of settings: off as it ships, its bounds, and errors that name the field", "[gossip]") {
-  const record::File shipped{"deploy/fleet.cue", [] {
-                               std::ifstream in(BITTERNFERRY_SOURCE "/deploy/fleet.cue");
-                               return std::string(std::istreambuf_iterator<char>(in), {});
-                             }()};
+  const cue::File shipped{"deploy/fleet.cue", [] {
+                            std::ifstream in(DISPATCHER_SOURCE "/deploy/fleet.cue");
+                            return std::string(std::istreambuf_iterator<char>(in), {});
+                          }()};
   auto settings = make_settings();
   settings.router_count = 4;
   settings.router_number = 2;
   CHECK_FALSE(gossip::parse_config(shipped, settings, links_for(4)));
-  record::File on = shipped;
+  cue::File on = shipped;
   on.text.replace(on.text.find("share: false"), 12, "share: true");
   const auto config = gossip::parse_config(on, settings, links_for(4));
   REQUIRE(config);
@@ -629,8 +635,8 @@
 
 TEST_CASE("a speaker takes nothing from addresses that it does not know", "[gossip]") {
   Clockwork work;
-  shared::Kinds kinds;
-  kinds.add(shared::doubt_kind());
+  replicated_state::Kinds kinds;
+  kinds.add(replicated_state::doubt_kind());
   Links links = links_for(2);
   links.listen->port(0);
   Process p(work, kinds, links, 0, 2);
@@ -653,4 +659,4 @@
 }
 
 }  // namespace
-}  // namespace bitternferry::testing
+}  // namespace dispatcher::testing
--- a/tests/dispatcher/held_states_test.cpp
+++ b/tests/dispatcher/held_states_test.cpp
@@ -1,14 +1,14 @@
 // What may be held for a request: each end of an attempt alone, and the orders in which they come.
-#include "core/held_states.hpp"
+#include "engine/held_states.hpp"
 
 #include <catch2/catch.hpp>
 
-#include "replica/exchange.hpp"
+#include "upstream/exchange.hpp"
 
-namespace bitternferry::core {
+namespace dispatcher::engine {
 namespace {
 
-using basaltvane::Verdict;
+using routing::Verdict;
 
 constexpr Time kNow = std::chrono::seconds(100), kUntil = std::chrono::seconds(105);
 
@@ -73,11 +73,11 @@
 TEST_CASE("a stream whose last event is cut short had begun", "[held]") {
   http::ResponseReader::Message message;
   message.result(200);
-  CHECK(replica::judge(message, "data: {\"a\"", {}).verdict == Verdict::kReset);
-  CHECK(replica::judge(message, "data: {\"a\"", {}).note == 1);
-  CHECK(replica::judge(message, ": X-Backend-Load: {}", {}).verdict == Verdict::kServed);
-  CHECK(replica::judge(message, "", {}).verdict == Verdict::kServed);
+  CHECK(upstream::judge(message, "data: {\"a\"", {}).verdict == Verdict::kReset);
+  CHECK(upstream::judge(message, "data: {\"a\"", {}).note == 1);
+  CHECK(upstream::judge(message, ": X-Backend-Load: {}", {}).verdict == Verdict::kServed);
+  CHECK(upstream::judge(message, "", {}).verdict == Verdict::kServed);
 }
 
 }  // namespace
-}  // namespace bitternferry::core
+}  // namespace dispatcher::engine
--- a/tests/dispatcher/json_framer_test.cpp
+++ b/tests/dispatcher/json_framer_test.cpp
@@ -1,15 +1,15 @@
 // Objects cut out of a stream of bytes.
-#include "discovery/json_framer.hpp"
+#include "service_discovery/json_framer.hpp"
 
 #include <algorithm>
 #include <catch2/catch.hpp>
 #include <nlohmann/json.hpp>
 #include <random>
 
-namespace bitternferry::testing {
+namespace dispatcher::testing {
 namespace {
 
-using discovery::JsonFramer;
+using service_discovery::JsonFramer;
 using Json = nlohmann::json;
 
 std::vector<std::string> feed_in_cuts(JsonFramer& framer, const std::string& text, std::mt19937_64& random) {
@@ -84,4 +84,4 @@
 }
 
 }  // namespace
-}  // namespace bitternferry::testing
+}  // namespace dispatcher::testing
--- a/tests/dispatcher/levels_test.cpp
+++ b/tests/dispatcher/levels_test.cpp
@@ -7,32 +7,32 @@
 #include <random>
 #include <sstream>
 
-#include "levels/state_machine.hpp"
+#include "degradation/state_machine.hpp"
 
-namespace bitternferry::testing {
+namespace dispatcher::testing {
 namespace {
 
-using namespace levels;
-using match::Kind;
-using match::Value;
+using namespace degradation;
+using expression::Kind;
+using expression::Value;
 using std::chrono::milliseconds;
 using std::chrono::minutes;
 using std::chrono::seconds;
 using Told = std::vector<std::string>;
 
-match::Environment make_signals() {
-  match::Environment e;
+expression::Environment make_signals() {
+  expression::Environment e;
   e.add({"ready.readers", Kind::kDouble, true, 0, {}});
   e.add({"late.command", Kind::kDouble, true, 0, {}});
   e.add({"open", Kind::kInt, true, 0, {}});
   return e;
 }
-match::Environment make_request() {
-  match::Environment e = make_signals();
+expression::Environment make_request() {
+  expression::Environment e = make_signals();
   e.add({"request.account", Kind::kString, true, 64, {}});
   return e;
 }
-const match::Environment kSignals = make_signals(), kRequest = make_request();
+const expression::Environment kSignals = make_signals(), kRequest = make_request();
 
 const std::string kLevels = R"cue(levels: [
 	{
@@ -56,9 +56,9 @@
 Told problems(const std::string& text) {
   try {
     levels_of(text);
-  } catch (const record::Errors& e) {
+  } catch (const cue::Errors& e) {
     Told all;
-    for (const auto& p : e.problems) all.push_back(record::to_text("l", p));
+    for (const auto& p : e.problems) all.push_back(cue::to_text("l", p));
     return all;
   }
   return {};
@@ -68,7 +68,7 @@
   explicit Run(const std::string& text = kLevels) : machine(levels_of(text)) {}
   // `late`, `ready`: negative: the signal is missing.
   void step(double late, double ready, Duration time = seconds(1)) {
-    const auto value = [](double v) { return v < 0 ? Value::of(match::Fault::kAbsent) : Value::of(v); };
+    const auto value = [](double v) { return v < 0 ? Value::of(expression::Fault::kAbsent) : Value::of(v); };
     const std::vector<Value> signals = {value(ready), value(late), Value::of(std::int64_t{5})};
     now += time;
     if (machine.step(signals, now)) changes.push_back(machine.history().back());
@@ -117,7 +117,7 @@
                      "commands-only reduced left: ready.readers > 0.55",
                      "reduced spare left: late.command < 0.10 && ready.readers > 0.8",
                      "spare normal left: late.command < 0.04"});
-  CHECK(match::to_text(run.machine.history().front().signals[0]) == "0.3");
+  CHECK(expression::to_text(run.machine.history().front().signals[0]) == "0.3");
 }
 
 TEST_CASE("load that hovers at a boundary changes levels seldom", "[levels]") {
@@ -297,7 +297,7 @@
       const auto from = *run.machine.levels().find(c.from), to = *run.machine.levels().find(c.to);
       if (c.cause == Change::Cause::kLeft) CHECK(to + 1 == from);
       const Level& l = run.machine.levels().levels()[std::max(from, to) - 1];
-      match::Scratch scratch;
+      expression::Scratch scratch;
       run.machine.levels().reserve(scratch);
       CHECK((c.cause == Change::Cause::kLeft ? l.leave : l.enter).run(c.signals, scratch).is(true));
     }
@@ -308,4 +308,4 @@
 }
 
 }  // namespace
-}  // namespace bitternferry::testing
+}  // namespace dispatcher::testing
