--- a/tests/dispatcher/levels_world_test.cpp
+++ b/tests/dispatcher/levels_world_test.cpp
@@ -4,17 +4,17 @@
 #include <fstream>
 #include <sstream>
 
-#include "app/dispatcher.hpp"
-#include "console/console.hpp"
-#include "levels/control.hpp"
+#include "admin/console.hpp"
+#include "daemon/dispatcher.hpp"
+#include "degradation/control.hpp"
 #include "world.hpp"
 
-namespace bitternferry::testing {
+namespace dispatcher::testing {
 namespace {
 
-using namespace levels;
-using basaltvane::HostState;
-using match::Value;
+using namespace degradation;
+using expression::Value;
+using routing::HostState;
 using Json = nlohmann::json;
 
 const std::string kSome =
@@ -24,11 +24,11 @@
     "\"ready.readers > 0.6\", shed: [{classes: [\"ask\"], retry_ms: {least: 700, most: 900}}]}]";
 
 struct Steered {
-  explicit Steered(const std::string& text, core::Clock clock = {})
+  explicit Steered(const std::string& text, engine::Clock clock = {})
       : control(
             settings, Control::read({"l.cue", text}, settings), clock ? clock : [this] { return now; },
             [this](std::string_view line) { logs.emplace_back(line); }, [] { return 0.5; }) {}
-  basaltvane::Settings settings = make_settings();
+  routing::Settings settings = make_settings();
   Time now = seconds(1'800'000'000);
   std::vector<std::string> logs;
   Control control;
@@ -37,7 +37,7 @@
 std::string signal(Signals& s, const std::string& name, std::optional<Time> heard, Time now) {
   const auto settings = make_settings();
   const auto fields = Signals::fields(settings);
-  return match::to_text(s.values(3, heard, now)[static_cast<std::size_t>(fields.find(name))]);
+  return expression::to_text(s.values(3, heard, now)[static_cast<std::size_t>(fields.find(name))]);
 }
 
 TEST_CASE("signals tell shares of what is known, and nothing of what is not", "[levels]") {
@@ -59,19 +59,19 @@
   CHECK(is("late.ask") == absent);
 
   CHECK(is("ready.readers") == absent);
-  basaltvane::HostList list{basaltvane::ListKind::kFull, {}};
+  routing::HostList list{routing::ListKind::kFull, {}};
   for (const auto& [name, zone] : std::vector<std::pair<std::string, std::string>>{
            {"r1", "a"}, {"r2", "a"}, {"r3", "b"}, {"r4", "b"}, {"r5", "b"}})
     list.entries.push_back({name, zone, "reader", 0, HostState::kReady, 1, {}});
   s.hosts(list, now);
   CHECK(is("ready.readers") == "1");
   CHECK(is("ready.writers") == absent);
-  basaltvane::HostList lost{basaltvane::ListKind::kDelta, {}};
+  routing::HostList lost{routing::ListKind::kDelta, {}};
   lost.entries = {{"r3", "b", "reader", 0, HostState::kGone, 1, {}},
                   {"r4", "b", "reader", 0, HostState::kDraining, 1, {}}};
   s.hosts(lost, now);
   CHECK(is("ready.readers") == "0.6");
-  CHECK(is("ready.least_zone_readers") == match::to_text(Value::of(1.0 / 3)));
+  CHECK(is("ready.least_zone_readers") == expression::to_text(Value::of(1.0 / 3)));
   CHECK(signal(s, "ready.readers", now - seconds(11), now) == absent);  // an old list says nothing
   CHECK(signal(s, "ready.readers", std::nullopt, now) == absent);
   for (int i = 0; i < 40; ++i) {  // after half an hour what is left is what there is
@@ -80,9 +80,9 @@
   }
   CHECK(is("ready.readers") == "1");
 
-  CHECK(match::to_text(s.use("acme", now)) == "0");
+  CHECK(expression::to_text(s.use("acme", now)) == "0");
   for (int i = 0; i < 5000; ++i) s.asked("acme", now);
-  CHECK(match::to_text(s.use("acme", now)) == "0.5");  // 500 a second of 1,000
+  CHECK(expression::to_text(s.use("acme", now)) == "0.5");  // 500 a second of 1,000
   CHECK(s.use("nobody", now).failed());
 }
 
@@ -94,7 +94,7 @@
         [](StandInReplica& r, SlotId client, const StandInReplica::Seen&) { r.stream(client, {"a"}, false); },
         kChat);
     Steered s(kSome, world.clock());
-    limits::Gate gate(1);
+    rate_limit::Gate gate(1);
     world.platform.attach(gate);
     world.platform.attach(s.control);
     world.chat->attach(gate);
@@ -133,10 +133,10 @@
   for (const bool through_chat : {true, false}) {
     World world(read_well, write_well, kChat);
     Steered s(kSome, world.clock());
-    basaltvane::Settings narrow = make_settings();
+    routing::Settings narrow = make_settings();
     narrow.tenants = {{"acme", 1.0}};  // one request a second
     s.control.adopt(narrow, Control::read({"l.cue", kSome}, narrow));
-    limits::Gate gate(1);
+    rate_limit::Gate gate(1);
     world.platform.attach(gate);
     world.platform.attach(s.control);
     world.chat->attach(gate);
@@ -202,7 +202,7 @@
 TEST_CASE("the console shows levels, pins them and lets go", "[levels][console]") {
   Clockwork work;
   Steered s(kSome, work.clock());
-  console::Console console(
+  admin::Console console(
       work.io, loopback(), work.deadlines, work.clock(),
       {[] { return true; }, [](const std::string&, bool) { return false; }, [&] { return s.control.level(); },
        [&] { return s.control.changes(); }, [&](const std::string& name) { return s.control.order(name); }},
@@ -251,17 +251,17 @@
 
 TEST_CASE("a dispatcher hands its level on, and a bad file of levels changes nothing",
           "[levels][app][upgrade]") {
-  app::Loop loop;
-  app::Config config;
+  daemon::Loop loop;
+  daemon::Config config;
   config.name = "n1";
   config.listen = config.discovery = config.console.emplace(loopback());
   config.discovery.port(1);
   config.settings = make_settings();
   std::vector<std::string> logs;
-  app::Texts texts;
-  texts.levels = record::File{"levels.cue", kSome};
-  app::Files next{config, texts};
-  app::Dispatcher dispatcher(
+  daemon::Texts texts;
+  texts.levels = cue::File{"levels.cue", kSome};
+  daemon::Files next{config, texts};
+  daemon::Dispatcher dispatcher(
       loop, config, texts, [&](std::string_view line) { logs.emplace_back(line); }, [&] { return next; });
   dispatcher.start();
   next.texts.levels->text = "levels: [{name: \"a\", enter: \"open > 5\", leave: \"open > 3\"}]";
@@ -273,11 +273,11 @@
 }
 
 TEST_CASE("the levels that are shipped are read", "[levels][deploy]") {
-  std::ifstream in(std::string(BITTERNFERRY_SOURCE) + "/deploy/levels.cue");
+  std::ifstream in(std::string(DISPATCHER_SOURCE) + "/deploy/levels.cue");
   std::ostringstream text;
   text << in.rdbuf();
   CHECK(Control::read({"levels.cue", text.str()}, make_settings())->levels().size() == 3);
 }
 
 }  // namespace
-}  // namespace bitternferry::testing
+}  // namespace dispatcher::testing
--- a/tests/dispatcher/limits_test.cpp
+++ b/tests/dispatcher/limits_test.cpp
@@ -7,16 +7,16 @@
 #include <sstream>
 
 #include "allocations.hpp"
-#include "app/dispatcher.hpp"
-#include "app/rules_command.hpp"
-#include "limits/explain.hpp"
-#include "limits/gate.hpp"
+#include "daemon/dispatcher.hpp"
+#include "daemon/rules_command.hpp"
+#include "rate_limit/explain.hpp"
+#include "rate_limit/gate.hpp"
 #include "world.hpp"
 
-namespace bitternferry::testing {
+namespace dispatcher::testing {
 namespace {
 
-using namespace limits;
+using namespace rate_limit;
 using Told = std::vector<std::string>;
 
 const Vocabulary kNames{{"ask", "command"}, {"acme", "other"}};
@@ -28,16 +28,16 @@
 Told problems(const std::string& text) {
   try {
     rules(text);
-  } catch (const record::Errors& e) {
+  } catch (const cue::Errors& e) {
     Told all;
-    for (const auto& p : e.problems) all.push_back(record::to_text("r", p));
+    for (const auto& p : e.problems) all.push_back(cue::to_text("r", p));
     return all;
   }
   return {};
 }
 
-basaltvane::Request request(const std::string& cls = "ask", const std::string& account = "acme") {
-  basaltvane::Request r;
+routing::Request request(const std::string& cls = "ask", const std::string& account = "acme") {
+  routing::Request r;
   r.id = "1";
   r.request_class = cls;
   r.tenant = account;
@@ -49,7 +49,7 @@
   explicit Passer(const std::string& text, std::uint64_t seed = 9) : gate(seed) {
     gate.adopt(rules(text), now);
   }
-  Gate::Passage pass(basaltvane::Request& r, std::vector<std::optional<std::string_view>> headers = {}) {
+  Gate::Passage pass(routing::Request& r, std::vector<std::optional<std::string_view>> headers = {}) {
     Facts facts;
     facts.request_class = r.request_class;
     facts.account = r.tenant;
@@ -62,8 +62,8 @@
     auto r = request(cls, account);
     return pass(r);
   }
-  basaltvane::Settings settings = make_settings();
-  basaltvane::Time now = seconds(1'800'000'000);
+  routing::Settings settings = make_settings();
+  routing::Time now = seconds(1'800'000'000);
   Gate gate;
 };
 
@@ -220,17 +220,16 @@
       "burst: 3}]}]");
   auto a = p.pass(), b = p.pass();
   CHECK_FALSE(a.refused);
-  for (int i = 0; i < 5; ++i)
-    CHECK(p.pass().refused == std::optional<basaltvane::Duration>(milliseconds(70)));
+  for (int i = 0; i < 5; ++i) CHECK(p.pass().refused == std::optional<routing::Duration>(milliseconds(70)));
   p.gate.release(a.ticket);
   p.gate.release(a.ticket);  // once is enough
   auto c = p.pass();
   CHECK_FALSE(c.refused);  // the third of the burst: the refusals took nothing of it
   p.gate.release(b.ticket);
-  CHECK(p.pass().refused > std::optional<basaltvane::Duration>(milliseconds(900)));
+  CHECK(p.pass().refused > std::optional<routing::Duration>(milliseconds(900)));
   p.now += seconds(3);
   CHECK_FALSE(p.pass().refused);
-  CHECK(p.pass().refused == std::optional<basaltvane::Duration>(milliseconds(70)));  // b's end counted once
+  CHECK(p.pass().refused == std::optional<routing::Duration>(milliseconds(70)));  // b's end counted once
 }
 
 TEST_CASE("the parts of the instances add up to the limit", "[limits]") {
@@ -372,7 +371,7 @@
   p.gate.adopt(rules(text("0.1", "50000")), p.now);
   CHECK(p.pass().refused);
   p.gate.release(first.ticket);
-  CHECK(p.pass().refused > std::optional<basaltvane::Duration>(seconds(9)));  // the rate's part stays
+  CHECK(p.pass().refused > std::optional<routing::Duration>(seconds(9)));  // the rate's part stays
   p.gate.adopt(rules(text("0.2", "50000")), p.now);
   auto second = p.pass();
   CHECK_FALSE(second.refused);
@@ -387,7 +386,7 @@
       "header.tier.matches('^g')\", class: "
       "\"request.class\", session: \"header.tier + request.account\", limits: [{key: \"request.account + '/' "
       "+ header.tier\", rate: 100, in_progress: 9}]}]");
-  match::Scratch scratch;
+  expression::Scratch scratch;
   p.gate.rules()->reserve(scratch);
   Facts facts;
   facts.request_class = "ask";
@@ -420,15 +419,15 @@
 }
 
 TEST_CASE("explain says which rule matched, why those before did not, and what was computed", "[limits]") {
-  const record::File file{"r.cue",
-                          "headers: tier: {name: \"X-Tier\"}\nrules: [{name: \"gold\", when: \"request.class "
-                          "== 'ask' && header.tier == 'gold'\"},\n"
-                          "{name: \"big\", when: \"request.prompt_tokens > 1000 * 2\"},\n"
-                          "{name: \"all\", class: \"'command'\", session: \"header.tier\", limits: [{key: "
-                          "\"request.account\", rate: 2.5, burst: 5, in_progress: 3}]}]"};
+  const cue::File file{"r.cue",
+                       "headers: tier: {name: \"X-Tier\"}\nrules: [{name: \"gold\", when: \"request.class "
+                       "== 'ask' && header.tier == 'gold'\"},\n"
+                       "{name: \"big\", when: \"request.prompt_tokens > 1000 * 2\"},\n"
+                       "{name: \"all\", class: \"'command'\", session: \"header.tier\", limits: [{key: "
+                       "\"request.account\", rate: 2.5, burst: 5, in_progress: 3}]}]"};
   std::ostringstream out, errors;
-  CHECK(app::rules_explain(file, {"request", "{class: \"ask\", account: \"acme\", prompt_tokens: 12}"},
-                           kNames, out, errors) == 0);
+  CHECK(daemon::rules_explain(file, {"request", "{class: \"ask\", account: \"acme\", prompt_tokens: 12}"},
+                              kNames, out, errors) == 0);
   CHECK(
       out.str() ==
       "no    gold: (header.tier == \"gold\") has no value: a field that the request lacks\n"
@@ -437,13 +436,13 @@
       "      class = \"command\"\n"
       "      session = none: a field that the request lacks: not known, its own stays\n"
       "      limit all/0: key \"acme\", 2.5 a second in bursts of 5, 3 in progress, over the whole fleet\n");
-  CHECK(app::rules_explain(file, {"request", "{clas: \"ask\"}"}, kNames, out, errors) == 1);
+  CHECK(daemon::rules_explain(file, {"request", "{clas: \"ask\"}"}, kNames, out, errors) == 1);
   CHECK(errors.str() == "request:1:2: clas: unknown field; 'class' is known\n");
 }
 
 // The examples of the operators' page: each is loaded, and each line of what it should do is tried.
 TEST_CASE("the examples of docs/rules.md do what the page says", "[limits][deploy]") {
-  std::ifstream page(std::string(BITTERNFERRY_SOURCE) + "/docs/rules.md");
+  std::ifstream page(std::string(DISPATCHER_SOURCE) + "/docs/rules.md");
   std::string line, text, block;
   int examples = 0, requests = 0;
   std::shared_ptr<const RuleSet> set;
@@ -461,7 +460,7 @@
     } else if (line.starts_with("- `{")) {  // a request, and the rule that it meets
       const std::size_t end = line.find("}`: ");
       const auto sample = read_sample({"request", line.substr(3, end - 2)}, *set);
-      match::Scratch scratch;
+      expression::Scratch scratch;
       set->reserve(scratch);
       const Decision d = set->decide(sample->facts, scratch);
       INFO(line);
@@ -472,7 +471,7 @@
   }
   CHECK(examples == 10);
   CHECK(requests >= 20);
-  std::ifstream shipped(std::string(BITTERNFERRY_SOURCE) + "/deploy/rules.cue");
+  std::ifstream shipped(std::string(DISPATCHER_SOURCE) + "/deploy/rules.cue");
   std::ostringstream all;
   all << shipped.rdbuf();
   CHECK(problems(all.str()) == Told{});
@@ -627,15 +626,15 @@
 }
 
 TEST_CASE("a reload takes the rules with the rest, or keeps the old ones", "[limits][app]") {
-  app::Loop loop;
-  app::Config config;
+  daemon::Loop loop;
+  daemon::Config config;
   config.listen = config.discovery = loopback();
   config.discovery.port(1);
   config.settings = make_settings();
   Told logs;
-  app::Files next{config, {{}, {}, record::File{"rules.cue", "rules: [{name: \"a\", class: \"'zz'\"}]"}}};
-  app::Dispatcher dispatcher(
-      loop, config, {{}, {}, record::File{"rules.cue", "rules: []"}},
+  daemon::Files next{config, {{}, {}, cue::File{"rules.cue", "rules: [{name: \"a\", class: \"'zz'\"}]"}}};
+  daemon::Dispatcher dispatcher(
+      loop, config, {{}, {}, cue::File{"rules.cue", "rules: []"}},
       [&](std::string_view line) { logs.emplace_back(line); }, [&] { return next; });
   dispatcher.start();
   dispatcher.reload();
@@ -648,10 +647,10 @@
   next.texts.rules->text = "rules: [{name: \"a\", class: \"'ask'\"}]";
   dispatcher.reload();
   CHECK(logs.back().starts_with("reloaded"));
-  app::Texts bad;
-  bad.rules = record::File{"rules.cue", "rules: ["};
-  CHECK_THROWS_AS(app::Dispatcher(loop, config, bad, [](std::string_view) {}), record::Errors);
+  daemon::Texts bad;
+  bad.rules = cue::File{"rules.cue", "rules: ["};
+  CHECK_THROWS_AS(daemon::Dispatcher(loop, config, bad, [](std::string_view) {}), cue::Errors);
 }
 
 }  // namespace
-}  // namespace bitternferry::testing
+}  // namespace dispatcher::testing
--- a/tests/dispatcher/match_test.cpp
+++ b/tests/dispatcher/match_test.cpp
@@ -8,14 +8,14 @@
 #include <random>
 
 #include "allocations.hpp"
-#include "match/check.hpp"
-#include "match/first_match.hpp"
-#include "match/program.hpp"
+#include "expression/check.hpp"
+#include "expression/first_match.hpp"
+#include "expression/program.hpp"
 
-namespace bitternferry::testing {
+namespace dispatcher::testing {
 namespace {
 
-using namespace match;
+using namespace expression;
 
 Environment make_fields() {
   Environment e;
@@ -647,4 +647,4 @@
 }
 
 }  // namespace
-}  // namespace bitternferry::testing
+}  // namespace dispatcher::testing
--- a/tests/dispatcher/membership_test.cpp
+++ b/tests/dispatcher/membership_test.cpp
@@ -8,7 +8,7 @@
 #include "fleet_world.hpp"
 #include "property.hpp"
 
-namespace bitternferry::testing {
+namespace dispatcher::testing {
 namespace {
 
 using membership::Claim;
@@ -411,11 +411,12 @@
   FleetWorld world(6, 3);
   world.start_all();
   REQUIRE(world.until([&] { return world.all_alive(); }, seconds(10)));
-  world.node(2).set(world.clock(2), shared::kDoubtKind, 9, shared::encode({1, 2}));
+  world.node(2).set(world.clock(2), replicated_state::kDoubtKind, 9, replicated_state::encode({1, 2}));
   world.run(seconds(3));
   const auto rows = [&](Number n) {
     int found = 0;
-    world.node(n).rows().each(world.clock(n), shared::kDoubtKind, [&](const shared::Heard&) { ++found; });
+    world.node(n).rows().each(world.clock(n), replicated_state::kDoubtKind,
+                              [&](const replicated_state::Heard&) { ++found; });
     return found;
   };
   REQUIRE(rows(0) == 1);
@@ -577,4 +578,4 @@
 }
 
 }  // namespace
-}  // namespace bitternferry::testing
+}  // namespace dispatcher::testing
--- a/tests/dispatcher/model_test.cpp
+++ b/tests/dispatcher/model_test.cpp
@@ -2,13 +2,13 @@
 #include <catch2/catch.hpp>
 #include <map>
 
-#include "levels/control.hpp"
-#include "model/day.hpp"
+#include "degradation/control.hpp"
+#include "simulation/day.hpp"
 
-namespace bitternferry::testing {
+namespace dispatcher::testing {
 namespace {
 
-using namespace model;
+using namespace simulation;
 
 Figures scenario(const std::string& more = {}, const std::string& traffic = "{}") {
   return read_figures({"s.cue", "lasts_s: 60\ninstances: 3\ntraffic: " + traffic + "\n" + more});
@@ -50,11 +50,11 @@
 TEST_CASE("levels shed asks when there is too much, and none on a calm day", "[model][levels]") {
   const Figures busy = scenario("troubles: [{kind: \"jump\", share: 8, from_s: 10, to_s: 50}]", "{rate: 30}");
   const auto levels =
-      levels::Control::read({"l.cue",
-                             "levels: [{name: \"less\", enter: \"late.command > 0.1 || refused > 0.1\", "
-                             "leave: \"late.command < 0.03 && refused < 0.03\", "
-                             "enter_for_ms: 1000, shed: [{classes: [\"ask\"]}]}]"},
-                            busy.settings);
+      degradation::Control::read({"l.cue",
+                                  "levels: [{name: \"less\", enter: \"late.command > 0.1 || refused > 0.1\", "
+                                  "leave: \"late.command < 0.03 && refused < 0.03\", "
+                                  "enter_for_ms: 1000, shed: [{classes: [\"ask\"]}]}]"},
+                                 busy.settings);
   const Result with = play(busy, 5, levels), without = play(busy, 5);
   CHECK(with.changes >= 1);
   CHECK(with.in_time("command") > without.in_time("command"));
@@ -69,4 +69,4 @@
 }
 
 }  // namespace
-}  // namespace bitternferry::testing
+}  // namespace dispatcher::testing
--- a/tests/dispatcher/parsers_test.cpp
+++ b/tests/dispatcher/parsers_test.cpp
@@ -3,10 +3,10 @@
 #include <deque>
 #include <random>
 
-#include "app/config.hpp"
+#include "daemon/config.hpp"
 #include "world.hpp"
 
-namespace bitternferry::testing {
+namespace dispatcher::testing {
 namespace {
 
 using Random = std::mt19937;
@@ -182,17 +182,17 @@
     R"("block":3,"health":"draining","share":1.5,"born_ms":1500}]})";
 
 TEST_CASE("the list of servers is read, and spoilt ones are refused by their field", "[parsers]") {
-  const auto servers = discovery::parse_servers(nlohmann::json::parse(kServers));
+  const auto servers = service_discovery::parse_servers(nlohmann::json::parse(kServers));
   CHECK(servers.seq == 43);
-  CHECK(servers.list.kind == basaltvane::ListKind::kDelta);
-  CHECK(servers.list.entries[0].state == basaltvane::HostState::kDraining);
+  CHECK(servers.list.kind == routing::ListKind::kDelta);
+  CHECK(servers.list.entries[0].state == routing::HostState::kDraining);
   CHECK(servers.list.entries[0].started == milliseconds(1500));
   CHECK_FALSE(servers.addresses[0].ready);
   Random random(5);
   int refused = 0;
   for (int i = 0; i < 2000; ++i) {
     try {
-      discovery::parse_servers(nlohmann::json::parse(spoil(kServers, random), nullptr, false));
+      service_discovery::parse_servers(nlohmann::json::parse(spoil(kServers, random), nullptr, false));
     } catch (const std::invalid_argument&) {
       ++refused;
     }
@@ -207,7 +207,7 @@
     net::RingBuffer input(64 * 1024);
     REQUIRE(input.append("POST / HTTP/1.1\r\n" + headers + "\r\n"));
     REQUIRE(reader.read(input) == http::Progress::kDone);
-    return platform::parse_request(reader.message(), settings, seconds(100));
+    return platform_api::parse_request(reader.message(), settings, seconds(100));
   };
   const auto r = parse(facts("9b1f03aa5c7e2d41", "ask", 4800) + "X-Repeat: 1\r\n");
   CHECK(r.id == "9b1f03aa5c7e2d41");
@@ -243,7 +243,7 @@
     "hostTypes":["reader","writer"],"familyInfo":{"dutyByKind":["read","write"],"pinLimitMs":300},"registryMode":"push",
     "limits":{"mostTries":4,"connectTimeoutMs":250,"idleCloseMs":15000},"granularityMs":4,
     "guarantees":{"answerSlackMs":16,"drainGraceMs":250,"coldShare":0.3,"coldMs":14000,"tipMultiple":4,"tipAfterMs":2000}}})");
-  const auto config = app::parse_config(good.dump(), {{"PROXY_NAME", "n7"}});
+  const auto config = daemon::parse_config(good.dump(), {{"PROXY_NAME", "n7"}});
   CHECK(config.name == "n7");
   CHECK(config.seed == 0x8c1f);
   CHECK(config.settings.connect_timeout == milliseconds(250));
@@ -252,8 +252,8 @@
     nlohmann::json bad = good;
     bad[nlohmann::json::json_pointer(path)] = value;
     try {
-      app::parse_config(bad.dump(), {});
-    } catch (const app::ConfigError& e) {
+      daemon::parse_config(bad.dump(), {});
+    } catch (const daemon::ConfigError& e) {
       return std::string(e.what());
     }
     return std::string("none");
@@ -270,7 +270,7 @@
   CHECK(problem("/settings/limits/mostTries", 0) ==
         told("'settings.limits.mostTries': 0; wanted: at least 1"));
   CHECK(problem("/known", 5) == told("'known': an object expected"));
-  CHECK_THROWS_AS(app::parse_config("{", {}), app::ConfigError);
+  CHECK_THROWS_AS(daemon::parse_config("{", {}), daemon::ConfigError);
 }
 
 TEST_CASE("the ring buffer keeps bytes in order through growth and wrapping", "[net]") {
@@ -310,7 +310,7 @@
 }
 
 TEST_CASE("deadlines run in order, once, and not when dropped", "[core]") {
-  core::Deadlines deadlines;
+  engine::Deadlines deadlines;
   std::vector<int> ran;
   auto dropped = deadlines.add(seconds(1), [&] { ran.push_back(0); });
   deadlines.add(seconds(3), [&] { ran.push_back(3); });
@@ -319,7 +319,7 @@
     deadlines.add(seconds(1), [&] { ran.push_back(9); });  // already past: for the next run
   });
   deadlines.drop(dropped);
-  CHECK(deadlines.next() == core::Time(seconds(2)));
+  CHECK(deadlines.next() == engine::Time(seconds(2)));
   deadlines.run(seconds(3));
   CHECK(ran == std::vector<int>{2, 3});
   deadlines.run(seconds(3));
@@ -328,4 +328,4 @@
 }
 
 }  // namespace
-}  // namespace bitternferry::testing
+}  // namespace dispatcher::testing
--- a/tests/dispatcher/platform_test.cpp
+++ b/tests/dispatcher/platform_test.cpp
@@ -7,7 +7,7 @@
 
 #include "world.hpp"
 
-namespace bitternferry::testing {
+namespace dispatcher::testing {
 namespace {
 
 const std::string kBody = R"({"model":"chat","messages":[]})";
@@ -346,7 +346,7 @@
     if (!vanished) write_well(r, client, seen);
   });
   world.engine.hosts(
-      {basaltvane::ListKind::kDelta, {{"w2", "here", "writer", 0, basaltvane::HostState::kGone, 1, {}}}});
+      {routing::ListKind::kDelta, {{"w2", "here", "writer", 0, routing::HostState::kGone, 1, {}}}});
   auto first = world.platform_client(), second = world.platform_client(), third = world.platform_client();
   for (auto* c : {first.get(), second.get()}) c->post(facts(c == first.get() ? "a1" : "a2", "ask"), kBody);
   REQUIRE(world.until([&] { return first->whole && second->whole; }));
@@ -368,7 +368,7 @@
     used.insert(client).second ? write_well(r, client, seen) : r.server.cut(client);
   });
   world.engine.hosts(
-      {basaltvane::ListKind::kDelta, {{"w2", "here", "writer", 0, basaltvane::HostState::kGone, 1, {}}}});
+      {routing::ListKind::kDelta, {{"w2", "here", "writer", 0, routing::HostState::kGone, 1, {}}}});
   auto first = world.platform_client(), second = world.platform_client();
   first->post(facts("a1", "ask"), kBody);
   second->post(facts("a2", "ask"), kBody);
@@ -508,4 +508,4 @@
 }
 
 }  // namespace
-}  // namespace bitternferry::testing
+}  // namespace dispatcher::testing
--- a/tests/dispatcher/pool_test.cpp
+++ b/tests/dispatcher/pool_test.cpp
@@ -6,7 +6,7 @@
 
 #include "world.hpp"
 
-namespace bitternferry::testing {
+namespace dispatcher::testing {
 namespace {
 
 bool lease_call(const StandInReplica::Seen& seen) { return seen.target.starts_with("/kv/leases/"); }
@@ -22,7 +22,7 @@
     if (seen.target.ends_with("/slow")) return void(held.emplace_back(client, seen.target));
     replica.say(client, 200);
   });
-  replica::Options options{
+  upstream::Options options{
       world.settings.connect_timeout, world.settings.idle_close, milliseconds(100), 4, 1, 64};
   world.pool.adopt(options);
   const auto calls = [&] { return world.writer().count("POST"); };
@@ -73,11 +73,11 @@
   ReleaseWorld() {
     for (int i = 0; i < 8; ++i) gone.push_back(std::make_unique<Vanished>(*this));
   }
-  replica::Address at(const std::string& host, const net::tcp::endpoint& endpoint, const std::string& zone) {
+  upstream::Address at(const std::string& host, const net::tcp::endpoint& endpoint, const std::string& zone) {
     return {host, endpoint, true, false, zone, 0};
   }
-  std::vector<replica::Address> lost_zone() {
-    std::vector<replica::Address> all;
+  std::vector<upstream::Address> lost_zone() {
+    std::vector<upstream::Address> all;
     for (std::size_t i = 0; i < gone.size(); ++i)
       all.push_back(at("gone" + std::to_string(i), gone[i]->address(), "x"));
     return all;
@@ -89,11 +89,11 @@
                            if (!mute) r.say(client, 204);
                          }};
   bool mute = false;
-  replica::Pool pool{io,
-                     deadlines,
-                     clock(),
-                     [this](std::string_view line) { logs.emplace_back(line); },
-                     {milliseconds(250), seconds(15), milliseconds(50)}};
+  upstream::Pool pool{io,
+                      deadlines,
+                      clock(),
+                      [this](std::string_view line) { logs.emplace_back(line); },
+                      {milliseconds(250), seconds(15), milliseconds(50)}};
 };
 
 // `pinned` on days with a zone lost: a call that is answered late or never must not be the only one.
@@ -151,4 +151,4 @@
 }
 
 }  // namespace
-}  // namespace bitternferry::testing
+}  // namespace dispatcher::testing
--- a/tests/dispatcher/property.hpp
+++ b/tests/dispatcher/property.hpp
@@ -1,7 +1,7 @@
 // RapidCheck with a fixed seed, as a Catch2 check: the same verdict every time, and the smallest case that
 // fails.
-#ifndef BITTERNFERRY_TESTS_DISPATCHER_PROPERTY_HPP_
-#define BITTERNFERRY_TESTS_DISPATCHER_PROPERTY_HPP_
+#ifndef DISPATCHER_TESTS_DISPATCHER_PROPERTY_HPP_
+#define DISPATCHER_TESTS_DISPATCHER_PROPERTY_HPP_
 
 #include <rapidcheck.h>
 
@@ -9,7 +9,7 @@
 #include <sstream>
 #include <utility>
 
-namespace bitternferry::testing {
+namespace dispatcher::testing {
 
 template <class Property>
 void holds(Property&& property, int cases = 300, int size = 100) {
@@ -25,6 +25,6 @@
   CHECK(result.template is<rc::detail::SuccessResult>());
 }
 
-}  // namespace bitternferry::testing
+}  // namespace dispatcher::testing
 
-#endif  // BITTERNFERRY_TESTS_DISPATCHER_PROPERTY_HPP_
+#endif  // DISPATCHER_TESTS_DISPATCHER_PROPERTY_HPP_
--- a/tests/dispatcher/reach_test.cpp
+++ b/tests/dispatcher/reach_test.cpp
@@ -3,10 +3,10 @@
 #include <catch2/catch.hpp>
 #include <set>
 
-#include "reach/connect_timer.hpp"
-#include "reach/release_plan.hpp"
+#include "upstream/connect_timer.hpp"
+#include "upstream/release_plan.hpp"
 
-namespace bitternferry::reach {
+namespace dispatcher::upstream {
 namespace {
 
 using std::chrono::milliseconds;
@@ -131,4 +131,4 @@
 }
 
 }  // namespace
-}  // namespace bitternferry::reach
+}  // namespace dispatcher::upstream
--- a/tests/dispatcher/record_test.cpp
+++ b/tests/dispatcher/record_test.cpp
@@ -5,18 +5,18 @@
 #include <random>
 #include <sstream>
 
-#include "chat/config.hpp"
-#include "record/schema.hpp"
+#include "cue/schema.hpp"
+#include "openai_api/config.hpp"
 #include "vrrp/speaker.hpp"
 #include "world.hpp"
 
-namespace bitternferry::testing {
+namespace dispatcher::testing {
 namespace {
 
-using record::Data;
+using cue::Data;
 
 Data read(const std::string& text, const std::string& schema) {
-  return record::Schema(schema, "#File").read({"f.cue", text});
+  return cue::Schema(schema, "#File").read({"f.cue", text});
 }
 
 const std::string kPlain = R"cue(
@@ -35,9 +35,9 @@
 std::vector<std::string> problems(const std::string& text, const std::string& schema = kPlain) {
   try {
     read(text, schema);
-  } catch (const record::Errors& e) {
+  } catch (const cue::Errors& e) {
     std::vector<std::string> all;
-    for (const auto& p : e.problems) all.push_back(record::to_text("f", p));
+    for (const auto& p : e.problems) all.push_back(cue::to_text("f", p));
     return all;
   }
   return {};
@@ -188,9 +188,9 @@
     choices += std::string(i == 0 ? "" : " & ") + "({a" + std::to_string(i) + ": 1} | {b" +
                std::to_string(i) + ": 1})";
   CHECK(problems("a: " + choices, schema).front().find("alternatives") != std::string::npos);
-  CHECK(problems(std::string(record::kMostBytes + 1, ' '), schema).front().find("larger than") !=
+  CHECK(problems(std::string(cue::kMostBytes + 1, ' '), schema).front().find("larger than") !=
         std::string::npos);
-  CHECK(problems("a: \"" + std::string(record::kMostBytes / 2, 'x') + "\"", schema) == Told{});
+  CHECK(problems("a: \"" + std::string(cue::kMostBytes / 2, 'x') + "\"", schema) == Told{});
   std::string wide;  // two structs of many fields joined, and a definition that knows none of as many
   for (int i = 0; i < 60'000; ++i) wide += "x" + std::to_string(i) + ": 1, ";
   CHECK(problems("a: {" + wide + "} & {" + wide + "y: 1}", schema) == Told{});
@@ -224,14 +224,14 @@
 
 TEST_CASE("the files that are shipped are read unchanged", "[record][deploy]") {
   const auto file = [](const std::string& name) {
-    std::ifstream in(std::string(BITTERNFERRY_SOURCE) + "/deploy/" + name, std::ios::binary);
+    std::ifstream in(std::string(DISPATCHER_SOURCE) + "/deploy/" + name, std::ios::binary);
     std::ostringstream text;
     text << in.rdbuf();
-    return record::File{name, text.str()};
+    return cue::File{name, text.str()};
   };
-  CHECK_FALSE(chat::parse_config(file("chat.json"), make_settings()).has_value());
+  CHECK_FALSE(openai_api::parse_config(file("chat.json"), make_settings()).has_value());
   CHECK_FALSE(vrrp::parse_config(file("vrrp.json")).has_value());
 }
 
 }  // namespace
-}  // namespace bitternferry::testing
+}  // namespace dispatcher::testing
--- a/tests/dispatcher/rights_test.cpp
+++ b/tests/dispatcher/rights_test.cpp
@@ -8,14 +8,14 @@
 #include "fleet_world.hpp"
 #include "property.hpp"
 
-namespace bitternferry::testing {
+namespace dispatcher::testing {
 namespace {
 
-using shared::Nature;
-using shared::Rights;
-using shared::Terms;
-using shared::Transfer;
-using shared::Whole;
+using replicated_state::Nature;
+using replicated_state::Rights;
+using replicated_state::Terms;
+using replicated_state::Transfer;
+using replicated_state::Whole;
 
 const Whole kRate{{1, 7}, Nature::kRate, 6, seconds(10)};
 const Whole kUnits{{2, 7}, Nature::kSpent, 6, {}};
@@ -27,12 +27,12 @@
 };
 
 std::vector<Transfer> deliver(Rights& rights, Time now, const Message& m) {
-  std::vector<shared::Ask> asks;
-  std::vector<shared::Grant> grants;
-  std::vector<shared::Return> returns;
-  if (const auto* ask = std::get_if<shared::Ask>(&m.transfer.what)) asks.push_back(*ask);
-  if (const auto* grant = std::get_if<shared::Grant>(&m.transfer.what)) grants.push_back(*grant);
-  if (const auto* back = std::get_if<shared::Return>(&m.transfer.what)) returns.push_back(*back);
+  std::vector<replicated_state::Ask> asks;
+  std::vector<replicated_state::Grant> grants;
+  std::vector<replicated_state::Return> returns;
+  if (const auto* ask = std::get_if<replicated_state::Ask>(&m.transfer.what)) asks.push_back(*ask);
+  if (const auto* grant = std::get_if<replicated_state::Grant>(&m.transfer.what)) grants.push_back(*grant);
+  if (const auto* back = std::get_if<replicated_state::Return>(&m.transfer.what)) returns.push_back(*back);
   return rights.received(now, m.from, m.life, asks, grants, returns);
 }
 
@@ -53,7 +53,7 @@
   System(Number count, const Whole& w, const Terms& t, std::vector<double> r)
       : lives(count, 1), rates(std::move(r)), whole(w), terms(t) {
     for (Number n = 0; n < count; ++n) {
-      members.emplace_back(terms, n, count, 1, clock(n), shared::Random(n + 1));
+      members.emplace_back(terms, n, count, 1, clock(n), replicated_state::Random(n + 1));
       members[n].open(clock(n), whole, true);
     }
     real += seconds(20);  // past the time after a start in which nothing is lent
@@ -74,7 +74,7 @@
   void restart(Number n) {
     ++restarts;
     const std::uint64_t wanted = members[n].holdings().begin()->second.wanted;  // its need stays
-    members[n] = Rights(terms, n, count(), ++lives[n], clock(n), shared::Random(n + 1));
+    members[n] = Rights(terms, n, count(), ++lives[n], clock(n), replicated_state::Random(n + 1));
     members[n].open(clock(n), whole, false);  // it did not see a whole of units begin
     if (wanted) members[n].want(whole.id, wanted);
   }
@@ -92,11 +92,12 @@
     std::vector<std::uint64_t> bagged;
     for (const Message& m : bag) {
       std::vector<std::uint64_t> fields = {m.from, m.life, m.transfer.to, m.transfer.what.index()};
-      if (const auto* a = std::get_if<shared::Ask>(&m.transfer.what))
+      if (const auto* a = std::get_if<replicated_state::Ask>(&m.transfer.what))
         fields.insert(fields.end(), {a->sequence, a->renews, a->amount});
-      if (const auto* g = std::get_if<shared::Grant>(&m.transfer.what))
+      if (const auto* g = std::get_if<replicated_state::Grant>(&m.transfer.what))
         fields.insert(fields.end(), {g->life, g->sequence, g->amount});
-      if (const auto* r = std::get_if<shared::Return>(&m.transfer.what)) fields.push_back(r->sequence);
+      if (const auto* r = std::get_if<replicated_state::Return>(&m.transfer.what))
+        fields.push_back(r->sequence);
       bagged.push_back(XXH3_64bits(fields.data(), fields.size() * sizeof fields[0]));
     }
     std::sort(bagged.begin(), bagged.end());
@@ -170,7 +171,7 @@
 
 Terms explored_terms() {
   Terms terms;
-  terms.lease = shared::kMostLease;
+  terms.lease = replicated_state::kMostLease;
   terms.drift = 0.05;
   terms.ask_again = milliseconds(0);
   terms.ask_pause = milliseconds(0);
@@ -298,7 +299,7 @@
                       {}};
     std::uint64_t sum = 0, least = whole.amount, most = 0;
     for (Number n = 0; n < count; ++n) {
-      const std::uint64_t share = shared::share_of(whole, n, count);
+      const std::uint64_t share = replicated_state::share_of(whole, n, count);
       sum += share;
       least = std::min(least, share);
       most = std::max(most, share);
@@ -309,7 +310,7 @@
   std::set<Number> first;
   for (std::uint64_t key = 0; key < 50; ++key) {
     for (Number n = 0; n < 10; ++n) {
-      if (shared::share_of({{1, key}, Nature::kSpent, 1, {}}, n, 10) == 1) first.insert(n);
+      if (replicated_state::share_of({{1, key}, Nature::kSpent, 1, {}}, n, 10) == 1) first.insert(n);
     }
   }
   CHECK(first.size() > 5);
@@ -376,7 +377,7 @@
   tick_lender(granted + seconds(10));
   CHECK(p.rate(1) == 500 - lent);
   CHECK(p.rate(0) == 500);  // stopped all the while: by its own clock the lease has ended
-  tick_lender(granted + shared::outlasts(seconds(10), 0.001));
+  tick_lender(granted + replicated_state::outlasts(seconds(10), 0.001));
   CHECK(p.rate(1) == 500);
 }
 
@@ -396,7 +397,7 @@
   Pair p;
   p.s.whole.depth = std::chrono::minutes(10);
   for (const Number n : {0U, 1U}) {
-    p.s.members[n] = Rights(Terms{}, n, 2, 1, p.s.clock(n), shared::Random(n + 1));
+    p.s.members[n] = Rights(Terms{}, n, 2, 1, p.s.clock(n), replicated_state::Random(n + 1));
     p.s.members[n].open(p.s.clock(n), p.s.whole, true);
   }
   p.s.real += seconds(20);
@@ -418,7 +419,7 @@
   p.s.restart(1);
   CHECK(p.rate(1) == 250);
   CHECK(p.s.held() <= 1000);
-  p.s.real += shared::outlasts(shared::kMostLease, 0.001) + milliseconds(1);
+  p.s.real += replicated_state::outlasts(replicated_state::kMostLease, 0.001) + milliseconds(1);
   CHECK(p.rate(1) == 500);
 }
 
@@ -446,11 +447,11 @@
   Rights& lender = p.s.members[1];
   REQUIRE(p.rate(1) == 400);
   const auto& lent = lender.holdings().begin()->second.lent.at(0);
-  const shared::WholeId id = p.s.whole.id;
+  const replicated_state::WholeId id = p.s.whole.id;
   // The new process counts its asks from one, too.
   const auto out = lender.received(p.s.clock(1), 0, 2, {{id, lent.sequence, 0, 100}}, {}, {});
   REQUIRE(out.size() == 1);
-  CHECK(std::get<shared::Grant>(out[0].what).amount == 0);
+  CHECK(std::get<replicated_state::Grant>(out[0].what).amount == 0);
   lender.received(p.s.clock(1), 0, 2, {}, {}, {{id, lent.sequence}});
   CHECK(p.rate(1) == 400);
   lender.received(p.s.clock(1), 0, 1, {}, {}, {{id, lent.sequence}});
@@ -460,7 +461,7 @@
 TEST_CASE("without lending a share is whole at once", "[rights]") {
   Terms terms;
   terms.lends = false;
-  Rights alone(terms, 0, 4, 1, seconds(5), shared::Random(1));
+  Rights alone(terms, 0, 4, 1, seconds(5), replicated_state::Random(1));
   const Whole whole{{1, 7}, Nature::kRate, 1000, seconds(10)};
   REQUIRE(alone.open(seconds(5), whole, false));
   CHECK(alone.rate(seconds(5), whole.id) == 250);
@@ -468,7 +469,7 @@
   CHECK(alone.tick(seconds(6), {1, 2, 3}).empty());
   const auto out = alone.received(seconds(6), 1, 1, {{whole.id, 1, 0, 100}}, {}, {});
   REQUIRE(out.size() == 1);
-  CHECK(std::get<shared::Grant>(out[0].what).amount == 0);
+  CHECK(std::get<replicated_state::Grant>(out[0].what).amount == 0);
 }
 
 TEST_CASE("a refill starts empty, and a member that starts again brings no burst", "[rights]") {
@@ -489,7 +490,7 @@
   asker.want(kUnits.id, 5);
   s.tick(0, {1});
   REQUIRE(s.bag.size() == 1);
-  const auto ask = std::get<shared::Ask>(s.bag[0].transfer.what);
+  const auto ask = std::get<replicated_state::Ask>(s.bag[0].transfer.what);
   const auto grant = [&](std::uint64_t life, std::uint32_t sequence, std::uint64_t amount) {
     asker.received(s.clock(0), 1, 1, {}, {{kUnits.id, life, sequence, amount, {}}}, {});
     return asker.available(s.clock(0), kUnits.id);
@@ -527,21 +528,21 @@
   }
   CHECK(s.bag.size() >= 6);
   CHECK(s.bag.size() <= 11);
-  const auto first = std::get<shared::Ask>(s.bag[0].transfer.what);
-  CHECK(std::get<shared::Ask>(s.bag.back().transfer.what).sequence == first.sequence);
+  const auto first = std::get<replicated_state::Ask>(s.bag[0].transfer.what);
+  CHECK(std::get<replicated_state::Ask>(s.bag.back().transfer.what).sequence == first.sequence);
   s.members[0].lost(1);
   s.tick(0, {1});
-  CHECK(std::get<shared::Ask>(s.bag.back().transfer.what).sequence > first.sequence);
+  CHECK(std::get<replicated_state::Ask>(s.bag.back().transfer.what).sequence > first.sequence);
 }
 
 TEST_CASE("wholes are bounded, and one of units that has ended does not come again", "[rights]") {
   Terms terms;
   terms.most_wholes = 3;
-  Rights rights(terms, 0, 2, 1, seconds(0), shared::Random(1));
+  Rights rights(terms, 0, 2, 1, seconds(0), replicated_state::Random(1));
   for (std::uint64_t key = 0; key < 3; ++key)
     CHECK(rights.open(seconds(1), {{2, key}, Nature::kSpent, 10, {}}, true));
   CHECK_FALSE(rights.open(seconds(1), {{2, 9}, Nature::kSpent, 10, {}}, true));
-  CHECK_FALSE(rights.open(seconds(1), {{2, 9}, Nature::kSpent, shared::kMostAmount + 1, {}}, true));
+  CHECK_FALSE(rights.open(seconds(1), {{2, 9}, Nature::kSpent, replicated_state::kMostAmount + 1, {}}, true));
   rights.close(seconds(2), {2, 1});
   CHECK(rights.available(seconds(2), {2, 1}) == 0);
   CHECK_FALSE(rights.use(seconds(2), {2, 1}, 1));
@@ -553,4 +554,4 @@
 }
 
 }  // namespace
-}  // namespace bitternferry::testing
+}  // namespace dispatcher::testing
--- a/tests/dispatcher/router_world.cpp
+++ b/tests/dispatcher/router_world.cpp
@@ -4,17 +4,17 @@
 #include <utility>
 #include <variant>
 
-namespace bitternferry::testing {
+namespace dispatcher::testing {
 
-using basaltvane::Verdict;
+using routing::Verdict;
 
 Duration micros(double seconds) { return Duration(std::llround(seconds * 1e6)); }
 double seconds_of(Duration time) { return static_cast<double>(time.count()) / 1e6; }
 
-RouterWorld::RouterWorld(const model::Figures& figures, std::size_t processes, std::uint64_t seed)
+RouterWorld::RouterWorld(const simulation::Figures& figures, std::size_t processes, std::uint64_t seed)
     : RouterWorld(figures, figures.settings, processes, seed) {}
 
-RouterWorld::RouterWorld(const model::Figures& figures, const basaltvane::Settings& told,
+RouterWorld::RouterWorld(const simulation::Figures& figures, const routing::Settings& told,
                          std::size_t processes, std::uint64_t seed)
     : figures_(figures),
       told_(told),
@@ -30,14 +30,14 @@
 
 void RouterWorld::make(std::size_t process) {
   Process& p = processes_[process];
-  basaltvane::Settings settings = told_;
+  routing::Settings settings = told_;
   settings.router_number = static_cast<int>(process);
   const auto life = static_cast<std::uint64_t>(p.life++);
-  p.router = std::make_unique<basaltvane::Router>(settings, seed_ * 1'000'003 + process * 977 + life * 7'919);
+  p.router = std::make_unique<routing::Router>(settings, seed_ * 1'000'003 + process * 977 + life * 7'919);
 }
 
-basaltvane::HostList RouterWorld::list() const {
-  basaltvane::HostList list = fleet_.list();
+routing::HostList RouterWorld::list() const {
+  routing::HostList list = fleet_.list();
   for (auto& entry : list.entries) entry.started = tells_starts ? entry.started : Time{};
   if (listed) std::erase_if(list.entries, [this](const auto& entry) { return !listed(entry); });
   return list;
@@ -47,7 +47,7 @@
   Process& p = processes_[process];
   p.list = list();
   p.told.clear();
-  for (const basaltvane::HostEntry& entry : p.list.entries) p.told[entry.host] = entry.started;
+  for (const routing::HostEntry& entry : p.list.entries) p.told[entry.host] = entry.started;
   pass(process, p.list);
 }
 
@@ -91,22 +91,22 @@
   now_ = time;
 }
 
-void RouterWorld::pass(std::size_t process, const basaltvane::Event& event) {
+void RouterWorld::pass(std::size_t process, const routing::Event& event) {
   for (const auto& action : processes_[process].router->handle(now_, event)) carry_out(process, action);
 }
 
-void RouterWorld::carry_out(std::size_t process, const basaltvane::Action& action) {
+void RouterWorld::carry_out(std::size_t process, const routing::Action& action) {
   Process& p = processes_[process];
-  if (const auto* s = std::get_if<basaltvane::Send>(&action)) return send(process, *s);
-  if (const auto* r = std::get_if<basaltvane::Refuse>(&action)) return end(r->request, End::kRefused);
-  if (const auto* f = std::get_if<basaltvane::Fail>(&action)) return end(f->request, End::kFailed);
-  if (const auto* l = std::get_if<basaltvane::Release>(&action)) return fleet_.release(l->request);
-  if (const auto* t = std::get_if<basaltvane::SetTimer>(&action)) {
+  if (const auto* s = std::get_if<routing::Send>(&action)) return send(process, *s);
+  if (const auto* r = std::get_if<routing::Refuse>(&action)) return end(r->request, End::kRefused);
+  if (const auto* f = std::get_if<routing::Fail>(&action)) return end(f->request, End::kFailed);
+  if (const auto* l = std::get_if<routing::Release>(&action)) return fleet_.release(l->request);
+  if (const auto* t = std::get_if<routing::SetTimer>(&action)) {
     at(now_ + t->after, [this, process, tag = t->tag, life = p.life] {
-      if (processes_[process].life == life) pass(process, basaltvane::Timer{tag});
+      if (processes_[process].life == life) pass(process, routing::Timer{tag});
     });
   }
-  if (const auto* c = std::get_if<basaltvane::Cancel>(&action)) {
+  if (const auto* c = std::get_if<routing::Cancel>(&action)) {
     const Attempt& a = p.attempts[c->request];
     if (!a.out || a.begun || a.number != c->attempt) return;
     fleet_.abandon(a.work);
@@ -116,10 +116,10 @@
   }
 }
 
-void RouterWorld::send(std::size_t process, const basaltvane::Send& send) {
+void RouterWorld::send(std::size_t process, const routing::Send& send) {
   Process& p = processes_[process];
   Ask& ask = of(send.request);
-  const basaltvane::Request& r = ask.request;
+  const routing::Request& r = ask.request;
   Attempt& a = p.attempts[r.id];
   a.number += a.sent == Time{} ? 0 : 1;
   a.host = send.host;
@@ -132,7 +132,7 @@
   sent_.push_back(
       {now_, process, send.host, work, told != p.told.end() && told->second == starts_[send.host]});
   const int life = p.life;
-  model::Fleet::Callbacks callbacks;
+  simulation::Fleet::Callbacks callbacks;
   callbacks.first = [this, process, id = r.id, life] {
     Process& then = processes_[process];
     if (then.life != life) return;
@@ -140,9 +140,9 @@
     began.begun = true;
     deadlines_.drop(began.times_out);
     of(id).first = now_ - of(id).at;
-    pass(process, basaltvane::FirstToken{id, began.host, began.number, now_ - began.sent});
+    pass(process, routing::FirstToken{id, began.host, began.number, now_ - began.sent});
   };
-  callbacks.ended = [this, process, id = r.id, life](const core::Ending& ending) {
+  callbacks.ended = [this, process, id = r.id, life](const engine::Ending& ending) {
     if (processes_[process].life == life) end_attempt(process, id, ending);
   };
   a.work =
@@ -155,14 +155,14 @@
   });
 }
 
-void RouterWorld::end_attempt(std::size_t process, const std::string& id, const core::Ending& ending) {
+void RouterWorld::end_attempt(std::size_t process, const std::string& id, const engine::Ending& ending) {
   Attempt& a = processes_[process].attempts[id];
   if (!a.out) return;
   a.out = false;
   deadlines_.drop(a.times_out);
   const bool served = ending.verdict == Verdict::kServed;
   if (served || a.begun) end(id, served ? End::kServed : End::kFailed);
-  const basaltvane::Outcome outcome{
+  const routing::Outcome outcome{
       id, a.host, a.number, ending.verdict, now_ - a.sent, served || a.begun, ending.note, ending.report};
   if (served || a.begun) processes_[process].attempts.erase(id);
   pass(process, outcome);
@@ -175,4 +175,4 @@
   ask.ended = now_;
 }
 
-}  // namespace bitternferry::testing
+}  // namespace dispatcher::testing
--- a/tests/dispatcher/router_world.hpp
+++ b/tests/dispatcher/router_world.hpp
@@ -1,7 +1,7 @@
 // Many routers, driven by events alone, before the model fleet in virtual time: each process sees its own
 // traffic only, loses all when it restarts, and hears of changes when the test has it told.
-#ifndef BITTERNFERRY_TESTS_DISPATCHER_ROUTER_WORLD_HPP_
-#define BITTERNFERRY_TESTS_DISPATCHER_ROUTER_WORLD_HPP_
+#ifndef DISPATCHER_TESTS_DISPATCHER_ROUTER_WORLD_HPP_
+#define DISPATCHER_TESTS_DISPATCHER_ROUTER_WORLD_HPP_
 
 #include <cmath>
 #include <functional>
@@ -11,14 +11,14 @@
 #include <string>
 #include <vector>
 
-#include "basaltvane/router.hpp"
-#include "core/deadlines.hpp"
-#include "model/fleet.hpp"
+#include "engine/deadlines.hpp"
+#include "routing/router.hpp"
+#include "simulation/fleet.hpp"
 
-namespace bitternferry::testing {
+namespace dispatcher::testing {
 
-using basaltvane::Duration;
-using basaltvane::Time;
+using routing::Duration;
+using routing::Time;
 
 // The same numbers on every platform, unlike the library's distributions.
 class Chance {
@@ -47,8 +47,8 @@
   enum class End { kOpen, kServed, kRefused, kFailed };
   struct Ask {
     std::size_t process = 0;
-    basaltvane::Request request;  // its deadline is filled in, by class and length
-    int answer = 1;               // tokens
+    routing::Request request;  // its deadline is filled in, by class and length
+    int answer = 1;            // tokens
     End end = End::kOpen;
     Time at{};
     Duration first{};  // until its first token
@@ -56,9 +56,9 @@
   };
 
   // Settings and fleet as in the figures; `mean_prompt` and `mean_answer` make requests of mean work.
-  RouterWorld(const model::Figures& figures, std::size_t processes, std::uint64_t seed);
+  RouterWorld(const simulation::Figures& figures, std::size_t processes, std::uint64_t seed);
   // ... while the routers are told other settings.
-  RouterWorld(const model::Figures& figures, const basaltvane::Settings& told, std::size_t processes,
+  RouterWorld(const simulation::Figures& figures, const routing::Settings& told, std::size_t processes,
               std::uint64_t seed);
 
   void tell(std::size_t process);  // the list as it is now
@@ -69,49 +69,49 @@
   void run_until(Time time);
 
   Time now() const { return now_; }
-  model::Fleet& fleet() { return fleet_; }
+  simulation::Fleet& fleet() { return fleet_; }
   const std::vector<Ask>& asks() const { return asks_; }
   const std::vector<Sent>& sent() const { return sent_; }
-  std::function<bool(const basaltvane::HostEntry&)> listed;  // what the list tells; empty: all
-  bool tells_starts = true;                                  // else all look as if started long ago
+  std::function<bool(const routing::HostEntry&)> listed;  // what the list tells; empty: all
+  bool tells_starts = true;                               // else all look as if started long ago
 
  private:
   struct Attempt {
-    model::Fleet::Work work = 0;
+    simulation::Fleet::Work work = 0;
     std::string host;
     int number = 0;
     Time sent{};
     bool out = false, begun = false;
-    core::Deadlines::Id times_out;
+    engine::Deadlines::Id times_out;
   };
   struct Process {
-    std::unique_ptr<basaltvane::Router> router;
+    std::unique_ptr<routing::Router> router;
     int life = 0;
-    basaltvane::HostList list;
+    routing::HostList list;
     std::map<std::string, Time> told;  // latest starts that it knows
     std::map<std::string, Attempt> attempts;
   };
   void make(std::size_t process);
-  void pass(std::size_t process, const basaltvane::Event& event);
-  void carry_out(std::size_t process, const basaltvane::Action& action);
-  void send(std::size_t process, const basaltvane::Send& send);
-  void end_attempt(std::size_t process, const std::string& id, const core::Ending& ending);
+  void pass(std::size_t process, const routing::Event& event);
+  void carry_out(std::size_t process, const routing::Action& action);
+  void send(std::size_t process, const routing::Send& send);
+  void end_attempt(std::size_t process, const std::string& id, const engine::Ending& ending);
   void end(const std::string& id, End how);
-  basaltvane::HostList list() const;
+  routing::HostList list() const;
   Ask& of(const std::string& id) { return asks_[std::stoul(id)]; }
 
-  model::Figures figures_;
-  basaltvane::Settings told_;
+  simulation::Figures figures_;
+  routing::Settings told_;
   std::uint64_t seed_;
   Time now_ = std::chrono::seconds(1'000'000);
-  core::Deadlines deadlines_;
-  model::Fleet fleet_;
+  engine::Deadlines deadlines_;
+  simulation::Fleet fleet_;
   std::map<std::string, Time> starts_;  // latest starts, told or not
   std::vector<Process> processes_;
   std::vector<Ask> asks_;
   std::vector<Sent> sent_;
 };
 
-}  // namespace bitternferry::testing
+}  // namespace dispatcher::testing
 
-#endif  // BITTERNFERRY_TESTS_DISPATCHER_ROUTER_WORLD_HPP_
+#endif  // DISPATCHER_TESTS_DISPATCHER_ROUTER_WORLD_HPP_
--- a/tests/dispatcher/settings_test.cpp
+++ b/tests/dispatcher/settings_test.cpp
@@ -2,10 +2,10 @@
 #include <algorithm>
 #include <random>
 
-#include "app/config.hpp"
+#include "daemon/config.hpp"
 #include "world.hpp"
 
-namespace bitternferry::testing {
+namespace dispatcher::testing {
 namespace {
 
 using Json = nlohmann::json;
@@ -26,8 +26,8 @@
 // What a reload would say of it; empty: it is taken.
 std::string problem(const std::string& text) {
   try {
-    app::check_keys(file(), app::parse_config(text, {}).source);
-  } catch (const app::ConfigError& e) {
+    daemon::check_keys(file(), daemon::parse_config(text, {}).source);
+  } catch (const daemon::ConfigError& e) {
     return e.what();
   }
   return {};
@@ -72,12 +72,12 @@
 }
 
 // Settings as in the tests' world, but fewer attempts, "command" safe now, "ask" gone and "more" new.
-core::Rules other() {
+engine::Rules other() {
   auto s = make_settings();
   s.max_attempts = 2;
   s.classes[0].name = "more";
-  s.classes[1].repeat = basaltvane::Repeat::kSafe;
-  return std::make_shared<const basaltvane::Settings>(s);
+  s.classes[1].repeat = routing::Repeat::kSafe;
+  return std::make_shared<const routing::Settings>(s);
 }
 
 // Each writer resets what it is asked; readers read.
@@ -127,9 +127,10 @@
   World world(read_well, write_well, kChat);
   const std::string next =
       R"({"listen":"127.0.0.1:0","account":"acme","models":[{"id":"more","class":"more"}]})";
-  CHECK_THROWS(chat::parse_config({"chat.json", next}, make_settings()));
+  CHECK_THROWS(openai_api::parse_config({"chat.json", next}, make_settings()));
   world.engine.adopt(other());
-  world.chat->adopt(*chat::parse_config({"chat.json", next}, *other()));  // keeps what its models point into
+  world.chat->adopt(
+      *openai_api::parse_config({"chat.json", next}, *other()));  // keeps what its models point into
   auto client = world.chat_client(), old = world.chat_client();
   client->post("", chat_body("more", false));
   old->post("", chat_body("ask", false));
@@ -139,4 +140,4 @@
 }
 
 }  // namespace
-}  // namespace bitternferry::testing
+}  // namespace dispatcher::testing
--- a/tests/dispatcher/shared_test.cpp
+++ b/tests/dispatcher/shared_test.cpp
@@ -3,13 +3,13 @@
 #include <random>
 
 #include "property.hpp"
-#include "shared/doubt.hpp"
-#include "shared/rows.hpp"
+#include "replicated_state/doubt.hpp"
+#include "replicated_state/rows.hpp"
 
-namespace bitternferry::testing {
+namespace dispatcher::testing {
 namespace {
 
-using namespace shared;
+using namespace replicated_state;
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
@@ -327,4 +327,4 @@
 }
 
 }  // namespace
-}  // namespace bitternferry::testing
+}  // namespace dispatcher::testing
--- a/tests/dispatcher/upgrade_test.cpp
+++ b/tests/dispatcher/upgrade_test.cpp
@@ -6,16 +6,16 @@
 #include <fstream>
 #include <random>
 
-#include "app/dispatcher.hpp"
-#include "upgrade/bans.hpp"
-#include "upgrade/partner.hpp"
+#include "daemon/dispatcher.hpp"
+#include "hot_restart/bans.hpp"
+#include "hot_restart/partner.hpp"
 #include "world.hpp"
 
-namespace bitternferry::testing {
+namespace dispatcher::testing {
 namespace {
 
 namespace fs = std::filesystem;
-using upgrade::Json;
+using hot_restart::Json;
 
 struct Folder {
   Folder() {
@@ -32,13 +32,13 @@
 TEST_CASE("bans outlive their process; a damaged file is no reason not to start", "[upgrade]") {
   Folder folder;
   const std::string path = folder / "x.bans";
-  upgrade::Bans first(path, quiet);
+  hot_restart::Bans first(path, quiet);
   first.load();
   CHECK(first.set("a", true));
   CHECK(first.set("b", true));
   CHECK_FALSE(first.set("b", true));
   CHECK(first.set("a", false));
-  upgrade::Bans second(path, quiet);
+  hot_restart::Bans second(path, quiet);
   second.load();
   CHECK(second.hosts() == std::set<std::string>{"b"});
   CHECK(std::distance(fs::directory_iterator(folder.path), {}) == 1);  // nothing half written stays
@@ -48,26 +48,26 @@
   for (std::size_t cut = 0; cut < text.size(); ++cut) {
     std::ofstream(path, std::ios::trunc) << text.substr(0, cut);
     int logged = 0;
-    upgrade::Bans damaged(path, [&](std::string_view) { ++logged; });
+    hot_restart::Bans damaged(path, [&](std::string_view) { ++logged; });
     damaged.load();
     CHECK(damaged.hosts().empty());
     CHECK(logged == 1);
   }
   fs::remove(path);
   fs::create_directory(path);
-  upgrade::Bans hindered(path, quiet);
+  hot_restart::Bans hindered(path, quiet);
   hindered.load();
   CHECK(hindered.set("c", true));  // binds, though it can't be kept
 }
 
-struct Ear : upgrade::Link::Owner {
-  void on_message(const Json& message, upgrade::Fds fds) override {
+struct Ear : hot_restart::Link::Owner {
+  void on_message(const Json& message, hot_restart::Fds fds) override {
     messages.push_back(message);
     for (auto& fd : fds) descriptors.push_back(std::move(fd));
   }
   void on_link_ended() override { ended = true; }
   std::vector<Json> messages;
-  upgrade::Fds descriptors;
+  hot_restart::Fds descriptors;
   bool ended = false;
 };
 
@@ -75,18 +75,18 @@
   Clockwork work;
   Folder folder;
   Ear here, there;
-  CHECK(upgrade::Link::connect(work.io, folder / "s", here) == nullptr);
+  CHECK(hot_restart::Link::connect(work.io, folder / "s", here) == nullptr);
   std::ofstream(folder / "s") << "stale";
-  CHECK(upgrade::Link::connect(work.io, folder / "s", here) == nullptr);
-  std::shared_ptr<upgrade::Link> far;
+  CHECK(hot_restart::Link::connect(work.io, folder / "s", here) == nullptr);
+  std::shared_ptr<hot_restart::Link> far;
   int raw = -1;
-  upgrade::Door door(work.io, folder / "s", [&](net::UniqueFd fd) {
+  hot_restart::Door door(work.io, folder / "s", [&](net::UniqueFd fd) {
     raw = fd.get();
-    far = std::make_shared<upgrade::Link>(work.io, std::move(fd), there);
+    far = std::make_shared<hot_restart::Link>(work.io, std::move(fd), there);
     far->start();
   });
   REQUIRE(door.open());
-  const auto near = upgrade::Link::connect(work.io, folder / "s", here);
+  const auto near = hot_restart::Link::connect(work.io, folder / "s", here);
   REQUIRE(near != nullptr);
   net::tcp::acceptor listening(work.io, loopback());
   near->send({{"n", 0}}, {listening.native_handle()});
@@ -114,15 +114,15 @@
 }
 
 TEST_CASE("what a router learned passes on whole; what can't be read is left out", "[upgrade]") {
-  basaltvane::Knowledge k;
+  routing::Knowledge k;
   k.starts[1] = {12.5, 0.25, 40};
   k.far = {3, 0.5, 9};
   k.served = {5, 6, 0};
   k.since = seconds(77);
   k.hosts.push_back({"r1", {seconds(80), seconds(81)}, seconds(79)});
-  const Json object = upgrade::to_json(k);
-  const auto back = upgrade::parse_knowledge(Json::parse(object.dump()));
-  CHECK(upgrade::to_json(back) == object);
+  const Json object = hot_restart::to_json(k);
+  const auto back = hot_restart::parse_knowledge(Json::parse(object.dump()));
+  CHECK(hot_restart::to_json(back) == object);
   std::mt19937 random(5);
   for (int i = 0; i < 300; ++i) {  // any value replaced by any other kind
     Json bad = object.flatten();
@@ -130,7 +130,7 @@
     std::advance(it, static_cast<std::ptrdiff_t>(random() % bad.size()));
     const std::vector<Json> values = {nullptr, "x", -1e300, true, 1e300};
     it.value() = values[random() % values.size()];
-    const auto read = upgrade::parse_knowledge(bad.unflatten());
+    const auto read = hot_restart::parse_knowledge(bad.unflatten());
     CHECK(read.served[0] >= 0);
     CHECK(read.starts[1].mean >= 0);
   }
@@ -138,34 +138,34 @@
 
 TEST_CASE("a router that takes over has its elder's part of a cold host's budget, and no second one",
           "[upgrade]") {
-  const auto list = [](core::Time started) {
-    basaltvane::HostList all{basaltvane::ListKind::kFull, {}};
+  const auto list = [](engine::Time started) {
+    routing::HostList all{routing::ListKind::kFull, {}};
     for (const std::string host : {"r1", "r2", "w1"})
       all.entries.push_back({host, "here", host[0] == 'r' ? "reader" : "writer", 0,
-                             basaltvane::HostState::kReady, 1, host == "r2" ? started : core::Time{}});
+                             routing::HostState::kReady, 1, host == "r2" ? started : engine::Time{}});
     return all;
   };
-  core::Time now = seconds(1000);
+  engine::Time now = seconds(1000);
   const bool told = GENERATE(true, false);
-  basaltvane::Router young(make_settings(), 1);
+  routing::Router young(make_settings(), 1);
   young.handle(now, list(now));
   if (told) {
-    basaltvane::Knowledge k;
+    routing::Knowledge k;
     k.served = {80, 80, 0};
     k.since = now - seconds(60);
     k.hosts.push_back({"r2", {now - milliseconds(10), now - milliseconds(5)}, {}});
     young.handle(now, k);
-    young.handle(now, basaltvane::SentElsewhere{"r2"});
+    young.handle(now, routing::SentElsewhere{"r2"});
   }
-  young.handle(now, basaltvane::Maintenance{"r1", true});  // the cold one is all there is
+  young.handle(now, routing::Maintenance{"r1", true});  // the cold one is all there is
   int sent = 0;
   for (int i = 0; i < 100; ++i) {
-    basaltvane::Request r;
+    routing::Request r;
     r.id = "q" + std::to_string(i);
     r.request_class = "ask";
     r.client_deadline = now + seconds(6);
     for (const auto& action : young.handle(now, r))
-      sent += std::holds_alternative<basaltvane::Send>(action) ? 1 : 0;
+      sent += std::holds_alternative<routing::Send>(action) ? 1 : 0;
   }
   // 80 results in 8 s of one warm reader: 0.6 * 4 * 0.3 * 10 a second * 2 s, of which three are used.
   // One that knows no rate has turns by request, one in a window.
@@ -183,12 +183,12 @@
     config.console = loopback();
     config.scratch = folder.path;
     config.settings = make_settings();
-    basaltvane::HostEntry r1{"r1", "here", "reader", 0, basaltvane::HostState::kReady, 1, {}};
+    routing::HostEntry r1{"r1", "here", "reader", 0, routing::HostState::kReady, 1, {}};
     config.known.list.entries = {r1};
     config.known.addresses = {{"r1", loopback(), true}};
     config.known.whole = true;
-    app::Texts texts{{"chat.json", chat}, {"vrrp.json", vrrp}};
-    if (!levels.empty()) texts.levels = record::File{"levels.cue", levels};
+    daemon::Texts texts{{"chat.json", chat}, {"vrrp.json", vrrp}};
+    if (!levels.empty()) texts.levels = cue::File{"levels.cue", levels};
     first.emplace(loop, config, texts, log("1 "));
     first->start();
     config.listen = first->address();
@@ -198,7 +198,7 @@
     second->start();
     run_until("2 serving on");
   }
-  core::Log log(const std::string& who) {
+  engine::Log log(const std::string& who) {
     return [this, who](std::string_view line) { logs.push_back(who + std::string(line)); };
   }
   bool logged(const std::string& start) const {
@@ -232,10 +232,10 @@
     return static_cast<int>(caller.reader.message().result_int());
   }
   Folder folder;
-  app::Loop loop;
-  app::Config config;
+  daemon::Loop loop;
+  daemon::Config config;
   std::vector<std::string> logs;
-  std::optional<app::Dispatcher> first, second;
+  std::optional<daemon::Dispatcher> first, second;
 };
 
 TEST_CASE("a second process takes over the socket, the list and the bans; the first one ends", "[upgrade]") {
@@ -302,15 +302,15 @@
   const bool taken = GENERATE(false, true);
   if (taken) fs::create_directory(folder / "bitternferry-n1.sock");
   if (!taken) std::ofstream(folder / "bitternferry-n1.sock") << "not a socket";
-  app::Loop loop;
-  app::Config config;
+  daemon::Loop loop;
+  daemon::Config config;
   config.name = "n1";
   config.listen = config.discovery = loopback();
   config.discovery.port(1);
   config.scratch = folder.path;
   config.settings = make_settings();
   std::vector<std::string> logs;
-  app::Dispatcher dispatcher(loop, config, {}, [&](std::string_view line) { logs.emplace_back(line); });
+  daemon::Dispatcher dispatcher(loop, config, {}, [&](std::string_view line) { logs.emplace_back(line); });
   dispatcher.start();
   CHECK(std::any_of(logs.begin(), logs.end(), [](const auto& l) { return l.starts_with("serving on"); }));
 }
@@ -365,7 +365,7 @@
 }
 
 // Are both ends of the stream ready to be handed over?
-bool hush(World& world, const core::Engine::Stream& stream) {
+bool hush(World& world, const engine::Engine::Stream& stream) {
   const bool still = world.platform.server().hush(stream.client);
   return world.pool.hush({stream.request, stream.attempt}) && still;
 }
@@ -381,7 +381,7 @@
   world.settle();
   const auto streams = world.engine.streams(world.platform.answerer());
   REQUIRE(streams.size() == 1);
-  const core::AttemptId attempt{streams[0].request, streams[0].attempt};
+  const engine::AttemptId attempt{streams[0].request, streams[0].attempt};
   REQUIRE(world.until([&] { return hush(world, streams[0]); }));
   auto& writer = world.writer(0).waiting.empty() ? world.writer(1) : world.writer(0);
   // One that could not be handed over yet is woken, also while its reads are being taken back.
@@ -429,7 +429,7 @@
   REQUIRE(world.until([&] { return client->body.find("one") != std::string::npos; }));
   world.settle();
   const auto stream = world.engine.streams(world.platform.answerer()).at(0);
-  const core::AttemptId attempt{stream.request, stream.attempt};
+  const engine::AttemptId attempt{stream.request, stream.attempt};
   REQUIRE(world.until([&] { return hush(world, stream); }));
   auto [replica, given] = world.pool.give(attempt);
   net::UniqueFd socket = world.platform.server().give(stream.client);
@@ -446,4 +446,4 @@
 }
 
 }  // namespace
-}  // namespace bitternferry::testing
+}  // namespace dispatcher::testing
--- a/tests/dispatcher/vrrp_test.cpp
+++ b/tests/dispatcher/vrrp_test.cpp
@@ -4,7 +4,7 @@
 #include "vrrp/speaker.hpp"
 #include "world.hpp"
 
-namespace bitternferry::testing {
+namespace dispatcher::testing {
 namespace {
 
 using vrrp::Address;
@@ -188,4 +188,4 @@
 }
 
 }  // namespace
-}  // namespace bitternferry::testing
+}  // namespace dispatcher::testing
--- a/tests/dispatcher/watch_test.cpp
+++ b/tests/dispatcher/watch_test.cpp
@@ -1,14 +1,14 @@
 // Discovery's watch over loopback, against an agent that is silent, refuses, resets and repeats itself.
-#include "discovery/watch.hpp"
+#include "service_discovery/watch.hpp"
 
 #include <algorithm>
 #include <boost/asio/write.hpp>
 #include <optional>
 
-#include "fleet/backoff.hpp"
+#include "service_discovery/backoff.hpp"
 #include "world.hpp"
 
-namespace bitternferry::testing {
+namespace dispatcher::testing {
 namespace {
 
 namespace asio = boost::asio;
@@ -113,14 +113,15 @@
 
 struct Follower {
   explicit Follower(Clockwork& work, Agent& agent, int fleet = 300,
-                    discovery::Lists lists = discovery::Lists::kPushed)
+                    service_discovery::Lists lists = service_discovery::Lists::kPushed)
       : watch(
             work.io, agent.address(), work.deadlines, work.clock(),
             [this](std::string_view line) { logs.emplace_back(line); },
-            [this](const discovery::Servers& servers) { told.push_back(servers); }, fleet, 3, lists) {}
+            [this](const service_discovery::Servers& servers) { told.push_back(servers); }, fleet, 3, lists) {
+  }
   std::vector<std::string> logs;
-  std::vector<discovery::Servers> told;
-  discovery::Watch watch;
+  std::vector<service_discovery::Servers> told;
+  service_discovery::Watch watch;
   long logged(std::string_view start) const {
     return std::count_if(logs.begin(), logs.end(), [&](auto& line) { return line.starts_with(start); });
   }
@@ -128,7 +129,7 @@
 
 // A watch that has its first list, after which the agent says nothing by itself.
 struct Established {
-  explicit Established(int fleet = 300, discovery::Lists lists = discovery::Lists::kPushed)
+  explicit Established(int fleet = 300, service_discovery::Lists lists = service_discovery::Lists::kPushed)
       : agent(work), follower(work, agent, fleet, lists) {
     follower.watch.start(40);
     REQUIRE(work.until([&] { return agent.asked() == 1; }));
@@ -156,13 +157,13 @@
       REQUIRE(e.agent.open() >= 1);
       REQUIRE(e.agent.open() <= 2);
     }
-    const core::Time back = e.work.now;
+    const engine::Time back = e.work.now;
     for (const auto& call : e.agent.calls) {
       if (!call->gone) Agent::say(*call, list(42, false, "draining"));
     }
     REQUIRE(e.tells(2));
     CHECK(e.work.now == back);  // not a moment later
-    CHECK(e.follower.told.back().list.entries[0].state == basaltvane::HostState::kDraining);
+    CHECK(e.follower.told.back().list.entries[0].state == routing::HostState::kDraining);
     e.work.settle();
     CHECK(e.agent.open() == 1);
     CHECK(e.follower.logged("discovery lost") == (silent > 2400 ? 1 : 0));
@@ -247,16 +248,16 @@
     REQUIRE(refused == pause);
   }
   e.agent.on_asked = [](Agent::Call& call) { Agent::say(call, list(42, false, "draining")); };
-  e.work.advance(fleet::kLongestPause);
+  e.work.advance(service_discovery::kLongestPause);
   REQUIRE(e.tells(2));
 }
 
 TEST_CASE("asked for: there is one call at a time, with a pause after silence, a reset and a refusal",
           "[discovery][watch]") {
   for (const int how : {0, 1, 2}) {
-    Established e(300, discovery::Lists::kAskedFor);
+    Established e(300, service_discovery::Lists::kAskedFor);
     if (how == 0) {
-      e.work.advance(fleet::kSilence + milliseconds(40));
+      e.work.advance(service_discovery::kSilence + milliseconds(40));
       CHECK(e.work.until([&] { return e.agent.open() == 0; }));
       e.work.advance(milliseconds(400));
       CHECK(e.agent.calls.size() == 1);
@@ -286,7 +287,7 @@
 }
 
 TEST_CASE("an overbooked discovery's 503 after 2 s is read, not cut off", "[discovery][watch]") {
-  for (const auto lists : {discovery::Lists::kPushed, discovery::Lists::kAskedFor}) {
+  for (const auto lists : {service_discovery::Lists::kPushed, service_discovery::Lists::kAskedFor}) {
     Clockwork work;
     Agent agent(work);
     Follower follower(work, agent, 300, lists);
@@ -428,11 +429,11 @@
 TEST_CASE(
     "a move closes both old calls and asks the new address at once, also where its first call is silent",
     "[discovery][watch]") {
-  for (const auto lists : {discovery::Lists::kPushed, discovery::Lists::kAskedFor}) {
+  for (const auto lists : {service_discovery::Lists::kPushed, service_discovery::Lists::kAskedFor}) {
     Established e(300, lists);
     e.work.advance(milliseconds(3000));  // pushed: two calls are out; asked for: in the pause
     Agent next(e.work);
-    const core::Time moved = e.work.now;
+    const engine::Time moved = e.work.now;
     e.follower.watch.move(next.address());
     REQUIRE(e.work.until([&] { return next.asked() == 1 && e.agent.open() == 0; }));
     CHECK(e.work.now == moved);
@@ -453,7 +454,7 @@
 TEST_CASE("a restart before the start makes no call of its own", "[discovery][watch]") {
   Clockwork work;
   Agent agent(work);
-  Follower follower(work, agent, 300, discovery::Lists::kAskedFor);
+  Follower follower(work, agent, 300, service_discovery::Lists::kAskedFor);
   follower.watch.restart();  // as when the list that the configuration knows has the module subscribe
   follower.watch.start(40);
   REQUIRE(work.until([&] { return agent.asked() == 1; }));
@@ -481,10 +482,10 @@
   Clockwork work;
   Agent agent(work);
   std::vector<std::uint64_t> told;
-  std::optional<discovery::Watch> watch;
+  std::optional<service_discovery::Watch> watch;
   watch.emplace(
       work.io, agent.address(), work.deadlines, work.clock(), [](std::string_view) {},
-      [&](const discovery::Servers& servers) {
+      [&](const service_discovery::Servers& servers) {
         told.push_back(servers.seq);
         if (told.size() == 1) watch->restart();
       });
@@ -500,4 +501,4 @@
 }
 
 }  // namespace
-}  // namespace bitternferry::testing
+}  // namespace dispatcher::testing
--- a/tests/dispatcher/world.cpp
+++ b/tests/dispatcher/world.cpp
@@ -4,13 +4,13 @@
 
 #include <algorithm>
 
-namespace bitternferry::testing {
+namespace dispatcher::testing {
 
-using basaltvane::HostState;
-using basaltvane::Repeat;
+using routing::HostState;
+using routing::Repeat;
 
-basaltvane::Settings make_settings() {
-  basaltvane::Settings s;
+routing::Settings make_settings() {
+  routing::Settings s;
   s.router_count = 1;
   s.zone = "here";
   s.classes.resize(2);
@@ -23,7 +23,7 @@
   s.classes[1].repeat = Repeat::kUnsafe;
   s.classes[1].deadline = seconds(3);
   s.tenants = {{"acme", 1000}};
-  s.kinds = {{"reader", basaltvane::Role::kReader, 200000}, {"writer", basaltvane::Role::kWriter, 100000}};
+  s.kinds = {{"reader", routing::Role::kReader, 200000}, {"writer", routing::Role::kWriter, 100000}};
   s.may_cancel = s.retry_advice = true;
   s.max_retry_in = milliseconds(500);
   s.max_attempts = 4;
@@ -40,7 +40,7 @@
   return s;
 }
 
-void StandInReplica::on_request(SlotId client, http::Server::Request& request, core::Time) {
+void StandInReplica::on_request(SlotId client, http::Server::Request& request, engine::Time) {
   const auto text = [](const auto& view) { return std::string(view.data(), view.size()); };
   seen.push_back({text(request.method_string()), text(request.target()),
                   std::string(http::header(request, "X-Correlation-Id")), request.body(), request});
@@ -131,13 +131,13 @@
 World::World(Script reader_script, Script writer_script, std::string chat_config)
     : pool(io, deadlines, clock(), [this](std::string_view line) { logs.emplace_back(line); },
            {settings.connect_timeout, settings.idle_close, milliseconds(100), 4, 8, 64}),
-      engine(std::make_shared<const basaltvane::Settings>(settings), 7, pool, deadlines, clock(),
+      engine(std::make_shared<const routing::Settings>(settings), 7, pool, deadlines, clock(),
              [this](std::string_view line) { logs.emplace_back(line); }),
-      platform(io, loopback(), engine, std::make_shared<const basaltvane::Settings>(settings), deadlines,
+      platform(io, loopback(), engine, std::make_shared<const routing::Settings>(settings), deadlines,
                clock(), {}, {}) {
   pool.attach(engine);
-  basaltvane::HostList list{basaltvane::ListKind::kFull, {}};
-  std::vector<replica::Address> addresses;
+  routing::HostList list{routing::ListKind::kFull, {}};
+  std::vector<upstream::Address> addresses;
   for (const std::string name : {"r1", "r2", "w1", "w2"}) {
     const bool reads = name[0] == 'r';
     replicas.push_back(std::make_unique<StandInReplica>(*this, reads ? reader_script : writer_script));
@@ -148,8 +148,9 @@
   engine.hosts(list);
   platform.server().open();
   if (chat_config.empty()) return;
-  chat = std::make_unique<chat::Front>(io, *chat::parse_config({"chat.json", chat_config}, settings), engine,
-                                       deadlines, clock(), 7, http::ServerOptions{}, std::function<bool()>{});
+  chat = std::make_unique<openai_api::Front>(
+      io, *openai_api::parse_config({"chat.json", chat_config}, settings), engine, deadlines, clock(), 7,
+      http::ServerOptions{}, std::function<bool()>{});
   chat->server().open();
 }
 
@@ -188,4 +189,4 @@
          text + R"("}]})";
 }
 
-}  // namespace bitternferry::testing
+}  // namespace dispatcher::testing
--- a/tests/dispatcher/world.hpp
+++ b/tests/dispatcher/world.hpp
@@ -1,7 +1,7 @@
 // Stand-in clients and replicas on ephemeral loopback ports, round the real core, pool and fronts. Time is
 // the test's own: it moves only when advance() says so, so no verdict hangs on how fast a machine is.
-#ifndef BITTERNFERRY_TESTS_DISPATCHER_WORLD_HPP_
-#define BITTERNFERRY_TESTS_DISPATCHER_WORLD_HPP_
+#ifndef DISPATCHER_TESTS_DISPATCHER_WORLD_HPP_
+#define DISPATCHER_TESTS_DISPATCHER_WORLD_HPP_
 
 #include <catch2/catch.hpp>
 #include <chrono>
@@ -12,27 +12,27 @@
 #include <thread>
 #include <vector>
 
-#include "chat/front.hpp"
-#include "core/engine.hpp"
+#include "engine/engine.hpp"
 #include "http/message.hpp"
-#include "platform/front.hpp"
-#include "replica/pool.hpp"
+#include "openai_api/front.hpp"
+#include "platform_api/front.hpp"
+#include "upstream/pool.hpp"
 
-namespace bitternferry::testing {
+namespace dispatcher::testing {
 
 using net::SlotId;
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-basaltvane::Settings make_settings();  // a safe class "ask", an unsafe one "command"; readers and writers
+routing::Settings make_settings();  // a safe class "ask", an unsafe one "command"; readers and writers
 
 inline net::tcp::endpoint loopback() { return {boost::asio::ip::address_v4::loopback(), 0}; }
 
 struct Clockwork {
   boost::asio::io_context io{1};
-  core::Deadlines deadlines;
-  core::Time now = seconds(1'800'000'000);
-  core::Clock clock() {
+  engine::Deadlines deadlines;
+  engine::Time now = seconds(1'800'000'000);
+  engine::Clock clock() {
     return [this] { return now; };
   }
   // Runs what the sockets bring until the condition holds. The bound only ends a test that has failed.
@@ -48,9 +48,9 @@
     return false;
   }
   // Lets time pass in the steps in which the router's ticks come.
-  void advance(core::Duration time) {
-    for (const core::Time end = now + time; now < end;) {
-      now = std::min<core::Time>(end, now + milliseconds(20));
+  void advance(engine::Duration time) {
+    for (const engine::Time end = now + time; now < end;) {
+      now = std::min<engine::Time>(end, now + milliseconds(20));
       deadlines.run(now);
       settle();
     }
@@ -91,7 +91,7 @@
   std::vector<SlotId> waiting, gone;
 
  private:
-  void on_request(SlotId client, http::Server::Request& request, core::Time) override;
+  void on_request(SlotId client, http::Server::Request& request, engine::Time) override;
   void on_gone(SlotId client) override { gone.push_back(client); }
   void on_room(SlotId) override {}
   std::string error_body(int, std::string_view) override { return {}; }
@@ -179,12 +179,12 @@
   }
 
   std::vector<std::string> logs;
-  basaltvane::Settings settings = make_settings();
+  routing::Settings settings = make_settings();
   std::vector<std::unique_ptr<StandInReplica>> replicas;
-  replica::Pool pool;
-  core::Engine engine;
-  platform::Front platform;
-  std::unique_ptr<chat::Front> chat;
+  upstream::Pool pool;
+  engine::Engine engine;
+  platform_api::Front platform;
+  std::unique_ptr<openai_api::Front> chat;
 };
 
 // The headers of a platform request.
@@ -196,6 +196,6 @@
   "models":[{"id":"ask","class":"ask"},{"id":"command","class":"command"}]})";
 std::string chat_body(const std::string& model, bool stream, const std::string& text = "Is the boiler on?");
 
-}  // namespace bitternferry::testing
+}  // namespace dispatcher::testing
 
-#endif  // BITTERNFERRY_TESTS_DISPATCHER_WORLD_HPP_
+#endif  // DISPATCHER_TESTS_DISPATCHER_WORLD_HPP_
--- a/tests/guards_test.cpp
+++ b/tests/guards_test.cpp
@@ -1,7 +1,7 @@
 // The guards: each failure found has a test here.
 #include "harness.hpp"
 
-namespace basaltvane::testing {
+namespace dispatcher::routing::testing {
 namespace {
 
 bool logged(const std::vector<Action>& actions, const std::string& text) {
@@ -366,4 +366,4 @@
 }
 
 }  // namespace
-}  // namespace basaltvane::testing
+}  // namespace dispatcher::routing::testing
--- a/tests/harness.hpp
+++ b/tests/harness.hpp
@@ -1,6 +1,6 @@
 // Drives a router by hand and keeps what a dispatcher would know: attempts out, states held, answers given.
-#ifndef BASALTVANE_TESTS_HARNESS_HPP_
-#define BASALTVANE_TESTS_HARNESS_HPP_
+#ifndef DISPATCHER_TESTS_HARNESS_HPP_
+#define DISPATCHER_TESTS_HARNESS_HPP_
 
 #include <gtest/gtest.h>
 
@@ -10,9 +10,9 @@
 #include <string>
 #include <vector>
 
-#include "basaltvane/router.hpp"
+#include "routing/router.hpp"
 
-namespace basaltvane::testing {
+namespace dispatcher::routing::testing {
 
 using std::chrono::milliseconds;
 using std::chrono::seconds;
@@ -171,6 +171,6 @@
   std::vector<std::string> refused, failed, released, cancelled, moved;
 };
 
-}  // namespace basaltvane::testing
+}  // namespace dispatcher::routing::testing
 
-#endif  // BASALTVANE_TESTS_HARNESS_HPP_
+#endif  // DISPATCHER_TESTS_HARNESS_HPP_
--- a/tests/router_test.cpp
+++ b/tests/router_test.cpp
@@ -1,7 +1,7 @@
 // The ordinary path: scorers, writer choice, mixed servers; and the guards around it.
 #include "harness.hpp"
 
-namespace basaltvane::testing {
+namespace dispatcher::routing::testing {
 namespace {
 
 TEST(Scoring, FollowsTheSessionToTheReaderThatHasItsTexts) {
@@ -295,4 +295,4 @@
 }
 
 }  // namespace
-}  // namespace basaltvane::testing
+}  // namespace dispatcher::routing::testing
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -4,7 +4,7 @@
 
 #include "harness.hpp"
 
-namespace basaltvane::testing {
+namespace dispatcher::routing::testing {
 namespace {
 
 std::vector<HostEntry> fleet() {
@@ -500,4 +500,4 @@
 INSTANTIATE_TEST_SUITE_P(Seeds, Sequences, ::testing::Range(1, 25));
 
 }  // namespace
-}  // namespace basaltvane::testing
+}  // namespace dispatcher::routing::testing
--- a/tests/run.sh
+++ b/tests/run.sh
@@ -3,13 +3,13 @@
 # KNOWN-RED.txt names are printed and passed over: see tests/known_red.py.
 set -euo pipefail
 cd "$(dirname "$0")/.."
-flags="-DBASALTVANE_TESTS=ON -DBASALTVANE_WERROR=ON"
+flags="-DDISPATCHER_TESTS=ON -DDISPATCHER_WERROR=ON"
 cmake -B build-ci -DCMAKE_BUILD_TYPE=Release $flags
 cmake --build build-ci -j"$(nproc)"
 bash tests/consumer/run.sh build-ci
-build-ci/bitternferry version
+build-ci/llm-dispatcher version
 # Lightly optimized: the sanitizers' checks in Boost's templates take minutes to optimize fully.
-cmake -B build-ci-san -DCMAKE_BUILD_TYPE=Debug -DCMAKE_CXX_FLAGS=-O1 -DBASALTVANE_SANITIZE=ON $flags
+cmake -B build-ci-san -DCMAKE_BUILD_TYPE=Debug -DCMAKE_CXX_FLAGS=-O1 -DDISPATCHER_SANITIZE=ON $flags
 cmake --build build-ci-san -j"$(nproc)"
 tests/known_red.py run build-ci-san -j"$(nproc)"
 tests/known_red.py run build-ci -j"$(nproc)"
--- a/tests/settings_check_test.cpp
+++ b/tests/settings_check_test.cpp
@@ -6,7 +6,9 @@
 #include "harness.hpp"
 #include "settings/check.hpp"
 
-namespace basaltvane::settings {
+namespace dispatcher::settings {
+
+using namespace routing;
 
 bool operator==(const Finding& a, const Finding& b) { return a.severity == b.severity && a.field == b.field; }
 std::ostream& operator<<(std::ostream& out, const Finding& f) {
@@ -15,15 +17,15 @@
 
 namespace {
 
+using routing::testing::Harness;
+using routing::testing::host;
 using std::chrono::hours;
 using std::chrono::milliseconds;
 using std::chrono::seconds;
-using testing::Harness;
-using testing::host;
 
 // As an operator has them who made no mistake.
 Settings sound() {
-  Settings s = testing::make_settings();
+  Settings s = routing::testing::make_settings();
   s.zones = {"east", "west"};
   s.tenants = {{"one", 12.5}, {"two", 7.5}};
   s.early_pairing = true;
@@ -252,7 +254,7 @@
   } catch (const std::invalid_argument& e) {
     EXPECT_STREQ(
         e.what(),
-        "basaltvane: bad settings: field 'myNumber': 7 among 2 dispatchers; wanted: 0 to 1; field "
+        "routing: bad settings: field 'myNumber': 7 among 2 dispatchers; wanted: 0 to 1; field "
         "'limits.mostTries': 0; wanted: at least 1; field 'categories[1].name': 'safe' a second time; "
         "wanted: another name");
   }
@@ -287,4 +289,4 @@
 }
 
 }  // namespace
-}  // namespace basaltvane::settings
+}  // namespace dispatcher::settings
--- a/tests/settings_property_test.cpp
+++ b/tests/settings_property_test.cpp
@@ -13,7 +13,7 @@
 #include "settings/check.hpp"
 #include "settings_world.hpp"
 
-namespace basaltvane::testing {
+namespace dispatcher::routing::testing {
 
 using std::chrono::milliseconds;
 
@@ -284,4 +284,4 @@
   hold(6, 2000, [&] { play(draw(*any_genes(range)), *any_script(60)); });
 }
 
-}  // namespace basaltvane::testing
+}  // namespace dispatcher::routing::testing
--- a/tests/settings_world.cpp
+++ b/tests/settings_world.cpp
@@ -5,7 +5,7 @@
 #include <sstream>
 #include <type_traits>
 
-namespace basaltvane::testing {
+namespace dispatcher::routing::testing {
 namespace {
 
 using std::chrono::milliseconds;
@@ -574,4 +574,4 @@
   check(router_.table_sizes().index_keys <= 2 * requests_.size(), "more texts are kept than came");
 }
 
-}  // namespace basaltvane::testing
+}  // namespace dispatcher::routing::testing
--- a/tests/settings_world.hpp
+++ b/tests/settings_world.hpp
@@ -1,8 +1,8 @@
 // A dispatcher and its replicas as the wire's rules describe them, round a router whose settings, events and
 // times are drawn: it answers what the router does with consistent outcomes and throws Broken as soon as a
 // rule is broken. Two routers get the same events, and have to act alike.
-#ifndef BASALTVANE_TESTS_SETTINGS_WORLD_HPP_
-#define BASALTVANE_TESTS_SETTINGS_WORLD_HPP_
+#ifndef DISPATCHER_TESTS_SETTINGS_WORLD_HPP_
+#define DISPATCHER_TESTS_SETTINGS_WORLD_HPP_
 
 #include <map>
 #include <memory>
@@ -12,9 +12,9 @@
 #include <utility>
 #include <vector>
 
-#include "basaltvane/router.hpp"
+#include "routing/router.hpp"
 
-namespace basaltvane::testing {
+namespace dispatcher::routing::testing {
 
 struct Broken : std::runtime_error {
   using std::runtime_error::runtime_error;
@@ -113,6 +113,6 @@
   int asked_ = 0, restarts_ = 0;
 };
 
-}  // namespace basaltvane::testing
+}  // namespace dispatcher::routing::testing
 
-#endif  // BASALTVANE_TESTS_SETTINGS_WORLD_HPP_
+#endif  // DISPATCHER_TESTS_SETTINGS_WORLD_HPP_
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -5,7 +5,9 @@
 
 #include <string>
 
-namespace basaltvane::wire {
+namespace dispatcher::wire {
+
+using namespace routing;
 namespace {
 
 Json env() {
@@ -227,4 +229,4 @@
 }
 
 }  // namespace
-}  // namespace basaltvane::wire
+}  // namespace dispatcher::wire
--- a/tools/account.py
+++ b/tools/account.py
@@ -1,5 +1,5 @@
 #!/usr/bin/env python3
-"""Counts over a fleet what became of its requests, from the logs of `bitternferry --log-requests`.
+"""Counts over a fleet what became of its requests, from the logs of `llm-dispatcher --log-requests`.
 
     tools/account.py FOLDER [--aim ask=1200:40,command=800:60] [--by SECONDS] [--hosts]
 
