--- a/adapter/fields.hpp
+++ b/adapter/fields.hpp
@@ -20,7 +20,7 @@
   return "number";
 }
 // Times are milliseconds; longer ones would not fit.
-constexpr double kMostMs = 1e15;
+constexpr double kMaxMs = 1e15;
 
 template <class T>
 bool fits(const Json& value) {
@@ -31,9 +31,7 @@
     return value.is_number() && std::abs(value.get<double>()) <= std::numeric_limits<int>::max();
   return value.is_number();
 }
-inline bool fits_ms(const Json& value) {
-  return value.is_number() && std::abs(value.get<double>()) < kMostMs;
-}
+inline bool fits_ms(const Json& value) { return value.is_number() && std::abs(value.get<double>()) < kMaxMs; }
 
 template <class T>
 T convert(const Json& value) {
--- a/adapter/settings.cpp
+++ b/adapter/settings.cpp
@@ -19,9 +19,9 @@
 using Words = std::initializer_list<std::pair<const char*, E>>;
 
 std::string shown(const Json& value) {
-  constexpr std::size_t kMost = 40;
+  constexpr std::size_t kMax = 40;
   const std::string text = value.dump(-1, ' ', false, Json::error_handler_t::replace);
-  return text.size() > kMost ? text.substr(0, kMost) + "..." : text;
+  return text.size() > kMax ? text.substr(0, kMax) + "..." : text;
 }
 
 // An object of the settings and its path. What is wrong of it goes to the findings; its value is then the
@@ -51,7 +51,7 @@
   }
   Duration element_time(const std::string& key, std::size_t i, double us) const {
     const double value = element(key, i) * us;
-    if (std::abs(value) < kMostMs * 1000) return Duration(std::llround(value));
+    if (std::abs(value) < kMaxMs * 1000) return Duration(std::llround(value));
     wrong(key + "[" + std::to_string(i) + "]", "out of range", "time");
     return {};
   }
@@ -147,18 +147,22 @@
   for (const Fields& c : env.objects("categories", true)) {
     RequestClass k;
     k.name = c.need<std::string>("name");
-    k.repeat = c.word<Repeat>(
-        "repeat", {{"unsafe", Repeat::kUnsafe}, {"keyed", Repeat::kKeyed}, {"safe", Repeat::kSafe}});
-    k.group =
-        c.word<Group>("group", {{"all", Group::kAll}, {"zone", Group::kZone}, {"cell", Group::kCell}}, "all");
-    k.window = c.opt_ms("windowMs");
-    k.objective = c.need_ms("objectiveMs");
+    k.idempotency = c.word<Idempotency>("repeat", {{"unsafe", Idempotency::kNonIdempotent},
+                                                   {"keyed", Idempotency::kKeyed},
+                                                   {"safe", Idempotency::kIdempotent}});
+    k.deduplication_scope = c.word<DeduplicationScope>("group",
+                                                       {{"all", DeduplicationScope::kAll},
+                                                        {"zone", DeduplicationScope::kZone},
+                                                        {"cell", DeduplicationScope::kCell}},
+                                                       "all");
+    k.deduplication_window = c.opt_ms("windowMs");
+    k.latency_objective = c.need_ms("objectiveMs");
     k.deadline = c.need_ms("deadlineMs");
-    k.worth = c.need<double>("worth");
-    k.late_value = c.opt<double>("lateValue");
-    k.objective_stretch = c.opt<double>("aimStretch");
-    k.objective_per_1000_tokens = info.element_time("aimUsPer1000PromptTokens", i, 1);
-    k.token_objective = info.element_time("tokenAimMs", i, 1000);
+    k.priority_weight = c.need<double>("worth");
+    k.late_weight = c.opt<double>("lateValue");
+    k.latency_objective_stretch = c.opt<double>("aimStretch");
+    k.latency_objective_per_1000_tokens = info.element_time("aimUsPer1000PromptTokens", i, 1);
+    k.token_latency_objective = info.element_time("tokenAimMs", i, 1000);
     s.classes.push_back(std::move(k));
     ++i;
   }
@@ -172,7 +176,7 @@
                std::to_string(duties.size()) + " duties for " + std::to_string(names.size()) + " hostTypes",
                "one for each");
   for (std::size_t i = 0; i < names.size(); ++i) {
-    HostKind kind{names[i], {}, info.element("memoryTokens", i)};
+    EndpointKind kind{names[i], {}, info.element("memoryTokens", i)};
     if (i < duties.size())
       kind.role = info.word_of<Role>(
           "dutyByKind[" + std::to_string(i) + "]", duties[i],
@@ -198,26 +202,26 @@
 
 void read_limits(const Fields& limits, Settings& s) {
   s.connect_timeout = limits.opt_ms("connectTimeoutMs");
-  s.idle_close = limits.opt_ms("idleCloseMs");
+  s.idle_timeout = limits.opt_ms("idleCloseMs");
   s.may_cancel = limits.opt<bool>("mayCancel");
   s.may_probe = limits.opt<bool>("mayProbe");
   s.may_duplicate = limits.opt<bool>("mayDuplicate");
   s.peers = limits.opt<bool>("peers");
   s.retry_advice = limits.opt<bool>("retryAfter");
-  s.max_retry_in = limits.opt_ms("maxRetryAfterMs");
+  s.max_retry_after = limits.opt_ms("maxRetryAfterMs");
   s.max_attempts = limits.need<int>("mostTries");
-  s.most_open =
+  s.max_open_requests =
       static_cast<int>(std::clamp<double>(limits.opt<double>("openCap"), 0, std::numeric_limits<int>::max()));
 }
 
 void read_rules(const Fields& rules, Settings& s) {
-  s.ask_every = rules.opt_ms("askEveryMs");
+  s.poll_interval = rules.opt_ms("askEveryMs");
   s.answer_slack = rules.need_ms("answerSlackMs");
   s.drain_grace = rules.need_ms("drainGraceMs");
-  s.cold_share = rules.need<double>("coldShare");
-  s.cold_time = rules.need_ms("coldMs");
-  s.tip_multiple = rules.need<double>("tipMultiple");
-  s.tip_window = rules.need_ms("tipAfterMs");
+  s.warmup_initial_share = rules.need<double>("coldShare");
+  s.warmup_time = rules.need_ms("coldMs");
+  s.overload_multiple = rules.need<double>("tipMultiple");
+  s.overload_window = rules.need_ms("tipAfterMs");
 }
 
 void read_prices(const Fields& prices, const Fields& info, Prices& p) {
@@ -258,7 +262,7 @@
   for (const Fields& t : top.objects("tenants", false))
     s.tenants.push_back({t.need<std::string>("name"), t.opt<double>("quotaRps")});
   read_kinds(top, info, s);
-  s.list_by_asking = top.word<bool>("registryMode", {{"push", false}, {"ask", true}});
+  s.polls_endpoint_list = top.word<bool>("registryMode", {{"push", false}, {"ask", true}});
   s.weights = top.known_word<WeightMeaning>("weights", {{"silent", WeightMeaning::kNothing},
                                                         {"nominal", WeightMeaning::kNominal},
                                                         {"rough", WeightMeaning::kRough},
@@ -271,10 +275,10 @@
   s.writers_read = info.opt<bool>("writersRead");
   s.early_pairing = info.opt<bool>("earlyPairing");
   s.resume = info.opt<bool>("resume");
-  s.pin_limit = info.need_ms("pinLimitMs");
-  s.marks_retry = top.object("clientHabits", false).opt<bool>("marksRetry");
-  s.worth_by_work = top.known_word<bool>("worthBy", {{"request", false}, {"work", true}});
-  s.over_share_worth = top.opt<double>("overShareWorth", 1.0);
+  s.reservation_limit = info.need_ms("pinLimitMs");
+  s.clients_mark_retries = top.object("clientHabits", false).opt<bool>("marksRetry");
+  s.weight_by_work = top.known_word<bool>("worthBy", {{"request", false}, {"work", true}});
+  s.over_quota_weight = top.opt<double>("overShareWorth", 1.0);
   s.tick = top.need_ms("granularityMs");
   read_limits(top.object("limits", true), s);
   read_rules(top.object("guarantees", true), s);
--- a/adapter/wire.cpp
+++ b/adapter/wire.cpp
@@ -59,17 +59,17 @@
   throw WireError("field '" + key + "': unknown word '" + value + "'");
 }
 
-Verdict parse_verdict(const std::string& value) {
-  return word<Verdict>(value, "verdict",
-                       {{"S", Verdict::kServed},
-                        {"E", Verdict::kError},
-                        {"F", Verdict::kFull},
-                        {"T", Verdict::kTimeout},
-                        {"C", Verdict::kConnectFailed},
-                        {"R", Verdict::kReset},
-                        {"X", Verdict::kCancelled},
-                        {"N", Verdict::kNeverSent},
-                        {"ready_to_answer", Verdict::kRead}});
+AttemptStatus parse_verdict(const std::string& value) {
+  return word<AttemptStatus>(value, "verdict",
+                             {{"S", AttemptStatus::kServed},
+                              {"E", AttemptStatus::kError},
+                              {"F", AttemptStatus::kFull},
+                              {"T", AttemptStatus::kTimeout},
+                              {"C", AttemptStatus::kConnectFailed},
+                              {"R", AttemptStatus::kReset},
+                              {"X", AttemptStatus::kCancelled},
+                              {"N", AttemptStatus::kNeverSent},
+                              {"ready_to_answer", AttemptStatus::kRead}});
 }
 
 std::optional<double> opt_number(const Json& object, const std::string& key) {
@@ -94,8 +94,8 @@
   return report;
 }
 
-HostList parse_list(const Json& topology, const Json& page) {
-  HostList list;
+EndpointList parse_list(const Json& topology, const Json& page) {
+  EndpointList list;
   switch (need<int>(topology, "how")) {
     case 0:
       list.kind = ListKind::kFull;
@@ -114,8 +114,8 @@
   }
   if (!page.is_array()) throw WireError("field 'ref': no such page");
   for (const Json& e : page) {
-    HostEntry entry;
-    entry.host = need<std::string>(e, "host");
+    EndpointInfo entry;
+    entry.endpoint = need<std::string>(e, "host");
     entry.zone = opt<std::string>(e, "campus");
     entry.kind = need<std::string>(e, "sku");
     entry.cell = opt<int>(e, "block");
@@ -123,13 +123,13 @@
     entry.started = opt_ms(e, "bornMs");
     switch (need<int>(e, "condition")) {
       case 1:
-        entry.state = HostState::kGone;
+        entry.state = EndpointState::kRemoved;
         break;
       case 2:
-        entry.state = HostState::kDraining;
+        entry.state = EndpointState::kDraining;
         break;
       case 3:
-        entry.state = HostState::kReady;
+        entry.state = EndpointState::kReady;
         break;
       default:
         throw WireError("field 'condition': 1 to 3 expected");
@@ -159,9 +159,9 @@
     return r;
   }
   if (name == "closedAttempt") {
-    Outcome o;
+    AttemptCompleted o;
     o.request = need<std::string>(f, "req");
-    o.host = need<std::string>(f, "host");
+    o.endpoint = need<std::string>(f, "host");
     o.attempt = opt<int>(f, "trial");
     o.verdict = parse_verdict(need<std::string>(f, "verdict"));
     o.elapsed = opt_ms(f, "delaySeenMs");
@@ -175,10 +175,11 @@
                       opt_ms(f, "delaySeenMs")};
   }
   if (name == "answerAhead") {
-    return HoldAnswer{need<std::string>(f, "req"), need<std::string>(f, "host"), need<int>(f, "what") == 1};
+    return ReservationResult{need<std::string>(f, "req"), need<std::string>(f, "host"),
+                             need<int>(f, "what") == 1};
   }
   if (name == "clientLeft") return ClientGone{need<std::string>(f, "req")};
-  if (name == "tickDue") return Timer{need<std::uint64_t>(f, "tag")};
+  if (name == "tickDue") return TimerExpired{need<std::uint64_t>(f, "tag")};
   return std::nullopt;
 }
 
@@ -189,23 +190,23 @@
       [&](const auto& a) {
         using A = std::decay_t<decltype(a)>;
         if constexpr (requires { a.request; }) fields["req"] = a.request;
-        if constexpr (requires { a.host; }) fields["host"] = a.host;
-        if constexpr (std::is_same_v<A, Send>) {
+        if constexpr (requires { a.endpoint; }) fields["host"] = a.endpoint;
+        if constexpr (std::is_same_v<A, StartAttempt>) {
           name = "attempt";
-          if (a.not_past != Time{}) fields["notPastMs"] = to_ms(a.not_past);
-        } else if constexpr (std::is_same_v<A, Cancel>) {
+          if (a.deadline != Time{}) fields["notPastMs"] = to_ms(a.deadline);
+        } else if constexpr (std::is_same_v<A, CancelAttempt>) {
           name = "retract";
           fields["trial"] = a.attempt;
-        } else if constexpr (std::is_same_v<A, Refuse>) {
+        } else if constexpr (std::is_same_v<A, Reject>) {
           name = "sayNo";
-          if (a.retry_in) fields["retryInMs"] = to_ms(*a.retry_in);
+          if (a.retry_after) fields["retryInMs"] = to_ms(*a.retry_after);
         } else if constexpr (std::is_same_v<A, Fail>) {
           name = "lose";
-        } else if constexpr (std::is_same_v<A, Move>) {
+        } else if constexpr (std::is_same_v<A, MigrateStream>) {
           name = "bounce";
-        } else if constexpr (std::is_same_v<A, Hold>) {
+        } else if constexpr (std::is_same_v<A, ReserveSlot>) {
           name = "ahead";
-        } else if constexpr (std::is_same_v<A, Release>) {
+        } else if constexpr (std::is_same_v<A, ReleaseReservation>) {
           name = "dropState";
         } else if constexpr (std::is_same_v<A, SetTimer>) {
           name = "setAlarm";
@@ -214,7 +215,7 @@
         } else if constexpr (std::is_same_v<A, Subscribe>) {
           name = "tail";
           fields["on"] = true;
-        } else if constexpr (std::is_same_v<A, Log>) {
+        } else if constexpr (std::is_same_v<A, LogMessage>) {
           name = "remark";
           fields["msg"] = a.text;
         }
--- a/adapter/wire.hpp
+++ b/adapter/wire.hpp
@@ -32,7 +32,7 @@
 routing::Settings parse_settings(const Json& env,
                                  std::vector<settings::Finding>* warnings = nullptr);  // throws SettingsError
 routing::LoadReport parse_load(const Json& fields);                                    // throws WireError
-routing::HostList parse_list(const Json& topology, const Json& page);                  // throws WireError
+routing::EndpointList parse_list(const Json& topology, const Json& page);              // throws WireError
 std::optional<routing::Event> parse_event(const std::string& name,
                                           const Json& fields);  // empty: a name not known here
 std::string format_action(const std::string& dispatcher, const routing::Action& action);
--- a/bench/rules_bench.cpp
+++ b/bench/rules_bench.cpp
@@ -12,7 +12,7 @@
 #include <string>
 #include <vector>
 
-#include "rate_limit/gate.hpp"
+#include "rate_limit/rate_limiter.hpp"
 
 namespace {
 
@@ -174,7 +174,7 @@
   fields.add({"n", expression::Kind::kInt, false, 0, {}});
   const auto program = expression::Program::compile(expression, fields, expression::Kind::kBool);
   expression::Scratch scratch;
-  scratch.reserve(program.most_values(), program.most_text());
+  scratch.reserve(program.max_values(), program.max_text());
   const std::string a(1024, 'x'), b = std::string(511, 'x') + "y" + std::string(512, 'x');
   const std::vector<expression::Value> values = {expression::Value::of(std::string_view(a)),
                                                  expression::Value::of(std::string_view(b)),
@@ -195,7 +195,7 @@
 
 void million_keys(benchmark::State& state) {
   for (auto _ : state) {
-    rate_limit::Table table(1'000'000);
+    rate_limit::CounterTable table(1'000'000);
     const rate_limit::Bound bound{
         1, std::chrono::seconds(10), std::chrono::seconds(0), rate_limit::Bound::kAny, {}};
     std::mt19937_64 random(3);
--- a/fuzz/expression_fuzz.cpp
+++ b/fuzz/expression_fuzz.cpp
@@ -24,14 +24,14 @@
     try {
       const Program program = Program::compile(text, fields, kind);
       Scratch scratch, other;
-      scratch.reserve(program.most_values(), program.most_text());
+      scratch.reserve(program.max_values(), program.max_text());
       const std::vector<Value> values = {Value::of(Fault::kAbsent), Value::of("0123456789abcdef"),
                                          Value::of(INT64_MIN), Value::of(-1.5), Value::of(true)};
       const Value value = program.run(values, scratch);
       if (!value.failed() && value.kind != kind) std::abort();
       if (value.kind == Kind::kString && value.size > program.longest()) std::abort();
       const Program again = Program::compile(to_text(program.tree()), fields, kind);
-      other.reserve(again.most_values(), again.most_text());
+      other.reserve(again.max_values(), again.max_text());
       const Value same_value = again.run(values, other);
       if (value.failed() != same_value.failed() || (!value.failed() && !same(value, same_value)))
         std::abort();
--- a/fuzz/gossip_fuzz.cpp
+++ b/fuzz/gossip_fuzz.cpp
@@ -4,8 +4,8 @@
 #include <cstdint>
 #include <cstdlib>
 
-#include "gossip/node.hpp"
-#include "replicated_state/doubt.hpp"
+#include "gossip/gossip_node.hpp"
+#include "replicated_state/failure_evidence.hpp"
 
 namespace {
 
@@ -21,9 +21,9 @@
   }
 };
 
-void check(const gossip::Node::Sent& sent) {
+void check(const gossip::GossipNode::Sent& sent) {
   for (const gossip::Outgoing& one : sent) {
-    if (one.datagram.size() > gossip::kMostBytes || one.datagram.size() == 0) std::abort();
+    if (one.datagram.size() > gossip::kMaxBytes || one.datagram.size() == 0) std::abort();
     if (one.to && *one.to >= 40) std::abort();
   }
 }
@@ -33,7 +33,7 @@
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
   static const Fleet fleet;
   const std::span bytes(data, size);
-  gossip::Node node(fleet.options, fleet.kinds, 1'800'000'000'000, 7, milliseconds(1000));
+  gossip::GossipNode node(fleet.options, fleet.kinds, 1'800'000'000'000, 7, milliseconds(1000));
   const replicated_state::Whole whole{{1, 7}, replicated_state::Nature::kRate, 4000, std::chrono::seconds(5)};
   node.rights().open(milliseconds(1000), whole, true);
   // The input names its sender, as the speaker would by the address.
@@ -41,6 +41,6 @@
   for (int i = 0; i < 4; ++i) check(node.tick(node.next()));
   if (node.rights().rate(node.next(), whole.id) > 4000 || node.rows().size() > fleet.options.rows)
     std::abort();
-  if (node.members().standing(0) != membership::Standing::kAlive) std::abort();
+  if (node.members().standing(0) != membership::MemberState::kAlive) std::abort();
   return 0;
 }
--- a/include/routing/router.hpp
+++ b/include/routing/router.hpp
@@ -23,14 +23,18 @@
 using Time = std::chrono::microseconds;  // since the origin of the dispatcher's clock
 
 enum class Role { kReader, kWriter, kMixed };
-enum class Repeat { kSafe, kKeyed, kUnsafe };
-enum class Group { kAll, kZone, kCell };  // the hosts that discard each other's repeats of a keyed request
-enum class HostState { kGone, kDraining, kReady };
+enum class Idempotency { kIdempotent, kKeyed, kNonIdempotent };
+enum class DeduplicationScope {
+  kAll,
+  kZone,
+  kCell
+};  // the hosts that discard each other's repeats of a keyed request
+enum class EndpointState { kRemoved, kDraining, kReady };
 enum class ReportSource { kNone, kInAnswers, kInProbes };  // where load reports come; kInAnswers: in both
 enum class LoadField { kInHand, kQueued, kBusy, kLatency, kRate, kFailRate, kMemoryShare, kPromptKilotokens };
-enum class WeightMeaning { kNothing, kNominal, kRough, kLive };  // what HostEntry::weight stands for
+enum class WeightMeaning { kNothing, kNominal, kRough, kLive };  // what EndpointInfo::weight stands for
 enum class ListKind { kFull, kFailed, kCached, kDelta };
-enum class Verdict {
+enum class AttemptStatus {
   kServed,
   kError,
   kFull,
@@ -44,16 +48,16 @@
 
 struct RequestClass {
   std::string name;
-  Repeat repeat{};
-  Group group{};
-  Duration window{};                     // keyed: how long repeats are discarded, from the first send
-  Duration objective{};                  // full worth for a first token within this time ...
-  Duration objective_per_1000_tokens{};  // ... plus this for each 1,000 prompt tokens
+  Idempotency idempotency{};
+  DeduplicationScope deduplication_scope{};
+  Duration deduplication_window{};               // keyed: how long repeats are discarded, from the first send
+  Duration latency_objective{};                  // full worth for a first token within this time ...
+  Duration latency_objective_per_1000_tokens{};  // ... plus this for each 1,000 prompt tokens
   Duration deadline{};
-  Duration token_objective{};  // wanted mean gap between tokens
-  double worth{};
-  double late_value{};
-  double objective_stretch{};  // the objective grows by this multiple of the request's own work
+  Duration token_latency_objective{};  // wanted mean gap between tokens
+  double priority_weight{};
+  double late_weight{};
+  double latency_objective_stretch{};  // the objective grows by this multiple of the request's own work
 };
 
 struct Tenant {
@@ -61,7 +65,7 @@
   double quota_rps{};  // over all routers together
 };
 
-struct HostKind {
+struct EndpointKind {
   std::string name;
   Role role{};
   double memory_tokens{};
@@ -93,9 +97,9 @@
   std::vector<std::string> zones;  // ... among these; may be empty
   std::vector<RequestClass> classes;
   std::vector<Tenant> tenants;  // may be empty
-  std::vector<HostKind> kinds;
-  bool list_by_asking{};  // host lists come only after Subscribe or FetchList
-  Duration ask_every{};   // ... and one that has not asked for so long counts as told
+  std::vector<EndpointKind> kinds;
+  bool polls_endpoint_list{};  // host lists come only after Subscribe or FetchList
+  Duration poll_interval{};    // ... and one that has not asked for so long counts as told
   WeightMeaning weights{};
   ReportSource report_source{};
   std::vector<LoadField> report_fields;
@@ -104,44 +108,45 @@
   bool resume{};         // Move is allowed; a broken stream comes again
   bool may_cancel{};
   bool may_probe{};
-  bool may_duplicate{};  // two attempts of one request may be out together
-  bool peers{};          // routers may send each other messages
-  bool marks_retry{};    // clients mark their repeats: see Request::client_retry
-  bool retry_advice{};   // Refuse may carry retry_in
-  Duration max_retry_in{};
+  bool may_duplicate{};         // two attempts of one request may be out together
+  bool peers{};                 // routers may send each other messages
+  bool clients_mark_retries{};  // clients mark their repeats: see Request::client_retry
+  bool retry_advice{};          // Refuse may carry retry_after
+  Duration max_retry_after{};
   int max_attempts{};
-  int free_connects{};             // among so many sends, one that ends as kConnectFailed is none of those
-  bool pinned_while_connecting{};  // the pin limit runs on while connections to hosts fail to come up
-  int most_open{};                 // requests that reach a router and are not answered yet; 0: not told
-  bool worth_by_work{};            // worth counts by work; else by request
-  double over_share_worth{};
+  int free_connect_failures{};  // among so many sends, one that ends as kConnectFailed is none of those
+  bool reservation_expires_while_connecting{};  // the pin limit runs on while connections to hosts fail to
+                                                // come up
+  int max_open_requests{};  // requests that reach a router and are not answered yet; 0: not told
+  bool weight_by_work{};    // worth counts by work; else by request
+  double over_quota_weight{};
   Prices prices;
   Goal goal;
   Duration tick{};  // least time between two batches of events
   Duration answer_slack{};
   Duration drain_grace{};
-  Duration pin_limit{};
+  Duration reservation_limit{};
   Duration connect_timeout{};  // for dispatchers on sockets: a connection that is not made by then has failed
-  Duration idle_close{};       // ... and one that has stood idle for so long is closed by the host
-  double cold_share{};         // a started host has at least this share of its capacity ...
-  Duration cold_time{};        // ... and all of it after this time
-  double tip_multiple{};
-  Duration tip_window{};
+  Duration idle_timeout{};     // ... and one that has stood idle for so long is closed by the host
+  double warmup_initial_share{};  // a started host has at least this share of its capacity ...
+  Duration warmup_time{};         // ... and all of it after this time
+  double overload_multiple{};
+  Duration overload_window{};
 };
 
 // ---- events ----
 
-struct HostEntry {
-  std::string host, zone, kind;
+struct EndpointInfo {
+  std::string endpoint, zone, kind;
   int cell{};
-  HostState state{};
+  EndpointState state{};
   double weight{};
   Time started{};  // zero: long ago
 };
 // The list of hosts, or a change of it. Full and cached lists replace all that was known.
-struct HostList {
+struct EndpointList {
   ListKind kind{};
-  std::vector<HostEntry> entries;
+  std::vector<EndpointInfo> entries;
 };
 // A request that the router now owes exactly one final answer. A known id is ignored; an unknown class is
 // answered with Fail at once. The answer comes by client_deadline if timers are delivered on time.
@@ -157,10 +162,10 @@
   std::optional<double> in_hand, memory_share, prompt_kilotokens;
 };
 // Exactly one for each Send. `finished`: the request got its final answer with or before this outcome.
-struct Outcome {
-  std::string request, host;
+struct AttemptCompleted {
+  std::string request, endpoint;
   int attempt{};
-  Verdict verdict{};
+  AttemptStatus verdict{};
   Duration elapsed{};
   bool finished{};
   int note{};  // kRead, kServed: prompt tokens found kept. kFull: 1 if there was no state to fetch. kError,
@@ -169,84 +174,84 @@
   LoadReport report;
 };
 struct FirstToken {
-  std::string request, host;
+  std::string request, endpoint;
   int attempt{};
   Duration elapsed{};
 };
-struct HoldAnswer {
-  std::string request, host;
+struct ReservationResult {
+  std::string request, endpoint;
   bool held{};
 };
 struct ClientGone {
   std::string request;
 };
-struct Timer {
+struct TimerExpired {
   std::uint64_t tag{};
 };
 // The operators' word on a host, which goes before every list: offline, it gets nothing new until it is
 // online again, also where it leaves and returns meanwhile. Repeats change nothing.
-struct Maintenance {
-  std::string host;
+struct AdministrativeDrain {
+  std::string endpoint;
   bool offline{};
 };
 // Two processes of one dispatcher, the one taking over from the other, share its part of every budget. What
 // one has learned, for the other to go on with ...
-struct Average {
+struct MovingAverage {
   double mean = 0, dev = 0.5;
   int n = 0;
 };
-struct Knowledge {
-  struct OfHost {
-    std::string host;
+struct LearnedState {
+  struct EndpointHistory {
+    std::string endpoint;
     std::vector<Time> sends;  // lately, while it is cold
     Time back{};              // when operators put it back
   };
-  std::array<Average, 3> starts;  // microseconds for a token of start work, by role
-  Average far;                    // ... and for a state fetched from another cell
-  std::array<int, 3> served{};    // results of the last seconds, by role
-  Time since{};                   // when it began to count them
-  std::vector<OfHost> hosts;
+  std::array<MovingAverage, 3> starts;  // microseconds for a token of start work, by role
+  MovingAverage far;                    // ... and for a state fetched from another cell
+  std::array<int, 3> served{};          // results of the last seconds, by role
+  Time since{};                         // when it began to count them
+  std::vector<EndpointHistory> endpoints;
 };
 // ... and a request that the other one sent.
-struct SentElsewhere {
-  std::string host;
+struct PeerForwarded {
+  std::string endpoint;
 };
 // Other settings, for the requests from now on; each open one keeps those that it came in under. They must be
 // such that a router can be made of them.
-struct NewSettings {
+struct SettingsChanged {
   std::shared_ptr<const Settings> settings;
 };
-using Event = std::variant<HostList, Request, Outcome, FirstToken, HoldAnswer, ClientGone, Timer, Maintenance,
-                           Knowledge, SentElsewhere, NewSettings>;
+using Event = std::variant<EndpointList, Request, AttemptCompleted, FirstToken, ReservationResult, ClientGone,
+                           TimerExpired, AdministrativeDrain, LearnedState, PeerForwarded, SettingsChanged>;
 
 // ---- actions ----
 
-// Attempts of a request are numbered from 0 in the order sent; the dispatcher ends one at not_past
+// Attempts of a request are numbered from 0 in the order sent; the dispatcher ends one at deadline
 // (kTimeout).
-struct Send {
-  std::string request, host;
-  Time not_past{};
+struct StartAttempt {
+  std::string request, endpoint;
+  Time deadline{};
   Time connect_by{};  // for dispatchers on sockets: a connection that is not made by then has failed; zero:
                       // any
 };
-struct Cancel {
+struct CancelAttempt {
   std::string request;
   int attempt{};
 };
-struct Refuse {  // final; retrying is harmless
+struct Reject {  // final; retrying is harmless
   std::string request;
-  std::optional<Duration> retry_in;
+  std::optional<Duration> retry_after;
 };
 struct Fail {  // final; says nothing of effects
   std::string request;
 };
-struct Move {  // ends a running stream in good order; its client comes again
+struct MigrateStream {  // ends a running stream in good order; its client comes again
   std::string request;
 };
-struct Hold {  // a place for the request at a writer, while it is being read
-  std::string request, host;
+struct ReserveSlot {  // a place for the request at a writer, while it is being read
+  std::string request, endpoint;
 };
-struct Release {  // lets go of all that is held for the request
+struct ReleaseReservation {  // lets go of all that is held for the request
   std::string request;
 };
 struct SetTimer {  // Timer{tag} is due at the first batch after this time
@@ -254,14 +259,15 @@
   std::uint64_t tag{};
 };
 struct Subscribe {};
-struct Log {  // a change of state, for the operators
+struct LogMessage {  // a change of state, for the operators
   std::string text;
 };
-using Action = std::variant<Send, Cancel, Refuse, Fail, Move, Hold, Release, SetTimer, Subscribe, Log>;
+using Action = std::variant<StartAttempt, CancelAttempt, Reject, Fail, MigrateStream, ReserveSlot,
+                            ReleaseReservation, SetTimer, Subscribe, LogMessage>;
 
 // Sizes of the tables, for watching long uptimes.
 struct TableSizes {
-  std::size_t requests{}, hosts{}, index_keys{};
+  std::size_t requests{}, endpoints{}, index_keys{};
 };
 
 class Router {
@@ -272,7 +278,7 @@
   Router& operator=(Router&&) noexcept;
   std::vector<Action> handle(Time now, const Event& event);
   TableSizes table_sizes() const;
-  Knowledge knowledge() const;
+  LearnedState learned_state() const;
 
  private:
   class Impl;
--- a/src/admin/console.cpp
+++ b/src/admin/admin_server.cpp
@@ -1,4 +1,4 @@
-#include "admin/console.hpp"
+#include "admin/admin_server.hpp"
 
 #include <algorithm>
 #include <cctype>
@@ -11,14 +11,14 @@
 
 constexpr std::string_view kReady = "/control/ready", kReplicas = "/control/replicas/",
                            kLevel = "/control/level", kLevels = "/control/levels";
-constexpr std::size_t kMostId = 128;
+constexpr std::size_t kMaxId = 128;
 
 // Callers wait a second at most. One that takes longer to finish its call has no use for the answer.
 http::ServerOptions options() {
   using std::chrono::milliseconds;
   http::ServerOptions o;
-  o.most_clients = kMostCallers;
-  o.most_held = 64 * 1024;  // no call has a body; what is sent all the same must cost little
+  o.max_clients = kMaxCallers;
+  o.max_held = 64 * 1024;  // no call has a body; what is sent all the same must cost little
   o.greeting = o.arrival = o.stall = milliseconds(1000);
   o.linger = milliseconds(200);
   o.one_request = true;
@@ -39,19 +39,20 @@
   if (!path.starts_with(kReplicas)) return std::nullopt;
   path.remove_prefix(kReplicas.size());
   const std::size_t slash = path.find('/');
-  if (slash == std::string_view::npos || slash == 0 || slash > kMostId) return std::nullopt;
-  const std::string_view host = path.substr(0, slash), word = path.substr(slash + 1);
-  if (!std::all_of(host.begin(), host.end(), id_character)) return std::nullopt;
+  if (slash == std::string_view::npos || slash == 0 || slash > kMaxId) return std::nullopt;
+  const std::string_view endpoint = path.substr(0, slash), word = path.substr(slash + 1);
+  if (!std::all_of(endpoint.begin(), endpoint.end(), id_character)) return std::nullopt;
   if (word != "offline" && word != "online") return std::nullopt;
-  return Order{std::string(host), word == "offline"};
+  return Order{std::string(endpoint), word == "offline"};
 }
 
-Console::Console(boost::asio::io_context& io, const net::tcp::endpoint& at, engine::Deadlines& deadlines,
-                 engine::Clock clock, Calls calls, std::function<bool()> shed)
-    : server_(io, at, *this, deadlines, std::move(clock), options(), std::move(shed)),
+AdminServer::AdminServer(boost::asio::io_context& io, const net::tcp::endpoint& at,
+                         engine::TimerQueue& timers, engine::Clock clock, AdminCallbacks calls,
+                         std::function<bool()> shed)
+    : server_(io, at, *this, timers, std::move(clock), options(), std::move(shed)),
       calls_(std::move(calls)) {}
 
-void Console::on_request(net::SlotId client, http::Server::Request& request, engine::Time) {
+void AdminServer::on_request(net::SlotId client, http::Server::Request& request, engine::Time) {
   const auto method = request.method_string(), target = request.target();
   const std::string_view path = std::string_view(target.data(), target.size());
   if (calls_.level && path.starts_with(kLevel)) return on_level(client, {method.data(), method.size()}, path);
@@ -64,12 +65,12 @@
     const bool ready = calls_.ready();
     return server_.answer(client, ready ? 200 : 503, "application/json", text({{"ready", ready}}));
   }
-  if (!calls_.maintain(order->host, order->offline)) return server_.error(client, 404, "no such replica");
+  if (!calls_.maintain(order->endpoint, order->offline)) return server_.error(client, 404, "no such replica");
   server_.answer(client, 200, "application/json",
-                 text({{"replica", order->host}, {"state", order->offline ? "offline" : "online"}}));
+                 text({{"replica", order->endpoint}, {"state", order->offline ? "offline" : "online"}}));
 }
 
-void Console::on_level(net::SlotId client, std::string_view method, std::string_view path) {
+void AdminServer::on_level(net::SlotId client, std::string_view method, std::string_view path) {
   const bool asks = path == kLevel || path == kLevels;
   const std::string name(path.substr(std::min(path.size(), kLevel.size() + 1)));
   const bool orders = !asks && path[kLevel.size()] == '/' && !name.empty();
@@ -80,6 +81,6 @@
   server_.answer(client, 200, "application/json", text(path == kLevels ? calls_.levels() : calls_.level()));
 }
 
-std::string Console::error_body(int, std::string_view what) { return text({{"error", what}}); }
+std::string AdminServer::error_body(int, std::string_view what) { return text({{"error", what}}); }
 
 }  // namespace dispatcher::admin
--- a/src/admin/console.hpp
+++ b/src/admin/admin_server.hpp
@@ -1,6 +1,6 @@
 // The operators' address: whether this process is ready, and which replicas are left out. Decides nothing.
-#ifndef DISPATCHER_ADMIN_CONSOLE_HPP_
-#define DISPATCHER_ADMIN_CONSOLE_HPP_
+#ifndef DISPATCHER_ADMIN_ADMIN_SERVER_HPP_
+#define DISPATCHER_ADMIN_ADMIN_SERVER_HPP_
 
 #include <functional>
 #include <nlohmann/json.hpp>
@@ -14,21 +14,21 @@
 
 // Connections to this address at once. Whoever is one too many takes the place of the one that has kept
 // its place longest without finishing a call.
-constexpr std::size_t kMostCallers = 12;
+constexpr std::size_t kMaxCallers = 12;
 
-struct Calls {
+struct AdminCallbacks {
   std::function<bool()> ready;
-  std::function<bool(const std::string& host, bool offline)> maintain;  // false: nobody has this host
-  std::function<nlohmann::json()> level = {}, levels = {};              // none: there are no levels
+  std::function<bool(const std::string& endpoint, bool offline)> maintain;  // false: nobody has this host
+  std::function<nlohmann::json()> level = {}, levels = {};                  // none: there are no levels
   std::function<bool(const std::string& name)> pin = {};  // or "auto"; false: there is none such
 };
 
-class Console : private http::Server::Handler {
+class AdminServer : private http::Server::Handler {
  public:
-  Console(boost::asio::io_context& io, const net::tcp::endpoint& at, engine::Deadlines& deadlines,
-          engine::Clock clock, Calls calls, std::function<bool()> shed);
-  Console(const Console&) = delete;
-  Console& operator=(const Console&) = delete;
+  AdminServer(boost::asio::io_context& io, const net::tcp::endpoint& at, engine::TimerQueue& timers,
+              engine::Clock clock, AdminCallbacks calls, std::function<bool()> shed);
+  AdminServer(const AdminServer&) = delete;
+  AdminServer& operator=(const AdminServer&) = delete;
   void open() { server_.open(); }
   net::tcp::endpoint local() const { return server_.local(); }
 
@@ -40,16 +40,16 @@
   std::string error_body(int status, std::string_view what) override;
 
   http::Server server_;
-  Calls calls_;
+  AdminCallbacks calls_;
 };
 
 // What is asked for by a path such as /control/replicas/ID/offline.
 struct Order {
-  std::string host;
+  std::string endpoint;
   bool offline = false;
 };
 std::optional<Order> parse_order(std::string_view path);
 
 }  // namespace dispatcher::admin
 
-#endif  // DISPATCHER_ADMIN_CONSOLE_HPP_
+#endif  // DISPATCHER_ADMIN_ADMIN_SERVER_HPP_
--- a/src/cue/nearest.hpp
+++ b/src/cue/nearest.hpp
@@ -27,16 +27,16 @@
 // "; 'x' is known" for the nearest of the names, where one is near; `name_of` gives an element's.
 template <class Names, class NameOf>
 std::string nearest(std::string_view given, const Names& names, NameOf name_of) {
-  constexpr std::size_t kMostLength = 64, kMostApart = 2, kMostNames = 1000;  // what it may take is bounded
-  if (given.size() > kMostLength) return {};
-  std::size_t least = kMostApart + 1;
+  constexpr std::size_t kMaxLength = 64, kMaxApart = 2, kMaxNames = 1000;  // what it may take is bounded
+  if (given.size() > kMaxLength) return {};
+  std::size_t minimum = kMaxApart + 1;
   std::string_view best;
   std::size_t seen = 0;
   for (const auto& one : names) {
-    if (++seen > kMostNames) break;
+    if (++seen > kMaxNames) break;
     const std::string_view name = name_of(one);
-    if (const std::size_t apart = edit_distance(given, name); apart < least) {
-      least = apart;
+    if (const std::size_t apart = edit_distance(given, name); apart < minimum) {
+      minimum = apart;
       best = name;
     }
   }
--- a/src/cue/syntax.cpp
+++ b/src/cue/syntax.cpp
@@ -156,13 +156,13 @@
 template <typename Rule>
 struct action : nothing<Rule> {};
 template <>
-struct action<expr> : limit_depth<kMostNesting> {};
+struct action<expr> : limit_depth<kMaxNesting> {};
 template <>
-struct action<value> : limit_depth<kMostNesting> {};
+struct action<value> : limit_depth<kMaxNesting> {};
 template <>
-struct action<unary> : limit_depth<2 * kMostNesting> {};
+struct action<unary> : limit_depth<2 * kMaxNesting> {};
 template <>
-struct action<field> : limit_depth<kMostNesting> {};
+struct action<field> : limit_depth<kMaxNesting> {};
 
 template <typename Rule>
 using selector = parse_tree::selector<
@@ -293,8 +293,8 @@
     for (std::size_t i = 0; i <= std::string_view("KMGT").find(unit[0]); ++i)
       fits = !__builtin_mul_overflow(value, base, &value) && fits;
   }
-  const std::uint64_t most = static_cast<std::uint64_t>(INT64_MAX) + (negative ? 1 : 0);
-  if (!fits || value > most) throw Fault{source.data(), "the number does not fit into 64 bits"};
+  const std::uint64_t maximum = static_cast<std::uint64_t>(INT64_MAX) + (negative ? 1 : 0);
+  if (!fits || value > maximum) throw Fault{source.data(), "the number does not fit into 64 bits"};
   return negative ? static_cast<std::int64_t>(0 - value) : static_cast<std::int64_t>(value);
 }
 
@@ -598,8 +598,8 @@
     : std::runtime_error(join(file, all)), problems(std::move(all)) {}
 
 Expr parse(const File& file) {
-  if (file.text.size() > kMostBytes)
-    throw Errors(file.name, {{{}, {}, "larger than " + std::to_string(kMostBytes) + " bytes"}});
+  if (file.text.size() > kMaxBytes)
+    throw Errors(file.name, {{{}, {}, "larger than " + std::to_string(kMaxBytes) + " bytes"}});
   if (const std::size_t bad = invalid_utf8(file.text); bad != std::string::npos)
     throw Errors(
         file.name,
--- a/src/cue/syntax.hpp
+++ b/src/cue/syntax.hpp
@@ -12,8 +12,8 @@
 
 namespace dispatcher::cue {
 
-inline constexpr std::size_t kMostBytes = 8U << 20U;  // of one file
-inline constexpr std::size_t kMostNesting = 48;       // of values in one another, brackets included
+inline constexpr std::size_t kMaxBytes = 8U << 20U;  // of one file
+inline constexpr std::size_t kMaxNesting = 48;       // of values in one another, brackets included
 
 // Where something stands. Lines and columns count from 1, columns in bytes. Line 0: the program's own schema.
 struct Position {
--- a/src/cue/unify.cpp
+++ b/src/cue/unify.cpp
@@ -16,13 +16,13 @@
 namespace {
 
 // Enough for files of kMostBytes; what needs more was written to need more.
-constexpr std::size_t kMostWork = 6'000'000;
-constexpr std::size_t kMostDepth = 3 * kMostNesting;
-constexpr std::size_t kMostDecided = 500'000;  // values of one file once it is read
-constexpr std::size_t kMostChain = 64;         // of definitions that are defined by one another
-constexpr std::size_t kMostProblems = 100;
-constexpr std::size_t kMostChoices = 1024;
-constexpr std::size_t kMostTold = 60;  // of a text, in an error
+constexpr std::size_t kMaxWork = 6'000'000;
+constexpr std::size_t kMaxDepth = 3 * kMaxNesting;
+constexpr std::size_t kMaxDecided = 500'000;  // values of one file once it is read
+constexpr std::size_t kMaxChain = 64;         // of definitions that are defined by one another
+constexpr std::size_t kMaxProblems = 100;
+constexpr std::size_t kMaxChoices = 1024;
+constexpr std::size_t kMaxTold = 60;  // of a text, in an error
 
 struct Stop {};  // too much work: the rest is left
 
@@ -43,7 +43,7 @@
   if (const auto* i = std::get_if<std::int64_t>(&s)) return std::to_string(*i);
   if (const auto* d = std::get_if<double>(&s)) return number_text(*d);
   const std::string& text = std::get<std::string>(s);
-  const std::string told = clip_utf8(text, kMostTold);
+  const std::string told = clip_utf8(text, kMaxTold);
   return "\"" + told + (told.size() < text.size() ? "..." : "") + "\"";
 }
 
@@ -137,7 +137,7 @@
   if (!value.choices.empty()) {
     std::string text;
     for (const auto& choice : value.choices) {
-      if (text.size() > 4 * kMostTold) return text + " | ...";
+      if (text.size() > 4 * kMaxTold) return text + " | ...";
       text += (text.empty() ? "" : " | ") + describe(*choice.value);
     }
     return text;
@@ -170,16 +170,16 @@
       text += part;
     } else {
       text.append(text.empty() ? "" : ".")
-          .append(plain_label(part) ? part : "\"" + clip_utf8(part, kMostTold) + "\"");
+          .append(plain_label(part) ? part : "\"" + clip_utf8(part, kMaxTold) + "\"");
     }
   }
   return text;
 }
 
 void Unifier::report(Position at, std::string what) {
-  if (problems.size() >= kMostProblems) {
+  if (problems.size() >= kMaxProblems) {
     problems.push_back(
-        {at, {}, "more than " + std::to_string(kMostProblems) + " problems: the rest is not told"});
+        {at, {}, "more than " + std::to_string(kMaxProblems) + " problems: the rest is not told"});
     throw Stop{};
   }
   // A quiet try is asked only whether anything is wrong.
@@ -232,7 +232,7 @@
 }
 
 ValuePtr Unifier::value(const Expr& e, bool closed) {
-  if (++work_ > kMostWork) {
+  if (++work_ > kMaxWork) {
     problems.push_back({e.at, {}, "takes too much work to read"});
     throw Stop{};
   }
@@ -284,8 +284,8 @@
         for (const auto& part : one->choices)
           all->choices.push_back({part.value, preferred || part.preferred});
       }
-      if (all->choices.size() > kMostChoices) {
-        report(e.at, "more than " + std::to_string(kMostChoices) + " alternatives");
+      if (all->choices.size() > kMaxChoices) {
+        report(e.at, "more than " + std::to_string(kMaxChoices) + " alternatives");
         return nullptr;
       }
       return all;
@@ -386,8 +386,8 @@
     report(e.at, "'" + e.text + "' is defined by itself");
     return nullptr;
   }
-  if (evaluating_.size() > kMostChain) {
-    report(e.at, "more than " + std::to_string(kMostChain) + " definitions are defined by one another");
+  if (evaluating_.size() > kMaxChain) {
+    report(e.at, "more than " + std::to_string(kMaxChain) + " definitions are defined by one another");
     throw Stop{};
   }
   const std::vector<std::string> path = std::exchange(path_, {e.text});
@@ -424,7 +424,7 @@
 }
 
 ValuePtr Unifier::unify(const ValuePtr& a, const ValuePtr& b) {
-  if (++work_ > kMostWork || path_.size() > kMostDepth) {
+  if (++work_ > kMaxWork || path_.size() > kMaxDepth) {
     problems.push_back({nearer(a, b), {}, "takes too much work to read"});
     throw Stop{};
   }
@@ -480,8 +480,8 @@
       }
       both->kinds |= one->kinds;
       both->choices.push_back({one, preferred});
-      if (both->choices.size() > kMostChoices) {
-        report(both->at, "more than " + std::to_string(kMostChoices) + " alternatives");
+      if (both->choices.size() > kMaxChoices) {
+        report(both->at, "more than " + std::to_string(kMaxChoices) + " alternatives");
         return nullptr;
       }
     }
@@ -592,8 +592,8 @@
 }
 
 Data Unifier::decided(const ValuePtr& v, Position within) {
-  if (++decided_ > kMostDecided) {
-    problems.push_back({within, {}, "holds more than " + std::to_string(kMostDecided) + " values"});
+  if (++decided_ > kMaxDecided) {
+    problems.push_back({within, {}, "holds more than " + std::to_string(kMaxDecided) + " values"});
     throw Stop{};
   }
   if (!v->choices.empty()) {
--- a/src/cue/utf8.hpp
+++ b/src/cue/utf8.hpp
@@ -50,11 +50,11 @@
 }
 
 // At most `most` bytes of it, no character cut.
-inline std::string clip_utf8(std::string_view s, std::size_t most) {
+inline std::string clip_utf8(std::string_view s, std::size_t maximum) {
   std::size_t end = 0;
   while (end < s.size()) {
     const std::size_t length = utf8_length(s.substr(end));
-    if (length == 0 || end + length > most) break;
+    if (length == 0 || end + length > maximum) break;
     end += length;
   }
   return std::string(s.substr(0, end));
--- a/src/daemon/config.cpp
+++ b/src/daemon/config.cpp
@@ -100,8 +100,8 @@
     std::vector<Finding> odd;
     routing::Settings settings = dispatcher::wire::parse_settings(source, &odd);
     // On sockets an attempt counts once its last byte has come.
-    settings.free_connects = kConnectsPerAttempt * settings.max_attempts;
-    settings.pinned_while_connecting = true;  // and what is held waits on while connections fail
+    settings.free_connect_failures = kConnectsPerAttempt * settings.max_attempts;
+    settings.reservation_expires_while_connecting = true;  // and what is held waits on while connections fail
     add_all(findings, std::move(odd));
     add_all(findings, dispatcher::settings::check(settings));
     add_all(findings, dispatcher::settings::check_sockets(settings));
@@ -112,8 +112,8 @@
   }
 }
 
-service_discovery::Servers read_known(const Json& source, std::vector<Finding>& findings) {
-  service_discovery::Servers known;
+service_discovery::EndpointSnapshot read_known(const Json& source, std::vector<Finding>& findings) {
+  service_discovery::EndpointSnapshot known;
   try {
     known = service_discovery::parse_servers(source);
     known.whole = true;
--- a/src/daemon/config.hpp
+++ b/src/daemon/config.hpp
@@ -12,7 +12,7 @@
 
 #include "net/connection.hpp"
 #include "routing/router.hpp"
-#include "service_discovery/servers.hpp"
+#include "service_discovery/endpoint_snapshot.hpp"
 
 namespace dispatcher::daemon {
 
@@ -32,7 +32,7 @@
   std::size_t sockets = 1024, memory_mb = 192;
   routing::Settings settings;
   nlohmann::json source;  // the file, but for its list of replicas: a later one must have all of its keys
-  service_discovery::Servers known;
+  service_discovery::EndpointSnapshot known;
   std::vector<std::string> warnings;  // a line for each thing that is odd, but can be served by
 };
 
--- a/src/daemon/dispatcher.cpp
+++ b/src/daemon/dispatcher.cpp
@@ -27,7 +27,7 @@
 
 // Some descriptors stay for all that is neither a client nor a replica: the operators' callers have theirs
 // however many of the others there are.
-constexpr std::size_t kSpare = 32 + admin::kMostCallers;
+constexpr std::size_t kSpare = 32 + admin::kMaxCallers;
 // While two processes are this dispatcher, each keeps to half of what one may have.
 std::size_t usable(const Config& config, bool shared) {
   return (config.sockets - std::min(kSpare, config.sockets / 2)) / (shared ? 2 : 1);
@@ -46,22 +46,23 @@
 upstream::Options pool_options(const Config& config, bool shared = false) {
   upstream::Options options;
   options.connect_timeout = config.settings.connect_timeout;
-  options.idle_close = config.settings.idle_close;
+  options.idle_timeout = config.settings.idle_timeout;
   options.lease_patience =
-      std::max<engine::Duration>(milliseconds(20), config.settings.pin_limit / kLeaseRounds);
+      std::max<engine::Duration>(milliseconds(20), config.settings.reservation_limit / kLeaseRounds);
   options.drain_grace = config.settings.drain_grace;
-  options.release_again = std::max<engine::Duration>(milliseconds(20), config.settings.pin_limit * 2 / 3);
-  options.most_open = std::min<std::size_t>(options.most_open, usable(config, shared) * 46 / 100);
-  options.most_idle_all = std::min(options.most_idle_all, options.most_open / 2);
+  options.release_again =
+      std::max<engine::Duration>(milliseconds(20), config.settings.reservation_limit * 2 / 3);
+  options.max_connections = std::min<std::size_t>(options.max_connections, usable(config, shared) * 46 / 100);
+  options.max_idle_all = std::min(options.max_idle_all, options.max_connections / 2);
   return options;
 }
 
 http::ServerOptions server_options(const Config& config, std::size_t fronts, bool shared = false) {
   http::ServerOptions options;
-  options.most_clients =
-      std::min<std::size_t>(options.most_clients, usable(config, shared) * 54 / 100) / fronts;
+  options.max_clients =
+      std::min<std::size_t>(options.max_clients, usable(config, shared) * 54 / 100) / fronts;
   // A body stands in memory up to three times: as it came, to be sent again, and on its way out.
-  options.most_held = config.memory_mb * kMegabyte / 8 / fronts;
+  options.max_held = config.memory_mb * kMegabyte / 8 / fronts;
   return options;
 }
 
@@ -76,7 +77,8 @@
 
 std::shared_ptr<const degradation::LevelSet> parse_levels(const std::optional<cue::File>& file,
                                                           const routing::Settings& settings) {
-  return file ? degradation::Control::read(*file, settings) : std::make_shared<const degradation::LevelSet>();
+  return file ? degradation::DegradationController::read(*file, settings)
+              : std::make_shared<const degradation::LevelSet>();
 }
 
 }  // namespace
@@ -90,45 +92,46 @@
       rules_(std::make_shared<const routing::Settings>(config.settings)),
       chat_config_(parse_chat(texts.chat, config_.settings)),
       first_rules_(parse_rules(texts.rules, config_.settings)),
-      gate_(config.seed, log),
+      rate_limiter_(config.seed, log),
       random_(config.seed),
       levels_(config.settings, parse_levels(texts.levels, config.settings), loop.clock(), log,
               [this] { return std::uniform_real_distribution<double>(0, 1)(random_); }),
-      pool_(loop.io(), loop.deadlines(), loop.clock(), log, pool_options(config)),
-      engine_(rules_, config.seed, pool_, loop.deadlines(), loop.clock(), log),
-      platform_(loop.io(), config.listen, engine_, rules_, loop.deadlines(), loop.clock(),
+      pool_(loop.io(), loop.timers(), loop.clock(), log, pool_options(config)),
+      engine_(rules_, config.seed, pool_, loop.timers(), loop.clock(), log),
+      platform_(loop.io(), config.listen, engine_, rules_, loop.timers(), loop.clock(),
                 server_options(config, chat_config_ ? 2 : 1), [this] { return pool_.shed(); }),
       watch_(
-          loop.io(), config.discovery, loop.deadlines(), loop.clock(), log,
-          [this](const service_discovery::Servers& servers) { apply(servers); }, config.settings.router_count,
-          config.seed ^ 0x5bd1e995,
-          config.settings.list_by_asking ? service_discovery::Lists::kAskedFor
-                                         : service_discovery::Lists::kPushed),
-      bans_(shared_path(config, ".bans"), log),
-      partner_(loop.io(), shared_path(config, ".sock"), loop.deadlines(), loop.clock(), log, *this),
+          loop.io(), config.discovery, loop.timers(), loop.clock(), log,
+          [this](const service_discovery::EndpointSnapshot& servers) { apply(servers); },
+          config.settings.router_count, config.seed ^ 0x5bd1e995,
+          config.settings.polls_endpoint_list ? service_discovery::Lists::kAskedFor
+                                              : service_discovery::Lists::kPushed),
+      drained_endpoints_(shared_path(config, ".bans"), log),
+      peer_(loop.io(), shared_path(config, ".sock"), loop.timers(), loop.clock(), log, *this),
       signals_(loop.io(), SIGTERM, SIGINT, SIGHUP) {
   pool_.attach(engine_);
-  gate_.adopt(std::exchange(first_rules_, nullptr), loop.now());
-  platform_.attach(gate_);
+  rate_limiter_.adopt(std::exchange(first_rules_, nullptr), loop.now());
+  platform_.attach(rate_limiter_);
   platform_.attach(levels_);
   engine_.attach(&levels_);
   engine_.on_subscribe([this] { watch_.restart(); });
   if (chat_config_) {
-    chat_.emplace(loop.io(), *chat_config_, engine_, loop.deadlines(), loop.clock(), config.seed,
+    chat_.emplace(loop.io(), *chat_config_, engine_, loop.timers(), loop.clock(), config.seed,
                   server_options(config, 2), [this] { return pool_.shed(); });
-    chat_->attach(gate_);
+    chat_->attach(rate_limiter_);
     chat_->attach(levels_);
   }
   if (config.console) {
     console_.emplace(
-        loop.io(), *config.console, loop.deadlines(), loop.clock(),
-        admin::Calls{[this] { return ready(); },
-                     [this](const std::string& host, bool offline) { return maintain(host, offline); },
-                     [this] { return levels_.level(); }, [this] { return levels_.changes(); },
-                     [this](const std::string& name) { return levels_.order(name); }},
+        loop.io(), *config.console, loop.timers(), loop.clock(),
+        admin::AdminCallbacks{
+            [this] { return ready(); },
+            [this](const std::string& endpoint, bool offline) { return maintain(endpoint, offline); },
+            [this] { return levels_.level(); }, [this] { return levels_.changes(); },
+            [this](const std::string& name) { return levels_.order(name); }},
         [this] { return pool_.shed(); });
   }
-  engine_.attach(&partner_);
+  engine_.attach(&peer_);
   pair_ = texts.vrrp.text.empty() ? std::nullopt : vrrp::parse_config(texts.vrrp);
   if (pair_ && !chat_)
     throw ConfigError("vrrp: field 'listen': set, but the chat front that it is for is off");
@@ -147,37 +150,37 @@
     console_->open();
     log_("console on " + text(console_->local()));
   }
-  partner_.start();
+  peer_.start();
 }
 
-void Dispatcher::inherit(hot_restart::Estate estate) {
-  if (!draining_) serve(std::move(estate));  // else: told to end before it began
+void Dispatcher::inherit(hot_restart::HandoverState handover) {
+  if (!draining_) serve(std::move(handover));  // else: told to end before it began
 }
 
-void Dispatcher::serve(hot_restart::Estate estate) {
+void Dispatcher::serve(hot_restart::HandoverState handover) {
   // What operators left out goes before any list.
-  bans_.load();
-  for (const std::string& host : bans_.hosts()) {
-    log_("operators: host " + host + " still offline");
-    enforce(host, true);
+  drained_endpoints_.load();
+  for (const std::string& endpoint : drained_endpoints_.endpoints()) {
+    log_("operators: host " + endpoint + " still offline");
+    enforce(endpoint, true);
   }
   // Discovery may be silent for long: the list that was last known serves until it speaks.
   apply(config_.known);
-  if (!estate.list.is_null()) {
+  if (!handover.list.is_null()) {
     try {
-      apply(service_discovery::parse_servers(estate.list));
+      apply(service_discovery::parse_servers(handover.list));
     } catch (const std::exception& e) {
       log_(std::string("upgrade: the list can't be read: ") + e.what());
     }
   }
-  engine_.learn(estate.knowledge);
-  levels_.resume(estate.level);
-  for (const std::string& id : estate.ids) engine_.request_elsewhere(id, true);
+  engine_.learn(handover.learned_state);
+  levels_.resume(handover.level);
+  for (const std::string& id : handover.ids) engine_.request_elsewhere(id, true);
   watch_.start(servers_.seq);
-  platform_.server().open(std::move(estate.listening["platform"]));
-  chat_socket_ = std::move(estate.listening["chat"]);
+  platform_.server().open(std::move(handover.listening["platform"]));
+  chat_socket_ = std::move(handover.listening["chat"]);
   if (pair_) {
-    if (!partner_.has_elder()) speak(false);
+    if (!peer_.has_elder()) speak(false);
   } else if (chat_) {
     chat_->server().open(std::move(chat_socket_));
   }
@@ -185,19 +188,19 @@
   if (chat_ && !pair_) log_("chat front on " + text(chat_->server().local()));
   serving_ = true;
   watch_levels();
-  partner_.serving();
+  peer_.serving();
 }
 
 // VRRP decides who of the pair listens at the chat address. Of two processes of one router only one speaks.
 void Dispatcher::speak(bool succeeds) {
   if (!pair_ || vrrp_ || draining_) return;
   try {
-    vrrp_.emplace(loop_.io(), *pair_, loop_.deadlines(), loop_.clock(), log_,
+    vrrp_.emplace(loop_.io(), *pair_, loop_.timers(), loop_.clock(), log_,
                   [this](vrrp::State state) { front_chat(state == vrrp::State::kActive); });
   } catch (const std::exception& e) {
     if (!serving_) throw;
     log_(std::string("vrrp can't speak yet: ") + e.what());
-    loop_.deadlines().add(loop_.now() + kListenAgain, [this, succeeds] { speak(succeeds); });
+    loop_.timers().add(loop_.now() + kListenAgain, [this, succeeds] { speak(succeeds); });
     return;
   }
   vrrp_->start(succeeds);
@@ -216,30 +219,30 @@
 
 void Dispatcher::on_partners() {
   bound();
-  if (!partner_.shared()) engine_.alone();
-  if (!partner_.has_elder() && serving_) speak(false);
-  if (draining_ && partner_.succeeded()) stop_taking();
+  if (!peer_.shared()) engine_.alone();
+  if (!peer_.has_elder() && serving_) speak(false);
+  if (draining_ && peer_.succeeded()) stop_taking();
 }
 
 void Dispatcher::bound() {
-  const bool shared = partner_.shared();
+  const bool shared = peer_.shared();
   share_limits();
   pool_.adopt(pool_options(config_, shared));
   const http::ServerOptions options = server_options(config_, servers().size(), shared);
-  for (http::Server* server : servers()) server->bound(options.most_clients, options.most_held);
+  for (http::Server* server : servers()) server->bound(options.max_clients, options.max_held);
 }
 
 // Two processes of one instance keep half of its part each.
 void Dispatcher::share_limits() {
-  const std::size_t each = partner_.shared() ? 2 : 1;
+  const std::size_t each = peer_.shared() ? 2 : 1;
   const auto number = static_cast<std::size_t>(std::max(0, config_.settings.router_number));
   const auto count = static_cast<std::size_t>(std::max(1, config_.settings.router_count));
-  gate_.share(each * number + (partner_.has_elder() ? 1 : 0), each * count);
+  rate_limiter_.share(each * number + (peer_.has_elder() ? 1 : 0), each * count);
 }
 
 void Dispatcher::watch_levels() {
   levels_.tick(engine_.open(), watch_.heard());
-  loop_.deadlines().add(loop_.now() + degradation::Control::kTick, [this] { watch_levels(); });
+  loop_.timers().add(loop_.now() + degradation::DegradationController::kTick, [this] { watch_levels(); });
 }
 
 void Dispatcher::await_signal() {
@@ -296,7 +299,7 @@
   engine_.adopt(rules);
   platform_.adopt(rules);
   if (chat_) chat_->adopt(*chat);
-  gate_.adopt(requests, loop_.now());
+  rate_limiter_.adopt(requests, loop_.now());
   levels_.adopt(*rules, service);
   config_.settings = next.settings;
   config_.source = next.source;
@@ -305,7 +308,7 @@
   config_.discovery = next.discovery;
   bound();
   // Kinds of replicas may be new: the list is read by the new ones.
-  engine_.hosts(servers_.list);
+  engine_.endpoints(servers_.list);
   if (moved) watch_.move(config_.discovery);
 }
 
@@ -322,38 +325,40 @@
     log_("chat front on " + text(chat_->server().local()));
   } catch (const std::exception& e) {
     log_(std::string("chat front can't listen yet: ") + e.what());
-    loop_.deadlines().add(loop_.now() + kListenAgain, [this] {
+    loop_.timers().add(loop_.now() + kListenAgain, [this] {
       if (fronting_) front_chat(true);
     });
   }
 }
 
-bool Dispatcher::ready() { return platform_.server().is_open() && !draining_ && engine_.hosts_known() > 0; }
+bool Dispatcher::ready() {
+  return platform_.server().is_open() && !draining_ && engine_.endpoints_known() > 0;
+}
 
-bool Dispatcher::maintain(const std::string& host, bool offline) {
-  if (!engine_.knows(host) && !bans_.contains(host)) return false;
-  order(host, offline);
+bool Dispatcher::maintain(const std::string& endpoint, bool offline) {
+  if (!engine_.knows(endpoint) && !drained_endpoints_.contains(endpoint)) return false;
+  order(endpoint, offline);
   return true;
 }
 
-void Dispatcher::order(const std::string& host, bool offline) {
-  if (!bans_.set(host, offline)) return;
-  log_("operators: host " + host + (offline ? " offline" : " online"));
-  enforce(host, offline);
-  partner_.tell_ban(host, offline);
+void Dispatcher::order(const std::string& endpoint, bool offline) {
+  if (!drained_endpoints_.set(endpoint, offline)) return;
+  log_("operators: host " + endpoint + (offline ? " offline" : " online"));
+  enforce(endpoint, offline);
+  peer_.tell_ban(endpoint, offline);
 }
 
 // The module hears of it first: what the pool gives back then goes elsewhere.
-void Dispatcher::enforce(const std::string& host, bool offline) {
-  engine_.maintain(host, offline);
-  pool_.maintain(host, offline);
+void Dispatcher::enforce(const std::string& endpoint, bool offline) {
+  engine_.maintain(endpoint, offline);
+  pool_.maintain(endpoint, offline);
 }
 
-void Dispatcher::apply(const service_discovery::Servers& servers) {
+void Dispatcher::apply(const service_discovery::EndpointSnapshot& servers) {
   service_discovery::merge(servers_, servers);
-  pool_.hosts(servers.addresses, servers.whole);
-  engine_.hosts(servers.list);
-  levels_.hosts(servers.list);
+  pool_.endpoints(servers.addresses, servers.whole);
+  engine_.endpoints(servers.list);
+  levels_.endpoints(servers.list);
 }
 
 void Dispatcher::drain() {
@@ -361,18 +366,18 @@
   draining_ = true;
   log_("draining: " + std::to_string(engine_.unanswered()) + " requests unanswered");
   for (http::Server* server : servers()) server->drain();
-  if (vrrp_ && partner_.succeeded()) {
+  if (vrrp_ && peer_.succeeded()) {
     const bool active = vrrp_->state() == vrrp::State::kActive;
     vrrp_->leave();
     fronting_ = false;
-    partner_.tell_vrrp(active);
+    peer_.tell_vrrp(active);
   } else if (vrrp_) {
     vrrp_->stop();  // the other of the pair takes over at once
   }
-  if (partner_.succeeded()) {
+  if (peer_.succeeded()) {
     stop_taking();
   } else {
-    loop_.deadlines().add(loop_.now() + kKeepAccepting, [this] { stop_taking(); });
+    loop_.timers().add(loop_.now() + kKeepAccepting, [this] { stop_taking(); });
   }
   finish_draining();
 }
@@ -389,9 +394,9 @@
 // A stream may run for longer than this process does. The platform's pass to the process that takes over,
 // each where it stands between two events: both sockets, and what is left of the chunk being read.
 void Dispatcher::hand_over_streams() {
-  if (!partner_.succeeded()) return;
+  if (!peer_.succeeded()) return;
   http::Server& server = platform_.server();
-  for (const engine::Engine::Stream& s : engine_.streams(platform_.answerer())) {
+  for (const engine::Engine::Stream& s : engine_.streams(platform_.response_sink())) {
     const engine::AttemptId attempt{s.request, s.attempt};
     // Both reads are taken back first; it is given once they are, unless more came in between.
     const bool client_still = server.hush(s.client), replica_still = pool_.hush(attempt);
@@ -399,12 +404,12 @@
       const auto [replica, given] = pool_.give(attempt);
       const net::UniqueFd client = server.give(s.client);
       platform_.forget_given(s.client);
-      partner_.give_stream({{"id", s.id},
-                            {"host", given.host},
-                            {"unread", std::vector<unsigned char>(given.unread.begin(), given.unread.end())},
-                            {"chunk_left", given.chunk_left},
-                            {"keep_alive", given.keep_alive}},
-                           client.get(), replica.get());
+      peer_.give_stream({{"id", s.id},
+                         {"host", given.endpoint},
+                         {"unread", std::vector<unsigned char>(given.unread.begin(), given.unread.end())},
+                         {"chunk_left", given.chunk_left},
+                         {"keep_alive", given.keep_alive}},
+                        client.get(), replica.get());
       engine_.give_away(s.request);
     } else if (handover_tries_ % kWakeEvery == kWakeEvery - 1) {
       server.wake(s.client);
@@ -417,13 +422,13 @@
 void Dispatcher::on_stream(const Json& facts, net::UniqueFd client, net::UniqueFd replica) {
   try {
     const auto unread = facts.at("unread").get<std::vector<unsigned char>>();
-    const upstream::Pool::Given given{facts.at("host").get<std::string>(),
-                                      {unread.begin(), unread.end()},
-                                      facts.at("chunk_left").get<std::uint64_t>(),
-                                      facts.at("keep_alive").get<bool>()};
+    const upstream::ConnectionPool::Given given{facts.at("host").get<std::string>(),
+                                                {unread.begin(), unread.end()},
+                                                facts.at("chunk_left").get<std::uint64_t>(),
+                                                facts.at("keep_alive").get<bool>()};
     const auto id = facts.at("id").get<std::string>();
     engine_.request_elsewhere(id, false);
-    const net::SlotId request = platform_.take_over(std::move(client), id, given.host);
+    const net::SlotId request = platform_.take_over(std::move(client), id, given.endpoint);
     pool_.adopt({request, 0}, std::move(replica), given);
   } catch (const std::exception& e) {
     log_(std::string("upgrade: a stream can't go on here: ") + e.what());
@@ -439,12 +444,12 @@
     clients += server->clients();
   }
   const bool owes = engine_.open() > 0 || clients > 0 || pool_.leases_pressing() > 0;
-  if (!took_last_ || !partner_.all_sent() || owes) {
-    loop_.deadlines().add(loop_.now() + kDrainLook, [this] { finish_draining(); });
+  if (!took_last_ || !peer_.all_sent() || owes) {
+    loop_.timers().add(loop_.now() + kDrainLook, [this] { finish_draining(); });
     return;
   }
   log_("drained");
-  partner_.close();
+  peer_.close();
   loop_.stop();
 }
 
--- a/src/daemon/dispatcher.hpp
+++ b/src/daemon/dispatcher.hpp
@@ -10,19 +10,19 @@
 #include <string>
 #include <vector>
 
-#include "admin/console.hpp"
+#include "admin/admin_server.hpp"
 #include "daemon/config.hpp"
 #include "daemon/loop.hpp"
-#include "degradation/control.hpp"
+#include "degradation/degradation_controller.hpp"
 #include "engine/engine.hpp"
-#include "hot_restart/bans.hpp"
-#include "hot_restart/partner.hpp"
-#include "openai_api/front.hpp"
-#include "platform_api/front.hpp"
-#include "rate_limit/gate.hpp"
-#include "service_discovery/watch.hpp"
-#include "upstream/pool.hpp"
-#include "vrrp/speaker.hpp"
+#include "hot_restart/drained_endpoint_store.hpp"
+#include "hot_restart/hot_restart_peer.hpp"
+#include "openai_api/frontend.hpp"
+#include "platform_api/frontend.hpp"
+#include "rate_limit/rate_limiter.hpp"
+#include "service_discovery/endpoint_watcher.hpp"
+#include "upstream/connection_pool.hpp"
+#include "vrrp/vrrp_instance.hpp"
 
 namespace dispatcher::daemon {
 
@@ -40,7 +40,7 @@
   Texts texts;
 };
 
-class Dispatcher : private hot_restart::Partner::Owner {
+class Dispatcher : private hot_restart::HotRestartPeer::Owner {
  public:
   using ReadAgain = std::function<Files()>;  // throws where a file can't be read or is bad
   Dispatcher(Loop& loop, const Config& config, const Texts& texts, engine::Log log,
@@ -57,20 +57,20 @@
   Json list() override { return service_discovery::to_json(servers_); }
   std::map<std::string, int> listening() override;
   std::vector<std::string> open_ids() override { return engine_.open_ids(); }
-  routing::Knowledge knowledge() override { return engine_.knowledge(); }
+  routing::LearnedState learned_state() override { return engine_.learned_state(); }
   Json level() override { return levels_.level(); }
-  void inherit(hot_restart::Estate estate) override;
-  void on_ban(const std::string& host, bool offline) override { order(host, offline); }
+  void inherit(hot_restart::HandoverState handover) override;
+  void on_ban(const std::string& endpoint, bool offline) override { order(endpoint, offline); }
   void on_request(const std::string& id, bool open) override { engine_.request_elsewhere(id, open); }
-  void on_sent(const std::string& host) override { engine_.sent_elsewhere(host); }
+  void on_sent(const std::string& endpoint) override { engine_.sent_elsewhere(endpoint); }
   void on_stream(const Json& facts, net::UniqueFd client, net::UniqueFd replica) override;
   void on_vrrp(bool was_active) override;
   void on_partners() override;
 
-  void apply(const service_discovery::Servers& servers);
-  void serve(hot_restart::Estate estate);
-  void order(const std::string& host, bool offline);
-  void enforce(const std::string& host, bool offline);
+  void apply(const service_discovery::EndpointSnapshot& servers);
+  void serve(hot_restart::HandoverState handover);
+  void order(const std::string& endpoint, bool offline);
+  void enforce(const std::string& endpoint, bool offline);
   void bound();
   void share_limits();
   void watch_levels();
@@ -80,7 +80,7 @@
   void await_signal();
   void adopt(const Files& files);
   bool ready();
-  bool maintain(const std::string& host, bool offline);
+  bool maintain(const std::string& endpoint, bool offline);
   void front_chat(bool active);
   void finish_draining();
   std::vector<http::Server*> servers();
@@ -89,23 +89,23 @@
   Config config_;
   engine::Log log_;
   ReadAgain read_again_;
-  engine::Rules rules_;
+  engine::SettingsSnapshot rules_;
   std::optional<openai_api::Config> chat_config_;           // before the fronts, which share the descriptors
   std::shared_ptr<const rate_limit::RuleSet> first_rules_;  // read before anything is opened
-  rate_limit::Gate gate_;
+  rate_limit::RateLimiter rate_limiter_;
   std::mt19937_64 random_;
-  degradation::Control levels_;
-  upstream::Pool pool_;
+  degradation::DegradationController levels_;
+  upstream::ConnectionPool pool_;
   engine::Engine engine_;
-  platform_api::Front platform_;
-  std::optional<openai_api::Front> chat_;
-  std::optional<admin::Console> console_;
-  service_discovery::Watch watch_;
-  std::optional<vrrp::Speaker> vrrp_;
+  platform_api::Frontend platform_;
+  std::optional<openai_api::Frontend> chat_;
+  std::optional<admin::AdminServer> console_;
+  service_discovery::EndpointWatcher watch_;
+  std::optional<vrrp::VrrpInstance> vrrp_;
   bool fronting_ = false;  // this instance of the pair answers at the chat address
-  hot_restart::Bans bans_;
-  hot_restart::Partner partner_;
-  service_discovery::Servers servers_;  // the whole list as it is now
+  hot_restart::DrainedEndpointStore drained_endpoints_;
+  hot_restart::HotRestartPeer peer_;
+  service_discovery::EndpointSnapshot servers_;  // the whole list as it is now
   std::optional<vrrp::Config> pair_;
   net::UniqueFd chat_socket_;  // handed over, for when this instance fronts the chat address
   bool serving_ = false;
--- a/src/daemon/loop.hpp
+++ b/src/daemon/loop.hpp
@@ -6,17 +6,17 @@
 #include <boost/asio/steady_timer.hpp>
 #include <chrono>
 
-#include "engine/deadlines.hpp"
+#include "engine/timer_queue.hpp"
 
 namespace dispatcher::daemon {
 
 class Loop {
  public:
   Loop() : timer_(io_), anchor_(system_now() - steady_now()) {
-    deadlines_.on_sooner([this] { arm(); });
+    timers_.on_sooner([this] { arm(); });
   }
   boost::asio::io_context& io() { return io_; }
-  engine::Deadlines& deadlines() { return deadlines_; }
+  engine::TimerQueue& timers() { return timers_; }
   // Steady, yet with the origin of Unix time, in which discovery tells the replicas' starts: read once, so
   // that a step of the system's clock moves no deadline.
   engine::Time now() const { return anchor_ + steady_now(); }
@@ -34,19 +34,19 @@
     return std::chrono::duration_cast<engine::Time>(std::chrono::system_clock::now().time_since_epoch());
   }
   void arm() {
-    const auto next = deadlines_.next();
+    const auto next = timers_.next();
     if (!next) return;
     timer_.expires_at(std::chrono::steady_clock::time_point(*next - anchor_));
     timer_.async_wait([this](boost::system::error_code error) {
       if (error) return;  // armed anew for an earlier one
-      deadlines_.run(now());
+      timers_.run(now());
       arm();
     });
   }
 
   boost::asio::io_context io_{1};
   boost::asio::steady_timer timer_;
-  engine::Deadlines deadlines_;
+  engine::TimerQueue timers_;
   engine::Time anchor_;
 };
 
--- a/src/daemon/main.cpp
+++ b/src/daemon/main.cpp
@@ -58,7 +58,7 @@
   const bool chats =
       !texts.chat.text.empty() && openai_api::parse_config(texts.chat, config.settings).has_value();
   if (texts.rules) rate_limit::RuleSet::read(*texts.rules, rate_limit::vocabulary_of(config.settings));
-  if (texts.levels) degradation::Control::read(*texts.levels, config.settings);
+  if (texts.levels) degradation::DegradationController::read(*texts.levels, config.settings);
   const bool paired = !texts.vrrp.text.empty() && vrrp::parse_config(texts.vrrp).has_value();
   for (const std::string& line : config.warnings) std::cout << line << "\n";
   std::cout << "ok: " << config.name << ", " << config.settings.classes.size() << " classes, "
@@ -87,12 +87,13 @@
             << "\nconsole ";
   config.console ? std::cout << *config.console : std::cout << "off";
   std::cout << "\nsockets " << config.sockets << "\nmemory_mb " << config.memory_mb << "\nconnect timeout "
-            << ms(config.settings.connect_timeout) << "\nidle close " << ms(config.settings.idle_close)
-            << "\npin limit " << ms(config.settings.pin_limit) << "\n";
+            << ms(config.settings.connect_timeout) << "\nidle close " << ms(config.settings.idle_timeout)
+            << "\npin limit " << ms(config.settings.reservation_limit) << "\n";
   for (const auto& c : config.settings.classes)
-    std::cout << "class " << c.name << ": aim " << ms(c.objective) << ", deadline " << ms(c.deadline) << "\n";
+    std::cout << "class " << c.name << ": aim " << ms(c.latency_objective) << ", deadline " << ms(c.deadline)
+              << "\n";
   for (const auto& a : config.known.addresses)
-    std::cout << "replica " << a.host << " at " << a.endpoint << (a.ready ? ": up" : ": not up") << "\n";
+    std::cout << "replica " << a.endpoint << " at " << a.endpoint << (a.ready ? ": up" : ": not up") << "\n";
   if (!rules) return 0;
   const auto set = rate_limit::RuleSet::read(*rules, rate_limit::vocabulary_of(config.settings));
   const auto instances = static_cast<std::size_t>(std::max(1, config.settings.router_count));
@@ -104,7 +105,7 @@
       std::cout << "  limit " << l.name << ", this instance's part:";
       if (part.interval.count() > 0)
         std::cout << " one each " << static_cast<double>(part.interval.count()) / 1e6 << " ms";
-      if (part.most != rate_limit::Bound::kAny) std::cout << " " << part.most << " in progress";
+      if (part.maximum != rate_limit::Bound::kAny) std::cout << " " << part.maximum << " in progress";
       std::cout << "\n";
     }
   }
--- a/src/degradation/control.cpp
+++ b/src/degradation/degradation_controller.cpp
@@ -1,4 +1,4 @@
-#include "degradation/control.hpp"
+#include "degradation/degradation_controller.hpp"
 
 #include <array>
 #include <utility>
@@ -24,7 +24,8 @@
 
 }  // namespace
 
-std::shared_ptr<const LevelSet> Control::read(const cue::File& file, const routing::Settings& settings) {
+std::shared_ptr<const LevelSet> DegradationController::read(const cue::File& file,
+                                                            const routing::Settings& settings) {
   const expression::Environment signals = Signals::fields(settings);
   expression::Environment request = signals;
   request.add({"account.use", expression::Kind::kDouble, true, 0, {}});
@@ -33,8 +34,9 @@
   return LevelSet::read(file, signals, request, names.classes);
 }
 
-Control::Control(const routing::Settings& settings, std::shared_ptr<const LevelSet> levels,
-                 engine::Clock clock, engine::Log log, std::function<double()> random)
+DegradationController::DegradationController(const routing::Settings& settings,
+                                             std::shared_ptr<const LevelSet> levels, engine::Clock clock,
+                                             engine::Log log, std::function<double()> random)
     : clock_(std::move(clock)),
       log_(std::move(log)),
       random_(std::move(random)),
@@ -42,7 +44,7 @@
       signals_(settings),
       machine_(std::move(levels)) {}
 
-void Control::adopt(const routing::Settings& settings, std::shared_ptr<const LevelSet> levels) {
+void DegradationController::adopt(const routing::Settings& settings, std::shared_ptr<const LevelSet> levels) {
   signals_.adopt(settings);
   fields_ = Signals::fields(settings);
   last_.clear();
@@ -51,13 +53,13 @@
   if (machine_.level_name() != before) tell(machine_.history().back());
 }
 
-void Control::tick(std::size_t open, std::optional<Time> heard) {
+void DegradationController::tick(std::size_t open, std::optional<Time> heard) {
   if (!active()) return;
   last_ = signals_.values(open, heard, clock_());
   if (machine_.step(last_, clock_())) tell(machine_.history().back());
 }
 
-void Control::tell(const Change& change) {
+void DegradationController::tell(const Change& change) {
   std::string line = "level " + change.from + " -> " + change.to + ": " + name(change.cause);
   if (!change.condition.empty()) line += " by " + change.condition;
   const Json signals = named(fields_, change.signals);
@@ -69,7 +71,8 @@
   log_(line);
 }
 
-std::optional<Duration> Control::shed(const routing::Request& request, rate_limit::Facts facts) {
+std::optional<Duration> DegradationController::shed(const routing::Request& request,
+                                                    rate_limit::Facts facts) {
   if (!active()) return std::nullopt;
   signals_.asked(request.tenant, clock_());
   if (machine_.level() == 0) return std::nullopt;
@@ -88,14 +91,14 @@
   return retry;
 }
 
-Json Control::level() const {
+Json DegradationController::level() const {
   return {{"level", machine_.level_name()},
           {"pinned", machine_.pinned()},
           {"shed", shed_},
           {"signals", named(fields_, last_)}};
 }
 
-Json Control::changes() const {
+Json DegradationController::changes() const {
   Json all = Json::array();
   for (const Change& c : machine_.history()) {
     all.push_back({{"at_ms", c.at.count() / 1000},
@@ -110,7 +113,7 @@
   return {{"levels", names}, {"changes", all}};
 }
 
-bool Control::order(const std::string& name) {
+bool DegradationController::order(const std::string& name) {
   if (name == "auto") {
     if (machine_.pinned()) log_("level " + machine_.level_name() + ": no longer pinned by operators");
     machine_.unpin();
@@ -125,7 +128,7 @@
   return true;
 }
 
-void Control::resume(const Json& level) {
+void DegradationController::resume(const Json& level) {
   const auto it = level.find("level");
   if (!level.is_object() || it == level.end() || !it->is_string()) return;
   const auto number = machine_.levels().find(it->get<std::string>());
@@ -137,12 +140,12 @@
   log_("level " + machine_.level_name() + (pin ? ": pinned" : ": in force") + " at the process before");
 }
 
-void Control::first_token(const std::string& request_class, bool late) {
+void DegradationController::first_token(const std::string& request_class, bool late) {
   if (active()) signals_.first_token(request_class, late, clock_());
 }
 
-void Control::given_up(const std::string& request_class, bool refused) {
-  if (active()) signals_.given_up(request_class, refused, clock_());
+void DegradationController::given_up(const std::string& request_class, bool rejected) {
+  if (active()) signals_.given_up(request_class, rejected, clock_());
 }
 
 }  // namespace dispatcher::degradation
--- a/src/degradation/control.hpp
+++ b/src/degradation/degradation_controller.hpp
@@ -1,7 +1,7 @@
 // Levels in a running dispatcher: signals in, the state machine, and whether a request is shed. No I/O;
 // whoever owns it calls tick() and passes the clock in.
-#ifndef DISPATCHER_DEGRADATION_CONTROL_HPP_
-#define DISPATCHER_DEGRADATION_CONTROL_HPP_
+#ifndef DISPATCHER_DEGRADATION_DEGRADATION_CONTROLLER_HPP_
+#define DISPATCHER_DEGRADATION_DEGRADATION_CONTROLLER_HPP_
 
 #include <functional>
 #include <memory>
@@ -17,20 +17,20 @@
 
 namespace dispatcher::degradation {
 
-class Control : public engine::Witness {
+class DegradationController : public engine::RequestObserver {
  public:
   static constexpr Duration kTick = std::chrono::milliseconds(500);
 
   // `random`: numbers from 0 to 1.
-  Control(const routing::Settings& settings, std::shared_ptr<const LevelSet> levels, engine::Clock clock,
-          engine::Log log, std::function<double()> random);
+  DegradationController(const routing::Settings& settings, std::shared_ptr<const LevelSet> levels,
+                        engine::Clock clock, engine::Log log, std::function<double()> random);
   static std::shared_ptr<const LevelSet> read(const cue::File& file, const routing::Settings& settings);
 
   // Where the file names no level nothing is shed and nothing counted.
   bool active() const { return !machine_.levels().levels().empty(); }
   void adopt(const routing::Settings& settings, std::shared_ptr<const LevelSet> levels);
   void tick(std::size_t open, std::optional<Time> heard);
-  void hosts(const routing::HostList& list) { signals_.hosts(list, clock_()); }
+  void endpoints(const routing::EndpointList& list) { signals_.endpoints(list, clock_()); }
 
   // None: it passes. Else it is refused at once, to come again after this. `request`: as the rules left it.
   std::optional<Duration> shed(const routing::Request& request, rate_limit::Facts facts);
@@ -44,7 +44,7 @@
   const StateMachine& machine() const { return machine_; }
 
   void first_token(const std::string& request_class, bool late) override;
-  void given_up(const std::string& request_class, bool refused) override;
+  void given_up(const std::string& request_class, bool rejected) override;
 
  private:
   void tell(const Change& change);
@@ -61,4 +61,4 @@
 
 }  // namespace dispatcher::degradation
 
-#endif  // DISPATCHER_DEGRADATION_CONTROL_HPP_
+#endif  // DISPATCHER_DEGRADATION_DEGRADATION_CONTROLLER_HPP_
--- a/src/degradation/levels.cpp
+++ b/src/degradation/levels.cpp
@@ -7,7 +7,7 @@
 #include <set>
 
 #include "cue/schema.hpp"
-#include "expression/from_record.hpp"
+#include "expression/from_cue.hpp"
 
 namespace dispatcher::degradation {
 
@@ -37,7 +37,7 @@
 }
 )cue";
 
-constexpr std::size_t kMostSamples = 4096;
+constexpr std::size_t kMaxSamples = 4096;
 
 using expression::Kind;
 using expression::Value;
@@ -66,12 +66,12 @@
     if (signals.fields()[i].kind == Kind::kBool) values[i] = Value::of(false);
   }
   std::size_t combinations = 1;
-  for (const auto& [field, at] : points) combinations = std::min(combinations * at.size(), kMostSamples + 1);
+  for (const auto& [field, at] : points) combinations = std::min(combinations * at.size(), kMaxSamples + 1);
   expression::Scratch scratch;
-  for (const auto* p : {&level.enter, &level.leave}) scratch.reserve(p->most_values(), p->most_text());
+  for (const auto* p : {&level.enter, &level.leave}) scratch.reserve(p->max_values(), p->max_text());
   std::mt19937 random(1);
-  const bool all = combinations <= kMostSamples;
-  for (std::size_t n = 0; n < std::min(combinations, kMostSamples); ++n) {
+  const bool all = combinations <= kMaxSamples;
+  for (std::size_t n = 0; n < std::min(combinations, kMaxSamples); ++n) {
     std::size_t rest = n;
     for (const auto& [field, at] : points) {
       const std::size_t which = all ? rest % at.size() : random() % at.size();
@@ -106,9 +106,9 @@
     throw cue::Errors(file.name, {{{}, "levels", "missing: a file without levels says levels: []"}});
   auto made = std::make_shared<LevelSet>();
   Reader reader;
-  if (data["levels"].items().size() > kMostLevels)
+  if (data["levels"].items().size() > kMaxLevels)
     reader.bad(data["levels"],
-               "more than " + std::to_string(kMostLevels) + " levels: the bound on changes would not hold");
+               "more than " + std::to_string(kMaxLevels) + " levels: the bound on changes would not hold");
   std::set<std::string> names;
   for (const cue::Data& l : data["levels"].items()) {
     Level level;
@@ -118,20 +118,20 @@
     level.leave_text = l["leave"].text();
     level.enter_for = ms(l["enter_for_ms"]);
     level.leave_for = ms(l["leave_for_ms"]);
-    level.least_stay = ms(l["least_stay_ms"]);
-    level.most_stay = std::max(level.least_stay, ms(l["most_stay_ms"]));
+    level.min_stay = ms(l["least_stay_ms"]);
+    level.max_stay = std::max(level.min_stay, ms(l["most_stay_ms"]));
     auto enter = expression::compile(l["enter"], signals, Kind::kBool, reader.problems),
          leave = expression::compile(l["leave"], signals, Kind::kBool, reader.problems);
     for (const cue::Data& s : l["shed"].items()) {
-      Shed shed;
+      SheddingRule shed;
       for (const cue::Data& name : s["classes"].items()) {
         shed.classes.push_back(name.text());
         if (!classes.empty() && std::find(classes.begin(), classes.end(), name.text()) == classes.end())
           reader.bad(name, "no class '" + name.text() + "' in the settings");
       }
-      shed.retry_least = ms(s["retry_ms"]["least"]);
-      shed.retry_most = ms(s["retry_ms"]["most"]);
-      if (shed.retry_most < shed.retry_least) reader.bad(s["retry_ms"], "most is less than least");
+      shed.retry_min = ms(s["retry_ms"]["least"]);
+      shed.retry_max = ms(s["retry_ms"]["most"]);
+      if (shed.retry_max < shed.retry_min) reader.bad(s["retry_ms"], "most is less than least");
       if (auto when = expression::compile(s["when"], request, Kind::kBool, reader.problems)) {
         shed.when = std::move(*when);
         level.shed.push_back(std::move(shed));
@@ -157,11 +157,11 @@
 }
 
 void LevelSet::reserve(expression::Scratch& scratch) const {
-  const auto one = [&](const expression::Program& p) { scratch.reserve(p.most_values(), p.most_text()); };
+  const auto one = [&](const expression::Program& p) { scratch.reserve(p.max_values(), p.max_text()); };
   for (const Level& l : levels_) {
     one(l.enter);
     one(l.leave);
-    for (const Shed& s : l.shed) one(s.when);
+    for (const SheddingRule& s : l.shed) one(s.when);
   }
 }
 
--- a/src/degradation/levels.hpp
+++ b/src/degradation/levels.hpp
@@ -18,21 +18,21 @@
 using routing::Time;
 
 // Above normal service. The bounds on changes could not be kept with more (state_machine.hpp).
-inline constexpr std::size_t kMostLevels = 3;
+inline constexpr std::size_t kMaxLevels = 3;
 
-struct Shed {
+struct SheddingRule {
   std::vector<std::string> classes;  // by name, and no others
   expression::Program when;          // over the request and the signals
-  Duration retry_least{}, retry_most{};
+  Duration retry_min{}, retry_max{};
 };
 
 struct Level {
   std::string name;
   expression::Program enter, leave;  // over the signals
   std::string enter_text, leave_text;
-  Duration enter_for{}, leave_for{};   // how long a condition must hold
-  Duration least_stay{}, most_stay{};  // a level that is soon entered again is kept twice as long each time
-  std::vector<Shed> shed;
+  Duration enter_for{}, leave_for{};  // how long a condition must hold
+  Duration min_stay{}, max_stay{};    // a level that is soon entered again is kept twice as long each time
+  std::vector<SheddingRule> shed;
 };
 
 // The levels in order, the mildest first. Level 0, normal service, is not among them.
--- a/src/degradation/signals.cpp
+++ b/src/degradation/signals.cpp
@@ -7,7 +7,7 @@
 
 using expression::Kind;
 using expression::Value;
-using routing::HostState;
+using routing::EndpointState;
 using routing::Role;
 
 namespace {
@@ -16,7 +16,7 @@
 
 std::int64_t second_of(Time now) { return std::chrono::duration_cast<std::chrono::seconds>(now).count(); }
 
-bool plays(Role host, Role wanted) { return host == wanted || host == Role::kMixed; }
+bool plays(Role endpoint, Role wanted) { return endpoint == wanted || endpoint == Role::kMixed; }
 
 Value known(std::optional<double> value) {
   return value ? Value::of(*value) : Value::of(expression::Fault::kAbsent);
@@ -47,9 +47,9 @@
   return static_cast<double>(sum(now).second) / static_cast<double>(kSlots);
 }
 
-std::optional<double> Share::value(std::size_t least, Time now) const {
+std::optional<double> Share::value(std::size_t minimum, Time now) const {
   const auto [yes, all] = sum(now);
-  if (all < least) return std::nullopt;
+  if (all < minimum) return std::nullopt;
   return static_cast<double>(yes) / static_cast<double>(all);
 }
 
@@ -85,21 +85,21 @@
   std::erase_if(asked_, [&](const auto& a) { return !quotas_.contains(a.first); });
 }
 
-void Signals::hosts(const routing::HostList& list, Time now) {
-  if (list.kind != routing::ListKind::kDelta) hosts_.clear();
+void Signals::endpoints(const routing::EndpointList& list, Time now) {
+  if (list.kind != routing::ListKind::kDelta) endpoints_.clear();
   for (const auto& entry : list.entries) {
     const auto kind = kinds_.find(entry.kind);
-    if (entry.state == HostState::kGone || kind == kinds_.end()) {
-      hosts_.erase(entry.host);
+    if (entry.state == EndpointState::kRemoved || kind == kinds_.end()) {
+      endpoints_.erase(entry.endpoint);
     } else {
-      hosts_[entry.host] = {entry.zone, kind->second, entry.state == HostState::kReady};
+      endpoints_[entry.endpoint] = {entry.zone, kind->second, entry.state == EndpointState::kReady};
     }
   }
   std::set<std::string> zones = {""};
-  for (const auto& [host, h] : hosts_) zones.insert(h.zone);
+  for (const auto& [endpoint, h] : endpoints_) zones.insert(h.zone);
   for (const std::string& zone : zones) {
     for (const Role role : {Role::kReader, Role::kWriter}) {
-      const auto count = std::count_if(hosts_.begin(), hosts_.end(), [&](const auto& h) {
+      const auto count = std::count_if(endpoints_.begin(), endpoints_.end(), [&](const auto& h) {
         return h.second.ready && plays(h.second.role, role) && (zone.empty() || h.second.zone == zone);
       });
       peaks_[{zone, role}].see(static_cast<std::size_t>(count), now);
@@ -110,14 +110,14 @@
 void Signals::first_token(const std::string& request_class, bool late, Time now) {
   if (std::find(classes_.begin(), classes_.end(), request_class) == classes_.end()) return;
   late_[request_class].count(late, now);
-  refused_.count(false, now);
+  rejected_.count(false, now);
 }
 
-void Signals::given_up(const std::string& request_class, bool refused, Time now) {
+void Signals::given_up(const std::string& request_class, bool rejected, Time now) {
   if (std::find(classes_.begin(), classes_.end(), request_class) == classes_.end()) return;
   // What was refused or failed had no first token in time either.
   late_[request_class].count(true, now);
-  refused_.count(refused, now);
+  rejected_.count(rejected, now);
 }
 
 void Signals::asked(const std::string& account, Time now) {
@@ -132,13 +132,14 @@
 }
 
 Value Signals::ready(Role role, const std::string* zone, Time now) {
-  const auto count = static_cast<std::size_t>(std::count_if(hosts_.begin(), hosts_.end(), [&](const auto& h) {
-    return h.second.ready && plays(h.second.role, role) && (zone == nullptr || h.second.zone == *zone);
-  }));
+  const auto count =
+      static_cast<std::size_t>(std::count_if(endpoints_.begin(), endpoints_.end(), [&](const auto& h) {
+        return h.second.ready && plays(h.second.role, role) && (zone == nullptr || h.second.zone == *zone);
+      }));
   Peak& peak = peaks_[{zone == nullptr ? std::string() : *zone, role}];
   peak.see(count, now);
-  if (peak.most() == 0) return Value::of(expression::Fault::kAbsent);
-  return Value::of(static_cast<double>(count) / static_cast<double>(peak.most()));
+  if (peak.maximum() == 0) return Value::of(expression::Fault::kAbsent);
+  return Value::of(static_cast<double>(count) / static_cast<double>(peak.maximum()));
 }
 
 std::vector<Value> Signals::values(std::size_t open, std::optional<Time> heard, Time now) {
@@ -148,22 +149,22 @@
   for (const Role role : {Role::kReader, Role::kWriter})
     all.push_back(fresh ? ready(role, nullptr, now) : absent);
   for (const Role role : {Role::kReader, Role::kWriter}) {
-    Value least = absent;
+    Value minimum = absent;
     std::vector<std::string> zones;
     for (const auto& [key, peak] : peaks_) {
       if (key.second == role && !key.first.empty()) zones.push_back(key.first);
     }
     for (const std::string& zone : zones) {
       const Value one = ready(role, &zone, now);
-      if (!one.failed() && (least.failed() || one.real < least.real)) least = one;
+      if (!one.failed() && (minimum.failed() || one.real < minimum.real)) minimum = one;
     }
-    all.push_back(fresh ? least : absent);
+    all.push_back(fresh ? minimum : absent);
   }
-  all.push_back(known(refused_.value(kLeastSamples, now)));
+  all.push_back(known(rejected_.value(kMinSamples, now)));
   all.push_back(Value::of(static_cast<std::int64_t>(open)));
-  for (const std::string& c : classes_) all.push_back(known(late_[c].value(kLeastSamples, now)));
+  for (const std::string& c : classes_) all.push_back(known(late_[c].value(kMinSamples, now)));
   // Zones that have had no host for so long that none is missed.
-  std::erase_if(peaks_, [](const auto& p) { return p.second.most() == 0; });
+  std::erase_if(peaks_, [](const auto& p) { return p.second.maximum() == 0; });
   return all;
 }
 
--- a/src/degradation/signals.hpp
+++ b/src/degradation/signals.hpp
@@ -23,8 +23,8 @@
  public:
   static constexpr Duration kWindow = std::chrono::seconds(10);
   void count(bool yes, Time now);
-  double rate(Time now) const;                                     // of all, a second
-  std::optional<double> value(std::size_t least, Time now) const;  // none: fewer than `least` were counted
+  double rate(Time now) const;                                       // of all, a second
+  std::optional<double> value(std::size_t minimum, Time now) const;  // none: fewer than `least` were counted
 
  private:
   static constexpr std::int64_t kSlots = 10;
@@ -40,7 +40,7 @@
 class Peak {
  public:
   void see(std::size_t n, Time now);
-  std::size_t most() const { return std::max(now_, before_); }
+  std::size_t maximum() const { return std::max(now_, before_); }
 
  private:
   static constexpr Duration kHalf = std::chrono::minutes(15);
@@ -60,9 +60,9 @@
   explicit Signals(const routing::Settings& settings) { adopt(settings); }
   void adopt(const routing::Settings& settings);
 
-  void hosts(const routing::HostList& list, Time now);
+  void endpoints(const routing::EndpointList& list, Time now);
   void first_token(const std::string& request_class, bool late, Time now);
-  void given_up(const std::string& request_class, bool refused, Time now);  // without a first token
+  void given_up(const std::string& request_class, bool rejected, Time now);  // without a first token
   void asked(const std::string& account, Time now);
 
   // `heard`: when discovery last spoke, if it has.
@@ -71,22 +71,22 @@
   expression::Value use(const std::string& account, Time now) const;
 
  private:
-  struct Host {
+  struct Endpoint {
     std::string zone;
     routing::Role role{};
     bool ready = false;
   };
-  static constexpr std::size_t kLeastSamples = 20;
+  static constexpr std::size_t kMinSamples = 20;
   expression::Value ready(routing::Role role, const std::string* zone, Time now);
 
   std::map<std::string, routing::Role> kinds_;
   std::map<std::string, double> quotas_;  // of this instance, a second
   std::vector<std::string> classes_;
-  std::map<std::string, Host> hosts_;
+  std::map<std::string, Endpoint> endpoints_;
   std::map<std::pair<std::string, routing::Role>, Peak> peaks_;  // by zone; "": all
   std::map<std::string, Share> late_;
   std::map<std::string, Share> asked_;
-  Share refused_;
+  Share rejected_;
 };
 
 }  // namespace dispatcher::degradation
--- a/src/degradation/state_machine.cpp
+++ b/src/degradation/state_machine.cpp
@@ -32,10 +32,10 @@
     const Level& level = levels_->levels()[i - 1];
     Watch& watch = watches_[i];
     if (!watch.enters || now - *watch.enters < level.enter_for) continue;
-    const Duration soon = 2 * std::min(level.most_stay, level.least_stay * (1U << watch.again));
+    const Duration soon = 2 * std::min(level.max_stay, level.min_stay * (1U << watch.again));
     const bool again = watch.left && now - *watch.left < soon;
-    constexpr unsigned kMostAgain = 16;
-    watch.again = again ? std::min(watch.again + 1, kMostAgain) : 0;
+    constexpr unsigned kMaxAgain = 16;
+    watch.again = again ? std::min(watch.again + 1, kMaxAgain) : 0;
     change(i, Change::Cause::kEntered, level.enter_text, signals, now);
     return true;
   }
@@ -51,7 +51,7 @@
 
 Duration StateMachine::stay() const {
   const Level& level = levels_->levels()[level_ - 1];
-  return std::min(level.most_stay, level.least_stay * (1U << watches_[level_].again));
+  return std::min(level.max_stay, level.min_stay * (1U << watches_[level_].again));
 }
 
 bool StateMachine::may_step_down(Time now) {
@@ -60,7 +60,7 @@
   const std::size_t above = levels_->levels().size() - (level_ - 1);  // steps up that may follow
   return std::all_of(kBounds.begin(), kBounds.end(), [&](const Bound& bound) {
     const auto first = std::lower_bound(recent_.begin(), recent_.end(), now - bound.window);
-    return static_cast<std::size_t>(recent_.end() - first) + 1 + above <= bound.most;
+    return static_cast<std::size_t>(recent_.end() - first) + 1 + above <= bound.maximum;
   });
 }
 
@@ -117,11 +117,11 @@
 std::optional<Duration> StateMachine::shed(const std::string& request_class,
                                            std::span<const expression::Value> request, double random) {
   if (level_ == 0) return std::nullopt;
-  for (const Shed& s : levels_->levels()[level_ - 1].shed) {
+  for (const SheddingRule& s : levels_->levels()[level_ - 1].shed) {
     if (std::find(s.classes.begin(), s.classes.end(), request_class) == s.classes.end()) continue;
     if (!s.when.run(request, scratch_).is(true)) continue;
-    const auto spread = static_cast<double>((s.retry_most - s.retry_least).count());
-    return s.retry_least + Duration(static_cast<std::int64_t>(spread * random));
+    const auto spread = static_cast<double>((s.retry_max - s.retry_min).count());
+    return s.retry_min + Duration(static_cast<std::int64_t>(spread * random));
   }
   return std::nullopt;
 }
--- a/src/degradation/state_machine.hpp
+++ b/src/degradation/state_machine.hpp
@@ -37,7 +37,7 @@
  public:
   struct Bound {
     Duration window;
-    std::size_t most;
+    std::size_t maximum;
   };
   static constexpr std::array<Bound, 2> kBounds = {
       {{std::chrono::minutes(1), 4}, {std::chrono::minutes(10), 6}}};
--- a/src/engine/request_log.cpp
+++ b/src/engine/request_log.cpp
@@ -16,8 +16,8 @@
   return text.data();
 }
 
-std::string at(const std::string& host, int attempt) {
-  return " attempt=" + std::to_string(attempt) + " host=" + host;
+std::string at(const std::string& endpoint, int attempt) {
+  return " attempt=" + std::to_string(attempt) + " host=" + endpoint;
 }
 
 }  // namespace
@@ -30,18 +30,18 @@
                  " session=" + std::to_string(r.session) + " repeat=" + (r.client_retry ? "1" : "0"));
 }
 
-void RequestLog::sent(const std::string& id, const std::string& host, int attempt) const {
-  if (sink_) line(id, "sent" + at(host, attempt));
+void RequestLog::sent(const std::string& id, const std::string& endpoint, int attempt) const {
+  if (sink_) line(id, "sent" + at(endpoint, attempt));
 }
 
-void RequestLog::first(const std::string& id, const std::string& host, int attempt,
+void RequestLog::first(const std::string& id, const std::string& endpoint, int attempt,
                        routing::Duration after) const {
-  if (sink_) line(id, "first" + at(host, attempt) + " ms=" + ms(after));
+  if (sink_) line(id, "first" + at(endpoint, attempt) + " ms=" + ms(after));
 }
 
-void RequestLog::ended(const routing::Outcome& o) const {
+void RequestLog::ended(const routing::AttemptCompleted& o) const {
   if (!sink_) return;
-  std::string rest = "ended" + at(o.host, o.attempt) +
+  std::string rest = "ended" + at(o.endpoint, o.attempt) +
                      " verdict=" + std::string(kVerdicts.at(static_cast<std::size_t>(o.verdict))) +
                      " ms=" + ms(o.elapsed) + " note=" + std::to_string(o.note);
   if (o.report.memory_share) rest += " memory=" + std::to_string(*o.report.memory_share);
--- a/src/engine/request_log.hpp
+++ b/src/engine/request_log.hpp
@@ -19,9 +19,9 @@
 
   // Each line begins `request ID` and goes on with key=value. Times are milliseconds.
   void taken(const routing::Request& request, routing::Time now) const;
-  void sent(const std::string& id, const std::string& host, int attempt) const;
-  void first(const std::string& id, const std::string& host, int attempt, routing::Duration after) const;
-  void ended(const routing::Outcome& outcome) const;
+  void sent(const std::string& id, const std::string& endpoint, int attempt) const;
+  void first(const std::string& id, const std::string& endpoint, int attempt, routing::Duration after) const;
+  void ended(const routing::AttemptCompleted& outcome) const;
   void answered(const std::string& id, std::string_view how) const;
 
  private:
--- a/src/engine/held_states.hpp
+++ b/src/engine/reservation_tracker.hpp
@@ -1,17 +1,17 @@
 // What may be held at replicas for one request, as its attempts' ends tell. No I/O; the clock is passed in.
-#ifndef DISPATCHER_ENGINE_HELD_STATES_HPP_
-#define DISPATCHER_ENGINE_HELD_STATES_HPP_
+#ifndef DISPATCHER_ENGINE_RESERVATION_TRACKER_HPP_
+#define DISPATCHER_ENGINE_RESERVATION_TRACKER_HPP_
 
-#include "engine/deadlines.hpp"
+#include "engine/timer_queue.hpp"
 #include "routing/router.hpp"
 
 namespace dispatcher::engine {
 
-class HeldStates {
+class ReservationTracker {
  public:
   struct End {
-    routing::Verdict verdict{};
-    int note = 0;        // as in routing::Outcome
+    routing::AttemptStatus verdict{};
+    int note = 0;        // as in routing::AttemptCompleted
     bool reads = false;  // at a reader
     Time runs_until{};   // if it broke, it may run on up to then
   };
@@ -38,4 +38,4 @@
 
 }  // namespace dispatcher::engine
 
-#endif  // DISPATCHER_ENGINE_HELD_STATES_HPP_
+#endif  // DISPATCHER_ENGINE_RESERVATION_TRACKER_HPP_
--- a/src/engine/deadlines.hpp
+++ b/src/engine/timer_queue.hpp
@@ -1,7 +1,7 @@
 // All deadlines of the program, in one ordered structure. Whoever drives it asks for the next one, sleeps
 // until then and calls run(); the clock is the caller's.
-#ifndef DISPATCHER_ENGINE_DEADLINES_HPP_
-#define DISPATCHER_ENGINE_DEADLINES_HPP_
+#ifndef DISPATCHER_ENGINE_TIMER_QUEUE_HPP_
+#define DISPATCHER_ENGINE_TIMER_QUEUE_HPP_
 
 #include <chrono>
 #include <cstdint>
@@ -16,7 +16,7 @@
 using Duration = std::chrono::microseconds;
 using Clock = std::function<Time()>;
 
-class Deadlines {
+class TimerQueue {
  public:
   using Id = std::pair<Time, std::uint64_t>;  // ordered by time, then by age; {} names none
 
@@ -58,4 +58,4 @@
 
 }  // namespace dispatcher::engine
 
-#endif  // DISPATCHER_ENGINE_DEADLINES_HPP_
+#endif  // DISPATCHER_ENGINE_TIMER_QUEUE_HPP_
--- a/src/expression/automaton.cpp
+++ b/src/expression/automaton.cpp
@@ -13,8 +13,8 @@
 namespace {
 
 constexpr std::uint32_t kLast = 0x10FFFF;
-constexpr int kMostNesting = 100;
-constexpr std::size_t kMostWork = 5'000'000;  // steps of making it deterministic
+constexpr int kMaxNesting = 100;
+constexpr std::size_t kMaxWork = 5'000'000;  // steps of making it deterministic
 
 struct Range {
   std::uint32_t low, high;
@@ -102,7 +102,7 @@
 class Steps {
  public:
   int add(State s) {
-    if (states.size() >= Automaton::kMostNodes) throw PatternError("the pattern is too large");
+    if (states.size() >= Automaton::kMaxNodes) throw PatternError("the pattern is too large");
     states.push_back(s);
     return static_cast<int>(states.size()) - 1;
   }
@@ -118,7 +118,7 @@
   enum class Kind { kEmpty, kClass, kBegin, kEnd, kSequence, kChoice, kRepeat } kind = Kind::kEmpty;
   Ranges ranges;
   std::vector<Tree> kids;
-  int least = 0, most = -1;  // of kRepeat; -1: any number
+  int minimum = 0, maximum = -1;  // of kRepeat; -1: any number
 };
 
 // ---- patterns ----
@@ -156,7 +156,7 @@
   }
 
   Tree choice(int depth) {
-    if (depth > kMostNesting) throw PatternError("nested too deeply");
+    if (depth > kMaxNesting) throw PatternError("nested too deeply");
     const Flags outer = flags_;
     Tree all;
     all.kind = Tree::Kind::kChoice;
@@ -255,27 +255,27 @@
 
   Tree repeats(Tree one) {
     for (;;) {
-      int least = 0, most = -1;
+      int minimum = 0, maximum = -1;
       if (take("*")) {
       } else if (take("+")) {
-        least = 1;
+        minimum = 1;
       } else if (take("?")) {
-        most = 1;
-      } else if (!counted(least, most)) {
+        maximum = 1;
+      } else if (!counted(minimum, maximum)) {
         return one;
       }
       take("?");  // as few as can be: the same texts match
       Tree repeat;
       repeat.kind = Tree::Kind::kRepeat;
-      repeat.least = least;
-      repeat.most = most;
+      repeat.minimum = minimum;
+      repeat.maximum = maximum;
       repeat.kids.push_back(std::move(one));
       one = std::move(repeat);
     }
   }
 
   // {2}, {2,}, {2,5}; anything else is text.
-  bool counted(int& least, int& most) {
+  bool counted(int& minimum, int& maximum) {
     const std::size_t before = at_;
     if (!take("{")) return false;
     const auto number = [&]() -> int {
@@ -285,10 +285,10 @@
         n = std::min(n * 10 + (text_[at_++] - '0'), 100'000);
       return n;
     };
-    least = number();
-    bool good = least >= 0;
-    most = least;
-    if (good && take(",")) most = number();
+    minimum = number();
+    bool good = minimum >= 0;
+    maximum = minimum;
+    if (good && take(",")) maximum = number();
     good = good && take("}");
     if (!good) at_ = before;
     return good;
@@ -415,15 +415,15 @@
  private:
   int repeat(const Tree& tree, int next) {
     const Tree& one = tree.kids.front();
-    if (tree.most < 0) {
+    if (tree.maximum < 0) {
       const int loop = steps.split(-1, next);
       const int begin = build(one, loop);
       steps.states[static_cast<std::size_t>(loop)].next = begin;
       next = loop;
     } else {
-      for (int i = tree.least; i < tree.most; ++i) next = steps.split(build(one, next), next);
+      for (int i = tree.minimum; i < tree.maximum; ++i) next = steps.split(build(one, next), next);
     }
-    for (int i = 0; i < tree.least; ++i) next = build(one, next);
+    for (int i = 0; i < tree.minimum; ++i) next = build(one, next);
     return next;
   }
 
@@ -546,8 +546,8 @@
     if (matched(set)) return kYes;
     const auto [it, fresh] = numbers.emplace(set, static_cast<std::uint32_t>(open.size()));
     if (!fresh) return it->second;
-    if (open.size() >= kMostStates)
-      throw PatternError("the pattern needs more than " + std::to_string(kMostStates) + " states");
+    if (open.size() >= kMaxStates)
+      throw PatternError("the pattern needs more than " + std::to_string(kMaxStates) + " states");
     at_end_.push_back(matched(closure.of(set, false, true)) ? 1 : 0);
     open.push_back(std::move(set));
     return it->second;
@@ -572,7 +572,7 @@
       }
       next.push_back(first);
       work += open[i].size() + next.size();
-      if (work > kMostWork) throw PatternError("the pattern takes too much work to prepare");
+      if (work > kMaxWork) throw PatternError("the pattern takes too much work to prepare");
       Open reached = closure.of(next, false, false);
       // A pattern bound to the text's start has nothing left to wait for.
       next_.push_back((reached.empty() ? kNo : number(std::move(reached))) * width_);
--- a/src/expression/automaton.hpp
+++ b/src/expression/automaton.hpp
@@ -19,8 +19,8 @@
 
 class Automaton {
  public:
-  static constexpr std::size_t kMostStates = 1000;
-  static constexpr std::size_t kMostNodes = 5000;  // of the automaton before it is made deterministic
+  static constexpr std::size_t kMaxStates = 1000;
+  static constexpr std::size_t kMaxNodes = 5000;  // of the automaton before it is made deterministic
 
   // Throws PatternError.
   explicit Automaton(const std::string& pattern);
--- a/src/expression/check.cpp
+++ b/src/expression/check.cpp
@@ -24,7 +24,7 @@
 
   // A node whose type is kError has been reported, or holds one that was.
   Node check(const Node& n) {
-    if (++made_ > kMostNodes) throw TooLarge{};
+    if (++made_ > kMaxNodes) throw TooLarge{};
     switch (n.op) {
       case Op::kLiteral:
         return n;
@@ -376,7 +376,7 @@
   try {
     checked = checker.check(parsed);
   } catch (const TooLarge&) {
-    throw Errors({{parsed.at, "more than " + std::to_string(kMostNodes) + " operations"}});
+    throw Errors({{parsed.at, "more than " + std::to_string(kMaxNodes) + " operations"}});
   }
   if (checker.problems.empty() && checked.type.kind != wanted)
     checker.problems.push_back(
--- a/src/expression/check.hpp
+++ b/src/expression/check.hpp
@@ -10,7 +10,7 @@
 
 namespace dispatcher::expression {
 
-inline constexpr std::size_t kMostNodes = 20'000;  // of one expression, once its macros are written out
+inline constexpr std::size_t kMaxNodes = 20'000;  // of one expression, once its macros are written out
 
 // Parses and checks. `wanted`: the type that it must have. Throws Errors with all that is wrong.
 Node check(std::string_view text, const Environment& fields, Kind wanted);
--- a/src/expression/first_match.cpp
+++ b/src/expression/first_match.cpp
@@ -9,7 +9,7 @@
 
 constexpr double kFindNs = 40, kFindByteNs = 1;  // a field's value looked up
 constexpr double kTryNs = 15;                    // a condition begun, besides its own cost
-constexpr std::size_t kMostValues = 64;          // of a membership that conditions are found by
+constexpr std::size_t kMaxValues = 64;           // of a membership that conditions are found by
 
 Value value_of(const Node& literal) {
   if (literal.type.kind == Kind::kString) return Value::of(std::string_view(literal.text));
@@ -55,7 +55,7 @@
   const auto it =
       std::find_if(by_field_.begin(), by_field_.end(), [&](const auto& b) { return b.field == field; });
   if (it != by_field_.end()) return &*it;
-  if (by_field_.size() >= kMostFields) return nullptr;
+  if (by_field_.size() >= kMaxFields) return nullptr;
   by_field_.emplace_back().field = field;
   return &by_field_.back();
 }
@@ -66,22 +66,22 @@
 
 FirstMatch::FirstMatch(std::vector<Program> conditions, const Environment& fields)
     : conditions_(std::move(conditions)) {
-  by_field_.reserve(kMostFields);
+  by_field_.reserve(kMaxFields);
   for (std::size_t i = 0; i < conditions_.size(); ++i) {
     // Of several memberships the one whose groups are smallest so far.
     std::optional<Membership> best;
-    std::size_t least = SIZE_MAX;
+    std::size_t minimum = SIZE_MAX;
     for (const Node* part : parts(conditions_[i].tree())) {
       auto m = membership(*part);
-      ByField* by = m && m->values.size() <= kMostValues ? by_field(m->field) : nullptr;
+      ByField* by = m && m->values.size() <= kMaxValues ? by_field(m->field) : nullptr;
       if (by == nullptr) continue;
       std::size_t largest = 0;
       for (const Value& v : m->values) {
         const Numbers* present = found(*by, v);
         largest = std::max(largest, present == nullptr ? 0 : present->size());
       }
-      if (largest >= least) continue;
-      least = largest;
+      if (largest >= minimum) continue;
+      minimum = largest;
       best = std::move(m);
     }
     const auto number = static_cast<std::uint32_t>(i);
@@ -98,11 +98,11 @@
   std::erase_if(by_field_, [](const ByField& b) { return b.texts.empty() && b.integers.empty(); });
   worst_ns_ = cost(rest_);
   for (const ByField& by : by_field_) {
-    double most = 0;
-    for (const auto& [text, numbers] : by.texts) most = std::max(most, cost(numbers));
-    for (const auto& [integer, numbers] : by.integers) most = std::max(most, cost(numbers));
+    double maximum = 0;
+    for (const auto& [text, numbers] : by.texts) maximum = std::max(maximum, cost(numbers));
+    for (const auto& [integer, numbers] : by.integers) maximum = std::max(maximum, cost(numbers));
     const std::size_t longest = fields.fields()[static_cast<std::size_t>(by.field)].longest;
-    worst_ns_ += kFindNs + kFindByteNs * static_cast<double>(longest) + most;
+    worst_ns_ += kFindNs + kFindByteNs * static_cast<double>(longest) + maximum;
   }
 }
 
@@ -128,7 +128,7 @@
 }
 
 int FirstMatch::find(std::span<const Value> fields, Scratch& scratch) const noexcept {
-  std::array<std::span<const std::uint32_t>, kMostFields + 1> open;
+  std::array<std::span<const std::uint32_t>, kMaxFields + 1> open;
   std::size_t count = 0;
   if (!rest_.empty()) open[count++] = rest_;
   for (const ByField& by : by_field_) {
@@ -149,7 +149,7 @@
 }
 
 void FirstMatch::reserve(Scratch& scratch) const {
-  for (const Program& p : conditions_) scratch.reserve(p.most_values(), p.most_text());
+  for (const Program& p : conditions_) scratch.reserve(p.max_values(), p.max_text());
 }
 
 std::size_t FirstMatch::bytes() const {
--- a/src/expression/first_match.hpp
+++ b/src/expression/first_match.hpp
@@ -49,7 +49,7 @@
     std::unordered_map<std::int64_t, Numbers> integers;
   };
   // Fields that conditions are found by; more than these would cost more to look up than they save.
-  static constexpr std::size_t kMostFields = 8;
+  static constexpr std::size_t kMaxFields = 8;
 
   Numbers& group(ByField& by, const Value& value);
   ByField* by_field(int field);
--- a/src/expression/from_record.cpp
+++ b/src/expression/from_cue.cpp
@@ -1,4 +1,4 @@
-#include "expression/from_record.hpp"
+#include "expression/from_cue.hpp"
 
 #include <string>
 
--- a/src/expression/from_record.hpp
+++ b/src/expression/from_cue.hpp
@@ -1,6 +1,6 @@
 // Expressions as fields of a record.
-#ifndef DISPATCHER_EXPRESSION_FROM_RECORD_HPP_
-#define DISPATCHER_EXPRESSION_FROM_RECORD_HPP_
+#ifndef DISPATCHER_EXPRESSION_FROM_CUE_HPP_
+#define DISPATCHER_EXPRESSION_FROM_CUE_HPP_
 
 #include <optional>
 #include <vector>
@@ -17,4 +17,4 @@
 
 }  // namespace dispatcher::expression
 
-#endif  // DISPATCHER_EXPRESSION_FROM_RECORD_HPP_
+#endif  // DISPATCHER_EXPRESSION_FROM_CUE_HPP_
--- a/src/expression/program.cpp
+++ b/src/expression/program.cpp
@@ -55,9 +55,9 @@
     const std::size_t length = emit(p_.tree_);
     p_.longest_ = length;
     p_.worst_ns_ = kRunNs + worst();
-    if (p_.text_ > kMostMade)
+    if (p_.text_ > kMaxMade)
       fail(p_.tree_, "makes up to " + std::to_string(p_.text_) + " bytes of text, more than " +
-                         std::to_string(kMostMade));
+                         std::to_string(kMaxMade));
   }
 
  private:
@@ -112,9 +112,10 @@
     return static_cast<std::int32_t>(p_.tables_.size()) - 1;
   }
   static std::size_t longest(const std::vector<Value>& values) {
-    std::size_t most = 0;
-    for (const Value& v : values) most = std::max<std::size_t>(most, v.kind == Kind::kString ? v.size : 0);
-    return most;
+    std::size_t maximum = 0;
+    for (const Value& v : values)
+      maximum = std::max<std::size_t>(maximum, v.kind == Kind::kString ? v.size : 0);
+    return maximum;
   }
 
   static double comparing(Kind kind, std::size_t a, std::size_t b) {
@@ -270,10 +271,10 @@
     } else if (n.text == "double") {
       step(Do::kToDouble, kind == Kind::kString ? kParseRealNs : kStepNs, 0);
     } else if (n.text == "string") {
-      const std::size_t most = kind == Kind::kString ? a : kind == Kind::kDouble ? kRealText : kIntText;
-      if (kind != Kind::kString) p_.text_ += most;
+      const std::size_t maximum = kind == Kind::kString ? a : kind == Kind::kDouble ? kRealText : kIntText;
+      if (kind != Kind::kString) p_.text_ += maximum;
       step(Do::kToString, kind == Kind::kDouble ? kFormatRealNs : kFormatNs, 0);
-      return most;
+      return maximum;
     } else {
       const std::size_t b = emit(n.kids[1]);
       if (n.text == "contains") {
--- a/src/expression/program.hpp
+++ b/src/expression/program.hpp
@@ -16,7 +16,7 @@
 
 namespace dispatcher::expression {
 
-inline constexpr std::size_t kMostMade = 64 * 1024;  // bytes of text that one evaluation may make
+inline constexpr std::size_t kMaxMade = 64 * 1024;  // bytes of text that one evaluation may make
 
 // Where an evaluation works. One serves any number of programs, one after another; what a program made in it
 // holds until the next one runs.
@@ -43,9 +43,9 @@
   // worst_ns().
   Value run(std::span<const Value> fields, Scratch& scratch) const noexcept;
 
-  double worst_ns() const { return worst_ns_; }        // computed; docs/design/matching.md has how
-  std::size_t most_values() const { return values_; }  // what the scratch must have room for ...
-  std::size_t most_text() const { return text_; }
+  double worst_ns() const { return worst_ns_; }       // computed; docs/design/matching.md has how
+  std::size_t max_values() const { return values_; }  // what the scratch must have room for ...
+  std::size_t max_text() const { return text_; }
   std::size_t longest() const { return longest_; }  // of the result, where it is a text
   std::size_t bytes() const;                        // of memory
   const Node& tree() const { return tree_; }        // as it was checked
--- a/src/expression/syntax.cpp
+++ b/src/expression/syntax.cpp
@@ -110,9 +110,9 @@
 template <typename Rule>
 struct action : nothing<Rule> {};
 template <>
-struct action<expr> : limit_depth<kMostDepth> {};
+struct action<expr> : limit_depth<kMaxDepth> {};
 template <>
-struct action<unary> : limit_depth<2 * kMostDepth> {};
+struct action<unary> : limit_depth<2 * kMaxDepth> {};
 
 template <typename Rule>
 using selector = parse_tree::selector<
@@ -131,7 +131,7 @@
   explicit Builder(std::string_view text) : text_(text) {}
 
   Node build(const Tree& t, int depth = 0) const {
-    if (depth > kMostDepth) fail(at(t), "nested more than " + std::to_string(kMostDepth) + " deep");
+    if (depth > kMaxDepth) fail(at(t), "nested more than " + std::to_string(kMaxDepth) + " deep");
     if (t.is_type<grammar::conditional>()) return conditional(t, depth);
     if (t.is_type<grammar::disjunction>()) return chain(t, Op::kOr, depth);
     if (t.is_type<grammar::conjunction>()) return chain(t, Op::kAnd, depth);
@@ -187,8 +187,8 @@
   }
 
   Node left_to_right(const Tree& t, int depth) const {
-    if (static_cast<int>(t.children.size()) / 2 + depth > kMostDepth)
-      fail(at(t), "nested more than " + std::to_string(kMostDepth) + " deep");
+    if (static_cast<int>(t.children.size()) / 2 + depth > kMaxDepth)
+      fail(at(t), "nested more than " + std::to_string(kMaxDepth) + " deep");
     Node left = build(*t.children.front(), depth + 1);
     for (std::size_t i = 1; i + 1 < t.children.size(); i += 2) {
       Node both = node(operation(t.children[i]->string_view()), *t.children[i]);
@@ -224,16 +224,16 @@
     // The least number has no positive one to be made from.
     if (minus && of.is_type<grammar::member>() && of.children.size() == 1 &&
         of.children.front()->is_type<grammar::integer>()) {
-      Node least = literal(*of.children.front(), true);
-      least.at = at(t);
-      return least;
+      Node minimum = literal(*of.children.front(), true);
+      minimum.at = at(t);
+      return minimum;
     }
     return with_kids(minus ? Op::kNegate : Op::kNot, t, depth);
   }
 
   Node member(const Tree& t, int depth) const {
-    if (static_cast<int>(t.children.size()) + depth > kMostDepth)
-      fail(at(t), "nested more than " + std::to_string(kMostDepth) + " deep");
+    if (static_cast<int>(t.children.size()) + depth > kMaxDepth)
+      fail(at(t), "nested more than " + std::to_string(kMaxDepth) + " deep");
     Node left = build(*t.children.front(), depth + 1);
     for (std::size_t i = 1; i < t.children.size(); ++i) {
       const Tree& part = *t.children[i];
@@ -398,7 +398,7 @@
 Errors::Errors(std::vector<Problem> all) : std::runtime_error(join(all)), problems(std::move(all)) {}
 
 Node parse(std::string_view text) {
-  if (text.size() > kMostText) fail(0, "longer than " + std::to_string(kMostText) + " bytes");
+  if (text.size() > kMaxText) fail(0, "longer than " + std::to_string(kMaxText) + " bytes");
   if (const std::size_t bad = cue::invalid_utf8(text); bad != std::string_view::npos) fail(bad, "not UTF-8");
   pegtl::memory_input<pegtl::tracking_mode::lazy, pegtl::eol::lf_crlf, const char*> in(
       text.data(), text.data() + text.size(), "");
--- a/src/gossip/budget.hpp
+++ b/src/gossip/byte_budget.hpp
@@ -1,7 +1,7 @@
 // How many bytes a member may send, over the fleet: a token bucket. What answers a probe may run it into
 // debt, up to a bound; what can wait finds out how much room there is.
-#ifndef DISPATCHER_GOSSIP_BUDGET_HPP_
-#define DISPATCHER_GOSSIP_BUDGET_HPP_
+#ifndef DISPATCHER_GOSSIP_BYTE_BUDGET_HPP_
+#define DISPATCHER_GOSSIP_BYTE_BUDGET_HPP_
 
 #include <algorithm>
 #include <cstdint>
@@ -13,10 +13,10 @@
 using membership::Duration;
 using membership::Time;
 
-class Budget {
+class ByteBudget {
  public:
   // In any time t at most rate x t + burst + debt bytes are sent.
-  Budget(std::int64_t rate, std::int64_t burst, std::int64_t debt, Time now)
+  ByteBudget(std::int64_t rate, std::int64_t burst, std::int64_t debt, Time now)
       : rate_(rate), burst_(burst * kMicro), debt_(debt * kMicro), level_(burst * kMicro), at_(now) {}
 
   std::int64_t left(Time now) {  // bytes; below zero in debt
@@ -42,4 +42,4 @@
 
 }  // namespace dispatcher::gossip
 
-#endif  // DISPATCHER_GOSSIP_BUDGET_HPP_
+#endif  // DISPATCHER_GOSSIP_BYTE_BUDGET_HPP_
--- a/src/gossip/codec.cpp
+++ b/src/gossip/codec.cpp
@@ -10,11 +10,11 @@
 namespace {
 
 using membership::Duration;
-using membership::Standing;
+using membership::MemberState;
 using std::chrono::milliseconds;
 
 constexpr auto kAgeUnit = milliseconds(10);
-constexpr std::uint32_t kMostAge = 24 * 3600 * 100;  // in its unit: a day
+constexpr std::uint32_t kMaxAge = 24 * 3600 * 100;  // in its unit: a day
 
 std::size_t varint(std::uint64_t value) {
   std::size_t bytes = 1;
@@ -32,13 +32,13 @@
   return w;
 }
 
-wire::Claim to_wire(const Claim& claim) {
+wire::Claim to_wire(const MemberUpdate& claim) {
   wire::Claim w;
   w.set_about(claim.about);
   w.set_life(claim.incarnation.life);
   w.set_refuted(claim.incarnation.refuted);
   w.set_standing(static_cast<std::uint32_t>(claim.standing) - 1);
-  if (claim.standing == Standing::kSuspect) w.set_by(claim.by);
+  if (claim.standing == MemberState::kSuspect) w.set_by(claim.by);
   return w;
 }
 
@@ -51,7 +51,7 @@
   w.set_kind(row.place.kind);
   w.set_key(row.place.key);
   w.set_version(row.version);
-  w.set_age(static_cast<std::uint32_t>(std::clamp<Duration::rep>(row.age / kAgeUnit, 0, kMostAge)));
+  w.set_age(static_cast<std::uint32_t>(std::clamp<Duration::rep>(row.age / kAgeUnit, 0, kMaxAge)));
   w.set_payload(row.payload.data(), row.payload.size());
   w.set_gone(row.gone);
   return w;
@@ -94,18 +94,18 @@
   return w;
 }
 
-bool bad_life(std::uint64_t life) { return life == 0 || life > membership::kMostLife; }
+bool bad_life(std::uint64_t life) { return life == 0 || life > membership::kMaxLife; }
 
 std::optional<Probe> from_wire(const wire::Probe& w, Number count) {
   if (w.type() > 3 || w.target() >= count) return std::nullopt;
   return Probe{static_cast<Probe::Type>(w.type()), w.sequence(), w.target()};
 }
 
-std::optional<Claim> from_wire(const wire::Claim& w, Number count) {
-  if (w.about() >= count || w.by() >= count || bad_life(w.life()) || w.refuted() > membership::kMostRefuted ||
+std::optional<MemberUpdate> from_wire(const wire::Claim& w, Number count) {
+  if (w.about() >= count || w.by() >= count || bad_life(w.life()) || w.refuted() > membership::kMaxRefuted ||
       w.standing() > 2)
     return std::nullopt;
-  return Claim{w.about(), {w.life(), w.refuted()}, static_cast<Standing>(w.standing() + 1), w.by()};
+  return MemberUpdate{w.about(), {w.life(), w.refuted()}, static_cast<MemberState>(w.standing() + 1), w.by()};
 }
 
 std::optional<Row> from_wire(const wire::Row& w, const Sender& sender, Number count) {
@@ -113,8 +113,8 @@
   row.place = {w.kind(), w.key(), w.has_owner() ? w.owner() : sender.number};
   row.life = w.has_owner() ? w.life() : sender.incarnation.life;
   if (row.place.owner >= count || bad_life(row.life) || w.version() == 0 ||
-      w.version() > replicated_state::kMostVersion || w.age() > kMostAge ||
-      w.payload().size() > replicated_state::kMostPayload)
+      w.version() > replicated_state::kMaxVersion || w.age() > kMaxAge ||
+      w.payload().size() > replicated_state::kMaxPayload)
     return std::nullopt;
   row.version = w.version();
   row.gone = w.gone();
@@ -124,18 +124,18 @@
 }
 
 std::optional<Summary> from_wire(const wire::Summary& w, Number count) {
-  if (w.owner() >= count || w.top() > replicated_state::kMostVersion) return std::nullopt;
+  if (w.owner() >= count || w.top() > replicated_state::kMaxVersion) return std::nullopt;
   return Summary{w.owner(), w.top(), w.hash()};
 }
 
 std::optional<replicated_state::Ask> from_wire(const wire::Ask& w) {
-  if (w.sequence() == 0 || w.amount() == 0 || w.amount() > replicated_state::kMostAmount) return std::nullopt;
+  if (w.sequence() == 0 || w.amount() == 0 || w.amount() > replicated_state::kMaxAmount) return std::nullopt;
   return replicated_state::Ask{{w.kind(), w.key()}, w.sequence(), w.renews(), w.amount()};
 }
 
 std::optional<replicated_state::Grant> from_wire(const wire::Grant& w) {
-  if (w.sequence() == 0 || w.amount() > replicated_state::kMostAmount || bad_life(w.life()) ||
-      milliseconds(w.lease_ms()) > replicated_state::kMostLease)
+  if (w.sequence() == 0 || w.amount() > replicated_state::kMaxAmount || bad_life(w.life()) ||
+      milliseconds(w.lease_ms()) > replicated_state::kMaxLease)
     return std::nullopt;
   return replicated_state::Grant{
       {w.kind(), w.key()}, w.life(), w.sequence(), w.amount(), milliseconds(w.lease_ms())};
@@ -169,14 +169,14 @@
 
 std::variant<Message, Drop> decode(std::span<const std::uint8_t> bytes, Number from, std::uint32_t tier,
                                    Number count) {
-  if (bytes.size() > kMostBytes) return Drop::kTooLong;
+  if (bytes.size() > kMaxBytes) return Drop::kTooLong;
   wire::Envelope e;
   if (bytes.empty() || !e.ParseFromArray(bytes.data(), static_cast<int>(bytes.size()))) return Drop::kGarbage;
   if (e.version() != kVersion) return Drop::kFormat;
   if (e.tier() != tier) return Drop::kTier;
   if (e.count() != count) return Drop::kCount;
   if (e.sender() != from || from >= count) return Drop::kSender;
-  if (bad_life(e.life()) || e.refuted() > membership::kMostRefuted || e.serial() == 0) return Drop::kAbsurd;
+  if (bad_life(e.life()) || e.refuted() > membership::kMaxRefuted || e.serial() == 0) return Drop::kAbsurd;
   Message m;
   m.sender = {tier, count, from, {e.life(), e.refuted()}, e.serial()};
   if (e.has_probe()) {
@@ -221,14 +221,14 @@
 
 std::size_t Packer::size() const { return content_->size; }
 
-void Packer::limit(std::size_t most) { most_ = std::clamp(most, size(), kMostBytes); }
+void Packer::limit(std::size_t maximum) { max_ = std::clamp(maximum, size(), kMaxBytes); }
 
 namespace {
 // Moves the entry into its list, where it fits.
 template <class Wire, class Add>
-bool place(const Wire& wire, std::size_t& size, std::size_t most, Add add) {
+bool place(const Wire& wire, std::size_t& size, std::size_t maximum, Add add) {
   const std::size_t more = entry(wire.ByteSizeLong());
-  if (size + more > most) return false;
+  if (size + more > maximum) return false;
   size += more;
   *add() = wire;
   return true;
@@ -236,7 +236,7 @@
 }  // namespace
 
 bool Packer::add(const Probe& probe) {
-  return place(to_wire(probe), content_->size, most_, [&] { return content_->envelope.mutable_probe(); });
+  return place(to_wire(probe), content_->size, max_, [&] { return content_->envelope.mutable_probe(); });
 }
 bool Packer::add_members_hash(std::uint32_t hash) {
   if (hash == 0 || !fits(5)) return false;
@@ -252,26 +252,26 @@
   content_->size += more;
   return true;
 }
-bool Packer::add(const Claim& claim) {
-  return place(to_wire(claim), content_->size, most_, [&] { return content_->envelope.add_claims(); });
+bool Packer::add(const MemberUpdate& claim) {
+  return place(to_wire(claim), content_->size, max_, [&] { return content_->envelope.add_claims(); });
 }
 bool Packer::add(const replicated_state::Ask& ask) {
-  return place(to_wire(ask), content_->size, most_, [&] { return content_->envelope.add_asks(); });
+  return place(to_wire(ask), content_->size, max_, [&] { return content_->envelope.add_asks(); });
 }
 bool Packer::add(const replicated_state::Grant& grant) {
-  return place(to_wire(grant), content_->size, most_, [&] { return content_->envelope.add_grants(); });
+  return place(to_wire(grant), content_->size, max_, [&] { return content_->envelope.add_grants(); });
 }
 bool Packer::add(const replicated_state::Return& back) {
-  return place(to_wire(back), content_->size, most_, [&] { return content_->envelope.add_returns(); });
+  return place(to_wire(back), content_->size, max_, [&] { return content_->envelope.add_returns(); });
 }
 bool Packer::add(const Row& row) {
-  return place(to_wire(row, content_->sender), content_->size, most_,
+  return place(to_wire(row, content_->sender), content_->size, max_,
                [&] { return content_->envelope.add_rows(); });
 }
 bool Packer::add(const Summary& summary, bool reply) {
   const std::size_t mark = reply && !content_->envelope.reply() ? 3 : 0;
   if (!fits(mark)) return false;
-  if (!place(to_wire(summary), content_->size, most_ - mark,
+  if (!place(to_wire(summary), content_->size, max_ - mark,
              [&] { return content_->envelope.add_summaries(); }))
     return false;
   if (mark > 0) content_->envelope.set_reply(true);
--- a/src/gossip/codec.hpp
+++ b/src/gossip/codec.hpp
@@ -9,13 +9,13 @@
 
 #include "gossip/datagram.hpp"
 #include "membership/member.hpp"
-#include "replicated_state/rights.hpp"
-#include "replicated_state/rows.hpp"
+#include "replicated_state/bounded_counter.hpp"
+#include "replicated_state/replicated_map.hpp"
 
 namespace dispatcher::gossip {
 
-using membership::Claim;
 using membership::Incarnation;
+using membership::MemberUpdate;
 using membership::Number;
 using membership::Probe;
 using replicated_state::Row;
@@ -35,7 +35,7 @@
   Sender sender;
   std::optional<Probe> probe;
   std::optional<std::uint32_t> members_hash;
-  std::vector<Claim> claims;
+  std::vector<MemberUpdate> claims;
   std::vector<replicated_state::Ask> asks;
   std::vector<replicated_state::Grant> grants;
   std::vector<replicated_state::Return> returns;
@@ -77,23 +77,23 @@
   bool add(const Probe& probe);
   bool add_members_hash(std::uint32_t hash);
   bool add_group(Number group, std::uint32_t hash);
-  bool add(const Claim& claim);
+  bool add(const MemberUpdate& claim);
   bool add(const replicated_state::Ask& ask);
   bool add(const replicated_state::Grant& grant);
   bool add(const replicated_state::Return& back);
   bool add(const Row& row);
   bool add(const Summary& summary, bool reply);
-  void limit(std::size_t most);  // for what comes, at least what is there already
+  void limit(std::size_t maximum);  // for what comes, at least what is there already
   std::size_t size() const;
-  std::size_t room() const { return size() < most_ ? most_ - size() : 0; }
+  std::size_t room() const { return size() < max_ ? max_ - size() : 0; }
   // None only where the sender alone is too much, which its bounds rule out.
   std::optional<Datagram> finish() const;
 
  private:
-  bool fits(std::size_t more) const { return size() + more <= most_; }
+  bool fits(std::size_t more) const { return size() + more <= max_; }
   struct Content;
   std::unique_ptr<Content> content_;
-  std::size_t most_ = kMostBytes;
+  std::size_t max_ = kMaxBytes;
 };
 
 }  // namespace dispatcher::gossip
--- a/src/gossip/config.cpp
+++ b/src/gossip/config.cpp
@@ -69,7 +69,7 @@
   p.period = ms(data["period_ms"]);
   p.probe_timeout = ms(data["probe_timeout_ms"]);
   p.helpers = static_cast<unsigned>(data["helpers"].integer());
-  p.suspicion_least = data["suspicion_periods"].real();
+  p.suspicion_min = data["suspicion_periods"].real();
   p.suspicion_stretch = data["suspicion_stretch"].real();
   p.confirmations = static_cast<unsigned>(data["confirmations"].integer());
   p.spread = data["spread"].real();
--- a/src/gossip/config.hpp
+++ b/src/gossip/config.hpp
@@ -12,7 +12,7 @@
 
 #include "cue/syntax.hpp"
 #include "membership/membership.hpp"
-#include "replicated_state/rights.hpp"
+#include "replicated_state/bounded_counter.hpp"
 #include "routing/router.hpp"
 
 namespace dispatcher::gossip {
--- a/src/gossip/datagram.hpp
+++ b/src/gossip/datagram.hpp
@@ -12,14 +12,14 @@
 
 namespace dispatcher::gossip {
 
-inline constexpr std::size_t kMostBytes = 256;
+inline constexpr std::size_t kMaxBytes = 256;
 
 class Datagram {
  public:
   // `write` is given room for exactly `size` bytes. None where that is more than a datagram holds.
   template <class Write>
   static std::optional<Datagram> of(std::size_t size, Write write) {
-    if (size > kMostBytes) return std::nullopt;
+    if (size > kMaxBytes) return std::nullopt;
     Datagram made;
     made.size_ = static_cast<std::uint16_t>(size);
     write(std::span(made.bytes_.data(), size));
@@ -30,7 +30,7 @@
 
  private:
   Datagram() = default;
-  std::array<std::uint8_t, kMostBytes> bytes_{};
+  std::array<std::uint8_t, kMaxBytes> bytes_{};
   std::uint16_t size_ = 0;
 };
 
--- a/src/gossip/node.cpp
+++ b/src/gossip/gossip_node.cpp
@@ -1,4 +1,4 @@
-#include "gossip/node.hpp"
+#include "gossip/gossip_node.hpp"
 
 #include <algorithm>
 #include <utility>
@@ -7,7 +7,7 @@
 
 namespace {
 
-using membership::Standing;
+using membership::MemberState;
 
 // Answers to probes may be sent on credit of a second's bytes: silence would be taken for death.
 std::int64_t credit(const Options& options) { return options.bytes_per_second; }
@@ -21,8 +21,8 @@
 
 }  // namespace
 
-Node::Node(const Options& options, const replicated_state::Kinds& kinds, std::uint64_t life,
-           std::uint64_t seed, Time now)
+GossipNode::GossipNode(const Options& options, const replicated_state::Kinds& kinds, std::uint64_t life,
+                       std::uint64_t seed, Time now)
     : options_(options),
       members_(options.swim, options.self, options.count, life, now, random(seed, 1)),
       rows_(kinds, options.self, options.count, life, options.rows),
@@ -32,11 +32,11 @@
 
 // Each datagram.
 
-Sender Node::next_sender() {
+Sender GossipNode::next_sender() {
   return {options_.tier, options_.count, options_.self, members_.incarnation(), ++serial_};
 }
 
-bool Node::pay(Time now, const Datagram& datagram, std::int64_t receivers) {
+bool GossipNode::pay(Time now, const Datagram& datagram, std::int64_t receivers) {
   const auto bytes = static_cast<std::int64_t>(datagram.size()) * receivers;
   if (!budget_.spend(now, bytes)) {
     ++counts_.held_back;
@@ -47,25 +47,25 @@
   return true;
 }
 
-void Node::pack_core(Packer& packer, const Draft& draft) {
+void GossipNode::pack_core(Packer& packer, const Draft& draft) {
   if (draft.probe) packer.add(*draft.probe);
-  for (const Claim& claim : draft.claims) packer.add(claim);
+  for (const MemberUpdate& claim : draft.claims) packer.add(claim);
   for (const replicated_state::Transfer& transfer : draft.transfers)
     std::visit([&](const auto& what) { packer.add(what); }, transfer.what);
 }
 
-void Node::fill(Time now, Packer& packer, const Draft& draft) {
+void GossipNode::fill(Time now, Packer& packer, const Draft& draft) {
   if (draft.probe && draft.probe->type == Probe::Type::kPing) {
     packer.add_members_hash(members_.summary());
     const Number group = group_ = (group_ + 1) % rows_.groups();
     packer.add_group(group, rows_.group_hash(now, group));
   }
-  for (const Claim& claim : members_.queue(draft.to, draft.agreed)) {
+  for (const MemberUpdate& claim : members_.queue(draft.to, draft.agreed)) {
     if (packer.add(claim)) members_.sent(claim.about);
   }
   if (draft.page) {
     const std::size_t whole = packer.room();
-    for (const Claim& claim : members_.page(kPage)) {
+    for (const MemberUpdate& claim : members_.page(kPage)) {
       if (packer.room() > whole / 2) packer.add(claim);  // the rest is for rows
     }
   }
@@ -76,27 +76,27 @@
   }
 }
 
-void Node::pack(Time now, const Draft& draft, Sent& out) {
+void GossipNode::pack(Time now, const Draft& draft, Sent& out) {
   const std::int64_t left = budget_.left(now);
-  if (!draft.needed() && draft.claims.empty() && left < static_cast<std::int64_t>(kMostBytes)) {
+  if (!draft.needed() && draft.claims.empty() && left < static_cast<std::int64_t>(kMaxBytes)) {
     ++counts_.held_back;
     return;
   }
   Packer packer(next_sender());
   pack_core(packer, draft);
-  packer.limit(static_cast<std::size_t>(std::clamp<std::int64_t>(left, 0, kMostBytes)));
+  packer.limit(static_cast<std::size_t>(std::clamp<std::int64_t>(left, 0, kMaxBytes)));
   fill(now, packer, draft);
   auto datagram = packer.finish();
   if (datagram && pay(now, *datagram, 1)) out.push_back({draft.to, *datagram});
 }
 
-Node::Sent Node::carry_out(Time now, std::vector<Draft> drafts) {
+GossipNode::Sent GossipNode::carry_out(Time now, std::vector<Draft> drafts) {
   Sent out;
   for (const Draft& draft : drafts) pack(now, draft, out);
   return out;
 }
 
-Node::Draft& Node::draft_for(std::vector<Draft>& drafts, Number to) {
+GossipNode::Draft& GossipNode::draft_for(std::vector<Draft>& drafts, Number to) {
   for (Draft& draft : drafts) {
     if (draft.to == to) return draft;
   }
@@ -105,7 +105,7 @@
   return drafts.back();
 }
 
-void Node::add(std::vector<Draft>& drafts, const std::vector<membership::Sending>& sendings) {
+void GossipNode::add(std::vector<Draft>& drafts, const std::vector<membership::Sending>& sendings) {
   for (const membership::Sending& sending : sendings) {
     drafts.emplace_back();  // one probe a datagram
     drafts.back().to = sending.to;
@@ -113,7 +113,7 @@
   }
 }
 
-void Node::add(std::vector<Draft>& drafts, const std::vector<replicated_state::Transfer>& transfers) {
+void GossipNode::add(std::vector<Draft>& drafts, const std::vector<replicated_state::Transfer>& transfers) {
   for (const replicated_state::Transfer& transfer : transfers) {
     Draft& draft = draft_for(drafts, transfer.to);
     // A core of a probe and four transfers stays within a datagram.
@@ -128,7 +128,7 @@
 }
 
 // To everybody: only where there is one address or many, the price is the same.
-void Node::tell_all(Time now, Sent& out) {
+void GossipNode::tell_all(Time now, Sent& out) {
   soon_.reset();
   const std::vector<Row> urgent = rows_.queue(now, true);
   if (urgent.empty()) return;
@@ -151,7 +151,7 @@
 
 // Events.
 
-Node::Sent Node::start(Time now) {
+GossipNode::Sent GossipNode::start(Time now) {
   Sent out;
   const auto datagram = Packer(next_sender()).finish();
   const auto receivers = static_cast<std::int64_t>(options_.count - 1);
@@ -160,7 +160,7 @@
   return out;
 }
 
-Node::Sent Node::tick(Time now) {
+GossipNode::Sent GossipNode::tick(Time now) {
   rows_.tick(now);
   std::vector<Draft> drafts;
   add(drafts, members_.tick(now));
@@ -171,27 +171,27 @@
   return out;
 }
 
-Node::Sent Node::leave(Time now) {
+GossipNode::Sent GossipNode::leave(Time now) {
   std::vector<Draft> drafts;
   add(drafts, members_.leave());
   for (Draft& draft : drafts) draft.claims = {members_.claim(options_.self)};
   return carry_out(now, std::move(drafts));
 }
 
-Time Node::next() const {
+Time GossipNode::next() const {
   Time at = members_.next();
   if (const auto rights = rights_.next()) at = std::min(at, *rights);
   if (soon_) at = std::min(at, *soon_);
   return at;
 }
 
-bool Node::set(Time now, std::uint32_t kind, std::uint64_t key, replicated_state::Bytes payload) {
+bool GossipNode::set(Time now, std::uint32_t kind, std::uint64_t key, replicated_state::Bytes payload) {
   if (!rows_.set(now, kind, key, payload)) return false;
   if (!rows_.queue(now, true).empty()) soon_ = now;
   return true;
 }
 
-Node::Sent Node::received(Time now, Number from, std::span<const std::uint8_t> bytes) {
+GossipNode::Sent GossipNode::received(Time now, Number from, std::span<const std::uint8_t> bytes) {
   if (from == options_.self) return {};  // what went to everybody comes back
   ++counts_.received;
   counts_.received_bytes += bytes.size();
@@ -203,13 +203,13 @@
   const Message& message = std::get<Message>(read);
   counts_.absurd += message.absurd;
   switch (replays_.see(from, message.sender.incarnation.life, message.sender.serial)) {
-    case Replays::Seen::kBefore:
+    case ReplayWindow::Seen::kBefore:
       drop(Drop::kReplay);
       return {};
-    case Replays::Seen::kOldLife:
+    case ReplayWindow::Seen::kOldLife:
       drop(Drop::kOldLife);
       return carry_out(now, outdated(from, message));
-    case Replays::Seen::kNew:
+    case ReplayWindow::Seen::kNew:
       break;
   }
   std::vector<Draft> drafts;
@@ -224,7 +224,7 @@
 
 // A process that starts on a clock that was set back is not heard until it knows of its later life. It is
 // told with an answer to its ping, and takes nothing else from it.
-std::vector<Node::Draft> Node::outdated(Number from, const Message& message) {
+std::vector<GossipNode::Draft> GossipNode::outdated(Number from, const Message& message) {
   if (!message.probe || message.probe->type != Probe::Type::kPing) return {};
   Draft draft;
   draft.to = from;
@@ -232,7 +232,7 @@
   return {draft};
 }
 
-void Node::compare(Time now, Number from, const Message& message, std::vector<Draft>& drafts) {
+void GossipNode::compare(Time now, Number from, const Message& message, std::vector<Draft>& drafts) {
   if (message.members_hash) {
     Draft& draft = draft_for(drafts, from);
     draft.agreed = *message.members_hash == members_.summary();
@@ -254,7 +254,7 @@
   }
 }
 
-void Node::follow_changes(Time now) {
+void GossipNode::follow_changes(Time now) {
   for (const membership::Change& change : members_.take_changes()) {
     const std::uint64_t life = members_.claim(change.member).incarnation.life;
     if (change.member == options_.self) {
@@ -262,11 +262,11 @@
       rights_.own_life(life);
     } else {
       if (change.new_life) rows_.adopt_life(change.member, life);
-      const bool heard = change.after == Standing::kAlive;
-      const bool was_silent = change.before >= Standing::kSuspect && !change.new_life;
+      const bool heard = change.after == MemberState::kAlive;
+      const bool was_silent = change.before >= MemberState::kSuspect && !change.new_life;
       if (heard) rows_.silent(change.member, std::nullopt);
       if (!heard && !was_silent) rows_.silent(change.member, now);
-      if (change.new_life || change.after == Standing::kDead) rights_.lost(change.member);
+      if (change.new_life || change.after == MemberState::kDead) rights_.lost(change.member);
     }
     if (on_change_) on_change_(change);
   }
--- a/src/gossip/node.hpp
+++ b/src/gossip/gossip_node.hpp
@@ -1,8 +1,8 @@
 // One dispatcher's part in its fleet: who is alive, what each has told, and the rights that add up. No I/O:
 // the clock, the randomness and the datagrams are passed in, and datagrams to be sent are handed back. The
 // speaker carries them.
-#ifndef DISPATCHER_GOSSIP_NODE_HPP_
-#define DISPATCHER_GOSSIP_NODE_HPP_
+#ifndef DISPATCHER_GOSSIP_GOSSIP_NODE_HPP_
+#define DISPATCHER_GOSSIP_GOSSIP_NODE_HPP_
 
 #include <array>
 #include <functional>
@@ -10,13 +10,13 @@
 #include <span>
 #include <vector>
 
-#include "gossip/budget.hpp"
+#include "gossip/byte_budget.hpp"
 #include "gossip/codec.hpp"
 #include "gossip/config.hpp"
-#include "gossip/replays.hpp"
+#include "gossip/replay_window.hpp"
 #include "membership/membership.hpp"
-#include "replicated_state/rights.hpp"
-#include "replicated_state/rows.hpp"
+#include "replicated_state/bounded_counter.hpp"
+#include "replicated_state/replicated_map.hpp"
 
 namespace dispatcher::gossip {
 
@@ -25,14 +25,14 @@
   Datagram datagram;
 };
 
-class Node {
+class GossipNode {
  public:
   using Sent = std::vector<Outgoing>;
   using OnChange = std::function<void(const membership::Change&)>;
 
   // `life`: when this process started, ms since the Unix epoch. `kinds` outlives the node, complete.
-  Node(const Options& options, const replicated_state::Kinds& kinds, std::uint64_t life, std::uint64_t seed,
-       Time now);
+  GossipNode(const Options& options, const replicated_state::Kinds& kinds, std::uint64_t life,
+             std::uint64_t seed, Time now);
 
   Sent start(Time now);                                                       // says that we are there
   Sent tick(Time now);                                                        // at or after next()
@@ -44,9 +44,9 @@
   // says so.
   bool set(Time now, std::uint32_t kind, std::uint64_t key, replicated_state::Bytes payload);
   void erase(Time now, std::uint32_t kind, std::uint64_t key) { rows_.erase(now, kind, key); }
-  const replicated_state::Rows& rows() const { return rows_; }
-  replicated_state::Rights& rights() { return rights_; }
-  const replicated_state::Rights& rights() const { return rights_; }
+  const replicated_state::ReplicatedMap& rows() const { return rows_; }
+  replicated_state::BoundedCounter& rights() { return rights_; }
+  const replicated_state::BoundedCounter& rights() const { return rights_; }
   const membership::Membership& members() const { return members_; }
   void on_change(OnChange on_change) { on_change_ = std::move(on_change); }
 
@@ -66,7 +66,7 @@
     Number to = 0;
     std::optional<Probe> probe;
     std::vector<replicated_state::Transfer> transfers;
-    std::vector<Claim> claims;          // that the receiver needs whatever has been sent before
+    std::vector<MemberUpdate> claims;   // that the receiver needs whatever has been sent before
     bool page = false, agreed = false;  // its table of members differs from ours, is ours
     std::vector<Summary> summaries;
     bool reply = false;
@@ -90,10 +90,10 @@
 
   Options options_;
   membership::Membership members_;
-  replicated_state::Rows rows_;
-  replicated_state::Rights rights_;
-  Budget budget_;
-  Replays replays_;
+  replicated_state::ReplicatedMap rows_;
+  replicated_state::BoundedCounter rights_;
+  ByteBudget budget_;
+  ReplayWindow replays_;
   std::uint32_t serial_ = 0;
   Number group_ = 0;
   std::optional<Time> soon_;  // a row was written that is worth a datagram to all
@@ -103,4 +103,4 @@
 
 }  // namespace dispatcher::gossip
 
-#endif  // DISPATCHER_GOSSIP_NODE_HPP_
+#endif  // DISPATCHER_GOSSIP_GOSSIP_NODE_HPP_
--- a/src/gossip/replays.hpp
+++ b/src/gossip/replay_window.hpp
@@ -1,7 +1,7 @@
 // Which datagrams of each sender have been seen: of its present life, the last 64 serial numbers. A repeated
 // one is known, and one from before that counts as repeated.
-#ifndef DISPATCHER_GOSSIP_REPLAYS_HPP_
-#define DISPATCHER_GOSSIP_REPLAYS_HPP_
+#ifndef DISPATCHER_GOSSIP_REPLAY_WINDOW_HPP_
+#define DISPATCHER_GOSSIP_REPLAY_WINDOW_HPP_
 
 #include <cstdint>
 #include <vector>
@@ -10,10 +10,10 @@
 
 namespace dispatcher::gossip {
 
-class Replays {
+class ReplayWindow {
  public:
   enum class Seen { kNew, kBefore, kOldLife };
-  explicit Replays(membership::Number count) : senders_(count) {}
+  explicit ReplayWindow(membership::Number count) : senders_(count) {}
 
   Seen see(membership::Number from, std::uint64_t life, std::uint32_t serial) {
     Window& w = senders_[from];
@@ -43,4 +43,4 @@
 
 }  // namespace dispatcher::gossip
 
-#endif  // DISPATCHER_GOSSIP_REPLAYS_HPP_
+#endif  // DISPATCHER_GOSSIP_REPLAY_WINDOW_HPP_
--- a/src/hot_restart/link.cpp
+++ b/src/hot_restart/handover_channel.cpp
@@ -1,4 +1,4 @@
-#include "hot_restart/link.hpp"
+#include "hot_restart/handover_channel.hpp"
 
 #include <fcntl.h>
 #include <sys/socket.h>
@@ -18,10 +18,10 @@
 
 namespace {
 
-constexpr std::size_t kMostFds = 8;
-constexpr std::size_t kMostMessage = 512 * 1024;
-constexpr int kRoom = 1024 * 1024;          // asked of the kernel for what is on its way
-constexpr std::size_t kMostQueued = 10000;  // messages to a process that does not read
+constexpr std::size_t kMaxFds = 8;
+constexpr std::size_t kMaxMessage = 512 * 1024;
+constexpr int kRoom = 1024 * 1024;         // asked of the kernel for what is on its way
+constexpr std::size_t kMaxQueued = 10000;  // messages to a process that does not read
 constexpr int kBacklog = 4;
 
 // Packets keep messages and their descriptors together.
@@ -40,7 +40,7 @@
 }
 
 struct Ancillary {
-  alignas(cmsghdr) std::array<char, CMSG_SPACE(sizeof(int) * kMostFds)> bytes{};
+  alignas(cmsghdr) std::array<char, CMSG_SPACE(sizeof(int) * kMaxFds)> bytes{};
 };
 
 Fds received(msghdr& head) {
@@ -59,27 +59,28 @@
 
 }  // namespace
 
-Link::Link(asio::io_context& io, net::UniqueFd socket, Owner& owner)
+HandoverChannel::HandoverChannel(asio::io_context& io, net::UniqueFd socket, Owner& owner)
     : socket_(io, socket.release()), owner_(&owner) {}
 
-std::shared_ptr<Link> Link::connect(asio::io_context& io, const std::string& path, Owner& owner) {
+std::shared_ptr<HandoverChannel> HandoverChannel::connect(asio::io_context& io, const std::string& path,
+                                                          Owner& owner) {
   sockaddr_un address;
   net::UniqueFd fd = make_socket();
   if (!fd || !fill(address, path)) return nullptr;
   if (::connect(fd.get(), reinterpret_cast<const sockaddr*>(&address), sizeof address) != 0) return nullptr;
-  auto link = std::make_shared<Link>(io, std::move(fd), owner);
+  auto link = std::make_shared<HandoverChannel>(io, std::move(fd), owner);
   link->start();
   return link;
 }
 
-bool Link::send(const Json& message, const std::vector<int>& fds) {
+bool HandoverChannel::send(const Json& message, const std::vector<int>& fds) {
   if (owner_ == nullptr) return true;
   Outgoing out{message.dump(-1, ' ', false, Json::error_handler_t::replace), {}};
-  if (out.text.size() > kMostMessage || fds.size() > kMostFds) return false;
+  if (out.text.size() > kMaxMessage || fds.size() > kMaxFds) return false;
   for (const int fd : fds) out.fds.emplace_back(::fcntl(fd, F_DUPFD_CLOEXEC, 0));
   queue_.push_back(std::move(out));
   if (queue_.size() > 1) {
-    if (queue_.size() > kMostQueued) end();
+    if (queue_.size() > kMaxQueued) end();
     return true;
   }
   const Sent sent = put(queue_.front());
@@ -88,7 +89,7 @@
   return sent != Sent::kTooLong;
 }
 
-Link::Sent Link::put(const Outgoing& message) {
+HandoverChannel::Sent HandoverChannel::put(const Outgoing& message) {
   iovec piece{const_cast<char*>(message.text.data()), message.text.size()};
   msghdr head{};
   head.msg_iov = &piece;
@@ -111,7 +112,7 @@
   return errno == EMSGSIZE ? Sent::kTooLong : Sent::kBroken;
 }
 
-void Link::flush() {
+void HandoverChannel::flush() {
   if (waiting_ || owner_ == nullptr) return;
   waiting_ = true;
   socket_.async_wait(asio::posix::descriptor_base::wait_write,
@@ -127,7 +128,7 @@
                      });
 }
 
-void Link::read() {
+void HandoverChannel::read() {
   socket_.async_wait(asio::posix::descriptor_base::wait_read,
                      [self = shared_from_this()](boost::system::error_code error) {
                        if (error) return;
@@ -137,8 +138,8 @@
                      });
 }
 
-bool Link::take() {
-  room_.resize(kMostMessage);
+bool HandoverChannel::take() {
+  room_.resize(kMaxMessage);
   iovec piece{room_.data(), room_.size()};
   Ancillary ancillary;
   msghdr head{};
@@ -155,7 +156,7 @@
   return true;
 }
 
-void Link::end() {
+void HandoverChannel::end() {
   Owner* owner = std::exchange(owner_, nullptr);
   if (owner == nullptr) return;
   asio::post(socket_.get_executor(), [self = shared_from_this(), owner] {
@@ -165,17 +166,17 @@
   });
 }
 
-void Link::close() {
+void HandoverChannel::close() {
   owner_ = nullptr;
   boost::system::error_code ignored;
   socket_.close(ignored);
 }
 
-Door::Door(asio::io_context& io, std::string path, OnVisitor on_visitor)
+HandoverListener::HandoverListener(asio::io_context& io, std::string path, OnVisitor on_visitor)
     : path_(std::move(path)), on_visitor_(std::move(on_visitor)), socket_(io) {}
 
 // Bound beside the path and renamed over it: whatever stood there, a visitor finds the one or the other.
-bool Door::open() {
+bool HandoverListener::open() {
   sockaddr_un address;
   const std::string fresh = path_ + "." + std::to_string(::getpid());
   net::UniqueFd fd = make_socket();
@@ -191,7 +192,7 @@
   return true;
 }
 
-void Door::wait() {
+void HandoverListener::wait() {
   socket_.async_wait(asio::posix::descriptor_base::wait_read, [this](boost::system::error_code error) {
     if (error) return;
     net::UniqueFd visitor(::accept4(socket_.native_handle(), nullptr, nullptr, SOCK_CLOEXEC | SOCK_NONBLOCK));
@@ -203,7 +204,7 @@
   });
 }
 
-void Door::close() {
+void HandoverListener::close() {
   boost::system::error_code ignored;
   socket_.close(ignored);
 }
--- a/src/hot_restart/link.hpp
+++ b/src/hot_restart/handover_channel.hpp
@@ -1,7 +1,7 @@
 // The line between two processes of one dispatcher during an upgrade: JSON messages, and descriptors with
 // them, over a Unix socket in $TMPDIR.
-#ifndef DISPATCHER_HOT_RESTART_LINK_HPP_
-#define DISPATCHER_HOT_RESTART_LINK_HPP_
+#ifndef DISPATCHER_HOT_RESTART_HANDOVER_CHANNEL_HPP_
+#define DISPATCHER_HOT_RESTART_HANDOVER_CHANNEL_HPP_
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/posix/stream_descriptor.hpp>
@@ -20,16 +20,17 @@
 using Fds = std::vector<net::UniqueFd>;
 
 // One end. Both messages and the end come from the event loop, never from inside a call.
-class Link : public std::enable_shared_from_this<Link> {
+class HandoverChannel : public std::enable_shared_from_this<HandoverChannel> {
  public:
   struct Owner {
     virtual ~Owner() = default;
     virtual void on_message(const Json& message, Fds fds) = 0;
     virtual void on_link_ended() = 0;
   };
-  Link(boost::asio::io_context& io, net::UniqueFd socket, Owner& owner);
+  HandoverChannel(boost::asio::io_context& io, net::UniqueFd socket, Owner& owner);
   // Empty where nobody listens at the path.
-  static std::shared_ptr<Link> connect(boost::asio::io_context& io, const std::string& path, Owner& owner);
+  static std::shared_ptr<HandoverChannel> connect(boost::asio::io_context& io, const std::string& path,
+                                                  Owner& owner);
   void start() { read(); }
   // The descriptors stay the caller's; the other side gets copies. Where the other side takes no more, the
   // link ends. False: this message is too long to be sent.
@@ -57,10 +58,10 @@
 };
 
 // Waits for the process that is to take over. Opening it takes the path over from whoever had it.
-class Door {
+class HandoverListener {
  public:
   using OnVisitor = std::function<void(net::UniqueFd)>;
-  Door(boost::asio::io_context& io, std::string path, OnVisitor on_visitor);
+  HandoverListener(boost::asio::io_context& io, std::string path, OnVisitor on_visitor);
   bool open();  // false: the path can't be had
   void close();
 
@@ -73,4 +74,4 @@
 
 }  // namespace dispatcher::hot_restart
 
-#endif  // DISPATCHER_HOT_RESTART_LINK_HPP_
+#endif  // DISPATCHER_HOT_RESTART_HANDOVER_CHANNEL_HPP_
--- a/src/hot_restart/partner.cpp
+++ b/src/hot_restart/hot_restart_peer.cpp
@@ -1,4 +1,4 @@
-#include "hot_restart/partner.hpp"
+#include "hot_restart/hot_restart_peer.hpp"
 
 #include <algorithm>
 #include <cmath>
@@ -6,19 +6,19 @@
 
 namespace dispatcher::hot_restart {
 
-using routing::Average;
-using routing::Knowledge;
+using routing::LearnedState;
+using routing::MovingAverage;
 
 namespace {
 
 // An elder that is busy or stuck must not keep the new process from serving.
 constexpr engine::Duration kPatience = std::chrono::milliseconds(1500);
-constexpr int kMostServed = 20000;
+constexpr int kMaxServed = 20000;
 
-Json to_json(const Average& a) { return Json::array({a.mean, a.dev, a.n}); }
+Json to_json(const MovingAverage& a) { return Json::array({a.mean, a.dev, a.n}); }
 
-Average parse_average(const Json& value) {
-  Average a;
+MovingAverage parse_average(const Json& value) {
+  MovingAverage a;
   if (!value.is_array() || value.size() != 3) return a;
   for (const Json& part : value) {
     if (!part.is_number()) return a;
@@ -50,106 +50,106 @@
 
 }  // namespace
 
-Json to_json(const Knowledge& k) {
-  Json hosts = Json::array();
-  for (const Knowledge::OfHost& h : k.hosts) {
+Json to_json(const LearnedState& k) {
+  Json endpoints = Json::array();
+  for (const LearnedState::EndpointHistory& h : k.endpoints) {
     Json sends = Json::array();
     for (const routing::Time sent : h.sends) sends.push_back(sent.count());
-    hosts.push_back({{"host", h.host}, {"sends", sends}, {"back", h.back.count()}});
+    endpoints.push_back({{"host", h.endpoint}, {"sends", sends}, {"back", h.back.count()}});
   }
   Json starts = Json::array();
-  for (const Average& a : k.starts) starts.push_back(to_json(a));
+  for (const MovingAverage& a : k.starts) starts.push_back(to_json(a));
   return {{"starts", starts},
           {"far", to_json(k.far)},
           {"served", k.served},
           {"since", k.since.count()},
-          {"hosts", hosts}};
+          {"hosts", endpoints}};
 }
 
-Knowledge parse_knowledge(const Json& object) {
-  Knowledge k;
+LearnedState parse_knowledge(const Json& object) {
+  LearnedState k;
   const Json &starts = member(object, "starts"), &served = member(object, "served");
   for (std::size_t role = 0; role < k.starts.size(); ++role) {
     if (starts.is_array() && role < starts.size()) k.starts[role] = parse_average(starts[role]);
     if (served.is_array() && role < served.size() && served[role].is_number_integer())
-      k.served[role] = std::clamp(served[role].get<int>(), 0, kMostServed);
+      k.served[role] = std::clamp(served[role].get<int>(), 0, kMaxServed);
   }
   k.far = parse_average(member(object, "far"));
   k.since = time(member(object, "since"));
-  const Json& hosts = member(object, "hosts");
-  if (!hosts.is_array()) return k;
-  for (const Json& h : hosts) {
-    Knowledge::OfHost of{text(h, "host"), {}, time(member(h, "back"))};
+  const Json& endpoints = member(object, "hosts");
+  if (!endpoints.is_array()) return k;
+  for (const Json& h : endpoints) {
+    LearnedState::EndpointHistory of{text(h, "host"), {}, time(member(h, "back"))};
     const Json& sends = member(h, "sends");
-    if (of.host.empty() || !sends.is_array()) continue;
+    if (of.endpoint.empty() || !sends.is_array()) continue;
     for (const Json& sent : sends) of.sends.push_back(time(sent));
-    k.hosts.push_back(std::move(of));
+    k.endpoints.push_back(std::move(of));
   }
   return k;
 }
 
-Partner::Partner(boost::asio::io_context& io, const std::string& path, engine::Deadlines& deadlines,
-                 engine::Clock clock, engine::Log log, Owner& owner)
+HotRestartPeer::HotRestartPeer(boost::asio::io_context& io, const std::string& path,
+                               engine::TimerQueue& timers, engine::Clock clock, engine::Log log, Owner& owner)
     : io_(io),
       path_(path),
-      deadlines_(deadlines),
+      timers_(timers),
       clock_(std::move(clock)),
       log_(std::move(log)),
       owner_(owner),
       door_(io, path, [this](net::UniqueFd visitor) { welcome(std::move(visitor)); }) {}
 
-void Partner::start() {
-  if (!path_.empty()) elder_.link = Link::connect(io_, path_, elder_);
+void HotRestartPeer::start() {
+  if (!path_.empty()) elder_.link = HandoverChannel::connect(io_, path_, elder_);
   if (elder_.link == nullptr) return go_on_alone();
-  patience_ = deadlines_.add(clock_() + kPatience, [this] {
+  patience_ = timers_.add(clock_() + kPatience, [this] {
     log_("upgrade: the serving process hands nothing over: starting beside it");
     go_on_alone();
   });
   owner_.on_partners();
 }
 
-void Partner::go_on_alone() {
-  deadlines_.drop(patience_);
+void HotRestartPeer::go_on_alone() {
+  timers_.drop(patience_);
   if (!std::exchange(begun_, true)) owner_.inherit({});
 }
 
-void Partner::serving() {
+void HotRestartPeer::serving() {
   if (elder_.link != nullptr) elder_.link->send({{"serving", true}});
   if (!path_.empty() && !door_.open())
     log_("upgrade: can't listen at '" + path_ + "': no later one will find this");
 }
 
-void Partner::close() {
+void HotRestartPeer::close() {
   door_.close();
   for (End* end : {&elder_, &younger_}) {
     if (end->link != nullptr) std::exchange(end->link, nullptr)->close();
   }
 }
 
-void Partner::welcome(net::UniqueFd visitor) {
+void HotRestartPeer::welcome(net::UniqueFd visitor) {
   if (younger_.link != nullptr) younger_.link->close();  // it came to nothing, and here is the next
   younger_serves_ = false;
-  younger_.link = std::make_shared<Link>(io_, std::move(visitor), younger_);
+  younger_.link = std::make_shared<HandoverChannel>(io_, std::move(visitor), younger_);
   younger_.link->start();
   Json names = Json::array();
   std::vector<int> fds;
   for (const auto& [name, fd] : owner_.listening()) names.push_back(name), fds.push_back(fd);
-  Json estate{{"estate", true},
-              {"listening", names},
-              {"list", owner_.list()},
-              {"ids", owner_.open_ids()},
-              {"knowledge", to_json(owner_.knowledge())},
-              {"level", owner_.level()}};
-  if (!younger_.link->send(estate, fds)) {
-    estate.erase("list");  // discovery has it too
-    estate.erase("ids");
-    younger_.link->send(estate, fds);
+  Json handover{{"estate", true},
+                {"listening", names},
+                {"list", owner_.list()},
+                {"ids", owner_.open_ids()},
+                {"knowledge", to_json(owner_.learned_state())},
+                {"level", owner_.level()}};
+  if (!younger_.link->send(handover, fds)) {
+    handover.erase("list");  // discovery has it too
+    handover.erase("ids");
+    younger_.link->send(handover, fds);
   }
   log_("upgrade: another process takes over");
   owner_.on_partners();
 }
 
-void Partner::take(End& end, const Json& message, Fds fds) {
+void HotRestartPeer::take(End& end, const Json& message, Fds fds) {
   if (&end == &elder_ && message.contains("estate")) return inherit(message, std::move(fds));
   if (&end == &younger_ && message.contains("serving")) {
     younger_serves_ = true;
@@ -163,27 +163,27 @@
   if (message.contains("vrrp")) owner_.on_vrrp(flag(message, "vrrp"));
 }
 
-void Partner::inherit(const Json& message, Fds fds) {
+void HotRestartPeer::inherit(const Json& message, Fds fds) {
   if (std::exchange(begun_, true)) return;  // too late: this one has its own sockets
-  deadlines_.drop(patience_);
-  Estate estate;
-  estate.list = member(message, "list");
-  estate.level = member(message, "level");
-  estate.knowledge = parse_knowledge(member(message, "knowledge"));
+  timers_.drop(patience_);
+  HandoverState handover;
+  handover.list = member(message, "list");
+  handover.level = member(message, "level");
+  handover.learned_state = parse_knowledge(member(message, "knowledge"));
   if (const Json& ids = member(message, "ids"); ids.is_array()) {
     for (const Json& id : ids) {
-      if (id.is_string()) estate.ids.push_back(id.get<std::string>());
+      if (id.is_string()) handover.ids.push_back(id.get<std::string>());
     }
   }
   const Json& names = member(message, "listening");
   for (std::size_t i = 0; names.is_array() && i < names.size() && i < fds.size(); ++i) {
-    if (names[i].is_string()) estate.listening.emplace(names[i].get<std::string>(), std::move(fds[i]));
+    if (names[i].is_string()) handover.listening.emplace(names[i].get<std::string>(), std::move(fds[i]));
   }
   log_("upgrade: taking over from the serving process");
-  owner_.inherit(std::move(estate));
+  owner_.inherit(std::move(handover));
 }
 
-void Partner::ended(End& end) {
+void HotRestartPeer::ended(End& end) {
   end.link.reset();
   if (&end == &younger_) younger_serves_ = false;
   log_(&end == &elder_ ? "upgrade: the process before this one has ended"
@@ -192,26 +192,28 @@
   owner_.on_partners();
 }
 
-bool Partner::all_sent() const { return younger_.link == nullptr || younger_.link->sent(); }
+bool HotRestartPeer::all_sent() const { return younger_.link == nullptr || younger_.link->sent(); }
 
-void Partner::tell(const Json& message) {
+void HotRestartPeer::tell(const Json& message) {
   for (End* end : {&elder_, &younger_}) {
     if (end->link != nullptr) end->link->send(message);
   }
 }
 
-void Partner::tell_ban(const std::string& host, bool offline) { tell({{"ban", host}, {"offline", offline}}); }
-void Partner::tell_vrrp(bool was_active) {
+void HotRestartPeer::tell_ban(const std::string& endpoint, bool offline) {
+  tell({{"ban", endpoint}, {"offline", offline}});
+}
+void HotRestartPeer::tell_vrrp(bool was_active) {
   if (younger_.link != nullptr) younger_.link->send({{"vrrp", was_active}});
 }
-void Partner::give_stream(const Json& facts, int client, int replica) {
+void HotRestartPeer::give_stream(const Json& facts, int client, int replica) {
   younger_.link->send({{"stream", facts}}, {client, replica});
 }
-void Partner::tell_request(const std::string& id, bool open) {
+void HotRestartPeer::tell_request(const std::string& id, bool open) {
   if (shared()) tell({{"request", id}, {"open", open}});
 }
-void Partner::tell_sent(const std::string& host) {
-  if (shared()) tell({{"sent", host}});
+void HotRestartPeer::tell_sent(const std::string& endpoint) {
+  if (shared()) tell({{"sent", endpoint}});
 }
 
 }  // namespace dispatcher::hot_restart
--- a/src/hot_restart/partner.hpp
+++ b/src/hot_restart/hot_restart_peer.hpp
@@ -1,7 +1,7 @@
 // The other process of this dispatcher while one takes over from the other: what each tells the other, in
 // typed form. Which of it binds whom is said in docs/architecture.md, "Upgrade".
-#ifndef DISPATCHER_HOT_RESTART_PARTNER_HPP_
-#define DISPATCHER_HOT_RESTART_PARTNER_HPP_
+#ifndef DISPATCHER_HOT_RESTART_HOT_RESTART_PEER_HPP_
+#define DISPATCHER_HOT_RESTART_HOT_RESTART_PEER_HPP_
 
 #include <map>
 #include <memory>
@@ -9,23 +9,23 @@
 #include <vector>
 
 #include "engine/engine.hpp"
-#include "hot_restart/link.hpp"
+#include "hot_restart/handover_channel.hpp"
 
 namespace dispatcher::hot_restart {
 
 // What the process that serves hands to the one that takes over.
-struct Estate {
+struct HandoverState {
   Json list;  // in discovery's form; null: none
   std::vector<std::string> ids;
-  routing::Knowledge knowledge;
+  routing::LearnedState learned_state;
   Json level;                                      // of reduced service, as the elder tells it
   std::map<std::string, net::UniqueFd> listening;  // sockets, by the front that they are for
 };
 
-Json to_json(const routing::Knowledge& knowledge);
-routing::Knowledge parse_knowledge(const Json& object);  // what can't be read is left at its default
+Json to_json(const routing::LearnedState& learned_state);
+routing::LearnedState parse_knowledge(const Json& object);  // what can't be read is left at its default
 
-class Partner : public engine::Engine::Twin {
+class HotRestartPeer : public engine::Engine::HotRestartObserver {
  public:
   class Owner {
    public:
@@ -34,19 +34,20 @@
     virtual Json list() = 0;
     virtual std::map<std::string, int> listening() = 0;
     virtual std::vector<std::string> open_ids() = 0;
-    virtual routing::Knowledge knowledge() = 0;
+    virtual routing::LearnedState learned_state() = 0;
     virtual Json level() = 0;
-    virtual void inherit(Estate estate) = 0;  // once, also where there is nobody: with an empty estate then
-    virtual void on_ban(const std::string& host, bool offline) = 0;
+    virtual void inherit(
+        HandoverState handover) = 0;  // once, also where there is nobody: with an empty estate then
+    virtual void on_ban(const std::string& endpoint, bool offline) = 0;
     virtual void on_request(const std::string& id, bool open) = 0;
-    virtual void on_sent(const std::string& host) = 0;
+    virtual void on_sent(const std::string& endpoint) = 0;
     virtual void on_stream(const Json& facts, net::UniqueFd client, net::UniqueFd replica) = 0;
     virtual void on_vrrp(bool was_active) = 0;  // the elder left the pair, whose active one it was or not
     virtual void on_partners() = 0;             // there is one now, or none any more, or it serves
   };
   // `path` empty: there never is another.
-  Partner(boost::asio::io_context& io, const std::string& path, engine::Deadlines& deadlines,
-          engine::Clock clock, engine::Log log, Owner& owner);
+  HotRestartPeer(boost::asio::io_context& io, const std::string& path, engine::TimerQueue& timers,
+                 engine::Clock clock, engine::Log log, Owner& owner);
   void start();    // looks for the process to take over from
   void serving();  // from now on another may take over from this one
   void close();
@@ -55,19 +56,19 @@
   bool all_sent() const;  // a process that ends before takes with it what it handed over
   bool has_elder() const { return elder_.link != nullptr; }
   bool succeeded() const { return younger_.link != nullptr && younger_serves_; }
-  void tell_ban(const std::string& host, bool offline);
+  void tell_ban(const std::string& endpoint, bool offline);
   void tell_vrrp(bool was_active);
   void give_stream(const Json& facts, int client, int replica);  // goes on at the younger process
   void tell_request(const std::string& id, bool open) override;
-  void tell_sent(const std::string& host) override;
+  void tell_sent(const std::string& endpoint) override;
 
  private:
-  struct End : Link::Owner {
-    explicit End(Partner& p) : partner(p) {}
-    void on_message(const Json& message, Fds fds) override { partner.take(*this, message, std::move(fds)); }
-    void on_link_ended() override { partner.ended(*this); }
-    Partner& partner;
-    std::shared_ptr<Link> link;
+  struct End : HandoverChannel::Owner {
+    explicit End(HotRestartPeer& p) : peer(p) {}
+    void on_message(const Json& message, Fds fds) override { peer.take(*this, message, std::move(fds)); }
+    void on_link_ended() override { peer.ended(*this); }
+    HotRestartPeer& peer;
+    std::shared_ptr<HandoverChannel> link;
   };
   void welcome(net::UniqueFd visitor);
   void take(End& end, const Json& message, Fds fds);
@@ -78,17 +79,17 @@
 
   boost::asio::io_context& io_;
   std::string path_;
-  engine::Deadlines& deadlines_;
+  engine::TimerQueue& timers_;
   engine::Clock clock_;
   engine::Log log_;
   Owner& owner_;
-  Door door_;
+  HandoverListener door_;
   End elder_{*this}, younger_{*this};
   bool begun_ = false;  // the owner has its estate
   bool younger_serves_ = false;
-  engine::Deadlines::Id patience_;
+  engine::TimerQueue::Id patience_;
 };
 
 }  // namespace dispatcher::hot_restart
 
-#endif  // DISPATCHER_HOT_RESTART_PARTNER_HPP_
+#endif  // DISPATCHER_HOT_RESTART_HOT_RESTART_PEER_HPP_
--- a/src/http/event_framer.hpp
+++ b/src/http/event_framer.hpp
@@ -12,7 +12,7 @@
 class EventFramer {
  public:
   // An event that is longer than this is no event.
-  static constexpr std::size_t kMostEvent = 256 * 1024;
+  static constexpr std::size_t kMaxEvent = 256 * 1024;
 
   // Takes the next bytes and returns the events that they complete, each with the blank line that ends it.
   // Lines end with LF, CR LF or CR, as the format has it.
@@ -21,7 +21,7 @@
   std::string finish() { return std::exchange(complete_, false) ? std::exchange(held_, {}) : std::string(); }
   // What stands after the last whole event: an event that was cut, where the stream has ended.
   const std::string& rest() const { return held_; }
-  bool too_long() const { return held_.size() > kMostEvent; }
+  bool too_long() const { return held_.size() > kMaxEvent; }
 
  private:
   std::string held_;
--- a/src/http/front.hpp
+++ b/src/http/frontend.hpp
@@ -1,46 +1,46 @@
 // What the two fronts share: a server on one side, the core on the other, and which client waits for which
 // request.
-#ifndef DISPATCHER_HTTP_FRONT_HPP_
-#define DISPATCHER_HTTP_FRONT_HPP_
+#ifndef DISPATCHER_HTTP_FRONTEND_HPP_
+#define DISPATCHER_HTTP_FRONTEND_HPP_
 
 #include <map>
 #include <memory>
 #include <string>
 #include <string_view>
 
-#include "degradation/control.hpp"
+#include "degradation/degradation_controller.hpp"
 #include "engine/engine.hpp"
 #include "http/server.hpp"
-#include "rate_limit/gate.hpp"
+#include "rate_limit/rate_limiter.hpp"
 
 namespace dispatcher::http {
 
-class Front : private Server::Handler, private engine::Answerer {
+class Frontend : private Server::Handler, private engine::ResponseSink {
  public:
-  Front(boost::asio::io_context& io, const net::tcp::endpoint& at, engine::Engine& engine,
-        engine::Deadlines& deadlines, engine::Clock clock, const ServerOptions& options,
-        std::function<bool()> shed)
+  Frontend(boost::asio::io_context& io, const net::tcp::endpoint& at, engine::Engine& engine,
+           engine::TimerQueue& timers, engine::Clock clock, const ServerOptions& options,
+           std::function<bool()> shed)
       : clock_(clock),
-        server_(io, at, *this, deadlines, std::move(clock), options, std::move(shed)),
+        server_(io, at, *this, timers, std::move(clock), options, std::move(shed)),
         engine_(engine) {}
-  Front(const Front&) = delete;
-  Front& operator=(const Front&) = delete;
+  Frontend(const Frontend&) = delete;
+  Frontend& operator=(const Frontend&) = delete;
   Server& server() { return server_; }
-  const engine::Answerer& answerer() const { return *this; }
+  const engine::ResponseSink& response_sink() const { return *this; }
   // A stream that began at another process goes on here.
-  SlotId take_over(net::UniqueFd socket, const std::string& id, const std::string& host) {
+  SlotId take_over(net::UniqueFd socket, const std::string& id, const std::string& endpoint) {
     const SlotId client = server_.adopt(std::move(socket));
-    return requests_[client] = engine_.adopt(*this, client, id, host);
+    return requests_[client] = engine_.adopt(*this, client, id, endpoint);
   }
   void forget_given(SlotId client) { forget(client); }
   // Every request passes this gate before it is taken.
-  void attach(rate_limit::Gate& gate) { gate_ = &gate; }
-  void attach(degradation::Control& levels) { levels_ = &levels; }
+  void attach(rate_limit::RateLimiter& rate_limiter) { rate_limiter_ = &rate_limiter; }
+  void attach(degradation::DegradationController& levels) { levels_ = &levels; }
 
  protected:
   // Hands a request to the core, which may answer it before this returns.
   void submit(SlotId client, const routing::Request& request,
-              std::shared_ptr<const engine::Message> message) {
+              std::shared_ptr<const engine::UpstreamRequest> message) {
     const SlotId id = engine_.submit(*this, client, request, std::move(message));
     if (engine_.waits(id)) requests_[client] = id;
   }
@@ -48,19 +48,19 @@
   // answered.
   bool admit(SlotId client, const Server::Request& http, routing::Request& request, rate_limit::Facts facts,
              const routing::Settings& settings) {
-    const bool rules = gate_ != nullptr && gate_->rules() != nullptr;
-    if (gate_ == nullptr || (!rules && (levels_ == nullptr || !levels_->active()))) return true;
+    const bool rules = rate_limiter_ != nullptr && rate_limiter_->rules() != nullptr;
+    if (rate_limiter_ == nullptr || (!rules && (levels_ == nullptr || !levels_->active()))) return true;
     const engine::Time now = clock_();
     facts.request_class = request.request_class;
     facts.account = request.tenant;
     facts.session = request.session;
     facts.prompt_tokens = request.prompt_tokens;
     facts.shared_tokens = request.prefix_tokens;
-    facts.most_tokens = request.max_tokens;
+    facts.max_tokens = request.max_tokens;
     facts.time_left_ms = (request.client_deadline - now).count() / 1000;
     facts.retry = request.client_retry;
     static const std::vector<rate_limit::Header> none;
-    for (const rate_limit::Header& wanted : rules ? gate_->rules()->headers() : none) {
+    for (const rate_limit::Header& wanted : rules ? rate_limiter_->rules()->headers() : none) {
       // One that comes twice has no one value: it counts as absent.
       const auto [first, last] = http.equal_range({wanted.name.data(), wanted.name.size()});
       const bool once = first != last && std::next(first) == last;
@@ -69,23 +69,23 @@
                : std::nullopt);
     }
     bool shed = false;
-    const rate_limit::Gate::Stop stop =
+    const rate_limit::RateLimiter::Stop stop =
         [&](const routing::Request& judged) -> std::optional<engine::Duration> {
       if (levels_ == nullptr) return std::nullopt;
-      const auto retry_in = levels_->shed(judged, facts);
-      shed = retry_in.has_value();
-      return retry_in;
+      const auto retry_after = levels_->shed(judged, facts);
+      shed = retry_after.has_value();
+      return retry_after;
     };
-    rate_limit::Gate::Passage passage = gate_->pass(request, facts, settings, now, stop);
-    if (passage.refused) {
-      shed ? busy(client, *passage.refused) : limited(client, *passage.refused);
+    rate_limit::RateLimiter::Passage passage = rate_limiter_->pass(request, facts, settings, now, stop);
+    if (passage.rejected) {
+      shed ? busy(client, *passage.rejected) : limited(client, *passage.rejected);
       return false;
     }
     if (!passage.ticket.empty()) tickets_.insert_or_assign(client, passage.ticket);
     return true;
   }
-  virtual void limited(SlotId client, engine::Duration retry_in) = 0;
-  virtual void busy(SlotId client, engine::Duration retry_in) = 0;  // shed
+  virtual void limited(SlotId client, engine::Duration retry_after) = 0;
+  virtual void busy(SlotId client, engine::Duration retry_after) = 0;  // shed
 
   struct Route {
     std::string_view method, path;  // path: without the query
@@ -110,7 +110,7 @@
   virtual void forget(SlotId client) {
     requests_.erase(client);
     if (const auto it = tickets_.find(client); it != tickets_.end()) {
-      gate_->release(it->second);
+      rate_limiter_->release(it->second);
       tickets_.erase(it);
     }
   }
@@ -127,11 +127,11 @@
   }
 
   std::map<SlotId, SlotId> requests_;  // by client: its request in the core
-  rate_limit::Gate* gate_ = nullptr;
-  degradation::Control* levels_ = nullptr;
+  rate_limit::RateLimiter* rate_limiter_ = nullptr;
+  degradation::DegradationController* levels_ = nullptr;
   std::map<SlotId, rate_limit::Ticket> tickets_;  // by client: what its request counts for
 };
 
 }  // namespace dispatcher::http
 
-#endif  // DISPATCHER_HTTP_FRONT_HPP_
+#endif  // DISPATCHER_HTTP_FRONTEND_HPP_
--- a/src/http/message.hpp
+++ b/src/http/message.hpp
@@ -16,9 +16,9 @@
 
 namespace beast_http = boost::beast::http;
 
-constexpr std::size_t kMostBody = 256 * 1024;
-constexpr std::size_t kMostHead = 16 * 1024;
-constexpr std::uint64_t kMostChunk = 16 * 1024 * 1024;
+constexpr std::size_t kMaxBody = 256 * 1024;
+constexpr std::size_t kMaxHead = 16 * 1024;
+constexpr std::uint64_t kMaxChunk = 16 * 1024 * 1024;
 
 enum class Progress { kMore, kDone, kBad };
 
@@ -27,7 +27,7 @@
 class Reader {
  public:
   using Message = beast_http::message<kRequest, beast_http::string_body>;
-  explicit Reader(std::optional<std::size_t> most_body) : most_body_(most_body) { reset(); }
+  explicit Reader(std::optional<std::size_t> max_body) : max_body_(max_body) { reset(); }
   Reader(const Reader&) = delete;  // the parser refers to this object
   Reader& operator=(const Reader&) = delete;
 
@@ -92,9 +92,9 @@
  private:
   void make_parser() {
     parser_.emplace();
-    parser_->header_limit(kMostHead);
-    if (most_body_) {
-      parser_->body_limit(*most_body_);
+    parser_->header_limit(kMaxHead);
+    if (max_body_) {
+      parser_->body_limit(*max_body_);
     } else {
       parser_->body_limit(boost::none);
     }
@@ -111,7 +111,7 @@
   // A chunk that claims to hold gigabytes ends the message at once; it must not be read to its end first.
   struct ChunkCheck {
     void operator()(std::uint64_t size, boost::beast::string_view, boost::system::error_code& error) const {
-      if (size > kMostChunk) error = beast_http::error::body_limit;
+      if (size > kMaxChunk) error = beast_http::error::body_limit;
       reader->mark_ = reader->parser_->get().body().size();
       reader->chunk_left_ = size;
     }
@@ -121,7 +121,7 @@
   std::uint64_t chunk_left_ = 0;
   std::size_t mark_ = 0;  // of the body, what chunk_left_ knows of
 
-  std::optional<std::size_t> most_body_;
+  std::optional<std::size_t> max_body_;
   bool started_ = false;
   std::optional<beast_http::parser<kRequest, beast_http::string_body>> parser_;
   boost::system::error_code error_;
--- a/src/http/server.cpp
+++ b/src/http/server.cpp
@@ -6,14 +6,14 @@
 namespace dispatcher::http {
 
 namespace {
-constexpr std::size_t kMostIn = 64 * 1024;
-constexpr std::size_t kMostOut = 1024 * 1024;
+constexpr std::size_t kMaxIn = 64 * 1024;
+constexpr std::size_t kMaxOut = 1024 * 1024;
 constexpr std::size_t kHigh = 64 * 1024, kLow = 16 * 1024;  // queued output at which a stream waits, goes on
 constexpr Duration kAcceptRest = std::chrono::milliseconds(20);
 // So young, a connection may have its request on the way still.
 constexpr Duration kGrace = std::chrono::milliseconds(250);
 // What a client may still send after its last answer, to be thrown away. TCP holds back what is beyond.
-constexpr std::size_t kMostDiscarded = kMostBody;
+constexpr std::size_t kMaxDiscarded = kMaxBody;
 // Room that is made before a table is full, a part of it: an orderly close takes a while.
 constexpr std::size_t kEarlyRoom = 8;
 constexpr int kResting = 2;  // the use of a connection between two requests: see use()
@@ -29,11 +29,11 @@
 }  // namespace
 
 Server::Server(boost::asio::io_context& io, const net::tcp::endpoint& at, Handler& handler,
-               engine::Deadlines& deadlines, engine::Clock clock, const ServerOptions& options,
+               engine::TimerQueue& timers, engine::Clock clock, const ServerOptions& options,
                std::function<bool()> shed)
     : io_(io),
       handler_(handler),
-      deadlines_(deadlines),
+      timers_(timers),
       clock_(std::move(clock)),
       options_(options),
       shed_elsewhere_(std::move(shed)),
@@ -44,7 +44,7 @@
 void Server::on_accepted(net::tcp::socket socket) {
   const SlotId id = clients_.emplace();
   Client& client = *clients_.find(id);
-  client.connection = std::make_shared<net::Connection>(std::move(socket), kMostIn, kMostOut);
+  client.connection = std::make_shared<net::Connection>(std::move(socket), kMaxIn, kMaxOut);
   client.connection->own(*this, id);
   client.since = clock_();
   wait(id, options_.greeting);
@@ -56,7 +56,7 @@
 void Server::on_accept_failed(net::error_code error) {
   const bool aborted = error == boost::asio::error::connection_aborted;  // by the client: nothing is short
   if (!aborted && !shed() && shed_elsewhere_) shed_elsewhere_();
-  deadlines_.add(clock_() + kAcceptRest, [this] { listener_.accept(); });
+  timers_.add(clock_() + kAcceptRest, [this] { listener_.accept(); });
 }
 
 // How much a connection is still good for. None of those asked about has a request that came whole.
@@ -69,8 +69,8 @@
 
 // Room for a new client is made by the connection that is of least use, and among these by the oldest.
 // Hundreds that say nothing or never finish must not keep out those with something to ask.
-SlotId Server::least_useful(SlotId newcomer) {
-  SlotId least;
+SlotId Server::min_useful(SlotId newcomer) {
+  SlotId minimum;
   std::pair<int, Time> rank{5, Time{}};
   for (const SlotId id : clients_.ids()) {
     const Client& client = *clients_.find(id);
@@ -78,28 +78,28 @@
     const std::pair<int, Time> here{use(client, clock_()), client.since};
     if (here >= rank) continue;
     const bool more_is_here = client.state == State::kReading && client.connection->readable();
-    if (!more_is_here) least = id, rank = here;
+    if (!more_is_here) minimum = id, rank = here;
   }
-  return least;
+  return minimum;
 }
 
 bool Server::shed(SlotId newcomer) {
-  const SlotId least = least_useful(newcomer);
-  if (least) drop(least);
-  return static_cast<bool>(least);
+  const SlotId minimum = min_useful(newcomer);
+  if (minimum) drop(minimum);
+  return static_cast<bool>(minimum);
 }
 
 // A request may be on its way on the connection that has to go. So it is closed in good order while there is
 // some room left, and at once only where there is none.
 void Server::make_room(SlotId newcomer) {
-  const std::size_t most = options_.most_clients, here = clients_.size();
-  if (here >= most) {
+  const std::size_t maximum = options_.max_clients, here = clients_.size();
+  if (here >= maximum) {
     if (!shed(newcomer)) listener_.rest();
-  } else if (here + most / kEarlyRoom >= most) {
-    const SlotId least = least_useful(newcomer);
-    const Client* client = clients_.find(least);
+  } else if (here + maximum / kEarlyRoom >= maximum) {
+    const SlotId minimum = min_useful(newcomer);
+    const Client* client = clients_.find(minimum);
     if (client != nullptr && client->state == State::kReading && use(*client, clock_()) <= kResting)
-      cut(least);
+      cut(minimum);
   }
 }
 
@@ -107,19 +107,19 @@
 bool Server::hold(Client& client, std::size_t bytes) {
   held_ += bytes - client.held;
   client.held = bytes;
-  return bytes == 0 || held_ <= options_.most_held;
+  return bytes == 0 || held_ <= options_.max_held;
 }
 
 void Server::wait(SlotId id, Duration limit) {
   Client& client = *clients_.find(id);
-  deadlines_.drop(client.limit);
-  client.limit = deadlines_.add(clock_() + limit, [this, id] {
+  timers_.drop(client.limit);
+  client.limit = timers_.add(clock_() + limit, [this, id] {
     Client* late = clients_.find(id);
     if (late == nullptr) return;
     late->limit = {};
     if (late->state == State::kAnswering) return gone(id);
     if (late->state == State::kLingering) return drop(id);
-    if (late->reader.started()) return refuse(id, *late, 408, "the request did not come whole in time");
+    if (late->reader.started()) return reject(id, *late, 408, "the request did not come whole in time");
     cut(id);
   });
 }
@@ -132,19 +132,19 @@
 void Server::drop(SlotId id) {
   Client* client = clients_.find(id);
   if (client == nullptr) return;
-  deadlines_.drop(client->limit);
+  timers_.drop(client->limit);
   hold(*client, 0);
   client->connection->close();
   clients_.erase(id);
-  if (clients_.size() < options_.most_clients && listener_.is_open()) listener_.accept();
+  if (clients_.size() < options_.max_clients && listener_.is_open()) listener_.accept();
 }
 
-void Server::bound(std::size_t most_clients, std::size_t most_held) {
-  options_.most_held = most_held;
-  options_.most_clients = std::max<std::size_t>(1, most_clients);
-  while (clients_.size() > options_.most_clients && shed()) {
+void Server::bound(std::size_t max_clients, std::size_t max_held) {
+  options_.max_held = max_held;
+  options_.max_clients = std::max<std::size_t>(1, max_clients);
+  while (clients_.size() > options_.max_clients && shed()) {
   }
-  if (clients_.size() >= options_.most_clients) return listener_.rest();
+  if (clients_.size() >= options_.max_clients) return listener_.rest();
   if (listener_.is_open()) listener_.accept();
 }
 
@@ -184,13 +184,13 @@
   if (client.connection->input().room() > 0) return;
   client.keep = false;
   discard(client);
-  if (client.discarded > kMostDiscarded) gone(id);
+  if (client.discarded > kMaxDiscarded) gone(id);
 }
 
 void Server::discard(Client& client) {
   client.discarded += client.connection->input().size();
   client.connection->input().consume(client.connection->input().size());
-  if (client.discarded > kMostDiscarded) client.connection->pause();
+  if (client.discarded > kMaxDiscarded) client.connection->pause();
 }
 
 // Reads the next request, if it is there whole.
@@ -205,7 +205,7 @@
   }
   const Progress progress = client.reader.read(client.connection->input());
   if (progress != Progress::kBad && client.reader.head_done() && ambiguous_length(client.reader.message()))
-    return refuse(id, client, 400, "the request's length is ambiguous");
+    return reject(id, client, 400, "the request's length is ambiguous");
   if (progress == Progress::kMore) {
     if (!hold(client, client.reader.message().body().size())) return too_much(id, client);
     if (client.reader.head_done() && !std::exchange(client.told_continue, true) &&
@@ -221,22 +221,22 @@
   client.keep = progress == Progress::kDone && client.reader.keep_alive() && !options_.one_request &&
                 client.reader.message().method() != beast_http::verb::head;
   client.chunked = client.reader.message().version() >= 11;
-  deadlines_.drop(client.limit);
+  timers_.drop(client.limit);
   if (progress == Progress::kBad) return reject(id, client);
   handler_.on_request(id, client.reader.message(), client.arrived);
 }
 
 // Answers a request that may not have come whole: what follows on its connection is of no use.
-void Server::refuse(SlotId id, Client& client, int status, std::string_view what,
+void Server::reject(SlotId id, Client& client, int status, std::string_view what,
                     std::initializer_list<Header> more) {
-  deadlines_.drop(client.limit);
+  timers_.drop(client.limit);
   client.state = State::kAnswering;
   client.keep = false;
   error(id, status, what, more);
 }
 
 void Server::too_much(SlotId id, Client& client) {
-  refuse(id, client, 503, "too much is being sent at once", {{"Retry-After", "1"}});
+  reject(id, client, 503, "too much is being sent at once", {{"Retry-After", "1"}});
 }
 
 void Server::reject(SlotId id, Client& client) {
@@ -254,7 +254,7 @@
   if (!client->waiting) return;
   if (client->connection->output().size() > kLow) return wait(id, options_.stall);
   client->waiting = false;
-  deadlines_.drop(client->limit);
+  timers_.drop(client->limit);
   handler_.on_room(id);
 }
 
@@ -287,7 +287,7 @@
 
 SlotId Server::adopt(net::UniqueFd socket) {
   auto connection =
-      std::make_shared<net::Connection>(net::adopt_socket(io_, std::move(socket)), kMostIn, kMostOut);
+      std::make_shared<net::Connection>(net::adopt_socket(io_, std::move(socket)), kMaxIn, kMaxOut);
   const SlotId id = clients_.emplace();
   Client& client = *clients_.find(id);
   client.connection = std::move(connection);
@@ -348,12 +348,12 @@
   client->since = clock_();
   hold(*client, 0);
   if (client->connection->input().empty()) {
-    if (clients_.size() >= options_.most_clients) make_room();  // others may have been waiting for it
+    if (clients_.size() >= options_.max_clients) make_room();  // others may have been waiting for it
     return;
   }
   client->connection->read();  // it may have stopped at a full buffer
   // A request that came early is taken from the event loop: many of them must not nest in each other.
-  deadlines_.add(clock_(), [this, id] {
+  timers_.add(clock_(), [this, id] {
     const Client* early = clients_.find(id);
     if (early != nullptr && early->state == State::kReading) next(id);
   });
--- a/src/http/server.hpp
+++ b/src/http/server.hpp
@@ -8,7 +8,7 @@
 #include <memory>
 #include <string>
 
-#include "engine/deadlines.hpp"
+#include "engine/timer_queue.hpp"
 #include "http/message.hpp"
 #include "net/connection.hpp"
 
@@ -19,8 +19,8 @@
 using net::SlotId;
 
 struct ServerOptions {
-  std::size_t most_clients = 500;
-  std::size_t most_held = 16U << 20U;  // bytes of bodies at once, of all clients, until their answers begin
+  std::size_t max_clients = 500;
+  std::size_t max_held = 16U << 20U;  // bytes of bodies at once, of all clients, until their answers begin
   Duration greeting = std::chrono::seconds(2);  // for a new connection's first byte
   // For a request to come whole, from its first byte; the first one of a connection from the connection's
   // start, so that a client that dawdles twice is answered no later.
@@ -46,7 +46,7 @@
 
   // `shed` is asked to free a descriptor elsewhere when there are none left.
   Server(boost::asio::io_context& io, const net::tcp::endpoint& at, Handler& handler,
-         engine::Deadlines& deadlines, engine::Clock clock, const ServerOptions& options,
+         engine::TimerQueue& timers, engine::Clock clock, const ServerOptions& options,
          std::function<bool()> shed);
 
   void answer(SlotId client, int status, std::string_view type, std::string_view body,
@@ -71,7 +71,7 @@
   }
   int listening() { return listener_.native(); }  // the socket, for another process
   // Other bounds; the clients that are there stay.
-  void bound(std::size_t most_clients, std::size_t most_held);
+  void bound(std::size_t max_clients, std::size_t max_held);
   // For handing a running stream to another process: is everything of it written? Keeps its client from
   // being read until wake().
   bool hush(SlotId client);
@@ -87,7 +87,7 @@
   enum class State { kReading, kAnswering, kLingering };
   struct Client {
     std::shared_ptr<net::Connection> connection;
-    RequestReader reader{kMostBody};
+    RequestReader reader{kMaxBody};
     State state = State::kReading;
     bool streaming = false, hushed = false, waiting = false, keep = true, told_continue = false;
     bool chunked = true;        // HTTP/1.0 knows no chunks: there the connection's end is the stream's
@@ -96,7 +96,7 @@
     std::size_t discarded = 0;  // bytes that came after its last answer
     Time arrived{};             // the first byte of the request
     Time since{};               // accepted, went idle or began to linger
-    engine::Deadlines::Id limit;
+    engine::TimerQueue::Id limit;
   };
 
   void on_accepted(net::tcp::socket socket) override;
@@ -105,7 +105,7 @@
   void on_sent(SlotId id) override;
   void on_ended(SlotId id, net::error_code error) override;
   void reject(SlotId id, Client& client);
-  void refuse(SlotId id, Client& client, int status, std::string_view what,
+  void reject(SlotId id, Client& client, int status, std::string_view what,
               std::initializer_list<Header> more = {});
   void too_much(SlotId id, Client& client);
   void on_early(SlotId id, Client& client);
@@ -117,13 +117,13 @@
   void drop(SlotId id);
   bool hold(Client& client, std::size_t bytes);
   static int use(const Client& client, Time now);
-  SlotId least_useful(SlotId newcomer);
+  SlotId min_useful(SlotId newcomer);
   bool shed(SlotId newcomer = {});
   void make_room(SlotId newcomer = {});
 
   boost::asio::io_context& io_;
   Handler& handler_;
-  engine::Deadlines& deadlines_;
+  engine::TimerQueue& timers_;
   engine::Clock clock_;
   ServerOptions options_;
   std::function<bool()> shed_elsewhere_;
--- a/src/membership/member.hpp
+++ b/src/membership/member.hpp
@@ -26,20 +26,20 @@
   std::uint32_t refuted = 0;
   auto operator<=>(const Incarnation&) const = default;
 };
-inline constexpr std::uint64_t kMostLife = std::uint64_t{1} << 42U;  // the year 2109
-inline constexpr std::uint32_t kMostRefuted = std::uint32_t{1} << 28U;
+inline constexpr std::uint64_t kMaxLife = std::uint64_t{1} << 42U;  // the year 2109
+inline constexpr std::uint32_t kMaxRefuted = std::uint32_t{1} << 28U;
 
-enum class Standing : std::uint8_t { kUnknown, kAlive, kSuspect, kDead };  // in the order of precedence
+enum class MemberState : std::uint8_t { kUnknown, kAlive, kSuspect, kDead };  // in the order of precedence
 
 // Of two claims about a member the one with the higher incarnation holds, and of one incarnation the one with
 // the graver standing: merging takes the greater, so that order, loss and repetition do not matter.
-struct Claim {
+struct MemberUpdate {
   Number about = 0;
   Incarnation incarnation;
-  Standing standing = Standing::kUnknown;
+  MemberState standing = MemberState::kUnknown;
   Number by = 0;  // of a suspicion: who holds it
   auto rank() const { return std::tuple(incarnation, standing); }
-  bool operator==(const Claim&) const = default;
+  bool operator==(const MemberUpdate&) const = default;
 };
 
 struct Probe {
