--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-constexpr std::size_t kMostRelays = 32;
+constexpr std::size_t kMaxRelays = 32;
 
 void shuffle(std::vector<Number>& numbers, Random& random) {
   for (std::size_t i = numbers.size(); i > 1; --i) {
@@ -31,14 +31,14 @@
       self_(self),
       random_(random),
       members_(count),
-      health_(parameters.most_unwell),
+      health_(parameters.max_unwell),
       seen_(now) {
   for (Number n = 0; n < count; ++n) {
     members_[n].claim.about = n;
     members_[n].since = now;
     if (n != self) order_.push_back(n);
   }
-  members_[self].claim = {self, {life, 0}, Standing::kAlive, self};
+  members_[self].claim = {self, {life, 0}, MemberState::kAlive, self};
   members_[self].sends_left = sends();
   call_order_ = order_;
   shuffle(order_, random_);
@@ -49,8 +49,8 @@
 }
 
 bool Membership::lives(Number number) const {
-  const Standing s = standing(number);
-  return s == Standing::kAlive || s == Standing::kSuspect;
+  const MemberState s = standing(number);
+  return s == MemberState::kAlive || s == MemberState::kSuspect;
 }
 
 std::vector<Number> Membership::living() const {
@@ -63,27 +63,27 @@
 
 unsigned Membership::sends() const { return static_cast<unsigned>(std::ceil(p_.spread * scale(count()))); }
 
-Duration Membership::least_wait() const {
-  const double wait = static_cast<double>(p_.period.count()) * p_.suspicion_least * scale(count());
+Duration Membership::min_wait() const {
+  const double wait = static_cast<double>(p_.period.count()) * p_.suspicion_min * scale(count());
   return Duration(static_cast<Duration::rep>(wait));
 }
 
 // Claims.
 
-void Membership::set(Time now, const Claim& claim) {
+void Membership::set(Time now, const MemberUpdate& claim) {
   Member& member = members_[claim.about];
-  const Standing before = member.claim.standing;
+  const MemberState before = member.claim.standing;
   const bool new_life = member.claim.incarnation.life != claim.incarnation.life;
   member.suspicion.reset();
-  if (claim.standing == Standing::kSuspect) {
+  if (claim.standing == MemberState::kSuspect) {
     ++counts_.suspicions;
     const unsigned others = count() > 2 ? count() - 2 : 0;  // all but the accused and its accuser
-    const Duration least = least_wait();
-    const auto most =
-        Duration(static_cast<Duration::rep>(static_cast<double>(least.count()) * p_.suspicion_stretch));
-    member.suspicion.emplace(now, claim.by, std::min<unsigned>(p_.confirmations, others), least, most);
+    const Duration minimum = min_wait();
+    const auto maximum =
+        Duration(static_cast<Duration::rep>(static_cast<double>(minimum.count()) * p_.suspicion_stretch));
+    member.suspicion.emplace(now, claim.by, std::min<unsigned>(p_.confirmations, others), minimum, maximum);
   }
-  if (claim.standing == Standing::kDead) ++counts_.deaths;
+  if (claim.standing == MemberState::kDead) ++counts_.deaths;
   if (before != claim.standing || new_life) {
     member.since = now;
     changes_.push_back({claim.about, before, claim.standing, new_life});
@@ -92,16 +92,16 @@
   member.sends_left = sends();
 }
 
-void Membership::merge_own(const Claim& claim) {
-  Claim& own = members_[self_].claim;
+void Membership::merge_own(const MemberUpdate& claim) {
+  MemberUpdate& own = members_[self_].claim;
   if (claim.incarnation < own.incarnation) return;
   if (claim.incarnation.life > own.incarnation.life) {
     // An earlier process of ours, on a clock that has been set back since. Ours comes after it.
-    if (claim.incarnation.life + 1 > kMostLife) return;
+    if (claim.incarnation.life + 1 > kMaxLife) return;
     own.incarnation = {claim.incarnation.life + 1, 0};
-    changes_.push_back({self_, Standing::kAlive, Standing::kAlive, true});
-  } else if (claim.standing == Standing::kSuspect || claim.standing == Standing::kDead) {
-    if (claim.incarnation.refuted >= kMostRefuted) return;
+    changes_.push_back({self_, MemberState::kAlive, MemberState::kAlive, true});
+  } else if (claim.standing == MemberState::kSuspect || claim.standing == MemberState::kDead) {
+    if (claim.incarnation.refuted >= kMaxRefuted) return;
     own.incarnation.refuted = claim.incarnation.refuted + 1;
   } else {
     return;
@@ -111,8 +111,8 @@
   members_[self_].sends_left = sends();
 }
 
-void Membership::merge(Time now, const Claim& claim) {
-  if (claim.about >= count() || claim.standing == Standing::kUnknown) return;
+void Membership::merge(Time now, const MemberUpdate& claim) {
+  if (claim.about >= count() || claim.standing == MemberState::kUnknown) return;
   if (claim.about == self_) return merge_own(claim);
   Member& member = members_[claim.about];
   if (claim.rank() > member.claim.rank()) return set(now, claim);
@@ -121,26 +121,26 @@
 }
 
 void Membership::suspect(Time now, Number number) {
-  const Claim& held = members_[number].claim;
+  const MemberUpdate& held = members_[number].claim;
   if (!lives(number)) return;
-  merge(now, {number, held.incarnation, Standing::kSuspect, self_});
+  merge(now, {number, held.incarnation, MemberState::kSuspect, self_});
 }
 
-std::vector<Claim> Membership::queue(Number to, bool suspicions_alone) const {
+std::vector<MemberUpdate> Membership::queue(Number to, bool suspicions_alone) const {
   std::vector<const Member*> found;
   for (const Member& member : members_) {
-    const Standing standing = member.claim.standing;
+    const MemberState standing = member.claim.standing;
     // Each message bears its sender's incarnation; of itself a member has more to say only when it leaves.
-    const bool implied = member.claim.about == self_ && standing == Standing::kAlive;
-    const bool buddy = member.claim.about == to && standing >= Standing::kSuspect;
-    const bool news = member.sends_left > 0 && (!suspicions_alone || standing == Standing::kSuspect);
+    const bool implied = member.claim.about == self_ && standing == MemberState::kAlive;
+    const bool buddy = member.claim.about == to && standing >= MemberState::kSuspect;
+    const bool news = member.sends_left > 0 && (!suspicions_alone || standing == MemberState::kSuspect);
     if (buddy || (news && !implied)) found.push_back(&member);
   }
   std::stable_sort(found.begin(), found.end(), [&](const Member* a, const Member* b) {
     return std::tuple(a->claim.about != to, -static_cast<std::int64_t>(a->sends_left)) <
            std::tuple(b->claim.about != to, -static_cast<std::int64_t>(b->sends_left));
   });
-  std::vector<Claim> claims;
+  std::vector<MemberUpdate> claims;
   for (const Member* member : found) {
     claims.push_back(member->claim);
     if (!member->suspicion) continue;
@@ -155,12 +155,12 @@
   left -= left > 0 ? 1 : 0;
 }
 
-std::vector<Claim> Membership::page(std::size_t most) {
-  std::vector<Claim> claims;
-  for (Number n = 0; n < count() && claims.size() < most; ++n) {
+std::vector<MemberUpdate> Membership::page(std::size_t maximum) {
+  std::vector<MemberUpdate> claims;
+  for (Number n = 0; n < count() && claims.size() < maximum; ++n) {
     page_ = (page_ + 1) % count();
-    const Claim& claim = members_[page_].claim;
-    if (page_ != self_ && claim.standing != Standing::kUnknown) claims.push_back(claim);
+    const MemberUpdate& claim = members_[page_].claim;
+    if (page_ != self_ && claim.standing != MemberState::kUnknown) claims.push_back(claim);
   }
   return claims;
 }
@@ -168,9 +168,9 @@
 std::uint32_t Membership::summary() const {
   std::uint64_t sum = 0;
   for (const Member& member : members_) {
-    if (member.claim.standing == Standing::kUnknown) continue;
+    if (member.claim.standing == MemberState::kUnknown) continue;
     const std::uint64_t fields[] = {member.claim.about, member.claim.incarnation.life,
-                                    member.claim.standing == Standing::kDead ? 1U : 0U};
+                                    member.claim.standing == MemberState::kDead ? 1U : 0U};
     sum += XXH3_64bits(fields, sizeof fields);
   }
   return static_cast<std::uint32_t>(sum ^ (sum >> 32U));
@@ -178,7 +178,7 @@
 
 void Membership::agreed() {
   for (Member& member : members_) {
-    if (member.claim.standing != Standing::kSuspect) member.sends_left -= member.sends_left > 0 ? 1 : 0;
+    if (member.claim.standing != MemberState::kSuspect) member.sends_left -= member.sends_left > 0 ? 1 : 0;
   }
 }
 
@@ -200,11 +200,11 @@
 
 std::vector<Sending> Membership::received(Time now, Number from, Incarnation incarnation,
                                           const std::optional<Probe>& probe,
-                                          const std::vector<Claim>& claims) {
+                                          const std::vector<MemberUpdate>& claims) {
   notice_pause(now);
   std::vector<Sending> out;
-  merge(now, {from, incarnation, Standing::kAlive, from});
-  for (const Claim& claim : claims) merge(now, claim);
+  merge(now, {from, incarnation, MemberState::kAlive, from});
+  for (const MemberUpdate& claim : claims) merge(now, claim);
   if (probe) answer(now, from, *probe, out);
   return out;
 }
@@ -215,7 +215,7 @@
       out.push_back({from, Probe{Probe::Type::kAck, probe.sequence, 0}});
       return;
     case Probe::Type::kAskToPing: {
-      if (probe.target >= count() || probe.target == self_ || relays_.size() >= kMostRelays) return;
+      if (probe.target >= count() || probe.target == self_ || relays_.size() >= kMaxRelays) return;
       // Our part of the prober's time, less what its answer takes to travel.
       relays_.push_back({from, probe.sequence, ++sequence_, probe.target, now + p_.probe_timeout * 4 / 5,
                          now + p_.period, false});
@@ -291,7 +291,7 @@
   probing_->asked = true;
   std::vector<Number> helpers;
   for (Number n = 0; n < count(); ++n) {
-    if (n != self_ && n != probing_->target && standing(n) == Standing::kAlive) helpers.push_back(n);
+    if (n != self_ && n != probing_->target && standing(n) == MemberState::kAlive) helpers.push_back(n);
   }
   shuffle(helpers, random_);
   helpers.resize(std::min<std::size_t>(helpers.size(), p_.helpers));
@@ -320,8 +320,8 @@
   }
   for (Member& member : members_) {
     if (!member.suspicion || member.suspicion->ends() > now) continue;
-    Claim dead = member.claim;
-    dead.standing = Standing::kDead;
+    MemberUpdate dead = member.claim;
+    dead.standing = MemberState::kDead;
     merge(now, dead);
   }
   return out;
@@ -354,7 +354,7 @@
   s.insert(s.end(), call_order_.begin(), call_order_.end());
   time(probe_at_);
   for (const Member& m : members_) {
-    const Claim& c = m.claim;
+    const MemberUpdate& c = m.claim;
     s.insert(s.end(), {c.incarnation.life, c.incarnation.refuted, static_cast<std::uint64_t>(c.standing),
                        c.by, m.sends_left, m.suspicion.has_value()});
     if (!m.suspicion) continue;
@@ -376,7 +376,7 @@
 }
 
 std::vector<Sending> Membership::leave() {
-  members_[self_].claim.standing = Standing::kDead;
+  members_[self_].claim.standing = MemberState::kDead;
   members_[self_].sends_left = sends();
   std::vector<Number> told = living();
   shuffle(told, random_);
--- a/src/membership/membership.hpp
+++ b/src/membership/membership.hpp
@@ -27,10 +27,10 @@
   Duration period = std::chrono::seconds(1);                // from one probe to the next
   Duration probe_timeout = std::chrono::milliseconds(250);  // a direct answer; below a third of the period
   unsigned helpers = 3;                                     // asked to ping what has not answered
-  double suspicion_least = 3;    // periods, times log10 of the count (at least 1): the shortest wait
+  double suspicion_min = 3;      // periods, times log10 of the count (at least 1): the shortest wait
   double suspicion_stretch = 4;  // the longest wait, in shortest ones
   unsigned confirmations = 3;    // that shorten the wait to its least
-  unsigned most_unwell = 8;      // of LocalHealth
+  unsigned max_unwell = 8;       // of LocalHealth
   double spread = 4;             // a claim is sent so many times, times log10 of the count, rounded up
   unsigned call_every = 4;       // periods between two calls of the unknown and the dead
 };
@@ -42,7 +42,7 @@
 
 struct Change {
   Number member = 0;
-  Standing before{}, after{};
+  MemberState before{}, after{};
   bool new_life = false;
 };
 
@@ -54,7 +54,7 @@
 
   // What arrived from `from`: its own incarnation, the probe if any, and the claims, in this order.
   std::vector<Sending> received(Time now, Number from, Incarnation incarnation,
-                                const std::optional<Probe>& probe, const std::vector<Claim>& claims);
+                                const std::optional<Probe>& probe, const std::vector<MemberUpdate>& claims);
   std::vector<Sending> tick(Time now);  // at or after next()
   Time next() const;
   std::vector<Sending> leave();  // says that this process ends; nothing may be called after it but queue()
@@ -62,18 +62,18 @@
   // Claims worth sending to `to`, the most valuable first: what it must know of itself, then what was sent
   // the least often. Tell by sent() which ones went out.
   // `suspicions_alone`: the receiver's summary is ours.
-  std::vector<Claim> queue(Number to, bool suspicions_alone = false) const;
+  std::vector<MemberUpdate> queue(Number to, bool suspicions_alone = false) const;
   void sent(Number about);
   // Claims about known members from a moving place on, for one whose summary() differs.
-  std::vector<Claim> page(std::size_t most);
+  std::vector<MemberUpdate> page(std::size_t maximum);
   std::uint32_t summary() const;  // equal where the same members are held alive, in the same lives
   void agreed();                  // somebody's summary is ours: what it covers needs one telling less
 
   Number self() const { return self_; }
   Number count() const { return static_cast<Number>(members_.size()); }
   const Incarnation& incarnation() const { return members_[self_].claim.incarnation; }
-  Standing standing(Number number) const { return members_[number].claim.standing; }
-  const Claim& claim(Number number) const { return members_[number].claim; }
+  MemberState standing(Number number) const { return members_[number].claim.standing; }
+  const MemberUpdate& claim(Number number) const { return members_[number].claim; }
   Time since(Number number) const { return members_[number].since; }  // of its standing
   std::vector<Number> living() const;                                 // alive or suspect, without self
   unsigned unwell() const { return health_.score(); }
@@ -89,7 +89,7 @@
 
  private:
   struct Member {
-    Claim claim;
+    MemberUpdate claim;
     Time since{};
     std::optional<Suspicion> suspicion;
     unsigned sends_left = 0;
@@ -109,9 +109,9 @@
     bool nacked = false;
   };
   void notice_pause(Time now);
-  void merge(Time now, const Claim& claim);
-  void merge_own(const Claim& claim);
-  void set(Time now, const Claim& claim);
+  void merge(Time now, const MemberUpdate& claim);
+  void merge_own(const MemberUpdate& claim);
+  void set(Time now, const MemberUpdate& claim);
   void suspect(Time now, Number number);
   void answer(Time now, Number from, const Probe& probe, std::vector<Sending>& out);
   void finish_probe(Time now);
@@ -123,7 +123,7 @@
   bool lives(Number number) const;
   std::optional<Number> next_in(std::vector<Number>& order, std::size_t& place, bool living);
   unsigned sends() const;
-  Duration least_wait() const;
+  Duration min_wait() const;
 
   Parameters p_;
   Number self_;
--- a/src/membership/suspicion.hpp
+++ b/src/membership/suspicion.hpp
@@ -14,7 +14,7 @@
 class Suspicion {
  public:
   // `wanted`: confirmations that bring the wait down to `least`; 0 (a fleet too small to have them): at once.
-  Suspicion(Time since, Number accuser, unsigned wanted, Duration least, Duration most);
+  Suspicion(Time since, Number accuser, unsigned wanted, Duration minimum, Duration maximum);
   bool confirm(Number accuser);  // true: an accuser that is news and still counts
   Duration wait() const;
   Time ends() const { return since_ + wait(); }
@@ -24,7 +24,7 @@
  private:
   Time since_;
   unsigned wanted_;
-  Duration least_, most_;
+  Duration min_, max_;
   std::vector<Number> accusers_;  // at most wanted_ + 1
 };
 
@@ -32,14 +32,14 @@
 // this member, lowered by probes that succeed. Its probes wait and pause (1 + score) times as long.
 class LocalHealth {
  public:
-  explicit LocalHealth(unsigned most) : most_(most) {}
-  void worse(unsigned by = 1) { score_ = by >= most_ - score_ ? most_ : score_ + by; }
+  explicit LocalHealth(unsigned maximum) : max_(maximum) {}
+  void worse(unsigned by = 1) { score_ = by >= max_ - score_ ? max_ : score_ + by; }
   void better() { score_ -= score_ > 0 ? 1 : 0; }
   unsigned score() const { return score_; }
   Duration scaled(Duration time) const { return time * (1 + static_cast<Duration::rep>(score_)); }
 
  private:
-  unsigned most_;
+  unsigned max_;
   unsigned score_ = 0;
 };
 
--- a/src/net/connection.cpp
+++ b/src/net/connection.cpp
@@ -13,14 +13,15 @@
 std::optional<tcp::endpoint> parse_endpoint(std::string_view text) {
   const auto colon = text.rfind(':');
   if (colon == std::string_view::npos) return std::nullopt;
-  std::string_view host = text.substr(0, colon);
+  std::string_view endpoint = text.substr(0, colon);
   const std::string_view digits = text.substr(colon + 1);
   std::uint16_t port = 0;
   const auto [end, error] = std::from_chars(digits.data(), digits.data() + digits.size(), port);
   if (error != std::errc() || end != digits.data() + digits.size()) return std::nullopt;
-  if (host.size() > 2 && host.front() == '[' && host.back() == ']') host = host.substr(1, host.size() - 2);
+  if (endpoint.size() > 2 && endpoint.front() == '[' && endpoint.back() == ']')
+    endpoint = endpoint.substr(1, endpoint.size() - 2);
   error_code bad;
-  const auto address = asio::ip::make_address(std::string(host), bad);
+  const auto address = asio::ip::make_address(std::string(endpoint), bad);
   if (bad) return std::nullopt;
   return tcp::endpoint(address, port);
 }
@@ -36,15 +37,15 @@
   return socket;
 }
 
-Connection::Connection(tcp::socket socket, std::size_t most_in, std::size_t most_out)
-    : socket_(std::move(socket)), in_(most_in), out_(most_out) {
+Connection::Connection(tcp::socket socket, std::size_t max_in, std::size_t max_out)
+    : socket_(std::move(socket)), in_(max_in), out_(max_out) {
   error_code ignored;
   if (socket_.is_open()) socket_.set_option(tcp::no_delay(true), ignored);
 }
 
 std::shared_ptr<Connection> Connection::connect(asio::io_context& io, const tcp::endpoint& to, Owner& owner,
-                                                SlotId id, std::size_t most_in, std::size_t most_out) {
-  auto self = std::make_shared<Connection>(tcp::socket(io), most_in, most_out);
+                                                SlotId id, std::size_t max_in, std::size_t max_out) {
+  auto self = std::make_shared<Connection>(tcp::socket(io), max_in, max_out);
   self->own(owner, id);
   error_code error;
   self->socket_.open(to.protocol(), error);
--- a/src/net/connection.hpp
+++ b/src/net/connection.hpp
@@ -35,11 +35,11 @@
     virtual void on_ended(SlotId, error_code) = 0;  // end of input, or an error
   };
 
-  Connection(tcp::socket socket, std::size_t most_in, std::size_t most_out);
+  Connection(tcp::socket socket, std::size_t max_in, std::size_t max_out);
   // Opens an outgoing connection; a failure to create the socket (no descriptors) is reported like any other.
   static std::shared_ptr<Connection> connect(boost::asio::io_context& io, const tcp::endpoint& to,
-                                             Owner& owner, SlotId id, std::size_t most_in,
-                                             std::size_t most_out);
+                                             Owner& owner, SlotId id, std::size_t max_in,
+                                             std::size_t max_out);
 
   void own(Owner& owner, SlotId id);
   RingBuffer& input() { return in_; }
--- a/src/net/ring_buffer.hpp
+++ b/src/net/ring_buffer.hpp
@@ -19,11 +19,11 @@
 class RingBuffer {
  public:
   static constexpr std::size_t kFirst = 4096;
-  explicit RingBuffer(std::size_t most) : most_(most) {}
+  explicit RingBuffer(std::size_t maximum) : max_(maximum) {}
 
   std::size_t size() const { return size_; }
   bool empty() const { return size_ == 0; }
-  std::size_t room() const { return most_ - size_; }
+  std::size_t room() const { return max_ - size_; }
 
   // The bytes held, oldest first, in at most two pieces.
   std::array<boost::asio::const_buffer, 2> data() const {
@@ -86,7 +86,7 @@
   void grow(std::size_t wanted) {
     std::size_t next = std::max(capacity_, kFirst);
     while (next < wanted) next *= 2;
-    next = std::min(next, most_);
+    next = std::min(next, max_);
     if (next <= capacity_) return;
     auto bytes = std::make_shared_for_overwrite<char[]>(next);
     std::size_t at = 0;
@@ -99,7 +99,7 @@
     head_ = 0;
   }
 
-  std::size_t most_;
+  std::size_t max_;
   std::shared_ptr<char[]> bytes_;
   std::size_t capacity_ = 0, head_ = 0, size_ = 0;
   bool prepared_ = false;  // a read is under way into the free space
--- a/src/openai_api/answer.hpp
+++ b/src/openai_api/answer.hpp
@@ -24,10 +24,10 @@
   std::string completion() const;
   bool stream() const { return stream_; }
   // More than any limit on tokens allows: a replica that does not stop must not fill the memory.
-  bool too_long() const { return collected_ > kMostCollected; }
+  bool too_long() const { return collected_ > kMaxCollected; }
 
  private:
-  static constexpr std::size_t kMostCollected = 4 * 1024 * 1024;
+  static constexpr std::size_t kMaxCollected = 4 * 1024 * 1024;
   std::string take_event(std::string_view event);
   void collect(const nlohmann::json& chunk);
   std::string translate(nlohmann::json chunk);
--- a/src/openai_api/front.cpp
+++ b/src/openai_api/frontend.cpp
@@ -1,4 +1,4 @@
-#include "openai_api/front.hpp"
+#include "openai_api/frontend.hpp"
 
 #include <algorithm>
 #include <cstdio>
@@ -29,16 +29,16 @@
 
 }  // namespace
 
-Front::Front(boost::asio::io_context& io, const Config& config, engine::Engine& engine,
-             engine::Deadlines& deadlines, engine::Clock clock, std::uint64_t seed,
-             const http::ServerOptions& options, std::function<bool()> shed)
-    : http::Front(io, config.listen, engine, deadlines, std::move(clock), options, std::move(shed)),
+Frontend::Frontend(boost::asio::io_context& io, const Config& config, engine::Engine& engine,
+                   engine::TimerQueue& timers, engine::Clock clock, std::uint64_t seed,
+                   const http::ServerOptions& options, std::function<bool()> shed)
+    : http::Frontend(io, config.listen, engine, timers, std::move(clock), options, std::move(shed)),
       config_(config),
       seed_(seed) {}
 
 // ---- requests ----
 
-std::optional<std::string> Front::account(const http::Server::Request& request) const {
+std::optional<std::string> Frontend::account(const http::Server::Request& request) const {
   if (config_.keys.empty()) return config_.account;
   std::string_view given = http::header(request, "Authorization");
   constexpr std::string_view kScheme = "Bearer ";
@@ -51,7 +51,7 @@
   return found;
 }
 
-void Front::on_request(SlotId client, http::Server::Request& request, engine::Time arrived) {
+void Frontend::on_request(SlotId client, http::Server::Request& request, engine::Time arrived) {
   const auto [method, path] = route(request);
   const bool one_model =
       path.starts_with(kModels) && path.size() > kModels.size() + 1 && path[kModels.size()] == '/';
@@ -69,7 +69,7 @@
   models(client, one_model ? path.substr(kModels.size() + 1) : std::string_view());
 }
 
-void Front::models(SlotId client, std::string_view id) {
+void Frontend::models(SlotId client, std::string_view id) {
   Json list = Json::array();
   for (const Model& m : config_.models) {
     Json model{{"id", m.id}, {"object", "model"}, {"created", 0}, {"owned_by", "bitternferry"}};
@@ -80,8 +80,8 @@
   server_.answer(client, 200, "application/json", Json{{"object", "list"}, {"data", list}}.dump());
 }
 
-void Front::complete(SlotId client, http::Server::Request& request, engine::Time arrived,
-                     const std::string& who) {
+void Frontend::complete(SlotId client, http::Server::Request& request, engine::Time arrived,
+                        const std::string& who) {
   if (exchanges_.size() >= config_.max_open) {
     return come_later(client,
                       {429, "too many requests in progress", "rate_limit_error", {}, "rate_limit_exceeded"},
@@ -105,7 +105,7 @@
   if (!admit(client, request, r, facts, *config_.rules)) return;
   const routing::RequestClass& cls = class_of(r, *chat.model);
   if (&cls != chat.model->cls) r.client_deadline = arrived + time_to_first_token(chat, cls);
-  auto message = std::make_shared<engine::Message>();
+  auto message = std::make_shared<engine::UpstreamRequest>();
   message->id = r.id;
   message->method = "POST";
   message->target = kCompletions;
@@ -114,12 +114,12 @@
   const std::int64_t created = clock_().count() / 1'000'000;
   exchanges_.emplace(
       client, Exchange{Answer("chatcmpl-" + r.id, chat.model->id, created, chat.stream, chat.include_usage),
-                       cls.repeat == routing::Repeat::kSafe});
+                       cls.idempotency == routing::Idempotency::kIdempotent});
   submit(client, r, std::move(message));
 }
 
 // The rules may have put the request into another class than its model's.
-const routing::RequestClass& Front::class_of(const routing::Request& request, const Model& model) const {
+const routing::RequestClass& Frontend::class_of(const routing::Request& request, const Model& model) const {
   const auto& classes = config_.rules->classes;
   const auto it = std::find_if(classes.begin(), classes.end(),
                                [&](const auto& c) { return c.name == request.request_class; });
@@ -127,7 +127,7 @@
 }
 
 // Sixteen hexadecimal digits, as the replicas know them. No two of one instance's life are the same.
-std::string Front::new_id() {
+std::string Frontend::new_id() {
   std::uint64_t x = seed_ + 0x9e3779b97f4a7c15ULL * ++made_;  // splitmix64: one to one in the counter
   x = (x ^ (x >> 30U)) * 0xbf58476d1ce4e5b9ULL;
   x = (x ^ (x >> 27U)) * 0x94d049bb133111ebULL;
@@ -139,17 +139,17 @@
 
 // ---- answers ----
 
-void Front::forget(SlotId client) {
+void Frontend::forget(SlotId client) {
   exchanges_.erase(client);
-  http::Front::forget(client);
+  http::Frontend::forget(client);
 }
 
-void Front::begin(SlotId client) {
+void Frontend::begin(SlotId client) {
   const auto it = exchanges_.find(client);
   if (it != exchanges_.end() && it->second.answer.stream()) server_.begin(client);
 }
 
-bool Front::pass(SlotId client, std::string_view events) {
+bool Frontend::pass(SlotId client, std::string_view events) {
   const auto it = exchanges_.find(client);
   if (it == exchanges_.end()) return true;
   const std::string out = it->second.answer.take(events);
@@ -162,7 +162,7 @@
   return out.empty() || server_.pass(client, out);
 }
 
-void Front::finish(SlotId client) {
+void Frontend::finish(SlotId client) {
   const auto it = exchanges_.find(client);
   if (it == exchanges_.end()) return;
   if (!it->second.answer.complete()) return cut(client);  // no end that the replica did not give
@@ -174,7 +174,7 @@
 
 // After the first token nothing is sent again, and nothing may look like an end: a streaming client is told
 // by an error event and by its connection, any other by its status.
-void Front::cut(SlotId client) {
+void Frontend::cut(SlotId client) {
   const auto it = exchanges_.find(client);
   if (it == exchanges_.end()) return;
   const bool stream = it->second.answer.stream(), repeatable = it->second.repeatable;
@@ -185,47 +185,47 @@
   server_.cut(client);
 }
 
-void Front::refuse(SlotId client, std::optional<engine::Duration> retry_in) {
+void Frontend::reject(SlotId client, std::optional<engine::Duration> retry_after) {
   forget(client);
   come_later(client,
              server_error(503, "the service is busy: nothing was done, try again later", "overloaded"),
-             retry_in.value_or(kComeLater));
+             retry_after.value_or(kComeLater));
 }
 
-void Front::limited(SlotId client, engine::Duration retry_in) {
+void Frontend::limited(SlotId client, engine::Duration retry_after) {
   come_later(client,
              {429,
               "a limit is reached: nothing was done, try again later",
               "rate_limit_error",
               {},
               "rate_limit_exceeded"},
-             retry_in);
+             retry_after);
 }
 
-void Front::busy(SlotId client, engine::Duration retry_in) {
+void Frontend::busy(SlotId client, engine::Duration retry_after) {
   come_later(client, server_error(503, "reduced service: nothing was done, try again later", "overloaded"),
-             retry_in);
+             retry_after);
 }
 
-void Front::fail(SlotId client, engine::Failure why) {
+void Frontend::fail(SlotId client, engine::Failure why) {
   const auto it = exchanges_.find(client);
   const bool repeatable = it != exchanges_.end() && it->second.repeatable;
   forget(client);
-  if (why == engine::Failure::kUnusable)
+  if (why == engine::Failure::kInvalidRequest)
     return reply(client, {400, "the model can't use this request", "invalid_request_error", {}, {}});
-  const ApiError error = why == engine::Failure::kTooLate
+  const ApiError error = why == engine::Failure::kDeadlineExceeded
                              ? server_error(504, "no answer came in time; it may have run", "timeout")
                              : server_error(502, "the attempt failed; it may have run", "upstream_failed");
   may_have_run(client, error, repeatable);
 }
 
 // Client libraries try again by themselves on these statuses; what must not run twice they are told to leave.
-void Front::may_have_run(SlotId client, const ApiError& error, bool repeatable) {
+void Frontend::may_have_run(SlotId client, const ApiError& error, bool repeatable) {
   if (repeatable) return reply(client, error);
   reply(client, error, {{"X-Should-Retry", "false"}});
 }
 
-void Front::come_later(SlotId client, const ApiError& error, engine::Duration wait) {
+void Frontend::come_later(SlotId client, const ApiError& error, engine::Duration wait) {
   const auto ms = std::max<std::int64_t>(1, wait.count() / 1000);
   reply(client, error,
         {{"Retry-After", std::to_string((ms + 999) / 1000)},
@@ -233,11 +233,11 @@
          {"X-Should-Retry", "true"}});
 }
 
-void Front::reply(SlotId client, const ApiError& error, std::initializer_list<http::Header> more) {
+void Frontend::reply(SlotId client, const ApiError& error, std::initializer_list<http::Header> more) {
   server_.answer(client, error.status, "application/json", to_body(error), more);
 }
 
-std::string Front::error_body(int status, std::string_view what) {
+std::string Frontend::error_body(int status, std::string_view what) {
   const bool ours = status >= 500;
   return to_body({status, std::string(what), ours ? "server_error" : "invalid_request_error", {}, {}});
 }
--- a/src/openai_api/front.hpp
+++ b/src/openai_api/frontend.hpp
@@ -1,11 +1,11 @@
 // The OpenAI-style front: chat completions, whole or streamed, over the same core as the platform's.
-#ifndef DISPATCHER_OPENAI_API_FRONT_HPP_
-#define DISPATCHER_OPENAI_API_FRONT_HPP_
+#ifndef DISPATCHER_OPENAI_API_FRONTEND_HPP_
+#define DISPATCHER_OPENAI_API_FRONTEND_HPP_
 
 #include <map>
 #include <string>
 
-#include "http/front.hpp"
+#include "http/frontend.hpp"
 #include "openai_api/answer.hpp"
 #include "openai_api/config.hpp"
 #include "openai_api/request.hpp"
@@ -14,11 +14,11 @@
 
 using net::SlotId;
 
-class Front : public http::Front {
+class Frontend : public http::Frontend {
  public:
-  Front(boost::asio::io_context& io, const Config& config, engine::Engine& engine,
-        engine::Deadlines& deadlines, engine::Clock clock, std::uint64_t seed,
-        const http::ServerOptions& options, std::function<bool()> shed);
+  Frontend(boost::asio::io_context& io, const Config& config, engine::Engine& engine,
+           engine::TimerQueue& timers, engine::Clock clock, std::uint64_t seed,
+           const http::ServerOptions& options, std::function<bool()> shed);
 
   // Models, keys, accounts and limits of another file, for the requests from now on. Where this front listens
   // stays. What is under way keeps what it began with.
@@ -31,10 +31,10 @@
   bool pass(SlotId client, std::string_view events) override;
   void finish(SlotId client) override;
   void cut(SlotId client) override;
-  void refuse(SlotId client, std::optional<engine::Duration> retry_in) override;
+  void reject(SlotId client, std::optional<engine::Duration> retry_after) override;
   void fail(SlotId client, engine::Failure why) override;
-  void limited(SlotId client, engine::Duration retry_in) override;
-  void busy(SlotId client, engine::Duration retry_in) override;
+  void limited(SlotId client, engine::Duration retry_after) override;
+  void busy(SlotId client, engine::Duration retry_after) override;
   void forget(SlotId client) override;
 
   // The account that the request may use; empty: its key is not known.
@@ -59,4 +59,4 @@
 
 }  // namespace dispatcher::openai_api
 
-#endif  // DISPATCHER_OPENAI_API_FRONT_HPP_
+#endif  // DISPATCHER_OPENAI_API_FRONTEND_HPP_
--- a/src/openai_api/request.cpp
+++ b/src/openai_api/request.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-constexpr int kMostDepth = 64;
+constexpr int kMaxDepth = 64;
 constexpr std::size_t kCharactersPerToken = 4;
 
 [[noreturn]] void bad(const std::string& message, const char* param) {
@@ -119,7 +119,7 @@
   const Json object = Json::parse(
       source,
       [&deep](int depth, Json::parse_event_t, Json&) {
-        deep = deep || depth > kMostDepth;
+        deep = deep || depth > kMaxDepth;
         return !deep;
       },
       false);
@@ -167,7 +167,7 @@
 
 routing::Duration time_to_first_token(const ChatRequest& request, const routing::RequestClass& cls) {
   // The deadline grows by twice as much with the prompt as the wanted time does.
-  const double growth = 2.0 * static_cast<double>(cls.objective_per_1000_tokens.count()) *
+  const double growth = 2.0 * static_cast<double>(cls.latency_objective_per_1000_tokens.count()) *
                         request.routing.prompt_tokens / 1000.0;
   return request.model->deadline.value_or(cls.deadline) + routing::Duration(std::llround(growth));
 }
--- a/src/platform_api/front.cpp
+++ b/src/platform_api/frontend.cpp
@@ -1,4 +1,4 @@
-#include "platform_api/front.hpp"
+#include "platform_api/frontend.hpp"
 
 #include <algorithm>
 #include <charconv>
@@ -19,12 +19,12 @@
   return value;
 }
 
-constexpr std::size_t kMostId = 64;
-constexpr int kMostTokens = 100'000'000;
+constexpr std::size_t kMaxId = 64;
+constexpr int kMaxTokens = 100'000'000;
 
 int parse_tokens(std::string_view text, const char* name) {
   const int value = parse_number<int>(text, name);
-  if (value < 0 || value > kMostTokens) throw std::invalid_argument(std::string(name) + ": out of range");
+  if (value < 0 || value > kMaxTokens) throw std::invalid_argument(std::string(name) + ": out of range");
   return value;
 }
 
@@ -53,7 +53,7 @@
   r.id = get("X-Correlation-Id");
   const bool word =
       std::all_of(r.id.begin(), r.id.end(), [](unsigned char c) { return std::isalnum(c) != 0; });
-  if (r.id.empty() || r.id.size() > kMostId || !word)
+  if (r.id.empty() || r.id.size() > kMaxId || !word)
     throw std::invalid_argument("X-Correlation-Id: letters and digits expected");
   r.request_class = get("X-Service-Class");
   const auto cls = std::find_if(settings.classes.begin(), settings.classes.end(),
@@ -76,13 +76,13 @@
   return r;
 }
 
-Front::Front(boost::asio::io_context& io, const net::tcp::endpoint& at, engine::Engine& engine,
-             engine::Rules rules, engine::Deadlines& deadlines, engine::Clock clock,
-             const http::ServerOptions& options, std::function<bool()> shed)
-    : http::Front(io, at, engine, deadlines, std::move(clock), options, std::move(shed)),
+Frontend::Frontend(boost::asio::io_context& io, const net::tcp::endpoint& at, engine::Engine& engine,
+                   engine::SettingsSnapshot rules, engine::TimerQueue& timers, engine::Clock clock,
+                   const http::ServerOptions& options, std::function<bool()> shed)
+    : http::Frontend(io, at, engine, timers, std::move(clock), options, std::move(shed)),
       rules_(std::move(rules)) {}
 
-void Front::on_request(SlotId client, http::Server::Request& request, engine::Time arrived) {
+void Frontend::on_request(SlotId client, http::Server::Request& request, engine::Time arrived) {
   const auto [method, path] = route(request);
   const bool health = path == "/healthz", chat = path == "/v1/chat/completions";
   if (!health && !chat) return server_.error(client, 404, "no such path");
@@ -92,7 +92,7 @@
   answer_health(client);
 }
 
-void Front::take(SlotId client, http::Server::Request& request, engine::Time arrived) {
+void Frontend::take(SlotId client, http::Server::Request& request, engine::Time arrived) {
   routing::Request r;
   try {
     r = parse_request(request, *rules_, arrived);
@@ -101,7 +101,7 @@
   }
   if (engine_.in_progress(r.id)) return server_.error(client, 409, "X-Correlation-Id: already in progress");
   if (!admit(client, request, r, {}, *rules_)) return;
-  auto message = std::make_shared<engine::Message>();
+  auto message = std::make_shared<engine::UpstreamRequest>();
   message->id = r.id;
   message->method.assign(request.method_string().data(), request.method_string().size());
   message->target.assign(request.target().data(), request.target().size());
@@ -110,46 +110,46 @@
   submit(client, r, std::move(message));
 }
 
-std::string Front::error_body(int, std::string_view what) {
+std::string Frontend::error_body(int, std::string_view what) {
   return nlohmann::json{{"error", {{"message", what}}}}.dump(-1, ' ', false,
                                                              nlohmann::json::error_handler_t::replace);
 }
 
-void Front::finish(SlotId client) {
+void Frontend::finish(SlotId client) {
   forget(client);
   server_.end(client);
 }
 
-void Front::cut(SlotId client) {
+void Frontend::cut(SlotId client) {
   forget(client);
   server_.cut(client);
 }
 
-void Front::refuse(SlotId client, std::optional<engine::Duration> retry_in) {
+void Frontend::reject(SlotId client, std::optional<engine::Duration> retry_after) {
   forget(client);
-  if (!retry_in) return server_.error(client, 503, "try again");
-  server_.error(client, 503, "try again", {{"Retry-After", http::seconds_text(*retry_in)}});
+  if (!retry_after) return server_.error(client, 503, "try again");
+  server_.error(client, 503, "try again", {{"Retry-After", http::seconds_text(*retry_after)}});
 }
 
-void Front::limited(SlotId client, engine::Duration retry_in) {
-  come_later(client, 429, "over a limit: nothing was done, try again later", retry_in);
+void Frontend::limited(SlotId client, engine::Duration retry_after) {
+  come_later(client, 429, "over a limit: nothing was done, try again later", retry_after);
 }
 
-void Front::busy(SlotId client, engine::Duration retry_in) {
-  come_later(client, 503, "reduced service: nothing was done, try again later", retry_in);
+void Frontend::busy(SlotId client, engine::Duration retry_after) {
+  come_later(client, 503, "reduced service: nothing was done, try again later", retry_after);
 }
 
-void Front::come_later(SlotId client, int status, std::string_view what, engine::Duration retry_in) {
+void Frontend::come_later(SlotId client, int status, std::string_view what, engine::Duration retry_after) {
   if (!rules_->retry_advice) return server_.error(client, status, what);
   server_.error(client, status, what,
-                {{"Retry-After", http::seconds_text(std::min(retry_in, rules_->max_retry_in))}});
+                {{"Retry-After", http::seconds_text(std::min(retry_after, rules_->max_retry_after))}});
 }
 
-void Front::fail(SlotId client, engine::Failure why) {
+void Frontend::fail(SlotId client, engine::Failure why) {
   forget(client);
-  if (why == engine::Failure::kUnusable)
+  if (why == engine::Failure::kInvalidRequest)
     return server_.error(client, 400, "the replicas can't use this request");
-  const bool late = why == engine::Failure::kTooLate;
+  const bool late = why == engine::Failure::kDeadlineExceeded;
   server_.error(client, late ? 504 : 502, late ? "no answer in time" : "the attempt failed");
 }
 
--- a/src/platform_api/front.hpp
+++ b/src/platform_api/frontend.hpp
@@ -1,22 +1,22 @@
 // The platform's own front: a thin translation of its protocol to the core and back.
-#ifndef DISPATCHER_PLATFORM_API_FRONT_HPP_
-#define DISPATCHER_PLATFORM_API_FRONT_HPP_
+#ifndef DISPATCHER_PLATFORM_API_FRONTEND_HPP_
+#define DISPATCHER_PLATFORM_API_FRONTEND_HPP_
 
 #include <string>
 
-#include "http/front.hpp"
+#include "http/frontend.hpp"
 
 namespace dispatcher::platform_api {
 
 using net::SlotId;
 
-class Front : public http::Front {
+class Frontend : public http::Frontend {
  public:
-  Front(boost::asio::io_context& io, const net::tcp::endpoint& at, engine::Engine& engine,
-        engine::Rules rules, engine::Deadlines& deadlines, engine::Clock clock,
-        const http::ServerOptions& options, std::function<bool()> shed);
+  Frontend(boost::asio::io_context& io, const net::tcp::endpoint& at, engine::Engine& engine,
+           engine::SettingsSnapshot rules, engine::TimerQueue& timers, engine::Clock clock,
+           const http::ServerOptions& options, std::function<bool()> shed);
 
-  void adopt(engine::Rules rules) { rules_ = std::move(rules); }  // for the requests from now on
+  void adopt(engine::SettingsSnapshot rules) { rules_ = std::move(rules); }  // for the requests from now on
 
  private:
   void on_request(SlotId client, http::Server::Request& request, engine::Time arrived) override;
@@ -25,14 +25,14 @@
   bool pass(SlotId client, std::string_view events) override { return server_.pass(client, events); }
   void finish(SlotId client) override;
   void cut(SlotId client) override;
-  void refuse(SlotId client, std::optional<engine::Duration> retry_in) override;
+  void reject(SlotId client, std::optional<engine::Duration> retry_after) override;
   void fail(SlotId client, engine::Failure why) override;
-  void limited(SlotId client, engine::Duration retry_in) override;
-  void busy(SlotId client, engine::Duration retry_in) override;
-  void come_later(SlotId client, int status, std::string_view what, engine::Duration retry_in);
+  void limited(SlotId client, engine::Duration retry_after) override;
+  void busy(SlotId client, engine::Duration retry_after) override;
+  void come_later(SlotId client, int status, std::string_view what, engine::Duration retry_after);
   void take(SlotId client, http::Server::Request& request, engine::Time arrived);
 
-  engine::Rules rules_;
+  engine::SettingsSnapshot rules_;
 };
 
 // The request that the headers describe. Throws std::invalid_argument naming the header.
@@ -41,4 +41,4 @@
 
 }  // namespace dispatcher::platform_api
 
-#endif  // DISPATCHER_PLATFORM_API_FRONT_HPP_
+#endif  // DISPATCHER_PLATFORM_API_FRONTEND_HPP_
--- a/src/rate_limit/table.cpp
+++ b/src/rate_limit/counter_table.cpp
@@ -1,4 +1,4 @@
-#include "rate_limit/table.hpp"
+#include "rate_limit/counter_table.hpp"
 
 #include <algorithm>
 #include <array>
@@ -10,13 +10,13 @@
 __extension__ using Wide = unsigned __int128;
 }
 
-Table::Table(std::size_t keys) {
+CounterTable::CounterTable(std::size_t keys) {
   // Sets of a few: with a fifth more room than keys, hardly one set is full before the table is.
   const std::size_t sets = std::max<std::size_t>(1, (keys + keys / 5 + kWays - 1) / kWays);
   entries_.resize(sets * kWays);
 }
 
-std::span<Table::Entry> Table::set(std::uint64_t key) {
+std::span<CounterTable::Entry> CounterTable::set(std::uint64_t key) {
   const std::size_t sets = entries_.size() / kWays;
   const auto at = static_cast<std::size_t>((static_cast<Wide>(key) * sets) >> 64U);
   return std::span(entries_).subspan(at * kWays, kWays);
@@ -24,9 +24,11 @@
 
 // Each key may stand in either of two sets: where only one would do, one in thirteen found no room in a table
 // that was five sixths full.
-std::span<Table::Entry> Table::other_set(std::uint64_t key) { return set(key * 0x9E3779B97F4A7C15ULL); }
+std::span<CounterTable::Entry> CounterTable::other_set(std::uint64_t key) {
+  return set(key * 0x9E3779B97F4A7C15ULL);
+}
 
-Table::Entry* Table::find(std::uint64_t key) {
+CounterTable::Entry* CounterTable::find(std::uint64_t key) {
   for (const auto where : {set(key), other_set(key)}) {
     for (Entry& e : where) {
       if (e.key == key) return &e;
@@ -37,10 +39,10 @@
 
 // The key's entry, made where there is none: in place of one that holds nothing, or else of the one that is
 // furthest from its limit. One that is at its limit, or whose requests run, never makes room.
-Table::Entry& Table::entry(const Charge& charge, std::int64_t now) {
+CounterTable::Entry& CounterTable::entry(const Charge& charge, std::int64_t now) {
   if (Entry* known = find(charge.key)) return *known;
   Entry* room = nullptr;
-  std::size_t most_idle = 0;
+  std::size_t max_idle = 0;
   const auto ahead = [&](const Entry& x) { return x.key == 0 || x.idle(now) ? 0 : x.arrival - now; };
   for (const auto where : {set(charge.key), other_set(charge.key)}) {
     Entry* best = nullptr;
@@ -50,9 +52,9 @@
       idle += ahead(e) == 0 ? 1 : 0;
       if (best == nullptr || ahead(e) < ahead(*best)) best = &e;
     }
-    if (best == nullptr || (room != nullptr && idle <= most_idle && ahead(*best) >= ahead(*room))) continue;
+    if (best == nullptr || (room != nullptr && idle <= max_idle && ahead(*best) >= ahead(*room))) continue;
     room = best;
-    most_idle = idle;
+    max_idle = idle;
   }
   if (room == nullptr) {
     ++shared_;
@@ -64,15 +66,15 @@
   return *room;
 }
 
-Nanoseconds Table::wait(const Entry& e, const Bound& b, std::int64_t now) {
+Nanoseconds CounterTable::wait(const Entry& e, const Bound& b, std::int64_t now) {
   const std::int64_t ahead = e.arrival - b.tolerance.count() - now;
   const bool late = b.interval.count() > 0 && ahead > 0;
-  const bool full = e.in_progress >= b.most;
+  const bool full = e.in_progress >= b.maximum;
   return std::max(late ? Nanoseconds(ahead) : Nanoseconds(0),
                   full ? std::max(b.retry, Nanoseconds(1)) : Nanoseconds(0));
 }
 
-Nanoseconds Table::admit(std::span<const Charge> charges, Nanoseconds at, std::span<Held> held) {
+Nanoseconds CounterTable::admit(std::span<const Charge> charges, Nanoseconds at, std::span<Held> held) {
   const std::int64_t now = at.count();
   Nanoseconds longest{0};
   for (const Charge& c : charges) longest = std::max(longest, wait(entry(c, now), c.bound, now));
@@ -84,20 +86,20 @@
     held[i] = {c.key, c.bound.id, e.key != c.key};
     e.arrival = std::max(e.arrival, now) + c.bound.interval.count();
     e.tolerance = c.bound.tolerance.count();
-    e.most = c.bound.most;
-    if (c.bound.most != Bound::kAny) ++e.in_progress;
+    e.maximum = c.bound.maximum;
+    if (c.bound.maximum != Bound::kAny) ++e.in_progress;
   }
   return Nanoseconds(0);
 }
 
-void Table::release(const Held& held) {
+void CounterTable::release(const Held& held) {
   const auto it = held.overflow ? overflow_.find(held.limit) : overflow_.end();
   Entry* e = held.overflow ? it == overflow_.end() ? nullptr : &it->second : find(held.key);
   if (e != nullptr && e->in_progress > 0) --e->in_progress;
 }
 
-void Table::resize(std::size_t keys, Nanoseconds now) {
-  Table next(keys);
+void CounterTable::resize(std::size_t keys, Nanoseconds now) {
+  CounterTable next(keys);
   if (next.entries_.size() == entries_.size()) return;
   std::vector<Entry> kept;
   std::copy_if(entries_.begin(), entries_.end(), std::back_inserter(kept),
@@ -117,7 +119,7 @@
   entries_ = std::move(next.entries_);
 }
 
-std::size_t Table::used(Nanoseconds now) const {
+std::size_t CounterTable::used(Nanoseconds now) const {
   return static_cast<std::size_t>(std::count_if(
       entries_.begin(), entries_.end(), [&](const Entry& e) { return e.key != 0 && !e.idle(now.count()); }));
 }
--- a/src/rate_limit/table.hpp
+++ b/src/rate_limit/counter_table.hpp
@@ -1,7 +1,7 @@
 // Counters of limits by key, in a table of fixed size: rates by GCRA (the generic cell rate algorithm, ITU-T
 // I.371) and requests in progress. No I/O; the clock is passed in.
-#ifndef DISPATCHER_RATE_LIMIT_TABLE_HPP_
-#define DISPATCHER_RATE_LIMIT_TABLE_HPP_
+#ifndef DISPATCHER_RATE_LIMIT_COUNTER_TABLE_HPP_
+#define DISPATCHER_RATE_LIMIT_COUNTER_TABLE_HPP_
 
 #include <chrono>
 #include <cstdint>
@@ -17,11 +17,11 @@
 // A limit, as far as one instance keeps it.
 struct Bound {
   static constexpr std::uint32_t kAny = std::numeric_limits<std::uint32_t>::max();
-  std::uint64_t id = 0;       // of the limit: the same for as long as it stays what it is
-  Nanoseconds interval{};     // between two requests at the rate; 0: no rate
-  Nanoseconds tolerance{};    // how far ahead of the rate a burst may run
-  std::uint32_t most = kAny;  // requests in progress
-  Nanoseconds retry{};        // when to come back, where too many are in progress
+  std::uint64_t id = 0;          // of the limit: the same for as long as it stays what it is
+  Nanoseconds interval{};        // between two requests at the rate; 0: no rate
+  Nanoseconds tolerance{};       // how far ahead of the rate a burst may run
+  std::uint32_t maximum = kAny;  // requests in progress
+  Nanoseconds retry{};           // when to come back, where too many are in progress
 };
 
 // A request under one limit.
@@ -36,10 +36,10 @@
   bool overflow = false;  // counted under the limit's one entry for keys that found no room
 };
 
-class Table {
+class CounterTable {
  public:
   // Room for about `keys` keys at once, in 32 bytes each.
-  explicit Table(std::size_t keys);
+  explicit CounterTable(std::size_t keys);
 
   // Zero: admitted, and counted under all charges; `held` takes one for each. Else nothing is counted, and
   // the request may come again after this.
@@ -57,7 +57,7 @@
     std::uint64_t key = 0;       // 0: free
     std::int64_t arrival = 0;    // the theoretical arrival time, ns
     std::int64_t tolerance = 0;  // as it was when last charged: past it the key is at its limit
-    std::uint32_t in_progress = 0, most = Bound::kAny;
+    std::uint32_t in_progress = 0, maximum = Bound::kAny;
     bool idle(std::int64_t now) const { return in_progress == 0 && arrival <= now; }
     // Would its next request be refused, or is any still to come to its end?
     bool pinned(std::int64_t now) const { return in_progress > 0 || arrival - tolerance > now; }
@@ -78,4 +78,4 @@
 
 }  // namespace dispatcher::rate_limit
 
-#endif  // DISPATCHER_RATE_LIMIT_TABLE_HPP_
+#endif  // DISPATCHER_RATE_LIMIT_COUNTER_TABLE_HPP_
--- a/src/rate_limit/explain.cpp
+++ b/src/rate_limit/explain.cpp
@@ -36,7 +36,7 @@
   const auto program =
       expression::Program::compile(expression::to_text(node), rules.fields(), node.type.kind);
   expression::Scratch scratch;
-  scratch.reserve(program.most_values(), program.most_text());
+  scratch.reserve(program.max_values(), program.max_text());
   return program.run(values, scratch);
 }
 
@@ -72,7 +72,7 @@
   f.retry = data["retry"].flag();
   f.prompt_tokens = data["prompt_tokens"].integer();
   f.shared_tokens = data["shared_tokens"].integer();
-  f.most_tokens = data["most_tokens"].integer();
+  f.max_tokens = data["most_tokens"].integer();
   f.time_left_ms = data["time_left_ms"].integer();
   for (const auto& [name, value] : data["headers"].fields()) s.headers[name] = value.text();
   for (const Header& wanted : rules.headers()) {
@@ -83,7 +83,7 @@
   return sample;
 }
 
-std::vector<std::string> explain(const RuleSet& rules, const Facts& facts, std::size_t most) {
+std::vector<std::string> explain(const RuleSet& rules, const Facts& facts, std::size_t maximum) {
   std::vector<std::string> lines;
   std::array<char, 16> session{};
   const auto values = rules.values(facts, session);
@@ -92,7 +92,7 @@
   const Decision decision = rules.decide(facts, scratch);
   const std::size_t before =
       decision.rule < 0 ? rules.rules().size() : static_cast<std::size_t>(decision.rule);
-  const std::size_t from = before > most ? before - most : 0;
+  const std::size_t from = before > maximum ? before - maximum : 0;
   if (from > 0) lines.push_back(std::to_string(from) + " rules before these do not match either");
   for (std::size_t i = from; i < before; ++i)
     lines.push_back("no    " + rules.rules()[i].name + ": " + reason(rules, i, values));
--- a/src/rate_limit/explain.hpp
+++ b/src/rate_limit/explain.hpp
@@ -23,7 +23,7 @@
 
 // A line for each rule up to the one that matches (of more than `most` only the last ones), then what that
 // one computes.
-std::vector<std::string> explain(const RuleSet& rules, const Facts& facts, std::size_t most = 50);
+std::vector<std::string> explain(const RuleSet& rules, const Facts& facts, std::size_t maximum = 50);
 
 }  // namespace dispatcher::rate_limit
 
--- a/src/rate_limit/facts.cpp
+++ b/src/rate_limit/facts.cpp
@@ -51,7 +51,7 @@
   values[n++] = Value::of(facts.retry);
   values[n++] = Value::of(facts.prompt_tokens);
   values[n++] = Value::of(facts.shared_tokens);
-  values[n++] = Value::of(facts.most_tokens);
+  values[n++] = Value::of(facts.max_tokens);
   values[n++] = Value::of(facts.time_left_ms);
 }
 
--- a/src/rate_limit/facts.hpp
+++ b/src/rate_limit/facts.hpp
@@ -26,7 +26,7 @@
   std::string_view request_class, account;
   std::optional<std::string_view> model;
   std::uint64_t session = 0;  // 0: none
-  std::int64_t prompt_tokens = 0, shared_tokens = 0, most_tokens = 0, time_left_ms = 0;
+  std::int64_t prompt_tokens = 0, shared_tokens = 0, max_tokens = 0, time_left_ms = 0;
   bool chat = false, retry = false;
   std::vector<std::optional<std::string_view>> headers;  // as RuleSet::headers() lists them
 };
--- a/src/rate_limit/gate.cpp
+++ b/src/rate_limit/rate_limiter.cpp
@@ -1,4 +1,4 @@
-#include "rate_limit/gate.hpp"
+#include "rate_limit/rate_limiter.hpp"
 
 #include <algorithm>
 
@@ -14,15 +14,15 @@
 
 // May a request of `from` be treated as one of `to` without being repeated where it must not be?
 bool may_become(const routing::RequestClass* from, const routing::RequestClass* to) {
-  using routing::Repeat;
+  using routing::Idempotency;
   if (to == nullptr) return false;
-  if (from == nullptr || from->repeat == Repeat::kSafe) return true;
-  return to->repeat == Repeat::kUnsafe;
+  if (from == nullptr || from->idempotency == Idempotency::kIdempotent) return true;
+  return to->idempotency == Idempotency::kNonIdempotent;
 }
 
 }  // namespace
 
-void Gate::adopt(std::shared_ptr<const RuleSet> rules, routing::Time now) {
+void RateLimiter::adopt(std::shared_ptr<const RuleSet> rules, routing::Time now) {
   rules_ = std::move(rules);
   if (rules_ == nullptr) return;  // the table stays: what is in progress is still counted
   rules_->reserve(scratch_);
@@ -31,8 +31,9 @@
   if (limited) table_.resize(rules_->keys(), now);
 }
 
-Gate::Passage Gate::pass(routing::Request& request, const Facts& facts, const routing::Settings& settings,
-                         routing::Time now, const Stop& stop) {
+RateLimiter::Passage RateLimiter::pass(routing::Request& request, const Facts& facts,
+                                       const routing::Settings& settings, routing::Time now,
+                                       const Stop& stop) {
   Passage passage;
   Decision decision;
   if (rules_ != nullptr) {
@@ -43,29 +44,30 @@
     passage.rule = &rules_->rules()[static_cast<std::size_t>(decision.rule)];
     apply(decision, request, settings);
   }
-  if (stop && (passage.refused = stop(request))) return passage;
-  std::array<Charge, kMostLimits> charges;
+  if (stop && (passage.rejected = stop(request))) return passage;
+  std::array<Charge, kMaxLimits> charges;
   for (std::size_t i = 0; i < decision.limit_count; ++i) {
     const auto& [limit, key] = decision.limits[i];
     // Spread by the instance's own seed: nobody outside can tell which keys meet in one place.
     charges[i] = {part_of(*limit, instance_, instances_), std::max<std::uint64_t>(1, key ^ seed_)};
   }
-  std::array<Held, kMostLimits> held;
+  std::array<Held, kMaxLimits> held;
   const std::span<const Charge> all(charges.data(), decision.limit_count);
   if (const Nanoseconds wait = table_.admit(all, now, held); wait.count() > 0) {
-    ++counts_.refused;
-    passage.refused = std::chrono::ceil<routing::Duration>(wait);
+    ++counts_.rejected;
+    passage.rejected = std::chrono::ceil<routing::Duration>(wait);
     tell(passage.rule->name, now);
     return passage;
   }
   ++counts_.passed;
   for (std::size_t i = 0; i < all.size(); ++i) {
-    if (all[i].bound.most != Bound::kAny) passage.ticket.held_[passage.ticket.count_++] = held[i];
+    if (all[i].bound.maximum != Bound::kAny) passage.ticket.held_[passage.ticket.count_++] = held[i];
   }
   return passage;
 }
 
-void Gate::apply(const Decision& decision, routing::Request& request, const routing::Settings& settings) {
+void RateLimiter::apply(const Decision& decision, routing::Request& request,
+                        const routing::Settings& settings) {
   if (decision.request_class != nullptr) {
     const bool may = may_become(find_class(settings, request.request_class),
                                 find_class(settings, *decision.request_class));
@@ -75,7 +77,7 @@
   if (decision.session) request.session = *decision.session;
 }
 
-void Gate::tell(const std::string& rule, routing::Time now) {
+void RateLimiter::tell(const std::string& rule, routing::Time now) {
   constexpr routing::Duration kEvery = std::chrono::seconds(10);
   ++untold_;
   if (!log_ || now < tell_next_) return;
@@ -84,7 +86,7 @@
        " refused since the last such line, now by rule '" + rule + "'");
 }
 
-void Gate::release(Ticket& ticket) {
+void RateLimiter::release(Ticket& ticket) {
   for (std::size_t i = 0; i < ticket.count_; ++i) table_.release(ticket.held_[i]);
   ticket.count_ = 0;
 }
--- a/src/rate_limit/gate.hpp
+++ b/src/rate_limit/rate_limiter.hpp
@@ -1,7 +1,7 @@
 // Where every request passes before anything is taken or sent: the rules decide, the table counts. One gate
 // serves all fronts of an instance. No I/O; the clock is passed in.
-#ifndef DISPATCHER_RATE_LIMIT_GATE_HPP_
-#define DISPATCHER_RATE_LIMIT_GATE_HPP_
+#ifndef DISPATCHER_RATE_LIMIT_RATE_LIMITER_HPP_
+#define DISPATCHER_RATE_LIMIT_RATE_LIMITER_HPP_
 
 #include <array>
 #include <functional>
@@ -11,8 +11,8 @@
 #include <string_view>
 #include <utility>
 
+#include "rate_limit/counter_table.hpp"
 #include "rate_limit/rules.hpp"
-#include "rate_limit/table.hpp"
 #include "routing/router.hpp"
 
 namespace dispatcher::rate_limit {
@@ -24,16 +24,16 @@
   bool empty() const { return count_ == 0; }
 
  private:
-  friend class Gate;
-  std::array<Held, kMostLimits> held_{};
+  friend class RateLimiter;
+  std::array<Held, kMaxLimits> held_{};
   std::size_t count_ = 0;
 };
 
-class Gate {
+class RateLimiter {
  public:
   using Log = std::function<void(std::string_view)>;
   // `log` hears of refusals: of the first at once, then at most every ten seconds of how many there were.
-  explicit Gate(std::uint64_t seed, Log log = {}) : seed_(seed), log_(std::move(log)), table_(0) {}
+  explicit RateLimiter(std::uint64_t seed, Log log = {}) : seed_(seed), log_(std::move(log)), table_(0) {}
 
   // Other rules for the requests from now on; none: every request passes as it is. Counters of limits that
   // stay the same go on.
@@ -46,8 +46,8 @@
   const RuleSet* rules() const { return rules_.get(); }
 
   struct Passage {
-    std::optional<routing::Duration> refused;  // and when to come back
-    const Rule* rule = nullptr;                // that decided
+    std::optional<routing::Duration> rejected;  // and when to come back
+    const Rule* rule = nullptr;                 // that decided
     Ticket ticket;
   };
   // Applies what the rules compute to the request: its class, account and session. A class that may be
@@ -59,10 +59,10 @@
   void release(Ticket& ticket);
 
   struct Counts {
-    std::uint64_t passed = 0, refused = 0, faults = 0, kept_class = 0;
+    std::uint64_t passed = 0, rejected = 0, faults = 0, kept_class = 0;
   };
   const Counts& counts() const { return counts_; }
-  const Table& table() const { return table_; }
+  const CounterTable& table() const { return table_; }
 
  private:
   void apply(const Decision& decision, routing::Request& request, const routing::Settings& settings);
@@ -73,7 +73,7 @@
   Log log_;
   std::size_t instance_ = 0, instances_ = 1;
   expression::Scratch scratch_;
-  Table table_;
+  CounterTable table_;
   Counts counts_;
   std::uint64_t untold_ = 0;  // refusals since the last line
   routing::Time tell_next_{};
@@ -81,4 +81,4 @@
 
 }  // namespace dispatcher::rate_limit
 
-#endif  // DISPATCHER_RATE_LIMIT_GATE_HPP_
+#endif  // DISPATCHER_RATE_LIMIT_RATE_LIMITER_HPP_
--- a/src/rate_limit/rules.cpp
+++ b/src/rate_limit/rules.cpp
@@ -9,7 +9,7 @@
 #include <set>
 
 #include "cue/schema.hpp"
-#include "expression/from_record.hpp"
+#include "expression/from_cue.hpp"
 
 namespace dispatcher::rate_limit {
 
@@ -43,12 +43,12 @@
 }
 )cue";
 
-constexpr std::size_t kMostHeaders = 32, kMostRules = 20'000;
+constexpr std::size_t kMaxHeaders = 32, kMaxRules = 20'000;
 constexpr std::size_t kLongestKey = 1024;
-constexpr double kMostBytes = 64e6;  // of programs and automata together
-constexpr double kFixedNs = 300;     // what a decision costs besides its expressions
+constexpr double kMaxBytes = 64e6;  // of programs and automata together
+constexpr double kFixedNs = 300;    // what a decision costs besides its expressions
 constexpr double kHeaderNs = 60, kHeaderByteNs = 1, kKeyNs = 200, kKeyByteNs = 0.5;
-constexpr Nanoseconds kMostTime = std::chrono::hours(240);
+constexpr Nanoseconds kMaxTime = std::chrono::hours(240);
 
 std::uint64_t hash(std::string_view text, std::uint64_t seed) {
   return XXH3_64bits_withSeed(text.data(), text.size(), seed);
@@ -101,7 +101,7 @@
   bound.id = limit.id;
   const auto n = static_cast<double>(std::max<std::size_t>(1, instances));
   const auto bounded = [](double ns) {
-    return Nanoseconds(static_cast<std::int64_t>(std::min(ns, static_cast<double>(kMostTime.count()))));
+    return Nanoseconds(static_cast<std::int64_t>(std::min(ns, static_cast<double>(kMaxTime.count()))));
   };
   if (limit.rate > 0) {
     const double interval = 1e9 * n / limit.rate;
@@ -111,7 +111,7 @@
   if (limit.in_progress) {
     const std::int64_t whole = *limit.in_progress, count = static_cast<std::int64_t>(n);
     const std::int64_t part = whole / count + (static_cast<std::int64_t>(instance) < whole % count ? 1 : 0);
-    bound.most = static_cast<std::uint32_t>(whole == 0 ? 0 : std::max<std::int64_t>(1, part));
+    bound.maximum = static_cast<std::uint32_t>(whole == 0 ? 0 : std::max<std::int64_t>(1, part));
   }
   bound.retry = std::chrono::milliseconds(limit.retry_ms);
   return bound;
@@ -137,8 +137,8 @@
                                   [](unsigned char c) { return std::isalnum(c) != 0 || c == '_'; }) &&
                       !field.empty() && std::isdigit(static_cast<unsigned char>(field[0])) == 0;
     if (!word) reader.bad(header, "a header's field is a word, such as tier");
-    if (set.headers_.size() == kMostHeaders) {
-      reader.bad(header, "more than " + std::to_string(kMostHeaders) + " headers");
+    if (set.headers_.size() == kMaxHeaders) {
+      reader.bad(header, "more than " + std::to_string(kMaxHeaders) + " headers");
       break;
     }
     const auto longest = static_cast<std::size_t>(header["longest"].integer());
@@ -146,8 +146,8 @@
     set.fields_.add({"header." + field, Kind::kString, true, longest, {}});
   }
 
-  if (data["rules"].items().size() > kMostRules)
-    reader.bad(data["rules"], "more than " + std::to_string(kMostRules) + " rules");
+  if (data["rules"].items().size() > kMaxRules)
+    reader.bad(data["rules"], "more than " + std::to_string(kMaxRules) + " rules");
   std::vector<expression::Program> conditions;
   std::set<std::string> names;
   double bytes = 0;
@@ -164,8 +164,8 @@
     reader.check_name(r["class"], rule.request_class, vocabulary.classes, "class");
     reader.check_name(r["account"], rule.account, vocabulary.accounts, "account");
     const auto& limits = r["limits"].items();
-    if (limits.size() > kMostLimits)
-      reader.bad(r["limits"], "more than " + std::to_string(kMostLimits) + " limits");
+    if (limits.size() > kMaxLimits)
+      reader.bad(r["limits"], "more than " + std::to_string(kMaxLimits) + " limits");
     for (std::size_t i = 0; i < limits.size(); ++i)
       rule.limits.push_back(reader.limit(limits[i], rule.name, i, set.fields_));
     if (when) {
@@ -173,8 +173,8 @@
       conditions.push_back(std::move(*when));
     }
     set.rules_.push_back(std::move(rule));
-    if (bytes > kMostBytes) {
-      reader.bad(r, "the rules take more than " + std::to_string(static_cast<int>(kMostBytes / 1e6)) +
+    if (bytes > kMaxBytes) {
+      reader.bad(r, "the rules take more than " + std::to_string(static_cast<int>(kMaxBytes / 1e6)) +
                         " MB from here on");
       break;
     }
@@ -223,7 +223,7 @@
 
 void RuleSet::reserve(expression::Scratch& scratch) const {
   conditions_.reserve(scratch);
-  const auto one = [&](const expression::Program& p) { scratch.reserve(p.most_values(), p.most_text()); };
+  const auto one = [&](const expression::Program& p) { scratch.reserve(p.max_values(), p.max_text()); };
   for (const Rule& rule : rules_) {
     for (const auto* p : {&rule.request_class, &rule.account, &rule.session}) {
       if (*p) one(**p);
--- a/src/rate_limit/rules.hpp
+++ b/src/rate_limit/rules.hpp
@@ -14,12 +14,12 @@
 
 #include "cue/data.hpp"
 #include "expression/first_match.hpp"
+#include "rate_limit/counter_table.hpp"
 #include "rate_limit/facts.hpp"
-#include "rate_limit/table.hpp"
 
 namespace dispatcher::rate_limit {
 
-inline constexpr std::size_t kMostLimits = 4;  // of one rule
+inline constexpr std::size_t kMaxLimits = 4;  // of one rule
 
 // A header that rules may ask for.
 struct Header {
@@ -54,7 +54,7 @@
   const std::string* request_class = nullptr;  // as the settings have it
   std::optional<std::string> account;
   std::optional<std::uint64_t> session;
-  std::array<std::pair<const Limit*, std::uint64_t>, kMostLimits> limits{};  // with the key's hash
+  std::array<std::pair<const Limit*, std::uint64_t>, kMaxLimits> limits{};  // with the key's hash
   std::size_t limit_count = 0;
   int faults = 0;  // computed values that had none, or an unknown name: the request's own stays
 };
--- a/src/replicated_state/rights.cpp
+++ b/src/replicated_state/bounded_counter.cpp
@@ -1,4 +1,4 @@
-#include "replicated_state/rights.hpp"
+#include "replicated_state/bounded_counter.hpp"
 
 #define XXH_INLINE_ALL
 #include <xxhash.h>
@@ -12,8 +12,8 @@
 namespace {
 
 constexpr std::uint64_t kMicro = 1'000'000;  // levels count millionths of a unit: a unit a second is one a µs
-constexpr Duration kMostDepth = std::chrono::minutes(10);
-constexpr int kMostPause = 16;  // times the first, between two repetitions of an ask
+constexpr Duration kMaxDepth = std::chrono::minutes(10);
+constexpr int kMaxPause = 16;  // times the first, between two repetitions of an ask
 constexpr Duration kRemembered = std::chrono::minutes(10);  // a whole of units that has ended
 
 std::uint64_t less(std::uint64_t a, std::uint64_t b) { return a > b ? a - b : 0; }
@@ -23,7 +23,7 @@
 
 }  // namespace
 
-std::uint64_t share_of(const Whole& whole, Number number, Number count) {
+std::uint64_t share_of(const Budget& whole, Number number, Number count) {
   const std::uint64_t fields[] = {whole.id.kind, whole.id.key};
   const std::uint64_t first = XXH3_64bits(fields, sizeof fields) % count;
   const std::uint64_t place = (number + count - first) % count;
@@ -35,27 +35,28 @@
   return Duration(static_cast<Duration::rep>(std::ceil(longest)) + 1);
 }
 
-Rights::Rights(const Terms& terms, Number self, Number count, std::uint64_t life, Time now, Random random)
+BoundedCounter::BoundedCounter(const Terms& terms, Number self, Number count, std::uint64_t life, Time now,
+                               Random random)
     : terms_(terms),
       self_(self),
       count_(count),
       life_(life),
-      lends_from_(terms.lends ? now + outlasts(kMostLease, terms.drift) : now),
+      lends_from_(terms.lends ? now + outlasts(kMaxLease, terms.drift) : now),
       random_(random) {}
 
-const Rights::Holding* Rights::find(const WholeId& id) const {
+const BoundedCounter::Holding* BoundedCounter::find(const BudgetId& id) const {
   const auto it = wholes_.find(id);
   return it == wholes_.end() ? nullptr : &it->second;
 }
 
-bool Rights::open(Time now, const Whole& whole, bool saw_begin) {
-  if (whole.amount > kMostAmount || whole.depth < Duration::zero() || whole.depth > kMostDepth) return false;
+bool BoundedCounter::open(Time now, const Budget& whole, bool saw_begin) {
+  if (whole.amount > kMaxAmount || whole.depth < Duration::zero() || whole.depth > kMaxDepth) return false;
   if (Holding* held = find(whole.id)) {
     if (whole.nature == Nature::kSpent || held->whole.nature == Nature::kSpent) return !held->closed;
     held->closed = false;
     return true;
   }
-  if (wholes_.size() >= terms_.most_wholes) return false;
+  if (wholes_.size() >= terms_.max_wholes) return false;
   Holding& h = wholes_[whole.id];
   h.whole = whole;
   h.units = whole.nature == Nature::kRate || saw_begin ? share_of(whole, self_, count_) : 0;
@@ -63,37 +64,37 @@
   return true;
 }
 
-void Rights::close(Time now, const WholeId& id) {
+void BoundedCounter::close(Time now, const BudgetId& id) {
   Holding* h = find(id);
   if (h == nullptr || h->closed) return;
   settle(now, *h);
   h->closed = true;
   h->wanted = 0;
-  h->forget = now + (h->whole.nature == Nature::kSpent ? kRemembered : outlasts(kMostLease, terms_.drift));
+  h->forget = now + (h->whole.nature == Nature::kSpent ? kRemembered : outlasts(kMaxLease, terms_.drift));
 }
 
 // How much there is.
 
-std::uint64_t Rights::kept(const Holding& h) const {
+std::uint64_t BoundedCounter::kept(const Holding& h) const {
   return static_cast<std::uint64_t>(static_cast<double>(h.units) * terms_.kept);
 }
 
-std::uint64_t Rights::lent_out(Time at, const Holding& h) {
+std::uint64_t BoundedCounter::lent_out(Time at, const Holding& h) {
   std::uint64_t sum = 0;
   for (const auto& [to, lent] : h.lent) sum += lent.until && *lent.until > at ? lent.amount : 0;
   return sum;
 }
 
-std::uint64_t Rights::own_rate(Time at, const Holding& h) const {
+std::uint64_t BoundedCounter::own_rate(Time at, const Holding& h) const {
   return at < lends_from_ ? kept(h) : h.units - lent_out(at, h);
 }
 
-std::uint64_t Rights::rate(Time now, const WholeId& id) const {
+std::uint64_t BoundedCounter::rate(Time now, const BudgetId& id) const {
   const Holding* h = find(id);
   return h == nullptr || h->closed || h->whole.nature != Nature::kRate ? 0 : have(now, *h);
 }
 
-std::uint64_t Rights::have(Time now, const Holding& h) const {
+std::uint64_t BoundedCounter::have(Time now, const Holding& h) const {
   if (h.whole.nature == Nature::kSpent) return h.units;
   std::uint64_t sum = own_rate(now, h);
   for (const auto& [from, loan] : h.borrowed) sum += loan.until > now ? loan.amount : 0;
@@ -102,9 +103,9 @@
 
 // Since the last settlement our own rate can only have grown by loans that ended, and borrowed ones can only
 // have ended: what is reckoned with the former at its start and the latter to their ends is never too much.
-std::uint64_t Rights::level(Time now, const Holding& h) const {
+std::uint64_t BoundedCounter::level(Time now, const Holding& h) const {
   const std::uint64_t own = own_rate(h.settled, h);
-  std::uint64_t level = h.level + own * std::min(micros(now - h.settled), micros(kMostDepth));
+  std::uint64_t level = h.level + own * std::min(micros(now - h.settled), micros(kMaxDepth));
   std::uint64_t rate = own;
   for (const auto& [from, loan] : h.borrowed) {
     level += loan.amount * micros(std::min(now, loan.until) - h.settled);
@@ -113,20 +114,20 @@
   return std::min(level, rate * micros(h.whole.depth));
 }
 
-void Rights::settle(Time now, Holding& h) {
+void BoundedCounter::settle(Time now, Holding& h) {
   if (h.whole.nature != Nature::kRate) return;
   h.level = level(now, h);
   h.settled = std::max(h.settled, now);
   counts_.lapsed += std::erase_if(h.borrowed, [&](const auto& entry) { return entry.second.until <= now; });
 }
 
-std::uint64_t Rights::available(Time now, const WholeId& id) const {
+std::uint64_t BoundedCounter::available(Time now, const BudgetId& id) const {
   const Holding* h = find(id);
   if (h == nullptr || h->closed) return 0;
   return h->whole.nature == Nature::kSpent ? h->units : level(now, *h) / kMicro;
 }
 
-bool Rights::use(Time now, const WholeId& id, std::uint64_t amount) {
+bool BoundedCounter::use(Time now, const BudgetId& id, std::uint64_t amount) {
   Holding* h = find(id);
   if (h == nullptr || h->closed || available(now, id) < amount) return false;
   settle(now, *h);
@@ -138,20 +139,21 @@
   return true;
 }
 
-void Rights::want(const WholeId& id, std::uint64_t amount) {
+void BoundedCounter::want(const BudgetId& id, std::uint64_t amount) {
   if (Holding* h = find(id); h != nullptr && !h->closed) h->wanted = std::min(amount, h->whole.amount);
 }
 
 // The giver's side.
 
-std::uint64_t Rights::spare(Time now, const Holding& h) const {
+std::uint64_t BoundedCounter::spare(Time now, const Holding& h) const {
   if (h.closed || !terms_.lends) return 0;
   if (h.whole.nature == Nature::kSpent) return less(h.units, h.wanted);
   if (now < lends_from_) return 0;
   return less(h.units - lent_out(now, h), std::max(kept(h), h.wanted));
 }
 
-std::optional<std::uint64_t> Rights::give_units(Holding& h, Number to, std::uint64_t life, const Ask& ask) {
+std::optional<std::uint64_t> BoundedCounter::give_units(Holding& h, Number to, std::uint64_t life,
+                                                        const Ask& ask) {
   Lent& given = h.lent[to];
   const auto before = std::pair(given.life, given.sequence), asked = std::pair(life, ask.sequence);
   if (asked < before) return std::nullopt;  // late: answered once, and the asker has gone on
@@ -162,8 +164,8 @@
   return amount;
 }
 
-std::optional<std::uint64_t> Rights::lend_rate(Time now, Holding& h, Number to, std::uint64_t life,
-                                               const Ask& ask) {
+std::optional<std::uint64_t> BoundedCounter::lend_rate(Time now, Holding& h, Number to, std::uint64_t life,
+                                                       const Ask& ask) {
   Lent& lent = h.lent[to];
   if (life < lent.life || (life == lent.life && ask.sequence < lent.sequence)) return std::nullopt;
   if (life == lent.life && ask.sequence == lent.sequence) return lent.amount;  // the answer was lost
@@ -182,7 +184,7 @@
   return amount;
 }
 
-std::optional<Grant> Rights::answer(Time now, Number from, std::uint64_t life, const Ask& ask) {
+std::optional<Grant> BoundedCounter::answer(Time now, Number from, std::uint64_t life, const Ask& ask) {
   Holding* h = find(ask.whole);
   if (h == nullptr || ask.sequence == 0) return Grant{ask.whole, life, ask.sequence, 0, {}};
   settle(now, *h);
@@ -194,7 +196,7 @@
                h->whole.nature == Nature::kRate ? terms_.lease : Duration{}};
 }
 
-void Rights::take_back(Time now, Number from, std::uint64_t life, const Return& back) {
+void BoundedCounter::take_back(Time now, Number from, std::uint64_t life, const Return& back) {
   Holding* h = find(back.whole);
   if (h == nullptr || h->whole.nature != Nature::kRate) return;
   const auto it = h->lent.find(from);
@@ -207,10 +209,10 @@
 
 // The asker's side.
 
-void Rights::take(Time now, Number from, const Grant& grant) {
+void BoundedCounter::take(Time now, Number from, const Grant& grant) {
   Holding* h = find(grant.whole);
   if (h == nullptr || !h->asked || h->asked->lender != from || h->asked->ask.sequence != grant.sequence ||
-      grant.life != life_ || grant.amount > h->asked->ask.amount || grant.lease > kMostLease) {
+      grant.life != life_ || grant.amount > h->asked->ask.amount || grant.lease > kMaxLease) {
     ++counts_.ignored;
     return;
   }
@@ -234,7 +236,7 @@
 
 // A loan that has not come is waited for no longer than half its time. The lender may have it back at once,
 // unless it goes on with one that is in use.
-void Rights::give_up(Time now, Holding& h, std::vector<Transfer>& out) {
+void BoundedCounter::give_up(Time now, Holding& h, std::vector<Transfer>& out) {
   if (!h.asked || h.whole.nature != Nature::kRate || now < h.asked->first + terms_.lease / 2) return;
   const Asked asked = *std::exchange(h.asked, std::nullopt);
   h.ask_at = now + terms_.ask_pause;
@@ -242,7 +244,7 @@
 }
 
 // What has expired was dropped when tick() settled.
-void Rights::give_back(Time now, Holding& h, std::vector<Transfer>& out) {
+void BoundedCounter::give_back(Time now, Holding& h, std::vector<Transfer>& out) {
   for (auto it = h.borrowed.begin(); it != h.borrowed.end();) {
     const std::uint64_t without = have(now, h) - it->second.amount;
     if (!h.closed && without < h.wanted) {
@@ -255,10 +257,11 @@
   }
 }
 
-void Rights::ask(Time now, Holding& h, const std::vector<Number>& living, std::vector<Transfer>& out) {
+void BoundedCounter::ask(Time now, Holding& h, const std::vector<Number>& living,
+                         std::vector<Transfer>& out) {
   if (h.asked) {
     if (now < h.asked->again) return;
-    h.asked->pause = std::min(h.asked->pause * 2, terms_.ask_again * kMostPause);
+    h.asked->pause = std::min(h.asked->pause * 2, terms_.ask_again * kMaxPause);
     h.asked->again = now + h.asked->pause;
     out.push_back({h.asked->lender, h.asked->ask});
     return;
@@ -293,7 +296,7 @@
   out.push_back({*lender, ask});
 }
 
-std::vector<Transfer> Rights::tick(Time now, const std::vector<Number>& living) {
+std::vector<Transfer> BoundedCounter::tick(Time now, const std::vector<Number>& living) {
   std::vector<Transfer> out;
   for (auto it = wholes_.begin(); it != wholes_.end();) {
     Holding& h = it->second;
@@ -307,9 +310,9 @@
   return out;
 }
 
-std::vector<Transfer> Rights::received(Time now, Number from, std::uint64_t life,
-                                       const std::vector<Ask>& asks, const std::vector<Grant>& grants,
-                                       const std::vector<Return>& returns) {
+std::vector<Transfer> BoundedCounter::received(Time now, Number from, std::uint64_t life,
+                                               const std::vector<Ask>& asks, const std::vector<Grant>& grants,
+                                               const std::vector<Return>& returns) {
   std::vector<Transfer> out;
   for (const Return& back : returns) take_back(now, from, life, back);
   for (const Ask& ask : asks) {
@@ -319,18 +322,18 @@
   return out;
 }
 
-void Rights::lost(Number number) {
+void BoundedCounter::lost(Number number) {
   for (auto& [id, h] : wholes_) {
     if (h.asked && h.asked->lender == number) h.asked.reset();
   }
 }
 
-void Rights::own_life(std::uint64_t life) {
+void BoundedCounter::own_life(std::uint64_t life) {
   life_ = life;
   for (auto& [id, h] : wholes_) h.asked.reset();
 }
 
-std::uint64_t Rights::state_hash(Time now) const {
+std::uint64_t BoundedCounter::state_hash(Time now) const {
   std::vector<std::uint64_t> s = {life_, sequence_};
   const auto time = [&](Time at) { s.push_back(static_cast<std::uint64_t>((at - now).count())); };
   time(std::max(now, lends_from_));
@@ -355,7 +358,7 @@
   return XXH3_64bits(s.data(), s.size() * sizeof s[0]);
 }
 
-std::optional<Time> Rights::next() const {
+std::optional<Time> BoundedCounter::next() const {
   std::optional<Time> at;
   const auto consider = [&](Time t) { at = at ? std::min(*at, t) : t; };
   for (const auto& [id, h] : wholes_) {
--- a/src/replicated_state/rights.hpp
+++ b/src/replicated_state/bounded_counter.hpp
@@ -19,8 +19,8 @@
 //
 // Clocks: steady, running on while the process is stopped, each within `drift` of true rate. They are
 // compared with themselves only. docs/design/fleet-as-one.md has the argument in full.
-#ifndef DISPATCHER_REPLICATED_STATE_RIGHTS_HPP_
-#define DISPATCHER_REPLICATED_STATE_RIGHTS_HPP_
+#ifndef DISPATCHER_REPLICATED_STATE_BOUNDED_COUNTER_HPP_
+#define DISPATCHER_REPLICATED_STATE_BOUNDED_COUNTER_HPP_
 
 #include <boost/random/taus88.hpp>
 #include <compare>
@@ -31,30 +31,30 @@
 #include <variant>
 #include <vector>
 
-#include "replicated_state/kinds.hpp"
+#include "replicated_state/entry_kinds.hpp"
 
 namespace dispatcher::replicated_state {
 
 using Random = boost::random::taus88;
 
-struct WholeId {
+struct BudgetId {
   std::uint32_t kind = 0;
   std::uint64_t key = 0;  // for kSpent with the whole's birth in it: a whole that has ended never comes again
-  auto operator<=>(const WholeId&) const = default;
+  auto operator<=>(const BudgetId&) const = default;
 };
 enum class Nature : std::uint8_t { kSpent, kRate };
 
-struct Whole {
-  WholeId id;
+struct Budget {
+  BudgetId id;
   Nature nature = Nature::kRate;
   std::uint64_t amount = 0;                   // units, or units a second; of the fleet; at most kMostAmount
   Duration depth = std::chrono::seconds(10);  // kRate: what piles up at most, in time of the rate
 };
-inline constexpr std::uint64_t kMostAmount = std::uint64_t{1} << 30U;
+inline constexpr std::uint64_t kMaxAmount = std::uint64_t{1} << 30U;
 // The part of a number: equal ones, the remainder dealt from a place that the whole's id gives.
-std::uint64_t share_of(const Whole& whole, Number number, Number count);
+std::uint64_t share_of(const Budget& whole, Number number, Number count);
 
-inline constexpr Duration kMostLease = std::chrono::seconds(15);
+inline constexpr Duration kMaxLease = std::chrono::seconds(15);
 struct Terms {
   bool lends = true;                          // false: each share is its number's alone, at once
   Duration lease = std::chrono::seconds(10);  // at most kMostLease
@@ -62,25 +62,25 @@
   double kept = 0.5;                          // part of a share that is never lent, from 0 to 1
   Duration ask_again = std::chrono::milliseconds(200);
   Duration ask_pause = std::chrono::seconds(1);  // after an answer, before the next lender is asked
-  std::size_t most_wholes = 256;
+  std::size_t max_wholes = 256;
 };
 Duration outlasts(Duration lease, double drift);
 
 // What travels. `sequence` is the asker's, counted up over all that it asks in its life.
 struct Ask {
-  WholeId whole;
+  BudgetId whole;
   std::uint32_t sequence = 0, renews = 0;  // renews: the sequence of the loan that is to go on; 0: a new one
   std::uint64_t amount = 0;
 };
 struct Grant {
-  WholeId whole;
+  BudgetId whole;
   std::uint64_t life = 0;  // the asker's: a later one must not take it
   std::uint32_t sequence = 0;
   std::uint64_t amount = 0;  // 0: nothing
   Duration lease{};          // kRate
 };
 struct Return {  // the borrower has stopped using the loan, or never will begin
-  WholeId whole;
+  BudgetId whole;
   std::uint32_t sequence = 0;
 };
 struct Transfer {
@@ -88,22 +88,22 @@
   std::variant<Ask, Grant, Return> what;
 };
 
-class Rights {
+class BoundedCounter {
  public:
-  Rights(const Terms& terms, Number self, Number count, std::uint64_t life, Time now, Random random);
+  BoundedCounter(const Terms& terms, Number self, Number count, std::uint64_t life, Time now, Random random);
 
   // Begins to hold our part. `saw_begin`: this process was running, and knew that the whole was not there,
   // before it was: see kSpent. False: too many wholes, or bad. One that is held already stays as it is.
-  bool open(Time now, const Whole& whole, bool saw_begin);
-  void close(Time now, const WholeId& id);
+  bool open(Time now, const Budget& whole, bool saw_begin);
+  void close(Time now, const BudgetId& id);
 
   // What may be used now: units, or for kRate what has piled up, in units.
-  std::uint64_t available(Time now, const WholeId& id) const;
-  std::uint64_t rate(Time now, const WholeId& id) const;        // kRate: units a second, loans included
-  bool use(Time now, const WholeId& id, std::uint64_t amount);  // all or nothing
+  std::uint64_t available(Time now, const BudgetId& id) const;
+  std::uint64_t rate(Time now, const BudgetId& id) const;        // kRate: units a second, loans included
+  bool use(Time now, const BudgetId& id, std::uint64_t amount);  // all or nothing
   // How much we would like to have, units or units a second: asks others for what is missing, and lends
   // nothing below it.
-  void want(const WholeId& id, std::uint64_t amount);
+  void want(const BudgetId& id, std::uint64_t amount);
 
   std::vector<Transfer> tick(Time now, const std::vector<Number>& living);
   std::vector<Transfer> received(Time now, Number from, std::uint64_t life, const std::vector<Ask>& asks,
@@ -140,7 +140,7 @@
     Duration pause{};  // before it is repeated; doubled each time
   };
   struct Holding {
-    Whole whole;
+    Budget whole;
     std::uint64_t units = 0;  // kSpent: ours; kRate: the share, lent parts included
     std::uint64_t wanted = 0;
     std::uint64_t level = 0;  // kRate: what has piled up, in millionths of a unit
@@ -152,7 +152,7 @@
     std::optional<Asked> asked;
     Time ask_at{};
   };
-  const std::map<WholeId, Holding>& holdings() const { return wholes_; }
+  const std::map<BudgetId, Holding>& holdings() const { return wholes_; }
 
  private:
   std::uint64_t kept(const Holding& h) const;
@@ -170,8 +170,8 @@
   void give_up(Time now, Holding& h, std::vector<Transfer>& out);
   void give_back(Time now, Holding& h, std::vector<Transfer>& out);
   void ask(Time now, Holding& h, const std::vector<Number>& living, std::vector<Transfer>& out);
-  const Holding* find(const WholeId& id) const;
-  Holding* find(const WholeId& id) { return const_cast<Holding*>(std::as_const(*this).find(id)); }
+  const Holding* find(const BudgetId& id) const;
+  Holding* find(const BudgetId& id) { return const_cast<Holding*>(std::as_const(*this).find(id)); }
 
   Terms terms_;
   Number self_, count_;
@@ -179,10 +179,10 @@
   Time lends_from_;  // from here on an earlier process of ours has nothing lent
   Random random_;
   std::uint32_t sequence_ = 0;
-  std::map<WholeId, Holding> wholes_;
+  std::map<BudgetId, Holding> wholes_;
   Counts counts_;
 };
 
 }  // namespace dispatcher::replicated_state
 
-#endif  // DISPATCHER_REPLICATED_STATE_RIGHTS_HPP_
+#endif  // DISPATCHER_REPLICATED_STATE_BOUNDED_COUNTER_HPP_
--- a/src/replicated_state/kinds.cpp
+++ b/src/replicated_state/entry_kinds.cpp
@@ -1,4 +1,4 @@
-#include "replicated_state/kinds.hpp"
+#include "replicated_state/entry_kinds.hpp"
 
 #define XXH_INLINE_ALL
 #include <xxhash.h>
@@ -10,10 +10,10 @@
 
 const Kind& Kinds::add(Kind kind) {
   const std::string name = "kind " + std::to_string(kind.id) + " (" + kind.name + "): ";
-  if (kind.id == 0 || kind.id > kMostKind) throw std::logic_error(name + "bad number");
-  if (kind.most_payload > kMostPayload) throw std::logic_error(name + "payload too long");
+  if (kind.id == 0 || kind.id > kMaxKind) throw std::logic_error(name + "bad number");
+  if (kind.max_payload > kMaxPayload) throw std::logic_error(name + "payload too long");
   if (!kind.valid) throw std::logic_error(name + "declares no bounds");
-  if (kind.most_age <= Duration::zero() || kind.half_life <= Duration::zero() || kind.spread == 0)
+  if (kind.max_age <= Duration::zero() || kind.half_life <= Duration::zero() || kind.spread == 0)
     throw std::logic_error(name + "bad age, half-life or spread");
   const auto [it, added] = kinds_.emplace(kind.id, std::move(kind));
   if (!added) throw std::logic_error(name + "number taken by " + it->second.name);
--- a/src/replicated_state/rows.cpp
+++ b/src/replicated_state/replicated_map.cpp
@@ -1,4 +1,4 @@
-#include "replicated_state/rows.hpp"
+#include "replicated_state/replicated_map.hpp"
 
 #define XXH_INLINE_ALL
 #include <xxhash.h>
@@ -20,56 +20,57 @@
 
 }  // namespace
 
-const char* name(Verdict verdict) {
+const char* name(MergeResult verdict) {
   switch (verdict) {
-    case Verdict::kNew:
+    case MergeResult::kNew:
       return "new";
-    case Verdict::kKnown:
+    case MergeResult::kKnown:
       return "known";
-    case Verdict::kOldLife:
+    case MergeResult::kOldLife:
       return "old_life";
-    case Verdict::kUnknownLife:
+    case MergeResult::kUnknownLife:
       return "unknown_life";
-    case Verdict::kUnknownKind:
+    case MergeResult::kUnknownKind:
       return "unknown_kind";
-    case Verdict::kTooOld:
+    case MergeResult::kTooOld:
       return "too_old";
-    case Verdict::kOutOfBounds:
+    case MergeResult::kOutOfBounds:
       return "out_of_bounds";
-    case Verdict::kOwn:
+    case MergeResult::kOwn:
       return "own";
   }
   return "";
 }
 
-Rows::Rows(const Kinds& kinds, Number self, Number count, std::uint64_t life, std::size_t total)
+ReplicatedMap::ReplicatedMap(const Kinds& kinds, Number self, Number count, std::uint64_t life,
+                             std::size_t total)
     : kinds_(kinds), self_(self), quota_(std::max<std::size_t>(1, total / count)), owners_(count) {
   owners_[self_].life = life;
 }
 
 // Our own rows.
 
-bool Rows::set(Time now, std::uint32_t kind, std::uint64_t key, Bytes payload) {
+bool ReplicatedMap::set(Time now, std::uint32_t kind, std::uint64_t key, Bytes payload) {
   const Kind* k = kinds_.find(kind);
-  if (k == nullptr || payload.size() > k->most_payload || !k->valid(payload)) return false;
+  if (k == nullptr || payload.size() > k->max_payload || !k->valid(payload)) return false;
   return offer(now, {kind, key, self_}, copy(payload), false);
 }
 
-void Rows::erase(Time now, std::uint32_t kind, std::uint64_t key) {
+void ReplicatedMap::erase(Time now, std::uint32_t kind, std::uint64_t key) {
   const Place place{kind, key, self_};
   if (rows_.contains(place)) offer(now, place, {}, true);
 }
 
-bool Rows::offer(Time now, const Place& place, const Payload& payload, bool gone) {
+bool ReplicatedMap::offer(Time now, const Place& place, const Payload& payload, bool gone) {
   const auto it = rows_.find(place);
   if (it != rows_.end()) {
     const Kind& kind = *kinds_.find(place.kind);
     const Duration age = now - it->second.born;
-    if (it->second.gone == gone && it->second.payload == payload && age < kind.most_age / kRefresh) {
+    if (it->second.gone == gone && it->second.payload == payload && age < kind.max_age / kRefresh) {
       pending_.erase(place);
       return true;
     }
-    if (age < kind.least_between) {
+    if (age < kind.min_between) {
       if (pending_.size() >= quota_ && !pending_.contains(place)) return false;
       pending_[place] = {payload, gone};
       return true;
@@ -80,13 +81,13 @@
   return true;
 }
 
-void Rows::write(Time now, const Place& place, const Payload& payload, bool gone) {
+void ReplicatedMap::write(Time now, const Place& place, const Payload& payload, bool gone) {
   const Kind& kind = *kinds_.find(place.kind);
   const std::uint64_t version = owners_[self_].top + 1;
   put(place, {version, gone, now, kind.spread, false, payload});
 }
 
-void Rows::own_life(Time now, std::uint64_t life) {
+void ReplicatedMap::own_life(Time now, std::uint64_t life) {
   Owned& own = owners_[self_];
   std::vector<std::pair<Place, Kept>> ours;
   for (const auto& [version, place] : own.by_version) ours.emplace_back(place, rows_.at(place));
@@ -103,14 +104,14 @@
 
 // The store.
 
-void Rows::drop(const Place& place) {
+void ReplicatedMap::drop(const Place& place) {
   const auto it = rows_.find(place);
   if (it == rows_.end()) return;
   owners_[place.owner].by_version.erase(it->second.version);
   rows_.erase(it);
 }
 
-void Rows::put(const Place& place, Kept kept) {
+void ReplicatedMap::put(const Place& place, Kept kept) {
   Owned& owner = owners_[place.owner];
   drop(place);
   owner.top = std::max(owner.top, kept.version);
@@ -123,36 +124,36 @@
   }
 }
 
-Verdict Rows::judge(const Row& row) const {
+MergeResult ReplicatedMap::judge(const Row& row) const {
   const Place& place = row.place;
-  if (place.owner >= owners_.size()) return Verdict::kOutOfBounds;
-  if (place.owner == self_) return Verdict::kOwn;  // nobody knows better
+  if (place.owner >= owners_.size()) return MergeResult::kOutOfBounds;
+  if (place.owner == self_) return MergeResult::kOwn;  // nobody knows better
   const Owned& owner = owners_[place.owner];
-  if (row.life < owner.life) return Verdict::kOldLife;
+  if (row.life < owner.life) return MergeResult::kOldLife;
   if (row.life > owner.life)
-    return Verdict::kUnknownLife;  // the membership tells of lives, and rows come again
+    return MergeResult::kUnknownLife;  // the membership tells of lives, and rows come again
   const Kind* kind = kinds_.find(place.kind);
-  if (kind == nullptr) return Verdict::kUnknownKind;
-  if (row.version == 0 || row.version > kMostVersion || row.age < Duration::zero() ||
-      row.payload.size() > kind->most_payload || (!row.gone && !kind->valid(row.payload)))
-    return Verdict::kOutOfBounds;
-  if (row.age >= kind->most_age) return Verdict::kTooOld;
-  if (row.version <= owner.floor) return Verdict::kKnown;
+  if (kind == nullptr) return MergeResult::kUnknownKind;
+  if (row.version == 0 || row.version > kMaxVersion || row.age < Duration::zero() ||
+      row.payload.size() > kind->max_payload || (!row.gone && !kind->valid(row.payload)))
+    return MergeResult::kOutOfBounds;
+  if (row.age >= kind->max_age) return MergeResult::kTooOld;
+  if (row.version <= owner.floor) return MergeResult::kKnown;
   const auto same = owner.by_version.find(row.version);
   if (same != owner.by_version.end() && same->second != place)
-    return Verdict::kOutOfBounds;  // one row a version
+    return MergeResult::kOutOfBounds;  // one row a version
   const auto it = rows_.find(place);
-  if (it == rows_.end() || it->second.version < row.version) return Verdict::kNew;
-  return Verdict::kKnown;
+  if (it == rows_.end() || it->second.version < row.version) return MergeResult::kNew;
+  return MergeResult::kKnown;
 }
 
-Verdict Rows::merge(Time now, const Row& row) {
-  const Verdict verdict = judge(row);
+MergeResult ReplicatedMap::merge(Time now, const Row& row) {
+  const MergeResult verdict = judge(row);
   ++verdicts_[static_cast<std::size_t>(verdict)];
   const Time born = now - row.age;
-  if (verdict == Verdict::kNew) {
+  if (verdict == MergeResult::kNew) {
     put(row.place, {row.version, row.gone, born, kinds_.find(row.place.kind)->spread, false, row.payload});
-  } else if (verdict == Verdict::kKnown) {
+  } else if (verdict == MergeResult::kKnown) {
     // Travel makes a row look younger than it is, never older: of two reckonings the earlier is the truer.
     const auto it = rows_.find(row.place);
     if (it == rows_.end() || it->second.version != row.version) return verdict;
@@ -165,7 +166,7 @@
   return verdict;
 }
 
-void Rows::adopt_life(Number number, std::uint64_t life) {
+void ReplicatedMap::adopt_life(Number number, std::uint64_t life) {
   Owned& owner = owners_[number];
   if (number == self_ || life <= owner.life) return;
   while (!owner.by_version.empty()) drop(Place(owner.by_version.begin()->second));
@@ -173,28 +174,28 @@
   owner.top = owner.floor = 0;
 }
 
-void Rows::tick(Time now) {
+void ReplicatedMap::tick(Time now) {
   for (auto it = rows_.begin(); it != rows_.end();) {
     const Kind& kind = *kinds_.find(it->first.kind);
-    const bool old = now - it->second.born >= kind.most_age;
+    const bool old = now - it->second.born >= kind.max_age;
     if (old) owners_[it->first.owner].by_version.erase(it->second.version);
     it = old ? rows_.erase(it) : std::next(it);
   }
   for (auto it = pending_.begin(); it != pending_.end();) {
     const auto written = rows_.find(it->first);
     const bool due =
-        written == rows_.end() || now - written->second.born >= kinds_.find(it->first.kind)->least_between;
+        written == rows_.end() || now - written->second.born >= kinds_.find(it->first.kind)->min_between;
     if (due) write(now, it->first, it->second.payload, it->second.gone);
     it = due ? pending_.erase(it) : std::next(it);
   }
 }
 
-void Rows::each(Time now, std::uint32_t kind, const std::function<void(const Heard&)>& see) const {
+void ReplicatedMap::each(Time now, std::uint32_t kind, const std::function<void(const Heard&)>& see) const {
   const Kind* k = kinds_.find(kind);
   if (k == nullptr) return;
   for (auto it = rows_.lower_bound({kind, 0, 0}); it != rows_.end() && it->first.kind == kind; ++it) {
     const Duration age = now - it->second.born;
-    if (it->second.gone || age >= k->most_age) continue;
+    if (it->second.gone || age >= k->max_age) continue;
     double weight = 1;
     if (const auto since = owners_[it->first.owner].silent) {
       const auto silence = static_cast<double>(std::max(Duration::zero(), now - *since).count());
@@ -210,7 +211,7 @@
 
 // What goes out.
 
-Row Rows::row(Time now, const Place& place, const Kept& kept) const {
+Row ReplicatedMap::row(Time now, const Place& place, const Kept& kept) const {
   return {place,
           owners_[place.owner].life,
           kept.version,
@@ -219,12 +220,12 @@
           kept.payload};
 }
 
-std::vector<Row> Rows::queue(Time now, bool at_once) const {
+std::vector<Row> ReplicatedMap::queue(Time now, bool at_once) const {
   std::vector<std::pair<const Place*, const Kept*>> found;
   for (const auto& [place, kept] : rows_) {
     if (kept.sends_left == 0) continue;
     if (at_once && (place.owner != self_ || kept.told_all || !kinds_.find(place.kind)->at_once)) continue;
-    if (now - kept.born < kinds_.find(place.kind)->most_age) found.emplace_back(&place, &kept);
+    if (now - kept.born < kinds_.find(place.kind)->max_age) found.emplace_back(&place, &kept);
   }
   const auto rank = [&](const auto& entry) {
     const auto& [place, kept] = entry;
@@ -238,7 +239,7 @@
   return rows;
 }
 
-void Rows::sent(const Place& place, bool to_all) {
+void ReplicatedMap::sent(const Place& place, bool to_all) {
   const auto it = rows_.find(place);
   if (it == rows_.end()) return;
   Kept& kept = it->second;
@@ -248,12 +249,12 @@
 
 // Anti-entropy.
 
-bool Rows::spread(Time now, const Place& place, const Kept& kept) const {
+bool ReplicatedMap::spread(Time now, const Place& place, const Kept& kept) const {
   // Rows at the end of their time are not worth a repair, and are forgotten by some before others.
-  return now - kept.born >= kSpreading && now - kept.born < kinds_.find(place.kind)->most_age * 3 / 4;
+  return now - kept.born >= kSpreading && now - kept.born < kinds_.find(place.kind)->max_age * 3 / 4;
 }
 
-Summary Rows::summary(Time now, Number number) const {
+Summary ReplicatedMap::summary(Time now, Number number) const {
   const Owned& owner = owners_[number];
   std::uint64_t sum = owner.life;
   for (const auto& [version, place] : owner.by_version) {
@@ -262,12 +263,11 @@
   return {number, owner.top, static_cast<std::uint32_t>(sum ^ (sum >> 32U))};
 }
 
-Number Rows::groups() const {
-  return std::clamp<Number>((static_cast<Number>(owners_.size()) + kLeastGroup - 1) / kLeastGroup, 1,
-                            kMostGroups);
+Number ReplicatedMap::groups() const {
+  return std::clamp<Number>((static_cast<Number>(owners_.size()) + kMinGroup - 1) / kMinGroup, 1, kMaxGroups);
 }
 
-std::vector<Summary> Rows::summaries(Time now, Number group, Number first) const {
+std::vector<Summary> ReplicatedMap::summaries(Time now, Number group, Number first) const {
   std::vector<Summary> all;
   const Number size = group_size();
   for (Number i = 0; i < size; ++i) {
@@ -277,7 +277,7 @@
   return all;
 }
 
-std::uint32_t Rows::group_hash(Time now, Number group) const {
+std::uint32_t ReplicatedMap::group_hash(Time now, Number group) const {
   std::uint64_t sum = 0;
   for (const Summary& s : summaries(now, group)) {
     const std::uint64_t fields[] = {s.owner, s.hash};
@@ -286,7 +286,7 @@
   return static_cast<std::uint32_t>(sum ^ (sum >> 32U));
 }
 
-std::vector<Row> Rows::lacking(Time now, const Summary& theirs) const {
+std::vector<Row> ReplicatedMap::lacking(Time now, const Summary& theirs) const {
   std::vector<Row> rows;
   if (theirs.owner >= owners_.size()) return rows;
   const Owned& owner = owners_[theirs.owner];
@@ -299,7 +299,7 @@
   return rows;
 }
 
-bool Rows::behind(Time now, const Summary& theirs) const {
+bool ReplicatedMap::behind(Time now, const Summary& theirs) const {
   if (theirs.owner >= owners_.size() || theirs.owner == self_) return false;
   const Summary ours = summary(now, theirs.owner);
   return theirs.top > ours.top || theirs.hash != ours.hash;
--- a/src/replicated_state/rows.hpp
+++ b/src/replicated_state/replicated_map.hpp
@@ -6,8 +6,8 @@
 // those with the highest versions are kept, up to the quota. A row that falls out of the quota has as many
 // younger ones above it, whose versions only grow: it would never come back in. So the cap is a part of the
 // join. `floor` is the highest version that fell out; nothing at or below it is taken.
-#ifndef DISPATCHER_REPLICATED_STATE_ROWS_HPP_
-#define DISPATCHER_REPLICATED_STATE_ROWS_HPP_
+#ifndef DISPATCHER_REPLICATED_STATE_REPLICATED_MAP_HPP_
+#define DISPATCHER_REPLICATED_STATE_REPLICATED_MAP_HPP_
 
 #include <array>
 #include <boost/container/static_vector.hpp>
@@ -17,11 +17,11 @@
 #include <optional>
 #include <vector>
 
-#include "replicated_state/kinds.hpp"
+#include "replicated_state/entry_kinds.hpp"
 
 namespace dispatcher::replicated_state {
 
-using Payload = boost::container::static_vector<std::uint8_t, kMostPayload>;
+using Payload = boost::container::static_vector<std::uint8_t, kMaxPayload>;
 
 struct Place {
   std::uint32_t kind = 0;
@@ -38,9 +38,9 @@
   Duration age{};     // since the owner wrote it, as the sender reckons it
   Payload payload;
 };
-inline constexpr std::uint64_t kMostVersion = std::uint64_t{1} << 48U;
+inline constexpr std::uint64_t kMaxVersion = std::uint64_t{1} << 48U;
 
-enum class Verdict : std::uint8_t {
+enum class MergeResult : std::uint8_t {
   kNew,
   kKnown,
   kOldLife,
@@ -51,7 +51,7 @@
   kOwn
 };
 inline constexpr std::size_t kVerdicts = 8;
-const char* name(Verdict verdict);
+const char* name(MergeResult verdict);
 
 // What somebody who asks for a kind's rows is shown.
 struct Heard {
@@ -69,10 +69,10 @@
   std::uint32_t hash = 0;  // over the owner's life and those rows that no longer spread by themselves
 };
 
-class Rows {
+class ReplicatedMap {
  public:
   // Room for `total` rows, an equal quota for each of `count` owners, at least 1.
-  Rows(const Kinds& kinds, Number self, Number count, std::uint64_t life, std::size_t total);
+  ReplicatedMap(const Kinds& kinds, Number self, Number count, std::uint64_t life, std::size_t total);
 
   // Our own. The same again costs nothing until the row needs refreshing. False: not within the kind's
   // bounds, the kind not known, or no room for one more write that must wait.
@@ -81,7 +81,7 @@
   // Rows not too old, ours included, in the order of keys and owners.
   void each(Time now, std::uint32_t kind, const std::function<void(const Heard&)>& see) const;
 
-  Verdict merge(Time now, const Row& row);
+  MergeResult merge(Time now, const Row& row);
   // An owner's life as the membership knows it: rows of earlier ones are dropped.
   void adopt_life(Number owner, std::uint64_t life);
   void own_life(Time now, std::uint64_t life);
@@ -97,7 +97,7 @@
   // Anti-entropy. Owners fall into groups; a group's hash goes along with a probe, and where it differs, its
   // summaries go back.
   // A datagram has room for the summaries of about 16 owners; in larger groups they take turns.
-  static constexpr Number kLeastGroup = 10, kMostGroups = 10;
+  static constexpr Number kMinGroup = 10, kMaxGroups = 10;
   Number groups() const;
   std::uint32_t group_hash(Time now, Number group) const;
   std::vector<Summary> summaries(Time now, Number group, Number first = 0) const;
@@ -130,7 +130,7 @@
     bool gone = false;
   };
   Number group_size() const { return (static_cast<Number>(owners_.size()) + groups() - 1) / groups(); }
-  Verdict judge(const Row& row) const;
+  MergeResult judge(const Row& row) const;
   bool offer(Time now, const Place& place, const Payload& payload, bool gone);
   void write(Time now, const Place& place, const Payload& payload, bool gone);
   void put(const Place& place, Kept kept);
@@ -149,4 +149,4 @@
 
 }  // namespace dispatcher::replicated_state
 
-#endif  // DISPATCHER_REPLICATED_STATE_ROWS_HPP_
+#endif  // DISPATCHER_REPLICATED_STATE_REPLICATED_MAP_HPP_
--- a/src/routing/prefix_index.hpp
+++ b/src/routing/prefix_index.hpp
@@ -29,14 +29,14 @@
     const auto it = where.find(key);
     return it == where.end() ? 0 : it->second->tokens;
   }
-  void learn(const Key& key, int tokens, int own_tokens, std::size_t most_blocks) {
+  void learn(const Key& key, int tokens, int own_tokens, std::size_t max_blocks) {
     Entry entry{key, tokens / kBlockTokens * kBlockTokens, std::size_t(own_tokens / kBlockTokens) + 1};
     if (covered(key) > entry.tokens) entry = *where[key];  // a shorter prompt takes nothing from it
     forget(key);
     order.push_front(entry);
     where[key] = order.begin();
     used += entry.blocks;
-    while (used > most_blocks && !order.empty()) forget(Key(order.back().key));
+    while (used > max_blocks && !order.empty()) forget(Key(order.back().key));
   }
   void forget(const Key& key) {
     const auto it = where.find(key);
--- a/src/routing/slow_start.hpp
+++ b/src/routing/slow_start.hpp
@@ -16,18 +16,20 @@
 
 // The part of a warm host's capacity that one has at this age.
 inline double warmth(const Settings& s, Duration age) {
-  return age < s.cold_time ? std::lerp(s.cold_share, 1.0, double(age.count()) / double(s.cold_time.count()))
-                           : 1;
+  return age < s.warmup_time
+             ? std::lerp(s.warmup_initial_share, 1.0, double(age.count()) / double(s.warmup_time.count()))
+             : 1;
 }
 
 // Requests that this process may send it in a window; `warm_rate`: a second, what a warm host does for it.
 inline double budget(const Settings& s, double warmth, double warm_rate) {
-  return kBudget * s.tip_multiple * warmth * std::chrono::duration<double>(s.tip_window).count() * warm_rate;
+  return kBudget * s.overload_multiple * warmth * std::chrono::duration<double>(s.overload_window).count() *
+         warm_rate;
 }
 
 // The part of all requests that a host is open to, among so many.
-inline double draw(const Settings& s, double warmth, double hosts) {
-  return std::min(1.0, kDraw * s.tip_multiple * warmth) / std::max(1.0, hosts);
+inline double draw(const Settings& s, double warmth, double endpoints) {
+  return std::min(1.0, kDraw * s.overload_multiple * warmth) / std::max(1.0, endpoints);
 }
 
 // By how much that changes for a request read in the host's own cell, which does this part of all reads, or
--- a/src/service_discovery/backoff.cpp
+++ b/src/service_discovery/backoff.cpp
@@ -7,26 +7,26 @@
 
 Backoff::Backoff(const BackoffShape& shape) : shape_(shape) {
   shape_.growth = std::max(1.0, shape_.growth);
-  shape_.least_part = std::clamp(shape_.least_part, 0.0, 1.0);
+  shape_.min_part = std::clamp(shape_.min_part, 0.0, 1.0);
   shape_.first = std::max(Duration(1), shape_.first);
-  shape_.most = std::max(shape_.first, shape_.most);
+  shape_.maximum = std::max(shape_.first, shape_.maximum);
 }
 
 Duration Backoff::failed(double draw) {
   // Counted up to where the cap is reached, so that long outages neither overflow nor grow the exponent.
-  const double most = static_cast<double>(shape_.most.count()),
+  const double maximum = static_cast<double>(shape_.maximum.count()),
                first = static_cast<double>(shape_.first.count());
-  const double full = std::min(most, first * std::pow(shape_.growth, failures_));
-  if (full < most) ++failures_;
-  const double part = shape_.least_part + (1 - shape_.least_part) * std::clamp(draw, 0.0, 1.0);
+  const double full = std::min(maximum, first * std::pow(shape_.growth, failures_));
+  if (full < maximum) ++failures_;
+  const double part = shape_.min_part + (1 - shape_.min_part) * std::clamp(draw, 0.0, 1.0);
   return Duration(std::max<long long>(1, std::llround(full * part)));
 }
 
 namespace {
-Duration first_pause(int dispatchers, Duration most) {
+Duration first_pause(int dispatchers, Duration maximum) {
   using std::chrono::milliseconds;
-  constexpr Duration kEach = milliseconds(20), kLeast = milliseconds(200);
-  return std::clamp<Duration>(kEach * std::clamp(dispatchers, 1, 1000), kLeast, most);
+  constexpr Duration kEach = milliseconds(20), kMin = milliseconds(200);
+  return std::clamp<Duration>(kEach * std::clamp(dispatchers, 1, 1000), kMin, maximum);
 }
 }  // namespace
 
--- a/src/service_discovery/backoff.hpp
+++ b/src/service_discovery/backoff.hpp
@@ -13,10 +13,10 @@
 using Duration = std::chrono::microseconds;
 
 struct BackoffShape {
-  Duration first = std::chrono::milliseconds(200);  // the pause after one failure, before jitter
-  Duration most = std::chrono::milliseconds(800);   // no pause is longer
-  double growth = 2;                                // of the pause, each failure in a row; at least 1
-  double least_part = 0.5;                          // jitter: the least share of the pause drawn, in [0, 1]
+  Duration first = std::chrono::milliseconds(200);    // the pause after one failure, before jitter
+  Duration maximum = std::chrono::milliseconds(800);  // no pause is longer
+  double growth = 2;                                  // of the pause, each failure in a row; at least 1
+  double min_part = 0.5;                              // jitter: the least share of the pause drawn, in [0, 1]
 };
 
 class Backoff {
--- a/src/service_discovery/watch.cpp
+++ b/src/service_discovery/endpoint_watcher.cpp
@@ -1,49 +1,49 @@
-#include "service_discovery/watch.hpp"
+#include "service_discovery/endpoint_watcher.hpp"
 
 #include <utility>
 
 namespace dispatcher::service_discovery {
 
 namespace {
-constexpr std::size_t kMostIn = 256 * 1024, kMostOut = 4096;
+constexpr std::size_t kMaxIn = 256 * 1024, kMaxOut = 4096;
 
 bool blank(std::string_view text) { return text.find_first_not_of(" \t\r\n") == std::string_view::npos; }
 }  // namespace
 
-Watch::Watch(boost::asio::io_context& io, const net::tcp::endpoint& at, engine::Deadlines& deadlines,
-             engine::Clock clock, engine::Log log, OnChange on_change, int fleet, std::uint64_t seed,
-             Lists lists)
+EndpointWatcher::EndpointWatcher(boost::asio::io_context& io, const net::tcp::endpoint& at,
+                                 engine::TimerQueue& timers, engine::Clock clock, engine::Log log,
+                                 OnChange on_change, int fleet, std::uint64_t seed, Lists lists)
     : io_(io),
       at_(at),
-      deadlines_(deadlines),
+      timers_(timers),
       clock_(std::move(clock)),
       log_(std::move(log)),
       on_change_(std::move(on_change)),
       plan_(lists, fleet),
       random_(seed) {}
 
-Watch::~Watch() {
-  deadlines_.drop(next_);
+EndpointWatcher::~EndpointWatcher() {
+  timers_.drop(next_);
   for (const auto& [id, call] : calls_) call->connection->close();
 }
 
-void Watch::start(std::uint64_t seq) {
+void EndpointWatcher::start(std::uint64_t seq) {
   seq_ = seq;
   obey(plan_.restart(clock_()));
 }
 
 // Before start() the first lists, read from files, may lead here already: there is no watch yet.
-void Watch::restart() {
+void EndpointWatcher::restart() {
   if (plan_.started()) obey(plan_.restart(clock_()));
 }
 
-void Watch::move(const net::tcp::endpoint& at) {
+void EndpointWatcher::move(const net::tcp::endpoint& at) {
   at_ = at;
   whole_ = true;
   if (plan_.started()) obey(plan_.move(clock_()));
 }
 
-void Watch::obey(const CallPlan::Orders& orders) {
+void EndpointWatcher::obey(const PollSchedule::Orders& orders) {
   for (const CallId id : orders.close) {
     const auto it = calls_.find(id);
     if (it == calls_.end()) continue;
@@ -54,13 +54,13 @@
   if (orders.open != 0) {
     const auto call = std::make_shared<Call>();
     calls_.emplace(orders.open, call);
-    call->connection = net::Connection::connect(io_, at_, *this, {0, orders.open}, kMostIn, kMostOut);
+    call->connection = net::Connection::connect(io_, at_, *this, {0, orders.open}, kMaxIn, kMaxOut);
   }
-  deadlines_.drop(next_);
+  timers_.drop(next_);
   if (const auto at = plan_.next()) {
-    next_ = deadlines_.add(*at, [this] {
+    next_ = timers_.add(*at, [this] {
       next_ = {};
-      const CallPlan::Orders due = plan_.tick(clock_(), draw());
+      const PollSchedule::Orders due = plan_.tick(clock_(), draw());
       if (due.unreadable) lost("an object did not end");
       if (due.silent) lost("silent");
       obey(due);
@@ -68,20 +68,20 @@
   }
 }
 
-void Watch::lost(std::string_view why) {
+void EndpointWatcher::lost(std::string_view why) {
   if (std::exchange(healthy_, false)) log_(std::string("discovery lost: ").append(why));
 }
 
-void Watch::back() {
+void EndpointWatcher::back() {
   if (!std::exchange(healthy_, true)) log_("discovery back");
 }
 
-std::shared_ptr<Watch::Call> Watch::find(CallId id) const {
+std::shared_ptr<EndpointWatcher::Call> EndpointWatcher::find(CallId id) const {
   const auto it = calls_.find(id);
   return it == calls_.end() ? nullptr : it->second;
 }
 
-void Watch::on_connected(net::SlotId id, net::error_code error) {
+void EndpointWatcher::on_connected(net::SlotId id, net::error_code error) {
   const auto call = find(id.generation);
   if (!call) return;
   if (error) return on_ended(id, error);
@@ -89,7 +89,7 @@
   call->connection->read();
 }
 
-void Watch::ask(Call& call) {
+void EndpointWatcher::ask(Call& call) {
   call.whole = whole_;
   call.reader.emplace(std::nullopt);
   call.framer = JsonFramer();
@@ -98,13 +98,13 @@
                          " HTTP/1.1\r\nHost: discovery\r\nAccept: application/json\r\n\r\n");
 }
 
-void Watch::on_ended(net::SlotId id, net::error_code error) {
+void EndpointWatcher::on_ended(net::SlotId id, net::error_code error) {
   if (!find(id.generation)) return;
   lost(error.message());
   obey(plan_.failed(id.generation, clock_(), draw()));
 }
 
-void Watch::on_data(net::SlotId slot) {
+void EndpointWatcher::on_data(net::SlotId slot) {
   const CallId id = slot.generation;
   const auto call = find(id);
   if (!call) return;
@@ -118,11 +118,11 @@
   if (progress == http::Progress::kDone && find(id)) finish(id, *call);
 }
 
-bool Watch::take_head(CallId id, Call& call) {
+bool EndpointWatcher::take_head(CallId id, Call& call) {
   const auto status = call.reader->message().result_int();
   if (status != 200) {
     lost("status " + std::to_string(status));
-    obey(plan_.refused(id, clock_(), draw()));
+    obey(plan_.rejected(id, clock_(), draw()));
     return false;
   }
   heard_ = clock_();
@@ -132,7 +132,7 @@
 
 // Hearing a list may lead to a restart or a move, which ends this call: what it has brought beyond is not
 // read.
-void Watch::take(CallId id, Call& call, const std::string& text) {
+void EndpointWatcher::take(CallId id, Call& call, const std::string& text) {
   const bool was_inside = call.framer.inside();
   const auto objects = call.framer.feed(text);
   for (const std::string& object : objects) {
@@ -156,9 +156,9 @@
   obey({});
 }
 
-bool Watch::take_object(Call& call, const std::string& text) {
+bool EndpointWatcher::take_object(Call& call, const std::string& text) {
   try {
-    const Servers servers = parse_servers(nlohmann::json::parse(text, nullptr, false));
+    const EndpointSnapshot servers = parse_servers(nlohmann::json::parse(text, nullptr, false));
     if (call.whole && !call.has_list && !servers.whole) throw std::invalid_argument("no whole list");
     back();
     if (servers.whole) {
@@ -177,7 +177,7 @@
   }
 }
 
-void Watch::finish(CallId id, Call& call) {
+void EndpointWatcher::finish(CallId id, Call& call) {
   if (!call.whole) {
     lost("the watch ended");
     return obey(plan_.failed(id, clock_(), draw()));
--- a/src/service_discovery/watch.hpp
+++ b/src/service_discovery/endpoint_watcher.hpp
@@ -1,6 +1,6 @@
 // Follows discovery's list: carries out what the plan of calls decides and reads what the calls bring.
-#ifndef DISPATCHER_SERVICE_DISCOVERY_WATCH_HPP_
-#define DISPATCHER_SERVICE_DISCOVERY_WATCH_HPP_
+#ifndef DISPATCHER_SERVICE_DISCOVERY_ENDPOINT_WATCHER_HPP_
+#define DISPATCHER_SERVICE_DISCOVERY_ENDPOINT_WATCHER_HPP_
 
 #include <boost/asio/io_context.hpp>
 #include <functional>
@@ -14,21 +14,21 @@
 #include "engine/engine.hpp"
 #include "http/message.hpp"
 #include "net/connection.hpp"
-#include "service_discovery/call_plan.hpp"
+#include "service_discovery/endpoint_snapshot.hpp"
 #include "service_discovery/json_framer.hpp"
-#include "service_discovery/servers.hpp"
+#include "service_discovery/poll_schedule.hpp"
 
 namespace dispatcher::service_discovery {
 
-class Watch : private net::Connection::Owner {
+class EndpointWatcher : private net::Connection::Owner {
  public:
-  using OnChange = std::function<void(const Servers&)>;
-  // `fleet` and `lists` tell what a call costs discovery; see CallPlan. Pauses are drawn from `seed`'s
+  using OnChange = std::function<void(const EndpointSnapshot&)>;
+  // `fleet` and `lists` tell what a call costs discovery; see PollSchedule. Pauses are drawn from `seed`'s
   // numbers.
-  Watch(boost::asio::io_context& io, const net::tcp::endpoint& at, engine::Deadlines& deadlines,
-        engine::Clock clock, engine::Log log, OnChange on_change, int fleet = 1, std::uint64_t seed = 0,
-        Lists lists = Lists::kPushed);
-  ~Watch() override;
+  EndpointWatcher(boost::asio::io_context& io, const net::tcp::endpoint& at, engine::TimerQueue& timers,
+                  engine::Clock clock, engine::Log log, OnChange on_change, int fleet = 1,
+                  std::uint64_t seed = 0, Lists lists = Lists::kPushed);
+  ~EndpointWatcher() override;
   // Opens the watch for what came after `seq`.
   void start(std::uint64_t seq);
   void restart();  // opens it again at once; nothing before start()
@@ -47,7 +47,7 @@
     bool has_list = false;  // the whole list has come
     std::optional<engine::Time> object_since;
   };
-  using CallId = CallPlan::CallId;
+  using CallId = PollSchedule::CallId;
 
   void on_connected(net::SlotId id, net::error_code error) override;
   void on_data(net::SlotId id) override;
@@ -59,27 +59,27 @@
   void take(CallId id, Call& call, const std::string& text);
   bool take_object(Call& call, const std::string& text);  // false: it is no list
   void finish(CallId id, Call& call);
-  void obey(const CallPlan::Orders& orders);
+  void obey(const PollSchedule::Orders& orders);
   void lost(std::string_view why);
   void back();
   double draw() { return std::uniform_real_distribution<double>(0, 1)(random_); }
 
   boost::asio::io_context& io_;
   net::tcp::endpoint at_;
-  engine::Deadlines& deadlines_;
+  engine::TimerQueue& timers_;
   engine::Clock clock_;
   engine::Log log_;
   OnChange on_change_;
   std::uint64_t seq_ = 0;
   bool whole_ = false;  // the whole list is to be asked for before it is followed
-  CallPlan plan_;
+  PollSchedule plan_;
   std::map<CallId, std::shared_ptr<Call>> calls_;
   bool healthy_ = true;  // to log a loss once
-  engine::Deadlines::Id next_;
+  engine::TimerQueue::Id next_;
   std::optional<engine::Time> heard_;
   std::mt19937_64 random_;
 };
 
 }  // namespace dispatcher::service_discovery
 
-#endif  // DISPATCHER_SERVICE_DISCOVERY_WATCH_HPP_
+#endif  // DISPATCHER_SERVICE_DISCOVERY_ENDPOINT_WATCHER_HPP_
--- a/src/service_discovery/json_framer.cpp
+++ b/src/service_discovery/json_framer.cpp
@@ -14,7 +14,7 @@
     held_ += c;
     if (!inside()) {
       objects.push_back(std::exchange(held_, {}));
-    } else if (held_.size() >= most_) {
+    } else if (held_.size() >= max_) {
       bad_ = true;
     }
   }
--- a/src/service_discovery/json_framer.hpp
+++ b/src/service_discovery/json_framer.hpp
@@ -11,8 +11,8 @@
 
 class JsonFramer {
  public:
-  static constexpr std::size_t kMostObject = 16 * 1024 * 1024;
-  explicit JsonFramer(std::size_t most = kMostObject) : most_(most) {}
+  static constexpr std::size_t kMaxObject = 16 * 1024 * 1024;
+  explicit JsonFramer(std::size_t maximum = kMaxObject) : max_(maximum) {}
 
   // Takes the next bytes and returns the objects that they complete. Whether an object is valid inside its
   // braces is the parser's to tell.
@@ -23,7 +23,7 @@
 
  private:
   void step(char c);
-  std::size_t most_;
+  std::size_t max_;
   std::string held_;
   std::size_t depth_ = 0;
   bool in_string_ = false, escaped_ = false, bad_ = false;
--- a/src/service_discovery/call_plan.cpp
+++ b/src/service_discovery/poll_schedule.cpp
@@ -1,4 +1,4 @@
-#include "service_discovery/call_plan.hpp"
+#include "service_discovery/poll_schedule.hpp"
 
 #include <algorithm>
 #include <utility>
@@ -8,21 +8,21 @@
 using std::chrono::milliseconds;
 
 namespace {
-constexpr std::size_t kMostCalls = 2;
+constexpr std::size_t kMaxCalls = 2;
 // A call that lived for less has failed at once; several of these in a row would spin.
 constexpr service_discovery::Duration kShortLife = milliseconds(1000);
 // What dispatchers that lost their watch in one moment part by where calls cost nothing.
 constexpr service_discovery::Duration kJitter = milliseconds(5);
 }  // namespace
 
-CallPlan::CallPlan(Lists lists, int fleet)
+PollSchedule::PollSchedule(Lists lists, int fleet)
     : lists_(lists),
       refusals_(service_discovery::list_calls(fleet)),
       resets_(service_discovery::after_reset(fleet)),
       silences_(service_discovery::after_silence(fleet)),
       spinning_(service_discovery::against_spinning()) {}
 
-CallPlan::Orders CallPlan::restart(Time now) {
+PollSchedule::Orders PollSchedule::restart(Time now) {
   Orders orders;
   started_ = true;
   close_all(orders);
@@ -31,13 +31,13 @@
   return orders;
 }
 
-CallPlan::Orders CallPlan::move(Time now) {
+PollSchedule::Orders PollSchedule::move(Time now) {
   refusals_.succeeded();
   spinning_.succeeded();
   return restart(now);
 }
 
-CallPlan::Orders CallPlan::tick(Time now, double draw) {
+PollSchedule::Orders PollSchedule::tick(Time now, double draw) {
   Orders orders;
   for (const Call& call : calls_) {
     if (call.object_since && *call.object_since + service_discovery::kObject <= now)
@@ -54,13 +54,13 @@
   return orders;
 }
 
-CallPlan::Orders CallPlan::refused(CallId id, Time now, double draw) {
+PollSchedule::Orders PollSchedule::rejected(CallId id, Time now, double draw) {
   Orders orders;
   if (drop(id, orders)) rest(refusals_.failed(draw), now);
   return orders;
 }
 
-CallPlan::Orders CallPlan::failed(CallId id, Time now, double draw) {
+PollSchedule::Orders PollSchedule::failed(CallId id, Time now, double draw) {
   Orders orders;
   const Call* call = find(id);
   if (call == nullptr) return orders;
@@ -69,7 +69,7 @@
   return orders;
 }
 
-CallPlan::Orders CallPlan::unreadable(CallId id, Time now, double draw) {
+PollSchedule::Orders PollSchedule::unreadable(CallId id, Time now, double draw) {
   Orders orders;
   const Call* call = find(id);
   if (call == nullptr) return orders;
@@ -79,7 +79,7 @@
   return orders;
 }
 
-CallPlan::Orders CallPlan::answered(CallId id, Time now) {
+PollSchedule::Orders PollSchedule::answered(CallId id, Time now) {
   Orders orders;
   Call* call = find(id);
   if (call == nullptr) return orders;
@@ -94,14 +94,14 @@
   return orders;
 }
 
-void CallPlan::heard(CallId id, Time now, std::optional<Time> object_since) {
+void PollSchedule::heard(CallId id, Time now, std::optional<Time> object_since) {
   Call* call = find(id);
   if (call == nullptr) return;
   call->last = now;
   call->object_since = object_since;
 }
 
-std::optional<CallPlan::Time> CallPlan::next() const {
+std::optional<PollSchedule::Time> PollSchedule::next() const {
   if (!started_) return std::nullopt;
   Time next = open_at();
   if (lists_ == Lists::kAskedFor && !calls_.empty()) next = calls_.front().limit();
@@ -111,24 +111,24 @@
   return next;
 }
 
-CallPlan::Call* CallPlan::find(CallId id) {
+PollSchedule::Call* PollSchedule::find(CallId id) {
   const auto it = std::find_if(calls_.begin(), calls_.end(), [&](const Call& c) { return c.id == id; });
   return it == calls_.end() ? nullptr : &*it;
 }
 
-bool CallPlan::drop(CallId id, Orders& orders) {
+bool PollSchedule::drop(CallId id, Orders& orders) {
   const bool known = std::erase_if(calls_, [&](const Call& c) { return c.id == id; }) > 0;
   if (known) orders.close.push_back(id);
   return known;
 }
 
-void CallPlan::close_all(Orders& orders) {
+void PollSchedule::close_all(Orders& orders) {
   for (const Call& call : calls_) orders.close.push_back(call.id);
   calls_.clear();
 }
 
-void CallPlan::open(Time now, Orders& orders) {
-  if (calls_.size() >= kMostCalls) {  // the one that has said nothing for longest goes
+void PollSchedule::open(Time now, Orders& orders) {
+  if (calls_.size() >= kMaxCalls) {  // the one that has said nothing for longest goes
     const auto oldest = std::min_element(calls_.begin(), calls_.end(),
                                          [](const Call& a, const Call& b) { return a.last < b.last; });
     drop(oldest->id, orders);
@@ -138,7 +138,7 @@
   calls_.push_back({newest_, now, now, false, std::nullopt});
 }
 
-service_discovery::Duration CallPlan::pause_after_failure(const Call& call, Time now, double draw) {
+service_discovery::Duration PollSchedule::pause_after_failure(const Call& call, Time now, double draw) {
   if (lists_ == Lists::kAskedFor) return resets_.failed(draw);
   if (now - call.opened >= kShortLife) spinning_.succeeded();
   const bool first = spinning_.failures() == 0;
@@ -147,7 +147,7 @@
                : pause;
 }
 
-CallPlan::Time CallPlan::open_at() const {
+PollSchedule::Time PollSchedule::open_at() const {
   Time at = not_before_;
   for (const Call& call : calls_) at = std::max(at, call.limit());
   return at;
--- a/src/service_discovery/call_plan.hpp
+++ b/src/service_discovery/poll_schedule.hpp
@@ -8,8 +8,8 @@
 //
 // Where lists are asked for, discovery is one service for the whole fleet: there is one call at a time, and
 // each failure is followed by a pause by the fleet's size.
-#ifndef DISPATCHER_SERVICE_DISCOVERY_CALL_PLAN_HPP_
-#define DISPATCHER_SERVICE_DISCOVERY_CALL_PLAN_HPP_
+#ifndef DISPATCHER_SERVICE_DISCOVERY_POLL_SCHEDULE_HPP_
+#define DISPATCHER_SERVICE_DISCOVERY_POLL_SCHEDULE_HPP_
 
 #include <algorithm>
 #include <cstdint>
@@ -22,7 +22,7 @@
 
 enum class Lists { kPushed, kAskedFor };
 
-class CallPlan {
+class PollSchedule {
  public:
   using Time = std::chrono::microseconds;
   using CallId = std::uint32_t;  // never 0
@@ -33,13 +33,13 @@
     bool unreadable = false;  // what was told last is lost: the whole list is to be asked for
   };
 
-  CallPlan(Lists lists, int fleet);
+  PollSchedule(Lists lists, int fleet);
 
   Orders restart(Time now);  // closes all calls and opens one at once
   Orders move(Time now);     // the same, for an address that has refused or failed nothing yet
   // In these, `draw` is uniform in [0, 1).
   Orders tick(Time now, double draw);  // to be called at next()
-  Orders refused(CallId id, Time now, double draw);
+  Orders rejected(CallId id, Time now, double draw);
   Orders failed(CallId id, Time now, double draw);      // it never came up, was reset or has ended
   Orders unreadable(CallId id, Time now, double draw);  // what it tells can't be relied upon
   Orders answered(CallId id, Time now);                 // the first to be so is the watch
@@ -78,4 +78,4 @@
 
 }  // namespace dispatcher::service_discovery
 
-#endif  // DISPATCHER_SERVICE_DISCOVERY_CALL_PLAN_HPP_
+#endif  // DISPATCHER_SERVICE_DISCOVERY_POLL_SCHEDULE_HPP_
--- a/src/settings/check.cpp
+++ b/src/settings/check.cpp
@@ -25,35 +25,35 @@
 
 // Longer times are a slip of the pen, and their multiples would not fit: an objective grows with a prompt,
 // whose length is the client's word.
-constexpr Duration kMostTime = std::chrono::hours(24);
-constexpr Duration kMostTick = std::chrono::hours(1);  // timers reach 71 minutes
+constexpr Duration kMaxTime = std::chrono::hours(24);
+constexpr Duration kMaxTick = std::chrono::hours(1);  // timers reach 71 minutes
 
 class Findings {
  public:
-  void refuse(std::string field, std::string wrong, std::string wanted) {
+  void reject(std::string field, std::string wrong, std::string wanted) {
     all_.push_back({Severity::kRefuse, std::move(field), std::move(wrong), std::move(wanted)});
   }
   void warn(std::string field, std::string wrong, std::string wanted) {
     all_.push_back({Severity::kWarn, std::move(field), std::move(wrong), std::move(wanted)});
   }
-  void refuse_below_0(std::string field, Duration time) {
+  void reject_below_0(std::string field, Duration time) {
     if (time.count() < 0)
-      refuse(std::move(field), ms(time), "at least 0");
+      reject(std::move(field), ms(time), "at least 0");
     else
-      refuse_beyond(std::move(field), time, kMostTime);
+      reject_beyond(std::move(field), time, kMaxTime);
   }
-  void refuse_up_to_0(std::string field, Duration time) {
+  void reject_up_to_0(std::string field, Duration time) {
     if (time.count() <= 0)
-      refuse(std::move(field), ms(time), "above 0");
+      reject(std::move(field), ms(time), "above 0");
     else
-      refuse_beyond(std::move(field), time, kMostTime);
+      reject_beyond(std::move(field), time, kMaxTime);
   }
-  void refuse_beyond(std::string field, Duration time, Duration most) {
-    if (time > most) refuse(std::move(field), ms(time), "at most " + ms(most));
+  void reject_beyond(std::string field, Duration time, Duration maximum) {
+    if (time > maximum) reject(std::move(field), ms(time), "at most " + ms(maximum));
   }
   // The bounds that follow are worded so that a number that is none (NaN) is out of them too.
-  void refuse_below_0(std::string field, double value) {
-    if (!(value >= 0)) refuse(std::move(field), number(value), "at least 0");
+  void reject_below_0(std::string field, double value) {
+    if (!(value >= 0)) reject(std::move(field), number(value), "at least 0");
   }
   void warn_below_0(std::string field, double value) {
     if (!(value >= 0)) warn(std::move(field), number(value), "at least 0");
@@ -68,7 +68,7 @@
 };
 
 bool any_kind(const Settings& s, Role role) {
-  return std::any_of(s.kinds.begin(), s.kinds.end(), [&](const HostKind& k) { return k.role == role; });
+  return std::any_of(s.kinds.begin(), s.kinds.end(), [&](const EndpointKind& k) { return k.role == role; });
 }
 
 // Of all classes; s has at least one.
@@ -86,38 +86,39 @@
 // ---- each value by itself ----
 
 void check_counts(const Settings& s, Findings& f) {
-  if (s.kinds.empty()) f.refuse("hostTypes", "no kind of replica", "at least one");
-  if (s.classes.empty()) f.refuse("categories", "no class", "at least one");
+  if (s.kinds.empty()) f.reject("hostTypes", "no kind of replica", "at least one");
+  if (s.classes.empty()) f.reject("categories", "no class", "at least one");
   if (s.router_count < 1) {
-    f.refuse("balancers", std::to_string(s.router_count), "at least 1");
+    f.reject("balancers", std::to_string(s.router_count), "at least 1");
   } else if (s.router_number < 0 || s.router_number >= s.router_count) {
     // Parts of quotas and limits are dealt out by it: one beyond the count would be dealt out twice.
-    f.refuse("myNumber",
+    f.reject("myNumber",
              std::to_string(s.router_number) + " among " + std::to_string(s.router_count) + " dispatchers",
              "0 to " + std::to_string(s.router_count - 1));
   }
-  if (s.max_attempts < 1) f.refuse("limits.mostTries", std::to_string(s.max_attempts), "at least 1");
+  if (s.max_attempts < 1) f.reject("limits.mostTries", std::to_string(s.max_attempts), "at least 1");
 }
 
 void check_times(const Settings& s, Findings& f) {
-  f.refuse_below_0("granularityMs", s.tick);
-  if (s.tick <= kMostTime) f.refuse_beyond("granularityMs", s.tick, kMostTick);
-  f.refuse_below_0("familyInfo.pinLimitMs", s.pin_limit);
-  f.refuse_below_0("guarantees.answerSlackMs", s.answer_slack);
-  f.refuse_below_0("guarantees.askEveryMs", s.ask_every);
-  f.refuse_below_0("guarantees.coldMs", s.cold_time);
-  f.refuse_below_0("guarantees.drainGraceMs", s.drain_grace);
-  f.refuse_below_0("guarantees.tipAfterMs", s.tip_window);
-  f.refuse_below_0("limits.connectTimeoutMs", s.connect_timeout);
-  f.refuse_below_0("limits.idleCloseMs", s.idle_close);
-  f.refuse_below_0("limits.maxRetryAfterMs", s.max_retry_in);
+  f.reject_below_0("granularityMs", s.tick);
+  if (s.tick <= kMaxTime) f.reject_beyond("granularityMs", s.tick, kMaxTick);
+  f.reject_below_0("familyInfo.pinLimitMs", s.reservation_limit);
+  f.reject_below_0("guarantees.answerSlackMs", s.answer_slack);
+  f.reject_below_0("guarantees.askEveryMs", s.poll_interval);
+  f.reject_below_0("guarantees.coldMs", s.warmup_time);
+  f.reject_below_0("guarantees.drainGraceMs", s.drain_grace);
+  f.reject_below_0("guarantees.tipAfterMs", s.overload_window);
+  f.reject_below_0("limits.connectTimeoutMs", s.connect_timeout);
+  f.reject_below_0("limits.idleCloseMs", s.idle_timeout);
+  f.reject_below_0("limits.maxRetryAfterMs", s.max_retry_after);
 }
 
 void check_numbers(const Settings& s, Findings& f) {
-  f.refuse_below_0("guarantees.tipMultiple", s.tip_multiple);
-  if (!(s.cold_share >= 0 && s.cold_share <= 1))
-    f.refuse("guarantees.coldShare", number(s.cold_share), "0 to 1, a share of a replica's capacity");
-  f.warn_outside_0_to_1("overShareWorth", s.over_share_worth);
+  f.reject_below_0("guarantees.tipMultiple", s.overload_multiple);
+  if (!(s.warmup_initial_share >= 0 && s.warmup_initial_share <= 1))
+    f.reject("guarantees.coldShare", number(s.warmup_initial_share),
+             "0 to 1, a share of a replica's capacity");
+  f.warn_outside_0_to_1("overShareWorth", s.over_quota_weight);
   const std::pair<const char*, double> prices[] = {{"familyInfo.moveFee", s.prices.far},
                                                    {"prices.connection", s.prices.connection},
                                                    {"prices.crossZone", s.prices.cross_zone},
@@ -136,21 +137,21 @@
   for (std::size_t i = 0; i < s.kinds.size(); ++i)
     f.warn_below_0(element("familyInfo.memoryTokens", i), s.kinds[i].memory_tokens);
   for (std::size_t i = 0; i < s.tenants.size(); ++i)
-    f.refuse_below_0(element("tenants", i, ".quotaRps"), s.tenants[i].quota_rps);
+    f.reject_below_0(element("tenants", i, ".quotaRps"), s.tenants[i].quota_rps);
 }
 
 void check_classes(const Settings& s, Findings& f) {
   for (std::size_t i = 0; i < s.classes.size(); ++i) {
     const RequestClass& c = s.classes[i];
     const auto field = [&](const char* name) { return element("categories", i, name); };
-    f.refuse_up_to_0(field(".objectiveMs"), c.objective);
-    f.refuse_up_to_0(field(".deadlineMs"), c.deadline);
-    f.refuse_below_0(field(".windowMs"), c.window);
-    f.refuse_below_0(element("familyInfo.aimUsPer1000PromptTokens", i), c.objective_per_1000_tokens);
-    f.refuse_below_0(element("familyInfo.tokenAimMs", i), c.token_objective);
-    f.refuse_below_0(field(".aimStretch"), c.objective_stretch);
-    f.warn_below_0(field(".worth"), c.worth);
-    f.warn_outside_0_to_1(field(".lateValue"), c.late_value);
+    f.reject_up_to_0(field(".objectiveMs"), c.latency_objective);
+    f.reject_up_to_0(field(".deadlineMs"), c.deadline);
+    f.reject_below_0(field(".windowMs"), c.deduplication_window);
+    f.reject_below_0(element("familyInfo.aimUsPer1000PromptTokens", i), c.latency_objective_per_1000_tokens);
+    f.reject_below_0(element("familyInfo.tokenAimMs", i), c.token_latency_objective);
+    f.reject_below_0(field(".aimStretch"), c.latency_objective_stretch);
+    f.warn_below_0(field(".worth"), c.priority_weight);
+    f.warn_outside_0_to_1(field(".lateValue"), c.late_weight);
   }
 }
 
@@ -160,7 +161,7 @@
   std::set<std::string> seen;
   for (std::size_t i = 0; i < entries.size(); ++i) {
     if (!seen.insert(entries[i].name).second)
-      f.refuse(element(array, i, field), "'" + entries[i].name + "' a second time", "another name");
+      f.reject(element(array, i, field), "'" + entries[i].name + "' a second time", "another name");
   }
 }
 
@@ -179,12 +180,12 @@
   const bool reads = any_kind(s, Role::kReader), writes = any_kind(s, Role::kWriter);
   const bool mixed = any_kind(s, Role::kMixed), whole = mixed || (s.writers_read && writes);
   if (!whole && !reads)
-    f.refuse("familyInfo.dutyByKind", "no kind reads a prompt",
+    f.reject("familyInfo.dutyByKind", "no kind reads a prompt",
              "one of duty 'read' or 'both', or writersRead with one that writes");
   if (!whole && !writes)
-    f.refuse("familyInfo.dutyByKind", "no kind writes an answer", "one of duty 'write' or 'both'");
+    f.reject("familyInfo.dutyByKind", "no kind writes an answer", "one of duty 'write' or 'both'");
   if (!whole && s.max_attempts == 1)
-    f.refuse("limits.mostTries", "1, but a request is read by one attempt and written by another",
+    f.reject("limits.mostTries", "1, but a request is read by one attempt and written by another",
              "at least 2, or a kind that does both");
   if (s.writers_read && !writes)
     f.warn("familyInfo.writersRead", "true, but no kind writes only: it changes nothing",
@@ -197,14 +198,15 @@
 }
 
 void check_repeats(const Settings& s, Findings& f) {
-  const bool repeats = std::any_of(s.classes.begin(), s.classes.end(),
-                                   [](const RequestClass& c) { return c.repeat != Repeat::kUnsafe; });
+  const bool repeats = std::any_of(s.classes.begin(), s.classes.end(), [](const RequestClass& c) {
+    return c.idempotency != Idempotency::kNonIdempotent;
+  });
   if (s.resume && !s.classes.empty() && !repeats)
     f.warn("familyInfo.resume", "true, but no class may be repeated",
            "a class whose repeat is 'safe' or 'keyed'");
   for (std::size_t i = 0; i < s.classes.size(); ++i) {
     const RequestClass& c = s.classes[i];
-    if (c.repeat == Repeat::kKeyed && c.window.count() == 0)
+    if (c.idempotency == Idempotency::kKeyed && c.deduplication_window.count() == 0)
       f.warn(element("categories", i, ".windowMs"),
              "0 for a keyed class: what may have run is not sent again", "above 0");
   }
@@ -214,8 +216,8 @@
   for (std::size_t i = 0; i < s.classes.size(); ++i) {
     const RequestClass& c = s.classes[i];
     const std::string field = element("categories", i, ".deadlineMs");
-    if (c.deadline.count() > 0 && c.deadline < c.objective)
-      f.warn(field, ms(c.deadline) + ", before the objective of " + ms(c.objective),
+    if (c.deadline.count() > 0 && c.deadline < c.latency_objective)
+      f.warn(field, ms(c.deadline) + ", before the objective of " + ms(c.latency_objective),
              "at least the objective");
     if (c.deadline.count() > 0 && c.deadline <= 2 * s.tick)
       f.warn(field, ms(c.deadline) + ", within two ticks: every request of the class is refused at once",
@@ -230,11 +232,12 @@
     f.warn("guarantees.answerSlackMs",
            ms(s.answer_slack) + ", less than a tick: attempts time out that much before the deadline",
            "at least " + ms(s.tick));
-  if (soonest.count() > 0 && s.pin_limit > soonest)
-    f.warn("familyInfo.pinLimitMs", ms(s.pin_limit) + ", longer than the shortest deadline",
+  if (soonest.count() > 0 && s.reservation_limit > soonest)
+    f.warn("familyInfo.pinLimitMs", ms(s.reservation_limit) + ", longer than the shortest deadline",
            "at most " + ms(soonest));
-  if (s.pin_limit.count() >= 0 && s.pin_limit < shortest_pin(s))
-    f.warn("familyInfo.pinLimitMs", ms(s.pin_limit) + ": a state that finds no writer at once is let go of",
+  if (s.reservation_limit.count() >= 0 && s.reservation_limit < shortest_pin(s))
+    f.warn("familyInfo.pinLimitMs",
+           ms(s.reservation_limit) + ": a state that finds no writer at once is let go of",
            "at least " + ms(shortest_pin(s)));
   if (s.drain_grace.count() >= 0 && s.drain_grace < s.tick)
     f.warn("guarantees.drainGraceMs", ms(s.drain_grace) + ", less than a tick", "at least " + ms(s.tick));
@@ -243,21 +246,23 @@
 // How much fells a replica depends on its capacity, which nobody tells. The quotas are a part of what the
 // whole fleet can do, so one replica can do less: a budget that is too small even then is too small.
 void check_cold(const Settings& s, Findings& f) {
-  if (s.cold_time.count() <= 0) return;  // no replica is cold
+  if (s.warmup_time.count() <= 0) return;  // no replica is cold
   const std::string nothing = "0: a cold replica gets nothing until it is warm";
-  if (s.tip_multiple == 0) f.warn("guarantees.tipMultiple", nothing, "above 0");
-  if (s.cold_share == 0) f.warn("guarantees.coldShare", nothing, "above 0");
-  if (s.tip_window.count() == 0) f.warn("guarantees.tipAfterMs", nothing, "above 0");
-  if (s.tip_multiple > 0 && s.tip_multiple < 1)
-    f.warn("guarantees.tipMultiple", number(s.tip_multiple) + ": a cold replica falls below its capacity",
-           "at least 1");
-  const double part = s.tip_multiple * s.cold_share * static_cast<double>(s.tip_window.count()) / 1e6;
-  const double most = part * quotas(s);
-  if (most > 0 && most < 1)
-    f.warn("guarantees.tipAfterMs",
-           "with tipMultiple and coldShare " + number(most) +
-               " requests, even if one replica did the work of all quotas: a single one may fell it",
-           "at least " + ms(Duration(std::llround(static_cast<double>(s.tip_window.count()) / most))));
+  if (s.overload_multiple == 0) f.warn("guarantees.tipMultiple", nothing, "above 0");
+  if (s.warmup_initial_share == 0) f.warn("guarantees.coldShare", nothing, "above 0");
+  if (s.overload_window.count() == 0) f.warn("guarantees.tipAfterMs", nothing, "above 0");
+  if (s.overload_multiple > 0 && s.overload_multiple < 1)
+    f.warn("guarantees.tipMultiple",
+           number(s.overload_multiple) + ": a cold replica falls below its capacity", "at least 1");
+  const double part =
+      s.overload_multiple * s.warmup_initial_share * static_cast<double>(s.overload_window.count()) / 1e6;
+  const double maximum = part * quotas(s);
+  if (maximum > 0 && maximum < 1)
+    f.warn(
+        "guarantees.tipAfterMs",
+        "with tipMultiple and coldShare " + number(maximum) +
+            " requests, even if one replica did the work of all quotas: a single one may fell it",
+        "at least " + ms(Duration(std::llround(static_cast<double>(s.overload_window.count()) / maximum))));
 }
 
 void check_information(const Settings& s, Findings& f) {
@@ -274,7 +279,7 @@
   if (!s.tenants.empty() && quotas(s) == 0)
     f.warn("tenants", "the quotas add up to nothing: every request is over its tenant's share",
            "a quotaRps above 0");
-  if (s.retry_advice && s.max_retry_in.count() == 0)
+  if (s.retry_advice && s.max_retry_after.count() == 0)
     f.warn("limits.maxRetryAfterMs", "0, but advice on when to come again is allowed: none can be given",
            "above 0, or retryAfter false");
 }
@@ -302,22 +307,23 @@
 std::vector<Finding> check_sockets(const Settings& s) {
   Findings f;
   if (s.connect_timeout.count() == 0)
-    f.refuse("limits.connectTimeoutMs", "0 ms: no connection can be made", "above 0");
-  if (s.idle_close.count() == 0) f.refuse("limits.idleCloseMs", "0 ms: no connection can be kept", "above 0");
-  if (!s.classes.empty() && s.connect_timeout > shortest(s, &RequestClass::objective))
+    f.reject("limits.connectTimeoutMs", "0 ms: no connection can be made", "above 0");
+  if (s.idle_timeout.count() == 0)
+    f.reject("limits.idleCloseMs", "0 ms: no connection can be kept", "above 0");
+  if (!s.classes.empty() && s.connect_timeout > shortest(s, &RequestClass::latency_objective))
     f.warn("limits.connectTimeoutMs",
            ms(s.connect_timeout) + ", longer than the shortest objective: who meets a dead replica is late",
-           "at most " + ms(shortest(s, &RequestClass::objective)));
+           "at most " + ms(shortest(s, &RequestClass::latency_objective)));
   return f.take();
 }
 
 void require(const Settings& settings) {
-  std::string refused;
+  std::string rejected;
   for (const Finding& finding : check(settings)) {
     if (finding.severity != Severity::kRefuse) continue;
-    refused += (refused.empty() ? "" : "; ") + text(finding);
+    rejected += (rejected.empty() ? "" : "; ") + text(finding);
   }
-  if (!refused.empty()) throw std::invalid_argument("routing: bad settings: " + refused);
+  if (!rejected.empty()) throw std::invalid_argument("routing: bad settings: " + rejected);
 }
 
 std::string text(const Finding& finding) {
--- a/src/simulation/day.cpp
+++ b/src/simulation/scenario.cpp
@@ -1,4 +1,4 @@
-#include "simulation/day.hpp"
+#include "simulation/scenario.hpp"
 
 #include <algorithm>
 #include <array>
@@ -9,8 +9,8 @@
 #include <map>
 #include <memory>
 
-#include "degradation/control.hpp"
-#include "simulation/fleet.hpp"
+#include "degradation/degradation_controller.hpp"
+#include "simulation/simulated_fleet.hpp"
 
 namespace dispatcher::simulation {
 
@@ -26,29 +26,29 @@
 int below(Random& random, int n) { return boost::random::uniform_int_distribution<int>(0, n - 1)(random); }
 
 // One dispatcher: the real engine between its clients and the model fleet.
-class Instance : public engine::Upstream, public engine::Answerer {
+class Instance : public engine::UpstreamClient, public engine::ResponseSink {
  public:
-  Instance(const Figures& figures, int number, std::uint64_t seed, Fleet& fleet, engine::Deadlines& deadlines,
-           engine::Clock clock, std::vector<Outcome>& outcomes,
+  Instance(const Statistics& figures, int number, std::uint64_t seed, SimulatedFleet& fleet,
+           engine::TimerQueue& timers, engine::Clock clock, std::vector<RequestOutcome>& outcomes,
            std::shared_ptr<const degradation::LevelSet> levels)
       : fleet_(fleet),
         clock_(clock),
         outcomes_(outcomes),
         random_(seed),
         settings_(numbered(figures, number)),
-        engine_(std::make_shared<const routing::Settings>(settings_), seed, *this, deadlines, clock,
+        engine_(std::make_shared<const routing::Settings>(settings_), seed, *this, timers, clock,
                 [](std::string_view) {}),
         control_(
             settings_, levels ? levels : std::make_shared<const degradation::LevelSet>(), clock,
             [](std::string_view) {}, [this] { return uniform(random_); }) {
     engine_.attach(&control_);
-    hosts();
+    endpoints();
   }
 
-  void hosts() {
+  void endpoints() {
     const auto list = fleet_.list();
-    engine_.hosts(list);
-    control_.hosts(list);
+    engine_.endpoints(list);
+    control_.endpoints(list);
   }
   void tick(Time now) { control_.tick(engine_.open(), now); }
   std::size_t changes() const { return control_.machine().history().size(); }
@@ -57,33 +57,33 @@
     rate_limit::Facts facts;
     facts.prompt_tokens = request.prompt_tokens;
     facts.time_left_ms = (request.client_deadline - clock_()).count() / 1000;
-    if (control_.shed(request, facts)) return void(outcomes_[number].end = Outcome::End::kShed);
+    if (control_.shed(request, facts)) return void(outcomes_[number].end = RequestOutcome::End::kShed);
     const SlotId client{static_cast<std::uint32_t>(number), 1};
-    auto message = std::make_shared<engine::Message>();
+    auto message = std::make_shared<engine::UpstreamRequest>();
     message->id = request.id;
     jobs_[request.id] = job;
     engine_.submit(*this, client, request, std::move(message));
   }
 
  private:
-  static routing::Settings numbered(const Figures& figures, int number) {
+  static routing::Settings numbered(const Statistics& figures, int number) {
     routing::Settings s = figures.settings;
     s.router_number = number;
     s.zone = "z" + std::to_string(number % figures.zones);
     return s;
   }
-  Outcome& outcome(SlotId client) { return outcomes_[client.index]; }
+  RequestOutcome& outcome(SlotId client) { return outcomes_[client.index]; }
 
   // ---- to the fleet ----
-  void send(engine::AttemptId attempt, const std::string& host,
-            std::shared_ptr<const engine::Message> message, Time, Time) override {
-    Fleet::Callbacks callbacks;
+  void send(engine::AttemptId attempt, const std::string& endpoint,
+            std::shared_ptr<const engine::UpstreamRequest> message, Time, Time) override {
+    SimulatedFleet::Callbacks callbacks;
     callbacks.first = [this, attempt] { engine_.events(attempt, "data: {}\n\n"); };
-    callbacks.ended = [this, attempt](const engine::Ending& ending) {
+    callbacks.ended = [this, attempt](const engine::AttemptResult& ending) {
       works_.erase(attempt);
       engine_.ended(attempt, ending);
     };
-    works_[attempt] = fleet_.send(host, jobs_[message->id], std::move(callbacks));
+    works_[attempt] = fleet_.send(endpoint, jobs_[message->id], std::move(callbacks));
   }
   bool abandon(engine::AttemptId attempt) override {
     if (const auto it = works_.find(attempt); it != works_.end()) {
@@ -100,33 +100,33 @@
 
   // ---- to the clients ----
   void begin(SlotId client) override {
-    Outcome& o = outcome(client);
+    RequestOutcome& o = outcome(client);
     o.first = clock_() - o.asked;
-    o.end = Outcome::End::kCut;  // until it is whole
+    o.end = RequestOutcome::End::kCut;  // until it is whole
   }
   bool pass(SlotId, std::string_view) override { return true; }
-  void finish(SlotId client) override { outcome(client).end = Outcome::End::kServed; }
-  void cut(SlotId client) override { outcome(client).end = Outcome::End::kCut; }
-  void refuse(SlotId client, std::optional<Duration>) override {
-    outcome(client).end = Outcome::End::kRefused;
+  void finish(SlotId client) override { outcome(client).end = RequestOutcome::End::kServed; }
+  void cut(SlotId client) override { outcome(client).end = RequestOutcome::End::kCut; }
+  void reject(SlotId client, std::optional<Duration>) override {
+    outcome(client).end = RequestOutcome::End::kRejected;
   }
-  void fail(SlotId client, engine::Failure) override { outcome(client).end = Outcome::End::kFailed; }
+  void fail(SlotId client, engine::Failure) override { outcome(client).end = RequestOutcome::End::kFailed; }
 
-  Fleet& fleet_;
+  SimulatedFleet& fleet_;
   engine::Clock clock_;
-  std::vector<Outcome>& outcomes_;
+  std::vector<RequestOutcome>& outcomes_;
   Random random_;
   routing::Settings settings_;
   engine::Engine engine_;
-  degradation::Control control_;
+  degradation::DegradationController control_;
   std::map<std::string, Job> jobs_;
-  std::map<engine::AttemptId, Fleet::Work> works_;
+  std::map<engine::AttemptId, SimulatedFleet::Work> works_;
 };
 
 // What the clients ask, one after another.
 class Traffic {
  public:
-  Traffic(const Figures& figures, std::uint64_t seed) : f_(figures), random_(seed) {}
+  Traffic(const Statistics& figures, std::uint64_t seed) : f_(figures), random_(seed) {}
 
   Duration pause(double times) {
     const double s = boost::random::exponential_distribution<double>(f_.rate * times)(random_);
@@ -145,7 +145,8 @@
     r.prefix_tokens = f_.opening;
     r.prompt_tokens = f_.opening + spread(std::max(1, f_.prompt - f_.opening));
     r.max_tokens = 4 * f_.answer;
-    r.client_deadline = now + cls.deadline + 2 * cls.objective_per_1000_tokens * r.prompt_tokens / 1000;
+    r.client_deadline =
+        now + cls.deadline + 2 * cls.latency_objective_per_1000_tokens * r.prompt_tokens / 1000;
     const Job job{r.id,
                   r.session,
                   r.shared_prefix,
@@ -161,34 +162,34 @@
     const double x = boost::random::exponential_distribution<double>(1.0 / mean)(random_);
     return 1 + static_cast<int>(std::min(x, 8.0 * mean));
   }
-  const Figures& f_;
+  const Statistics& f_;
   Random random_;
   std::uint64_t made_ = 0;
 };
 
 }  // namespace
 
-const char* name(Outcome::End end) {
+const char* name(RequestOutcome::End end) {
   constexpr std::array<const char*, 6> kNames = {"served", "cut", "refused", "shed", "failed", "open"};
   return kNames[static_cast<std::size_t>(end)];
 }
 
 double Result::in_time(const std::string& request_class) const {
   std::size_t all = 0, good = 0;
-  for (const Outcome& o : outcomes) {
+  for (const RequestOutcome& o : outcomes) {
     if (o.request_class != request_class) continue;
     ++all;
-    good += o.end == Outcome::End::kServed && o.in_time ? 1 : 0;
+    good += o.end == RequestOutcome::End::kServed && o.in_time ? 1 : 0;
   }
   return all == 0 ? 1 : static_cast<double>(good) / static_cast<double>(all);
 }
 
 std::string Result::csv() const {
   std::map<std::pair<std::int64_t, std::string>, std::array<std::size_t, 8>> rows;
-  for (const Outcome& o : outcomes) {
+  for (const RequestOutcome& o : outcomes) {
     auto& row = rows[{(o.asked - kStart).count() / 1'000'000, o.request_class}];
     ++row[0];
-    const bool served = o.end == Outcome::End::kServed;
+    const bool served = o.end == RequestOutcome::End::kServed;
     ++row[served && o.in_time ? 1 : served ? 2 : 2 + static_cast<std::size_t>(o.end)];
   }
   std::string text = "second,class,asked,in_time,late,cut,refused,shed,failed,open\n";
@@ -200,37 +201,38 @@
   return text;
 }
 
-Result play(const Figures& figures, std::uint64_t seed, std::shared_ptr<const degradation::LevelSet> levels) {
+Result play(const Statistics& figures, std::uint64_t seed,
+            std::shared_ptr<const degradation::LevelSet> levels) {
   Result result;
   Time now = kStart;
-  engine::Deadlines deadlines;
+  engine::TimerQueue timers;
   const engine::Clock clock = [&now] { return now; };
-  Fleet fleet(figures, deadlines, clock);
+  SimulatedFleet fleet(figures, timers, clock);
   std::vector<std::unique_ptr<Instance>> instances;
   for (int i = 0; i < figures.instances; ++i) {
     const std::uint64_t own = seed * 1'000'003 + static_cast<std::uint64_t>(i);
     instances.push_back(
-        std::make_unique<Instance>(figures, i, own, fleet, deadlines, clock, result.outcomes, levels));
+        std::make_unique<Instance>(figures, i, own, fleet, timers, clock, result.outcomes, levels));
   }
   fleet.on_list([&] {
-    for (auto& instance : instances) instance->hosts();
+    for (auto& instance : instances) instance->endpoints();
   });
   Traffic traffic(figures, seed);
   double times = 1;
-  for (const Trouble& t : figures.troubles) {
-    deadlines.add(kStart + t.from, [&, t] {
-      if (t.kind == Trouble::Kind::kZoneLost)
+  for (const Fault& t : figures.troubles) {
+    timers.add(kStart + t.from, [&, t] {
+      if (t.kind == Fault::Kind::kZoneLost)
         fleet.lose(
             [zone = "z" + std::to_string(t.zone)](const std::string& z, bool, int) { return z == zone; });
-      if (t.kind == Trouble::Kind::kReadersDead)
+      if (t.kind == Fault::Kind::kReadersDead)
         fleet.lose(
             [&](const std::string&, bool reader, int n) { return reader && n < t.share * figures.readers; });
-      if (t.kind == Trouble::Kind::kSlowLinks) fleet.slow_links(t.share);
-      if (t.kind == Trouble::Kind::kJump) times = t.share;
+      if (t.kind == Fault::Kind::kSlowLinks) fleet.slow_links(t.share);
+      if (t.kind == Fault::Kind::kJump) times = t.share;
     });
-    deadlines.add(kStart + t.to, [&, t] {
-      if (t.kind == Trouble::Kind::kSlowLinks) return fleet.slow_links(1);
-      if (t.kind == Trouble::Kind::kJump) return void(times = 1);
+    timers.add(kStart + t.to, [&, t] {
+      if (t.kind == Fault::Kind::kSlowLinks) return fleet.slow_links(1);
+      if (t.kind == Fault::Kind::kJump) return void(times = 1);
       fleet.bring_back();
     });
   }
@@ -239,31 +241,34 @@
     if (now >= end) return;
     const auto [job, request] = traffic.next(now);
     const auto& cls = figures.settings.classes[request.request_class == "ask" ? 0 : 1];
-    const Duration aim = cls.objective + cls.objective_per_1000_tokens * request.prompt_tokens / 1000;
-    result.outcomes.push_back({request.request_class, Outcome::End::kOpen, now, aim, {}, false});
+    const Duration aim =
+        cls.latency_objective + cls.latency_objective_per_1000_tokens * request.prompt_tokens / 1000;
+    result.outcomes.push_back({request.request_class, RequestOutcome::End::kOpen, now, aim, {}, false});
     instances[static_cast<std::size_t>(traffic.instance())]->ask(job, request, result.outcomes.size() - 1);
-    deadlines.add(now + traffic.pause(times), ask);
+    timers.add(now + traffic.pause(times), ask);
   };
-  deadlines.add(kStart + traffic.pause(times), ask);
+  timers.add(kStart + traffic.pause(times), ask);
   std::function<void()> tick = [&] {
     for (auto& instance : instances) instance->tick(now);
-    if (now < end) deadlines.add(now + degradation::Control::kTick, tick);
+    if (now < end) timers.add(now + degradation::DegradationController::kTick, tick);
   };
   tick();
-  while (const auto next = deadlines.next()) {
+  while (const auto next = timers.next()) {
     if (*next > end + kEnding) break;
     now = std::max(now, *next);
-    deadlines.run(now);
+    timers.run(now);
   }
   for (std::size_t i = 0; i < result.outcomes.size(); ++i) {
-    Outcome& o = result.outcomes[i];
+    RequestOutcome& o = result.outcomes[i];
     const auto& classes = figures.settings.classes;
     const auto& cls = *std::find_if(classes.begin(), classes.end(),
                                     [&](const auto& c) { return c.name == o.request_class; });
     o.in_time = o.first <= o.aim;
-    result.most_worth += cls.worth;
-    if (o.end == Outcome::End::kServed) result.worth += cls.worth * (o.in_time ? 1 : cls.late_value);
-    if (cls.repeat == routing::Repeat::kUnsafe && fleet.begun(std::to_string(i + 1)) > 1) ++result.twice;
+    result.total_weight += cls.priority_weight;
+    if (o.end == RequestOutcome::End::kServed)
+      result.served_weight += cls.priority_weight * (o.in_time ? 1 : cls.late_weight);
+    if (cls.idempotency == routing::Idempotency::kNonIdempotent && fleet.begun(std::to_string(i + 1)) > 1)
+      ++result.twice;
   }
   for (const auto& instance : instances) result.changes += instance->changes();
   result.pinned = fleet.states();
--- a/src/simulation/fleet.hpp
+++ b/src/simulation/simulated_fleet.hpp
@@ -1,7 +1,7 @@
 // Readers and writers in virtual time: slots, queues, caches of openings, links between cells, cold starts
 // and loss. Everything happens through one ordered structure of deadlines; nothing here knows a socket.
-#ifndef DISPATCHER_SIMULATION_FLEET_HPP_
-#define DISPATCHER_SIMULATION_FLEET_HPP_
+#ifndef DISPATCHER_SIMULATION_SIMULATED_FLEET_HPP_
+#define DISPATCHER_SIMULATION_SIMULATED_FLEET_HPP_
 
 #include <cstdint>
 #include <deque>
@@ -15,7 +15,7 @@
 #include <vector>
 
 #include "engine/engine.hpp"
-#include "simulation/figures.hpp"
+#include "simulation/statistics.hpp"
 
 namespace dispatcher::simulation {
 
@@ -26,18 +26,18 @@
   int prompt = 0, opening_tokens = 0, answer = 0;
 };
 
-class Fleet {
+class SimulatedFleet {
  public:
   // How an attempt fares. Either `first` and then one end, or one end alone.
   struct Callbacks {
-    std::function<void()> first;                       // the first token
-    std::function<void(const engine::Ending&)> ended;  // the last word
+    std::function<void()> first;                              // the first token
+    std::function<void(const engine::AttemptResult&)> ended;  // the last word
   };
   using Work = std::uint64_t;  // a handle; 0: none
 
-  Fleet(const Figures& figures, engine::Deadlines& deadlines, engine::Clock clock);
+  SimulatedFleet(const Statistics& figures, engine::TimerQueue& timers, engine::Clock clock);
 
-  Work send(const std::string& host, const Job& job, Callbacks callbacks);
+  Work send(const std::string& endpoint, const Job& job, Callbacks callbacks);
   void abandon(Work work);                         // its callbacks are not called any more
   void release(const std::string& id);             // lets go of read states
   std::size_t states() const;                      // that are held
@@ -49,7 +49,7 @@
   void slow_links(double times) { link_factor_ = times; }
 
   // The list as discovery tells it; told again after each change, when its time has come.
-  routing::HostList list() const;
+  routing::EndpointList list() const;
   void on_list(std::function<void()> action) { told_ = std::move(action); }
 
  private:
@@ -58,9 +58,9 @@
     Job job;
     Callbacks callbacks;
     bool running = false, streaming = false;
-    engine::Deadlines::Id next;
+    engine::TimerQueue::Id next;
   };
-  struct Host {
+  struct Endpoint {
     std::string name, zone;
     int cell = 0, number = 0;
     bool reader = false, up = true, listed = true;
@@ -73,21 +73,21 @@
     routing::LoadReport report;
     Time reported{};
   };
-  void arrive(Host& host, Work work);
-  void begin(Host& host, Task& task);
-  void end(Host& host, Work work, const engine::Ending& ending);
-  void serve_next(Host& host);
-  int cached(Host& host, const Job& job);
-  void keep(Host& host, std::uint64_t key, int tokens);
-  double speed(const Host& host) const;
-  void refresh(Host& host);
+  void arrive(Endpoint& endpoint, Work work);
+  void begin(Endpoint& endpoint, Task& task);
+  void end(Endpoint& endpoint, Work work, const engine::AttemptResult& ending);
+  void serve_next(Endpoint& endpoint);
+  int cached(Endpoint& endpoint, const Job& job);
+  void keep(Endpoint& endpoint, std::uint64_t key, int tokens);
+  double speed(const Endpoint& endpoint) const;
+  void refresh(Endpoint& endpoint);
   void tell_later();
 
-  const Figures& figures_;
-  engine::Deadlines& deadlines_;
+  const Statistics& figures_;
+  engine::TimerQueue& timers_;
   engine::Clock clock_;
-  std::map<std::string, Host> hosts_;
-  std::unordered_map<Work, Host*> where_;
+  std::map<std::string, Endpoint> endpoints_;
+  std::unordered_map<Work, Endpoint*> where_;
   std::unordered_map<std::string, int> read_at_;  // by id: the cell whose reader holds its state
   std::unordered_map<std::string, std::size_t> begun_;
   std::function<void()> told_;
@@ -97,4 +97,4 @@
 
 }  // namespace dispatcher::simulation
 
-#endif  // DISPATCHER_SIMULATION_FLEET_HPP_
+#endif  // DISPATCHER_SIMULATION_SIMULATED_FLEET_HPP_
--- a/src/simulation/figures.cpp
+++ b/src/simulation/statistics.cpp
@@ -1,4 +1,4 @@
-#include "simulation/figures.hpp"
+#include "simulation/statistics.hpp"
 
 #include <map>
 
@@ -48,56 +48,56 @@
 }
 )cue";
 
-routing::Settings settings_of(const Figures& f) {
+routing::Settings settings_of(const Statistics& f) {
   using std::chrono::milliseconds;
   routing::Settings s;
   s.router_count = f.instances;
   s.zone = "z0";
   routing::RequestClass ask;
   ask.name = "ask";
-  ask.repeat = routing::Repeat::kSafe;
-  ask.objective = milliseconds(1500);
-  ask.objective_per_1000_tokens = milliseconds(100);
+  ask.idempotency = routing::Idempotency::kIdempotent;
+  ask.latency_objective = milliseconds(1500);
+  ask.latency_objective_per_1000_tokens = milliseconds(100);
   ask.deadline = milliseconds(6000);
-  ask.token_objective = milliseconds(50);
-  ask.worth = 1;
-  ask.late_value = 0.3;
+  ask.token_latency_objective = milliseconds(50);
+  ask.priority_weight = 1;
+  ask.late_weight = 0.3;
   routing::RequestClass command = ask;
   command.name = "command";
-  command.repeat = routing::Repeat::kUnsafe;
-  command.objective = milliseconds(800);
+  command.idempotency = routing::Idempotency::kNonIdempotent;
+  command.latency_objective = milliseconds(800);
   command.deadline = milliseconds(2500);
-  command.worth = 3;
-  command.late_value = 0.2;
+  command.priority_weight = 3;
+  command.late_weight = 0.2;
   s.classes = {ask, command};
   s.tenants = {{"one", f.rate}, {"two", f.rate}};
   s.kinds = {{"reader", routing::Role::kReader, 400'000}, {"writer", routing::Role::kWriter, 400'000}};
   s.may_cancel = s.retry_advice = true;
-  s.max_retry_in = milliseconds(2000);
+  s.max_retry_after = milliseconds(2000);
   s.max_attempts = 4;
   s.tick = milliseconds(4);
   s.answer_slack = milliseconds(16);
   s.drain_grace = milliseconds(250);
-  s.pin_limit = milliseconds(1500);
+  s.reservation_limit = milliseconds(1500);
   s.connect_timeout = milliseconds(250);
-  s.idle_close = std::chrono::seconds(15);
-  s.cold_share = 0.3;
-  s.cold_time = std::chrono::seconds(14);
-  s.tip_multiple = 4;
-  s.tip_window = std::chrono::seconds(2);
+  s.idle_timeout = std::chrono::seconds(15);
+  s.warmup_initial_share = 0.3;
+  s.warmup_time = std::chrono::seconds(14);
+  s.overload_multiple = 4;
+  s.overload_window = std::chrono::seconds(2);
   return s;
 }
 
 }  // namespace
 
-Figures read_figures(const cue::File& file) {
+Statistics read_figures(const cue::File& file) {
   static const cue::Schema schema(kSchema, "#Scenario");
   const cue::Data data = schema.read(file);
   const auto number = [](const cue::Data& d) { return static_cast<int>(d.integer()); };
   const auto us = [](const cue::Data& d) { return Duration(d.integer()); };
   const auto ms = [](const cue::Data& d) { return Duration(std::chrono::milliseconds(d.integer())); };
   const auto s = [](const cue::Data& d) { return Duration(std::chrono::seconds(d.integer())); };
-  Figures f;
+  Statistics f;
   f.lasts = s(data["lasts_s"]);
   f.instances = number(data["instances"]);
   const cue::Data &fleet = data["fleet"], &traffic = data["traffic"];
@@ -122,16 +122,16 @@
   f.answer = number(traffic["answer"]);
   f.sessions = number(traffic["sessions"]);
   f.openings = number(traffic["openings"]);
-  static const std::map<std::string, Trouble::Kind> kKinds = {{"zone-lost", Trouble::Kind::kZoneLost},
-                                                              {"readers-dead", Trouble::Kind::kReadersDead},
-                                                              {"slow-links", Trouble::Kind::kSlowLinks},
-                                                              {"jump", Trouble::Kind::kJump}};
+  static const std::map<std::string, Fault::Kind> kKinds = {{"zone-lost", Fault::Kind::kZoneLost},
+                                                            {"readers-dead", Fault::Kind::kReadersDead},
+                                                            {"slow-links", Fault::Kind::kSlowLinks},
+                                                            {"jump", Fault::Kind::kJump}};
   std::vector<cue::Problem> problems;
   for (const cue::Data& t : data["troubles"].items()) {
-    Trouble trouble{kKinds.at(t["kind"].text()), s(t["from_s"]), s(t["to_s"]), number(t["zone"]),
-                    t["share"].real()};
+    Fault trouble{kKinds.at(t["kind"].text()), s(t["from_s"]), s(t["to_s"]), number(t["zone"]),
+                  t["share"].real()};
     if (trouble.to <= trouble.from) problems.push_back(cue::problem(t["to_s"], "not after from_s"));
-    if (trouble.kind == Trouble::Kind::kZoneLost && trouble.zone >= f.zones)
+    if (trouble.kind == Fault::Kind::kZoneLost && trouble.zone >= f.zones)
       problems.push_back(cue::problem(t["zone"], "no such zone"));
     f.troubles.push_back(trouble);
   }
--- a/src/simulation/figures.hpp
+++ b/src/simulation/statistics.hpp
@@ -1,6 +1,6 @@
 // The figures of a model fleet and its traffic: a typed record, so that scenarios are files.
-#ifndef DISPATCHER_SIMULATION_FIGURES_HPP_
-#define DISPATCHER_SIMULATION_FIGURES_HPP_
+#ifndef DISPATCHER_SIMULATION_STATISTICS_HPP_
+#define DISPATCHER_SIMULATION_STATISTICS_HPP_
 
 #include <string>
 #include <vector>
@@ -13,14 +13,14 @@
 using routing::Duration;
 using routing::Time;
 
-struct Trouble {
+struct Fault {
   enum class Kind { kZoneLost, kReadersDead, kSlowLinks, kJump } kind{};
   Duration from{}, to{};  // since the start; `to`: it ends, and what was lost comes back cold
   int zone = 0;           // of kZoneLost
   double share = 0;       // of kReadersDead: of the readers; of kSlowLinks, kJump: how many times as much
 };
 
-struct Figures {
+struct Statistics {
   Duration lasts{};
   int instances = 1;
   // The fleet.
@@ -36,13 +36,13 @@
   double commands = 0;                      // their part
   int prompt = 0, opening = 0, answer = 0;  // tokens: mean, shared, mean
   int sessions = 0, openings = 0;
-  std::vector<Trouble> troubles;
+  std::vector<Fault> troubles;
   routing::Settings settings;  // as each instance is given them, but for its number
 };
 
 // Throws cue::Errors.
-Figures read_figures(const cue::File& file);
+Statistics read_figures(const cue::File& file);
 
 }  // namespace dispatcher::simulation
 
-#endif  // DISPATCHER_SIMULATION_FIGURES_HPP_
+#endif  // DISPATCHER_SIMULATION_STATISTICS_HPP_
--- a/src/simulator/main.cpp
+++ b/src/simulator/main.cpp
@@ -13,8 +13,8 @@
 #include <thread>
 #include <vector>
 
-#include "degradation/control.hpp"
-#include "simulation/day.hpp"
+#include "degradation/degradation_controller.hpp"
+#include "simulation/scenario.hpp"
 
 namespace {
 
@@ -29,16 +29,16 @@
 
 void print(const simulation::Result& result) {
   std::map<std::string, std::array<std::size_t, 6>> ends;
-  for (const simulation::Outcome& o : result.outcomes)
+  for (const simulation::RequestOutcome& o : result.outcomes)
     ++ends[o.request_class][static_cast<std::size_t>(o.end)];
   for (const auto& [name, counts] : ends) {
     std::printf("%-10s in time %.4f:", name.c_str(), result.in_time(name));
     for (std::size_t i = 0; i < counts.size(); ++i)
-      std::printf(" %s %zu", simulation::name(static_cast<simulation::Outcome::End>(i)), counts[i]);
+      std::printf(" %s %zu", simulation::name(static_cast<simulation::RequestOutcome::End>(i)), counts[i]);
     std::printf("\n");
   }
   std::printf("worth %.4f, run twice %zu, states left %zu, changes of level %zu\n",
-              result.worth / result.most_worth, result.twice, result.pinned, result.changes);
+              result.served_weight / result.total_weight, result.twice, result.pinned, result.changes);
 }
 
 // One day of a sweep.
@@ -46,21 +46,21 @@
   double load = 1;
   std::uint64_t seed = 0;
   bool levels = false;
-  double worth = 0, ask = 0, command = 0;
+  double served_weight = 0, ask = 0, command = 0;
   std::size_t changes = 0, twice = 0;
 };
 
 // Plays all points on all cores; which core plays which changes nothing in the results.
-void play_all(std::vector<Point>& points, const simulation::Figures& figures,
+void play_all(std::vector<Point>& points, const simulation::Statistics& figures,
               const std::shared_ptr<const degradation::LevelSet>& levels) {
   std::atomic<std::size_t> next = 0, done = 0;
   const auto work = [&] {
     for (std::size_t i = next++; i < points.size(); i = next++) {
       Point& p = points[i];
-      simulation::Figures f = figures;
+      simulation::Statistics f = figures;
       f.rate *= p.load;
       const simulation::Result r = simulation::play(f, p.seed, p.levels ? levels : nullptr);
-      p.worth = r.worth / r.most_worth;
+      p.served_weight = r.served_weight / r.total_weight;
       p.ask = r.in_time("ask");
       p.command = r.in_time("command");
       p.changes = r.changes;
@@ -74,7 +74,7 @@
   std::fprintf(stderr, "\n");
 }
 
-int sweep(const simulation::Figures& figures, const std::vector<double>& loads, std::size_t seeds,
+int sweep(const simulation::Statistics& figures, const std::vector<double>& loads, std::size_t seeds,
           const std::shared_ptr<const degradation::LevelSet>& levels, std::ostream& csv) {
   std::vector<Point> points;
   for (const double load : loads) {
@@ -92,11 +92,11 @@
   csv << "load,levels,seed,worth,ask_in_time,command_in_time,changes,run_twice\n";
   std::map<std::pair<double, bool>, std::pair<std::size_t, std::array<double, 4>>> means;
   for (const Point& p : points) {
-    csv << p.load << "," << (p.levels ? "with" : "without") << "," << p.seed << "," << p.worth << "," << p.ask
-        << "," << p.command << "," << p.changes << "," << p.twice << "\n";
+    csv << p.load << "," << (p.levels ? "with" : "without") << "," << p.seed << "," << p.served_weight << ","
+        << p.ask << "," << p.command << "," << p.changes << "," << p.twice << "\n";
     auto& [n, sums] = means[{p.load, p.levels}];
     ++n;
-    const std::array<double, 4> values = {p.worth, p.ask, p.command, static_cast<double>(p.changes)};
+    const std::array<double, 4> values = {p.served_weight, p.ask, p.command, static_cast<double>(p.changes)};
     for (std::size_t i = 0; i < values.size(); ++i) sums[i] += values[i];
   }
   std::printf("load  levels    worth    ask  command  changes (means of %zu seeds)\n", seeds);
@@ -131,9 +131,9 @@
   sweeps->add_option("--csv", csv, "where to write a line for each day");
   CLI11_PARSE(cli, argc, argv);
   try {
-    const simulation::Figures figures = simulation::read_figures(read(scenario));
+    const simulation::Statistics figures = simulation::read_figures(read(scenario));
     const auto reduced =
-        levels.empty() ? nullptr : degradation::Control::read(read(levels), figures.settings);
+        levels.empty() ? nullptr : degradation::DegradationController::read(read(levels), figures.settings);
     if (*sweeps) {
       std::ofstream file;
       if (!csv.empty()) file.open(csv);
--- a/src/upstream/exchange.cpp
+++ b/src/upstream/exchange.cpp
@@ -6,7 +6,7 @@
 
 namespace dispatcher::upstream {
 
-using routing::Verdict;
+using routing::AttemptStatus;
 using Json = nlohmann::json;
 
 namespace {
@@ -20,7 +20,7 @@
 }
 
 // What is wrong is the request, whoever it is sent to: not the time or the load.
-bool refuses_request(unsigned status) {
+bool rejects_request(unsigned status) {
   return status / 100 == 4 && status != 408 && status != 425 && status != 429;
 }
 
@@ -47,7 +47,7 @@
 
 }  // namespace
 
-std::string request_text(const engine::Message& m, engine::Duration left) {
+std::string request_text(const engine::UpstreamRequest& m, engine::Duration left) {
   std::string text = request_head(m.method, m.target);
   text += "X-Correlation-Id: " + m.id + "\r\nX-Time-Left-Ms: " + std::to_string(left.count() / 1000) + "\r\n";
   text += m.headers;
@@ -59,7 +59,7 @@
   return request_head(method, "/kv/leases/" + id) + "Content-Length: 0\r\n\r\n";
 }
 
-void note_event(const std::string& event, engine::Ending& ending) {
+void note_event(const std::string& event, engine::AttemptResult& ending) {
   if (event.starts_with(kLoadComment)) {
     ending.report = parse_report(std::string_view(event).substr(kLoadComment.size()));
   } else if (event.find("\"cached_tokens\"") != std::string::npos) {
@@ -69,8 +69,8 @@
   }
 }
 
-engine::Ending judge(const http::ResponseReader::Message& message, std::string_view rest,
-                     engine::Ending ending) {
+engine::AttemptResult judge(const http::ResponseReader::Message& message, std::string_view rest,
+                            engine::AttemptResult ending) {
   const auto load = http::header(message, "X-Backend-Load");
   if (!load.empty()) ending.report = parse_report(load);
   const bool never_ran = http::header(message, "X-Unprocessed") == "1";
@@ -78,28 +78,28 @@
     case 200:  // a comment needs no blank line at the very end; anything else there is an event cut short
       if (rest.starts_with(kLoadComment)) ending.report = parse_report(rest.substr(kLoadComment.size()));
       if (rest.empty() || rest.front() == ':') {
-        ending.verdict = Verdict::kServed;
+        ending.verdict = AttemptStatus::kServed;
       } else {
-        ending.verdict = Verdict::kReset;
+        ending.verdict = AttemptStatus::kReset;
         ending.note = 1;
       }
       break;
     case 202:
-      ending.verdict = Verdict::kRead;
+      ending.verdict = AttemptStatus::kRead;
       ending.note = cached_tokens(Json::parse(message.body(), nullptr, false));
       break;
     case 410:
-      ending.verdict = never_ran ? Verdict::kFull : Verdict::kError;
+      ending.verdict = never_ran ? AttemptStatus::kFull : AttemptStatus::kError;
       ending.note = never_ran ? 1 : 0;
       break;
     case 503:
     case 504:
-      ending.verdict = never_ran ? Verdict::kFull : Verdict::kError;
+      ending.verdict = never_ran ? AttemptStatus::kFull : AttemptStatus::kError;
       break;
     default:
-      ending.verdict = Verdict::kError;
-      ending.unusable = refuses_request(message.result_int());
-      if (ending.unusable) ending.verdict = Verdict::kNeverSent;  // no sign of the replica's health
+      ending.verdict = AttemptStatus::kError;
+      ending.unusable = rejects_request(message.result_int());
+      if (ending.unusable) ending.verdict = AttemptStatus::kNeverSent;  // no sign of the replica's health
   }
   return ending;
 }
--- a/src/upstream/release_plan.cpp
+++ b/src/upstream/release_targets.cpp
@@ -1,4 +1,4 @@
-#include "upstream/release_plan.hpp"
+#include "upstream/release_targets.hpp"
 
 #include <algorithm>
 #include <tuple>
@@ -6,14 +6,14 @@
 namespace dispatcher::upstream {
 
 namespace {
-constexpr std::size_t kMostAtOnce = 8;  // calls of one round: the others of the fleet may be asking as well
+constexpr std::size_t kMaxAtOnce = 8;  // calls of one round: the others of the fleet may be asking as well
 // Two pin limits' worth: what can be reached at all was found by then.
 constexpr int kBriskRounds = 12;
 constexpr Duration kLongestPause = std::chrono::seconds(1);
 }  // namespace
 
 // Zones and cells that were asked less come first: what keeps one host silent mostly keeps its neighbours so.
-const Listener* ReleasePlan::best(const std::vector<Listener>& listeners) const {
+const Listener* ReleaseTargets::best(const std::vector<Listener>& listeners) const {
   const auto calls = [](const auto& map, const auto& key) {
     const auto it = map.find(key);
     return it == map.end() ? 0 : it->second;
@@ -24,13 +24,13 @@
   };
   const Listener* found = nullptr;
   for (const Listener& l : listeners) {
-    if (tried_.contains(l.host)) continue;
+    if (tried_.contains(l.endpoint)) continue;
     if (found == nullptr || rank(l) > rank(*found)) found = &l;
   }
   return found;
 }
 
-std::vector<std::string> ReleasePlan::round(Time now, const std::vector<Listener>& listeners) {
+std::vector<std::string> ReleaseTargets::round(Time now, const std::vector<Listener>& listeners) {
   std::vector<std::string> chosen;
   if (over(now)) return chosen;
   ++rounds_;
@@ -43,17 +43,17 @@
     }
     // Nobody sure to hear: two at once from the start.
     if (asked_ == 0 && chosen.empty() && (!next->connected || next->silent)) width_ = 2;
-    chosen.push_back(next->host);
-    tried_.insert(next->host);
+    chosen.push_back(next->endpoint);
+    tried_.insert(next->endpoint);
     ++zones_[next->zone];
     ++cells_[{next->zone, next->cell}];
     ++asked_;
   }
-  width_ = std::min(2 * width_, kMostAtOnce);
+  width_ = std::min(2 * width_, kMaxAtOnce);
   return chosen;
 }
 
-Duration ReleasePlan::pause() const {
+Duration ReleaseTargets::pause() const {
   Duration pause = interval_;
   for (int i = kBriskRounds; i < rounds_ && pause < kLongestPause; ++i) pause *= 2;
   return std::max(interval_, std::min(pause, kLongestPause));
--- a/src/upstream/release_plan.hpp
+++ b/src/upstream/release_targets.hpp
@@ -1,8 +1,8 @@
 // Whom to ask to let go of what is held for a request. Any replica that runs takes the call, so the calls go
 // on, in rounds that double and spread over zones and cells, until one is answered: a zone that has just
 // fallen silent holds most of those that were heard last. No I/O; the clock is passed in.
-#ifndef DISPATCHER_UPSTREAM_RELEASE_PLAN_HPP_
-#define DISPATCHER_UPSTREAM_RELEASE_PLAN_HPP_
+#ifndef DISPATCHER_UPSTREAM_RELEASE_TARGETS_HPP_
+#define DISPATCHER_UPSTREAM_RELEASE_TARGETS_HPP_
 
 #include <chrono>
 #include <map>
@@ -17,18 +17,18 @@
 
 // A replica as it may be asked.
 struct Listener {
-  std::string host, zone;
+  std::string endpoint, zone;
   int cell = 0;
   bool connected = false;  // an idle connection to it is kept
   bool silent = false;     // it owes an answer for longer than usual
   Time heard{};            // when anything came from it last; zero: never
 };
 
-class ReleasePlan {
+class ReleaseTargets {
  public:
   // Asks for as long as `patience` after `begun`, at first every `interval`; a host that was asked in vain is
   // asked again only after all others were.
-  ReleasePlan(Time begun, Duration patience, Duration interval)
+  ReleaseTargets(Time begun, Duration patience, Duration interval)
       : begun_(begun), patience_(patience), interval_(interval) {}
   // Those to ask in this round: one where the first of them is sure to hear, then ever more at once. Empty:
   // there are none, or the time is over.
@@ -52,4 +52,4 @@
 
 }  // namespace dispatcher::upstream
 
-#endif  // DISPATCHER_UPSTREAM_RELEASE_PLAN_HPP_
+#endif  // DISPATCHER_UPSTREAM_RELEASE_TARGETS_HPP_
--- a/src/upstream/leases.hpp
+++ b/src/upstream/reservation_releaser.hpp
@@ -1,7 +1,7 @@
 // The calls that let go of what is held for requests: to further and further replicas until one answers, ever
 // more slowly where none can be reached, and anew for as long as something may still leave a state.
-#ifndef DISPATCHER_UPSTREAM_LEASES_HPP_
-#define DISPATCHER_UPSTREAM_LEASES_HPP_
+#ifndef DISPATCHER_UPSTREAM_RESERVATION_RELEASER_HPP_
+#define DISPATCHER_UPSTREAM_RESERVATION_RELEASER_HPP_
 
 #include <deque>
 #include <map>
@@ -9,7 +9,7 @@
 #include <vector>
 
 #include "engine/engine.hpp"
-#include "upstream/release_plan.hpp"
+#include "upstream/release_targets.hpp"
 
 namespace dispatcher::upstream {
 
@@ -17,31 +17,27 @@
 using engine::Time;
 using net::SlotId;
 
-class Leases {
+class ReservationReleaser {
  public:
   // What the calls go over. Never calls back from inside a call.
-  class Lines {
+  class ReleaseConnections {
    public:
-    virtual ~Lines() = default;
+    virtual ~ReleaseConnections() = default;
     // Empty: no connection may be opened now.
-    virtual SlotId call_release(const std::string& host, const std::string& id) = 0;
+    virtual SlotId call_release(const std::string& endpoint, const std::string& id) = 0;
     virtual void drop(SlotId line) = 0;
     virtual std::vector<upstream::Listener> listeners() = 0;
   };
   struct Bounds {
-    Duration patience{};         // with one round of calls, until the next
-    Duration again{};            // from an answer to the next call, where something may still leave a state
-    std::size_t most_calls = 0;  // calls out at once, for all requests together
+    Duration patience{};        // with one round of calls, until the next
+    Duration again{};           // from an answer to the next call, where something may still leave a state
+    std::size_t max_calls = 0;  // calls out at once, for all requests together
   };
-  Leases(Lines& lines, engine::Deadlines& deadlines, engine::Clock clock, engine::Log log,
-         const Bounds& bounds)
-      : lines_(lines),
-        deadlines_(deadlines),
-        clock_(std::move(clock)),
-        log_(std::move(log)),
-        bounds_(bounds) {}
-  Leases(const Leases&) = delete;
-  Leases& operator=(const Leases&) = delete;
+  ReservationReleaser(ReleaseConnections& lines, engine::TimerQueue& timers, engine::Clock clock,
+                      engine::Log log, const Bounds& bounds)
+      : lines_(lines), timers_(timers), clock_(std::move(clock)), log_(std::move(log)), bounds_(bounds) {}
+  ReservationReleaser(const ReservationReleaser&) = delete;
+  ReservationReleaser& operator=(const ReservationReleaser&) = delete;
   void bound(const Bounds& bounds) { bounds_ = bounds; }
 
   // `until`: by then, something of the request may still leave a state. One that is being asked for already
@@ -59,18 +55,18 @@
 
  private:
   struct Lease {
-    upstream::ReleasePlan plan;
+    upstream::ReleaseTargets plan;
     std::deque<SlotId> lines;  // the oldest call at the front
     Time until{};
     bool rests = false;  // answered, to be asked for again
-    engine::Deadlines::Id next;
+    engine::TimerQueue::Id next;
   };
   void begin(const std::string& id, Lease& lease);
   void ask(const std::string& id);
   void hang_up(Lease& lease, std::size_t left);
 
-  Lines& lines_;
-  engine::Deadlines& deadlines_;
+  ReleaseConnections& lines_;
+  engine::TimerQueue& timers_;
   engine::Clock clock_;
   engine::Log log_;
   Bounds bounds_;
@@ -80,4 +76,4 @@
 
 }  // namespace dispatcher::upstream
 
-#endif  // DISPATCHER_UPSTREAM_LEASES_HPP_
+#endif  // DISPATCHER_UPSTREAM_RESERVATION_RELEASER_HPP_
--- a/src/vrrp/speaker.cpp
+++ b/src/vrrp/vrrp_instance.cpp
@@ -1,4 +1,4 @@
-#include "vrrp/speaker.hpp"
+#include "vrrp/vrrp_instance.hpp"
 
 #include <algorithm>
 #include <boost/asio/buffer.hpp>
@@ -77,35 +77,35 @@
   return config;
 }
 
-Speaker::Speaker(boost::asio::io_context& io, const Config& config, engine::Deadlines& deadlines,
-                 engine::Clock clock, engine::Log log, OnState on_state)
+VrrpInstance::VrrpInstance(boost::asio::io_context& io, const Config& config, engine::TimerQueue& timers,
+                           engine::Clock clock, engine::Log log, OnState on_state)
     : config_(config),
-      deadlines_(deadlines),
+      timers_(timers),
       clock_(std::move(clock)),
       log_(std::move(log)),
       on_state_(std::move(on_state)),
       machine_(config.parameters),
       socket_(io, config.listen) {}
 
-void Speaker::start(bool succeeds) {
+void VrrpInstance::start(bool succeeds) {
   receive();
   carry_out(machine_.startup(clock_(), succeeds));
 }
 
-void Speaker::leave() {
+void VrrpInstance::leave() {
   machine_.shutdown();
-  deadlines_.drop(timer_);
+  timers_.drop(timer_);
   boost::system::error_code ignored;
   socket_.close(ignored);
 }
 
-void Speaker::stop() {
+void VrrpInstance::stop() {
   carry_out(machine_.shutdown());
   boost::system::error_code ignored;
   socket_.close(ignored);
 }
 
-void Speaker::receive() {
+void VrrpInstance::receive() {
   socket_.async_receive_from(boost::asio::buffer(packet_), from_,
                              [this](boost::system::error_code error, std::size_t size) {
                                if (!socket_.is_open()) return;
@@ -115,7 +115,7 @@
                              });
 }
 
-void Speaker::take(std::size_t size) {
+void VrrpInstance::take(std::size_t size) {
   const auto known = [&](const udp::endpoint& peer) { return peer == from_; };
   if (std::none_of(config_.peers.begin(), config_.peers.end(), known)) return;
   const auto result = decode({packet_.data(), size});
@@ -127,16 +127,16 @@
   carry_out(machine_.receive(clock_(), advertisement, from_.address().to_v4().to_bytes()));
 }
 
-void Speaker::carry_out(const StateMachine::Sent& sent) {
+void VrrpInstance::carry_out(const StateMachine::Sent& sent) {
   for (const Advertisement& advertisement : sent) {
     const auto packet = encode(advertisement);
     boost::system::error_code ignored;  // a lost advertisement is the protocol's to bear
     for (const udp::endpoint& peer : config_.peers)
       socket_.send_to(boost::asio::buffer(packet), peer, 0, ignored);
   }
-  deadlines_.drop(timer_);
+  timers_.drop(timer_);
   if (const auto next = machine_.next_timer()) {
-    timer_ = deadlines_.add(*next, [this] {
+    timer_ = timers_.add(*next, [this] {
       timer_ = {};
       carry_out(machine_.timer(clock_()));
     });
--- a/src/vrrp/speaker.hpp
+++ b/src/vrrp/vrrp_instance.hpp
@@ -1,6 +1,6 @@
 // Carries the state machine's advertisements over UDP between the instances of a pair.
-#ifndef DISPATCHER_VRRP_SPEAKER_HPP_
-#define DISPATCHER_VRRP_SPEAKER_HPP_
+#ifndef DISPATCHER_VRRP_VRRP_INSTANCE_HPP_
+#define DISPATCHER_VRRP_VRRP_INSTANCE_HPP_
 
 #include <array>
 #include <boost/asio/io_context.hpp>
@@ -11,8 +11,8 @@
 #include <vector>
 
 #include "cue/syntax.hpp"
-#include "engine/deadlines.hpp"
 #include "engine/engine.hpp"
+#include "engine/timer_queue.hpp"
 #include "vrrp/state_machine.hpp"
 
 namespace dispatcher::vrrp {
@@ -27,11 +27,11 @@
 // Empty where the file names no address: VRRP is off. Throws cue::Errors.
 std::optional<Config> parse_config(const cue::File& file);
 
-class Speaker {
+class VrrpInstance {
  public:
   using OnState = std::function<void(State)>;
-  Speaker(boost::asio::io_context& io, const Config& config, engine::Deadlines& deadlines,
-          engine::Clock clock, engine::Log log, OnState on_state);
+  VrrpInstance(boost::asio::io_context& io, const Config& config, engine::TimerQueue& timers,
+               engine::Clock clock, engine::Log log, OnState on_state);
   void start(bool succeeds = false);
   void stop();   // tells the peers
   void leave();  // without a word: another process of this router takes the address and its state over
@@ -45,7 +45,7 @@
   void carry_out(const StateMachine::Sent& sent);
 
   Config config_;
-  engine::Deadlines& deadlines_;
+  engine::TimerQueue& timers_;
   engine::Clock clock_;
   engine::Log log_;
   OnState on_state_;
@@ -54,9 +54,9 @@
   udp::socket socket_;
   udp::endpoint from_;
   std::array<std::uint8_t, 1500> packet_{};
-  engine::Deadlines::Id timer_;
+  engine::TimerQueue::Id timer_;
 };
 
 }  // namespace dispatcher::vrrp
 
-#endif  // DISPATCHER_VRRP_SPEAKER_HPP_
+#endif  // DISPATCHER_VRRP_VRRP_INSTANCE_HPP_
--- a/tests/confine/confine.cpp
+++ b/tests/confine/confine.cpp
@@ -36,7 +36,7 @@
   int error;
 };
 
-constexpr Refused kRefused[] = {
+constexpr Refused kRejected[] = {
     {SYS_fork, "fork", ENOSYS},
     {SYS_vfork, "vfork", ENOSYS},
     {SYS_execve, "execve", ENOSYS},
@@ -64,7 +64,7 @@
   auto* registers = static_cast<ucontext_t*>(context)->uc_mcontext.gregs;
   int error = ENOSYS;
   const char* name = "unknown";
-  for (const Refused& r : kRefused) {
+  for (const Refused& r : kRejected) {
     if (r.number == info->si_syscall) name = r.name, error = r.error;
   }
   char line[96] = "refused ";
@@ -91,7 +91,7 @@
   scmp_filter_ctx filter = seccomp_init(SCMP_ACT_ALLOW);
   if (filter == nullptr) return false;
   int failed = 0;
-  for (const Refused& r : kRefused) {
+  for (const Refused& r : kRejected) {
     if (r.number == SYS_clone) {
       failed |=
           seccomp_rule_add(filter, SCMP_ACT_TRAP, r.number, 1, SCMP_A0(SCMP_CMP_MASKED_EQ, CLONE_THREAD, 0));
--- a/tests/confine/confine_test.cpp
+++ b/tests/confine/confine_test.cpp
@@ -10,7 +10,7 @@
 #include <fstream>
 #include <sstream>
 
-#include "../dispatcher/world.hpp"
+#include "../dispatcher/fixture.hpp"
 
 extern char** environ;
 
@@ -39,7 +39,7 @@
 
 std::string configuration(int port, int discovery_port, const StandInReplica& reader,
                           const StandInReplica& writer) {
-  const auto host = [](const char* name, const char* kind, const std::string& at) {
+  const auto endpoint = [](const char* name, const char* kind, const std::string& at) {
     return std::string(R"({"host":")") + name + R"(","dial":")" + at + R"(","site":"here","class":")" + kind +
            R"(","block":0,"health":"up","share":1.0,"born_ms":0})";
   };
@@ -54,7 +54,7 @@
       "guarantees":{"answerSlackMs":16.0,"drainGraceMs":250.0,"coldShare":0.3,"coldMs":14000.0,
         "tipMultiple":4.0,"tipAfterMs":2000.0}},
     "known":{"seq":1,"whole":true,"hosts":[)" +
-         host("r1", "reader", dial(reader)) + "," + host("w1", "writer", dial(writer)) + "]}}";
+         endpoint("r1", "reader", dial(reader)) + "," + endpoint("w1", "writer", dial(writer)) + "]}}";
 }
 
 // One process of the daemon, confined, with its folder, its log and the stand-in's report.
--- a/tests/conformance/conformance_test.cpp
+++ b/tests/conformance/conformance_test.cpp
@@ -8,7 +8,7 @@
 #include <string>
 #include <utility>
 
-#include "rows.hpp"
+#include "table_rows.hpp"
 
 namespace dispatcher::routing::conformance {
 namespace {
