--- a/tests/dispatcher/upgrade_test.cpp
+++ b/tests/dispatcher/hot_restart_test.cpp
@@ -7,9 +7,9 @@
 #include <random>
 
 #include "daemon/dispatcher.hpp"
-#include "hot_restart/bans.hpp"
-#include "hot_restart/partner.hpp"
-#include "world.hpp"
+#include "fixture.hpp"
+#include "hot_restart/drained_endpoint_store.hpp"
+#include "hot_restart/hot_restart_peer.hpp"
 
 namespace dispatcher::testing {
 namespace {
@@ -32,15 +32,15 @@
 TEST_CASE("bans outlive their process; a damaged file is no reason not to start", "[upgrade]") {
   Folder folder;
   const std::string path = folder / "x.bans";
-  hot_restart::Bans first(path, quiet);
+  hot_restart::DrainedEndpointStore first(path, quiet);
   first.load();
   CHECK(first.set("a", true));
   CHECK(first.set("b", true));
   CHECK_FALSE(first.set("b", true));
   CHECK(first.set("a", false));
-  hot_restart::Bans second(path, quiet);
+  hot_restart::DrainedEndpointStore second(path, quiet);
   second.load();
-  CHECK(second.hosts() == std::set<std::string>{"b"});
+  CHECK(second.endpoints() == std::set<std::string>{"b"});
   CHECK(std::distance(fs::directory_iterator(folder.path), {}) == 1);  // nothing half written stays
   std::ifstream whole(path);
   const std::string text{std::istreambuf_iterator<char>(whole), {}};
@@ -48,19 +48,19 @@
   for (std::size_t cut = 0; cut < text.size(); ++cut) {
     std::ofstream(path, std::ios::trunc) << text.substr(0, cut);
     int logged = 0;
-    hot_restart::Bans damaged(path, [&](std::string_view) { ++logged; });
+    hot_restart::DrainedEndpointStore damaged(path, [&](std::string_view) { ++logged; });
     damaged.load();
-    CHECK(damaged.hosts().empty());
+    CHECK(damaged.endpoints().empty());
     CHECK(logged == 1);
   }
   fs::remove(path);
   fs::create_directory(path);
-  hot_restart::Bans hindered(path, quiet);
+  hot_restart::DrainedEndpointStore hindered(path, quiet);
   hindered.load();
   CHECK(hindered.set("c", true));  // binds, though it can't be kept
 }
 
-struct Ear : hot_restart::Link::Owner {
+struct Ear : hot_restart::HandoverChannel::Owner {
   void on_message(const Json& message, hot_restart::Fds fds) override {
     messages.push_back(message);
     for (auto& fd : fds) descriptors.push_back(std::move(fd));
@@ -75,18 +75,18 @@
   Clockwork work;
   Folder folder;
   Ear here, there;
-  CHECK(hot_restart::Link::connect(work.io, folder / "s", here) == nullptr);
+  CHECK(hot_restart::HandoverChannel::connect(work.io, folder / "s", here) == nullptr);
   std::ofstream(folder / "s") << "stale";
-  CHECK(hot_restart::Link::connect(work.io, folder / "s", here) == nullptr);
-  std::shared_ptr<hot_restart::Link> far;
+  CHECK(hot_restart::HandoverChannel::connect(work.io, folder / "s", here) == nullptr);
+  std::shared_ptr<hot_restart::HandoverChannel> far;
   int raw = -1;
-  hot_restart::Door door(work.io, folder / "s", [&](net::UniqueFd fd) {
+  hot_restart::HandoverListener door(work.io, folder / "s", [&](net::UniqueFd fd) {
     raw = fd.get();
-    far = std::make_shared<hot_restart::Link>(work.io, std::move(fd), there);
+    far = std::make_shared<hot_restart::HandoverChannel>(work.io, std::move(fd), there);
     far->start();
   });
   REQUIRE(door.open());
-  const auto near = hot_restart::Link::connect(work.io, folder / "s", here);
+  const auto near = hot_restart::HandoverChannel::connect(work.io, folder / "s", here);
   REQUIRE(near != nullptr);
   net::tcp::acceptor listening(work.io, loopback());
   near->send({{"n", 0}}, {listening.native_handle()});
@@ -114,12 +114,12 @@
 }
 
 TEST_CASE("what a router learned passes on whole; what can't be read is left out", "[upgrade]") {
-  routing::Knowledge k;
+  routing::LearnedState k;
   k.starts[1] = {12.5, 0.25, 40};
   k.far = {3, 0.5, 9};
   k.served = {5, 6, 0};
   k.since = seconds(77);
-  k.hosts.push_back({"r1", {seconds(80), seconds(81)}, seconds(79)});
+  k.endpoints.push_back({"r1", {seconds(80), seconds(81)}, seconds(79)});
   const Json object = hot_restart::to_json(k);
   const auto back = hot_restart::parse_knowledge(Json::parse(object.dump()));
   CHECK(hot_restart::to_json(back) == object);
@@ -139,10 +139,10 @@
 TEST_CASE("a router that takes over has its elder's part of a cold host's budget, and no second one",
           "[upgrade]") {
   const auto list = [](engine::Time started) {
-    routing::HostList all{routing::ListKind::kFull, {}};
-    for (const std::string host : {"r1", "r2", "w1"})
-      all.entries.push_back({host, "here", host[0] == 'r' ? "reader" : "writer", 0,
-                             routing::HostState::kReady, 1, host == "r2" ? started : engine::Time{}});
+    routing::EndpointList all{routing::ListKind::kFull, {}};
+    for (const std::string endpoint : {"r1", "r2", "w1"})
+      all.entries.push_back({endpoint, "here", endpoint[0] == 'r' ? "reader" : "writer", 0,
+                             routing::EndpointState::kReady, 1, endpoint == "r2" ? started : engine::Time{}});
     return all;
   };
   engine::Time now = seconds(1000);
@@ -150,14 +150,14 @@
   routing::Router young(make_settings(), 1);
   young.handle(now, list(now));
   if (told) {
-    routing::Knowledge k;
+    routing::LearnedState k;
     k.served = {80, 80, 0};
     k.since = now - seconds(60);
-    k.hosts.push_back({"r2", {now - milliseconds(10), now - milliseconds(5)}, {}});
+    k.endpoints.push_back({"r2", {now - milliseconds(10), now - milliseconds(5)}, {}});
     young.handle(now, k);
-    young.handle(now, routing::SentElsewhere{"r2"});
+    young.handle(now, routing::PeerForwarded{"r2"});
   }
-  young.handle(now, routing::Maintenance{"r1", true});  // the cold one is all there is
+  young.handle(now, routing::AdministrativeDrain{"r1", true});  // the cold one is all there is
   int sent = 0;
   for (int i = 0; i < 100; ++i) {
     routing::Request r;
@@ -165,7 +165,7 @@
     r.request_class = "ask";
     r.client_deadline = now + seconds(6);
     for (const auto& action : young.handle(now, r))
-      sent += std::holds_alternative<routing::Send>(action) ? 1 : 0;
+      sent += std::holds_alternative<routing::StartAttempt>(action) ? 1 : 0;
   }
   // 80 results in 8 s of one warm reader: 0.6 * 4 * 0.3 * 10 a second * 2 s, of which three are used.
   // One that knows no rate has turns by request, one in a window.
@@ -183,7 +183,7 @@
     config.console = loopback();
     config.scratch = folder.path;
     config.settings = make_settings();
-    routing::HostEntry r1{"r1", "here", "reader", 0, routing::HostState::kReady, 1, {}};
+    routing::EndpointInfo r1{"r1", "here", "reader", 0, routing::EndpointState::kReady, 1, {}};
     config.known.list.entries = {r1};
     config.known.addresses = {{"r1", loopback(), true}};
     config.known.whole = true;
@@ -316,17 +316,17 @@
 }
 
 TEST_CASE("a stream that began before the drain is its connection's last answer", "[upgrade][platform]") {
-  World world(read_well, [](StandInReplica& r, SlotId client, const StandInReplica::Seen&) {
+  Fixture fixture(read_well, [](StandInReplica& r, SlotId client, const StandInReplica::Seen&) {
     r.stream(client, {"half"}, false);
   });
-  auto client = world.platform_client();
+  auto client = fixture.platform_client();
   client->post(facts("a1", "ask"), R"({"model":"chat","messages":[]})");
-  REQUIRE(world.until([&] { return !client->body.empty(); }));
-  world.platform.server().drain();
-  auto& writer = world.writer(0).waiting.empty() ? world.writer(1) : world.writer(0);
+  REQUIRE(fixture.until([&] { return !client->body.empty(); }));
+  fixture.platform.server().drain();
+  auto& writer = fixture.writer(0).waiting.empty() ? fixture.writer(1) : fixture.writer(0);
   writer.server.pass(writer.waiting.back(), "data: [DONE]\n\n");
   writer.server.end(writer.waiting.back());
-  REQUIRE(world.until([&] { return client->ended; }));
+  REQUIRE(fixture.until([&] { return client->ended; }));
   CHECK(client->whole);
 }
 
@@ -365,84 +365,84 @@
 }
 
 // Are both ends of the stream ready to be handed over?
-bool hush(World& world, const engine::Engine::Stream& stream) {
-  const bool still = world.platform.server().hush(stream.client);
-  return world.pool.hush({stream.request, stream.attempt}) && still;
+bool hush(Fixture& fixture, const engine::Engine::Stream& stream) {
+  const bool still = fixture.platform.server().hush(stream.client);
+  return fixture.pool.hush({stream.request, stream.attempt}) && still;
 }
 
 // The world hands a stream to itself, as it would to another process: sockets, and what is left of a chunk.
 TEST_CASE("a running stream changes hands, and neither its client nor its replica notices", "[upgrade]") {
-  World world(read_well, [](StandInReplica& r, SlotId client, const StandInReplica::Seen&) {
+  Fixture fixture(read_well, [](StandInReplica& r, SlotId client, const StandInReplica::Seen&) {
     r.stream(client, {"one"}, false);
   });
-  auto client = world.platform_client();
+  auto client = fixture.platform_client();
   client->post(facts("a1", "command"), "{}");
-  REQUIRE(world.until([&] { return client->body.find("one") != std::string::npos; }));
-  world.settle();
-  const auto streams = world.engine.streams(world.platform.answerer());
+  REQUIRE(fixture.until([&] { return client->body.find("one") != std::string::npos; }));
+  fixture.settle();
+  const auto streams = fixture.engine.streams(fixture.platform.response_sink());
   REQUIRE(streams.size() == 1);
   const engine::AttemptId attempt{streams[0].request, streams[0].attempt};
-  REQUIRE(world.until([&] { return hush(world, streams[0]); }));
-  auto& writer = world.writer(0).waiting.empty() ? world.writer(1) : world.writer(0);
+  REQUIRE(fixture.until([&] { return hush(fixture, streams[0]); }));
+  auto& writer = fixture.writer(0).waiting.empty() ? fixture.writer(1) : fixture.writer(0);
   // One that could not be handed over yet is woken, also while its reads are being taken back.
   for (int twice = 0; twice < 2; ++twice) {
-    world.platform.server().wake(streams[0].client);
-    world.pool.wake(attempt);
-    hush(world, streams[0]);
+    fixture.platform.server().wake(streams[0].client);
+    fixture.pool.wake(attempt);
+    hush(fixture, streams[0]);
   }
-  world.platform.server().wake(streams[0].client);
-  world.pool.wake(attempt);
-  world.settle();
-  REQUIRE(world.engine.open() == 1);
-  REQUIRE(world.until([&] { return hush(world, streams[0]); }));
+  fixture.platform.server().wake(streams[0].client);
+  fixture.pool.wake(attempt);
+  fixture.settle();
+  REQUIRE(fixture.engine.open() == 1);
+  REQUIRE(fixture.until([&] { return hush(fixture, streams[0]); }));
   writer.server.pass(writer.waiting.back(), "data: two\n\n");  // while nobody reads
-  auto [replica, given] = world.pool.give(attempt);
-  net::UniqueFd socket = world.platform.server().give(streams[0].client);
-  world.platform.forget_given(streams[0].client);
-  world.engine.give_away(streams[0].request);
-  CHECK(world.engine.open() == 0);
-  CHECK(world.platform.server().clients() == 0);
-  CHECK(world.pool.open() == 1);  // the reader's, idle
-  const SlotId request = world.platform.take_over(std::move(socket), "a1", given.host);
-  world.pool.adopt({request, 0}, std::move(replica), given);
-  REQUIRE(world.until([&] { return client->body.find("two") != std::string::npos; }));
-  CHECK(world.engine.in_progress("a1"));
+  auto [replica, given] = fixture.pool.give(attempt);
+  net::UniqueFd socket = fixture.platform.server().give(streams[0].client);
+  fixture.platform.forget_given(streams[0].client);
+  fixture.engine.give_away(streams[0].request);
+  CHECK(fixture.engine.open() == 0);
+  CHECK(fixture.platform.server().clients() == 0);
+  CHECK(fixture.pool.open() == 1);  // the reader's, idle
+  const SlotId request = fixture.platform.take_over(std::move(socket), "a1", given.endpoint);
+  fixture.pool.adopt({request, 0}, std::move(replica), given);
+  REQUIRE(fixture.until([&] { return client->body.find("two") != std::string::npos; }));
+  CHECK(fixture.engine.in_progress("a1"));
   writer.server.pass(writer.waiting.back(), "data: [DONE]\n\n");
   writer.server.end(writer.waiting.back());
-  REQUIRE(world.until([&] { return client->answered(); }));
+  REQUIRE(fixture.until([&] { return client->answered(); }));
   CHECK(client->whole);
   CHECK(writer.gone.empty());
-  CHECK(world.engine.open() == 0);
+  CHECK(fixture.engine.open() == 0);
   // The client's connection lives on, and the replica's is kept for the next request.
   client->whole = false;
   client->get("/healthz");
-  CHECK(world.until([&] { return client->whole; }));
-  CHECK(world.pool.open() == 2);
+  CHECK(fixture.until([&] { return client->whole; }));
+  CHECK(fixture.pool.open() == 2);
 }
 
 TEST_CASE("a stream that changed hands and breaks ends without the last chunk", "[upgrade]") {
-  World world(read_well, [](StandInReplica& r, SlotId client, const StandInReplica::Seen&) {
+  Fixture fixture(read_well, [](StandInReplica& r, SlotId client, const StandInReplica::Seen&) {
     r.stream(client, {"one"}, false);
   });
-  auto client = world.platform_client();
+  auto client = fixture.platform_client();
   client->post(facts("a1", "ask"), "{}");
-  REQUIRE(world.until([&] { return client->body.find("one") != std::string::npos; }));
-  world.settle();
-  const auto stream = world.engine.streams(world.platform.answerer()).at(0);
+  REQUIRE(fixture.until([&] { return client->body.find("one") != std::string::npos; }));
+  fixture.settle();
+  const auto stream = fixture.engine.streams(fixture.platform.response_sink()).at(0);
   const engine::AttemptId attempt{stream.request, stream.attempt};
-  REQUIRE(world.until([&] { return hush(world, stream); }));
-  auto [replica, given] = world.pool.give(attempt);
-  net::UniqueFd socket = world.platform.server().give(stream.client);
-  world.platform.forget_given(stream.client);
-  world.engine.give_away(stream.request);
-  const SlotId request = world.platform.take_over(std::move(socket), "a1", given.host);
-  world.pool.adopt({request, 0}, std::move(replica), given);
-  auto& writer = world.writer(0).waiting.empty() ? world.writer(1) : world.writer(0);
+  REQUIRE(fixture.until([&] { return hush(fixture, stream); }));
+  auto [replica, given] = fixture.pool.give(attempt);
+  net::UniqueFd socket = fixture.platform.server().give(stream.client);
+  fixture.platform.forget_given(stream.client);
+  fixture.engine.give_away(stream.request);
+  const SlotId request = fixture.platform.take_over(std::move(socket), "a1", given.endpoint);
+  fixture.pool.adopt({request, 0}, std::move(replica), given);
+  auto& writer = fixture.writer(0).waiting.empty() ? fixture.writer(1) : fixture.writer(0);
   writer.server.cut(writer.waiting.back());
-  REQUIRE(world.until([&] { return client->answered(); }));
+  REQUIRE(fixture.until([&] { return client->answered(); }));
   CHECK(client->ended);
   CHECK_FALSE(client->whole);
-  CHECK(world.total("POST", true) == 1);
+  CHECK(fixture.total("POST", true) == 1);
 }
 
 }  // namespace
--- a/tests/dispatcher/json_framer_test.cpp
+++ b/tests/dispatcher/json_framer_test.cpp
@@ -15,8 +15,8 @@
 std::vector<std::string> feed_in_cuts(JsonFramer& framer, const std::string& text, std::mt19937_64& random) {
   std::vector<std::string> all;
   for (std::size_t at = 0; at < text.size();) {
-    const std::size_t most = random() % 3 == 0 ? 1 : 40;
-    const std::size_t n = std::min<std::size_t>(1 + random() % most, text.size() - at);
+    const std::size_t maximum = random() % 3 == 0 ? 1 : 40;
+    const std::size_t n = std::min<std::size_t>(1 + random() % maximum, text.size() - at);
     for (auto& object : framer.feed(std::string_view(text).substr(at, n))) all.push_back(std::move(object));
     at += n;
   }
--- a/tests/dispatcher/membership_test.cpp
+++ b/tests/dispatcher/membership_test.cpp
@@ -5,16 +5,16 @@
 
 #include <unordered_set>
 
-#include "fleet_world.hpp"
+#include "fleet_fixture.hpp"
 #include "property.hpp"
 
 namespace dispatcher::testing {
 namespace {
 
-using membership::Claim;
 using membership::Incarnation;
 using membership::LocalHealth;
 using membership::Membership;
+using membership::MemberUpdate;
 using membership::Parameters;
 using membership::Probe;
 using membership::Sending;
@@ -56,17 +56,17 @@
   holds(
       [] {
         std::mt19937 random(*rc::gen::arbitrary<std::uint32_t>());
-        std::vector<Claim> claims;
+        std::vector<MemberUpdate> claims;
         const int length = *rc::gen::inRange(0, 60);
         for (int i = 0; i < length; ++i)
           claims.push_back({static_cast<Number>(1 + random() % 4),
                             {1 + random() % 3, static_cast<std::uint32_t>(random() % 3)},
-                            static_cast<Standing>(1 + random() % 3),
+                            static_cast<MemberState>(1 + random() % 3),
                             static_cast<Number>(1 + random() % 4)});
         Membership one = member(0, 5), other = member(0, 5);
         one.received(seconds(100), 1, {1, 0}, std::nullopt, claims);
         std::shuffle(claims.begin(), claims.end(), random);
-        for (const Claim& c : claims) {
+        for (const MemberUpdate& c : claims) {
           other.received(seconds(100), 1, {1, 0}, std::nullopt, {c});
           if (random() % 3 == 0)
             other.received(seconds(100), 1, {1, 0}, std::nullopt, {claims[random() % claims.size()]});
@@ -79,31 +79,31 @@
 
 TEST_CASE("a member answers what is held of it, and comes after its own later life", "[membership]") {
   Membership m = member(0, 3);
-  const auto hear = [&](const Claim& c) { m.received(seconds(100), 1, {5, 0}, std::nullopt, {c}); };
-  hear({0, {1000, 0}, Standing::kSuspect, 1});
+  const auto hear = [&](const MemberUpdate& c) { m.received(seconds(100), 1, {5, 0}, std::nullopt, {c}); };
+  hear({0, {1000, 0}, MemberState::kSuspect, 1});
   CHECK(m.incarnation() == Incarnation{1000, 1});
   CHECK(m.unwell() == 1);
-  hear({0, {1000, 0}, Standing::kDead, 1});  // late: answered already
+  hear({0, {1000, 0}, MemberState::kDead, 1});  // late: answered already
   CHECK(m.incarnation() == Incarnation{1000, 1});
-  hear({0, {900, 7}, Standing::kDead, 1});  // of an earlier life: no matter
+  hear({0, {900, 7}, MemberState::kDead, 1});  // of an earlier life: no matter
   CHECK(m.incarnation() == Incarnation{1000, 1});
-  hear({0, {2000, 4}, Standing::kAlive, 0});  // our clock was set back since
+  hear({0, {2000, 4}, MemberState::kAlive, 0});  // our clock was set back since
   CHECK(m.incarnation() == Incarnation{2001, 0});
-  hear({0, {membership::kMostLife, 0}, Standing::kAlive, 0});
+  hear({0, {membership::kMaxLife, 0}, MemberState::kAlive, 0});
   CHECK(m.incarnation() == Incarnation{2001, 0});
-  CHECK(m.standing(0) == Standing::kAlive);
+  CHECK(m.standing(0) == MemberState::kAlive);
 }
 
 TEST_CASE("the suspect is told first, whatever has been sent", "[membership]") {
   Membership m = member(0, 4);
   m.received(seconds(100), 1, {5, 0}, std::nullopt,
-             {{2, {5, 0}, Standing::kSuspect, 1}, {3, {5, 0}, Standing::kAlive, 3}});
+             {{2, {5, 0}, MemberState::kSuspect, 1}, {3, {5, 0}, MemberState::kAlive, 3}});
   for (int i = 0; i < 100; ++i) {
     for (const Number n : {1U, 2U, 3U}) m.sent(n);
   }
   CHECK(m.queue(1).empty());
   REQUIRE(m.queue(2).size() == 1);
-  CHECK(m.queue(2)[0].standing == Standing::kSuspect);
+  CHECK(m.queue(2)[0].standing == MemberState::kSuspect);
 }
 
 TEST_CASE("helpers: a ping by another way, and word that the helper itself was reached", "[membership]") {
@@ -138,8 +138,8 @@
     std::set<Number> probed;
     for (int probe = 0; probe < 3; ++probe) {
       auto out = m.tick(m.next());
-      const auto ping = std::find_if(out.begin(), out.end(),
-                                     [&](const Sending& s) { return m.standing(s.to) == Standing::kAlive; });
+      const auto ping = std::find_if(
+          out.begin(), out.end(), [&](const Sending& s) { return m.standing(s.to) == MemberState::kAlive; });
       REQUIRE(ping != out.end());
       const Sending first = *ping;
       probed.insert(first.to);
@@ -166,7 +166,7 @@
   Number from, to;
   Incarnation incarnation;
   std::optional<Probe> probe;
-  std::vector<Claim> claims;
+  std::vector<MemberUpdate> claims;
 };
 
 struct Trio {
@@ -179,7 +179,7 @@
 
   static Parameters parameters() {
     Parameters p;
-    p.suspicion_least = 2;
+    p.suspicion_min = 2;
     p.suspicion_stretch = 2;
     p.call_every = 2;
     return p;
@@ -191,7 +191,7 @@
   void post(Number from, const std::vector<Sending>& sendings) {
     for (const Sending& s : sendings) {
       const auto claims = members[from].queue(s.to);
-      for (const Claim& c : claims) members[from].sent(c.about);
+      for (const MemberUpdate& c : claims) members[from].sent(c.about);
       mail.push_back({from, s.to, members[from].incarnation(), s.probe, claims});
     }
   }
@@ -233,7 +233,7 @@
   bool all_alive() const {
     for (const Membership& m : members) {
       for (Number n = 0; n < 3; ++n) {
-        if (m.standing(n) != Standing::kAlive) return false;
+        if (m.standing(n) != MemberState::kAlive) return false;
       }
     }
     return true;
@@ -241,7 +241,7 @@
   // Nobody believes in a life or an answer that its member never had.
   bool sound() const {
     for (const Membership& m : members) {
-      if (m.standing(m.self()) != Standing::kAlive) return false;
+      if (m.standing(m.self()) != MemberState::kAlive) return false;
       for (Number n = 0; n < 3; ++n) {
         if (m.claim(n).incarnation > members[n].incarnation()) return false;
       }
@@ -260,7 +260,7 @@
         s.insert(s.end(), {m.from, m.to, m.incarnation.life, m.incarnation.refuted, m.probe.has_value()});
         if (m.probe)
           s.insert(s.end(), {static_cast<std::uint64_t>(m.probe->type), m.probe->sequence, m.probe->target});
-        for (const Claim& c : m.claims)
+        for (const MemberUpdate& c : m.claims)
           s.insert(s.end(), {c.about, c.incarnation.life, c.incarnation.refuted,
                              static_cast<std::uint64_t>(c.standing), c.by});
       }
@@ -315,15 +315,15 @@
   std::size_t false_deaths = 0;  // ends at which somebody was held dead: the faults reach that far
 };
 
-Explored explore(int most_faults, Time most_time, std::size_t most_states) {
+Explored explore(int max_faults, Time max_time, std::size_t max_states) {
   Explored found;
   // A fleet that knows itself, then the faults.
   Trio first;
   while (!(first.all_alive() && first.now > seconds(105) && first.mail.empty())) first.step();
-  const Time end = first.now + most_time;
+  const Time end = first.now + max_time;
   std::unordered_set<std::uint64_t> seen, ended;
   std::vector<Trio> stack{first};
-  while (!stack.empty() && seen.size() < most_states) {
+  while (!stack.empty() && seen.size() < max_states) {
     Trio t = std::move(stack.back());
     stack.pop_back();
     if (!seen.insert(t.hash() ^ static_cast<std::uint64_t>(t.faults) * 0x9E3779B97F4A7C15U ^
@@ -335,7 +335,7 @@
       if (!ended.insert(t.hash()).second) continue;
       bool dead = false;
       for (const Membership& m : t.members) {
-        for (Number n = 0; n < 3; ++n) dead = dead || m.standing(n) == Standing::kDead;
+        for (Number n = 0; n < 3; ++n) dead = dead || m.standing(n) == MemberState::kDead;
       }
       found.false_deaths += dead;
       for (Number n = 0; n < 3; ++n) t.resume(n);
@@ -344,7 +344,7 @@
       if (!t.all_alive()) ++found.unhealed;
       continue;
     }
-    if (t.faults < most_faults) {
+    if (t.faults < max_faults) {
       for (Trio& n : faults(t)) stack.push_back(std::move(n));
     }
     t.step();
@@ -368,11 +368,11 @@
 }
 
 TEST_CASE("three members, up to three and four faults", "[.explore]") {
-  for (const auto& [most, time] : {std::pair(2, 12), std::pair(3, 5), std::pair(4, 3)}) {
-    const Explored found = explore(most, seconds(time), 3'000'000);
+  for (const auto& [maximum, time] : {std::pair(2, 12), std::pair(3, 5), std::pair(4, 3)}) {
+    const Explored found = explore(maximum, seconds(time), 3'000'000);
     std::printf(
         "%d faults in %d s: %zu states, %zu ends, %zu with somebody held dead, unsound %zu, unhealed %zu\n",
-        most, time, found.states, found.ends, found.false_deaths, found.unsound, found.unhealed);
+        maximum, time, found.states, found.ends, found.false_deaths, found.unsound, found.unhealed);
     CHECK(found.unsound == 0);
     CHECK(found.unhealed == 0);
   }
@@ -382,198 +382,200 @@
 
 TEST_CASE("a fleet that starts together knows itself, and a quiet one sends little", "[membership]") {
   const Number count = GENERATE(2, 3, 30);
-  FleetWorld world(count, 1);
-  world.start_all();
-  REQUIRE(world.until([&] { return world.all_alive(); }, seconds(10)));
-  world.run(seconds(40));
+  FleetFixture fixture(count, 1);
+  fixture.start_all();
+  REQUIRE(fixture.until([&] { return fixture.all_alive(); }, seconds(10)));
+  fixture.run(seconds(40));
   std::uint64_t before = 0, after = 0;
-  for (Number n = 0; n < count; ++n) before += world.node(n).counts().sent_bytes;
-  world.run(seconds(60));
-  for (Number n = 0; n < count; ++n) after += world.node(n).counts().sent_bytes;
+  for (Number n = 0; n < count; ++n) before += fixture.node(n).counts().sent_bytes;
+  fixture.run(seconds(60));
+  for (Number n = 0; n < count; ++n) after += fixture.node(n).counts().sent_bytes;
   CHECK((after - before) / 60 / count < 80);
-  CHECK(world.all_alive());
+  CHECK(fixture.all_alive());
 }
 
 TEST_CASE("a member that dies is held dead by all, and one that starts again is alive again",
           "[membership]") {
-  FleetWorld world(12, 2);
-  world.weather.loss = 0.1;
-  world.start_all();
-  REQUIRE(world.until([&] { return world.all_alive(); }, seconds(20)));
-  world.kill(5);
-  REQUIRE(world.until([&] { return world.all_hold(5, Standing::kDead); }, seconds(25)));
-  world.start(5);
-  CHECK(world.until([&] { return world.all_alive(); }, seconds(20)));
+  FleetFixture fixture(12, 2);
+  fixture.weather.loss = 0.1;
+  fixture.start_all();
+  REQUIRE(fixture.until([&] { return fixture.all_alive(); }, seconds(20)));
+  fixture.kill(5);
+  REQUIRE(fixture.until([&] { return fixture.all_hold(5, MemberState::kDead); }, seconds(25)));
+  fixture.start(5);
+  CHECK(fixture.until([&] { return fixture.all_alive(); }, seconds(20)));
 }
 
 TEST_CASE("a restart faster than detection is seen as a new life, and its rows of before are gone",
           "[membership]") {
-  FleetWorld world(6, 3);
-  world.start_all();
-  REQUIRE(world.until([&] { return world.all_alive(); }, seconds(10)));
-  world.node(2).set(world.clock(2), replicated_state::kDoubtKind, 9, replicated_state::encode({1, 2}));
-  world.run(seconds(3));
+  FleetFixture fixture(6, 3);
+  fixture.start_all();
+  REQUIRE(fixture.until([&] { return fixture.all_alive(); }, seconds(10)));
+  fixture.node(2).set(fixture.clock(2), replicated_state::kDoubtKind, 9, replicated_state::encode({1, 2}));
+  fixture.run(seconds(3));
   const auto rows = [&](Number n) {
     int found = 0;
-    world.node(n).rows().each(world.clock(n), replicated_state::kDoubtKind,
-                              [&](const replicated_state::Heard&) { ++found; });
+    fixture.node(n).rows().each(fixture.clock(n), replicated_state::kDoubtKind,
+                                [&](const replicated_state::Heard&) { ++found; });
     return found;
   };
   REQUIRE(rows(0) == 1);
   int new_lives = 0, deaths = 0;
-  world.on_change = [&](Number observer, const membership::Change& change) {
+  fixture.on_change = [&](Number observer, const membership::Change& change) {
     if (observer != 2 && change.member == 2) new_lives += change.new_life;
-    deaths += change.after == Standing::kDead;
+    deaths += change.after == MemberState::kDead;
   };
-  world.kill(2);
-  world.run(milliseconds(50));
-  world.start(2);
-  world.run(seconds(10));
+  fixture.kill(2);
+  fixture.run(milliseconds(50));
+  fixture.start(2);
+  fixture.run(seconds(10));
   CHECK(new_lives == 5);
   CHECK(deaths == 0);
   for (const Number n : {0U, 1U, 3U, 4U, 5U}) CHECK(rows(n) == 0);
 }
 
 TEST_CASE("a host whose clock was set back: its next process is believed all the same", "[membership]") {
-  FleetWorld world(5, 4);
-  world.start_all();
-  REQUIRE(world.until([&] { return world.all_alive(); }, seconds(10)));
-  world.run(seconds(30));  // nobody spreads its first life any more
+  FleetFixture fixture(5, 4);
+  fixture.start_all();
+  REQUIRE(fixture.until([&] { return fixture.all_alive(); }, seconds(10)));
+  fixture.run(seconds(30));  // nobody spreads its first life any more
   int suspicions = 0;
-  world.on_change = [&](Number, const membership::Change& change) {
-    suspicions += change.after == Standing::kSuspect;
+  fixture.on_change = [&](Number, const membership::Change& change) {
+    suspicions += change.after == MemberState::kSuspect;
   };
-  world.kill(1);
-  world.skew[1] = -std::chrono::hours(2);
-  world.run(milliseconds(200));
-  world.start(1);
+  fixture.kill(1);
+  fixture.skew[1] = -std::chrono::hours(2);
+  fixture.run(milliseconds(200));
+  fixture.start(1);
   const auto believed = [&] {
-    const auto life = world.node(1).members().incarnation().life;
+    const auto life = fixture.node(1).members().incarnation().life;
     for (const Number n : {0U, 2U, 3U, 4U}) {
-      if (world.node(n).members().claim(1).incarnation.life != life) return false;
+      if (fixture.node(n).members().claim(1).incarnation.life != life) return false;
     }
-    return world.all_alive();
+    return fixture.all_alive();
   };
   CHECK_FALSE(believed());
-  CHECK(world.until(believed, seconds(3)));  // its first ping is answered with its later life
-  world.run(seconds(10));
+  CHECK(fixture.until(believed, seconds(3)));  // its first ping is answered with its later life
+  fixture.run(seconds(10));
   CHECK(suspicions == 0);
-  CHECK(world.node(0).counts().dropped[static_cast<std::size_t>(gossip::Drop::kOldLife)] > 0);
+  CHECK(fixture.node(0).counts().dropped[static_cast<std::size_t>(gossip::Drop::kOldLife)] > 0);
 }
 
 TEST_CASE("clocks apart by hours and running at different rates make no difference", "[membership]") {
-  FleetWorld world(10, 5);
+  FleetFixture fixture(10, 5);
   for (Number n = 0; n < 10; ++n) {
-    world.skew[n] = seconds(3600) * static_cast<int>(n) - seconds(7200);
-    world.rate[n] = 1 + 0.01 * (static_cast<int>(n % 3) - 1);
+    fixture.skew[n] = seconds(3600) * static_cast<int>(n) - seconds(7200);
+    fixture.rate[n] = 1 + 0.01 * (static_cast<int>(n % 3) - 1);
   }
   int deaths = 0;
-  world.on_change = [&](Number, const membership::Change& change) {
-    deaths += change.after == Standing::kDead;
+  fixture.on_change = [&](Number, const membership::Change& change) {
+    deaths += change.after == MemberState::kDead;
   };
-  world.start_all();
-  REQUIRE(world.until([&] { return world.all_alive(); }, seconds(20)));
-  world.run(seconds(120));
+  fixture.start_all();
+  REQUIRE(fixture.until([&] { return fixture.all_alive(); }, seconds(20)));
+  fixture.run(seconds(120));
   CHECK(deaths == 0);
 }
 
 TEST_CASE("a stopped member is held dead; it wakes, and neither it nor what waited for it does harm",
           "[membership]") {
-  FleetWorld world(8, 6);
-  world.start_all();
-  REQUIRE(world.until([&] { return world.all_alive(); }, seconds(10)));
-  world.stop(3);
-  REQUIRE(world.until([&] { return world.all_hold(3, Standing::kDead); }, seconds(30)));
-  world.run(seconds(60));
+  FleetFixture fixture(8, 6);
+  fixture.start_all();
+  REQUIRE(fixture.until([&] { return fixture.all_alive(); }, seconds(10)));
+  fixture.stop(3);
+  REQUIRE(fixture.until([&] { return fixture.all_hold(3, MemberState::kDead); }, seconds(30)));
+  fixture.run(seconds(60));
   int accused = 0;
-  world.on_change = [&](Number, const membership::Change& change) {
-    if (change.member != 3) accused += change.after != Standing::kAlive;
+  fixture.on_change = [&](Number, const membership::Change& change) {
+    if (change.member != 3) accused += change.after != MemberState::kAlive;
   };
-  world.resume(3);
-  CHECK(world.until([&] { return world.all_alive(); }, seconds(20)));
-  world.run(seconds(30));
+  fixture.resume(3);
+  CHECK(fixture.until([&] { return fixture.all_alive(); }, seconds(20)));
+  fixture.run(seconds(30));
   CHECK(accused == 0);  // it did not take its own pause for the others' silence
-  CHECK(world.node(3).members().counts().pauses >= 1);
-  CHECK(world.node(0).members().claim(3).incarnation.refuted >= 1);
+  CHECK(fixture.node(3).members().counts().pauses >= 1);
+  CHECK(fixture.node(0).members().claim(3).incarnation.refuted >= 1);
 }
 
 TEST_CASE("a fleet cut in two holds the other side dead, and finds itself again", "[membership]") {
-  FleetWorld world(10, 7);
-  world.start_all();
-  REQUIRE(world.until([&] { return world.all_alive(); }, seconds(10)));
+  FleetFixture fixture(10, 7);
+  fixture.start_all();
+  REQUIRE(fixture.until([&] { return fixture.all_alive(); }, seconds(10)));
   const std::set<Number> left{0, 1, 2, 3}, right{4, 5, 6, 7, 8, 9};
-  world.cut(left, right);
-  world.cut(right, left);
+  fixture.cut(left, right);
+  fixture.cut(right, left);
   const auto apart = [&] {
     for (const Number l : left) {
       for (const Number r : right) {
-        if (world.node(l).members().standing(r) != Standing::kDead) return false;
-        if (world.node(r).members().standing(l) != Standing::kDead) return false;
+        if (fixture.node(l).members().standing(r) != MemberState::kDead) return false;
+        if (fixture.node(r).members().standing(l) != MemberState::kDead) return false;
       }
     }
     return true;
   };
-  CHECK(world.until(apart, seconds(60)));
-  world.run(seconds(60));
+  CHECK(fixture.until(apart, seconds(60)));
+  fixture.run(seconds(60));
   for (const Number a : left) {
-    for (const Number b : left) CHECK((a == b || world.node(a).members().standing(b) == Standing::kAlive));
+    for (const Number b : left)
+      CHECK((a == b || fixture.node(a).members().standing(b) == MemberState::kAlive));
   }
-  world.heal();
-  CHECK(world.until([&] { return world.all_alive(); }, seconds(40)));
+  fixture.heal();
+  CHECK(fixture.until([&] { return fixture.all_alive(); }, seconds(40)));
 }
 
 TEST_CASE("a member that hears all and is heard by few paths stays alive by its helpers", "[membership]") {
-  FleetWorld world(8, 8);
-  world.start_all();
-  REQUIRE(world.until([&] { return world.all_alive(); }, seconds(10)));
+  FleetFixture fixture(8, 8);
+  fixture.start_all();
+  REQUIRE(fixture.until([&] { return fixture.all_alive(); }, seconds(10)));
   int deaths = 0;
-  world.on_change = [&](Number, const membership::Change& change) {
-    deaths += change.after == Standing::kDead;
+  fixture.on_change = [&](Number, const membership::Change& change) {
+    deaths += change.after == MemberState::kDead;
   };
-  world.cut({0}, {1, 2, 3});  // one way
-  world.run(seconds(120));
+  fixture.cut({0}, {1, 2, 3});  // one way
+  fixture.run(seconds(120));
   CHECK(deaths == 0);
-  world.heal();
-  world.run(seconds(5));
-  CHECK(world.all_alive());
+  fixture.heal();
+  fixture.run(seconds(5));
+  CHECK(fixture.all_alive());
 }
 
 TEST_CASE("a member whose word reaches nobody is held dead, though it hears; others are not by it",
           "[membership]") {
-  FleetWorld world(6, 9);
-  world.start_all();
-  REQUIRE(world.until([&] { return world.all_alive(); }, seconds(10)));
-  world.cut({0}, {1, 2, 3, 4, 5});
-  CHECK(world.until([&] { return world.all_hold(0, Standing::kDead); }, seconds(30)));
+  FleetFixture fixture(6, 9);
+  fixture.start_all();
+  REQUIRE(fixture.until([&] { return fixture.all_alive(); }, seconds(10)));
+  fixture.cut({0}, {1, 2, 3, 4, 5});
+  CHECK(fixture.until([&] { return fixture.all_hold(0, MemberState::kDead); }, seconds(30)));
   for (Number a = 1; a < 6; ++a) {
-    for (Number b = 1; b < 6; ++b) CHECK((a == b || world.node(a).members().standing(b) == Standing::kAlive));
+    for (Number b = 1; b < 6; ++b)
+      CHECK((a == b || fixture.node(a).members().standing(b) == MemberState::kAlive));
   }
-  world.heal();
-  CHECK(world.until([&] { return world.all_alive(); }, seconds(40)));
+  fixture.heal();
+  CHECK(fixture.until([&] { return fixture.all_alive(); }, seconds(40)));
 }
 
 TEST_CASE("loss, repetitions and datagrams seconds late: all who live are found alive in the end",
           "[membership]") {
-  FleetWorld world(15, 10);
-  world.weather = {0.3, 0.2, milliseconds(1), milliseconds(3000)};
-  world.start_all();
-  world.run(seconds(120));
-  world.weather = {};
-  CHECK(world.until([&] { return world.all_alive(); }, seconds(60)));
+  FleetFixture fixture(15, 10);
+  fixture.weather = {0.3, 0.2, milliseconds(1), milliseconds(3000)};
+  fixture.start_all();
+  fixture.run(seconds(120));
+  fixture.weather = {};
+  CHECK(fixture.until([&] { return fixture.all_alive(); }, seconds(60)));
 }
 
 TEST_CASE("a member that leaves is known to be gone without a suspicion", "[membership]") {
-  FleetWorld world(8, 11);
-  world.start_all();
-  REQUIRE(world.until([&] { return world.all_alive(); }, seconds(10)));
+  FleetFixture fixture(8, 11);
+  fixture.start_all();
+  REQUIRE(fixture.until([&] { return fixture.all_alive(); }, seconds(10)));
   int suspicions = 0;
-  world.on_change = [&](Number, const membership::Change& change) {
-    suspicions += change.after == Standing::kSuspect;
+  fixture.on_change = [&](Number, const membership::Change& change) {
+    suspicions += change.after == MemberState::kSuspect;
   };
-  for (const gossip::Outgoing& one : world.node(4).leave(world.clock(4)))
-    world.inject(4, one.to.value(), {one.datagram.bytes().begin(), one.datagram.bytes().end()});
-  world.kill(4);
-  CHECK(world.until([&] { return world.all_hold(4, Standing::kDead); }, seconds(10)));
+  for (const gossip::Outgoing& one : fixture.node(4).leave(fixture.clock(4)))
+    fixture.inject(4, one.to.value(), {one.datagram.bytes().begin(), one.datagram.bytes().end()});
+  fixture.kill(4);
+  CHECK(fixture.until([&] { return fixture.all_hold(4, MemberState::kDead); }, seconds(10)));
   CHECK(suspicions == 0);
 }
 
--- a/tests/dispatcher/chat_test.cpp
+++ b/tests/dispatcher/openai_api_test.cpp
@@ -2,7 +2,7 @@
 #include <random>
 #include <set>
 
-#include "world.hpp"
+#include "fixture.hpp"
 
 namespace dispatcher::testing {
 namespace {
@@ -18,10 +18,10 @@
 }
 
 TEST_CASE("a streamed completion has the standard's chunks and its own end", "[chat]") {
-  World world(read_well, write_well, kChat);
-  auto client = world.chat_client();
+  Fixture fixture(read_well, write_well, kChat);
+  auto client = fixture.chat_client();
   client->post(kJson, chat_body("ask", true));
-  REQUIRE(world.until([&] { return client->whole; }));
+  REQUIRE(fixture.until([&] { return client->whole; }));
   CHECK(client->status == 200);
   CHECK(client->headers["Content-Type"] == "text/event-stream");
   const auto data = data_of(client->body);
@@ -32,52 +32,52 @@
   CHECK(first["choices"][0]["delta"] == Json{{"role", "assistant"}, {"content", "yes"}});
   CHECK(Json::parse(data[1])["id"] == first["id"]);
   CHECK(data.back() == "[DONE]");
-  CHECK(world.total("POST", false) == 1);
-  CHECK(world.total("POST", true) == 1);
+  CHECK(fixture.total("POST", false) == 1);
+  CHECK(fixture.total("POST", true) == 1);
 }
 
 TEST_CASE("a whole completion joins the stream and its usage", "[chat]") {
-  World world(read_well, write_well, kChat);
-  auto client = world.chat_client();
+  Fixture fixture(read_well, write_well, kChat);
+  auto client = fixture.chat_client();
   client->post(kJson, chat_body("ask", false));
-  REQUIRE(world.until([&] { return client->whole; }));
+  REQUIRE(fixture.until([&] { return client->whole; }));
   const Json answer = Json::parse(client->body);
   CHECK(answer["object"] == "chat.completion");
   CHECK(answer["choices"][0]["message"] == Json{{"role", "assistant"}, {"content", "yesit"}});
   CHECK(answer["choices"][0]["finish_reason"] == "stop");
   CHECK(answer["usage"]["total_tokens"] == 9);
-  const Json sent =
-      Json::parse(world.reader(0).seen.empty() ? world.reader(1).seen[0].body : world.reader(0).seen[0].body);
+  const Json sent = Json::parse(fixture.reader(0).seen.empty() ? fixture.reader(1).seen[0].body
+                                                               : fixture.reader(0).seen[0].body);
   CHECK(sent["stream"] == true);  // a replica always streams
 }
 
 TEST_CASE("usage is passed on where it is asked for", "[chat]") {
-  World world(read_well, write_well, kChat);
-  auto client = world.chat_client();
+  Fixture fixture(read_well, write_well, kChat);
+  auto client = fixture.chat_client();
   Json body = Json::parse(chat_body("ask", true));
   body["stream_options"] = {{"include_usage", true}};
   client->post(kJson, body.dump());
-  REQUIRE(world.until([&] { return client->whole; }));
+  REQUIRE(fixture.until([&] { return client->whole; }));
   const auto data = data_of(client->body);
   REQUIRE(data.size() == 5);
   CHECK(Json::parse(data[3])["usage"]["prompt_tokens"] == 7);
 }
 
 TEST_CASE("the models are listed", "[chat]") {
-  World world(read_well, write_well, kChat);
-  auto client = world.chat_client();
+  Fixture fixture(read_well, write_well, kChat);
+  auto client = fixture.chat_client();
   client->get("/v1/models");
-  REQUIRE(world.until([&] { return client->whole; }));
+  REQUIRE(fixture.until([&] { return client->whole; }));
   CHECK(Json::parse(client->body)["data"][1]["id"] == "command");
   client->whole = false, client->body.clear();
   client->get("/v1/models/nobody");
-  REQUIRE(world.until([&] { return client->whole; }));
+  REQUIRE(fixture.until([&] { return client->whole; }));
   CHECK(client->status == 404);
   CHECK(Json::parse(client->body)["error"]["code"] == "model_not_found");
 }
 
 TEST_CASE("bad requests get the standard's errors and reach no replica", "[chat]") {
-  World world(read_well, write_well, kChat);
+  Fixture fixture(read_well, write_well, kChat);
   struct Case {
     std::string body;
     int status;
@@ -98,49 +98,49 @@
       {R"({"model":"ask","stream":"yes","messages":[{"role":"user","content":"x"}]})", 400, "stream"},
       {R"({"model":"ask","max_tokens":0,"messages":[{"role":"user","content":"x"}]})", 400, "max_tokens"}};
   for (const Case& c : cases) {
-    auto client = world.chat_client();
+    auto client = fixture.chat_client();
     client->post(kJson, c.body);
-    REQUIRE(world.until([&] { return client->whole; }));
+    REQUIRE(fixture.until([&] { return client->whole; }));
     INFO(c.body.substr(0, 80));
     CHECK(client->status == c.status);
     CHECK(Json::parse(client->body)["error"]["type"] == "invalid_request_error");
     CHECK(Json::parse(client->body)["error"]["param"] == c.param);
   }
-  auto large = world.chat_client();
+  auto large = fixture.chat_client();
   large->post(kJson, std::string(300 * 1024, 'x'));
-  REQUIRE(world.until([&] { return large->whole; }));
+  REQUIRE(fixture.until([&] { return large->whole; }));
   CHECK(large->status == 413);
-  auto lost = world.chat_client();
+  auto lost = fixture.chat_client();
   lost->get("/v2/models");
-  REQUIRE(world.until([&] { return lost->whole; }));
+  REQUIRE(fixture.until([&] { return lost->whole; }));
   CHECK(lost->status == 404);
-  auto wrong = world.chat_client();
+  auto wrong = fixture.chat_client();
   wrong->get("/v1/chat/completions");
-  REQUIRE(world.until([&] { return wrong->whole; }));
+  REQUIRE(fixture.until([&] { return wrong->whole; }));
   CHECK(wrong->status == 405);
   CHECK(wrong->headers["Allow"] == "POST");
-  CHECK(world.total("POST", false) + world.total("POST", true) == 0);
+  CHECK(fixture.total("POST", false) + fixture.total("POST", true) == 0);
 }
 
 TEST_CASE("where keys are set, only they are served", "[chat]") {
   Json config = Json::parse(kChat);
   config["keys"] = {{{"key", "k-1"}, {"account", "acme"}}};
-  World world(read_well, write_well, config.dump());
+  Fixture fixture(read_well, write_well, config.dump());
   for (const auto& [header, status] :
        std::vector<std::pair<std::string, int>>{{"", 401},
                                                 {"Authorization: Bearer k-2\r\n", 401},
                                                 {"Authorization: Bearer \r\n", 401},
                                                 {"Authorization: Bearer k-1\r\n", 200}}) {
-    auto client = world.chat_client();
+    auto client = fixture.chat_client();
     client->post(kJson + header, chat_body("ask", false));
-    REQUIRE(world.until([&] { return client->whole; }));
+    REQUIRE(fixture.until([&] { return client->whole; }));
     CHECK(client->status == status);
   }
 }
 
 TEST_CASE("a command whose stream breaks is sent once and gets no forged end", "[chat]") {
   const bool stream = GENERATE(true, false);
-  World world(
+  Fixture fixture(
       read_well,
       [](StandInReplica& r, SlotId client, const StandInReplica::Seen&) {
         r.stream(client, {"valve"}, false);
@@ -148,11 +148,11 @@
         r.server.cut(client);
       },
       kChat);
-  auto client = world.chat_client();
+  auto client = fixture.chat_client();
   client->post(kJson, chat_body("command", stream));
-  REQUIRE(world.until([&] { return client->answered(); }));
-  world.advance(seconds(4));
-  CHECK(world.total("POST", true) == 1);
+  REQUIRE(fixture.until([&] { return client->answered(); }));
+  fixture.advance(seconds(4));
+  CHECK(fixture.total("POST", true) == 1);
   CHECK(client->body.find("[DONE]") == std::string::npos);
   CHECK(client->body.find("{\"ind") == std::string::npos);
   CHECK(client->body.find("stream_broken") != std::string::npos);
@@ -163,46 +163,46 @@
     CHECK(client->status == 502);
     CHECK(client->headers["X-Should-Retry"] == "false");
   }
-  CHECK(world.engine.open() == 0);
+  CHECK(fixture.engine.open() == 0);
 }
 
 TEST_CASE("a stream that ends without its own last word is not passed off as whole", "[chat]") {
-  World world(
+  Fixture fixture(
       read_well,
       [](StandInReplica& r, SlotId client, const StandInReplica::Seen&) {
         r.stream(client, {"half"}, false);
         r.server.end(client);  // the last chunk, but no [DONE]
       },
       kChat);
-  auto client = world.chat_client();
+  auto client = fixture.chat_client();
   client->post(kJson, chat_body("ask", false));
-  REQUIRE(world.until([&] { return client->whole; }));
+  REQUIRE(fixture.until([&] { return client->whole; }));
   CHECK(client->status == 502);
 }
 
 // A replica that never stops must not fill the memory of a dispatcher that collects the whole.
 TEST_CASE("an answer without end is given up", "[chat]") {
-  World world(
+  Fixture fixture(
       read_well,
       [](StandInReplica& r, SlotId client, const StandInReplica::Seen&) {
         r.stream(client, {std::string(250'000, 'x')}, false);
       },
       kChat);
-  auto client = world.chat_client();
+  auto client = fixture.chat_client();
   client->post(kJson, chat_body("command", false));
-  auto& writers = world.replicas;
+  auto& writers = fixture.replicas;
   for (int i = 0; i < 40 && !client->answered(); ++i) {
-    world.settle();
+    fixture.settle();
     for (std::size_t w : {2U, 3U}) {
       for (const SlotId to : writers[w]->waiting)
         writers[w]->server.pass(
             to, "data: {\"choices\":[{\"delta\":{\"content\":\"" + std::string(250'000, 'x') + "\"}}]}\n\n");
     }
   }
-  REQUIRE(world.until([&] { return client->whole; }));
+  REQUIRE(fixture.until([&] { return client->whole; }));
   CHECK(client->status == 502);
   CHECK(client->body.find("answer_too_long") != std::string::npos);
-  CHECK(world.engine.open() == 0);
+  CHECK(fixture.engine.open() == 0);
 }
 
 TEST_CASE("an ask always gets its final answer, whatever the replicas do", "[chat]") {
@@ -214,33 +214,33 @@
     if (trouble == 3) r.say(client, 410, {}, true);  // no state, ever
   };                                                 // 4: silence
   const bool at_reader = GENERATE(true, false);
-  World world(at_reader ? World::Script(act) : World::Script(read_well),
-              at_reader ? World::Script(write_well) : World::Script(act), kChat);
-  auto client = world.chat_client();
+  Fixture fixture(at_reader ? Fixture::Script(act) : Fixture::Script(read_well),
+                  at_reader ? Fixture::Script(write_well) : Fixture::Script(act), kChat);
+  auto client = fixture.chat_client();
   client->post(kJson, chat_body("ask", true));
-  world.until([&] { return world.total("POST", false) > 0; });
-  for (int i = 0; i < 130 && !client->answered(); ++i) world.advance(milliseconds(50));
-  REQUIRE(world.until([&] { return client->whole; }));
+  fixture.until([&] { return fixture.total("POST", false) > 0; });
+  for (int i = 0; i < 130 && !client->answered(); ++i) fixture.advance(milliseconds(50));
+  REQUIRE(fixture.until([&] { return client->whole; }));
   INFO(client->status << " " << client->body);
   CHECK((client->status == 502 || client->status == 503 || client->status == 504));
   if (client->status == 503) CHECK(client->headers.count("Retry-After") == 1);
-  world.advance(seconds(1));
-  CHECK(world.engine.open() == 0);
+  fixture.advance(seconds(1));
+  CHECK(fixture.engine.open() == 0);
 }
 
 TEST_CASE("an ask is tried elsewhere where a command is not", "[chat]") {
   const std::string model = GENERATE("ask", "command");
   int calls = 0;
-  World world(
+  Fixture fixture(
       read_well,
       [&calls](StandInReplica& r, SlotId client, const StandInReplica::Seen& seen) {
         ++calls == 1 ? r.server.cut(client) : write_well(r, client, seen);  // resets after taking the request
       },
       kChat);
-  auto client = world.chat_client();
+  auto client = fixture.chat_client();
   client->post(kJson, chat_body(model, false));
-  REQUIRE(world.until([&] { return client->whole; }));
-  world.advance(seconds(1));
+  REQUIRE(fixture.until([&] { return client->whole; }));
+  fixture.advance(seconds(1));
   CHECK(client->status == (model == "ask" ? 200 : 502));
   CHECK(calls == (model == "ask" ? 2 : 1));
 }
@@ -248,46 +248,46 @@
 TEST_CASE("a cancel before the first token stops the work and lets go of what is held", "[chat]") {
   const bool while_reading = GENERATE(true, false);
   const auto silent = [](StandInReplica&, SlotId, const StandInReplica::Seen&) {};
-  World world(while_reading ? World::Script(silent) : World::Script(read_well), silent, kChat);
-  auto client = world.chat_client();
+  Fixture fixture(while_reading ? Fixture::Script(silent) : Fixture::Script(read_well), silent, kChat);
+  auto client = fixture.chat_client();
   client->post(kJson, chat_body("command", true));
-  REQUIRE(world.until([&] { return world.total("POST", !while_reading) == 1; }));
+  REQUIRE(fixture.until([&] { return fixture.total("POST", !while_reading) == 1; }));
   client->close();
   const auto stopped = [&] {
     std::size_t gone = 0;
-    for (const auto& r : world.replicas) gone += r->gone.size();
+    for (const auto& r : fixture.replicas) gone += r->gone.size();
     return gone == 1;
   };
-  CHECK(world.until(stopped));
-  world.advance(milliseconds(200));
-  CHECK(world.until([&] { return world.total("DELETE", false) + world.total("DELETE", true) >= 1; }));
-  CHECK(world.engine.open() == 0);
-  CHECK(world.total("POST", true) == (while_reading ? 0 : 1));
+  CHECK(fixture.until(stopped));
+  fixture.advance(milliseconds(200));
+  CHECK(fixture.until([&] { return fixture.total("DELETE", false) + fixture.total("DELETE", true) >= 1; }));
+  CHECK(fixture.engine.open() == 0);
+  CHECK(fixture.total("POST", true) == (while_reading ? 0 : 1));
 }
 
 TEST_CASE("a silent replica costs the client no more than its deadline", "[chat]") {
   const auto silent = [](StandInReplica&, SlotId, const StandInReplica::Seen&) {};
-  World world(read_well, silent, kChat);
-  auto client = world.chat_client();
+  Fixture fixture(read_well, silent, kChat);
+  auto client = fixture.chat_client();
   client->post(kJson, chat_body("command", false));
-  REQUIRE(world.until([&] { return world.total("POST", true) == 1; }));
-  world.advance(milliseconds(3100));
-  REQUIRE(world.until([&] { return client->whole; }));
+  REQUIRE(fixture.until([&] { return fixture.total("POST", true) == 1; }));
+  fixture.advance(milliseconds(3100));
+  REQUIRE(fixture.until([&] { return client->whole; }));
   CHECK(client->status == 504);
   CHECK(client->headers["X-Should-Retry"] == "false");
-  CHECK(world.total("POST", true) == 1);
+  CHECK(fixture.total("POST", true) == 1);
 }
 
 TEST_CASE("more than max_open requests are told to come later", "[chat]") {
   Json config = Json::parse(kChat);
   config["max_open"] = 1;
   const auto silent = [](StandInReplica&, SlotId, const StandInReplica::Seen&) {};
-  World world(silent, silent, config.dump());
-  auto first = world.chat_client(), second = world.chat_client();
+  Fixture fixture(silent, silent, config.dump());
+  auto first = fixture.chat_client(), second = fixture.chat_client();
   first->post(kJson, chat_body("ask", true));
-  REQUIRE(world.until([&] { return world.total("POST", false) == 1; }));
+  REQUIRE(fixture.until([&] { return fixture.total("POST", false) == 1; }));
   second->post(kJson, chat_body("ask", true));
-  REQUIRE(world.until([&] { return second->whole; }));
+  REQUIRE(fixture.until([&] { return second->whole; }));
   CHECK(second->status == 429);
   CHECK(second->headers["Retry-After"] == "1");
 }
@@ -356,27 +356,27 @@
     if (job.find("error") != std::string::npos && before == 0) return r.say(client, 500);
     write_well(r, client, seen);
   };
-  World world(reader, writer, kChat);
+  Fixture fixture(reader, writer, kChat);
   std::mt19937 random(seed);
   for (int i = 0; i < 40; ++i) {
     const std::vector<std::string> fates = {"well", "breaks", "reset", "error", "read-full"};
     const std::string job = "job-" + std::to_string(i) + "-" + fates[random() % fates.size()];
     const std::string cls = random() % 2 == 0 ? "ask" : "command";
-    auto client = through_chat ? world.chat_client() : world.platform_client();
+    auto client = through_chat ? fixture.chat_client() : fixture.platform_client();
     char id[17];
     std::snprintf(id, sizeof id, "%016x", i + 1);
     client->post(through_chat ? kJson : facts(id, cls), chat_body(cls, true, job));
-    for (int k = 0; k < 400 && !client->answered(); ++k) world.advance(milliseconds(20));
+    for (int k = 0; k < 400 && !client->answered(); ++k) fixture.advance(milliseconds(20));
     const std::string end =
         !client->answered() ? "none"
         : client->status == 200
             ? (client->whole && client->body.find("[DONE]") != std::string::npos ? "served" : "cut")
             : std::to_string(client->status);
     result.outcomes.push_back(cls + " " + job + " " + end);
-    world.now += seconds(25);  // hosts that were shut out come back: each request meets the same fleet
-    world.advance(milliseconds(100));
+    fixture.now += seconds(25);  // hosts that were shut out come back: each request meets the same fleet
+    fixture.advance(milliseconds(100));
   }
-  CHECK(world.engine.open() == 0);
+  CHECK(fixture.engine.open() == 0);
   return result;
 }
 
--- a/tests/dispatcher/parsers_test.cpp
+++ b/tests/dispatcher/parsers_test.cpp
@@ -4,7 +4,7 @@
 #include <random>
 
 #include "daemon/config.hpp"
-#include "world.hpp"
+#include "fixture.hpp"
 
 namespace dispatcher::testing {
 namespace {
@@ -24,7 +24,7 @@
 // What a reader makes of a connection's bytes, written down.
 template <bool kRequest>
 std::string account(const std::vector<std::string>& pieces) {
-  http::Reader<kRequest> reader(http::kMostBody);
+  http::Reader<kRequest> reader(http::kMaxBody);
   net::RingBuffer input(64 * 1024);
   std::string story;
   for (const std::string& piece : pieces) {
@@ -119,7 +119,7 @@
 TEST_CASE("a head or body past its limit is refused", "[parsers]") {
   const std::string head = "POST / HTTP/1.1\r\n";
   CHECK(account<true>({head + "Content-Length: 262145\r\n\r\n"}) == "bad: body limit exceeded");
-  CHECK(account<true>({head + "X: " + std::string(http::kMostHead, 'y') + "\r\n\r\n"}) ==
+  CHECK(account<true>({head + "X: " + std::string(http::kMaxHead, 'y') + "\r\n\r\n"}) ==
         "bad: header limit exceeded");
 }
 
@@ -185,25 +185,25 @@
   const auto servers = service_discovery::parse_servers(nlohmann::json::parse(kServers));
   CHECK(servers.seq == 43);
   CHECK(servers.list.kind == routing::ListKind::kDelta);
-  CHECK(servers.list.entries[0].state == routing::HostState::kDraining);
+  CHECK(servers.list.entries[0].state == routing::EndpointState::kDraining);
   CHECK(servers.list.entries[0].started == milliseconds(1500));
   CHECK_FALSE(servers.addresses[0].ready);
   Random random(5);
-  int refused = 0;
+  int rejected = 0;
   for (int i = 0; i < 2000; ++i) {
     try {
       service_discovery::parse_servers(nlohmann::json::parse(spoil(kServers, random), nullptr, false));
     } catch (const std::invalid_argument&) {
-      ++refused;
+      ++rejected;
     }
   }
-  CHECK(refused > 1000);
+  CHECK(rejected > 1000);
 }
 
 TEST_CASE("a request's headers are read, and bad ones are named", "[parsers]") {
   const auto settings = make_settings();
   const auto parse = [&](const std::string& headers) {
-    http::RequestReader reader(http::kMostBody);
+    http::RequestReader reader(http::kMaxBody);
     net::RingBuffer input(64 * 1024);
     REQUIRE(input.append("POST / HTTP/1.1\r\n" + headers + "\r\n"));
     REQUIRE(reader.read(input) == http::Progress::kDone);
@@ -247,7 +247,7 @@
   CHECK(config.name == "n7");
   CHECK(config.seed == 0x8c1f);
   CHECK(config.settings.connect_timeout == milliseconds(250));
-  CHECK(config.settings.idle_close == seconds(15));
+  CHECK(config.settings.idle_timeout == seconds(15));
   const auto problem = [&](const char* path, const nlohmann::json& value) {
     nlohmann::json bad = good;
     bad[nlohmann::json::json_pointer(path)] = value;
@@ -310,21 +310,21 @@
 }
 
 TEST_CASE("deadlines run in order, once, and not when dropped", "[core]") {
-  engine::Deadlines deadlines;
+  engine::TimerQueue timers;
   std::vector<int> ran;
-  auto dropped = deadlines.add(seconds(1), [&] { ran.push_back(0); });
-  deadlines.add(seconds(3), [&] { ran.push_back(3); });
-  deadlines.add(seconds(2), [&] {
+  auto dropped = timers.add(seconds(1), [&] { ran.push_back(0); });
+  timers.add(seconds(3), [&] { ran.push_back(3); });
+  timers.add(seconds(2), [&] {
     ran.push_back(2);
-    deadlines.add(seconds(1), [&] { ran.push_back(9); });  // already past: for the next run
+    timers.add(seconds(1), [&] { ran.push_back(9); });  // already past: for the next run
   });
-  deadlines.drop(dropped);
-  CHECK(deadlines.next() == engine::Time(seconds(2)));
-  deadlines.run(seconds(3));
+  timers.drop(dropped);
+  CHECK(timers.next() == engine::Time(seconds(2)));
+  timers.run(seconds(3));
   CHECK(ran == std::vector<int>{2, 3});
-  deadlines.run(seconds(3));
+  timers.run(seconds(3));
   CHECK(ran == std::vector<int>{2, 3, 9});
-  CHECK(deadlines.size() == 0);
+  CHECK(timers.size() == 0);
 }
 
 }  // namespace
--- a/tests/dispatcher/call_plan_test.cpp
+++ b/tests/dispatcher/poll_schedule_test.cpp
@@ -1,5 +1,5 @@
 // When discovery is called, in virtual time.
-#include "service_discovery/call_plan.hpp"
+#include "service_discovery/poll_schedule.hpp"
 
 #include <algorithm>
 #include <array>
@@ -8,29 +8,29 @@
 #include <queue>
 #include <random>
 
+#include "fixture.hpp"
 #include "service_discovery/backoff.hpp"
-#include "world.hpp"
 
 namespace dispatcher::testing {
 namespace {
 
-using service_discovery::CallPlan;
 using service_discovery::Lists;
-using CallId = CallPlan::CallId;
+using service_discovery::PollSchedule;
+using CallId = PollSchedule::CallId;
 
 // What becomes of a call. All but kAnswer are outages.
 enum class Fate {
   kAnswer,
   kSilent,
-  kRefuseLate,
-  kRefuseNow,
+  kRejectLate,
+  kRejectNow,
   kReset,
   kResetLate,
   kNeverUp,
   kUnreadable,
   kStall
 };
-constexpr std::array kOutages{Fate::kSilent,    Fate::kRefuseLate, Fate::kRefuseNow,  Fate::kReset,
+constexpr std::array kOutages{Fate::kSilent,    Fate::kRejectLate, Fate::kRejectNow,  Fate::kReset,
                               Fate::kResetLate, Fate::kNeverUp,    Fate::kUnreadable, Fate::kStall};
 
 // A discovery with an outage until `back`, and one dispatcher's plan that meets it. Outages follow one
@@ -44,7 +44,7 @@
 
   engine::Duration known_after{};  // the return, or the last refusal that came later
   std::vector<engine::Time> opened;
-  std::size_t most_calls = 0;
+  std::size_t max_calls = 0;
   engine::Duration longest_gap{};  // with no call out, and without a refusal before it
 
   void run() {
@@ -63,7 +63,7 @@
   }
 
  private:
-  enum class What { kHead, kByte, kHalf, kRefused, kFailed, kUnreadable };
+  enum class What { kHead, kByte, kHalf, kRejected, kFailed, kUnreadable };
   struct Event {
     engine::Time at;
     CallId id;
@@ -74,7 +74,7 @@
   engine::Duration slowest_;
   int lose_;
   std::mt19937_64 random_;
-  CallPlan plan_;
+  PollSchedule plan_;
   std::priority_queue<Event, std::vector<Event>, std::greater<>> events_;
   std::map<CallId, Fate> calls_;
   engine::Time back_{}, outage_{}, empty_since_{};
@@ -108,10 +108,10 @@
         return byte(event.id, now);
       case What::kHalf:
         return plan_.heard(event.id, now, now);
-      case What::kRefused:
+      case What::kRejected:
         back_ = std::max(back_, now);
         after_refusal_ = true;
-        return obey(plan_.refused(event.id, now, draw()), now);
+        return obey(plan_.rejected(event.id, now, draw()), now);
       case What::kFailed:
         return obey(plan_.failed(event.id, now, draw()), now);
       case What::kUnreadable:
@@ -128,14 +128,14 @@
     known_ = true;
     known_after = now - back_;
   }
-  void obey(const CallPlan::Orders& orders, engine::Time now) {
+  void obey(const PollSchedule::Orders& orders, engine::Time now) {
     for (const CallId id : orders.close) calls_.erase(id);
     if (orders.open != 0) open(orders.open, now);
     if (calls_.empty()) {
       if (orders.close.empty()) return;
       empty_since_ = now;
     }
-    most_calls = std::max(most_calls, calls_.size());
+    max_calls = std::max(max_calls, calls_.size());
   }
   void open(CallId id, engine::Time now) {
     opened.push_back(now);
@@ -163,10 +163,10 @@
         if (!old_answer_at_return_) return;
         calls_[id] = Fate::kAnswer;
         return events_.push({back_, id, What::kHead});
-      case Fate::kRefuseLate:
-        return later(2000, What::kRefused);
-      case Fate::kRefuseNow:
-        return later(1, What::kRefused);
+      case Fate::kRejectLate:
+        return later(2000, What::kRejected);
+      case Fate::kRejectNow:
+        return later(1, What::kRejected);
       case Fate::kReset:
         return later(0, What::kFailed);
       case Fate::kResetLate:
@@ -199,7 +199,7 @@
   over_outages(Lists::kPushed, milliseconds(2100), 0, [&](const Outage& o, int) {
     worst = std::max(worst, o.known_after);
     REQUIRE(o.known_after < seconds(6) - service_discovery::kMargin);
-    REQUIRE(o.most_calls <= 2);
+    REQUIRE(o.max_calls <= 2);
     REQUIRE(o.longest_gap <= milliseconds(250));
   });
   CHECK(worst > milliseconds(3000));  // the outages drawn do reach the edges
@@ -216,7 +216,7 @@
   over_outages(Lists::kAskedFor, milliseconds(2100), 0, [&](const Outage& o, int fleet) {
     worst = std::max(worst, o.known_after);
     REQUIRE(o.known_after < seconds(6) - service_discovery::kMargin);
-    REQUIRE(o.most_calls <= 1);
+    REQUIRE(o.max_calls <= 1);
     // Each further call comes after a pause by the fleet's size.
     for (std::size_t i = 1; i < o.opened.size(); ++i)
       REQUIRE(o.opened[i] - o.opened[i - 1] >= service_discovery::after_silence(fleet).first / 2);
@@ -226,7 +226,7 @@
 
 TEST_CASE("pushed: calls that fail at once come ever later, up to 250 ms", "[discovery][plan]") {
   for (const bool unreadable : {false, true}) {
-    CallPlan plan(Lists::kPushed, 300);
+    PollSchedule plan(Lists::kPushed, 300);
     std::mt19937_64 random(5);
     std::uniform_real_distribution<double> draw(0, 1);
     engine::Time now = seconds(50);
@@ -260,7 +260,7 @@
 
 TEST_CASE("pushed: an unanswered call is joined, not dropped, and the older of two goes for a third",
           "[discovery][plan]") {
-  CallPlan plan(Lists::kPushed, 300);
+  PollSchedule plan(Lists::kPushed, 300);
   const engine::Time start = seconds(50);
   const CallId first = plan.restart(start).open;
   REQUIRE(plan.next() == start + service_discovery::kCallLimit);
@@ -282,7 +282,7 @@
 
 TEST_CASE("pushed: a silent watch is joined at once and may still speak; the call that answers replaces it",
           "[discovery][plan]") {
-  CallPlan plan(Lists::kPushed, 300);
+  PollSchedule plan(Lists::kPushed, 300);
   const engine::Time start = seconds(50);
   const CallId watch = plan.restart(start).open;
   plan.answered(watch, start);
@@ -300,12 +300,12 @@
 TEST_CASE("pushed: after a refusal there is a pause by the fleet's size, whatever happens in it",
           "[discovery][plan]") {
   for (const int fleet : {1, 300}) {
-    CallPlan plan(Lists::kPushed, fleet);
+    PollSchedule plan(Lists::kPushed, fleet);
     engine::Time now = seconds(50);
     const CallId first = plan.restart(now).open;
     now += service_discovery::kCallLimit;
     const CallId second = plan.tick(now, 0).open;
-    CHECK(plan.refused(second, now, 1).open == 0);
+    CHECK(plan.rejected(second, now, 1).open == 0);
     CHECK(plan.failed(first, now, 0).open == 0);
     CHECK(plan.next() == now + service_discovery::list_calls(fleet).first);
     CHECK(plan.tick(now + milliseconds(100), 0).open == 0);
@@ -319,12 +319,12 @@
   for (const Lists lists : {Lists::kPushed, Lists::kAskedFor}) {
     for (const int refusals : {1, 2, 3, 8}) {
       for (const engine::Duration off : {milliseconds(-1), milliseconds(0), milliseconds(1)}) {
-        CallPlan plan(lists, 300);
+        PollSchedule plan(lists, 300);
         engine::Time now = seconds(50), pause{};
         CallId id = plan.restart(now).open;
         for (int i = 0; i < refusals; ++i) {
           now += service_discovery::kOverbookedWait;
-          plan.refused(id, now, 1.0);
+          plan.rejected(id, now, 1.0);
           pause = *plan.next() - now;
           now = *plan.next();
           id = plan.tick(now, 1.0).open;
@@ -348,7 +348,7 @@
 
 TEST_CASE("an object that stalls ends its call, and the whole list is owed", "[discovery][plan]") {
   for (const Lists lists : {Lists::kPushed, Lists::kAskedFor}) {
-    CallPlan plan(lists, 3);
+    PollSchedule plan(lists, 3);
     const engine::Time start = seconds(50);
     engine::Time now = start;
     const CallId watch = plan.restart(now).open;
@@ -369,15 +369,15 @@
 TEST_CASE("a move opens at once, whatever pause runs, and survives a silent first call within 4 s",
           "[discovery][plan]") {
   for (const Lists lists : {Lists::kPushed, Lists::kAskedFor}) {
-    CallPlan plan(lists, 300);
+    PollSchedule plan(lists, 300);
     engine::Time now = seconds(50);
     CallId id = plan.restart(now).open;
     for (int i = 0; i < 5; ++i) {
-      plan.refused(id, now, 0.99);
+      plan.rejected(id, now, 0.99);
       now = *plan.next();
       id = plan.tick(now, 0.99).open;
     }
-    plan.refused(id, now, 0.99);
+    plan.rejected(id, now, 0.99);
     const engine::Time moved = now + milliseconds(1);
     REQUIRE(plan.move(moved).open != 0);  // this one stays silent
     CallId next = 0;
--- a/tests/dispatcher/limits_test.cpp
+++ b/tests/dispatcher/rate_limit_test.cpp
@@ -9,9 +9,9 @@
 #include "allocations.hpp"
 #include "daemon/dispatcher.hpp"
 #include "daemon/rules_command.hpp"
+#include "fixture.hpp"
 #include "rate_limit/explain.hpp"
-#include "rate_limit/gate.hpp"
-#include "world.hpp"
+#include "rate_limit/rate_limiter.hpp"
 
 namespace dispatcher::testing {
 namespace {
@@ -46,25 +46,25 @@
 }
 
 struct Passer {
-  explicit Passer(const std::string& text, std::uint64_t seed = 9) : gate(seed) {
-    gate.adopt(rules(text), now);
+  explicit Passer(const std::string& text, std::uint64_t seed = 9) : rate_limiter(seed) {
+    rate_limiter.adopt(rules(text), now);
   }
-  Gate::Passage pass(routing::Request& r, std::vector<std::optional<std::string_view>> headers = {}) {
+  RateLimiter::Passage pass(routing::Request& r, std::vector<std::optional<std::string_view>> headers = {}) {
     Facts facts;
     facts.request_class = r.request_class;
     facts.account = r.tenant;
     facts.session = r.session;
     facts.prompt_tokens = r.prompt_tokens;
     facts.headers = std::move(headers);
-    return gate.pass(r, facts, settings, now);
+    return rate_limiter.pass(r, facts, settings, now);
   }
-  Gate::Passage pass(const std::string& cls = "ask", const std::string& account = "acme") {
+  RateLimiter::Passage pass(const std::string& cls = "ask", const std::string& account = "acme") {
     auto r = request(cls, account);
     return pass(r);
   }
   routing::Settings settings = make_settings();
   routing::Time now = seconds(1'800'000'000);
-  Gate gate;
+  RateLimiter rate_limiter;
 };
 
 TEST_CASE("a bad file of rules tells all that is wrong with it, with its place", "[limits]") {
@@ -146,7 +146,7 @@
   const auto rule = [&](std::optional<std::string_view> tier) {
     auto r = request();
     const auto passage = p.pass(r, {tier});
-    CHECK_FALSE(passage.refused);
+    CHECK_FALSE(passage.rejected);
     return passage.rule->name;
   };
   CHECK(rule("gold") == "gold");
@@ -154,7 +154,7 @@
   CHECK(rule("goldgoldg") == "none");  // longer than declared
   CHECK(rule("g\xffld") == "none");    // not UTF-8
   CHECK(rule("iron") == "rest");
-  CHECK(p.gate.counts().faults == 1);  // no model: its session stays
+  CHECK(p.rate_limiter.counts().faults == 1);  // no model: its session stays
   auto r = request();
   p.pass(r, {"iron"});
   CHECK(r.session == 0x7f);
@@ -176,37 +176,37 @@
   CHECK(p.pass(c).rule->name == "down");
   CHECK(c.request_class == "command");
   CHECK(c.tenant == "other");  // 'otherx' is nobody's
-  CHECK(p.gate.counts().kept_class == 1);
+  CHECK(p.rate_limiter.counts().kept_class == 1);
 }
 
 TEST_CASE("a rate admits its burst, then one in each interval, and tells when to come back", "[limits]") {
   Passer p("rules: [{name: \"a\", limits: [{key: \"request.account\", rate: 4, burst: 3}]}]");
-  for (int i = 0; i < 3; ++i) CHECK_FALSE(p.pass().refused);
+  for (int i = 0; i < 3; ++i) CHECK_FALSE(p.pass().rejected);
   for (int round = 0; round < 20; ++round) {
-    const auto refused = p.pass().refused;
-    REQUIRE(refused);
-    CHECK(*refused == milliseconds(250));
-    if (round == 0) CHECK_FALSE(p.pass("ask", "other").refused);  // keys apart
-    p.now += *refused - std::chrono::microseconds(1);
-    CHECK(p.pass().refused);
+    const auto rejected = p.pass().rejected;
+    REQUIRE(rejected);
+    CHECK(*rejected == milliseconds(250));
+    if (round == 0) CHECK_FALSE(p.pass("ask", "other").rejected);  // keys apart
+    p.now += *rejected - std::chrono::microseconds(1);
+    CHECK(p.pass().rejected);
     p.now += std::chrono::microseconds(1);
-    CHECK_FALSE(p.pass().refused);
+    CHECK_FALSE(p.pass().rejected);
   }
   p.now += seconds(100);  // no more than the burst is saved up
-  for (int i = 0; i < 3; ++i) CHECK_FALSE(p.pass().refused);
-  CHECK(p.pass().refused);
+  for (int i = 0; i < 3; ++i) CHECK_FALSE(p.pass().rejected);
+  CHECK(p.pass().rejected);
 }
 
 TEST_CASE("refusals are told at once, then every ten seconds, with their number", "[limits]") {
   Told logs;
-  Gate gate(1, [&](std::string_view line) { logs.emplace_back(line); });
+  RateLimiter rate_limiter(1, [&](std::string_view line) { logs.emplace_back(line); });
   Passer p("rules: []");
-  gate.adopt(rules("rules: [{name: \"a\", limits: [{in_progress: 0}]}]"), p.now);
+  rate_limiter.adopt(rules("rules: [{name: \"a\", limits: [{in_progress: 0}]}]"), p.now);
   for (int i = 0; i < 150; ++i) {
     auto r = request();
     Facts facts;
     facts.request_class = r.request_class;
-    CHECK(gate.pass(r, facts, p.settings, p.now).refused);
+    CHECK(rate_limiter.pass(r, facts, p.settings, p.now).rejected);
     p.now += milliseconds(100);
   }
   CHECK(logs == Told{"limits: 1 refused since the last such line, now by rule 'a'",
@@ -219,17 +219,17 @@
       "rules: [{name: \"a\", limits: [{key: \"request.account\", in_progress: 2, retry_ms: 70}, {rate: 1, "
       "burst: 3}]}]");
   auto a = p.pass(), b = p.pass();
-  CHECK_FALSE(a.refused);
-  for (int i = 0; i < 5; ++i) CHECK(p.pass().refused == std::optional<routing::Duration>(milliseconds(70)));
-  p.gate.release(a.ticket);
-  p.gate.release(a.ticket);  // once is enough
+  CHECK_FALSE(a.rejected);
+  for (int i = 0; i < 5; ++i) CHECK(p.pass().rejected == std::optional<routing::Duration>(milliseconds(70)));
+  p.rate_limiter.release(a.ticket);
+  p.rate_limiter.release(a.ticket);  // once is enough
   auto c = p.pass();
-  CHECK_FALSE(c.refused);  // the third of the burst: the refusals took nothing of it
-  p.gate.release(b.ticket);
-  CHECK(p.pass().refused > std::optional<routing::Duration>(milliseconds(900)));
+  CHECK_FALSE(c.rejected);  // the third of the burst: the refusals took nothing of it
+  p.rate_limiter.release(b.ticket);
+  CHECK(p.pass().rejected > std::optional<routing::Duration>(milliseconds(900)));
   p.now += seconds(3);
-  CHECK_FALSE(p.pass().refused);
-  CHECK(p.pass().refused == std::optional<routing::Duration>(milliseconds(70)));  // b's end counted once
+  CHECK_FALSE(p.pass().rejected);
+  CHECK(p.pass().rejected == std::optional<routing::Duration>(milliseconds(70)));  // b's end counted once
 }
 
 TEST_CASE("the parts of the instances add up to the limit", "[limits]") {
@@ -243,9 +243,9 @@
       double rate = 0;
       for (std::size_t i = 0; i < n; ++i) {
         const Bound b = part_of(l, i, n);
-        sum += b.most;
+        sum += b.maximum;
         rate += 1e9 / static_cast<double>(b.interval.count());
-        CHECK((b.most > 0) == (whole > 0));
+        CHECK((b.maximum > 0) == (whole > 0));
       }
       CHECK(rate == Approx(90).epsilon(1e-6));
       if (whole >= static_cast<std::int64_t>(n)) CHECK(sum == whole);
@@ -256,12 +256,12 @@
   std::vector<std::unique_ptr<Passer>> fleet;
   for (std::size_t i = 0; i < 4; ++i) {
     fleet.push_back(std::make_unique<Passer>("rules: [{name: \"a\", limits: [{rate: 8, burst: 12}]}]"));
-    fleet.back()->gate.share(i, 4);
+    fleet.back()->rate_limiter.share(i, 4);
   }
   int admitted = 0;
   for (int ms = 0; ms < 10'000; ms += 5) {
     for (auto& one : fleet) {
-      admitted += one->pass().refused ? 0 : 1;
+      admitted += one->pass().rejected ? 0 : 1;
       one->now += milliseconds(5);
     }
   }
@@ -274,48 +274,48 @@
       "keys: 1000\nrules: [{name: \"a\", limits: [{key: \"request.account\", rate: 0.01, burst: 2, "
       "in_progress: 2}]}]");
   p.settings.tenants.clear();
-  p.gate.adopt(
+  p.rate_limiter.adopt(
       rules("keys: 1000\nrules: [{name: \"a\", limits: [{key: \"request.account\", rate: 0.01, burst: 2}, "
             "{key: \"request.account\", in_progress: 2}]}]",
             {}),
       p.now);
-  const std::size_t bytes = p.gate.table().bytes();
+  const std::size_t bytes = p.rate_limiter.table().bytes();
   std::vector<Ticket> held;
   for (int k = 0; k < 50; ++k) {  // fifty keys at both limits
     for (int i = 0; i < 2; ++i) {
       auto passage = p.pass("ask", "held" + std::to_string(k));
-      REQUIRE_FALSE(passage.refused);
+      REQUIRE_FALSE(passage.rejected);
       held.push_back(passage.ticket);
     }
   }
   std::size_t flood = 0;
   for (int i = 0; i < 200'000; ++i) {
     auto passage = p.pass("ask", "flood" + std::to_string(i));
-    flood += passage.refused ? 0 : 1;
-    p.gate.release(passage.ticket);
+    flood += passage.rejected ? 0 : 1;
+    p.rate_limiter.release(passage.ticket);
     if (i % 1000 == 0) {
-      for (int k = 0; k < 50; ++k) CHECK(p.pass("ask", "held" + std::to_string(k)).refused);
+      for (int k = 0; k < 50; ++k) CHECK(p.pass("ask", "held" + std::to_string(k)).rejected);
     }
   }
   CHECK(flood > 1000);
-  CHECK(p.gate.table().bytes() == bytes);
+  CHECK(p.rate_limiter.table().bytes() == bytes);
   CHECK(bytes < 50'000);
-  for (Ticket& t : held) p.gate.release(t);
+  for (Ticket& t : held) p.rate_limiter.release(t);
 }
 
 TEST_CASE("keys that find no room share one entry, and leave it as they end", "[limits]") {
-  Table table(8);
+  CounterTable table(8);
   const Bound bound{1, {}, {}, 1, milliseconds(5)};
   std::mt19937_64 random(4);
   std::vector<Held> held;
-  int refused = 0;
+  int rejected = 0;
   for (int i = 0; i < 100; ++i) {
     const Charge c{bound, random()};
     Held h;
-    table.admit({&c, 1}, milliseconds(i), {&h, 1}).count() > 0 ? void(++refused) : held.push_back(h);
+    table.admit({&c, 1}, milliseconds(i), {&h, 1}).count() > 0 ? void(++rejected) : held.push_back(h);
   }
   CHECK(held.size() == table.bytes() / 32 + 1);  // each entry one, and one for all the others
-  CHECK(refused > 50);
+  CHECK(rejected > 50);
   CHECK(table.shared() > 50);
   for (const Held& h : held) table.release(h);
   CHECK(table.used(seconds(1)) == 0);
@@ -326,7 +326,7 @@
 
 TEST_CASE("a table agrees with a plain list of what is in progress and when", "[limits]") {
   std::mt19937_64 random(8);
-  Table table(4096);
+  CounterTable table(4096);
   struct Plain {
     std::int64_t arrival = 0;
     std::uint32_t in_progress = 0;
@@ -367,17 +367,17 @@
   };
   Passer p(text("0.1", "1000"));
   auto first = p.pass();
-  CHECK_FALSE(first.refused);
-  p.gate.adopt(rules(text("0.1", "50000")), p.now);
-  CHECK(p.pass().refused);
-  p.gate.release(first.ticket);
-  CHECK(p.pass().refused > std::optional<routing::Duration>(seconds(9)));  // the rate's part stays
-  p.gate.adopt(rules(text("0.2", "50000")), p.now);
+  CHECK_FALSE(first.rejected);
+  p.rate_limiter.adopt(rules(text("0.1", "50000")), p.now);
+  CHECK(p.pass().rejected);
+  p.rate_limiter.release(first.ticket);
+  CHECK(p.pass().rejected > std::optional<routing::Duration>(seconds(9)));  // the rate's part stays
+  p.rate_limiter.adopt(rules(text("0.2", "50000")), p.now);
   auto second = p.pass();
-  CHECK_FALSE(second.refused);
-  p.gate.adopt(nullptr, p.now);  // no rules any more: what was taken still comes to its end
-  CHECK_FALSE(p.pass().refused);
-  p.gate.release(second.ticket);
+  CHECK_FALSE(second.rejected);
+  p.rate_limiter.adopt(nullptr, p.now);  // no rules any more: what was taken still comes to its end
+  CHECK_FALSE(p.pass().rejected);
+  p.rate_limiter.release(second.ticket);
 }
 
 TEST_CASE("deciding allocates nothing", "[limits]") {
@@ -387,13 +387,13 @@
       "\"request.class\", session: \"header.tier + request.account\", limits: [{key: \"request.account + '/' "
       "+ header.tier\", rate: 100, in_progress: 9}]}]");
   expression::Scratch scratch;
-  p.gate.rules()->reserve(scratch);
+  p.rate_limiter.rules()->reserve(scratch);
   Facts facts;
   facts.request_class = "ask";
   facts.account = "acme";
   facts.headers = {"gold"};
   const std::size_t before = allocations;
-  const Decision d = p.gate.rules()->decide(facts, scratch);
+  const Decision d = p.rate_limiter.rules()->decide(facts, scratch);
   CHECK(allocations == before);
   CHECK(d.rule == 0);
   CHECK(d.limit_count == 1);
@@ -479,7 +479,7 @@
 
 // ---- through both fronts ----
 
-struct Outcome {
+struct AttemptCompleted {
   int status;
   std::string retry;
 };
@@ -493,24 +493,24 @@
       "{name: \"asks\", limits: [{key: \"request.account\", rate: 2, burst: 2}]}]";
   std::vector<std::vector<int>> all;
   for (const bool through_chat : {true, false}) {
-    World world(
+    Fixture fixture(
         read_well, [](StandInReplica&, SlotId, const StandInReplica::Seen&) {},
         kChat);  // writers keep silent
-    Gate gate(5);
-    gate.adopt(rules(text), world.now);
-    world.chat->attach(gate);
-    world.platform.attach(gate);
+    RateLimiter rate_limiter(5);
+    rate_limiter.adopt(rules(text), fixture.now);
+    fixture.chat->attach(rate_limiter);
+    fixture.platform.attach(rate_limiter);
     std::vector<int> statuses;
     std::vector<std::unique_ptr<StandInClient>> clients;
     int made = 0;
     const auto send = [&](const std::string& cls, const std::string& more) -> StandInClient& {
-      clients.push_back(through_chat ? world.chat_client() : world.platform_client());
+      clients.push_back(through_chat ? fixture.chat_client() : fixture.platform_client());
       char id[17];
       std::snprintf(id, sizeof id, "%016x", ++made);
       clients.back()->post((through_chat ? "Content-Type: application/json\r\n" : facts(id, cls)) + more,
                            chat_body(cls, true));
-      world.settle();
-      world.settle();
+      fixture.settle();
+      fixture.settle();
       return *clients.back();
     };
     const auto status = [&](const std::string& cls, const std::string& more = {}) {
@@ -528,9 +528,9 @@
     status("ask");
     status("ask");
     clients[0]->close();  // its place is free once it has gone
-    world.settle();
+    fixture.settle();
     status("command");
-    const std::size_t sent = static_cast<std::size_t>(world.total("POST", false));
+    const std::size_t sent = static_cast<std::size_t>(fixture.total("POST", false));
     CHECK(sent == 5);  // what is refused reaches no replica
     all.push_back(statuses);
   }
@@ -542,21 +542,21 @@
           "[limits][chat][platform]") {
   for (const bool through_chat : {true, false}) {
     int begun = 0;
-    World world(
+    Fixture fixture(
         read_well,
         [&](StandInReplica& r, SlotId client, const StandInReplica::Seen&) {
           ++begun;
           r.server.cut(client);
         },
         kChat);
-    Gate gate(5);
-    gate.adopt(rules("rules: [{name: \"careful\", class: \"'command'\"}]"), world.now);
-    world.chat->attach(gate);
-    world.platform.attach(gate);
-    auto client = through_chat ? world.chat_client() : world.platform_client();
+    RateLimiter rate_limiter(5);
+    rate_limiter.adopt(rules("rules: [{name: \"careful\", class: \"'command'\"}]"), fixture.now);
+    fixture.chat->attach(rate_limiter);
+    fixture.platform.attach(rate_limiter);
+    auto client = through_chat ? fixture.chat_client() : fixture.platform_client();
     client->post(through_chat ? "Content-Type: application/json\r\n" : facts("aa", "ask"),
                  chat_body("ask", true));
-    for (int k = 0; k < 400 && !client->answered(); ++k) world.advance(milliseconds(20));
+    for (int k = 0; k < 400 && !client->answered(); ++k) fixture.advance(milliseconds(20));
     CHECK(client->status == 502);
     CHECK(begun == 1);  // an ask would have been sent again
     if (through_chat) CHECK(client->headers["X-Should-Retry"] == "false");
@@ -565,7 +565,7 @@
 
 TEST_CASE("what a request counts for ends with it, whatever its end", "[limits][chat][platform]") {
   for (const bool through_chat : {true, false}) {
-    World world(
+    Fixture fixture(
         read_well,
         [](StandInReplica& r, SlotId client, const StandInReplica::Seen& seen) {
           if (seen.body.find("well") != std::string::npos) return write_well(r, client, seen);
@@ -576,52 +576,53 @@
           if (seen.body.find("error") != std::string::npos) return r.say(client, 500);
         },
         kChat);
-    Gate gate(5);
-    gate.adopt(rules("rules: [{name: \"a\", limits: [{in_progress: 1}]}]"), world.now);
-    world.chat->attach(gate);
-    world.platform.attach(gate);
+    RateLimiter rate_limiter(5);
+    rate_limiter.adopt(rules("rules: [{name: \"a\", limits: [{in_progress: 1}]}]"), fixture.now);
+    fixture.chat->attach(rate_limiter);
+    fixture.platform.attach(rate_limiter);
     int id = 0;
     for (const char* fate : {"well", "cut", "error", "silent", "gone", "well"}) {
-      auto client = through_chat ? world.chat_client() : world.platform_client();
+      auto client = through_chat ? fixture.chat_client() : fixture.platform_client();
       client->post(
           through_chat ? "Content-Type: application/json\r\n" : facts("a" + std::to_string(++id), "command"),
           chat_body("command", true, fate));
       if (std::string(fate) == "gone") {
-        world.settle();
+        fixture.settle();
         client->close();
-        world.settle();
+        fixture.settle();
         continue;
       }
-      for (int k = 0; k < 400 && !client->answered(); ++k) world.advance(milliseconds(20));
+      for (int k = 0; k < 400 && !client->answered(); ++k) fixture.advance(milliseconds(20));
       INFO(fate);
       CHECK(client->answered());
       CHECK(client->status != 429);
-      world.now += seconds(25);
-      world.advance(milliseconds(100));
+      fixture.now += seconds(25);
+      fixture.advance(milliseconds(100));
     }
-    CHECK(gate.counts().refused == 0);
-    CHECK(gate.counts().passed == 6);
+    CHECK(rate_limiter.counts().rejected == 0);
+    CHECK(rate_limiter.counts().passed == 6);
   }
 }
 
 TEST_CASE("a request that is open while the rules change keeps what it came in under", "[limits][platform]") {
-  World world(read_well, [](StandInReplica&, SlotId, const StandInReplica::Seen&) {});
-  Gate gate(5);
+  Fixture fixture(read_well, [](StandInReplica&, SlotId, const StandInReplica::Seen&) {});
+  RateLimiter rate_limiter(5);
   const std::string one = "rules: [{name: \"a\", limits: [{in_progress: 1}]}]";
-  gate.adopt(rules(one), world.now);
-  world.platform.attach(gate);
-  auto open = world.platform_client(), second = world.platform_client(), third = world.platform_client();
+  rate_limiter.adopt(rules(one), fixture.now);
+  fixture.platform.attach(rate_limiter);
+  auto open = fixture.platform_client(), second = fixture.platform_client(),
+       third = fixture.platform_client();
   open->post(facts("a1", "command", 60000), "{}");
-  world.settle();
-  gate.adopt(rules("rules: []"), world.now);
-  gate.adopt(rules(one), world.now);
+  fixture.settle();
+  rate_limiter.adopt(rules("rules: []"), fixture.now);
+  rate_limiter.adopt(rules(one), fixture.now);
   second->post(facts("a2", "command"), "{}");
-  world.settle();
+  fixture.settle();
   CHECK(second->status == 429);  // the first one is counted still
   open->close();
-  world.settle();
+  fixture.settle();
   third->post(facts("a3", "command"), "{}");
-  world.settle();
+  fixture.settle();
   CHECK_FALSE(third->answered());  // taken
 }
 
--- a/tests/dispatcher/shared_test.cpp
+++ b/tests/dispatcher/replicated_map_test.cpp
@@ -1,10 +1,11 @@
 // Shared rows: merging as a join, bounds, ages, caps, repair.
+#include "replicated_state/replicated_map.hpp"
+
 #include <map>
 #include <random>
 
 #include "property.hpp"
-#include "replicated_state/doubt.hpp"
-#include "replicated_state/rows.hpp"
+#include "replicated_state/failure_evidence.hpp"
 
 namespace dispatcher::testing {
 namespace {
@@ -25,7 +26,7 @@
 
 struct Store {
   Kinds kinds;
-  Rows rows;
+  ReplicatedMap rows;
   explicit Store(Number self = 0, std::size_t total = 4 * 64, std::uint64_t life = 1)
       : rows(add(kinds), self, 4, life, total) {
     for (Number n = 0; n < 4; ++n) rows.adopt_life(n, 1);
@@ -42,7 +43,7 @@
 }
 
 // All that a store holds, as text that tells any difference.
-std::string dump(const Rows& rows) {
+std::string dump(const ReplicatedMap& rows) {
   std::string text;
   for (Number n = 0; n < 4; ++n) {
     for (const Row& r : rows.lacking(kNow, {n, 0, 0})) {
@@ -151,43 +152,43 @@
   Row good = row(1, 1, 5);
   Row r = good;
   r.place.owner = 4;
-  CHECK(merge(r) == Verdict::kOutOfBounds);
+  CHECK(merge(r) == MergeResult::kOutOfBounds);
   r = good;
   r.place.owner = 0;
   r.version = 1000;
-  CHECK(merge(r) == Verdict::kOwn);
+  CHECK(merge(r) == MergeResult::kOwn);
   r = good;
   r.life = 0;
-  CHECK(merge(r) == Verdict::kOldLife);
+  CHECK(merge(r) == MergeResult::kOldLife);
   r = good;
   r.life = 2;
-  CHECK(merge(r) == Verdict::kUnknownLife);
+  CHECK(merge(r) == MergeResult::kUnknownLife);
   r = good;
   r.place.kind = 77;
-  CHECK(merge(r) == Verdict::kUnknownKind);
+  CHECK(merge(r) == MergeResult::kUnknownKind);
   r = good;
   r.age = seconds(60);
-  CHECK(merge(r) == Verdict::kTooOld);
+  CHECK(merge(r) == MergeResult::kTooOld);
   r = good;
   r.age = -milliseconds(1);
-  CHECK(merge(r) == Verdict::kOutOfBounds);
+  CHECK(merge(r) == MergeResult::kOutOfBounds);
   r = good;
   r.version = 0;
-  CHECK(merge(r) == Verdict::kOutOfBounds);
-  r.version = kMostVersion + 1;
-  CHECK(merge(r) == Verdict::kOutOfBounds);
+  CHECK(merge(r) == MergeResult::kOutOfBounds);
+  r.version = kMaxVersion + 1;
+  CHECK(merge(r) == MergeResult::kOutOfBounds);
   r = good;
   r.payload = {200};
-  CHECK(merge(r) == Verdict::kOutOfBounds);
+  CHECK(merge(r) == MergeResult::kOutOfBounds);
   r.payload.assign(9, 1);
-  CHECK(merge(r) == Verdict::kOutOfBounds);
+  CHECK(merge(r) == MergeResult::kOutOfBounds);
   CHECK(s.rows.size() == 0);
-  CHECK(merge(good) == Verdict::kNew);
-  CHECK(merge(good) == Verdict::kKnown);
+  CHECK(merge(good) == MergeResult::kNew);
+  CHECK(merge(good) == MergeResult::kKnown);
   r = row(1, 2, 5);
-  CHECK(merge(r) == Verdict::kOutOfBounds);  // one row a version
-  CHECK(s.rows.verdicts()[static_cast<std::size_t>(Verdict::kOutOfBounds)] == 7);
-  CHECK(s.rows.verdicts()[static_cast<std::size_t>(Verdict::kOwn)] == 1);
+  CHECK(merge(r) == MergeResult::kOutOfBounds);  // one row a version
+  CHECK(s.rows.verdicts()[static_cast<std::size_t>(MergeResult::kOutOfBounds)] == 7);
+  CHECK(s.rows.verdicts()[static_cast<std::size_t>(MergeResult::kOwn)] == 1);
 }
 
 TEST_CASE("a doubt is a part of what was tried", "[shared]") {
@@ -196,9 +197,9 @@
   CHECK(kind.valid(encode({7, 7})));
   CHECK_FALSE(kind.valid(encode({8, 7})));
   CHECK_FALSE(kind.valid(encode({0, 0})));
-  CHECK_FALSE(kind.valid(encode({0, kMostTried + 1})));
+  CHECK_FALSE(kind.valid(encode({0, kMaxTried + 1})));
   CHECK_FALSE(kind.valid(std::vector<std::uint8_t>{0xFF}));
-  CHECK(encode({kMostTried, kMostTried}).size() <= kind.most_payload);
+  CHECK(encode({kMaxTried, kMaxTried}).size() <= kind.max_payload);
 }
 
 TEST_CASE("a kind must be whole, and its number its own", "[shared]") {
@@ -206,16 +207,16 @@
   kinds.add(plain(5));
   CHECK_THROWS_WITH(kinds.add(plain(5)), Catch::Contains("taken"));
   CHECK_THROWS(kinds.add(plain(0)));
-  CHECK_THROWS(kinds.add(plain(kMostKind + 1)));
+  CHECK_THROWS(kinds.add(plain(kMaxKind + 1)));
   Kind bad = plain(7);
   bad.valid = {};
   CHECK_THROWS_WITH(kinds.add(bad), Catch::Contains("bounds"));
   bad = plain(7);
-  bad.most_payload = kMostPayload + 1;
+  bad.max_payload = kMaxPayload + 1;
   CHECK_THROWS(kinds.add(bad));
 }
 
-std::vector<Heard> heard(const Rows& rows, Time now) {
+std::vector<Heard> heard(const ReplicatedMap& rows, Time now) {
   std::vector<Heard> found;
   rows.each(now, 5, [&](const Heard& h) { found.push_back(h); });
   return found;
@@ -231,7 +232,7 @@
   CHECK(heard(s.rows, kNow + seconds(40)).empty());
   s.rows.tick(kNow + seconds(40));
   CHECK(s.rows.size() == 0);
-  CHECK(s.rows.merge(kNow + seconds(40), row(1, 1, 1, 1, seconds(60))) == Verdict::kTooOld);
+  CHECK(s.rows.merge(kNow + seconds(40), row(1, 1, 1, 1, seconds(60))) == MergeResult::kTooOld);
 }
 
 TEST_CASE("a row fades with its owner's silence, and no further when it is heard again", "[shared]") {
@@ -250,10 +251,10 @@
   s.rows.merge(kNow, row(1, 1, 50));
   s.rows.adopt_life(1, 2);
   CHECK(s.rows.size() == 0);
-  CHECK(s.rows.merge(kNow, row(1, 1, 51)) == Verdict::kOldLife);
+  CHECK(s.rows.merge(kNow, row(1, 1, 51)) == MergeResult::kOldLife);
   Row r = row(1, 1, 1);
   r.life = 2;
-  CHECK(s.rows.merge(kNow, r) == Verdict::kNew);
+  CHECK(s.rows.merge(kNow, r) == MergeResult::kNew);
 }
 
 TEST_CASE(
@@ -296,7 +297,8 @@
   // A flood by another owner takes nothing from ours.
   for (std::uint64_t v = 1; v < 100; ++v) s.rows.merge(kNow, row(1, v, v));
   CHECK(s.rows.size() == 6);
-  CHECK(s.rows.merge(kNow, row(1, 1, 1)) == Verdict::kKnown);  // below the floor: it does not come back in
+  CHECK(s.rows.merge(kNow, row(1, 1, 1)) ==
+        MergeResult::kKnown);  // below the floor: it does not come back in
   CHECK(s.rows.size() == 6);
 }
 
--- a/tests/dispatcher/router_world.hpp
+++ b/tests/dispatcher/router_fixture.hpp
@@ -1,7 +1,7 @@
 // Many routers, driven by events alone, before the model fleet in virtual time: each process sees its own
 // traffic only, loses all when it restarts, and hears of changes when the test has it told.
-#ifndef DISPATCHER_TESTS_DISPATCHER_ROUTER_WORLD_HPP_
-#define DISPATCHER_TESTS_DISPATCHER_ROUTER_WORLD_HPP_
+#ifndef DISPATCHER_TESTS_DISPATCHER_ROUTER_FIXTURE_HPP_
+#define DISPATCHER_TESTS_DISPATCHER_ROUTER_FIXTURE_HPP_
 
 #include <cmath>
 #include <functional>
@@ -11,9 +11,9 @@
 #include <string>
 #include <vector>
 
-#include "engine/deadlines.hpp"
+#include "engine/timer_queue.hpp"
 #include "routing/router.hpp"
-#include "simulation/fleet.hpp"
+#include "simulation/simulated_fleet.hpp"
 
 namespace dispatcher::testing {
 
@@ -35,16 +35,16 @@
 Duration micros(double seconds);
 double seconds_of(Duration time);
 
-class RouterWorld {
+class RouterFixture {
  public:
   struct Sent {
     Time at{};
     std::size_t process = 0;
-    std::string host;
+    std::string endpoint;
     double work = 0;    // over the mean of its stage
     bool told = false;  // the process knew of the host's latest start
   };
-  enum class End { kOpen, kServed, kRefused, kFailed };
+  enum class End { kOpen, kServed, kRejected, kFailed };
   struct Ask {
     std::size_t process = 0;
     routing::Request request;  // its deadline is filled in, by class and length
@@ -56,56 +56,56 @@
   };
 
   // Settings and fleet as in the figures; `mean_prompt` and `mean_answer` make requests of mean work.
-  RouterWorld(const simulation::Figures& figures, std::size_t processes, std::uint64_t seed);
+  RouterFixture(const simulation::Statistics& figures, std::size_t processes, std::uint64_t seed);
   // ... while the routers are told other settings.
-  RouterWorld(const simulation::Figures& figures, const routing::Settings& told, std::size_t processes,
-              std::uint64_t seed);
+  RouterFixture(const simulation::Statistics& figures, const routing::Settings& told, std::size_t processes,
+                std::uint64_t seed);
 
   void tell(std::size_t process);  // the list as it is now
   void tell_all();
   void restart(std::size_t process);  // what it has open is lost; it starts anew with the list it had
   std::size_t ask(Ask ask);           // its number in asks()
-  void at(Time time, std::function<void()> action) { deadlines_.add(time, std::move(action)); }
+  void at(Time time, std::function<void()> action) { timers_.add(time, std::move(action)); }
   void run_until(Time time);
 
   Time now() const { return now_; }
-  simulation::Fleet& fleet() { return fleet_; }
+  simulation::SimulatedFleet& fleet() { return fleet_; }
   const std::vector<Ask>& asks() const { return asks_; }
   const std::vector<Sent>& sent() const { return sent_; }
-  std::function<bool(const routing::HostEntry&)> listed;  // what the list tells; empty: all
-  bool tells_starts = true;                               // else all look as if started long ago
+  std::function<bool(const routing::EndpointInfo&)> listed;  // what the list tells; empty: all
+  bool tells_starts = true;                                  // else all look as if started long ago
 
  private:
   struct Attempt {
-    simulation::Fleet::Work work = 0;
-    std::string host;
+    simulation::SimulatedFleet::Work work = 0;
+    std::string endpoint;
     int number = 0;
     Time sent{};
     bool out = false, begun = false;
-    engine::Deadlines::Id times_out;
+    engine::TimerQueue::Id times_out;
   };
   struct Process {
     std::unique_ptr<routing::Router> router;
     int life = 0;
-    routing::HostList list;
+    routing::EndpointList list;
     std::map<std::string, Time> told;  // latest starts that it knows
     std::map<std::string, Attempt> attempts;
   };
   void make(std::size_t process);
   void pass(std::size_t process, const routing::Event& event);
   void carry_out(std::size_t process, const routing::Action& action);
-  void send(std::size_t process, const routing::Send& send);
-  void end_attempt(std::size_t process, const std::string& id, const engine::Ending& ending);
+  void send(std::size_t process, const routing::StartAttempt& send);
+  void end_attempt(std::size_t process, const std::string& id, const engine::AttemptResult& ending);
   void end(const std::string& id, End how);
-  routing::HostList list() const;
+  routing::EndpointList list() const;
   Ask& of(const std::string& id) { return asks_[std::stoul(id)]; }
 
-  simulation::Figures figures_;
+  simulation::Statistics figures_;
   routing::Settings told_;
   std::uint64_t seed_;
   Time now_ = std::chrono::seconds(1'000'000);
-  engine::Deadlines deadlines_;
-  simulation::Fleet fleet_;
+  engine::TimerQueue timers_;
+  simulation::SimulatedFleet fleet_;
   std::map<std::string, Time> starts_;  // latest starts, told or not
   std::vector<Process> processes_;
   std::vector<Ask> asks_;
@@ -114,4 +114,4 @@
 
 }  // namespace dispatcher::testing
 
-#endif  // DISPATCHER_TESTS_DISPATCHER_ROUTER_WORLD_HPP_
+#endif  // DISPATCHER_TESTS_DISPATCHER_ROUTER_FIXTURE_HPP_
--- a/tests/dispatcher/settings_test.cpp
+++ b/tests/dispatcher/settings_test.cpp
@@ -3,7 +3,7 @@
 #include <random>
 
 #include "daemon/config.hpp"
-#include "world.hpp"
+#include "fixture.hpp"
 
 namespace dispatcher::testing {
 namespace {
@@ -72,32 +72,33 @@
 }
 
 // Settings as in the tests' world, but fewer attempts, "command" safe now, "ask" gone and "more" new.
-engine::Rules other() {
+engine::SettingsSnapshot other() {
   auto s = make_settings();
   s.max_attempts = 2;
   s.classes[0].name = "more";
-  s.classes[1].repeat = routing::Repeat::kSafe;
+  s.classes[1].idempotency = routing::Idempotency::kIdempotent;
   return std::make_shared<const routing::Settings>(s);
 }
 
 // Each writer resets what it is asked; readers read.
 TEST_CASE("an open request keeps the rules it came in under; the next has the new ones", "[settings]") {
-  World world(read_well, [](StandInReplica&, SlotId, const StandInReplica::Seen&) {});
-  auto before = world.platform_client(), after = world.platform_client(), old = world.platform_client();
-  const auto writes = [&](const std::string& id) { return world.total("POST", true, id); };
+  Fixture fixture(read_well, [](StandInReplica&, SlotId, const StandInReplica::Seen&) {});
+  auto before = fixture.platform_client(), after = fixture.platform_client(), old = fixture.platform_client();
+  const auto writes = [&](const std::string& id) { return fixture.total("POST", true, id); };
   before->post(facts("a1", "command"), "{}");
-  REQUIRE(world.until([&] { return writes("a1") == 1; }));
-  world.engine.adopt(other());
-  world.platform.adopt(other());
+  REQUIRE(fixture.until([&] { return writes("a1") == 1; }));
+  fixture.engine.adopt(other());
+  fixture.platform.adopt(other());
   after->post(facts("a2", "more"), "{}");
-  REQUIRE(world.until([&] { return writes("a2") == 1; }));
+  REQUIRE(fixture.until([&] { return writes("a2") == 1; }));
   old->post(facts("a3", "ask"), "{}");
-  REQUIRE(world.until([&] { return old->whole; }));
+  REQUIRE(fixture.until([&] { return old->whole; }));
   CHECK(old->status == 400);  // the class is gone
   for (std::size_t i = 0; i < 2; ++i) {
-    for (const SlotId client : std::exchange(world.writer(i).waiting, {})) world.writer(i).say(client, 500);
+    for (const SlotId client : std::exchange(fixture.writer(i).waiting, {}))
+      fixture.writer(i).say(client, 500);
   }
-  REQUIRE(world.until([&] { return before->whole && after->whole; }));
+  REQUIRE(fixture.until([&] { return before->whole && after->whole; }));
   CHECK(before->status == 502);  // it was unsafe, and may have run
   CHECK(writes("a1") == 1);
   CHECK(after->status == 503);  // safe, but of two attempts none is left
@@ -106,35 +107,35 @@
 
 TEST_CASE("a request of four attempts has four, also after two became the limit", "[settings]") {
   const bool changed = GENERATE(false, true);
-  World world([](StandInReplica&, SlotId, const StandInReplica::Seen&) {}, write_well);
-  auto client = world.platform_client();
-  if (changed) world.engine.adopt(other());
-  if (changed) world.platform.adopt(other());
+  Fixture fixture([](StandInReplica&, SlotId, const StandInReplica::Seen&) {}, write_well);
+  auto client = fixture.platform_client();
+  if (changed) fixture.engine.adopt(other());
+  if (changed) fixture.platform.adopt(other());
   client->post(facts("a1", "command"), "{}");
-  REQUIRE(world.until([&] { return world.total("POST", false, "a1") == 1; }));
-  if (!changed) world.engine.adopt(other());
-  auto& reader = world.reader(0).waiting.empty() ? world.reader(1) : world.reader(0);
+  REQUIRE(fixture.until([&] { return fixture.total("POST", false, "a1") == 1; }));
+  if (!changed) fixture.engine.adopt(other());
+  auto& reader = fixture.reader(0).waiting.empty() ? fixture.reader(1) : fixture.reader(0);
   reader.say(reader.waiting.back(), 500);
   if (changed) {
-    REQUIRE(world.until([&] { return client->whole; }));
+    REQUIRE(fixture.until([&] { return client->whole; }));
     CHECK(client->status == 503);  // one attempt is left: too few to read and to write
   } else {
-    CHECK(world.until([&] { return world.total("POST", false, "a1") == 2; }));
+    CHECK(fixture.until([&] { return fixture.total("POST", false, "a1") == 2; }));
   }
 }
 
 TEST_CASE("the chat front serves the models of the new settings' classes", "[settings][chat]") {
-  World world(read_well, write_well, kChat);
+  Fixture fixture(read_well, write_well, kChat);
   const std::string next =
       R"({"listen":"127.0.0.1:0","account":"acme","models":[{"id":"more","class":"more"}]})";
   CHECK_THROWS(openai_api::parse_config({"chat.json", next}, make_settings()));
-  world.engine.adopt(other());
-  world.chat->adopt(
+  fixture.engine.adopt(other());
+  fixture.chat->adopt(
       *openai_api::parse_config({"chat.json", next}, *other()));  // keeps what its models point into
-  auto client = world.chat_client(), old = world.chat_client();
+  auto client = fixture.chat_client(), old = fixture.chat_client();
   client->post("", chat_body("more", false));
   old->post("", chat_body("ask", false));
-  REQUIRE(world.until([&] { return client->whole && old->whole; }));
+  REQUIRE(fixture.until([&] { return client->whole && old->whole; }));
   CHECK(client->status == 200);
   CHECK(old->status == 404);
 }
--- a/tests/dispatcher/model_test.cpp
+++ b/tests/dispatcher/simulation_test.cpp
@@ -2,20 +2,20 @@
 #include <catch2/catch.hpp>
 #include <map>
 
-#include "degradation/control.hpp"
-#include "simulation/day.hpp"
+#include "degradation/degradation_controller.hpp"
+#include "simulation/scenario.hpp"
 
 namespace dispatcher::testing {
 namespace {
 
 using namespace simulation;
 
-Figures scenario(const std::string& more = {}, const std::string& traffic = "{}") {
+Statistics scenario(const std::string& more = {}, const std::string& traffic = "{}") {
   return read_figures({"s.cue", "lasts_s: 60\ninstances: 3\ntraffic: " + traffic + "\n" + more});
 }
 
 TEST_CASE("the same seed gives the same day, another one another", "[model]") {
-  const Figures f = scenario("troubles: [{kind: \"zone-lost\", zone: 1, from_s: 20, to_s: 40}]");
+  const Statistics f = scenario("troubles: [{kind: \"zone-lost\", zone: 1, from_s: 20, to_s: 40}]");
   const Result a = play(f, 1), b = play(f, 1), c = play(f, 2);
   CHECK(a.csv() == b.csv());
   CHECK(a.csv() != c.csv());
@@ -26,7 +26,7 @@
   const Result r = play(scenario(), 7);
   CHECK(r.in_time("command") > 0.97);
   CHECK(r.in_time("ask") > 0.97);
-  CHECK(r.worth > 0.95 * r.most_worth);
+  CHECK(r.served_weight > 0.95 * r.total_weight);
   CHECK(r.pinned == 0);
 }
 
@@ -40,21 +40,22 @@
     INFO(trouble);
     CHECK(r.twice == 0);
     CHECK(r.pinned == 0);
-    std::map<Outcome::End, int> ends;
-    for (const Outcome& o : r.outcomes) ++ends[o.end];
-    CHECK(ends[Outcome::End::kOpen] == 0);
-    CHECK(ends[Outcome::End::kServed] > static_cast<int>(r.outcomes.size()) / 2);
+    std::map<RequestOutcome::End, int> ends;
+    for (const RequestOutcome& o : r.outcomes) ++ends[o.end];
+    CHECK(ends[RequestOutcome::End::kOpen] == 0);
+    CHECK(ends[RequestOutcome::End::kServed] > static_cast<int>(r.outcomes.size()) / 2);
   }
 }
 
 TEST_CASE("levels shed asks when there is too much, and none on a calm day", "[model][levels]") {
-  const Figures busy = scenario("troubles: [{kind: \"jump\", share: 8, from_s: 10, to_s: 50}]", "{rate: 30}");
-  const auto levels =
-      degradation::Control::read({"l.cue",
-                                  "levels: [{name: \"less\", enter: \"late.command > 0.1 || refused > 0.1\", "
-                                  "leave: \"late.command < 0.03 && refused < 0.03\", "
-                                  "enter_for_ms: 1000, shed: [{classes: [\"ask\"]}]}]"},
-                                 busy.settings);
+  const Statistics busy =
+      scenario("troubles: [{kind: \"jump\", share: 8, from_s: 10, to_s: 50}]", "{rate: 30}");
+  const auto levels = degradation::DegradationController::read(
+      {"l.cue",
+       "levels: [{name: \"less\", enter: \"late.command > 0.1 || refused > 0.1\", "
+       "leave: \"late.command < 0.03 && refused < 0.03\", "
+       "enter_for_ms: 1000, shed: [{classes: [\"ask\"]}]}]"},
+      busy.settings);
   const Result with = play(busy, 5, levels), without = play(busy, 5);
   CHECK(with.changes >= 1);
   CHECK(with.in_time("command") > without.in_time("command"));
--- a/tests/dispatcher/cold_test.cpp
+++ b/tests/dispatcher/slow_start_test.cpp
@@ -6,8 +6,8 @@
 #include <cstdio>
 #include <cstdlib>
 
-#include "router_world.hpp"
-#include "world.hpp"
+#include "fixture.hpp"
+#include "router_fixture.hpp"
 
 namespace dispatcher::testing {
 namespace {
@@ -40,8 +40,8 @@
 
 constexpr double kBefore = 6, kAway = 1, kRamp = 8, kAfter = 5;
 
-simulation::Figures figures(const Scenario& s) {
-  simulation::Figures f;
+simulation::Statistics figures(const Scenario& s) {
+  simulation::Statistics f;
   f.zones = 2;
   f.readers = f.writers = 4;
   f.prompt = 1000;
@@ -57,66 +57,67 @@
   f.settings.tenants.push_back({"other", 1000});
   f.settings.tick = std::chrono::milliseconds(20);
   f.settings.answer_slack = std::chrono::milliseconds(60);
-  f.settings.cold_time = micros(kRamp);
-  f.settings.tip_multiple = s.multiple;
-  f.settings.cold_share = s.share;
-  f.settings.tip_window = micros(s.window);
+  f.settings.warmup_time = micros(kRamp);
+  f.settings.overload_multiple = s.multiple;
+  f.settings.warmup_initial_share = s.share;
+  f.settings.overload_window = micros(s.window);
   return f;
 }
 
 class Play {
  public:
   Play(const Scenario& s, std::uint64_t seed)
-      : s_(s), figures_(figures(s)), chance_(seed), world_(figures_, s.processes, seed) {
-    world_.listed = [lost = s.lost_writers](const routing::HostEntry& e) {
-      return e.zone != "z0" || e.host[0] != 'w' || e.host.back() - '0' < 4 - lost;
+      : s_(s), figures_(figures(s)), chance_(seed), fixture_(figures_, s.processes, seed) {
+    fixture_.listed = [lost = s.lost_writers](const routing::EndpointInfo& e) {
+      return e.zone != "z0" || e.endpoint[0] != 'w' || e.endpoint.back() - '0' < 4 - lost;
     };
     for (std::size_t i = 0; i < s.processes; ++i)
       shares_.push_back((shares_.empty() ? 0 : shares_.back()) + (s.traffic.uneven && i % 5 == 0 ? 5 : 1));
   }
 
   Measured run() {
-    const Time begin = world_.now(), away = begin + micros(kBefore);
+    const Time begin = fixture_.now(), away = begin + micros(kBefore);
     start_ = away + micros(kAway);
     const Time end = start_ + micros(kRamp + kAfter);
-    world_.tell_all();
-    world_.at(away, [this] {
-      world_.fleet().lose([this](const std::string&, bool, int number) { return number < s_.cold; });
-      world_.at(world_.now() + Duration(1), [this] { world_.tell_all(); });
+    fixture_.tell_all();
+    fixture_.at(away, [this] {
+      fixture_.fleet().lose([this](const std::string&, bool, int number) { return number < s_.cold; });
+      fixture_.at(fixture_.now() + Duration(1), [this] { fixture_.tell_all(); });
     });
-    world_.at(start_, [this] { world_.fleet().bring_back(); });
+    fixture_.at(start_, [this] { fixture_.fleet().bring_back(); });
     for (std::size_t i = 0; i < s_.processes; ++i) {
-      world_.at(start_ + Duration(1) + micros(s_.delay * chance_.unit()), [this, i] { world_.tell(i); });
-      if (s_.restarts) world_.at(start_ + micros(kRamp * chance_.unit()), [this, i] { world_.restart(i); });
+      fixture_.at(start_ + Duration(1) + micros(s_.delay * chance_.unit()), [this, i] { fixture_.tell(i); });
+      if (s_.restarts)
+        fixture_.at(start_ + micros(kRamp * chance_.unit()), [this, i] { fixture_.restart(i); });
     }
     next(end);
-    world_.run_until(end);
+    fixture_.run_until(end);
     return measure();
   }
 
  private:
   double rate() const {
-    const bool bursts =
-        world_.now() > start_ + micros(s_.burst_from) && world_.now() < start_ + micros(s_.burst_from + 3);
-    const double hosts = 8 - s_.lost_writers;
-    return s_.load * s_.traffic.capacity * hosts * (bursts ? s_.traffic.burst : 1);
+    const bool bursts = fixture_.now() > start_ + micros(s_.burst_from) &&
+                        fixture_.now() < start_ + micros(s_.burst_from + 3);
+    const double endpoints = 8 - s_.lost_writers;
+    return s_.load * s_.traffic.capacity * endpoints * (bursts ? s_.traffic.burst : 1);
   }
   double length() {
     return s_.traffic.exponential ? std::min(chance_.exponential(1), 8.0) : 0.5 + chance_.unit();
   }
   void next(Time end) {
-    world_.at(world_.now() + micros(chance_.exponential(1 / rate())), [this, end] {
-      if (world_.now() >= end) return;
-      RouterWorld::Ask ask;
+    fixture_.at(fixture_.now() + micros(chance_.exponential(1 / rate())), [this, end] {
+      if (fixture_.now() >= end) return;
+      RouterFixture::Ask ask;
       const double pick = shares_.back() * chance_.unit();
       ask.process =
           static_cast<std::size_t>(std::upper_bound(shares_.begin(), shares_.end(), pick) - shares_.begin());
       ask.request.request_class = chance_.unit() < 0.3 ? "command" : "ask";
       ask.request.tenant = chance_.unit() < 0.3 ? "other" : "acme";
-      ask.request.session = 1 + world_.asks().size();
+      ask.request.session = 1 + fixture_.asks().size();
       ask.request.prompt_tokens = 1 + static_cast<int>(figures_.prompt * length());
       ask.answer = 1 + static_cast<int>(figures_.answer * length());
-      world_.ask(ask);
+      fixture_.ask(ask);
       next(end);
     });
   }
@@ -125,15 +126,15 @@
     const double age = std::min(1.0, seconds_of(time - start_) / kRamp);
     return s_.multiple * s_.traffic.capacity * std::lerp(s_.share, 1.0, age) * s_.window;
   }
-  bool cold(const RouterWorld::Sent& sent) const { return sent.host.back() - '0' < s_.cold; }
+  bool cold(const RouterFixture::Sent& sent) const { return sent.endpoint.back() - '0' < s_.cold; }
 
   Measured measure() const {
     Measured m;
-    std::map<std::string, std::vector<const RouterWorld::Sent*>> by_host;
-    for (const auto& sent : world_.sent()) {
-      if (cold(sent) && sent.at >= start_) by_host[sent.host].push_back(&sent);
+    std::map<std::string, std::vector<const RouterFixture::Sent*>> by_endpoint;
+    for (const auto& sent : fixture_.sent()) {
+      if (cold(sent) && sent.at >= start_) by_endpoint[sent.endpoint].push_back(&sent);
     }
-    for (const auto& [host, sends] : by_host) {
+    for (const auto& [endpoint, sends] : by_endpoint) {
       double sum = 0;
       for (std::size_t first = 0, i = 0; i < sends.size(); ++i) {
         const Time at = sends[i]->at;
@@ -151,16 +152,16 @@
   }
   double part(Time from, Time to) const {
     double to_cold = 0, to_warm = 0;
-    for (const auto& sent : world_.sent()) {
+    for (const auto& sent : fixture_.sent()) {
       if (sent.at >= from && sent.at < to) (cold(sent) ? to_cold : to_warm) += 1;
     }
     return to_cold / (4 * s_.cold) / std::max(1.0, to_warm / (16 - 4 * s_.cold - s_.lost_writers));
   }
 
   Scenario s_;
-  simulation::Figures figures_;
+  simulation::Statistics figures_;
   Chance chance_;
-  RouterWorld world_;
+  RouterFixture fixture_;
   std::vector<double> shares_;
   Time start_{};
 };
--- a/tests/dispatcher/vrrp_test.cpp
+++ b/tests/dispatcher/vrrp_test.cpp
@@ -1,8 +1,8 @@
 // The VRRP state machine with a passed-in clock, its packets, and one election over loopback UDP.
 #include <random>
 
-#include "vrrp/speaker.hpp"
-#include "world.hpp"
+#include "fixture.hpp"
+#include "vrrp/vrrp_instance.hpp"
 
 namespace dispatcher::testing {
 namespace {
@@ -138,13 +138,13 @@
   CHECK(problem(2, 101) == "wrong checksum");
   CHECK(std::get<std::string>(vrrp::decode(std::span(packet).first(7))) == "too short");
   std::mt19937 random(8);
-  int refused = 0;
+  int rejected = 0;
   for (int i = 0; i < 5000; ++i) {  // one changed byte never passes
     auto bad = packet;
     bad[random() % bad.size()] ^= static_cast<std::uint8_t>(1 + random() % 255);
-    refused += std::holds_alternative<std::string>(vrrp::decode(bad)) ? 1 : 0;
+    rejected += std::holds_alternative<std::string>(vrrp::decode(bad)) ? 1 : 0;
   }
-  CHECK(refused == 5000);
+  CHECK(rejected == 5000);
 }
 
 TEST_CASE("VRRP's file is checked by field", "[vrrp]") {
@@ -165,13 +165,13 @@
   Clockwork work;
   struct Instance {
     std::vector<State> states;
-    std::unique_ptr<vrrp::Speaker> speaker;
+    std::unique_ptr<vrrp::VrrpInstance> speaker;
   };
   std::array<Instance, 2> pair;
   for (std::size_t i : {0U, 1U}) {
     vrrp::Config config{{boost::asio::ip::address_v4::loopback(), 0}, {}, parameters(i == 0 ? 200 : 100)};
-    pair[i].speaker = std::make_unique<vrrp::Speaker>(
-        work.io, config, work.deadlines, work.clock(), [](std::string_view) {},
+    pair[i].speaker = std::make_unique<vrrp::VrrpInstance>(
+        work.io, config, work.timers, work.clock(), [](std::string_view) {},
         [&states = pair[i].states](State s) { states.push_back(s); });
   }
   pair[0].speaker->add_peer(pair[1].speaker->local());
--- a/tests/guards_test.cpp
+++ b/tests/guards_test.cpp
@@ -6,7 +6,7 @@
 
 bool logged(const std::vector<Action>& actions, const std::string& text) {
   return std::any_of(actions.begin(), actions.end(), [&](const Action& a) {
-    const auto* l = std::get_if<Log>(&a);
+    const auto* l = std::get_if<LogMessage>(&a);
     return l != nullptr && l->text.find(text) != std::string::npos;
   });
 }
@@ -24,11 +24,11 @@
 
 TEST(Health, ABrokenConnectionEjectsAndASuccessBringsBack) {
   Harness h;
-  h.list({host("r1", "r"), host("r2", "r"), host("w1", "w")});
+  h.list({endpoint("r1", "r"), endpoint("r2", "r"), endpoint("w1", "w")});
   const std::string at = h.ask("a");
   h.out["a"] = "";
-  EXPECT_TRUE(
-      logged(h.pass(Outcome{"a", at, 0, Verdict::kConnectFailed, {}, false, 0, {}}), "ejected: unreachable"));
+  EXPECT_TRUE(logged(h.pass(AttemptCompleted{"a", at, 0, AttemptStatus::kConnectFailed, {}, false, 0, {}}),
+                     "ejected: unreachable"));
   for (int i = 0; i < 10; ++i) {
     const std::string id = "b" + std::to_string(i);
     EXPECT_NE(h.ask(id, "safe", i + 1), at);
@@ -45,19 +45,20 @@
   ASSERT_FALSE(there.empty());
   h.out[there[0]] = "";
   EXPECT_TRUE(
-      logged(h.pass(Outcome{there[0], at, 0, Verdict::kRead, milliseconds(50), false, 0, {}}), "returned"));
+      logged(h.pass(AttemptCompleted{there[0], at, 0, AttemptStatus::kRead, milliseconds(50), false, 0, {}}),
+             "returned"));
 }
 
 // Single connections are reset now and then while their hosts are well: half of a fleet was left out for it.
 TEST(Health, OneResetIsDoubtAndSeveralInARowEject) {
   Harness h;
-  h.list({host("r1", "r"), host("r2", "r"), host("r3", "r"), host("w1", "w")});
+  h.list({endpoint("r1", "r"), endpoint("r2", "r"), endpoint("r3", "r"), endpoint("w1", "w")});
   std::vector<bool> ejected;
   for (const std::string id : {"a", "b", "c"}) {
     const std::string at = h.ask(id, "safe", 1);
     h.out[id] = "";
-    ejected.push_back(
-        logged(h.pass(Outcome{id, at, 0, Verdict::kReset, {}, false, 0, {}}), "host " + at + " ejected"));
+    ejected.push_back(logged(h.pass(AttemptCompleted{id, at, 0, AttemptStatus::kReset, {}, false, 0, {}}),
+                             "host " + at + " ejected"));
   }
   EXPECT_EQ(ejected, (std::vector<bool>{false, false, true}));
 }
@@ -65,40 +66,41 @@
 // Only keyed repeats have a window. An ask that may have run found no writer until its state had to go.
 TEST(Repeats, ASafeRequestThatMayHaveRunIsWrittenAgainLater) {
   Settings s = make_settings();
-  s.classes[0].window = {};  // as the settings have it for a safe class
+  s.classes[0].deduplication_window = {};  // as the settings have it for a safe class
   Harness h(s);
-  h.list({host("r1", "r"), host("w1", "w"), host("w2", "w")});
+  h.list({endpoint("r1", "r"), endpoint("w1", "w"), endpoint("w2", "w")});
   h.ask("a");
-  h.end("a", Verdict::kRead);
+  h.end("a", AttemptStatus::kRead);
   const std::string at = h.out["a"];
   h.run(milliseconds(100));
-  h.end("a", Verdict::kReset);
+  h.end("a", AttemptStatus::kReset);
   EXPECT_NE(h.out["a"], "");
   EXPECT_NE(h.out["a"], at);
 }
 
 // An answer that had begun took its state along; any host may spoil one without being left out for it.
-TEST(Repeats, AfterASpoiltAnswerTheStateIsReadAnewAndTheHostStays) {
+TEST(Repeats, AfterASpoiltAnswerTheStateIsReadAnewAndTheEndpointStays) {
   Harness h;
-  h.list({host("r1", "r"), host("w1", "w"), host("w2", "w")});
+  h.list({endpoint("r1", "r"), endpoint("w1", "w"), endpoint("w2", "w")});
   h.ask("a");
-  h.end("a", Verdict::kRead);
+  h.end("a", AttemptStatus::kRead);
   const std::string at = h.out["a"];
   h.out["a"] = "";
   EXPECT_FALSE(
-      logged(h.pass(Outcome{"a", at, 1, Verdict::kError, milliseconds(50), false, 1, {}}), "ejected"));
+      logged(h.pass(AttemptCompleted{"a", at, 1, AttemptStatus::kError, milliseconds(50), false, 1, {}}),
+             "ejected"));
   EXPECT_EQ(h.out["a"], "r1");
 }
 
 // A writer's streams last for many seconds: waiting for their end would leave out one that has recovered.
 TEST(Health, AnEjectedWriterIsTriedWhileItsOldStreamsRun) {
   Harness h;
-  h.list({host("r1", "r"), host("w1", "w"), host("w2", "w")});
+  h.list({endpoint("r1", "r"), endpoint("w1", "w"), endpoint("w2", "w")});
   std::map<std::string, std::vector<std::string>> at;  // requests by writer, all streaming
   for (int i = 0; i < 8; ++i) {
     const std::string id = "s" + std::to_string(i);
     h.ask(id, "safe", i + 1);
-    h.end(id, Verdict::kRead);
+    h.end(id, AttemptStatus::kRead);
     at[h.out[id]].push_back(id);
     h.first(id);
   }
@@ -107,10 +109,11 @@
   for (int i = 0; i < 4 && !ejected; ++i) {
     const std::string id = "e" + std::to_string(i);
     h.ask(id, "safe", 40 + i);
-    h.end(id, Verdict::kRead);
+    h.end(id, AttemptStatus::kRead);
     if (h.out[id] != "w1") continue;
     h.out[id] = "";
-    ejected = logged(h.pass(Outcome{id, "w1", 1, Verdict::kConnectFailed, {}, false, 0, {}}), "w1 ejected");
+    ejected = logged(h.pass(AttemptCompleted{id, "w1", 1, AttemptStatus::kConnectFailed, {}, false, 0, {}}),
+                     "w1 ejected");
   }
   ASSERT_TRUE(ejected);
   h.run(seconds(2));
@@ -118,7 +121,7 @@
   for (int i = 0; i < 12; ++i) {
     const std::string next = "n" + std::to_string(i);
     h.ask(next, "safe", 50 + i);
-    h.end(next, Verdict::kRead);
+    h.end(next, AttemptStatus::kRead);
     tried += h.out[next] == "w1" ? 1 : 0;
   }
   EXPECT_EQ(tried, 1);  // by one request, and only one, until that is answered
@@ -126,7 +129,8 @@
 
 TEST(Health, NeverEjectsMoreThanHalfOfARole) {
   Harness h;
-  h.list({host("r1", "r"), host("r2", "r"), host("r3", "r"), host("r4", "r"), host("w1", "w")});
+  h.list({endpoint("r1", "r"), endpoint("r2", "r"), endpoint("r3", "r"), endpoint("r4", "r"),
+          endpoint("w1", "w")});
   int ejected = 0;
   for (int i = 0; i < 20; ++i) {
     const std::string id = "q" + std::to_string(i);
@@ -134,15 +138,18 @@
     if (at.empty()) continue;
     h.out[id] = "";
     ejected +=
-        logged(h.pass(Outcome{id, at, h.attempts[id] - 1, Verdict::kReset, {}, false, 0, {}}), "ejected") ? 1
-                                                                                                          : 0;
+        logged(h.pass(AttemptCompleted{id, at, h.attempts[id] - 1, AttemptStatus::kReset, {}, false, 0, {}}),
+               "ejected")
+            ? 1
+            : 0;
   }
   EXPECT_EQ(ejected, 2);
 }
 
 TEST(Health, ASilentReaderIsLeftAndItsReadsAreSentElsewhere) {
   Harness h;
-  h.list({host("r1", "r"), host("r2", "r"), host("r3", "r"), host("w1", "w"), host("w2", "w")});
+  h.list({endpoint("r1", "r"), endpoint("r2", "r"), endpoint("r3", "r"), endpoint("w1", "w"),
+          endpoint("w2", "w")});
   warm_up(h);
   const std::string hung = h.ask("first", "safe", 9001);
   int cancelled = 0;
@@ -152,7 +159,7 @@
     h.run(milliseconds(60));
     for (const std::string& c : std::exchange(h.cancelled, {})) {
       ++cancelled;
-      h.end(c, Verdict::kCancelled);
+      h.end(c, AttemptStatus::kCancelled);
       EXPECT_NE(h.out[c], hung);
     }
     if (!h.out[id].empty() && h.out[id] != hung) h.serve(id);
@@ -162,25 +169,25 @@
 
 TEST(Health, AJamEjectsNobody) {
   Harness h;
-  h.list({host("r1", "r"), host("r2", "r"), host("w1", "w"), host("w2", "w")});
+  h.list({endpoint("r1", "r"), endpoint("r2", "r"), endpoint("w1", "w"), endpoint("w2", "w")});
   warm_up(h);
   bool ejected = false;
   for (int i = 0; i < 12; ++i) h.ask("q" + std::to_string(i), "unsafe", 7000 + i);
   for (int step = 0; step < 100; ++step) {  // all hosts are late alike
     h.now += milliseconds(20);
-    if (std::exchange(h.timer, false)) ejected |= logged(h.pass(Timer{0}), "ejected");
+    if (std::exchange(h.timer, false)) ejected |= logged(h.pass(TimerExpired{0}), "ejected");
   }
   EXPECT_FALSE(ejected);
   EXPECT_TRUE(h.cancelled.empty());
 }
 
-std::vector<HostEntry> twenty_readers() {
-  std::vector<HostEntry> hosts = {host("w1", "w"), host("w2", "w")};
-  for (int i = 0; i < 20; ++i) hosts.push_back(host("r" + std::to_string(i), "r"));
-  return hosts;
+std::vector<EndpointInfo> twenty_readers() {
+  std::vector<EndpointInfo> endpoints = {endpoint("w1", "w"), endpoint("w2", "w")};
+  for (int i = 0; i < 20; ++i) endpoints.push_back(endpoint("r" + std::to_string(i), "r"));
+  return endpoints;
 }
 
-TEST(Health, HostsWithoutOwnAttemptsDoNotMakeTheOthersLookLate) {
+TEST(Health, EndpointsWithoutOwnAttemptsDoNotMakeTheOthersLookLate) {
   Harness h;
   h.list(twenty_readers());
   warm_up(h);
@@ -199,19 +206,20 @@
     const std::string id = "q" + std::to_string(i);
     if (h.ask(id, "safe", 7000 + i).empty()) continue;
     h.run(milliseconds(300));
-    h.end(id, Verdict::kRead, 0, milliseconds(1400));
+    h.end(id, AttemptStatus::kRead, 0, milliseconds(1400));
     h.first(id, milliseconds(200));
   }
   const std::string late = h.ask("last", "unsafe", 9001);
   ASSERT_NE(late, "");
   h.out["last"] = "";
-  const Outcome timed_out{"last", late, 0, Verdict::kTimeout, milliseconds(2500), false, 0, {}};
+  const AttemptCompleted timed_out{"last", late, 0, AttemptStatus::kTimeout, milliseconds(2500),
+                                   false,  0,    {}};
   EXPECT_FALSE(logged(h.pass(timed_out), "ejected"));
 }
 
 TEST(Lost, AnAttemptThatLaterSendsHavePassedIsCancelledEarly) {
   Harness h;
-  h.list({host("r1", "r"), host("w1", "w")});
+  h.list({endpoint("r1", "r"), endpoint("w1", "w")});
   warm_up(h);
   h.ask("lost", "safe", 9001);
   for (int i = 0; i < 3; ++i) {
@@ -225,24 +233,24 @@
   EXPECT_EQ(h.cancelled, std::vector<std::string>{"lost"});
 }
 
-TEST(Full, AFullHostIsLeftAloneForAWhile) {
+TEST(Full, AFullEndpointIsLeftAloneForAWhile) {
   Harness h;
-  h.list({host("r1", "r"), host("r2", "r"), host("w1", "w")});
+  h.list({endpoint("r1", "r"), endpoint("r2", "r"), endpoint("w1", "w")});
   const std::string at = h.ask("a");
-  h.end("a", Verdict::kFull);
+  h.end("a", AttemptStatus::kFull);
   EXPECT_NE(h.out["a"], at);
   for (int i = 0; i < 10; ++i) EXPECT_NE(h.ask("b" + std::to_string(i), "safe", i + 1), at);
 }
 
-TEST(Full, AnAnswerThatConcernsOneClassLeavesTheHostToOthers) {
+TEST(Full, AnAnswerThatConcernsOneClassLeavesTheEndpointToOthers) {
   Harness h;
-  h.list({host("r1", "r"), host("w1", "w")});
+  h.list({endpoint("r1", "r"), endpoint("w1", "w")});
   h.ask("a", "safe", 1);
-  h.end("a", Verdict::kFull);
+  h.end("a", AttemptStatus::kFull);
   EXPECT_EQ(h.ask("b", "unsafe", 2), "r1");
   h.run(seconds(2));
   EXPECT_EQ(h.ask("c", "safe", 3), "") << "the class turned away rests longer";
-  h.end("b", Verdict::kFull);  // now others too: it has no room for anybody
+  h.end("b", AttemptStatus::kFull);  // now others too: it has no room for anybody
   EXPECT_EQ(h.ask("d", "keyed", 4), "");
   h.run(milliseconds(400));
   EXPECT_EQ(h.out["d"], "r1") << "and is tried again soon";
@@ -250,32 +258,33 @@
 
 TEST(Full, AStormOfFullAnswersIsNoLateness) {
   Harness h;
-  h.list({host("r1", "r"), host("r2", "r"), host("w1", "w")});
+  h.list({endpoint("r1", "r"), endpoint("r2", "r"), endpoint("w1", "w")});
   for (int i = 0; i < 40; ++i) {
     const std::string id = "q" + std::to_string(i);
     h.ask(id, "safe", i + 1);
-    if (h.out[id] == "r1") h.end(id, Verdict::kFull);
+    if (h.out[id] == "r1") h.end(id, AttemptStatus::kFull);
     h.run(milliseconds(40));
     if (!h.out[id].empty()) h.serve(id);
   }
-  EXPECT_TRUE(h.refused.empty());
+  EXPECT_TRUE(h.rejected.empty());
 }
 
 TEST(Health, OneTimeOutIsEnoughWhileOthersAnswer) {
   Harness h;
-  std::vector<HostEntry> hosts = {host("w1", "w")};
-  for (int i = 0; i < 20; ++i) hosts.push_back(host("r" + std::to_string(i), "r"));
-  h.list(hosts);
+  std::vector<EndpointInfo> endpoints = {endpoint("w1", "w")};
+  for (int i = 0; i < 20; ++i) endpoints.push_back(endpoint("r" + std::to_string(i), "r"));
+  h.list(endpoints);
   warm_up(h);
   const std::string hung = h.ask("first", "safe", 9001);
   h.out["first"] = "";
   EXPECT_TRUE(
-      logged(h.pass(Outcome{"first", hung, 0, Verdict::kTimeout, seconds(2), false, 0, {}}), "silent"));
+      logged(h.pass(AttemptCompleted{"first", hung, 0, AttemptStatus::kTimeout, seconds(2), false, 0, {}}),
+             "silent"));
 }
 
-TEST(Admission, LateFirstTokensRefuseWhatCannotStartInTimeAtOnce) {
+TEST(Admission, LateFirstTokensRejectWhatCannotStartInTimeAtOnce) {
   Harness h;
-  h.list({host("r1", "r"), host("w1", "w")});
+  h.list({endpoint("r1", "r"), endpoint("w1", "w")});
   for (int i = 0; i < 40; ++i) {  // a queue grows: each answer comes later than wanted
     const std::string id = "q" + std::to_string(i);
     h.pass(h.make(id, "safe", i + 1));
@@ -283,18 +292,18 @@
     h.run(milliseconds(30));
     if (i >= 4) {
       const std::string done = "q" + std::to_string(i - 4);
-      h.end(done, Verdict::kRead, 0, milliseconds(900));
+      h.end(done, AttemptStatus::kRead, 0, milliseconds(900));
       h.first(done, milliseconds(600));
-      h.end(done, Verdict::kServed);
+      h.end(done, AttemptStatus::kServed);
     }
   }
-  ASSERT_FALSE(h.refused.empty());
-  EXPECT_EQ(h.attempts[h.refused[0]], 0) << "refused before any work was spent";
+  ASSERT_FALSE(h.rejected.empty());
+  EXPECT_EQ(h.attempts[h.rejected[0]], 0) << "refused before any work was spent";
 }
 
-TEST(Admission, ATryWhoseClientLeavesBeforeFirstTokensComeNowIsRefused) {
+TEST(Admission, ATryWhoseClientLeavesBeforeFirstTokensComeNowIsRejected) {
   Harness h;
-  h.list({host("r1", "r"), host("r2", "r"), host("w1", "w")});
+  h.list({endpoint("r1", "r"), endpoint("r2", "r"), endpoint("w1", "w")});
   const auto impatient = [&](const std::string& id) {
     Request r = h.make(id, "safe", 9001);
     r.client_deadline = h.now + milliseconds(400);
@@ -307,16 +316,16 @@
     const std::string id = "q" + std::to_string(i);
     h.ask(id, "safe", i + 1);
     h.run(milliseconds(100));
-    h.end(id, Verdict::kRead, 0, milliseconds(450));
+    h.end(id, AttemptStatus::kRead, 0, milliseconds(450));
     h.first(id, milliseconds(100));
-    h.end(id, Verdict::kServed);
+    h.end(id, AttemptStatus::kServed);
   }
   EXPECT_FALSE(impatient("after"));
-  EXPECT_EQ(h.refused, std::vector<std::string>{"after"});
+  EXPECT_EQ(h.rejected, std::vector<std::string>{"after"});
   EXPECT_NE(h.ask("patient", "safe", 9002), "") << "who stays long enough is served";
 }
 
-TEST(Admission, WhatStandsAtSilentHostsIsNoLine) {
+TEST(Admission, WhatStandsAtSilentEndpointsIsNoLine) {
   Harness h;
   h.list(twenty_readers());
   warm_up(h);
@@ -324,7 +333,7 @@
   for (int i = 0; i < 3; ++i) ASSERT_NE(h.ask("s" + std::to_string(i), "unsafe", 7000 + i), "");
   h.run(milliseconds(3500));
   ASSERT_EQ(h.ask("now", "safe", 9001), "") << "these are a line that came late";
-  EXPECT_EQ(h.refused, std::vector<std::string>{"now"});
+  EXPECT_EQ(h.rejected, std::vector<std::string>{"now"});
   h.run(milliseconds(2600));
   EXPECT_NE(h.ask("later", "safe", 9002), "") << "nothing has moved for two objectives: they are stuck";
 }
@@ -333,36 +342,36 @@
   Settings s = make_settings();
   s.tenants = {{"small", 1.0}};
   Harness h(s);
-  h.list({host("r1", "r"), host("w1", "w")});
+  h.list({endpoint("r1", "r"), endpoint("w1", "w")});
   for (int i = 0; i < 20; ++i) {  // far over its share, but no pressure
     Request r = h.make("q" + std::to_string(i), "safe", i + 1);
     r.tenant = "small";
     h.pass(r);
     h.serve(r.id);
   }
-  EXPECT_TRUE(h.refused.empty());
+  EXPECT_TRUE(h.rejected.empty());
 }
 
 TEST(Lists, AFailedListIsAskedForAgain) {
   Settings s = make_settings();
-  s.list_by_asking = true;
+  s.polls_endpoint_list = true;
   Harness h(s);
   const auto subscribed = [](const std::vector<Action>& actions) {
     return std::any_of(actions.begin(), actions.end(),
                        [](const Action& a) { return std::holds_alternative<Subscribe>(a); });
   };
-  EXPECT_TRUE(subscribed(h.pass(HostList{ListKind::kCached, {host("r1", "r")}})));
-  EXPECT_FALSE(subscribed(h.pass(HostList{ListKind::kFailed, {}})));
+  EXPECT_TRUE(subscribed(h.pass(EndpointList{ListKind::kCached, {endpoint("r1", "r")}})));
+  EXPECT_FALSE(subscribed(h.pass(EndpointList{ListKind::kFailed, {}})));
   h.now += milliseconds(20);
-  EXPECT_TRUE(subscribed(h.pass(Timer{0})));
+  EXPECT_TRUE(subscribed(h.pass(TimerExpired{0})));
 }
 
 TEST(Logs, ChangesOfStateAreTold) {
   Harness h;
-  h.list({host("r1", "r"), host("w1", "w")});
-  EXPECT_TRUE(
-      logged(h.pass(HostList{ListKind::kDelta, {host("r1", "r", 0, "east", HostState::kReady, h.now)}}),
-             "restarted"));
+  h.list({endpoint("r1", "r"), endpoint("w1", "w")});
+  EXPECT_TRUE(logged(
+      h.pass(EndpointList{ListKind::kDelta, {endpoint("r1", "r", 0, "east", EndpointState::kReady, h.now)}}),
+      "restarted"));
 }
 
 }  // namespace
--- a/tests/harness.hpp
+++ b/tests/harness.hpp
@@ -22,59 +22,67 @@
   s.router_number = 0;
   s.router_count = 2;
   s.zone = "east";
-  s.classes = {
-      {"safe", Repeat::kSafe, Group::kAll, seconds(5), seconds(1), {}, seconds(6), milliseconds(60), 1, 0.3},
-      {"unsafe",
-       Repeat::kUnsafe,
-       Group::kAll,
-       seconds(5),
-       seconds(3),
-       {},
-       seconds(15),
-       milliseconds(80),
-       2,
-       0.2},
-      {"keyed",
-       Repeat::kKeyed,
-       Group::kZone,
-       seconds(5),
-       seconds(1),
-       {},
-       seconds(6),
-       milliseconds(60),
-       1,
-       0.3},
-      {"keyed-all",
-       Repeat::kKeyed,
-       Group::kAll,
-       seconds(5),
-       seconds(1),
-       {},
-       seconds(6),
-       milliseconds(60),
-       1,
-       0}};
+  s.classes = {{"safe",
+                Idempotency::kIdempotent,
+                DeduplicationScope::kAll,
+                seconds(5),
+                seconds(1),
+                {},
+                seconds(6),
+                milliseconds(60),
+                1,
+                0.3},
+               {"unsafe",
+                Idempotency::kNonIdempotent,
+                DeduplicationScope::kAll,
+                seconds(5),
+                seconds(3),
+                {},
+                seconds(15),
+                milliseconds(80),
+                2,
+                0.2},
+               {"keyed",
+                Idempotency::kKeyed,
+                DeduplicationScope::kZone,
+                seconds(5),
+                seconds(1),
+                {},
+                seconds(6),
+                milliseconds(60),
+                1,
+                0.3},
+               {"keyed-all",
+                Idempotency::kKeyed,
+                DeduplicationScope::kAll,
+                seconds(5),
+                seconds(1),
+                {},
+                seconds(6),
+                milliseconds(60),
+                1,
+                0}};
   s.kinds = {{"r", Role::kReader, 200000}, {"w", Role::kWriter, 150000}, {"m", Role::kMixed, 200000}};
   s.may_cancel = true;
   s.resume = true;
   s.retry_advice = true;
-  s.max_retry_in = milliseconds(500);
+  s.max_retry_after = milliseconds(500);
   s.max_attempts = 6;
-  s.over_share_worth = 0.2;
+  s.over_quota_weight = 0.2;
   s.tick = milliseconds(4);
   s.answer_slack = milliseconds(16);
   s.drain_grace = milliseconds(250);
-  s.pin_limit = milliseconds(300);
-  s.cold_share = 0.3;
-  s.cold_time = seconds(13);
-  s.tip_multiple = 3;
-  s.tip_window = seconds(3);
+  s.reservation_limit = milliseconds(300);
+  s.warmup_initial_share = 0.3;
+  s.warmup_time = seconds(13);
+  s.overload_multiple = 3;
+  s.overload_window = seconds(3);
   return s;
 }
 
-inline HostEntry host(const std::string& name, const std::string& kind, int cell = 0,
-                      const std::string& zone = "east", HostState state = HostState::kReady,
-                      Time started = {}) {
+inline EndpointInfo endpoint(const std::string& name, const std::string& kind, int cell = 0,
+                             const std::string& zone = "east", EndpointState state = EndpointState::kReady,
+                             Time started = {}) {
   return {name, zone, kind, cell, state, 1.0, started};
 }
 
@@ -87,37 +95,37 @@
   std::vector<Action> pass(const Event& e) {
     std::vector<Action> actions = router.handle(now, e);
     for (const Action& a : actions) {
-      if (const auto* s = std::get_if<Send>(&a)) {
+      if (const auto* s = std::get_if<StartAttempt>(&a)) {
         EXPECT_FALSE(ended[s->request]) << "sent after the end";
         EXPECT_EQ(out[s->request], "") << "second attempt at once";
-        out[s->request] = s->host;
+        out[s->request] = s->endpoint;
         ++attempts[s->request];
         sends.push_back(*s);
-      } else if (const auto* r = std::get_if<Refuse>(&a)) {
+      } else if (const auto* r = std::get_if<Reject>(&a)) {
         EXPECT_FALSE(ended[r->request]) << "second final answer";
         EXPECT_EQ(out[r->request], "") << "refused with an attempt out";
         ended[r->request] = true;
-        refused.push_back(r->request);
+        rejected.push_back(r->request);
       } else if (const auto* f = std::get_if<Fail>(&a)) {
         EXPECT_FALSE(ended[f->request]) << "second final answer";
         ended[f->request] = true;
         failed.push_back(f->request);
-      } else if (const auto* l = std::get_if<Release>(&a)) {
+      } else if (const auto* l = std::get_if<ReleaseReservation>(&a)) {
         released.push_back(l->request);
         held[l->request] = false;
-      } else if (const auto* c = std::get_if<Cancel>(&a)) {
+      } else if (const auto* c = std::get_if<CancelAttempt>(&a)) {
         cancelled.push_back(c->request);
       } else if (std::get_if<SetTimer>(&a) != nullptr) {
         timer = true;
-      } else if (const auto* m = std::get_if<Move>(&a)) {
+      } else if (const auto* m = std::get_if<MigrateStream>(&a)) {
         moved.push_back(m->request);
         ended[m->request] = true;
       }
     }
     return actions;
   }
-  void list(std::vector<HostEntry> entries, ListKind kind = ListKind::kFull) {
-    pass(HostList{kind, std::move(entries)});
+  void list(std::vector<EndpointInfo> entries, ListKind kind = ListKind::kFull) {
+    pass(EndpointList{kind, std::move(entries)});
   }
   Request make(const std::string& id, const std::string& cls = "safe", std::uint64_t session = 0,
                std::uint64_t shared = 0, int prompt = 1000, int prefix = 0) const {
@@ -136,13 +144,13 @@
     pass(make(id, cls, session, shared, prompt, prefix));
     return out[id];
   }
-  void end(const std::string& id, Verdict v, int note = 0, milliseconds elapsed = milliseconds(50),
+  void end(const std::string& id, AttemptStatus v, int note = 0, milliseconds elapsed = milliseconds(50),
            LoadReport report = {}) {
     const std::string at = out[id];
     out[id] = "";
-    if (v == Verdict::kServed) ended[id] = true;
-    if (v == Verdict::kRead) held[id] = true;
-    pass(Outcome{id, at, attempts[id] - 1, v, elapsed, ended[id], note, report});
+    if (v == AttemptStatus::kServed) ended[id] = true;
+    if (v == AttemptStatus::kRead) held[id] = true;
+    pass(AttemptCompleted{id, at, attempts[id] - 1, v, elapsed, ended[id], note, report});
   }
   void first(const std::string& id, milliseconds elapsed = milliseconds(50)) {
     held[id] = false;
@@ -152,13 +160,13 @@
     const Time until = now + time;
     while (now < until) {
       now += milliseconds(20);
-      if (std::exchange(timer, false)) pass(Timer{0});
+      if (std::exchange(timer, false)) pass(TimerExpired{0});
     }
   }
   void serve(const std::string& id) {  // takes a request through both stages
-    if (out[id].starts_with("r")) end(id, Verdict::kRead);
+    if (out[id].starts_with("r")) end(id, AttemptStatus::kRead);
     first(id);
-    end(id, Verdict::kServed);
+    end(id, AttemptStatus::kServed);
   }
 
   Time now = seconds(1000);
@@ -167,8 +175,8 @@
   std::map<std::string, std::string> out;
   std::map<std::string, int> attempts;
   std::map<std::string, bool> ended, held;
-  std::vector<Send> sends;
-  std::vector<std::string> refused, failed, released, cancelled, moved;
+  std::vector<StartAttempt> sends;
+  std::vector<std::string> rejected, failed, released, cancelled, moved;
 };
 
 }  // namespace dispatcher::routing::testing
--- a/tests/router_test.cpp
+++ b/tests/router_test.cpp
@@ -6,7 +6,7 @@
 
 TEST(Scoring, FollowsTheSessionToTheReaderThatHasItsTexts) {
   Harness h;
-  h.list({host("r1", "r"), host("r2", "r"), host("r3", "r"), host("w1", "w")});
+  h.list({endpoint("r1", "r"), endpoint("r2", "r"), endpoint("r3", "r"), endpoint("w1", "w")});
   const std::string first = h.ask("a", "safe", 7, 0, 2000);
   h.serve("a");
   for (int i = 0; i < 5; ++i) {
@@ -19,9 +19,9 @@
 TEST(Scoring, OneJammedReaderDoesNotHideTheLinesOfTheOthers) {
   for (const double worst : {20.0, 600.0}) {  // thousands of tokens that wait at another reader
     Harness h;
-    std::vector<HostEntry> hosts = {host("w1", "w")};
-    for (int i = 0; i < 12; ++i) hosts.push_back(host("r" + std::to_string(i), "r"));
-    h.list(hosts);
+    std::vector<EndpointInfo> endpoints = {endpoint("w1", "w")};
+    for (int i = 0; i < 12; ++i) endpoints.push_back(endpoint("r" + std::to_string(i), "r"));
+    h.list(endpoints);
     const std::string kept = h.ask("a", "safe", 7, 0, 2000);
     h.serve("a");
     // A quarter of the prompt is kept where 100,000 tokens wait: not worth the waiting.
@@ -31,21 +31,22 @@
       LoadReport load;
       load.memory_share = 0.1;
       load.prompt_kilotokens = at == kept ? 100 : std::exchange(jammed, true) ? 1 : worst;
-      h.pass(Outcome{"elsewhere", at, 0, Verdict::kRead, {}, true, 0, load});
+      h.pass(AttemptCompleted{"elsewhere", at, 0, AttemptStatus::kRead, {}, true, 0, load});
     }
     EXPECT_NE(h.ask("b", "safe", 7, 0, 8000), kept) << "beside " << worst;
   }
 }
 
 TEST(Scoring, RoutersSendASessionToTheSamePlaceOfItsSharedText) {
-  const std::vector<HostEntry> hosts = {host("r1", "r"), host("r2", "r"), host("r3", "r"), host("w1", "w")};
+  const std::vector<EndpointInfo> endpoints = {endpoint("r1", "r"), endpoint("r2", "r"), endpoint("r3", "r"),
+                                               endpoint("w1", "w")};
   Harness h;
-  h.list(hosts);
+  h.list(endpoints);
   int same = 0;
   for (int i = 0; i < 60; ++i) {
     const std::uint64_t text = 90 + i % 10, session = 700 + i;
     Harness other;  // knows nothing yet
-    other.list(hosts);
+    other.list(endpoints);
     const std::string id = "q" + std::to_string(i);
     const std::string known = h.ask(id, "safe", session, text, 2000, 1800);
     same += known == other.ask(id, "safe", session, text, 2000, 1800) ? 1 : 0;
@@ -55,11 +56,11 @@
 }
 
 TEST(Scoring, AHotTextGetsMorePlaces) {
-  std::vector<HostEntry> hosts = {host("w1", "w")};
-  for (int i = 0; i < 20; ++i) hosts.push_back(host("r" + std::to_string(i), "r"));
+  std::vector<EndpointInfo> endpoints = {endpoint("w1", "w")};
+  for (int i = 0; i < 20; ++i) endpoints.push_back(endpoint("r" + std::to_string(i), "r"));
   const auto places = [&](int texts) {  // readers used by text 90, one of so many
     Harness h;
-    h.list(hosts);
+    h.list(endpoints);
     std::map<std::string, int> used;
     for (int i = 0; i < 400; ++i) {
       const std::string id = "q" + std::to_string(i);
@@ -74,15 +75,15 @@
 }
 
 TEST(Scoring, ARareTextStaysAtTwoPlacesHoweverFewRequestsARouterSees) {
-  std::vector<HostEntry> hosts = {host("w1", "w")};
-  for (int i = 0; i < 40; ++i) hosts.push_back(host("r" + std::to_string(i), "r"));
+  std::vector<EndpointInfo> endpoints = {endpoint("w1", "w")};
+  for (int i = 0; i < 40; ++i) endpoints.push_back(endpoint("r" + std::to_string(i), "r"));
   std::map<std::string, int> used;
   for (int router = 0; router < 30; ++router) {  // each sees the text once, among others as rare
     Settings s = make_settings();
     s.router_count = 150;
     s.router_number = router;
     Harness h(s);
-    h.list(hosts);
+    h.list(endpoints);
     for (int i = 0; i < 30; ++i) {
       h.ask("q" + std::to_string(i), "safe", 1000 * router + i, 500 + 100 * router + i, 2000, 1800);
       h.serve("q" + std::to_string(i));
@@ -95,8 +96,8 @@
 TEST(Scoring, ReadersWithNoWriterNearWinFewerTies) {
   const auto sends = [](const std::string& zone_of_writer) {  // to the two readers of cell 1, which has none
     Harness h;
-    h.list({host("r1", "r", 0), host("r2", "r", 0), host("r3", "r", 1), host("r4", "r", 1),
-            host("w1", "w", 0, zone_of_writer), host("w2", "w", 0, zone_of_writer)});
+    h.list({endpoint("r1", "r", 0), endpoint("r2", "r", 0), endpoint("r3", "r", 1), endpoint("r4", "r", 1),
+            endpoint("w1", "w", 0, zone_of_writer), endpoint("w2", "w", 0, zone_of_writer)});
     int count = 0;
     for (int i = 0; i < 400; ++i) {
       const std::string id = "q" + std::to_string(i), at = h.ask(id, "safe", 700 + i);
@@ -118,7 +119,7 @@
       s.router_count = 300;
       s.router_number = number;
       Harness h(s);
-      h.list({host("r1", "r"), host("r2", "r"), host("r3", "r"), host("w1", "w")});
+      h.list({endpoint("r1", "r"), endpoint("r2", "r"), endpoint("r3", "r"), endpoint("w1", "w")});
       const std::string at = h.ask("q", "safe", session);
       if (first.empty()) ++used[first = at];
       EXPECT_EQ(at, first);
@@ -129,7 +130,8 @@
 
 TEST(Scoring, EqualReadersAreSettledByTheKeyAlike) {
   Harness a, b;
-  for (Harness* h : {&a, &b}) h->list({host("r1", "r"), host("r2", "r"), host("r3", "r"), host("w1", "w")});
+  for (Harness* h : {&a, &b})
+    h->list({endpoint("r1", "r"), endpoint("r2", "r"), endpoint("r3", "r"), endpoint("w1", "w")});
   std::map<std::string, int> used;
   for (int i = 0; i < 30; ++i) {
     const std::string id = "q" + std::to_string(i);
@@ -144,7 +146,7 @@
 
 TEST(Scoring, ALoadedReaderLosesToAnIdleOne) {
   Harness h;
-  h.list({host("r1", "r"), host("r2", "r"), host("w1", "w")});
+  h.list({endpoint("r1", "r"), endpoint("r2", "r"), endpoint("w1", "w")});
   std::map<std::string, int> used;
   for (int i = 0; i < 12; ++i) ++used[h.ask("q" + std::to_string(i), "safe", 500 + i, 0, 6000)];
   EXPECT_GE(used["r1"], 5);
@@ -153,15 +155,15 @@
 
 TEST(Scoring, ReportedMemoryCountsAgainstAReader) {
   Harness h;
-  h.list({host("r1", "r"), host("w1", "w")});
+  h.list({endpoint("r1", "r"), endpoint("w1", "w")});
   LoadReport full;
   full.memory_share = 0.95;
   full.prompt_kilotokens = 0;
   h.ask("a", "safe", 1);
-  h.end("a", Verdict::kRead, 0, milliseconds(50), full);
+  h.end("a", AttemptStatus::kRead, 0, milliseconds(50), full);
   h.first("a");
-  h.end("a", Verdict::kServed);
-  h.list({host("r2", "r")}, ListKind::kDelta);
+  h.end("a", AttemptStatus::kServed);
+  h.list({endpoint("r2", "r")}, ListKind::kDelta);
   for (int i = 0; i < 6; ++i) {
     const std::string id = "b" + std::to_string(i);
     EXPECT_EQ(h.ask(id, "safe", 50 + i), "r2");
@@ -173,7 +175,7 @@
   Settings s = make_settings();
   s.kinds[0].memory_tokens = 8000;
   Harness h(s);
-  h.list({host("r1", "r"), host("w1", "w")});
+  h.list({endpoint("r1", "r"), endpoint("w1", "w")});
   for (int i = 0; i < 50; ++i) {
     const std::string id = "q" + std::to_string(i);
     h.ask(id, "safe", 100 + i, 0, 2000);
@@ -185,33 +187,33 @@
 
 TEST(Index, ARestartedReaderHasNothing) {
   Harness h;
-  h.list({host("r1", "r"), host("w1", "w")});
+  h.list({endpoint("r1", "r"), endpoint("w1", "w")});
   h.ask("a", "safe", 7);
   h.serve("a");
   EXPECT_EQ(h.router.table_sizes().index_keys, 1U);
-  h.list({host("r1", "r", 0, "east", HostState::kReady, h.now)}, ListKind::kDelta);
+  h.list({endpoint("r1", "r", 0, "east", EndpointState::kReady, h.now)}, ListKind::kDelta);
   EXPECT_EQ(h.router.table_sizes().index_keys, 0U);
 }
 
 TEST(Writer, PrefersTheReadersCell) {
   Harness h;
-  h.list({host("r1", "r", 1), host("w1", "w", 1), host("w2", "w", 2), host("w3", "w", 3)});
+  h.list({endpoint("r1", "r", 1), endpoint("w1", "w", 1), endpoint("w2", "w", 2), endpoint("w3", "w", 3)});
   for (int i = 0; i < 2; ++i) {
     const std::string id = "q" + std::to_string(i);
     h.ask(id, "safe", 1 + i);
-    h.end(id, Verdict::kRead);
+    h.end(id, AttemptStatus::kRead);
     EXPECT_EQ(h.out[id], "w1");
   }
 }
 
 TEST(Writer, LeavesTheCellWhenItsBestStandsWellAboveTheMean) {
   Harness h;
-  h.list({host("r1", "r", 1), host("w1", "w", 1), host("w2", "w", 2), host("w3", "w", 3)});
+  h.list({endpoint("r1", "r", 1), endpoint("w1", "w", 1), endpoint("w2", "w", 2), endpoint("w3", "w", 3)});
   std::map<std::string, int> used;
   for (int i = 0; i < 12; ++i) {
     const std::string id = "q" + std::to_string(i);
     h.ask(id, "safe", 1 + i);
-    h.end(id, Verdict::kRead);
+    h.end(id, AttemptStatus::kRead);
     h.first(id);
     ++used[h.out[id]];
   }
@@ -228,10 +230,10 @@
     s.router_count = 400;
     s.router_number = number;
     Harness h(s);
-    h.list({host("r1", "r", 1), host("r2", "r", 1), host("r3", "r", 1), host("r4", "r", 2),
-            host("w1", "w", 1), host("w2", "w", 2), host("w3", "w", 2), host("w4", "w", 2)});
+    h.list({endpoint("r1", "r", 1), endpoint("r2", "r", 1), endpoint("r3", "r", 1), endpoint("r4", "r", 2),
+            endpoint("w1", "w", 1), endpoint("w2", "w", 2), endpoint("w3", "w", 2), endpoint("w4", "w", 2)});
     const std::string reader = h.ask("q", "safe", 1000 + number);
-    h.end("q", Verdict::kRead);
+    h.end("q", AttemptStatus::kRead);
     if (reader == "r4") {
       EXPECT_NE(h.out["q"], "w1") << "its own cell has room";
       continue;
@@ -244,20 +246,20 @@
 
 TEST(Mixed, ServesWholeWhatItWins) {
   Harness h;
-  h.list({host("m1", "m"), host("w1", "w")});
+  h.list({endpoint("m1", "m"), endpoint("w1", "w")});
   EXPECT_EQ(h.ask("a"), "m1");
   h.first("a");
-  h.end("a", Verdict::kServed);
+  h.end("a", AttemptStatus::kServed);
   EXPECT_EQ(h.sends.size(), 1U);
 }
 
 TEST(Mixed, TakesAReadStateOnlyWithoutAPureWriter) {
   Harness h;
-  h.list({host("r1", "r"), host("m1", "m"), host("w1", "w")});
+  h.list({endpoint("r1", "r"), endpoint("m1", "m"), endpoint("w1", "w")});
   for (int i = 0; i < 10; ++i) {
     const std::string id = "q" + std::to_string(i);
     if (h.ask(id, "safe", i + 1) != "r1") continue;
-    h.end(id, Verdict::kRead);
+    h.end(id, AttemptStatus::kRead);
     EXPECT_EQ(h.out[id], "w1");
   }
 }
@@ -272,16 +274,16 @@
   fails([](Settings& s) { s.classes.clear(); });
   fails([](Settings& s) { s.router_count = 0; });
   fails([](Settings& s) { s.max_attempts = 0; });
-  fails([](Settings& s) { s.pin_limit = milliseconds(-1); });
-  fails([](Settings& s) { s.tip_multiple = -1; });
+  fails([](Settings& s) { s.reservation_limit = milliseconds(-1); });
+  fails([](Settings& s) { s.overload_multiple = -1; });
   EXPECT_NO_THROW(Router(make_settings(), 1));
 }
 
-TEST(Tables, StayBoundedOverManyRequestsAndHosts) {
+TEST(Tables, StayBoundedOverManyRequestsAndEndpoints) {
   Harness h;
   for (int round = 0; round < 40; ++round) {
     const std::string n = std::to_string(round);
-    h.list({host("r" + n, "r"), host("w" + n, "w")});
+    h.list({endpoint("r" + n, "r"), endpoint("w" + n, "w")});
     for (int i = 0; i < 100; ++i) {
       const std::string id = "q" + n + "-" + std::to_string(i);
       h.ask(id, "safe", 1000 * round + i + 1);
@@ -290,7 +292,7 @@
     }
   }
   EXPECT_EQ(h.router.table_sizes().requests, 0U);
-  EXPECT_EQ(h.router.table_sizes().hosts, 2U);
+  EXPECT_EQ(h.router.table_sizes().endpoints, 2U);
   EXPECT_LE(h.router.table_sizes().index_keys, 100U);
 }
 
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -7,13 +7,14 @@
 namespace dispatcher::routing::testing {
 namespace {
 
-std::vector<HostEntry> fleet() {
-  return {host("r1", "r", 1), host("r2", "r", 2), host("w1", "w", 1), host("w2", "w", 2),
-          host("w3", "w", 3, "west")};
+std::vector<EndpointInfo> fleet() {
+  return {endpoint("r1", "r", 1), endpoint("r2", "r", 2), endpoint("w1", "w", 1), endpoint("w2", "w", 2),
+          endpoint("w3", "w", 3, "west")};
 }
 
 TEST(Effects, ALostReadIsRepeatedEvenForUnsafe) {
-  for (const Verdict v : {Verdict::kError, Verdict::kTimeout, Verdict::kReset, Verdict::kCancelled}) {
+  for (const AttemptStatus v :
+       {AttemptStatus::kError, AttemptStatus::kTimeout, AttemptStatus::kReset, AttemptStatus::kCancelled}) {
     Harness h;
     h.list(fleet());
     const std::string first = h.ask("a", "unsafe");
@@ -24,11 +25,12 @@
 }
 
 TEST(Effects, UnsafeThatMayHaveRunFailsAndIsReleased) {
-  for (const Verdict v : {Verdict::kError, Verdict::kTimeout, Verdict::kReset, Verdict::kCancelled}) {
+  for (const AttemptStatus v :
+       {AttemptStatus::kError, AttemptStatus::kTimeout, AttemptStatus::kReset, AttemptStatus::kCancelled}) {
     Harness h;
     h.list(fleet());
     h.ask("a", "unsafe");
-    h.end("a", Verdict::kRead);
+    h.end("a", AttemptStatus::kRead);
     h.end("a", v);
     EXPECT_EQ(h.failed, std::vector<std::string>{"a"});
     EXPECT_FALSE(h.held["a"]);
@@ -36,11 +38,11 @@
 }
 
 TEST(Effects, UnsafeThatNeverRanGoesElsewhere) {
-  for (const Verdict v : {Verdict::kFull, Verdict::kConnectFailed}) {
+  for (const AttemptStatus v : {AttemptStatus::kFull, AttemptStatus::kConnectFailed}) {
     Harness h;
     h.list(fleet());
     h.ask("a", "unsafe");
-    h.end("a", Verdict::kRead);
+    h.end("a", AttemptStatus::kRead);
     const std::string first = h.out["a"];
     h.end("a", v);
     EXPECT_NE(h.out["a"], "");
@@ -52,22 +54,22 @@
   Harness h;
   h.list(fleet());
   h.ask("a", "unsafe");
-  h.end("a", Verdict::kRead);
-  h.end("a", Verdict::kFull, 1);
+  h.end("a", AttemptStatus::kRead);
+  h.end("a", AttemptStatus::kFull, 1);
   EXPECT_TRUE(h.out["a"].starts_with("r"));
 }
 
 TEST(Effects, KeyedStaysInItsGroupAndWindow) {
   Harness h;
   h.list(fleet());
-  h.list({host("w4", "w", 4)}, ListKind::kDelta);
+  h.list({endpoint("w4", "w", 4)}, ListKind::kDelta);
   h.ask("a", "keyed");
-  h.end("a", Verdict::kRead);
+  h.end("a", AttemptStatus::kRead);
   EXPECT_NE(h.out["a"], "w3");
-  h.end("a", Verdict::kError);
+  h.end("a", AttemptStatus::kError);
   EXPECT_TRUE(h.out["a"] == "w1" || h.out["a"] == "w2" || h.out["a"] == "w4") << h.out["a"];
   h.now += seconds(5) + milliseconds(1);  // past the window: no further send, and no refusal either
-  h.end("a", Verdict::kError);
+  h.end("a", AttemptStatus::kError);
   h.run(milliseconds(300));
   EXPECT_EQ(h.out["a"], "");
   EXPECT_EQ(h.failed, std::vector<std::string>{"a"});
@@ -80,18 +82,18 @@
     Harness h;
     h.list(fleet());
     h.ask("a", cls);
-    h.end("a", Verdict::kRead);
+    h.end("a", AttemptStatus::kRead);
     const Time first = h.now;
     h.now += milliseconds(4900);  // a held state alone may wait for 300 ms more
-    h.end("a", Verdict::kReset);
+    h.end("a", AttemptStatus::kReset);
     ASSERT_TRUE(h.out["a"].starts_with("w"));
     EXPECT_NE(h.sends.back().connect_by, Time{});
     EXPECT_LE(h.sends.back().connect_by, first + seconds(5));
     h.now = first + seconds(5);  // what is over just now would come too late
-    h.end("a", Verdict::kConnectFailed);
+    h.end("a", AttemptStatus::kConnectFailed);
     h.run(milliseconds(300));
     EXPECT_EQ(h.out["a"], "");
-    EXPECT_EQ(h.failed.size() + h.refused.size(), 1U);
+    EXPECT_EQ(h.failed.size() + h.rejected.size(), 1U);
   }
 }
 
@@ -100,61 +102,61 @@
 TEST(Effects, KeyedIsNotReadAnewPastItsWindowOrOutsideItsGroup) {
   for (const char* cls : {"keyed", "keyed-all"}) {
     Harness h;
-    h.list({host("m1", "m")});
+    h.list({endpoint("m1", "m")});
     ASSERT_EQ(h.ask("a", cls), "m1");
     ASSERT_EQ(h.ask("b", cls), "m1");
-    h.list({host("r9", "r", 0, "west"), host("w9", "w", 0, "west")}, ListKind::kDelta);
-    h.end("b", Verdict::kReset);  // in its window, but the reader is in another zone
+    h.list({endpoint("r9", "r", 0, "west"), endpoint("w9", "w", 0, "west")}, ListKind::kDelta);
+    h.end("b", AttemptStatus::kReset);  // in its window, but the reader is in another zone
     EXPECT_EQ(h.out["b"], std::string(cls) == "keyed" ? "m1" : "r9");
-    h.list({host("r1", "r"), host("w1", "w")}, ListKind::kDelta);
+    h.list({endpoint("r1", "r"), endpoint("w1", "w")}, ListKind::kDelta);
     h.now += seconds(5);
-    h.end("a", Verdict::kReset);
+    h.end("a", AttemptStatus::kReset);
     EXPECT_EQ(h.out["a"], "");
-    const auto& answered = std::string(cls) == "keyed" ? h.failed : h.refused;
+    const auto& answered = std::string(cls) == "keyed" ? h.failed : h.rejected;
     EXPECT_EQ(answered, std::vector<std::string>{"a"}) << "at once: nothing can be sent any more";
   }
 }
 
-TEST(Effects, KeyedByAllMayBeRefused) {
+TEST(Effects, KeyedByAllMayBeRejected) {
   Settings s = make_settings();
   s.max_attempts = 2;
   Harness h(s);
   h.list(fleet());
   h.ask("a", "keyed-all");
-  h.end("a", Verdict::kRead);
-  h.end("a", Verdict::kError);
-  EXPECT_EQ(h.refused, std::vector<std::string>{"a"});
+  h.end("a", AttemptStatus::kRead);
+  h.end("a", AttemptStatus::kError);
+  EXPECT_EQ(h.rejected, std::vector<std::string>{"a"});
 }
 
 TEST(Drains, NothingNewAfterTheDispatcherWasTold) {
-  for (const HostState state : {HostState::kDraining, HostState::kGone}) {
+  for (const EndpointState state : {EndpointState::kDraining, EndpointState::kRemoved}) {
     Harness h;
-    h.list({host("r1", "r"), host("r2", "r"), host("w1", "w"), host("w2", "w")});
+    h.list({endpoint("r1", "r"), endpoint("r2", "r"), endpoint("w1", "w"), endpoint("w2", "w")});
     h.ask("a");
-    h.list({host("r1", "r", 0, "east", state), host("w1", "w", 0, "east", state)}, ListKind::kDelta);
-    h.end("a", Verdict::kRead);
+    h.list({endpoint("r1", "r", 0, "east", state), endpoint("w1", "w", 0, "east", state)}, ListKind::kDelta);
+    h.end("a", AttemptStatus::kRead);
     EXPECT_EQ(h.out["a"], "w2");
     for (int i = 0; i < 20; ++i) EXPECT_EQ(h.ask("b" + std::to_string(i), "safe", i + 1), "r2");
   }
 }
 
-TEST(Drains, AHostMissingFromAFullListIsGone) {
+TEST(Drains, AEndpointMissingFromAFullListIsGone) {
   Harness h;
-  h.list({host("r1", "r"), host("r2", "r"), host("w1", "w")});
-  h.list({host("r2", "r"), host("w1", "w")});
+  h.list({endpoint("r1", "r"), endpoint("r2", "r"), endpoint("w1", "w")});
+  h.list({endpoint("r2", "r"), endpoint("w1", "w")});
   for (int i = 0; i < 20; ++i) EXPECT_EQ(h.ask("b" + std::to_string(i), "safe", i + 1), "r2");
 }
 
 TEST(Pins, AStateWithoutAWriterIsLetGoInTime) {
   Harness h;
-  h.list({host("r1", "r"), host("w1", "w")});
+  h.list({endpoint("r1", "r"), endpoint("w1", "w")});
   h.ask("a");
-  h.list({host("w1", "w", 0, "east", HostState::kGone)}, ListKind::kDelta);
-  h.end("a", Verdict::kRead);
+  h.list({endpoint("w1", "w", 0, "east", EndpointState::kRemoved)}, ListKind::kDelta);
+  h.end("a", AttemptStatus::kRead);
   EXPECT_TRUE(h.held["a"]);
   h.run(milliseconds(280));
   EXPECT_FALSE(h.held["a"]);
-  EXPECT_EQ(h.refused, std::vector<std::string>{"a"});
+  EXPECT_EQ(h.rejected, std::vector<std::string>{"a"});
 }
 
 TEST(Pins, ClientGoneReleases) {
@@ -164,7 +166,7 @@
   h.pass(ClientGone{"a"});
   h.ended["a"] = true;
   EXPECT_EQ(h.cancelled, std::vector<std::string>{"a"});
-  h.end("a", Verdict::kRead);
+  h.end("a", AttemptStatus::kRead);
   EXPECT_FALSE(h.held["a"]);
   EXPECT_EQ(h.router.table_sizes().requests, 0U);
 }
@@ -174,7 +176,7 @@
     Harness h;
     h.ask("a", cls);
     h.run(seconds(6) - milliseconds(20));
-    EXPECT_EQ(h.refused.size() + h.failed.size(), 1U);
+    EXPECT_EQ(h.rejected.size() + h.failed.size(), 1U);
   }
 }
 
@@ -188,11 +190,11 @@
 
 TEST(Answers, AReadThatFailsNearTheDeadlineIsAnsweredAtOnce) {
   Harness h;
-  h.list({host("r1", "r"), host("w1", "w")});
+  h.list({endpoint("r1", "r"), endpoint("w1", "w")});
   h.ask("a");
   h.now += seconds(6) - milliseconds(5);
-  h.end("a", Verdict::kTimeout);
-  EXPECT_EQ(h.refused, std::vector<std::string>{"a"});
+  h.end("a", AttemptStatus::kTimeout);
+  EXPECT_EQ(h.rejected, std::vector<std::string>{"a"});
 }
 
 TEST(Answers, UnknownClassFailsAndRepeatedIdsAreIgnored) {
@@ -211,39 +213,39 @@
   h.list(fleet());
   h.ask("a");
   const std::size_t sent = h.sends.size();
-  h.pass(Outcome{"unknown", "r1", 0, Verdict::kRead, {}, false, 0, {}});
-  h.pass(Outcome{"a", "r1", 7, Verdict::kRead, {}, false, 0, {}});
+  h.pass(AttemptCompleted{"unknown", "r1", 0, AttemptStatus::kRead, {}, false, 0, {}});
+  h.pass(AttemptCompleted{"a", "r1", 7, AttemptStatus::kRead, {}, false, 0, {}});
   h.pass(FirstToken{"a", "nowhere", 3, {}});
   h.pass(ClientGone{"unknown"});
-  h.pass(Timer{12345});
-  h.pass(HoldAnswer{"unknown", "w1", true});
+  h.pass(TimerExpired{12345});
+  h.pass(ReservationResult{"unknown", "w1", true});
   EXPECT_EQ(h.sends.size(), sent);
-  EXPECT_TRUE(h.refused.empty() && h.failed.empty() && h.released.empty());
+  EXPECT_TRUE(h.rejected.empty() && h.failed.empty() && h.released.empty());
 }
 
 using Fleet = std::vector<std::unique_ptr<Harness>>;
-Fleet make_fleet(int routers, const std::vector<HostEntry>& hosts) {
+Fleet make_fleet(int routers, const std::vector<EndpointInfo>& endpoints) {
   Fleet fleet;
   for (int n = 0; n < routers; ++n) {
     Settings s = make_settings();
     s.router_count = routers;
     s.router_number = n;
     fleet.push_back(std::make_unique<Harness>(s));
-    fleet.back()->list(hosts);
+    fleet.back()->list(endpoints);
   }
   return fleet;
 }
 
-TEST(Cold, ARestartedHostGetsOnlyItsPart) {
+TEST(Cold, ARestartedEndpointGetsOnlyItsPart) {
   Harness h;
-  h.list({host("r1", "r"), host("r2", "r"), host("w1", "w")});
+  h.list({endpoint("r1", "r"), endpoint("r2", "r"), endpoint("w1", "w")});
   for (int i = 0; i < 80; ++i) {  // ten requests a second for eight seconds
     const std::string id = "q" + std::to_string(i);
     h.ask(id, "safe", i + 1);
     h.serve(id);
     h.run(milliseconds(100));
   }
-  h.list({host("r2", "r", 0, "east", HostState::kReady, h.now)}, ListKind::kDelta);
+  h.list({endpoint("r2", "r", 0, "east", EndpointState::kReady, h.now)}, ListKind::kDelta);
   int cold = 0, all = 0;
   for (int i = 0; i < 30; ++i) {
     const std::string id = "c" + std::to_string(i);
@@ -259,9 +261,9 @@
 TEST(Cold, ManyRoutersTogetherStayWithinTheBudget) {
   // 150 routers at about one request a second over 10 readers: alone, each might send "just one" in a window.
   constexpr int kRouters = 150;
-  std::vector<HostEntry> hosts = {host("w1", "w")};
-  for (int i = 0; i < 10; ++i) hosts.push_back(host("r" + std::to_string(i), "r"));
-  const auto routers = make_fleet(kRouters, hosts);
+  std::vector<EndpointInfo> endpoints = {endpoint("w1", "w")};
+  for (int i = 0; i < 10; ++i) endpoints.push_back(endpoint("r" + std::to_string(i), "r"));
+  const auto routers = make_fleet(kRouters, endpoints);
   int id = 0;
   const auto second = [&](bool count) {
     int to_cold = 0;
@@ -274,7 +276,8 @@
     return to_cold;
   };
   for (int i = 0; i < 10; ++i) second(false);
-  for (auto& h : routers) h->list({host("r3", "r", 0, "east", HostState::kReady, h->now)}, ListKind::kDelta);
+  for (auto& h : routers)
+    h->list({endpoint("r3", "r", 0, "east", EndpointState::kReady, h->now)}, ListKind::kDelta);
   int sent = 0;
   for (int i = 0; i < 9; ++i) sent += second(true);
   const double warm_share = 9.0 * kRouters / 10;  // what a warm reader gets in that time
@@ -286,10 +289,10 @@
 // them must neither starve the replica nor push it over. Reads and writes, in two cells, half of each cold.
 TEST(Cold, ManyRoutersWithFewRequestsGiveColdReplicasAFairPart) {
   constexpr int kRouters = 100;
-  std::vector<HostEntry> hosts, started;
+  std::vector<EndpointInfo> endpoints, started;
   for (int i = 0; i < 16; ++i)
-    hosts.push_back(host((i < 8 ? "r" : "w") + std::to_string(i), i < 8 ? "r" : "w", i % 2));
-  const auto routers = make_fleet(kRouters, hosts);
+    endpoints.push_back(endpoint((i < 8 ? "r" : "w") + std::to_string(i), i < 8 ? "r" : "w", i % 2));
+  const auto routers = make_fleet(kRouters, endpoints);
   int id = 0;
   const auto two_seconds = [&] {
     for (auto& h : routers) {
@@ -302,35 +305,35 @@
   for (int i = 0; i < 8; ++i) two_seconds();
   for (int i = 0; i < 16; ++i) {
     if (i / 2 % 2 == 0) continue;
-    started.push_back(host(hosts[static_cast<std::size_t>(i)].host, i < 8 ? "r" : "w", i % 2, "east",
-                           HostState::kReady, routers[0]->now));
+    started.push_back(endpoint(endpoints[static_cast<std::size_t>(i)].endpoint, i < 8 ? "r" : "w", i % 2,
+                               "east", EndpointState::kReady, routers[0]->now));
   }
   for (auto& h : routers) h->list(started, ListKind::kDelta), h->sends.clear();
   for (int i = 0; i < 5; ++i) two_seconds();
   std::map<std::string, int> sent;
   for (auto& h : routers) {
-    for (const Send& send : h->sends) ++sent[send.host];
+    for (const StartAttempt& send : h->sends) ++sent[send.endpoint];
   }
   const double mean = 5.0 * kRouters / 8;  // of a role, cold and warm
-  for (const HostEntry& cold : started) {
-    EXPECT_GT(sent[cold.host], mean / 4) << cold.host;
-    EXPECT_LT(sent[cold.host], mean * 1.25) << cold.host;
+  for (const EndpointInfo& cold : started) {
+    EXPECT_GT(sent[cold.endpoint], mean / 4) << cold.endpoint;
+    EXPECT_LT(sent[cold.endpoint], mean * 1.25) << cold.endpoint;
   }
 }
 
 TEST(Cold, FullAnswersDoNotRaiseTheBudget) {
   Harness h;
-  h.list({host("r1", "r"), host("w1", "w"), host("w2", "w")});
-  h.list({host("w2", "w", 0, "east", HostState::kReady, h.now)}, ListKind::kDelta);
+  h.list({endpoint("r1", "r"), endpoint("w1", "w"), endpoint("w2", "w")});
+  h.list({endpoint("w2", "w", 0, "east", EndpointState::kReady, h.now)}, ListKind::kDelta);
   h.run(seconds(4));
   int cold = 0;
   for (int i = 0; i < 60; ++i) {
     const std::string id = "q" + std::to_string(i);
     h.ask(id, "safe", i + 1);
-    h.end(id, Verdict::kRead);
+    h.end(id, AttemptStatus::kRead);
     while (h.out[id].starts_with("w")) {
       cold += h.out[id] == "w2" ? 1 : 0;
-      h.end(id, Verdict::kFull);
+      h.end(id, AttemptStatus::kFull);
     }
     h.run(milliseconds(50));
   }
@@ -339,24 +342,25 @@
 
 // On sockets a refused connection costs a millisecond and reaches nobody: half of a list can be out of date.
 TEST(Retries, ConnectionsThatWereNotMadeLeaveTheAttempts) {
-  std::vector<HostEntry> hosts;
-  for (int i = 0; i < 8; ++i) hosts.push_back(host("r" + std::to_string(i), "r"));
-  for (int i = 0; i < 8; ++i) hosts.push_back(host("w" + std::to_string(i), "w"));
-  const auto tries = [&](int free_connects, bool one_lives, milliseconds writer_fails = milliseconds(50)) {
+  std::vector<EndpointInfo> endpoints;
+  for (int i = 0; i < 8; ++i) endpoints.push_back(endpoint("r" + std::to_string(i), "r"));
+  for (int i = 0; i < 8; ++i) endpoints.push_back(endpoint("w" + std::to_string(i), "w"));
+  const auto tries = [&](int free_connect_failures, bool one_lives,
+                         milliseconds writer_fails = milliseconds(50)) {
     Settings s = make_settings();
     s.max_attempts = 4;
-    s.free_connects = free_connects;
-    s.pinned_while_connecting = true;
+    s.free_connect_failures = free_connect_failures;
+    s.reservation_expires_while_connecting = true;
     Harness h(s);
-    h.list(hosts);
+    h.list(endpoints);
     h.ask("a", "unsafe");
     int knocks = 0;
     for (; !h.ended["a"] && h.out["a"].starts_with("r") && (knocks < 5 || !one_lives); ++knocks)
-      h.end("a", Verdict::kConnectFailed, 0, milliseconds(1));
+      h.end("a", AttemptStatus::kConnectFailed, 0, milliseconds(1));
     if (!one_lives) return knocks;
     EXPECT_FALSE(h.ended["a"]);
-    h.end("a", Verdict::kRead);
-    for (; !h.ended["a"] && h.attempts["a"] < 20; h.end("a", Verdict::kConnectFailed, 0, writer_fails))
+    h.end("a", AttemptStatus::kRead);
+    for (; !h.ended["a"] && h.attempts["a"] < 20; h.end("a", AttemptStatus::kConnectFailed, 0, writer_fails))
       h.now += writer_fails;
     EXPECT_EQ(h.released.size(), 1U) << "what was read is let go in time";
     return h.attempts["a"];
@@ -371,16 +375,17 @@
   Settings s = make_settings();
   s.max_attempts = 1;
   Harness h(s);
-  h.list({host("m1", "m")});
+  h.list({endpoint("m1", "m")});
   h.ask("a");
   h.out["a"] = "";
-  const auto actions = h.pass(Outcome{"a", "m1", 0, Verdict::kConnectFailed, {}, false, 0, {}});
+  const auto actions =
+      h.pass(AttemptCompleted{"a", "m1", 0, AttemptStatus::kConnectFailed, {}, false, 0, {}});
   bool found = false;
   for (const Action& a : actions) {
-    if (const auto* r = std::get_if<Refuse>(&a)) {
+    if (const auto* r = std::get_if<Reject>(&a)) {
       found = true;
-      ASSERT_TRUE(r->retry_in);
-      EXPECT_LE(*r->retry_in, s.max_retry_in);
+      ASSERT_TRUE(r->retry_after);
+      EXPECT_LE(*r->retry_after, s.max_retry_after);
     }
   }
   EXPECT_TRUE(found);
@@ -402,26 +407,26 @@
   std::map<std::string, std::string> cls;
   std::map<std::string, Time> deadline, idle;
   std::map<std::string, bool> ran;
-  std::map<std::string, HostState> state;
+  std::map<std::string, EndpointState> state;
   std::size_t sends_seen = 0;
   int asked = 0;
   const auto audit = [&] {
     for (; sends_seen < h.sends.size(); ++sends_seen) {
-      const Send& sent = h.sends[sends_seen];
-      EXPECT_EQ(state[sent.host], HostState::kReady) << "sent to a host that drains or is gone";
+      const StartAttempt& sent = h.sends[sends_seen];
+      EXPECT_EQ(state[sent.endpoint], EndpointState::kReady) << "sent to a host that drains or is gone";
       EXPECT_LE(h.attempts[sent.request], s.max_attempts);
       if (cls[sent.request] == "unsafe") {
         EXPECT_FALSE(ran[sent.request]) << "second effect";
       }
     }
-    for (const std::string& id : h.refused) {
+    for (const std::string& id : h.rejected) {
       if (cls[id] == "unsafe" || cls[id] == "keyed") {
         EXPECT_FALSE(ran[id]) << "refused though it may have run";
       }
     }
     for (const auto& [id, held] : h.held) {
       if (held && h.out[id].empty()) {
-        EXPECT_LE(h.now, idle[id] + s.pin_limit) << "pinned";
+        EXPECT_LE(h.now, idle[id] + s.reservation_limit) << "pinned";
       }
     }
     for (const auto& [id, until] : deadline) {
@@ -430,16 +435,16 @@
       }
     }
   };
-  const auto set_state = [&](const std::string& name, HostState to) {
+  const auto set_state = [&](const std::string& name, EndpointState to) {
     state[name] = to;
-    h.list({host(name, name.substr(0, 1), name[1] - '0', name[1] == '3' ? "west" : "east", to,
-                 upto(3) == 0 ? h.now : Time{})},
+    h.list({endpoint(name, name.substr(0, 1), name[1] - '0', name[1] == '3' ? "west" : "east", to,
+                     upto(3) == 0 ? h.now : Time{})},
            ListKind::kDelta);
   };
-  for (const std::string& n : names) set_state(n, HostState::kReady);
+  for (const std::string& n : names) set_state(n, EndpointState::kReady);
   for (int step = 0; step < 1500; ++step) {
     h.now += milliseconds(4);
-    if (step % 5 == 0 && std::exchange(h.timer, false)) h.pass(Timer{0});
+    if (step % 5 == 0 && std::exchange(h.timer, false)) h.pass(TimerExpired{0});
     std::vector<std::string> out;
     for (const auto& [id, at] : h.out) {
       if (!at.empty()) out.push_back(id);
@@ -454,9 +459,9 @@
       deadline[id] = r.client_deadline;
       h.pass(r);
     } else if (what < 7) {
-      set_state(names[static_cast<std::size_t>(upto(7))], upto(3) == 0   ? HostState::kGone
-                                                          : upto(3) == 0 ? HostState::kDraining
-                                                                         : HostState::kReady);
+      set_state(names[static_cast<std::size_t>(upto(7))], upto(3) == 0   ? EndpointState::kRemoved
+                                                          : upto(3) == 0 ? EndpointState::kDraining
+                                                                         : EndpointState::kReady);
     }
     audit();
     for (const std::string& id : out) {
@@ -466,21 +471,21 @@
       const bool reader = h.out[id].starts_with("r");
       idle[id] = h.now;
       if (h.ended[id]) {
-        h.end(id, reader && upto(2) == 0 ? Verdict::kRead : Verdict::kCancelled);
+        h.end(id, reader && upto(2) == 0 ? AttemptStatus::kRead : AttemptStatus::kCancelled);
         continue;
       }
-      static constexpr Verdict kBad[] = {Verdict::kError, Verdict::kFull, Verdict::kConnectFailed,
-                                         Verdict::kReset};
-      const Verdict bad = overdue ? Verdict::kTimeout : kBad[upto(4)];
+      static constexpr AttemptStatus kBad[] = {AttemptStatus::kError, AttemptStatus::kFull,
+                                               AttemptStatus::kConnectFailed, AttemptStatus::kReset};
+      const AttemptStatus bad = overdue ? AttemptStatus::kTimeout : kBad[upto(4)];
       const bool cancelled = std::find(h.cancelled.begin(), h.cancelled.end(), id) != h.cancelled.end();
       if (overdue || upto(3) == 0) {
-        const bool proof = bad == Verdict::kFull || bad == Verdict::kConnectFailed;
+        const bool proof = bad == AttemptStatus::kFull || bad == AttemptStatus::kConnectFailed;
         if (!reader && !proof) ran[id] = true;
-        const int note = bad == Verdict::kFull && !reader && upto(2) == 0 ? 1 : 0;
-        if (note == 1 || (!reader && bad != Verdict::kFull && upto(2) == 0)) h.held[id] = false;
+        const int note = bad == AttemptStatus::kFull && !reader && upto(2) == 0 ? 1 : 0;
+        if (note == 1 || (!reader && bad != AttemptStatus::kFull && upto(2) == 0)) h.held[id] = false;
         h.end(id, bad, note);
       } else if (reader) {
-        h.end(id, cancelled ? Verdict::kCancelled : Verdict::kRead, upto(500));
+        h.end(id, cancelled ? AttemptStatus::kCancelled : AttemptStatus::kRead, upto(500));
       } else if (upto(6) == 0 && !cancelled) {
         h.ended[id] = true;
         h.held[id] = false;
@@ -488,7 +493,7 @@
       } else {
         deadline.erase(id);
         h.first(id);
-        h.end(id, Verdict::kServed);
+        h.end(id, AttemptStatus::kServed);
       }
     }
     audit();
--- a/tests/settings_check_test.cpp
+++ b/tests/settings_check_test.cpp
@@ -17,8 +17,8 @@
 
 namespace {
 
+using routing::testing::endpoint;
 using routing::testing::Harness;
-using routing::testing::host;
 using std::chrono::hours;
 using std::chrono::milliseconds;
 using std::chrono::seconds;
@@ -33,7 +33,7 @@
   s.report_source = ReportSource::kInAnswers;
   s.report_fields = {LoadField::kMemoryShare};
   s.connect_timeout = milliseconds(250);
-  s.idle_close = seconds(15);
+  s.idle_timeout = seconds(15);
   s.prices.waste = 0.2;
   s.goal = {0.3, 0.4, 0.2, 0.1};
   return s;
@@ -46,7 +46,7 @@
 
 constexpr double kNoNumber = std::numeric_limits<double>::quiet_NaN();
 
-const std::vector<Case>& refused() {
+const std::vector<Case>& rejected() {
   static const std::vector<Case> cases = {
       {"hostTypes", [](Settings& s) { s.kinds.clear(), s.early_pairing = false; }},
       {"categories", [](Settings& s) { s.classes.clear(); }},
@@ -58,34 +58,34 @@
       {"granularityMs",
        [](Settings& s) {
          s.tick = s.answer_slack = s.drain_grace = hours(2);
-         s.pin_limit = hours(7);
+         s.reservation_limit = hours(7);
          for (RequestClass& c : s.classes) c.deadline = hours(24);
        }},
-      {"guarantees.coldMs", [](Settings& s) { s.cold_time = hours(25); }},
+      {"guarantees.coldMs", [](Settings& s) { s.warmup_time = hours(25); }},
       {"categories[1].deadlineMs", [](Settings& s) { s.classes[1].deadline = hours(25); }},
       {"familyInfo.aimUsPer1000PromptTokens[1]",
-       [](Settings& s) { s.classes[1].objective_per_1000_tokens = hours(25); }},
-      {"familyInfo.pinLimitMs", [](Settings& s) { s.pin_limit = milliseconds(-1); }},
+       [](Settings& s) { s.classes[1].latency_objective_per_1000_tokens = hours(25); }},
+      {"familyInfo.pinLimitMs", [](Settings& s) { s.reservation_limit = milliseconds(-1); }},
       {"guarantees.answerSlackMs", [](Settings& s) { s.answer_slack = milliseconds(-1); }},
-      {"guarantees.askEveryMs", [](Settings& s) { s.ask_every = milliseconds(-1); }},
-      {"guarantees.coldMs", [](Settings& s) { s.cold_time = milliseconds(-1); }},
+      {"guarantees.askEveryMs", [](Settings& s) { s.poll_interval = milliseconds(-1); }},
+      {"guarantees.coldMs", [](Settings& s) { s.warmup_time = milliseconds(-1); }},
       {"guarantees.drainGraceMs", [](Settings& s) { s.drain_grace = milliseconds(-1); }},
-      {"guarantees.tipAfterMs", [](Settings& s) { s.tip_window = milliseconds(-1); }},
+      {"guarantees.tipAfterMs", [](Settings& s) { s.overload_window = milliseconds(-1); }},
       {"limits.connectTimeoutMs", [](Settings& s) { s.connect_timeout = milliseconds(-1); }},
-      {"limits.idleCloseMs", [](Settings& s) { s.idle_close = milliseconds(-1); }},
-      {"limits.maxRetryAfterMs", [](Settings& s) { s.max_retry_in = milliseconds(-1); }},
-      {"guarantees.tipMultiple", [](Settings& s) { s.tip_multiple = -1; }},
-      {"guarantees.tipMultiple", [](Settings& s) { s.tip_multiple = kNoNumber; }},
-      {"guarantees.coldShare", [](Settings& s) { s.cold_share = -0.1; }},
-      {"guarantees.coldShare", [](Settings& s) { s.cold_share = 1.1; }},
+      {"limits.idleCloseMs", [](Settings& s) { s.idle_timeout = milliseconds(-1); }},
+      {"limits.maxRetryAfterMs", [](Settings& s) { s.max_retry_after = milliseconds(-1); }},
+      {"guarantees.tipMultiple", [](Settings& s) { s.overload_multiple = -1; }},
+      {"guarantees.tipMultiple", [](Settings& s) { s.overload_multiple = kNoNumber; }},
+      {"guarantees.coldShare", [](Settings& s) { s.warmup_initial_share = -0.1; }},
+      {"guarantees.coldShare", [](Settings& s) { s.warmup_initial_share = 1.1; }},
       {"tenants[1].quotaRps", [](Settings& s) { s.tenants[1].quota_rps = -1; }},
-      {"categories[1].objectiveMs", [](Settings& s) { s.classes[1].objective = {}; }},
+      {"categories[1].objectiveMs", [](Settings& s) { s.classes[1].latency_objective = {}; }},
       {"categories[1].deadlineMs", [](Settings& s) { s.classes[1].deadline = {}; }},
-      {"categories[2].windowMs", [](Settings& s) { s.classes[2].window = seconds(-1); }},
+      {"categories[2].windowMs", [](Settings& s) { s.classes[2].deduplication_window = seconds(-1); }},
       {"familyInfo.aimUsPer1000PromptTokens[1]",
-       [](Settings& s) { s.classes[1].objective_per_1000_tokens = seconds(-1); }},
-      {"familyInfo.tokenAimMs[1]", [](Settings& s) { s.classes[1].token_objective = seconds(-1); }},
-      {"categories[0].aimStretch", [](Settings& s) { s.classes[0].objective_stretch = -1; }},
+       [](Settings& s) { s.classes[1].latency_objective_per_1000_tokens = seconds(-1); }},
+      {"familyInfo.tokenAimMs[1]", [](Settings& s) { s.classes[1].token_latency_objective = seconds(-1); }},
+      {"categories[0].aimStretch", [](Settings& s) { s.classes[0].latency_objective_stretch = -1; }},
       {"categories[3].name", [](Settings& s) { s.classes[3].name = "unsafe"; }},
       {"hostTypes[2]", [](Settings& s) { s.kinds[2].name = "r"; }},
       {"tenants[1].name", [](Settings& s) { s.tenants[1].name = "one"; }},
@@ -105,13 +105,13 @@
 
 const std::vector<Case>& warned() {
   static const std::vector<Case> cases = {
-      {"overShareWorth", [](Settings& s) { s.over_share_worth = 1.5; }},
+      {"overShareWorth", [](Settings& s) { s.over_quota_weight = 1.5; }},
       {"prices.waste", [](Settings& s) { s.prices.waste = -1; }},
       {"familyInfo.moveFee", [](Settings& s) { s.prices.far = kNoNumber; }},
       {"goal.worstWindow", [](Settings& s) { s.goal.worst_window = -1; }},
       {"familyInfo.memoryTokens[0]", [](Settings& s) { s.kinds[0].memory_tokens = -1; }},
-      {"categories[0].worth", [](Settings& s) { s.classes[0].worth = -1; }},
-      {"categories[0].lateValue", [](Settings& s) { s.classes[0].late_value = 1.5; }},
+      {"categories[0].worth", [](Settings& s) { s.classes[0].priority_weight = -1; }},
+      {"categories[0].lateValue", [](Settings& s) { s.classes[0].late_weight = 1.5; }},
       {"familyInfo.writersRead",
        [](Settings& s) {
          s.kinds = {{"r", Role::kReader, 1}, {"m", Role::kMixed, 1}};
@@ -124,27 +124,27 @@
       {"limits.mayDuplicate", [](Settings& s) { s.max_attempts = 1; }},
       {"familyInfo.resume",
        [](Settings& s) {
-         for (RequestClass& c : s.classes) c.repeat = Repeat::kUnsafe;
+         for (RequestClass& c : s.classes) c.idempotency = Idempotency::kNonIdempotent;
        }},
-      {"categories[2].windowMs", [](Settings& s) { s.classes[2].window = {}; }},
+      {"categories[2].windowMs", [](Settings& s) { s.classes[2].deduplication_window = {}; }},
       {"categories[1].deadlineMs", [](Settings& s) { s.classes[1].deadline = seconds(2); }},
       {"guarantees.answerSlackMs", [](Settings& s) { s.answer_slack = seconds(6); }},
       {"guarantees.answerSlackMs", [](Settings& s) { s.answer_slack = milliseconds(3); }},
-      {"familyInfo.pinLimitMs", [](Settings& s) { s.pin_limit = seconds(7); }},
-      {"familyInfo.pinLimitMs", [](Settings& s) { s.pin_limit = milliseconds(66); }},
+      {"familyInfo.pinLimitMs", [](Settings& s) { s.reservation_limit = seconds(7); }},
+      {"familyInfo.pinLimitMs", [](Settings& s) { s.reservation_limit = milliseconds(66); }},
       {"familyInfo.pinLimitMs",
-       [](Settings& s) { s.tick = milliseconds(15), s.pin_limit = milliseconds(99); }},
+       [](Settings& s) { s.tick = milliseconds(15), s.reservation_limit = milliseconds(99); }},
       {"guarantees.drainGraceMs", [](Settings& s) { s.drain_grace = milliseconds(3); }},
-      {"guarantees.tipMultiple", [](Settings& s) { s.tip_multiple = 0; }},
-      {"guarantees.tipMultiple", [](Settings& s) { s.tip_multiple = 0.9; }},
-      {"guarantees.coldShare", [](Settings& s) { s.cold_share = 0; }},
-      {"guarantees.tipAfterMs", [](Settings& s) { s.tip_window = {}; }},
-      {"guarantees.tipAfterMs", [](Settings& s) { s.tip_window = milliseconds(50); }},
+      {"guarantees.tipMultiple", [](Settings& s) { s.overload_multiple = 0; }},
+      {"guarantees.tipMultiple", [](Settings& s) { s.overload_multiple = 0.9; }},
+      {"guarantees.coldShare", [](Settings& s) { s.warmup_initial_share = 0; }},
+      {"guarantees.tipAfterMs", [](Settings& s) { s.overload_window = {}; }},
+      {"guarantees.tipAfterMs", [](Settings& s) { s.overload_window = milliseconds(50); }},
       {"loadInfo.source", [](Settings& s) { s.report_source = ReportSource::kInProbes; }},
       {"loadInfo.fields", [](Settings& s) { s.report_fields.clear(); }},
       {"myZone", [](Settings& s) { s.zone = "north"; }},
       {"tenants", [](Settings& s) { s.tenants[0].quota_rps = s.tenants[1].quota_rps = 0; }},
-      {"limits.maxRetryAfterMs", [](Settings& s) { s.max_retry_in = {}; }},
+      {"limits.maxRetryAfterMs", [](Settings& s) { s.max_retry_after = {}; }},
   };
   return cases;
 }
@@ -168,16 +168,16 @@
       [](Settings& s) {
         s.kinds = {{"w", Role::kWriter, 0}}, s.writers_read = true, s.early_pairing = false;
       },
-      [](Settings& s) { s.tenants.clear(), s.over_share_worth = 1; },
+      [](Settings& s) { s.tenants.clear(), s.over_quota_weight = 1; },
       [](Settings& s) { s.tenants[0].quota_rps = 0; },
-      [](Settings& s) { s.cold_time = {}, s.tip_multiple = 0; },
-      [](Settings& s) { s.tip_multiple = 1e9, s.cold_share = 1; },
+      [](Settings& s) { s.warmup_time = {}, s.overload_multiple = 0; },
+      [](Settings& s) { s.overload_multiple = 1e9, s.warmup_initial_share = 1; },
       [](Settings& s) { s.zones.clear(), s.zone = ""; },
       [](Settings& s) { s.goal = {}, s.prices = {}; },
-      [](Settings& s) { s.retry_advice = false, s.max_retry_in = {}; },
+      [](Settings& s) { s.retry_advice = false, s.max_retry_after = {}; },
       [](Settings& s) { s.tick = s.answer_slack = s.drain_grace = {}; },
-      [](Settings& s) { s.tick = milliseconds(15), s.pin_limit = milliseconds(100); },
-      [](Settings& s) { s.connect_timeout = s.idle_close = {}; },  // a host of the module without sockets
+      [](Settings& s) { s.tick = milliseconds(15), s.reservation_limit = milliseconds(100); },
+      [](Settings& s) { s.connect_timeout = s.idle_timeout = {}; },  // a host of the module without sockets
   };
   for (std::size_t i = 0; i < changes.size(); ++i) {
     Settings s = sound();
@@ -187,7 +187,7 @@
 }
 
 TEST(Check, RefusesWhatMeansNothingContradictsItselfOrServesNobody) {
-  for (const Case& c : refused()) {
+  for (const Case& c : rejected()) {
     Settings s = sound();
     c.change(s);
     EXPECT_EQ(check(s), (std::vector<Finding>{{Severity::kRefuse, c.field, "", ""}}));
@@ -207,15 +207,15 @@
     c.change(s);
     EXPECT_EQ(check(s), (std::vector<Finding>{{Severity::kWarn, c.field, "", ""}}));
     Harness h(s);
-    std::vector<HostEntry> hosts;
-    for (const HostKind& kind : s.kinds) hosts.push_back(host(kind.name + "1", kind.name));
-    h.list(hosts);
+    std::vector<EndpointInfo> endpoints;
+    for (const EndpointKind& kind : s.kinds) endpoints.push_back(endpoint(kind.name + "1", kind.name));
+    h.list(endpoints);
     for (const RequestClass& k : s.classes) {
       Request r = h.make(k.name, k.name);
       r.client_deadline = h.now + k.deadline;
       h.pass(r);
-      if (h.out[k.name] == "r1") h.end(k.name, Verdict::kRead);
-      if (!h.out[k.name].empty()) h.first(k.name), h.end(k.name, Verdict::kServed);
+      if (h.out[k.name] == "r1") h.end(k.name, AttemptStatus::kRead);
+      if (!h.out[k.name].empty()) h.first(k.name), h.end(k.name, AttemptStatus::kServed);
       h.run(k.deadline);
       EXPECT_TRUE(h.ended[k.name]) << c.field << ", class " << k.name;
     }
@@ -224,28 +224,28 @@
 }
 
 // Its deadline is too short for a state to wait as well.
-TEST(Check, ADeadlineWithinTwoTicksHasEachOfItsRequestsRefusedAtOnce) {
+TEST(Check, ADeadlineWithinTwoTicksHasEachOfItsRequestsRejectedAtOnce) {
   Settings s = sound();
   s.classes.resize(1);
-  s.classes[0].objective = milliseconds(500);
+  s.classes[0].latency_objective = milliseconds(500);
   s.classes[0].deadline = milliseconds(600);
   s.tick = s.answer_slack = milliseconds(300);
-  s.drain_grace = s.pin_limit = milliseconds(1000);
+  s.drain_grace = s.reservation_limit = milliseconds(1000);
   EXPECT_EQ(check(s), (std::vector<Finding>{{Severity::kWarn, "categories[0].deadlineMs", "", ""},
                                             {Severity::kWarn, "familyInfo.pinLimitMs", "", ""}}));
   Harness h(s);
-  h.list({host("r1", "r"), host("w1", "w")});
+  h.list({endpoint("r1", "r"), endpoint("w1", "w")});
   Request r = h.make("a");
   r.client_deadline = h.now + s.classes[0].deadline;
   h.pass(r);
-  EXPECT_EQ(h.refused, std::vector<std::string>{"a"});
+  EXPECT_EQ(h.rejected, std::vector<std::string>{"a"});
 }
 
 TEST(Check, TellsAllThatIsWrongAtOnce) {
   Settings s = sound();
   s.router_number = 7;
   s.classes[1].name = "safe";
-  s.tip_multiple = 0;
+  s.overload_multiple = 0;
   s.max_attempts = 0;
   EXPECT_EQ(check(s).size(), 4U);
   try {
@@ -269,7 +269,7 @@
   using All = std::vector<Finding>;
   EXPECT_EQ(found([](Settings& s) { s.connect_timeout = {}; }),
             (All{{Severity::kRefuse, "limits.connectTimeoutMs", "", ""}}));
-  EXPECT_EQ(found([](Settings& s) { s.idle_close = {}; }),
+  EXPECT_EQ(found([](Settings& s) { s.idle_timeout = {}; }),
             (All{{Severity::kRefuse, "limits.idleCloseMs", "", ""}}));
   EXPECT_EQ(found([](Settings& s) { s.connect_timeout = milliseconds(1001); }),
             (All{{Severity::kWarn, "limits.connectTimeoutMs", "", ""}}));
@@ -278,9 +278,9 @@
 // Of the budget only what the whole fleet could bring is known: two requests of ten a second would not do.
 TEST(Check, ABudgetUnderOneRequestIsSeenByTheQuotas) {
   Settings s = sound();
-  s.tip_multiple = 2;
-  s.cold_share = 0.5;
-  s.tip_window = milliseconds(100);
+  s.overload_multiple = 2;
+  s.warmup_initial_share = 0.5;
+  s.overload_window = milliseconds(100);
   s.tenants = {{"one", 9.9}};
   ASSERT_EQ(check(s).size(), 1U);
   EXPECT_EQ(check(s)[0].wanted, "at least 101.01 ms");
