--- a/tests/settings_world.cpp
+++ b/tests/settings_fixture.cpp
@@ -1,4 +1,4 @@
-#include "settings_world.hpp"
+#include "settings_fixture.hpp"
 
 #include <algorithm>
 #include <limits>
@@ -11,7 +11,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-const char* name_of(Verdict v) {
+const char* name_of(AttemptStatus v) {
   static const char* const names[] = {"served", "error",     "full",       "timeout", "connect failed",
                                       "reset",  "cancelled", "never sent", "read"};
   return names[static_cast<std::size_t>(v)];
@@ -24,10 +24,10 @@
   return out.str();
 }
 
-std::string told(const HostEntry& e) {
+std::string told(const EndpointInfo& e) {
   static const char* const states[] = {"gone", "draining", "ready"};
   std::ostringstream out;
-  out << e.host << "(" << e.kind << ", " << e.zone << "/" << e.cell << ", "
+  out << e.endpoint << "(" << e.kind << ", " << e.zone << "/" << e.cell << ", "
       << states[static_cast<std::size_t>(e.state)];
   if (e.started != Time{}) out << ", started " << ms(e.started);
   return out.str() + ")";
@@ -37,32 +37,32 @@
   return std::visit(
       [](const auto& e) -> std::string {
         using E = std::decay_t<decltype(e)>;
-        if constexpr (std::is_same_v<E, HostList>) {
+        if constexpr (std::is_same_v<E, EndpointList>) {
           static const char* const kinds[] = {"full", "failed", "cached", "delta"};
           std::string all = std::string("list ") + kinds[static_cast<std::size_t>(e.kind)];
-          for (const HostEntry& entry : e.entries) all += " " + told(entry);
+          for (const EndpointInfo& entry : e.entries) all += " " + told(entry);
           return all;
         } else if constexpr (std::is_same_v<E, Request>) {
           return "request " + e.id + " class " + e.request_class + " tokens " +
                  std::to_string(e.prompt_tokens) + " deadline " + ms(e.client_deadline);
-        } else if constexpr (std::is_same_v<E, Outcome>) {
-          return "outcome " + e.request + " attempt " + std::to_string(e.attempt) + " at " + e.host + ": " +
-                 name_of(e.verdict) + (e.finished ? ", finished" : "") +
+        } else if constexpr (std::is_same_v<E, AttemptCompleted>) {
+          return "outcome " + e.request + " attempt " + std::to_string(e.attempt) + " at " + e.endpoint +
+                 ": " + name_of(e.verdict) + (e.finished ? ", finished" : "") +
                  (e.note != 0 ? ", note " + std::to_string(e.note) : "");
         } else if constexpr (std::is_same_v<E, FirstToken>) {
-          return "first token " + e.request + " attempt " + std::to_string(e.attempt) + " at " + e.host;
-        } else if constexpr (std::is_same_v<E, HoldAnswer>) {
+          return "first token " + e.request + " attempt " + std::to_string(e.attempt) + " at " + e.endpoint;
+        } else if constexpr (std::is_same_v<E, ReservationResult>) {
           return "hold " + e.request + (e.held ? " held" : " not held");
         } else if constexpr (std::is_same_v<E, ClientGone>) {
           return "client gone " + e.request;
-        } else if constexpr (std::is_same_v<E, Timer>) {
+        } else if constexpr (std::is_same_v<E, TimerExpired>) {
           return "timer " + std::to_string(e.tag);
-        } else if constexpr (std::is_same_v<E, Maintenance>) {
-          return "maintenance " + e.host + (e.offline ? " offline" : " online");
-        } else if constexpr (std::is_same_v<E, Knowledge>) {
+        } else if constexpr (std::is_same_v<E, AdministrativeDrain>) {
+          return "maintenance " + e.endpoint + (e.offline ? " offline" : " online");
+        } else if constexpr (std::is_same_v<E, LearnedState>) {
           return "knowledge";
-        } else if constexpr (std::is_same_v<E, SentElsewhere>) {
-          return "sent elsewhere to " + e.host;
+        } else if constexpr (std::is_same_v<E, PeerForwarded>) {
+          return "sent elsewhere to " + e.endpoint;
         } else {
           return "new settings";
         }
@@ -74,19 +74,19 @@
   return std::visit(
       [](const auto& a) -> std::string {
         using A = std::decay_t<decltype(a)>;
-        if constexpr (std::is_same_v<A, Send>) {
-          return "send " + a.request + " to " + a.host + " not past " + ms(a.not_past);
-        } else if constexpr (std::is_same_v<A, Cancel>) {
+        if constexpr (std::is_same_v<A, StartAttempt>) {
+          return "send " + a.request + " to " + a.endpoint + " not past " + ms(a.deadline);
+        } else if constexpr (std::is_same_v<A, CancelAttempt>) {
           return "cancel " + a.request + " attempt " + std::to_string(a.attempt);
-        } else if constexpr (std::is_same_v<A, Refuse>) {
-          return "refuse " + a.request + (a.retry_in ? " retry in " + ms(*a.retry_in) : "");
+        } else if constexpr (std::is_same_v<A, Reject>) {
+          return "refuse " + a.request + (a.retry_after ? " retry in " + ms(*a.retry_after) : "");
         } else if constexpr (std::is_same_v<A, Fail>) {
           return "fail " + a.request;
-        } else if constexpr (std::is_same_v<A, Move>) {
+        } else if constexpr (std::is_same_v<A, MigrateStream>) {
           return "move " + a.request;
-        } else if constexpr (std::is_same_v<A, Hold>) {
-          return "hold " + a.request + " at " + a.host;
-        } else if constexpr (std::is_same_v<A, Release>) {
+        } else if constexpr (std::is_same_v<A, ReserveSlot>) {
+          return "hold " + a.request + " at " + a.endpoint;
+        } else if constexpr (std::is_same_v<A, ReleaseReservation>) {
           return "release " + a.request;
         } else if constexpr (std::is_same_v<A, SetTimer>) {
           return "timer " + std::to_string(a.tag) + " after " + ms(a.after);
@@ -99,35 +99,42 @@
       action);
 }
 
-bool proves_it_never_ran(Verdict v) {
-  return v == Verdict::kFull || v == Verdict::kConnectFailed || v == Verdict::kNeverSent ||
-         v == Verdict::kRead;
+bool proves_it_never_ran(AttemptStatus v) {
+  return v == AttemptStatus::kFull || v == AttemptStatus::kConnectFailed || v == AttemptStatus::kNeverSent ||
+         v == AttemptStatus::kRead;
 }
 
 }  // namespace
 
-World::World(std::vector<Settings> settings, std::vector<HostEntry> hosts, std::uint64_t seed)
+Fixture::Fixture(std::vector<Settings> settings, std::vector<EndpointInfo> endpoints, std::uint64_t seed)
     : settings_([&] {
         std::vector<std::shared_ptr<const Settings>> all;
         for (Settings& s : settings) all.push_back(std::make_shared<const Settings>(std::move(s)));
         return all;
       }()),
       router_(*settings_[0], seed),
-      twin_(*settings_[0], seed),
+      hot_restart_observer_(*settings_[0], seed),
       tick_(std::max<Duration>(settings_[0]->tick, milliseconds(1))),
-      first_(std::move(hosts)) {}
+      first_(std::move(endpoints)) {}
 
-void World::start() { send_list(ListKind::kCached, first_); }
+void Fixture::start() { send_list(ListKind::kCached, first_); }
 
-void World::note(const std::string& line) { transcript_.push_back(ms(now_) + "  " + line); }
+void Fixture::note(const std::string& line) { transcript_.push_back(ms(now_) + "  " + line); }
 
-void World::check(bool holds, const std::string& rule) const {
+void Fixture::check(bool holds, const std::string& rule) const {
   if (!holds) throw Broken(rule);
 }
 
-void World::pass(const Event& event) {
+void Fixture::pass(const Event& event) {
+  if (watcher_) {
+    const std::vector<Action> actions = router_.handle(now_, event);
+    watcher_(now_, event, actions);
+    for (const Action& action : actions) std::visit([this](const auto& a) { carry_out(a); }, action);
+    return;
+  }
   note(told(event));
-  const std::vector<Action> actions = router_.handle(now_, event), same = twin_.handle(now_, event);
+  const std::vector<Action> actions = router_.handle(now_, event),
+                            same = hot_restart_observer_.handle(now_, event);
   check(actions.size() == same.size(), "the same events made other actions");
   for (std::size_t i = 0; i < actions.size(); ++i) {
     note("    " + told(actions[i]));
@@ -136,14 +143,14 @@
   for (const Action& action : actions) std::visit([this](const auto& a) { carry_out(a); }, action);
 }
 
-int World::out(const Open& q) {
+int Fixture::out(const Open& q) {
   return static_cast<int>(
       std::count_if(q.attempts.begin(), q.attempts.end(), [](const Attempt& a) { return a.out; }));
 }
 
 // ---- what the router does ----
 
-World::Open& World::owed(const std::string& id, const char* what) {
+Fixture::Open& Fixture::owed(const std::string& id, const char* what) {
   const auto it = requests_.find(id);
   check(it != requests_.end(), std::string(what) + " of a request that never came");
   return it->second;
@@ -151,29 +158,32 @@
 
 // For an unsafe class any earlier attempt must be proven never to have run. For a keyed one, what goes on
 // after one that may have run, or is out, goes where it is known again, while it is remembered.
-void World::check_effect(const Open& q, const Known& to, const Send& send) const {
+void Fixture::check_effect(const Open& q, const Known& to, const StartAttempt& send) const {
   for (const Attempt& a : q.attempts) {
     if (a.reading || !(a.out || a.may_have_run)) continue;
-    check(q.cls.repeat != Repeat::kUnsafe, "unsafe: sent after an attempt that may have run");
-    if (q.cls.repeat != Repeat::kKeyed) continue;  // a further read counts as well
-    check(now_ - a.sent <= q.cls.window, "keyed: sent after the window of an attempt that may have run");
-    check(send.connect_by != Time{} && send.connect_by <= a.sent + q.cls.window,
+    check(q.cls.idempotency != Idempotency::kNonIdempotent,
+          "unsafe: sent after an attempt that may have run");
+    if (q.cls.idempotency != Idempotency::kKeyed) continue;  // a further read counts as well
+    check(now_ - a.sent <= q.cls.deduplication_window,
+          "keyed: sent after the window of an attempt that may have run");
+    check(send.connect_by != Time{} && send.connect_by <= a.sent + q.cls.deduplication_window,
           "keyed: may wait for a connection past the window of an attempt that may have run");
-    const HostEntry& ran = hosts_.at(a.host).entry;
+    const EndpointInfo& ran = endpoints_.at(a.endpoint).entry;
     const bool zone = ran.zone == to.entry.zone;
-    check(q.cls.group == Group::kAll || zone, "keyed: sent outside the group");
-    check(q.cls.group != Group::kCell || ran.cell == to.entry.cell, "keyed: sent outside the group");
+    check(q.cls.deduplication_scope == DeduplicationScope::kAll || zone, "keyed: sent outside the group");
+    check(q.cls.deduplication_scope != DeduplicationScope::kCell || ran.cell == to.entry.cell,
+          "keyed: sent outside the group");
   }
 }
 
-void World::carry_out(const Send& send) {
+void Fixture::carry_out(const StartAttempt& send) {
   Open& q = owed(send.request, "a send");
   check(!q.answered, "sent after the end");
   check(!q.begun, "sent after the first token");
   check(!q.gone, "sent after its client was gone");
   check(out(q) == 0 || q.rules->may_duplicate, "two attempts out where duplicates are barred");
-  const auto it = hosts_.find(send.host);
-  check(it != hosts_.end(), "sent to a host that no list named");
+  const auto it = endpoints_.find(send.endpoint);
+  check(it != endpoints_.end(), "sent to a host that no list named");
   const Known& to = it->second;
   check(!to.offline, "sent to a host that is offline");
   check(!to.told_off || now_ <= *to.told_off + settings_[current_]->drain_grace,
@@ -183,19 +193,19 @@
   check(static_cast<int>(q.attempts.size()) - free < q.rules->max_attempts, "more attempts than allowed");
   check_effect(q, to, send);
   Attempt a;
-  a.host = send.host;
+  a.endpoint = send.endpoint;
   a.reading = to.role == Role::kReader;
   a.needs_state = to.role == Role::kWriter && !settings_[current_]->writers_read;
   a.sent = now_;
   a.connect_by = send.connect_by;
-  check(!q.held_at || !q.rules->pinned_while_connecting ||
-            (a.connect_by != Time{} && a.connect_by <= q.idle_since + q.rules->pin_limit),
+  check(!q.held_at || !q.rules->reservation_expires_while_connecting ||
+            (a.connect_by != Time{} && a.connect_by <= q.idle_since + q.rules->reservation_limit),
         "a held state may wait past the pin limit for a connection");
-  a.not_past = send.not_past == Time{} ? q.r.client_deadline : std::min(send.not_past, q.r.client_deadline);
+  a.deadline = send.deadline == Time{} ? q.r.client_deadline : std::min(send.deadline, q.r.client_deadline);
   q.attempts.push_back(a);
 }
 
-void World::carry_out(const Cancel& cancel) {
+void Fixture::carry_out(const CancelAttempt& cancel) {
   check(settings_[current_]->may_cancel, "cancelled where that is not allowed");
   Open& q = owed(cancel.request, "a cancel");
   check(cancel.attempt >= 0 && cancel.attempt < static_cast<int>(q.attempts.size()),
@@ -204,14 +214,15 @@
   if (a.out && !a.begun && a.cancelled == Time{}) a.cancelled = now_ + tick_;
 }
 
-bool World::proven_harmless(const Open& q) const {
-  if (q.cls.repeat == Repeat::kSafe) return true;
-  if (q.cls.repeat == Repeat::kKeyed && q.cls.group == Group::kAll) return true;
+bool Fixture::proven_harmless(const Open& q) const {
+  if (q.cls.idempotency == Idempotency::kIdempotent) return true;
+  if (q.cls.idempotency == Idempotency::kKeyed && q.cls.deduplication_scope == DeduplicationScope::kAll)
+    return true;
   return std::none_of(q.attempts.begin(), q.attempts.end(),
                       [](const Attempt& a) { return !a.reading && (a.out || a.may_have_run); });
 }
 
-void World::check_answer(Open& q, const char* what) {
+void Fixture::check_answer(Open& q, const char* what) {
   check(!q.answered, std::string(what) + ": a second final answer");
   check(!q.begun, std::string(what) + " after the first token");
   check(!q.gone, std::string(what) + " after its client was gone");
@@ -219,18 +230,19 @@
   q.answered = true;
 }
 
-void World::carry_out(const Refuse& refuse) {
-  Open& q = owed(refuse.request, "a refusal");
+void Fixture::carry_out(const Reject& reject) {
+  Open& q = owed(reject.request, "a refusal");
   check_answer(q, "refused");
   check(proven_harmless(q), "refused what may have run");
-  if (!refuse.retry_in) return;
+  if (!reject.retry_after) return;
   check(q.rules->retry_advice, "advice where none may be given");
-  check(*refuse.retry_in >= Duration(0) && *refuse.retry_in <= q.rules->max_retry_in, "advice out of bounds");
+  check(*reject.retry_after >= Duration(0) && *reject.retry_after <= q.rules->max_retry_after,
+        "advice out of bounds");
 }
 
-void World::carry_out(const Fail& fail) { check_answer(owed(fail.request, "a failure"), "failed"); }
+void Fixture::carry_out(const Fail& fail) { check_answer(owed(fail.request, "a failure"), "failed"); }
 
-void World::carry_out(const Move& move) {
+void Fixture::carry_out(const MigrateStream& move) {
   Open& q = owed(move.request, "a move");
   check(settings_[current_]->resume, "moved where streams do not resume");
   check(q.begun && !q.answered && !q.gone, "moved what is no running stream");
@@ -240,31 +252,31 @@
   }
 }
 
-void World::carry_out(const Hold& hold) {
+void Fixture::carry_out(const ReserveSlot& hold) {
   owed(hold.request, "a hold");
   check(settings_[current_]->early_pairing, "held where that is not allowed");
-  check(hosts_.contains(hold.host), "held at a host that no list named");
+  check(endpoints_.contains(hold.endpoint), "held at a host that no list named");
 }
 
-void World::carry_out(const Release& release) {
+void Fixture::carry_out(const ReleaseReservation& release) {
   Open& q = owed(release.request, "a release");
   const bool awaited =
       std::any_of(q.attempts.begin(), q.attempts.end(), [](const Attempt& a) { return a.out && !a.reading; });
   if (!awaited) q.held_at.reset();
 }
 
-void World::carry_out(const SetTimer& timer) {
+void Fixture::carry_out(const SetTimer& timer) {
   check(timer.after >= Duration(0) && timer.after <= std::chrono::minutes(71), "a timer out of bounds");
   timers_.emplace(round_up(now_ + std::max(timer.after, tick_)), timer.tag);
 }
 
-void World::carry_out(const Subscribe&) {
-  check(settings_[current_]->list_by_asking, "asked for a list that comes by itself");
+void Fixture::carry_out(const Subscribe&) {
+  check(settings_[current_]->polls_endpoint_list, "asked for a list that comes by itself");
 }
 
 // ---- what happens ----
 
-void World::play(const Step& step) {
+void Fixture::play(const Step& step) {
   const int kind = step.kind % 100;
   if (kind < 22) return ask(step);
   if (kind < 52) return progress(step);
@@ -278,26 +290,26 @@
   }
   if (kind < 95) return list(step);
   if (kind < 97) {
-    auto at = hosts_.begin();
-    std::advance(at, static_cast<std::ptrdiff_t>(static_cast<std::size_t>(step.which) % hosts_.size()));
+    auto at = endpoints_.begin();
+    std::advance(at, static_cast<std::ptrdiff_t>(static_cast<std::size_t>(step.which) % endpoints_.size()));
     at->second.offline = step.how % 2 == 0;
-    return pass(Maintenance{at->first, at->second.offline});
+    return pass(AdministrativeDrain{at->first, at->second.offline});
   }
   if (kind < 98) return change_settings(step);
   if (kind < 99) {
-    if (step.how % 2 == 0) return pass(router_.knowledge());
-    auto at = hosts_.begin();
-    std::advance(at, static_cast<std::ptrdiff_t>(static_cast<std::size_t>(step.which) % hosts_.size()));
-    return pass(SentElsewhere{at->first});
+    if (step.how % 2 == 0) return pass(router_.learned_state());
+    auto at = endpoints_.begin();
+    std::advance(at, static_cast<std::ptrdiff_t>(static_cast<std::size_t>(step.which) % endpoints_.size()));
+    return pass(PeerForwarded{at->first});
   }
   if (!requests_.empty()) {  // an answer to a place that was perhaps never asked for
     auto at = requests_.begin();
     std::advance(at, static_cast<std::ptrdiff_t>(static_cast<std::size_t>(step.which) % requests_.size()));
-    pass(HoldAnswer{at->first, hosts_.begin()->first, step.how % 2 == 0});
+    pass(ReservationResult{at->first, endpoints_.begin()->first, step.how % 2 == 0});
   }
 }
 
-void World::ask(const Step& step) {
+void Fixture::ask(const Step& step) {
   const auto& rules = settings_[current_];
   const std::size_t cls = static_cast<std::size_t>(step.which) % rules->classes.size();
   Open q;
@@ -327,7 +339,7 @@
   if (step.much % 40 == 7 && !here.over()) pass(r);  // a known id is ignored
 }
 
-std::optional<std::pair<World::Open*, int>> World::pick_out(int which, bool begun_too) {
+std::optional<std::pair<Fixture::Open*, int>> Fixture::pick_out(int which, bool begun_too) {
   std::vector<std::pair<Open*, int>> all;
   for (auto& [id, q] : requests_) {
     for (std::size_t i = 0; i < q.attempts.size(); ++i) {
@@ -340,36 +352,36 @@
 }
 
 // What goes well: a read ends, a stream begins, a stream ends.
-void World::progress(const Step& step) {
+void Fixture::progress(const Step& step) {
   const auto chosen = pick_out(step.which, true);
   if (!chosen) return;
   const auto [q, number] = *chosen;
   const Attempt& a = q->attempts[static_cast<std::size_t>(number)];
-  if (a.reading) return end_attempt(*q, number, Verdict::kRead, q->r.prompt_tokens / 3, step);
-  if (a.begun) return end_attempt(*q, number, Verdict::kServed, 0, step);
-  if (a.needs_state && !state_there(*q)) return end_attempt(*q, number, Verdict::kFull, 1, step);
+  if (a.reading) return end_attempt(*q, number, AttemptStatus::kRead, q->r.prompt_tokens / 3, step);
+  if (a.begun) return end_attempt(*q, number, AttemptStatus::kServed, 0, step);
+  if (a.needs_state && !state_there(*q)) return end_attempt(*q, number, AttemptStatus::kFull, 1, step);
   // An answer may be so short that its end is all that is seen of it.
-  q->over() || step.how % 20 == 0 ? end_attempt(*q, number, Verdict::kServed, 0, step)
+  q->over() || step.how % 20 == 0 ? end_attempt(*q, number, AttemptStatus::kServed, 0, step)
                                   : begin_stream(*q, number);
 }
 
-void World::fail_attempt(const Step& step) {
+void Fixture::fail_attempt(const Step& step) {
   const auto chosen = pick_out(step.which, step.how % 4 == 0);
   if (!chosen) return;
   const auto [q, number] = *chosen;
   const Attempt& a = q->attempts[static_cast<std::size_t>(number)];
-  if (a.begun) return end_attempt(*q, number, Verdict::kReset, 0, step);
-  static const Verdict verdicts[] = {Verdict::kFull, Verdict::kConnectFailed, Verdict::kReset,
-                                     Verdict::kError};
-  const Verdict v = step.which % 50 == 9 ? Verdict::kNeverSent : verdicts[step.much % 4];
+  if (a.begun) return end_attempt(*q, number, AttemptStatus::kReset, 0, step);
+  static const AttemptStatus verdicts[] = {AttemptStatus::kFull, AttemptStatus::kConnectFailed,
+                                           AttemptStatus::kReset, AttemptStatus::kError};
+  const AttemptStatus v = step.which % 50 == 9 ? AttemptStatus::kNeverSent : verdicts[step.much % 4];
   // An answer that had begun and was spoilt took the state along; a state may be lost at its reader.
   const bool with_state = !a.reading && state_there(*q);
-  const bool may_note = v == Verdict::kFull || v == Verdict::kReset || v == Verdict::kError;
+  const bool may_note = v == AttemptStatus::kFull || v == AttemptStatus::kReset || v == AttemptStatus::kError;
   const int noted = may_note && with_state && step.much % 3 == 0 ? 1 : 0;
   end_attempt(*q, number, v, noted, step);
 }
 
-void World::leave(const Step& step) {
+void Fixture::leave(const Step& step) {
   std::vector<Open*> here;
   for (auto& [id, q] : requests_) {
     if (!q.answered && !q.gone) here.push_back(&q);
@@ -380,30 +392,31 @@
   pass(ClientGone{q.r.id});
 }
 
-void World::begin_stream(Open& q, int number) {
+void Fixture::begin_stream(Open& q, int number) {
   Attempt& a = q.attempts[static_cast<std::size_t>(number)];
   a.begun = true;
   a.cancelled = {};
   q.begun = true;
   q.held_at.reset();
-  pass(FirstToken{q.r.id, a.host, number, now_ - a.sent});
+  pass(FirstToken{q.r.id, a.endpoint, number, now_ - a.sent});
 }
 
-void World::end_attempt(Open& q, int number, Verdict verdict, int noted, const Step& step) {
+void Fixture::end_attempt(Open& q, int number, AttemptStatus verdict, int noted, const Step& step) {
   Attempt& a = q.attempts[static_cast<std::size_t>(number)];
   a.out = false;
   // One that came up is no failed connection: the host turns it away.
-  if (verdict == Verdict::kConnectFailed && a.connect_by != Time{} && now_ > a.connect_by)
-    verdict = Verdict::kFull, noted = 0;
+  if (verdict == AttemptStatus::kConnectFailed && a.connect_by != Time{} && now_ > a.connect_by)
+    verdict = AttemptStatus::kFull, noted = 0;
   a.may_have_run = !a.reading && !proves_it_never_ran(verdict);
-  a.free = verdict == Verdict::kConnectFailed && number < q.rules->free_connects;
-  if (verdict == Verdict::kRead) q.held_at = a.host;
-  if (verdict == Verdict::kServed) q.held_at.reset();
-  if (noted == 1 && !a.reading && verdict != Verdict::kServed) q.held_at.reset();
-  if (verdict != Verdict::kConnectFailed || !q.rules->pinned_while_connecting) q.idle_since = now_;
-  Outcome o{q.r.id, a.host, number, verdict, now_ - a.sent, false, noted, {}};
+  a.free = verdict == AttemptStatus::kConnectFailed && number < q.rules->free_connect_failures;
+  if (verdict == AttemptStatus::kRead) q.held_at = a.endpoint;
+  if (verdict == AttemptStatus::kServed) q.held_at.reset();
+  if (noted == 1 && !a.reading && verdict != AttemptStatus::kServed) q.held_at.reset();
+  if (verdict != AttemptStatus::kConnectFailed || !q.rules->reservation_expires_while_connecting)
+    q.idle_since = now_;
+  AttemptCompleted o{q.r.id, a.endpoint, number, verdict, now_ - a.sent, false, noted, {}};
   // The first answer that is served ends a request, and so does the break of a stream that had begun.
-  o.finished = q.answered || q.gone || verdict == Verdict::kServed || a.begun;
+  o.finished = q.answered || q.gone || verdict == AttemptStatus::kServed || a.begun;
   if (o.finished && !q.gone && !q.answered) q.answered = true;
   if (settings_[current_]->report_source == ReportSource::kInAnswers && step.how % 2 == 0) {
     o.report.memory_share = step.much / 1000.0;
@@ -413,109 +426,110 @@
   pass(o);
 }
 
-void World::lose_states(const std::string& host) {
+void Fixture::lose_states(const std::string& endpoint) {
   for (auto& [id, q] : requests_) {
-    if (q.held_at == host) q.held_at.reset();
+    if (q.held_at == endpoint) q.held_at.reset();
   }
 }
 
-void World::send_list(ListKind kind, std::vector<HostEntry> entries) {
+void Fixture::send_list(ListKind kind, std::vector<EndpointInfo> entries) {
   if (kind == ListKind::kFull || kind == ListKind::kCached) {
-    for (auto& [name, h] : hosts_) {
-      const bool listed =
-          std::any_of(entries.begin(), entries.end(), [&](const HostEntry& e) { return e.host == name; });
+    for (auto& [name, h] : endpoints_) {
+      const bool listed = std::any_of(entries.begin(), entries.end(),
+                                      [&](const EndpointInfo& e) { return e.endpoint == name; });
       if (listed) continue;
       if (!h.told_off) h.told_off = now_;
       lose_states(name);
     }
   }
-  for (const HostEntry& e : entries) {
+  for (const EndpointInfo& e : entries) {
     const auto& kinds = settings_[current_]->kinds;
     const auto kind_of =
-        std::find_if(kinds.begin(), kinds.end(), [&](const HostKind& k) { return k.name == e.kind; });
-    Known& h = hosts_[e.host];
-    if (h.entry.started != e.started || e.state == HostState::kGone) lose_states(e.host);
+        std::find_if(kinds.begin(), kinds.end(), [&](const EndpointKind& k) { return k.name == e.kind; });
+    Known& h = endpoints_[e.endpoint];
+    if (h.entry.started != e.started || e.state == EndpointState::kRemoved) lose_states(e.endpoint);
     h.entry = e;
     h.role = kind_of->role;
-    if (e.state == HostState::kReady)
+    if (e.state == EndpointState::kReady)
       h.told_off.reset();
     else if (!h.told_off)
       h.told_off = now_;
   }
-  pass(HostList{kind, std::move(entries)});
+  pass(EndpointList{kind, std::move(entries)});
 }
 
-void World::list(const Step& step) {
-  if (step.how % 10 == 0) return pass(HostList{ListKind::kFailed, {}});
+void Fixture::list(const Step& step) {
+  if (step.how % 10 == 0) return pass(EndpointList{ListKind::kFailed, {}});
   if (step.how % 10 == 1) {  // a whole list, without some of the hosts
-    std::vector<HostEntry> entries;
+    std::vector<EndpointInfo> entries;
     int i = 0;
-    for (const auto& [name, h] : hosts_) {
+    for (const auto& [name, h] : endpoints_) {
       if (step.much % (2 + i++ % 5) != 1) entries.push_back(h.entry);
     }
     return send_list(ListKind::kFull, std::move(entries));
   }
-  auto at = hosts_.begin();
-  std::advance(at, static_cast<std::ptrdiff_t>(static_cast<std::size_t>(step.which) % hosts_.size()));
-  HostEntry e = at->second.entry;
+  auto at = endpoints_.begin();
+  std::advance(at, static_cast<std::ptrdiff_t>(static_cast<std::size_t>(step.which) % endpoints_.size()));
+  EndpointInfo e = at->second.entry;
   switch (step.how % 10) {
     case 2:
     case 3:
-      e.state = HostState::kDraining;
+      e.state = EndpointState::kDraining;
       break;
     case 4:
-      e.state = HostState::kGone;
+      e.state = EndpointState::kRemoved;
       break;
     case 5:
     case 6:  // a new process
-      e.state = HostState::kReady;
+      e.state = EndpointState::kReady;
       e.started = now_;
       break;
     case 7:  // a new machine
-      e.state = HostState::kReady;
-      e.host += "n" + std::to_string(restarts_++);
+      e.state = EndpointState::kReady;
+      e.endpoint += "n" + std::to_string(restarts_++);
       e.started = now_;
       break;
     default:
-      e.state = HostState::kReady;
+      e.state = EndpointState::kReady;
   }
   send_list(ListKind::kDelta, {e});
 }
 
 // The list is read anew by the new settings, as their kinds may have other duties.
-void World::change_settings(const Step&) {
+void Fixture::change_settings(const Step&) {
   if (settings_.size() < 2) return;
   current_ = (current_ + 1) % settings_.size();
-  pass(NewSettings{settings_[current_]});
-  std::vector<HostEntry> entries;
-  for (const auto& [name, h] : hosts_) {
-    if (h.entry.state != HostState::kGone) entries.push_back(h.entry);
+  pass(SettingsChanged{settings_[current_]});
+  std::vector<EndpointInfo> entries;
+  for (const auto& [name, h] : endpoints_) {
+    if (h.entry.state != EndpointState::kRemoved) entries.push_back(h.entry);
   }
   send_list(ListKind::kFull, std::move(entries));
 }
 
 // ---- time ----
 
-Time World::round_up(Time time) const { return (time + tick_ - Duration(1)) / tick_ * tick_; }
+Time Fixture::round_up(Time time) const { return (time + tick_ - Duration(1)) / tick_ * tick_; }
 
-Time World::ends(const Open&, const Attempt& a) const {
+Time Fixture::ends(const Open&, const Attempt& a) const {
   if (a.cancelled != Time{}) return round_up(a.cancelled);
-  return a.begun ? Time::max() : round_up(std::max(a.not_past, a.sent + Duration(1)));
+  return a.begun ? Time::max() : round_up(std::max(a.deadline, a.sent + Duration(1)));
 }
 
-bool World::end_due() {
+bool Fixture::end_due() {
   for (auto& [id, q] : requests_) {
     for (std::size_t i = 0; i < q.attempts.size(); ++i) {
       const Attempt& a = q.attempts[i];
       if (!a.out || ends(q, a) > now_) continue;
-      end_attempt(q, static_cast<int>(i), a.cancelled != Time{} ? Verdict::kCancelled : Verdict::kTimeout, 0);
+      end_attempt(q, static_cast<int>(i),
+                  a.cancelled != Time{} ? AttemptStatus::kCancelled : AttemptStatus::kTimeout, 0);
       return true;
     }
   }
   return false;
 }
 
-void World::let_pass(Duration time) {
+void Fixture::let_pass(Duration time) {
   const Time until = round_up(now_ + time);
   for (;;) {
     while (end_due()) {
@@ -523,7 +537,7 @@
     if (!timers_.empty() && timers_.begin()->first <= now_) {
       const std::uint64_t tag = timers_.begin()->second;
       timers_.erase(timers_.begin());
-      pass(Timer{tag});
+      pass(TimerExpired{tag});
       continue;
     }
     if (now_ >= until) return;
@@ -538,18 +552,18 @@
     for (const auto& [id, q] : requests_) {
       check(q.over() || now_ <= q.r.client_deadline + q.rules->answer_slack,
             id + " has no final answer by deadline and slack");
-      check(!q.held_at || out(q) > 0 || now_ <= q.idle_since + q.rules->pin_limit,
+      check(!q.held_at || out(q) > 0 || now_ <= q.idle_since + q.rules->reservation_limit,
             id + ": its state is held past the pin limit");
     }
   }
 }
 
-void World::finish(bool in_haste) {
+void Fixture::finish(bool in_haste) {
   note("-- the end: no more requests --");
   if (in_haste) {
     for (std::size_t i = 0; i < requests_.size(); ++i) leave({});
     while (const auto chosen = pick_out(0, true))
-      end_attempt(*chosen->first, chosen->second, Verdict::kReset, 0);
+      end_attempt(*chosen->first, chosen->second, AttemptStatus::kReset, 0);
   }
   const auto open = [&] {
     return std::any_of(requests_.begin(), requests_.end(),
@@ -560,7 +574,7 @@
     for (auto& [id, q] : requests_) {
       for (std::size_t n = 0; n < q.attempts.size(); ++n) {
         if (q.attempts[n].out && q.attempts[n].begun)
-          end_attempt(q, static_cast<int>(n), Verdict::kServed, 0);
+          end_attempt(q, static_cast<int>(n), AttemptStatus::kServed, 0);
       }
     }
     let_pass(milliseconds(100));
@@ -569,8 +583,8 @@
                      [](const auto& e) { return e.second.held_at.has_value(); }),
         "a state is still held");
   check(router_.table_sizes().requests == 0, "requests are left in the table");
-  send_list(ListKind::kFull, {hosts_.begin()->second.entry});
-  check(router_.table_sizes().hosts <= 1, "hosts that are gone are left in the table");
+  send_list(ListKind::kFull, {endpoints_.begin()->second.entry});
+  check(router_.table_sizes().endpoints <= 1, "hosts that are gone are left in the table");
   check(router_.table_sizes().index_keys <= 2 * requests_.size(), "more texts are kept than came");
 }
 
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -87,36 +87,41 @@
   EXPECT_EQ(r.length_hint, Duration(2000));
   EXPECT_TRUE(r.client_retry && r.resubmitted);
   EXPECT_EQ(r.tenant, "t");
-  const std::pair<const char*, Verdict> verdicts[] = {
-      {"S", Verdict::kServed},    {"E", Verdict::kError},         {"F", Verdict::kFull},
-      {"T", Verdict::kTimeout},   {"C", Verdict::kConnectFailed}, {"R", Verdict::kReset},
-      {"X", Verdict::kCancelled}, {"N", Verdict::kNeverSent},     {"ready_to_answer", Verdict::kRead}};
+  const std::pair<const char*, AttemptStatus> verdicts[] = {{"S", AttemptStatus::kServed},
+                                                            {"E", AttemptStatus::kError},
+                                                            {"F", AttemptStatus::kFull},
+                                                            {"T", AttemptStatus::kTimeout},
+                                                            {"C", AttemptStatus::kConnectFailed},
+                                                            {"R", AttemptStatus::kReset},
+                                                            {"X", AttemptStatus::kCancelled},
+                                                            {"N", AttemptStatus::kNeverSent},
+                                                            {"ready_to_answer", AttemptStatus::kRead}};
   for (const auto& [word, verdict] : verdicts) {
     const Json f{{"req", "a"}, {"host", "h"}, {"verdict", word}, {"trial", 2}, {"note", 1}};
-    EXPECT_EQ(std::get<Outcome>(*parse_event("closedAttempt", f)).verdict, verdict);
+    EXPECT_EQ(std::get<AttemptCompleted>(*parse_event("closedAttempt", f)).verdict, verdict);
   }
-  EXPECT_TRUE(std::get<HoldAnswer>(*read("answerAhead", R"({"req":"a","host":"h","what":1})")).held);
-  EXPECT_FALSE(std::get<HoldAnswer>(*read("answerAhead", R"({"req":"a","host":"h","what":2})")).held);
+  EXPECT_TRUE(std::get<ReservationResult>(*read("answerAhead", R"({"req":"a","host":"h","what":1})")).held);
+  EXPECT_FALSE(std::get<ReservationResult>(*read("answerAhead", R"({"req":"a","host":"h","what":2})")).held);
   EXPECT_EQ(std::get<ClientGone>(*read("clientLeft", R"({"req":"a"})")).request, "a");
-  EXPECT_EQ(std::get<Timer>(*read("tickDue", R"({"tag":77})")).tag, 77U);
+  EXPECT_EQ(std::get<TimerExpired>(*read("tickDue", R"({"tag":77})")).tag, 77U);
   EXPECT_FALSE(read("somethingNew", "{}"));
 }
 
 TEST(Wire, EveryActionIsWritten) {
   const auto put = [](const Action& a) { return format_action("d", a); };
-  EXPECT_EQ(put(Send{"a", "h", Time(1500)}),
+  EXPECT_EQ(put(StartAttempt{"a", "h", Time(1500)}),
             R"({"attempt":{"dispatcher":"d","host":"h","notPastMs":1.5,"req":"a"}})");
-  EXPECT_EQ(put(Cancel{"a", 2}), R"({"retract":{"dispatcher":"d","req":"a","trial":2}})");
-  EXPECT_EQ(put(Refuse{"a", Duration(250000)}),
+  EXPECT_EQ(put(CancelAttempt{"a", 2}), R"({"retract":{"dispatcher":"d","req":"a","trial":2}})");
+  EXPECT_EQ(put(Reject{"a", Duration(250000)}),
             R"({"sayNo":{"dispatcher":"d","req":"a","retryInMs":250.0}})");
-  EXPECT_EQ(put(Refuse{"a", std::nullopt}), R"({"sayNo":{"dispatcher":"d","req":"a"}})");
+  EXPECT_EQ(put(Reject{"a", std::nullopt}), R"({"sayNo":{"dispatcher":"d","req":"a"}})");
   EXPECT_EQ(put(Fail{"a"}), R"({"lose":{"dispatcher":"d","req":"a"}})");
-  EXPECT_EQ(put(Move{"a"}), R"({"bounce":{"dispatcher":"d","req":"a"}})");
-  EXPECT_EQ(put(Hold{"a", "h"}), R"({"ahead":{"dispatcher":"d","host":"h","req":"a"}})");
-  EXPECT_EQ(put(Release{"a"}), R"({"dropState":{"dispatcher":"d","req":"a"}})");
+  EXPECT_EQ(put(MigrateStream{"a"}), R"({"bounce":{"dispatcher":"d","req":"a"}})");
+  EXPECT_EQ(put(ReserveSlot{"a", "h"}), R"({"ahead":{"dispatcher":"d","host":"h","req":"a"}})");
+  EXPECT_EQ(put(ReleaseReservation{"a"}), R"({"dropState":{"dispatcher":"d","req":"a"}})");
   EXPECT_EQ(put(SetTimer{Duration(500), 7}), R"({"setAlarm":{"dispatcher":"d","fromNowMs":0.5,"tag":7}})");
   EXPECT_EQ(put(Subscribe{}), R"({"tail":{"dispatcher":"d","on":true}})");
-  EXPECT_EQ(put(Log{"x"}), R"({"remark":{"dispatcher":"d","msg":"x"}})");
+  EXPECT_EQ(put(LogMessage{"x"}), R"({"remark":{"dispatcher":"d","msg":"x"}})");
 }
 
 TEST(Wire, MalformedLinesNameTheField) {
@@ -148,14 +153,14 @@
   told["guarantees"]["askEveryMs"] = 10000;
   told["limits"].update({{"mayProbe", true}, {"mayDuplicate", true}, {"peers", true}, {"openCap", 27264}});
   const Settings s = parse_settings(told);
-  EXPECT_TRUE(s.may_probe && s.may_duplicate && s.peers && s.marks_retry && s.worth_by_work);
+  EXPECT_TRUE(s.may_probe && s.may_duplicate && s.peers && s.clients_mark_retries && s.weight_by_work);
   EXPECT_EQ(s.report_source, ReportSource::kInAnswers);
   EXPECT_EQ(s.report_fields, (std::vector<LoadField>{LoadField::kPromptKilotokens, LoadField::kInHand}));
   EXPECT_EQ(s.weights, WeightMeaning::kRough);
   EXPECT_EQ(s.zones, (std::vector<std::string>{"east", "west"}));
-  EXPECT_EQ(s.ask_every, std::chrono::seconds(10));
-  EXPECT_EQ(s.most_open, 27264);
-  EXPECT_EQ(s.classes[0].objective_stretch, 1.5);
+  EXPECT_EQ(s.poll_interval, std::chrono::seconds(10));
+  EXPECT_EQ(s.max_open_requests, 27264);
+  EXPECT_EQ(s.classes[0].latency_objective_stretch, 1.5);
   const Prices& p = s.prices;
   EXPECT_EQ((std::vector<double>{p.waste, p.probe, p.cross_zone, p.late_fail, p.peer, p.far, p.move,
                                  p.connection, p.handshake, p.list_line}),
@@ -172,11 +177,11 @@
     if (absent.is_object()) told["prices"] = told["goal"] = told["loadInfo"] = told["clientHabits"] = absent;
     told["weights"] = told["worthBy"] = told["dcs"] = nullptr;
     const Settings s = parse_settings(told);
-    EXPECT_FALSE(s.may_probe || s.may_duplicate || s.peers || s.marks_retry || s.worth_by_work);
+    EXPECT_FALSE(s.may_probe || s.may_duplicate || s.peers || s.clients_mark_retries || s.weight_by_work);
     EXPECT_EQ(s.report_source, ReportSource::kNone);
     EXPECT_EQ(s.weights, WeightMeaning::kNothing);
     EXPECT_TRUE(s.report_fields.empty() && s.zones.empty());
-    EXPECT_EQ(s.prices.waste + s.prices.probe + s.prices.far + s.goal.whole + s.most_open, 0);
+    EXPECT_EQ(s.prices.waste + s.prices.probe + s.prices.far + s.goal.whole + s.max_open_requests, 0);
   }
 }
 
@@ -187,7 +192,7 @@
   const Settings s = parse_settings(told);
   EXPECT_EQ(s.weights, WeightMeaning::kNothing);
   EXPECT_EQ(s.report_source, ReportSource::kNone);
-  EXPECT_FALSE(s.worth_by_work);
+  EXPECT_FALSE(s.weight_by_work);
 }
 
 TEST(Wire, SettingsThatCannotWorkAreTheFaultAction) {
