--- a/adapter/wire.cpp
+++ b/adapter/wire.cpp
@@ -163,7 +163,7 @@
     o.request = need<std::string>(f, "req");
     o.endpoint = need<std::string>(f, "host");
     o.attempt = opt<int>(f, "trial");
-    o.verdict = parse_verdict(need<std::string>(f, "verdict"));
+    o.status = parse_verdict(need<std::string>(f, "verdict"));
     o.elapsed = opt_ms(f, "delaySeenMs");
     o.finished = opt<bool>(f, "doneFlag");
     o.note = opt<int>(f, "note");
--- a/include/routing/router.hpp
+++ b/include/routing/router.hpp
@@ -165,11 +165,11 @@
 struct AttemptCompleted {
   std::string request, endpoint;
   int attempt{};
-  AttemptStatus verdict{};
+  AttemptStatus status{};
   Duration elapsed{};
   bool finished{};
-  int note{};  // kRead, kServed: prompt tokens found kept. kFull: 1 if there was no state to fetch. kError,
-               // kReset: 1 if an answer had begun, so that its state was fetched and the host does run.
+  int note{};  // kRead, kServed: prompt tokens found cached. kFull: 1 if there was no state to fetch. kError,
+               // kReset: 1 if an answer had begun, so that its state was fetched and the endpoint does run.
                // kConnectFailed: 1 if the connection had been made
   LoadReport report;
 };
--- a/src/engine/engine.cpp
+++ b/src/engine/engine.cpp
@@ -258,7 +258,7 @@
 void Engine::ended(AttemptId attempt, const AttemptResult& ending) {
   InFlightRequest* flight = nullptr;
   // Nobody wanted it any more: its client has gone, which the front is about to tell.
-  const bool unwanted = ending.verdict == AttemptStatus::kNeverSent && !ending.unusable;
+  const bool unwanted = ending.status == AttemptStatus::kNeverSent && !ending.unusable;
   if (unwanted && find_out(attempt, &flight) != nullptr) client_gone(attempt.request);
   if (find_out(attempt, &flight) != nullptr) close(attempt.request, attempt.number, ending);
 }
@@ -279,14 +279,14 @@
 }
 
 // Ends an attempt from this side: a time-out, a cancel, or a stream that nobody reads or feeds.
-void Engine::give_up_attempt(SlotId id, int number, AttemptStatus verdict) {
+void Engine::give_up_attempt(SlotId id, int number, AttemptStatus status) {
   InFlightRequest* flight = nullptr;
   if (find_out({id, number}, &flight) == nullptr) return;
   const bool made = upstream_.under_way({id, number}), delivered = upstream_.abandon({id, number});
-  if (!delivered && verdict == AttemptStatus::kTimeout) verdict = AttemptStatus::kConnectFailed;
-  if (!delivered && verdict == AttemptStatus::kCancelled && flight->answered)
-    verdict = AttemptStatus::kNeverSent;
-  close(id, number, {verdict, made && verdict == AttemptStatus::kConnectFailed ? 1 : 0, {}});
+  if (!delivered && status == AttemptStatus::kTimeout) status = AttemptStatus::kConnectFailed;
+  if (!delivered && status == AttemptStatus::kCancelled && flight->answered)
+    status = AttemptStatus::kNeverSent;
+  close(id, number, {status, made && status == AttemptStatus::kConnectFailed ? 1 : 0, {}});
 }
 
 // The one place where an attempt ends.
@@ -296,28 +296,27 @@
   attempt.out = false;
   const Time limit = attempt.limit.first;
   timers_.drop(attempt.limit);
-  AttemptStatus verdict = ending.verdict;
+  AttemptStatus status = ending.status;
   if (flight.streaming == number && !flight.answered) {
     answered(flight);
-    if (verdict == AttemptStatus::kServed) {
+    if (status == AttemptStatus::kServed) {
       flight.front->finish(flight.client);
     } else {
       log_("stream " + flight.id + " broke at host " + attempt.endpoint);
       flight.front->cut(flight.client);
     }
-  } else if (verdict == AttemptStatus::kServed && flight.streaming != number) {
-    verdict = AttemptStatus::kError;  // a stream without one event: nothing to pass on, yet it may have run
+  } else if (status == AttemptStatus::kServed && flight.streaming != number) {
+    status = AttemptStatus::kError;  // a stream without one event: nothing to pass on, yet it may have run
   }
-  flight.timed_out = verdict == AttemptStatus::kTimeout;
-  if (verdict == AttemptStatus::kConnectFailed && number < flight.rules->free_connect_failures)
-    --flight.spent;
+  flight.timed_out = status == AttemptStatus::kTimeout;
+  if (status == AttemptStatus::kConnectFailed && number < flight.rules->free_connect_failures) --flight.spent;
   const Time runs_until = limit + flight.rules->reservation_limit / kStrayPart;
-  const bool left = flight.held.attempt_ended({verdict, ending.note, attempt.reads, runs_until}, clock_());
+  const bool left = flight.held.attempt_ended({status, ending.note, attempt.reads, runs_until}, clock_());
   if (ending.unusable && !flight.answered) {
     answered(flight);
     flight.front->fail(flight.client, Failure::kInvalidRequest);
   }
-  AttemptCompleted outcome{flight.id,       attempt.endpoint, number,       verdict, clock_() - attempt.sent,
+  AttemptCompleted outcome{flight.id,       attempt.endpoint, number,       status, clock_() - attempt.sent,
                            flight.answered, ending.note,      ending.report};
   request_log_.ended(outcome);
   if (flight.held.may_hold() && !any_under_way(id)) stray(id, left);
--- a/src/engine/engine.hpp
+++ b/src/engine/engine.hpp
@@ -82,7 +82,7 @@
 };
 
 struct AttemptResult {
-  AttemptStatus verdict{};
+  AttemptStatus status{};
   int note = 0;  // as in routing::AttemptCompleted
   routing::LoadReport report;
   bool unusable = false;  // the replica can't use this request, nor could another
@@ -193,7 +193,7 @@
   void do_send(const routing::StartAttempt& send);
   void do_cancel(const routing::CancelAttempt& cancel);
   void close(SlotId id, int number, const AttemptResult& ending);
-  void give_up_attempt(SlotId id, int number, AttemptStatus verdict);
+  void give_up_attempt(SlotId id, int number, AttemptStatus status);
   void give_up_unwritten(SlotId id);
   void stray(SlotId id, bool anew);
   bool any_under_way(SlotId id);
--- a/src/engine/request_log.cpp
+++ b/src/engine/request_log.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-constexpr std::array<std::string_view, 9> kVerdicts = {
+constexpr std::array<std::string_view, 9> kAttemptStatusNames = {
     "served", "error", "full", "timeout", "connect-failed", "reset", "cancelled", "never-sent", "read"};
 
 std::string ms(routing::Duration d) {
@@ -42,7 +42,7 @@
 void RequestLog::ended(const routing::AttemptCompleted& o) const {
   if (!sink_) return;
   std::string rest = "ended" + at(o.endpoint, o.attempt) +
-                     " verdict=" + std::string(kVerdicts.at(static_cast<std::size_t>(o.verdict))) +
+                     " verdict=" + std::string(kAttemptStatusNames.at(static_cast<std::size_t>(o.status))) +
                      " ms=" + ms(o.elapsed) + " note=" + std::to_string(o.note);
   if (o.report.memory_share) rest += " memory=" + std::to_string(*o.report.memory_share);
   if (o.report.prompt_kilotokens) rest += " waiting=" + std::to_string(*o.report.prompt_kilotokens);
--- a/src/engine/reservation_tracker.cpp
+++ b/src/engine/reservation_tracker.cpp
@@ -7,7 +7,7 @@
 using routing::AttemptStatus;
 
 bool ReservationTracker::attempt_ended(const End& end, Time now) {
-  const AttemptStatus v = end.verdict;
+  const AttemptStatus v = end.status;
   const bool astray =
       v == AttemptStatus::kCancelled || v == AttemptStatus::kTimeout || v == AttemptStatus::kReset;
   const bool spoilt = v == AttemptStatus::kError && end.note == 1;
--- a/src/engine/reservation_tracker.hpp
+++ b/src/engine/reservation_tracker.hpp
@@ -10,7 +10,7 @@
 class ReservationTracker {
  public:
   struct End {
-    routing::AttemptStatus verdict{};
+    routing::AttemptStatus status{};
     int note = 0;        // as in routing::AttemptCompleted
     bool reads = false;  // at a reader
     Time runs_until{};   // if it broke, it may run on up to then
--- a/src/routing/router.cpp
+++ b/src/routing/router.cpp
@@ -273,11 +273,11 @@
   // Two failures in a row eject; while the role's hosts fail hardly ever, the first one tells enough, and so
   // does a new connection that never comes up. `lives`: the host runs, or did a moment ago, and one
   // connection or answer broke: leaving such hosts out had half of the fleet out, and a jam at the rest.
-  void note_failure(Endpoint& h, AttemptStatus verdict, bool lives = false) {
+  void note_failure(Endpoint& h, AttemptStatus status, bool lives = false) {
     double& fails = fails_[ix(h.role)];
     h.doubt += 1;
-    const bool broken = verdict == AttemptStatus::kConnectFailed || verdict == AttemptStatus::kReset;
-    const bool late = verdict == AttemptStatus::kTimeout;
+    const bool broken = status == AttemptStatus::kConnectFailed || status == AttemptStatus::kReset;
+    const bool late = status == AttemptStatus::kTimeout;
     const double enough = (fails < kSound ? kDoubtAlone : kDoubt) + (lives ? 1 : 0);
     if ((broken && !lives) || h.ejected || h.doubt >= enough)
       eject(h, broken ? "unreachable" : late ? "silent" : "errors", late);
@@ -900,9 +900,9 @@
     if (it == requests_.end() || !it->second.out || it->second.attempts - 1 != o.attempt) return;
     Pending& q = it->second;
     const Phase phase = q.phase;
-    detach(q, o.verdict);
+    detach(q, o.status);
     if (h != nullptr) observe_end(*h, q, o, phase);
-    if (o.verdict == AttemptStatus::kRead) {
+    if (o.status == AttemptStatus::kRead) {
       q.state_held = true;
       q.reader = o.endpoint;
       q.read_time = o.elapsed;
@@ -913,7 +913,7 @@
       release(q);
       return settle(q);
     }
-    const AttemptStatus v = o.verdict;
+    const AttemptStatus v = o.status;
     if (v == AttemptStatus::kConnectFailed && q.attempts <= q.rules->free_connect_failures) --q.spent;
     const bool proves_idle = v == AttemptStatus::kFull || v == AttemptStatus::kConnectFailed ||
                              v == AttemptStatus::kNeverSent || phase == Phase::kReading;
@@ -933,7 +933,7 @@
   }
 
   void observe_end(Endpoint& h, const Pending& q, const AttemptCompleted& o, Phase phase) {
-    const AttemptStatus v = o.verdict;
+    const AttemptStatus v = o.status;
     if (v == AttemptStatus::kRead) {
       observe_start(h, q, o.elapsed);
       // Logged only: a clear index measured as worse, for it is kept again (leuven rough-1 0.87 -> 0.28).
--- a/src/upstream/connection_pool.cpp
+++ b/src/upstream/connection_pool.cpp
@@ -254,10 +254,10 @@
 }
 
 // Nothing was sent; the engine must not hear of it before its own call has returned.
-void ConnectionPool::fail_later(AttemptId attempt, AttemptStatus verdict) {
+void ConnectionPool::fail_later(AttemptId attempt, AttemptStatus status) {
   attempts_[attempt] = SlotId{};
-  timers_.add(clock_(), [this, attempt, verdict] {
-    if (attempts_.erase(attempt) > 0) engine_->ended(attempt, {verdict, 0, {}});
+  timers_.add(clock_(), [this, attempt, status] {
+    if (attempts_.erase(attempt) > 0) engine_->ended(attempt, {status, 0, {}});
   });
 }
 
@@ -502,15 +502,15 @@
 }
 
 // The exchange ended without an answer.
-void ConnectionPool::lost(SlotId id, AttemptStatus verdict, bool blameless) {
+void ConnectionPool::lost(SlotId id, AttemptStatus status, bool blameless) {
   PooledConnection* line = lines_.find(id);
   if (line == nullptr) return;
   const Kind kind = line->kind;
   const AttemptId attempt = line->attempt;
   const std::string lease = line->id;
   engine::AttemptResult ending = line->ending;
-  ending.verdict = verdict;
-  const bool made = verdict == AttemptStatus::kConnectFailed && line->connected;
+  ending.status = status;
+  const bool made = status == AttemptStatus::kConnectFailed && line->connected;
   ending.note = line->answers || made || blameless ? 1 : 0;
   if (line->reused && !line->answers) reuse_failed_ = clock_();
   drop(id);
--- a/src/upstream/connection_pool.hpp
+++ b/src/upstream/connection_pool.hpp
@@ -132,7 +132,7 @@
   void pass_events(SlotId id, std::string_view bytes);
   void broke(SlotId id);
   void spoilt(SlotId id, std::string_view why);
-  void lost(SlotId id, AttemptStatus verdict, bool blameless = false);  // blameless: not the host's doing
+  void lost(SlotId id, AttemptStatus status, bool blameless = false);  // blameless: not the host's doing
   Endpoint* find(const std::string& name);
   PooledConnection* line_of(AttemptId attempt);
   void review(const std::string& name, Endpoint& endpoint);
@@ -147,7 +147,7 @@
   static ReservationReleaser::Bounds lease_bounds(const Options& options);
   SlotId call_release(const std::string& endpoint, const std::string& id) override;
   std::vector<upstream::Listener> listeners() override;
-  void fail_later(AttemptId attempt, AttemptStatus verdict);
+  void fail_later(AttemptId attempt, AttemptStatus status);
 
   boost::asio::io_context& io_;
   engine::TimerQueue& timers_;
--- a/src/upstream/exchange.cpp
+++ b/src/upstream/exchange.cpp
@@ -78,28 +78,28 @@
     case 200:  // a comment needs no blank line at the very end; anything else there is an event cut short
       if (rest.starts_with(kLoadComment)) ending.report = parse_report(rest.substr(kLoadComment.size()));
       if (rest.empty() || rest.front() == ':') {
-        ending.verdict = AttemptStatus::kServed;
+        ending.status = AttemptStatus::kServed;
       } else {
-        ending.verdict = AttemptStatus::kReset;
+        ending.status = AttemptStatus::kReset;
         ending.note = 1;
       }
       break;
     case 202:
-      ending.verdict = AttemptStatus::kRead;
+      ending.status = AttemptStatus::kRead;
       ending.note = cached_tokens(Json::parse(message.body(), nullptr, false));
       break;
     case 410:
-      ending.verdict = never_ran ? AttemptStatus::kFull : AttemptStatus::kError;
+      ending.status = never_ran ? AttemptStatus::kFull : AttemptStatus::kError;
       ending.note = never_ran ? 1 : 0;
       break;
     case 503:
     case 504:
-      ending.verdict = never_ran ? AttemptStatus::kFull : AttemptStatus::kError;
+      ending.status = never_ran ? AttemptStatus::kFull : AttemptStatus::kError;
       break;
     default:
-      ending.verdict = AttemptStatus::kError;
+      ending.status = AttemptStatus::kError;
       ending.unusable = rejects_request(message.result_int());
-      if (ending.unusable) ending.verdict = AttemptStatus::kNeverSent;  // no sign of the replica's health
+      if (ending.unusable) ending.status = AttemptStatus::kNeverSent;  // no sign of the replica's health
   }
   return ending;
 }
--- a/tests/conformance/reference_scorer.cpp
+++ b/tests/conformance/reference_scorer.cpp
@@ -84,8 +84,8 @@
   Open& open = at->second;
   open.at.clear();
   open.tokens = 0;
-  if (o.verdict == AttemptStatus::kRead) open.state_at = o.endpoint;
-  if (o.note == 1 && (o.verdict == AttemptStatus::kFull || o.verdict == AttemptStatus::kReset))
+  if (o.status == AttemptStatus::kRead) open.state_at = o.endpoint;
+  if (o.note == 1 && (o.status == AttemptStatus::kFull || o.status == AttemptStatus::kReset))
     open.state_at.clear();
   if (o.finished) open_.erase(at);
 }
--- a/tests/conformance/table_runner.cpp
+++ b/tests/conformance/table_runner.cpp
@@ -27,9 +27,10 @@
 const std::map<std::string, Idempotency> kRepeats = {{"safe", Idempotency::kIdempotent},
                                                      {"keyed", Idempotency::kKeyed},
                                                      {"unsafe", Idempotency::kNonIdempotent}};
-const std::map<std::string, AttemptStatus> kVerdicts = {{"reset", AttemptStatus::kReset},
-                                                        {"connect_failed", AttemptStatus::kConnectFailed},
-                                                        {"full", AttemptStatus::kFull}};
+const std::map<std::string, AttemptStatus> kAttemptStatusNames = {
+    {"reset", AttemptStatus::kReset},
+    {"connect_failed", AttemptStatus::kConnectFailed},
+    {"full", AttemptStatus::kFull}};
 
 // "r1", "r1@2" (in cell 2) or an object. The first letter tells the kind.
 EndpointInfo endpoint_of(const Json& json) {
@@ -195,12 +196,12 @@
   });
 }
 
-std::string TableRunner::end(const std::string& id, AttemptStatus verdict, const LoadReport& report, int note,
+std::string TableRunner::end(const std::string& id, AttemptStatus status, const LoadReport& report, int note,
                              bool finished) {
   Attempts& a = attempts_.at(id);
   if (a.at.empty()) fail(id + ": no attempt is out");
   const std::string at = std::exchange(a.at, "");
-  pass(AttemptCompleted{id, at, a.count - 1, verdict, time_to_read(a.request), finished, note, report});
+  pass(AttemptCompleted{id, at, a.count - 1, status, time_to_read(a.request), finished, note, report});
   return a.at;
 }
 
@@ -338,7 +339,7 @@
     gone(step.at("gone"));
   } else if (step.contains("end")) {
     only(step, {"end", "verdict", "note"});
-    end(step.at("end"), one_of(step.at("verdict"), kVerdicts), {}, step.value("note", 0));
+    end(step.at("end"), one_of(step.at("verdict"), kAttemptStatusNames), {}, step.value("note", 0));
   } else if (step.contains("states")) {  // read there, waiting for a writer
     only(step, {"states", "count", "until"});
     states(step.at("states"), step.value("count", 1), step.value("until", "read"));
--- a/tests/conformance/table_runner.hpp
+++ b/tests/conformance/table_runner.hpp
@@ -54,7 +54,7 @@
   void pass(const Event& event);
   template <typename Act>
   std::string only_at(const std::string& endpoint, Act act);
-  std::string end(const std::string& id, AttemptStatus verdict, const LoadReport& report = {}, int note = 0,
+  std::string end(const std::string& id, AttemptStatus status, const LoadReport& report = {}, int note = 0,
                   bool finished = false);
   std::string end_read(const std::string& id, const LoadReport& report = {}, bool finished = false);
   void gone(const std::string& id, const LoadReport& report = {});
--- a/tests/dispatcher/engine_digest_fixture.cpp
+++ b/tests/dispatcher/engine_digest_fixture.cpp
@@ -181,9 +181,9 @@
   if (!wanted) end(process, attempt, {AttemptStatus::kNeverSent, 0, {}});
 }
 
-engine::AttemptResult EngineWorld::draw_ending(AttemptStatus verdict) {
-  engine::AttemptResult ending{verdict, 0, {}};
-  if (verdict == AttemptStatus::kRead || verdict == AttemptStatus::kServed)
+engine::AttemptResult EngineWorld::draw_ending(AttemptStatus status) {
+  engine::AttemptResult ending{status, 0, {}};
+  if (status == AttemptStatus::kRead || status == AttemptStatus::kServed)
     ending.note = dice_.below(3) * 100;
   else
     ending.note = dice_.below(2);
@@ -207,7 +207,7 @@
   static const std::array<const char*, 9> names = {"ended served",    "ended error",          "ended full",
                                                    "ended timeout",   "ended connect failed", "ended reset",
                                                    "ended cancelled", "ended never sent",     "ended read"};
-  count(names[static_cast<std::size_t>(ending.verdict)]);
+  count(names[static_cast<std::size_t>(ending.status)]);
   process.out.erase(attempt);
   process.engine.ended(attempt, ending);
 }
--- a/tests/dispatcher/engine_digest_fixture.hpp
+++ b/tests/dispatcher/engine_digest_fixture.hpp
@@ -58,7 +58,7 @@
   void progress();
   void connect(Process& process, engine::AttemptId attempt, Out& out);
   void fail_attempt();
-  engine::AttemptResult draw_ending(routing::AttemptStatus verdict);
+  engine::AttemptResult draw_ending(routing::AttemptStatus status);
   void end(Process& process, engine::AttemptId attempt, const engine::AttemptResult& ending);
   void leave();
   void leave(Client& client);
--- a/tests/dispatcher/parsers_test.cpp
+++ b/tests/dispatcher/parsers_test.cpp
@@ -108,10 +108,10 @@
     const auto cut_anyhow = [&](const std::string& text) { return cut(text, random); };
     INFO("noise " << Catch::Detail::stringify(std::vector<int>(noise.begin(), noise.end())));
     REQUIRE(account<true>(cut_anyhow(noise)) == account<true>({noise}));
-    const std::string verdict = account<true>({request});
-    REQUIRE(account<true>(cut_anyhow(request)) == verdict);
+    const std::string status = account<true>({request});
+    REQUIRE(account<true>(cut_anyhow(request)) == status);
     REQUIRE(account<false>(cut_anyhow(response)) == account<false>({response}));
-    bad += verdict.find("bad: ") != std::string::npos ? 1 : 0;
+    bad += status.find("bad: ") != std::string::npos ? 1 : 0;
   }
   CHECK(bad > 500);  // the garbage is such that refusals are really seen
 }
--- a/tests/dispatcher/reservation_tracker_test.cpp
+++ b/tests/dispatcher/reservation_tracker_test.cpp
@@ -14,7 +14,7 @@
 
 TEST_CASE("which ends of attempts may leave a state, and which of them later still", "[held]") {
   struct Row {
-    AttemptStatus verdict;
+    AttemptStatus status;
     int note;
     bool reads, left, runs;
   };
@@ -32,7 +32,7 @@
       Row{AttemptStatus::kCancelled, 0, false, false, false},
       Row{AttemptStatus::kNeverSent, 0, true, false, false});
   ReservationTracker held;
-  CHECK(held.attempt_ended({row.verdict, row.note, row.reads, kUntil}, kNow) == row.left);
+  CHECK(held.attempt_ended({row.status, row.note, row.reads, kUntil}, kNow) == row.left);
   CHECK(held.may_hold() == row.left);
   CHECK(held.may_release() == row.left);
   CHECK(held.runs_until() == (row.runs ? kUntil : Time{}));
@@ -76,10 +76,10 @@
 TEST_CASE("a stream whose last event is cut short had begun", "[held]") {
   http::ResponseReader::Message message;
   message.result(200);
-  CHECK(upstream::judge(message, "data: {\"a\"", {}).verdict == AttemptStatus::kReset);
+  CHECK(upstream::judge(message, "data: {\"a\"", {}).status == AttemptStatus::kReset);
   CHECK(upstream::judge(message, "data: {\"a\"", {}).note == 1);
-  CHECK(upstream::judge(message, ": X-Backend-Load: {}", {}).verdict == AttemptStatus::kServed);
-  CHECK(upstream::judge(message, "", {}).verdict == AttemptStatus::kServed);
+  CHECK(upstream::judge(message, ": X-Backend-Load: {}", {}).status == AttemptStatus::kServed);
+  CHECK(upstream::judge(message, "", {}).status == AttemptStatus::kServed);
 }
 
 }  // namespace
--- a/tests/dispatcher/router_fixture.cpp
+++ b/tests/dispatcher/router_fixture.cpp
@@ -161,10 +161,10 @@
   if (!a.out) return;
   a.out = false;
   timers_.drop(a.times_out);
-  const bool served = ending.verdict == AttemptStatus::kServed;
+  const bool served = ending.status == AttemptStatus::kServed;
   if (served || a.begun) end(id, served ? End::kServed : End::kFailed);
   const routing::AttemptCompleted outcome{
-      id, a.endpoint, a.number, ending.verdict, now_ - a.sent, served || a.begun, ending.note, ending.report};
+      id, a.endpoint, a.number, ending.status, now_ - a.sent, served || a.begun, ending.note, ending.report};
   if (served || a.begun) processes_[process].attempts.erase(id);
   pass(process, outcome);
 }
--- a/tests/routing_digest_test.cpp
+++ b/tests/routing_digest_test.cpp
@@ -90,7 +90,7 @@
   void note(const Event& event, const std::vector<Action>& made) {
     ++events[event.index()];
     for (const Action& action : made) ++actions[action.index()];
-    if (const auto* outcome = std::get_if<AttemptCompleted>(&event)) verdicts.insert(outcome->verdict);
+    if (const auto* outcome = std::get_if<AttemptCompleted>(&event)) verdicts.insert(outcome->status);
     if (const auto* list = std::get_if<EndpointList>(&event)) lists.insert(list->kind);
   }
 };
--- a/tests/settings_fixture.cpp
+++ b/tests/settings_fixture.cpp
@@ -47,7 +47,7 @@
                  std::to_string(e.prompt_tokens) + " deadline " + ms(e.client_deadline);
         } else if constexpr (std::is_same_v<E, AttemptCompleted>) {
           return "outcome " + e.request + " attempt " + std::to_string(e.attempt) + " at " + e.endpoint +
-                 ": " + name_of(e.verdict) + (e.finished ? ", finished" : "") +
+                 ": " + name_of(e.status) + (e.finished ? ", finished" : "") +
                  (e.note != 0 ? ", note " + std::to_string(e.note) : "");
         } else if constexpr (std::is_same_v<E, FirstToken>) {
           return "first token " + e.request + " attempt " + std::to_string(e.attempt) + " at " + e.endpoint;
@@ -401,22 +401,22 @@
   pass(FirstToken{q.r.id, a.endpoint, number, now_ - a.sent});
 }
 
-void Fixture::end_attempt(Open& q, int number, AttemptStatus verdict, int noted, const Step& step) {
+void Fixture::end_attempt(Open& q, int number, AttemptStatus status, int noted, const Step& step) {
   Attempt& a = q.attempts[static_cast<std::size_t>(number)];
   a.out = false;
   // One that came up is no failed connection: the host turns it away.
-  if (verdict == AttemptStatus::kConnectFailed && a.connect_by != Time{} && now_ > a.connect_by)
-    verdict = AttemptStatus::kFull, noted = 0;
-  a.may_have_run = !a.reading && !proves_it_never_ran(verdict);
-  a.free = verdict == AttemptStatus::kConnectFailed && number < q.rules->free_connect_failures;
-  if (verdict == AttemptStatus::kRead) q.held_at = a.endpoint;
-  if (verdict == AttemptStatus::kServed) q.held_at.reset();
-  if (noted == 1 && !a.reading && verdict != AttemptStatus::kServed) q.held_at.reset();
-  if (verdict != AttemptStatus::kConnectFailed || !q.rules->reservation_expires_while_connecting)
+  if (status == AttemptStatus::kConnectFailed && a.connect_by != Time{} && now_ > a.connect_by)
+    status = AttemptStatus::kFull, noted = 0;
+  a.may_have_run = !a.reading && !proves_it_never_ran(status);
+  a.free = status == AttemptStatus::kConnectFailed && number < q.rules->free_connect_failures;
+  if (status == AttemptStatus::kRead) q.held_at = a.endpoint;
+  if (status == AttemptStatus::kServed) q.held_at.reset();
+  if (noted == 1 && !a.reading && status != AttemptStatus::kServed) q.held_at.reset();
+  if (status != AttemptStatus::kConnectFailed || !q.rules->reservation_expires_while_connecting)
     q.idle_since = now_;
-  AttemptCompleted o{q.r.id, a.endpoint, number, verdict, now_ - a.sent, false, noted, {}};
+  AttemptCompleted o{q.r.id, a.endpoint, number, status, now_ - a.sent, false, noted, {}};
   // The first answer that is served ends a request, and so does the break of a stream that had begun.
-  o.finished = q.answered || q.gone || verdict == AttemptStatus::kServed || a.begun;
+  o.finished = q.answered || q.gone || status == AttemptStatus::kServed || a.begun;
   if (o.finished && !q.gone && !q.answered) q.answered = true;
   if (settings_[current_]->report_source == ReportSource::kInAnswers && step.how % 2 == 0) {
     o.report.memory_share = step.much / 1000.0;
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -96,9 +96,9 @@
                                                             {"X", AttemptStatus::kCancelled},
                                                             {"N", AttemptStatus::kNeverSent},
                                                             {"ready_to_answer", AttemptStatus::kRead}};
-  for (const auto& [word, verdict] : verdicts) {
+  for (const auto& [word, status] : verdicts) {
     const Json f{{"req", "a"}, {"host", "h"}, {"verdict", word}, {"trial", 2}, {"note", 1}};
-    EXPECT_EQ(std::get<AttemptCompleted>(*parse_event("closedAttempt", f)).verdict, verdict);
+    EXPECT_EQ(std::get<AttemptCompleted>(*parse_event("closedAttempt", f)).status, status);
   }
   EXPECT_TRUE(std::get<ReservationResult>(*read("answerAhead", R"({"req":"a","host":"h","what":1})")).held);
   EXPECT_FALSE(std::get<ReservationResult>(*read("answerAhead", R"({"req":"a","host":"h","what":2})")).held);
