--- a/adapter/settings.cpp
+++ b/adapter/settings.cpp
@@ -32,24 +32,24 @@
       : object_(object), path_(std::move(path)), findings_(findings) {}
 
   template <class T>
-  T need(const std::string& key) const {
+  [[nodiscard]] [[nodiscard]] [[nodiscard]] T need(const std::string& key) const {
     return read<T>(key, true, {}, expected<T>(), fits<T>, convert<T>);
   }
   template <class T>
-  T opt(const std::string& key, T absent = {}) const {
+  [[nodiscard]] [[nodiscard]] [[nodiscard]] T opt(const std::string& key, T absent = {}) const {
     return read<T>(key, false, std::move(absent), expected<T>(), fits<T>, convert<T>);
   }
-  Duration need_ms(const std::string& key) const { return time(key, true); }
-  Duration opt_ms(const std::string& key) const { return time(key, false); }
+  [[nodiscard]] Duration need_ms(const std::string& key) const { return time(key, true); }
+  [[nodiscard]] Duration opt_ms(const std::string& key) const { return time(key, false); }
   // Element i of an array, zero where that is shorter.
-  double element(const std::string& key, std::size_t i) const {
+  [[nodiscard]] double element(const std::string& key, std::size_t i) const {
     const Json* array = this->array(key, false);
     if (array == nullptr || i >= array->size()) return 0;
     if ((*array)[i].is_number()) return (*array)[i].get<double>();
     wrong(key + "[" + std::to_string(i) + "]", shown((*array)[i]), "number");
     return 0;
   }
-  Duration element_time(const std::string& key, std::size_t i, double us) const {
+  [[nodiscard]] Duration element_time(const std::string& key, std::size_t i, double us) const {
     const double value = element(key, i) * us;
     if (std::abs(value) < kMaxMs * 1000) return Duration(std::llround(value));
     wrong(key + "[" + std::to_string(i) + "]", "out of range", "time");
@@ -63,11 +63,12 @@
   }
   // A word that only informs: one that is not known here may be new.
   template <class E>
-  E known_word(const std::string& key, Words<E> words) const {
+  [[nodiscard]] [[nodiscard]] [[nodiscard]] E known_word(const std::string& key, Words<E> words) const {
     return word_of(key, opt<std::string>(key, words.begin()->first), words, Severity::kWarn);
   }
   template <class E>
-  E word_of(const std::string& key, const std::string& given, Words<E> words, Severity severity) const {
+  [[nodiscard]] [[nodiscard]] [[nodiscard]] [[nodiscard]] [[nodiscard]] [[nodiscard]] E word_of(
+      const std::string& key, const std::string& given, Words<E> words, Severity severity) const {
     std::string known;
     for (const auto& [name, code] : words) {
       if (given == name) return code;
@@ -77,19 +78,19 @@
     return words.begin()->second;
   }
 
-  Fields object(const std::string& key, bool needed) const {
+  [[nodiscard]] Fields object(const std::string& key, bool needed) const {
     const Json* value = member(key);
     if (value != nullptr && value->is_object()) return {value, at(key), findings_};
     if (value != nullptr || needed) wrong(key, value == nullptr ? "missing" : shown(*value), "object");
     return {nullptr, at(key), findings_};
   }
-  const Json* array(const std::string& key, bool needed) const {
+  [[nodiscard]] const Json* array(const std::string& key, bool needed) const {
     const Json* value = member(key);
     if (value != nullptr && value->is_array()) return value;
     if (value != nullptr || needed) wrong(key, value == nullptr ? "missing" : shown(*value), "array");
     return nullptr;
   }
-  std::vector<Fields> objects(const std::string& key, bool needed) const {
+  [[nodiscard]] std::vector<Fields> objects(const std::string& key, bool needed) const {
     std::vector<Fields> all;
     const Json* array = this->array(key, needed);
     for (std::size_t i = 0; array != nullptr && i < array->size(); ++i) {
@@ -100,7 +101,7 @@
     }
     return all;
   }
-  std::vector<std::string> texts(const std::string& key, bool needed) const {
+  [[nodiscard]] std::vector<std::string> texts(const std::string& key, bool needed) const {
     std::vector<std::string> all;
     const Json* array = this->array(key, needed);
     for (std::size_t i = 0; array != nullptr && i < array->size(); ++i) {
@@ -121,10 +122,12 @@
                                   [&](const Finding& f) { return f.field == finding.field; });
     if (object_ != nullptr && !told) findings_.push_back(std::move(finding));
   }
-  const Json* member(const std::string& key) const {
+  [[nodiscard]] const Json* member(const std::string& key) const {
     return object_ == nullptr ? nullptr : find(*object_, key);
   }
-  std::string at(const std::string& key) const { return path_.empty() ? key : path_ + "." + key; }
+  [[nodiscard]] std::string at(const std::string& key) const {
+    return path_.empty() ? key : path_ + "." + key;
+  }
   template <class T, class Fits, class Convert>
   T read(const std::string& key, bool needed, T absent, const char* wanted, Fits good, Convert made) const {
     const Json* value = member(key);
@@ -132,7 +135,7 @@
     if (value != nullptr || needed) wrong(key, value == nullptr ? "missing" : shown(*value), wanted);
     return absent;
   }
-  Duration time(const std::string& key, bool needed) const {
+  [[nodiscard]] Duration time(const std::string& key, bool needed) const {
     return read<Duration>(key, needed, {}, "number of milliseconds", fits_ms,
                           [](const Json& value) { return from_ms(value.get<double>()); });
   }
--- a/include/routing/router.hpp
+++ b/include/routing/router.hpp
@@ -277,8 +277,8 @@
   Router(Router&&) noexcept;
   Router& operator=(Router&&) noexcept;
   std::vector<Action> handle(Time now, const Event& event);
-  TableSizes table_sizes() const;
-  LearnedState learned_state() const;
+  [[nodiscard]] TableSizes table_sizes() const;
+  [[nodiscard]] LearnedState learned_state() const;
 
  private:
   class Impl;
--- a/src/admin/admin_server.hpp
+++ b/src/admin/admin_server.hpp
@@ -30,7 +30,7 @@
   AdminServer(const AdminServer&) = delete;
   AdminServer& operator=(const AdminServer&) = delete;
   void open() { server_.open(); }
-  net::tcp::endpoint local() const { return server_.local(); }
+  [[nodiscard]] net::tcp::endpoint local() const { return server_.local(); }
 
  private:
   void on_request(net::SlotId client, http::Server::Request& request, engine::Time arrived) override;
--- a/src/cue/data.hpp
+++ b/src/cue/data.hpp
@@ -29,21 +29,21 @@
   Data(Position at, std::string path, Content content)
       : at_(at), path_(std::move(path)), content_(std::move(content)) {}
 
-  Position where() const { return at_; }                 // line 0: the schema's default
-  const std::string& path() const { return path_; }      // as rules[2].limit.rate
-  const Data& operator[](std::string_view field) const;  // a null where the record lacks it
-  bool has(std::string_view field) const { return !(*this)[field].is_null(); }
-  bool is_null() const;
-  const std::string& text() const;
-  std::int64_t integer() const;
-  double real() const;  // of an integer, too
-  bool flag() const;
-  const Items& items() const;
-  const Fields& fields() const;
+  [[nodiscard]] Position where() const { return at_; }             // line 0: the schema's default
+  [[nodiscard]] const std::string& path() const { return path_; }  // as rules[2].limit.rate
+  const Data& operator[](std::string_view field) const;            // a null where the record lacks it
+  [[nodiscard]] bool has(std::string_view field) const { return !(*this)[field].is_null(); }
+  [[nodiscard]] bool is_null() const;
+  [[nodiscard]] const std::string& text() const;
+  [[nodiscard]] std::int64_t integer() const;
+  [[nodiscard]] double real() const;  // of an integer, too
+  [[nodiscard]] bool flag() const;
+  [[nodiscard]] const Items& items() const;
+  [[nodiscard]] const Fields& fields() const;
 
  private:
   template <class T>
-  const T* scalar() const {
+  [[nodiscard]] [[nodiscard]] [[nodiscard]] [[nodiscard]] [[nodiscard]] const T* scalar() const {
     const auto* s = std::get_if<Scalar>(&content_);
     return s == nullptr ? nullptr : std::get_if<T>(s);
   }
--- a/src/cue/schema.hpp
+++ b/src/cue/schema.hpp
@@ -19,7 +19,7 @@
   Schema(std::string_view cue, const std::string& root);
   // The file unified with the schema: each field present, checked and in its default where the file says
   // nothing. Throws Errors with all that is wrong. Depth and work are bounded, whatever the file holds.
-  Data read(const File& file) const;
+  [[nodiscard]] Data read(const File& file) const;
 
  private:
   std::shared_ptr<const Value> root_;
--- a/src/cue/syntax.cpp
+++ b/src/cue/syntax.cpp
@@ -325,7 +325,7 @@
             static_cast<std::uint32_t>(offset - *line + 1)};
   }
 
-  Expr::Field field(const Node& node) const {
+  [[nodiscard]] Expr::Field field(const Node& node) const {
     Expr::Field field;
     const Node& label = *node.children.front();
     field.at = position(label.string_view().data());
@@ -364,7 +364,7 @@
     }
   }
 
-  Expr expr(const Node& node) const {
+  [[nodiscard]] Expr expr(const Node& node) const {
     if (node.is_type<grammar::disjunction>() || node.is_type<grammar::conjunction>()) {
       const bool any = node.is_type<grammar::disjunction>();
       if (node.children.size() == 1) {
@@ -391,20 +391,20 @@
     return node.is_type<grammar::named_field>() || node.is_type<grammar::pattern_field>();
   }
 
-  Expr at(Syntax kind, const Node& node) const {
+  [[nodiscard]] Expr at(Syntax kind, const Node& node) const {
     Expr e;
     e.kind = kind;
     e.at = position(node.string_view().data());
     return e;
   }
 
-  Expr kids(Syntax kind, const Node& node) const {
+  [[nodiscard]] Expr kids(Syntax kind, const Node& node) const {
     Expr e = at(kind, node);
     for (const auto& child : node.children) e.kids.push_back(expr(*child));
     return e;
   }
 
-  Expr operation(const Node& node) const {
+  [[nodiscard]] Expr operation(const Node& node) const {
     const std::string_view op = node.children[0]->string_view();
     const Node& operand = *node.children[1];
     if (op == "-" || op == "+") {
@@ -432,7 +432,7 @@
     return e;
   }
 
-  Expr list(const Node& node) const {
+  [[nodiscard]] Expr list(const Node& node) const {
     Expr e = at(Syntax::kList, node);
     for (const auto& child : node.children) {
       if (e.open) throw Fault{child->string_view().data(), "'...' must be the last of its list"};
@@ -450,7 +450,7 @@
     return e;
   }
 
-  Expr leaf(const Node& node) const {
+  [[nodiscard]] Expr leaf(const Node& node) const {
     const std::string_view s = node.string_view();
     Expr e = at(Syntax::kString, node);
     if (is_text(node)) {
@@ -506,7 +506,7 @@
   std::vector<Problem> problems;
 
  private:
-  const char* end() const { return text_.data() + text_.size(); }
+  [[nodiscard]] const char* end() const { return text_.data() + text_.size(); }
 
   const char* skip_gap(const char* at) const {
     Input in(at, end(), "");
--- a/src/cue/syntax.hpp
+++ b/src/cue/syntax.hpp
@@ -18,7 +18,7 @@
 // Where something stands. Lines and columns count from 1, columns in bytes. Line 0: the program's own schema.
 struct Position {
   std::uint32_t line = 0, column = 0;
-  bool in_file() const { return line != 0; }
+  [[nodiscard]] bool in_file() const { return line != 0; }
 };
 
 struct File {
--- a/src/cue/unify.hpp
+++ b/src/cue/unify.hpp
@@ -87,7 +87,7 @@
   ValuePtr conflict(const ValuePtr& expected, const ValuePtr& found);
   Data decided(const ValuePtr& value, Position within);
   void report(Position at, std::string what);
-  std::string path() const;
+  [[nodiscard]] std::string path() const;
 
   std::map<std::string, const Expr*> definitions_;
   std::map<std::string, ValuePtr> evaluated_;
--- a/src/daemon/config.cpp
+++ b/src/daemon/config.cpp
@@ -52,7 +52,7 @@
     return {};
   }
   // Hexadecimal text, or a number.
-  std::uint64_t seed() const {
+  [[nodiscard]] std::uint64_t seed() const {
     const Json* value = member(object_, "seed");
     if (value == nullptr) return 0;
     if (value->is_number_unsigned()) return value->get<std::uint64_t>();
--- a/src/daemon/config.hpp
+++ b/src/daemon/config.hpp
@@ -20,7 +20,7 @@
 struct ConfigError : std::runtime_error {
   using std::runtime_error::runtime_error;
   explicit ConfigError(const std::vector<std::string>& all);
-  std::vector<std::string> lines() const;
+  [[nodiscard]] std::vector<std::string> lines() const;
 };
 
 struct Config {
--- a/src/daemon/loop.hpp
+++ b/src/daemon/loop.hpp
@@ -19,7 +19,7 @@
   engine::TimerQueue& timers() { return timers_; }
   // Steady, yet with the origin of Unix time, in which discovery tells the replicas' starts: read once, so
   // that a step of the system's clock moves no deadline.
-  engine::Time now() const { return anchor_ + steady_now(); }
+  [[nodiscard]] engine::Time now() const { return anchor_ + steady_now(); }
   engine::Clock clock() {
     return [this] { return now(); };
   }
--- a/src/degradation/degradation_controller.hpp
+++ b/src/degradation/degradation_controller.hpp
@@ -27,7 +27,7 @@
   static std::shared_ptr<const LevelSet> read(const cue::File& file, const routing::Settings& settings);
 
   // Where the file names no level nothing is shed and nothing counted.
-  bool active() const { return !machine_.levels().levels().empty(); }
+  [[nodiscard]] bool active() const { return !machine_.levels().levels().empty(); }
   void adopt(const routing::Settings& settings, std::shared_ptr<const LevelSet> levels);
   void tick(std::size_t open, std::optional<Time> heard);
   void endpoints(const routing::EndpointList& list) { signals_.endpoints(list, clock_()); }
@@ -36,12 +36,12 @@
   std::optional<Duration> shed(const routing::Request& request, rate_limit::Facts facts);
 
   // For operators, and for the process that takes over.
-  nlohmann::json level() const;
-  nlohmann::json changes() const;
+  [[nodiscard]] nlohmann::json level() const;
+  [[nodiscard]] nlohmann::json changes() const;
   bool order(const std::string& name);       // a level to pin, or "auto"; false: there is none such
   void resume(const nlohmann::json& level);  // as another process's level() told it
 
-  const StateMachine& machine() const { return machine_; }
+  [[nodiscard]] const StateMachine& machine() const { return machine_; }
 
   void first_token(const std::string& request_class, bool late) override;
   void given_up(const std::string& request_class, bool rejected) override;
--- a/src/degradation/levels.hpp
+++ b/src/degradation/levels.hpp
@@ -44,9 +44,11 @@
                                               const expression::Environment& request,
                                               const std::vector<std::string>& classes);
 
-  const std::vector<Level>& levels() const { return levels_; }
-  std::optional<std::size_t> find(const std::string& name) const;  // 0: normal
-  std::string name(std::size_t level) const { return level == 0 ? "normal" : levels_[level - 1].name; }
+  [[nodiscard]] const std::vector<Level>& levels() const { return levels_; }
+  [[nodiscard]] std::optional<std::size_t> find(const std::string& name) const;  // 0: normal
+  [[nodiscard]] std::string name(std::size_t level) const {
+    return level == 0 ? "normal" : levels_[level - 1].name;
+  }
   void reserve(expression::Scratch& scratch) const;
 
  private:
--- a/src/degradation/signals.hpp
+++ b/src/degradation/signals.hpp
@@ -23,8 +23,9 @@
  public:
   static constexpr Duration kWindow = std::chrono::seconds(10);
   void count(bool yes, Time now);
-  double rate(Time now) const;                                       // of all, a second
-  std::optional<double> value(std::size_t minimum, Time now) const;  // none: fewer than `least` were counted
+  [[nodiscard]] double rate(Time now) const;  // of all, a second
+  [[nodiscard]] std::optional<double> value(std::size_t minimum,
+                                            Time now) const;  // none: fewer than `least` were counted
 
  private:
   static constexpr std::int64_t kSlots = 10;
@@ -32,7 +33,7 @@
     std::int64_t second = -1;
     std::size_t yes = 0, all = 0;
   };
-  std::pair<std::size_t, std::size_t> sum(Time now) const;
+  [[nodiscard]] std::pair<std::size_t, std::size_t> sum(Time now) const;
   std::array<Slot, kSlots> slots_{};
 };
 
@@ -40,7 +41,7 @@
 class Peak {
  public:
   void see(std::size_t n, Time now);
-  std::size_t maximum() const { return std::max(now_, before_); }
+  [[nodiscard]] std::size_t maximum() const { return std::max(now_, before_); }
 
  private:
   static constexpr Duration kHalf = std::chrono::minutes(15);
@@ -68,7 +69,7 @@
   // `heard`: when discovery last spoke, if it has.
   std::vector<expression::Value> values(std::size_t open, std::optional<Time> heard, Time now);
   // What an account asks for, as a part of its quota over the whole fleet; absent where it has none.
-  expression::Value use(const std::string& account, Time now) const;
+  [[nodiscard]] expression::Value use(const std::string& account, Time now) const;
 
  private:
   struct Endpoint {
--- a/src/degradation/state_machine.hpp
+++ b/src/degradation/state_machine.hpp
@@ -50,12 +50,12 @@
   // but for a condition's time to be kept no more rarely than a fifth of it.
   bool step(std::span<const expression::Value> signals, Time now);
 
-  std::size_t level() const { return level_; }  // 0: normal service
-  std::string level_name() const { return levels_->name(level_); }
+  [[nodiscard]] std::size_t level() const { return level_; }  // 0: normal service
+  [[nodiscard]] std::string level_name() const { return levels_->name(level_); }
   // An operator's word goes before the signals until it is taken back; the level then goes on from there.
   void pin(std::size_t level, Time now);
   void unpin() { pinned_ = false; }
-  bool pinned() const { return pinned_; }
+  [[nodiscard]] bool pinned() const { return pinned_; }
 
   // Other levels: the one in force stays where it has the same name; else the next milder one that is still
   // there takes its place.
@@ -66,8 +66,8 @@
   std::optional<Duration> shed(const std::string& request_class, std::span<const expression::Value> request,
                                double random);
 
-  const std::deque<Change>& history() const { return history_; }
-  const LevelSet& levels() const { return *levels_; }
+  [[nodiscard]] const std::deque<Change>& history() const { return history_; }
+  [[nodiscard]] const LevelSet& levels() const { return *levels_; }
 
  private:
   struct Watch {                         // of one level
@@ -79,7 +79,7 @@
   void change(std::size_t to, Change::Cause cause, const std::string& condition,
               std::span<const expression::Value> signals, Time now);
   bool may_step_down(Time now);
-  Duration stay() const;
+  [[nodiscard]] Duration stay() const;
   static void hold(std::optional<Time>& since, bool holds, Time now);
 
   std::shared_ptr<const LevelSet> levels_;
--- a/src/engine/engine.hpp
+++ b/src/engine/engine.hpp
@@ -184,7 +184,7 @@
     std::optional<int> streaming;  // the attempt that is the client's
     bool answered = false, paused = false, timed_out = false;
     ReservationTracker held;
-    bool any_out() const;
+    [[nodiscard]] bool any_out() const;
     TimerQueue::Id overdue, silence, letting_go;
   };
 
--- a/src/engine/reservation_tracker.hpp
+++ b/src/engine/reservation_tracker.hpp
@@ -24,11 +24,11 @@
   void release_answered() { may_hold_ = false; }
 
   // May something be held that nobody was asked to let go of, or that nobody has answered for?
-  bool may_hold() const { return may_hold_; }
+  [[nodiscard]] bool may_hold() const { return may_hold_; }
   // A release must not take the state that the router goes on with.
-  bool may_release() const { return may_hold_ && !at_router_; }
+  [[nodiscard]] bool may_release() const { return may_hold_ && !at_router_; }
   // Attempts that broke may run on up to then, and leave a state.
-  Time runs_until() const { return runs_until_; }
+  [[nodiscard]] Time runs_until() const { return runs_until_; }
 
  private:
   bool may_hold_ = false;
--- a/src/engine/timer_queue.hpp
+++ b/src/engine/timer_queue.hpp
@@ -29,7 +29,7 @@
   // Drops the deadline, if it is still to come, and clears the handle.
   void drop(Id& id) { entries_.erase(std::exchange(id, {})); }
 
-  std::optional<Time> next() const {
+  [[nodiscard]] std::optional<Time> next() const {
     if (entries_.empty()) return std::nullopt;
     return entries_.begin()->first.first;
   }
@@ -48,7 +48,7 @@
     }
   }
   void on_sooner(std::function<void()> action) { on_sooner_ = std::move(action); }
-  std::size_t size() const { return entries_.size(); }
+  [[nodiscard]] std::size_t size() const { return entries_.size(); }
 
  private:
   std::map<Id, std::function<void()>> entries_;
--- a/src/expression/automaton.cpp
+++ b/src/expression/automaton.cpp
@@ -138,8 +138,8 @@
     bool fold = false, dot_all = false;
   };
 
-  bool at_end() const { return at_ >= text_.size(); }
-  char peek() const { return at_end() ? '\0' : text_[at_]; }
+  [[nodiscard]] bool at_end() const { return at_ >= text_.size(); }
+  [[nodiscard]] char peek() const { return at_end() ? '\0' : text_[at_]; }
   bool take(std::string_view s) {
     if (!text_.substr(at_).starts_with(s)) return false;
     at_ += s.size();
--- a/src/expression/automaton.hpp
+++ b/src/expression/automaton.hpp
@@ -25,7 +25,7 @@
   // Throws PatternError.
   explicit Automaton(const std::string& pattern);
   // Is there a match anywhere in the text, which is UTF-8?
-  bool matches(std::string_view text) const noexcept {
+  [[nodiscard]] bool matches(std::string_view text) const noexcept {
     std::uint32_t at = start_;
     for (const char c : text) {
       at = next_[at + classes_[static_cast<unsigned char>(c)]];
@@ -33,8 +33,10 @@
     }
     return at == kYes * width_ || (at != kNo * width_ && at_end_[at / width_] != 0);
   }
-  std::size_t states() const { return at_end_.size(); }
-  std::size_t bytes() const { return next_.size() * sizeof(next_[0]) + at_end_.size() + classes_.size(); }
+  [[nodiscard]] std::size_t states() const { return at_end_.size(); }
+  [[nodiscard]] std::size_t bytes() const {
+    return next_.size() * sizeof(next_[0]) + at_end_.size() + classes_.size();
+  }
 
  private:
   // The first two states: no text can match any more, or it has matched already.
--- a/src/expression/check.cpp
+++ b/src/expression/check.cpp
@@ -128,7 +128,7 @@
   }
 
   // a.b.c as it is declared; empty: not only names.
-  std::string path(const Node& n) const {
+  [[nodiscard]] std::string path(const Node& n) const {
     if (n.op == Op::kName) return bound_.contains(n.text) ? std::string() : n.text;
     if (n.op != Op::kSelect) return {};
     const std::string of = path(n.kids[0]);
--- a/src/expression/first_match.hpp
+++ b/src/expression/first_match.hpp
@@ -34,12 +34,12 @@
   // The number of the first condition that holds, -1: none. A condition that ends in a fault does not hold.
   int find(std::span<const Value> fields, Scratch& scratch) const noexcept;
   // What the search costs at most, and the condition that has the largest part in that (-1: none).
-  double worst_ns() const { return worst_ns_; }
-  int costliest() const { return costliest_; }
-  const Program& condition(std::size_t i) const { return conditions_[i]; }
-  std::size_t size() const { return conditions_.size(); }
+  [[nodiscard]] double worst_ns() const { return worst_ns_; }
+  [[nodiscard]] int costliest() const { return costliest_; }
+  [[nodiscard]] const Program& condition(std::size_t i) const { return conditions_[i]; }
+  [[nodiscard]] std::size_t size() const { return conditions_.size(); }
   void reserve(Scratch& scratch) const;
-  std::size_t bytes() const;
+  [[nodiscard]] std::size_t bytes() const;
 
  private:
   using Numbers = std::vector<std::uint32_t>;  // of conditions, in order
@@ -53,7 +53,7 @@
 
   Numbers& group(ByField& by, const Value& value);
   ByField* by_field(int field);
-  const Numbers* found(const ByField& by, const Value& value) const noexcept;
+  [[nodiscard]] const Numbers* found(const ByField& by, const Value& value) const noexcept;
   double cost(const Numbers& numbers);
 
   std::vector<Program> conditions_;
--- a/src/expression/program.cpp
+++ b/src/expression/program.cpp
@@ -65,7 +65,7 @@
 
   [[noreturn]] static void fail(const Node& n, std::string what) { throw Errors({{n.at, std::move(what)}}); }
 
-  std::size_t here() const { return p_.code_.size(); }
+  [[nodiscard]] std::size_t here() const { return p_.code_.size(); }
   std::size_t step(Do what, double ns, int change, std::int32_t a = 0) {
     p_.code_.push_back({what, a, 0});
     cost_.push_back(ns);
@@ -302,7 +302,7 @@
   }
 
   // The longest way through: every jump leads forwards.
-  double worst() const {
+  [[nodiscard]] double worst() const {
     std::vector<double> from(here() + 1, 0);
     for (std::size_t i = here(); i-- > 0;) {
       const Program::Step& s = p_.code_[i];
--- a/src/expression/program.hpp
+++ b/src/expression/program.hpp
@@ -43,13 +43,13 @@
   // worst_ns().
   Value run(std::span<const Value> fields, Scratch& scratch) const noexcept;
 
-  double worst_ns() const { return worst_ns_; }       // computed; docs/design/matching.md has how
-  std::size_t max_values() const { return values_; }  // what the scratch must have room for ...
-  std::size_t max_text() const { return text_; }
-  std::size_t longest() const { return longest_; }  // of the result, where it is a text
-  std::size_t bytes() const;                        // of memory
-  const Node& tree() const { return tree_; }        // as it was checked
-  std::size_t size() const { return code_.size(); }
+  [[nodiscard]] double worst_ns() const { return worst_ns_; }  // computed; docs/design/matching.md has how
+  [[nodiscard]] std::size_t max_values() const { return values_; }  // what the scratch must have room for ...
+  [[nodiscard]] std::size_t max_text() const { return text_; }
+  [[nodiscard]] std::size_t longest() const { return longest_; }  // of the result, where it is a text
+  [[nodiscard]] std::size_t bytes() const;                        // of memory
+  [[nodiscard]] const Node& tree() const { return tree_; }        // as it was checked
+  [[nodiscard]] std::size_t size() const { return code_.size(); }
 
  private:
   friend class Compiler;
@@ -100,7 +100,7 @@
   static Value compared(Do what, const Value& a, const Value& b) noexcept;
   static Value searched(Do what, std::string_view text, std::string_view part) noexcept;
   static Value converted(Do what, const Value& v, char*& free) noexcept;
-  Value looked_up(const Step& step, const Value& key) const noexcept;
+  [[nodiscard]] Value looked_up(const Step& step, const Value& key) const noexcept;
 
   Node tree_;
   std::vector<Step> code_;
--- a/src/expression/syntax.cpp
+++ b/src/expression/syntax.cpp
@@ -130,7 +130,7 @@
  public:
   explicit Builder(std::string_view text) : text_(text) {}
 
-  Node build(const Tree& t, int depth = 0) const {
+  [[nodiscard]] Node build(const Tree& t, int depth = 0) const {
     if (depth > kMaxDepth) fail(at(t), "nested more than " + std::to_string(kMaxDepth) + " deep");
     if (t.is_type<grammar::conditional>()) return conditional(t, depth);
     if (t.is_type<grammar::disjunction>()) return chain(t, Op::kOr, depth);
@@ -155,11 +155,11 @@
   }
 
  private:
-  std::size_t at(const Tree& t) const {
+  [[nodiscard]] std::size_t at(const Tree& t) const {
     return static_cast<std::size_t>(t.string_view().data() - text_.data());
   }
 
-  Node node(Op op, const Tree& t) const {
+  [[nodiscard]] Node node(Op op, const Tree& t) const {
     Node n;
     n.op = op;
     n.at = at(t);
@@ -170,23 +170,23 @@
     for (const auto& kid : t.children) to.kids.push_back(build(*kid, depth + 1));
   }
 
-  Node with_kids(Op op, const Tree& t, int depth) const {
+  [[nodiscard]] Node with_kids(Op op, const Tree& t, int depth) const {
     Node n = node(op, t);
     add(n, t, depth);
     return n;
   }
 
-  Node conditional(const Tree& t, int depth) const {
+  [[nodiscard]] Node conditional(const Tree& t, int depth) const {
     if (t.children.size() == 1) return build(*t.children.front(), depth);
     return with_kids(Op::kIf, t, depth);
   }
 
-  Node chain(const Tree& t, Op op, int depth) const {
+  [[nodiscard]] Node chain(const Tree& t, Op op, int depth) const {
     if (t.children.size() == 1) return build(*t.children.front(), depth);
     return with_kids(op, t, depth);
   }
 
-  Node left_to_right(const Tree& t, int depth) const {
+  [[nodiscard]] Node left_to_right(const Tree& t, int depth) const {
     if (static_cast<int>(t.children.size()) / 2 + depth > kMaxDepth)
       fail(at(t), "nested more than " + std::to_string(kMaxDepth) + " deep");
     Node left = build(*t.children.front(), depth + 1);
@@ -218,7 +218,7 @@
     return Op::kEqual;
   }
 
-  Node negation(const Tree& t, int depth) const {
+  [[nodiscard]] Node negation(const Tree& t, int depth) const {
     const Tree& of = *t.children.back();
     const bool minus = t.string_view().front() == '-';
     // The least number has no positive one to be made from.
@@ -231,7 +231,7 @@
     return with_kids(minus ? Op::kNegate : Op::kNot, t, depth);
   }
 
-  Node member(const Tree& t, int depth) const {
+  [[nodiscard]] Node member(const Tree& t, int depth) const {
     if (static_cast<int>(t.children.size()) + depth > kMaxDepth)
       fail(at(t), "nested more than " + std::to_string(kMaxDepth) + " deep");
     Node left = build(*t.children.front(), depth + 1);
@@ -253,7 +253,7 @@
     return left;
   }
 
-  Node literal(const Tree& t, bool negative = false) const {
+  [[nodiscard]] Node literal(const Tree& t, bool negative = false) const {
     const std::string_view s = t.string_view();
     if (t.is_type<grammar::name>()) {
       Node name = node(Op::kName, t);
@@ -279,7 +279,7 @@
     return n;
   }
 
-  std::int64_t integer(const Tree& t, bool negative) const {
+  [[nodiscard]] std::int64_t integer(const Tree& t, bool negative) const {
     const std::string_view s = t.string_view();
     const bool hexadecimal = s.starts_with("0x");
     std::uint64_t value = 0;
@@ -290,7 +290,7 @@
     return negative ? static_cast<std::int64_t>(0 - value) : static_cast<std::int64_t>(value);
   }
 
-  std::string text(const Tree& t) const {
+  [[nodiscard]] std::string text(const Tree& t) const {
     std::string_view s = t.string_view();
     if (t.is_type<grammar::raw_text>()) return std::string(s.substr(2, s.size() - 3));
     const std::size_t quotes = t.is_type<grammar::long_text>() ? 3 : 1;
--- a/src/expression/value.hpp
+++ b/src/expression/value.hpp
@@ -69,9 +69,9 @@
     v.fault = f;
     return v;
   }
-  std::string_view text() const { return {bytes, size}; }
-  bool is(bool b) const { return kind == Kind::kBool && truth == b; }
-  bool failed() const { return kind == Kind::kError; }
+  [[nodiscard]] std::string_view text() const { return {bytes, size}; }
+  [[nodiscard]] bool is(bool b) const { return kind == Kind::kBool && truth == b; }
+  [[nodiscard]] bool failed() const { return kind == Kind::kError; }
 };
 // Equal as the language has it; values of different kinds never are.
 bool same(const Value& a, const Value& b);
@@ -92,8 +92,8 @@
     fields_.push_back(std::move(field));
     return static_cast<int>(fields_.size()) - 1;
   }
-  int find(std::string_view path) const;  // -1: unknown
-  const std::vector<Field>& fields() const { return fields_; }
+  [[nodiscard]] int find(std::string_view path) const;  // -1: unknown
+  [[nodiscard]] const std::vector<Field>& fields() const { return fields_; }
 
  private:
   std::vector<Field> fields_;
--- a/src/gossip/codec.hpp
+++ b/src/gossip/codec.hpp
@@ -84,13 +84,13 @@
   bool add(const Row& row);
   bool add(const Summary& summary, bool reply);
   void limit(std::size_t maximum);  // for what comes, at least what is there already
-  std::size_t size() const;
-  std::size_t room() const { return size() < max_ ? max_ - size() : 0; }
+  [[nodiscard]] std::size_t size() const;
+  [[nodiscard]] std::size_t room() const { return size() < max_ ? max_ - size() : 0; }
   // None only where the sender alone is too much, which its bounds rule out.
-  std::optional<Datagram> finish() const;
+  [[nodiscard]] std::optional<Datagram> finish() const;
 
  private:
-  bool fits(std::size_t more) const { return size() + more <= max_; }
+  [[nodiscard]] bool fits(std::size_t more) const { return size() + more <= max_; }
   struct Content;
   std::unique_ptr<Content> content_;
   std::size_t max_ = kMaxBytes;
--- a/src/gossip/datagram.hpp
+++ b/src/gossip/datagram.hpp
@@ -25,8 +25,8 @@
     write(std::span(made.bytes_.data(), size));
     return made;
   }
-  std::span<const std::uint8_t> bytes() const { return {bytes_.data(), size_}; }
-  std::size_t size() const { return size_; }
+  [[nodiscard]] std::span<const std::uint8_t> bytes() const { return {bytes_.data(), size_}; }
+  [[nodiscard]] std::size_t size() const { return size_; }
 
  private:
   Datagram() = default;
--- a/src/gossip/gossip_node.hpp
+++ b/src/gossip/gossip_node.hpp
@@ -38,16 +38,16 @@
   Sent tick(Time now);                                                        // at or after next()
   Sent received(Time now, Number from, std::span<const std::uint8_t> bytes);  // from that member's address
   Sent leave(Time now);                                                       // says that we go
-  Time next() const;
+  [[nodiscard]] Time next() const;
 
   // Each of the three is this node's to write to; messages follow with the next tick, at once where next()
   // says so.
   bool set(Time now, std::uint32_t kind, std::uint64_t key, replicated_state::Bytes payload);
   void erase(Time now, std::uint32_t kind, std::uint64_t key) { rows_.erase(now, kind, key); }
-  const replicated_state::ReplicatedMap& rows() const { return rows_; }
+  [[nodiscard]] const replicated_state::ReplicatedMap& rows() const { return rows_; }
   replicated_state::BoundedCounter& rights() { return rights_; }
-  const replicated_state::BoundedCounter& rights() const { return rights_; }
-  const membership::Membership& members() const { return members_; }
+  [[nodiscard]] const replicated_state::BoundedCounter& rights() const { return rights_; }
+  [[nodiscard]] const membership::Membership& members() const { return members_; }
   void on_change(OnChange on_change) { on_change_ = std::move(on_change); }
 
   void unknown_address() { drop(Drop::kUnknownAddress); }  // a datagram came from nobody whom we know
@@ -58,7 +58,7 @@
     std::uint64_t absurd = 0;     // entries beyond their bounds
     std::array<std::uint64_t, kDrops> dropped{};
   };
-  const Counts& counts() const { return counts_; }
+  [[nodiscard]] const Counts& counts() const { return counts_; }
 
  private:
   // What one datagram is to hold, the most valuable first. Claims and rows of the queues fill it.
@@ -71,7 +71,7 @@
     std::vector<Summary> summaries;
     bool reply = false;
     std::vector<Row> rows;  // that it lacks
-    bool needed() const { return probe || !transfers.empty(); }
+    [[nodiscard]] bool needed() const { return probe || !transfers.empty(); }
   };
   Sent carry_out(Time now, std::vector<Draft> drafts);
   void pack(Time now, const Draft& draft, Sent& out);
--- a/src/gossip/udp_transport.hpp
+++ b/src/gossip/udp_transport.hpp
@@ -23,7 +23,7 @@
   void poke();   // the node was written to: it may have something to say at once
   void leave();  // tells the others, then stops
   void stop();   // without a word
-  udp::endpoint local() const { return socket_.local_endpoint(); }
+  [[nodiscard]] udp::endpoint local() const { return socket_.local_endpoint(); }
   // For tests on ephemeral ports, which are known only once all sockets are bound.
   void set_links(const Links& links);
 
--- a/src/hot_restart/drained_endpoint_store.hpp
+++ b/src/hot_restart/drained_endpoint_store.hpp
@@ -15,8 +15,8 @@
   // `path` empty: nothing is kept.
   DrainedEndpointStore(std::string path, engine::Log log) : path_(std::move(path)), log_(std::move(log)) {}
   void load();
-  const std::set<std::string>& endpoints() const { return endpoints_; }
-  bool contains(const std::string& endpoint) const { return endpoints_.contains(endpoint); }
+  [[nodiscard]] const std::set<std::string>& endpoints() const { return endpoints_; }
+  [[nodiscard]] bool contains(const std::string& endpoint) const { return endpoints_.contains(endpoint); }
   bool set(const std::string& endpoint, bool offline);  // false: it was so already
 
  private:
--- a/src/hot_restart/hot_restart_peer.hpp
+++ b/src/hot_restart/hot_restart_peer.hpp
@@ -52,10 +52,10 @@
   void serving();  // from now on another may take over from this one
   void close();
 
-  bool shared() const { return elder_.link != nullptr || younger_.link != nullptr; }
-  bool all_sent() const;  // a process that ends before takes with it what it handed over
-  bool has_elder() const { return elder_.link != nullptr; }
-  bool succeeded() const { return younger_.link != nullptr && younger_serves_; }
+  [[nodiscard]] bool shared() const { return elder_.link != nullptr || younger_.link != nullptr; }
+  [[nodiscard]] bool all_sent() const;  // a process that ends before takes with it what it handed over
+  [[nodiscard]] bool has_elder() const { return elder_.link != nullptr; }
+  [[nodiscard]] bool succeeded() const { return younger_.link != nullptr && younger_serves_; }
   void tell_ban(const std::string& endpoint, bool offline);
   void tell_vrrp(bool was_active);
   void give_stream(const Json& facts, int client, int replica);  // goes on at the younger process
--- a/src/http/event_framer.hpp
+++ b/src/http/event_framer.hpp
@@ -20,8 +20,8 @@
   // At the stream's end: the last event, where only the end told that its CR was not half of a CR LF.
   std::string finish() { return std::exchange(complete_, false) ? std::exchange(held_, {}) : std::string(); }
   // What stands after the last whole event: an event that was cut, where the stream has ended.
-  const std::string& rest() const { return held_; }
-  bool too_long() const { return held_.size() > kMaxEvent; }
+  [[nodiscard]] const std::string& rest() const { return held_; }
+  [[nodiscard]] bool too_long() const { return held_.size() > kMaxEvent; }
 
  private:
   std::string held_;
--- a/src/http/frontend.hpp
+++ b/src/http/frontend.hpp
@@ -26,7 +26,7 @@
   Frontend(const Frontend&) = delete;
   Frontend& operator=(const Frontend&) = delete;
   Server& server() { return server_; }
-  const engine::ResponseSink& response_sink() const { return *this; }
+  [[nodiscard]] const engine::ResponseSink& response_sink() const { return *this; }
   // A stream that began at another process goes on here.
   SlotId take_over(net::UniqueFd socket, const std::string& id, const std::string& endpoint) {
     const SlotId client = server_.adopt(std::move(socket));
--- a/src/http/message.hpp
+++ b/src/http/message.hpp
@@ -62,10 +62,10 @@
     parser_->put_eof(error_);
     return !error_ && parser_->is_done() ? Progress::kDone : Progress::kBad;
   }
-  bool head_done() const { return parser_->is_header_done(); }
-  bool started() const { return started_; }
-  bool keep_alive() const { return parser_->keep_alive(); }
-  const boost::system::error_code& error() const { return error_; }
+  [[nodiscard]] bool head_done() const { return parser_->is_header_done(); }
+  [[nodiscard]] bool started() const { return started_; }
+  [[nodiscard]] bool keep_alive() const { return parser_->keep_alive(); }
+  [[nodiscard]] const boost::system::error_code& error() const { return error_; }
   Message& message() { return parser_->get(); }
   // The part of the body that has come since the last call.
   std::string take_body() {
@@ -75,7 +75,7 @@
     return part;
   }
   // Bytes that the chunk being read still lacks. Its line end, where that is all, is left in the input.
-  std::uint64_t chunk_left() const { return chunk_left_; }
+  [[nodiscard]] std::uint64_t chunk_left() const { return chunk_left_; }
   // Goes on with an answer in chunks that another reader began, at the byte where that one stopped.
   void resume_chunks(std::uint64_t left, bool keep_alive) {
     reset();
--- a/src/http/server.hpp
+++ b/src/http/server.hpp
@@ -78,10 +78,10 @@
   void wake(SlotId client);
   net::UniqueFd give(SlotId client);   // a copy of the socket; the client is forgotten here
   SlotId adopt(net::UniqueFd socket);  // a client whose stream goes on here
-  bool is_open() const { return listener_.is_open(); }
-  bool draining() const { return draining_; }
-  std::size_t clients() const { return clients_.size(); }
-  net::tcp::endpoint local() const { return listener_.local(); }
+  [[nodiscard]] bool is_open() const { return listener_.is_open(); }
+  [[nodiscard]] bool draining() const { return draining_; }
+  [[nodiscard]] std::size_t clients() const { return clients_.size(); }
+  [[nodiscard]] net::tcp::endpoint local() const { return listener_.local(); }
 
  private:
   enum class State { kReading, kAnswering, kLingering };
--- a/src/membership/member.hpp
+++ b/src/membership/member.hpp
@@ -38,7 +38,7 @@
   Incarnation incarnation;
   MemberState standing = MemberState::kUnknown;
   Number by = 0;  // of a suspicion: who holds it
-  auto rank() const { return std::tuple(incarnation, standing); }
+  [[nodiscard]] auto rank() const { return std::tuple(incarnation, standing); }
   bool operator==(const MemberUpdate&) const = default;
 };
 
--- a/src/membership/membership.hpp
+++ b/src/membership/membership.hpp
@@ -56,36 +56,37 @@
   std::vector<Sending> received(Time now, Number from, Incarnation incarnation,
                                 const std::optional<Probe>& probe, const std::vector<MemberUpdate>& claims);
   std::vector<Sending> tick(Time now);  // at or after next()
-  Time next() const;
+  [[nodiscard]] Time next() const;
   std::vector<Sending> leave();  // says that this process ends; nothing may be called after it but queue()
 
   // Claims worth sending to `to`, the most valuable first: what it must know of itself, then what was sent
   // the least often. Tell by sent() which ones went out.
   // `suspicions_alone`: the receiver's summary is ours.
-  std::vector<MemberUpdate> queue(Number to, bool suspicions_alone = false) const;
+  [[nodiscard]] std::vector<MemberUpdate> queue(Number to, bool suspicions_alone = false) const;
   void sent(Number about);
   // Claims about known members from a moving place on, for one whose summary() differs.
   std::vector<MemberUpdate> page(std::size_t maximum);
-  std::uint32_t summary() const;  // equal where the same members are held alive, in the same lives
-  void agreed();                  // somebody's summary is ours: what it covers needs one telling less
-
-  Number self() const { return self_; }
-  Number count() const { return static_cast<Number>(members_.size()); }
-  const Incarnation& incarnation() const { return members_[self_].claim.incarnation; }
-  MemberState standing(Number number) const { return members_[number].claim.standing; }
-  const MemberUpdate& claim(Number number) const { return members_[number].claim; }
-  Time since(Number number) const { return members_[number].since; }  // of its standing
-  std::vector<Number> living() const;                                 // alive or suspect, without self
-  unsigned unwell() const { return health_.score(); }
+  [[nodiscard]] std::uint32_t summary()
+      const;      // equal where the same members are held alive, in the same lives
+  void agreed();  // somebody's summary is ours: what it covers needs one telling less
+
+  [[nodiscard]] Number self() const { return self_; }
+  [[nodiscard]] Number count() const { return static_cast<Number>(members_.size()); }
+  [[nodiscard]] const Incarnation& incarnation() const { return members_[self_].claim.incarnation; }
+  [[nodiscard]] MemberState standing(Number number) const { return members_[number].claim.standing; }
+  [[nodiscard]] const MemberUpdate& claim(Number number) const { return members_[number].claim; }
+  [[nodiscard]] Time since(Number number) const { return members_[number].since; }  // of its standing
+  [[nodiscard]] std::vector<Number> living() const;  // alive or suspect, without self
+  [[nodiscard]] unsigned unwell() const { return health_.score(); }
   std::vector<Change> take_changes() { return std::exchange(changes_, {}); }
 
   // Over all that it will act by, times from `now` on: machines with equal ones act alike. For exploring.
-  std::uint64_t state_hash(Time now) const;
+  [[nodiscard]] std::uint64_t state_hash(Time now) const;
 
   struct Counts {
     std::uint64_t suspicions = 0, refutations = 0, deaths = 0, probes = 0, failed_probes = 0, pauses = 0;
   };
-  const Counts& counts() const { return counts_; }
+  [[nodiscard]] const Counts& counts() const { return counts_; }
 
  private:
   struct Member {
@@ -120,10 +121,10 @@
   void ask_helpers(std::vector<Sending>& out);
   void call_lost(std::vector<Sending>& out);
   void run_relays(Time now, std::vector<Sending>& out);
-  bool lives(Number number) const;
+  [[nodiscard]] bool lives(Number number) const;
   std::optional<Number> next_in(std::vector<Number>& order, std::size_t& place, bool living);
-  unsigned sends() const;
-  Duration min_wait() const;
+  [[nodiscard]] unsigned sends() const;
+  [[nodiscard]] Duration min_wait() const;
 
   Parameters p_;
   Number self_;
--- a/src/membership/suspicion.hpp
+++ b/src/membership/suspicion.hpp
@@ -16,10 +16,10 @@
   // `wanted`: confirmations that bring the wait down to `least`; 0 (a fleet too small to have them): at once.
   Suspicion(Time since, Number accuser, unsigned wanted, Duration minimum, Duration maximum);
   bool confirm(Number accuser);  // true: an accuser that is news and still counts
-  Duration wait() const;
-  Time ends() const { return since_ + wait(); }
+  [[nodiscard]] Duration wait() const;
+  [[nodiscard]] Time ends() const { return since_ + wait(); }
   void shift(Duration pause) { since_ += pause; }  // time in which this process did not run
-  const std::vector<Number>& accusers() const { return accusers_; }
+  [[nodiscard]] const std::vector<Number>& accusers() const { return accusers_; }
 
  private:
   Time since_;
@@ -35,8 +35,10 @@
   explicit LocalHealth(unsigned maximum) : max_(maximum) {}
   void worse(unsigned by = 1) { score_ = by >= max_ - score_ ? max_ : score_ + by; }
   void better() { score_ -= score_ > 0 ? 1 : 0; }
-  unsigned score() const { return score_; }
-  Duration scaled(Duration time) const { return time * (1 + static_cast<Duration::rep>(score_)); }
+  [[nodiscard]] unsigned score() const { return score_; }
+  [[nodiscard]] Duration scaled(Duration time) const {
+    return time * (1 + static_cast<Duration::rep>(score_));
+  }
 
  private:
   unsigned max_;
--- a/src/net/connection.hpp
+++ b/src/net/connection.hpp
@@ -88,8 +88,8 @@
   void accept_pending();  // hands out at once what waits to be accepted
   void rest() { wanted_ = false; }
   void close();
-  bool is_open() const { return acceptor_.is_open(); }
-  tcp::endpoint local() const { return acceptor_.local_endpoint(); }
+  [[nodiscard]] bool is_open() const { return acceptor_.is_open(); }
+  [[nodiscard]] tcp::endpoint local() const { return acceptor_.local_endpoint(); }
 
  private:
   tcp::endpoint at_;
--- a/src/net/ring_buffer.hpp
+++ b/src/net/ring_buffer.hpp
@@ -21,12 +21,12 @@
   static constexpr std::size_t kFirst = 4096;
   explicit RingBuffer(std::size_t maximum) : max_(maximum) {}
 
-  std::size_t size() const { return size_; }
-  bool empty() const { return size_ == 0; }
-  std::size_t room() const { return max_ - size_; }
+  [[nodiscard]] std::size_t size() const { return size_; }
+  [[nodiscard]] bool empty() const { return size_ == 0; }
+  [[nodiscard]] std::size_t room() const { return max_ - size_; }
 
   // The bytes held, oldest first, in at most two pieces.
-  std::array<boost::asio::const_buffer, 2> data() const {
+  [[nodiscard]] std::array<boost::asio::const_buffer, 2> data() const {
     const std::size_t first = std::min(size_, capacity_ - head_);
     return {boost::asio::const_buffer(bytes_.get() + head_, first),
             boost::asio::const_buffer(bytes_.get(), size_ - first)};
@@ -39,8 +39,8 @@
     return space();
   }
   // What the bytes lie in, for as long as an operation on them is under way.
-  std::shared_ptr<const char[]> storage() const { return bytes_; }
-  std::string text() const {  // a copy of what is held
+  [[nodiscard]] std::shared_ptr<const char[]> storage() const { return bytes_; }
+  [[nodiscard]] std::string text() const {  // a copy of what is held
     std::string all;
     for (const auto& piece : data()) all.append(static_cast<const char*>(piece.data()), piece.size());
     return all;
--- a/src/net/slot_table.hpp
+++ b/src/net/slot_table.hpp
@@ -49,9 +49,9 @@
     free_.push_back(id.index);
     --size_;
   }
-  std::size_t size() const { return size_; }
+  [[nodiscard]] std::size_t size() const { return size_; }
   // Handles of all entries, so that a caller may erase while it walks them.
-  std::vector<SlotId> ids() const {
+  [[nodiscard]] std::vector<SlotId> ids() const {
     std::vector<SlotId> result;
     for (std::uint32_t i = 0; i < slots_.size(); ++i) {
       if (slots_[i].value) result.push_back({i, slots_[i].generation});
--- a/src/net/unique_fd.hpp
+++ b/src/net/unique_fd.hpp
@@ -19,7 +19,7 @@
   }
   ~UniqueFd() { reset(); }
   explicit operator bool() const { return fd_ >= 0; }
-  int get() const { return fd_; }
+  [[nodiscard]] int get() const { return fd_; }
   int release() { return std::exchange(fd_, -1); }
   void reset(int fd = -1) {
     if (fd_ >= 0) ::close(fd_);
--- a/src/openai_api/answer.hpp
+++ b/src/openai_api/answer.hpp
@@ -19,12 +19,12 @@
   // Takes whole events. Returns the events for a streaming client, empty for one that waits for the whole.
   std::string take(std::string_view events);
   // Did the stream say itself that it is complete? Its mere end proves nothing.
-  bool complete() const { return done_; }
+  [[nodiscard]] bool complete() const { return done_; }
   // The whole completion, for a client that does not stream.
-  std::string completion() const;
-  bool stream() const { return stream_; }
+  [[nodiscard]] std::string completion() const;
+  [[nodiscard]] bool stream() const { return stream_; }
   // More than any limit on tokens allows: a replica that does not stop must not fill the memory.
-  bool too_long() const { return collected_ > kMaxCollected; }
+  [[nodiscard]] bool too_long() const { return collected_ > kMaxCollected; }
 
  private:
   static constexpr std::size_t kMaxCollected = 4 * 1024 * 1024;
--- a/src/openai_api/frontend.hpp
+++ b/src/openai_api/frontend.hpp
@@ -38,14 +38,15 @@
   void forget(SlotId client) override;
 
   // The account that the request may use; empty: its key is not known.
-  std::optional<std::string> account(const http::Server::Request& request) const;
+  [[nodiscard]] std::optional<std::string> account(const http::Server::Request& request) const;
   void models(SlotId client, std::string_view id);
   void complete(SlotId client, http::Server::Request& request, engine::Time arrived,
                 const std::string& account);
   void reply(SlotId client, const ApiError& error, std::initializer_list<http::Header> more = {});
   void may_have_run(SlotId client, const ApiError& error, bool repeatable);
   void come_later(SlotId client, const ApiError& error, engine::Duration wait);
-  const routing::RequestClass& class_of(const routing::Request& request, const Model& model) const;
+  [[nodiscard]] const routing::RequestClass& class_of(const routing::Request& request,
+                                                      const Model& model) const;
   std::string new_id();
 
   Config config_;
--- a/src/rate_limit/counter_table.hpp
+++ b/src/rate_limit/counter_table.hpp
@@ -58,9 +58,9 @@
     std::int64_t arrival = 0;    // the theoretical arrival time, ns
     std::int64_t tolerance = 0;  // as it was when last charged: past it the key is at its limit
     std::uint32_t in_progress = 0, maximum = Bound::kAny;
-    bool idle(std::int64_t now) const { return in_progress == 0 && arrival <= now; }
+    [[nodiscard]] bool idle(std::int64_t now) const { return in_progress == 0 && arrival <= now; }
     // Would its next request be refused, or is any still to come to its end?
-    bool pinned(std::int64_t now) const { return in_progress > 0 || arrival - tolerance > now; }
+    [[nodiscard]] bool pinned(std::int64_t now) const { return in_progress > 0 || arrival - tolerance > now; }
   };
   static constexpr std::size_t kWays = 8;
 
--- a/src/rate_limit/rate_limiter.hpp
+++ b/src/rate_limit/rate_limiter.hpp
@@ -21,7 +21,7 @@
 // counted.
 class Ticket {
  public:
-  bool empty() const { return count_ == 0; }
+  [[nodiscard]] bool empty() const { return count_ == 0; }
 
  private:
   friend class RateLimiter;
--- a/src/rate_limit/rules.hpp
+++ b/src/rate_limit/rules.hpp
@@ -67,17 +67,17 @@
   Decision decide(const Facts& facts, expression::Scratch& scratch) const;
   void reserve(expression::Scratch& scratch) const;
 
-  const std::vector<Rule>& rules() const { return rules_; }
-  const expression::FirstMatch& conditions() const { return conditions_; }
-  const std::vector<Header>& headers() const { return headers_; }
-  const expression::Environment& fields() const { return fields_; }
-  const Vocabulary& vocabulary() const { return vocabulary_; }
-  std::size_t keys() const { return keys_; }
-  double worst_ns() const { return worst_ns_; }
-  double budget_ns() const { return budget_ns_; }
-  double worst_ns(std::size_t rule) const;  // of its condition and all that it computes
+  [[nodiscard]] const std::vector<Rule>& rules() const { return rules_; }
+  [[nodiscard]] const expression::FirstMatch& conditions() const { return conditions_; }
+  [[nodiscard]] const std::vector<Header>& headers() const { return headers_; }
+  [[nodiscard]] const expression::Environment& fields() const { return fields_; }
+  [[nodiscard]] const Vocabulary& vocabulary() const { return vocabulary_; }
+  [[nodiscard]] std::size_t keys() const { return keys_; }
+  [[nodiscard]] double worst_ns() const { return worst_ns_; }
+  [[nodiscard]] double budget_ns() const { return budget_ns_; }
+  [[nodiscard]] double worst_ns(std::size_t rule) const;  // of its condition and all that it computes
   // The values that expressions see, in the order of fields().
-  std::vector<expression::Value> values(const Facts& facts, std::span<char, 16> session) const;
+  [[nodiscard]] std::vector<expression::Value> values(const Facts& facts, std::span<char, 16> session) const;
 
  private:
   using Values = std::array<expression::Value, 64>;
--- a/src/replicated_state/bounded_counter.hpp
+++ b/src/replicated_state/bounded_counter.hpp
@@ -98,8 +98,9 @@
   void close(Time now, const BudgetId& id);
 
   // What may be used now: units, or for kRate what has piled up, in units.
-  std::uint64_t available(Time now, const BudgetId& id) const;
-  std::uint64_t rate(Time now, const BudgetId& id) const;        // kRate: units a second, loans included
+  [[nodiscard]] std::uint64_t available(Time now, const BudgetId& id) const;
+  [[nodiscard]] std::uint64_t rate(Time now,
+                                   const BudgetId& id) const;    // kRate: units a second, loans included
   bool use(Time now, const BudgetId& id, std::uint64_t amount);  // all or nothing
   // How much we would like to have, units or units a second: asks others for what is missing, and lends
   // nothing below it.
@@ -110,17 +111,17 @@
                                  const std::vector<Grant>& grants, const std::vector<Return>& returns);
   // A member is held dead or has begun another life: what it was asked is not waited for.
   void lost(Number number);
-  void own_life(std::uint64_t life);  // this process's own incarnation has changed
-  std::optional<Time> next() const;   // when tick() has something to do: an ask, a loan's end
+  void own_life(std::uint64_t life);               // this process's own incarnation has changed
+  [[nodiscard]] std::optional<Time> next() const;  // when tick() has something to do: an ask, a loan's end
 
   struct Counts {
     std::uint64_t asks = 0, granted = 0, denied = 0, borrowed = 0, returned = 0, lapsed = 0, ignored = 0;
   };
-  const Counts& counts() const { return counts_; }
-  std::size_t size() const { return wholes_.size(); }
+  [[nodiscard]] const Counts& counts() const { return counts_; }
+  [[nodiscard]] std::size_t size() const { return wholes_.size(); }
 
   // Over all that it will act by, times from `now` on, but the randomness. For exploring.
-  std::uint64_t state_hash(Time now) const;
+  [[nodiscard]] std::uint64_t state_hash(Time now) const;
 
   struct Lent {  // by borrower
     std::uint64_t life = 0;
@@ -152,14 +153,14 @@
     std::optional<Asked> asked;
     Time ask_at{};
   };
-  const std::map<BudgetId, Holding>& holdings() const { return wholes_; }
+  [[nodiscard]] const std::map<BudgetId, Holding>& holdings() const { return wholes_; }
 
  private:
-  std::uint64_t kept(const Holding& h) const;
-  std::uint64_t own_rate(Time at, const Holding& h) const;
-  std::uint64_t have(Time now, const Holding& h) const;
-  std::uint64_t spare(Time now, const Holding& h) const;
-  std::uint64_t level(Time now, const Holding& h) const;
+  [[nodiscard]] std::uint64_t kept(const Holding& h) const;
+  [[nodiscard]] std::uint64_t own_rate(Time at, const Holding& h) const;
+  [[nodiscard]] std::uint64_t have(Time now, const Holding& h) const;
+  [[nodiscard]] std::uint64_t spare(Time now, const Holding& h) const;
+  [[nodiscard]] std::uint64_t level(Time now, const Holding& h) const;
   static std::uint64_t lent_out(Time at, const Holding& h);
   void settle(Time now, Holding& h);
   std::optional<Grant> answer(Time now, Number from, std::uint64_t life, const Ask& ask);
@@ -170,7 +171,7 @@
   void give_up(Time now, Holding& h, std::vector<Transfer>& out);
   void give_back(Time now, Holding& h, std::vector<Transfer>& out);
   void ask(Time now, Holding& h, const std::vector<Number>& living, std::vector<Transfer>& out);
-  const Holding* find(const BudgetId& id) const;
+  [[nodiscard]] const Holding* find(const BudgetId& id) const;
   Holding* find(const BudgetId& id) { return const_cast<Holding*>(std::as_const(*this).find(id)); }
 
   Terms terms_;
--- a/src/replicated_state/entry_kinds.hpp
+++ b/src/replicated_state/entry_kinds.hpp
@@ -40,7 +40,7 @@
 class Kinds {
  public:
   const Kind& add(Kind kind);  // throws std::logic_error where it is bad itself or its number is taken
-  const Kind* find(std::uint32_t id) const;
+  [[nodiscard]] const Kind* find(std::uint32_t id) const;
 
  private:
   std::map<std::uint32_t, Kind> kinds_;
--- a/src/replicated_state/replicated_map.hpp
+++ b/src/replicated_state/replicated_map.hpp
@@ -91,25 +91,25 @@
 
   // Rows to pass on, the most urgent first. Tell by sent() which ones went out. `at_once`: own ones alone
   // that are worth a datagram to all.
-  std::vector<Row> queue(Time now, bool at_once = false) const;
+  [[nodiscard]] std::vector<Row> queue(Time now, bool at_once = false) const;
   void sent(const Place& place, bool to_all = false);
 
   // Anti-entropy. Owners fall into groups; a group's hash goes along with a probe, and where it differs, its
   // summaries go back.
   // A datagram has room for the summaries of about 16 owners; in larger groups they take turns.
   static constexpr Number kMinGroup = 10, kMaxGroups = 10;
-  Number groups() const;
-  std::uint32_t group_hash(Time now, Number group) const;
-  std::vector<Summary> summaries(Time now, Number group, Number first = 0) const;
-  Summary summary(Time now, Number owner) const;
+  [[nodiscard]] Number groups() const;
+  [[nodiscard]] std::uint32_t group_hash(Time now, Number group) const;
+  [[nodiscard]] std::vector<Summary> summaries(Time now, Number group, Number first = 0) const;
+  [[nodiscard]] Summary summary(Time now, Number owner) const;
   // Rows of an owner that the sender of the summary lacks, newest first. Empty: it has all that we have.
-  std::vector<Row> lacking(Time now, const Summary& theirs) const;
+  [[nodiscard]] std::vector<Row> lacking(Time now, const Summary& theirs) const;
   // Does the sender of the summary have what we lack?
-  bool behind(Time now, const Summary& theirs) const;
+  [[nodiscard]] bool behind(Time now, const Summary& theirs) const;
 
-  std::size_t size() const { return rows_.size(); }
-  std::size_t quota() const { return quota_; }
-  const std::array<std::uint64_t, kVerdicts>& verdicts() const { return verdicts_; }
+  [[nodiscard]] std::size_t size() const { return rows_.size(); }
+  [[nodiscard]] std::size_t quota() const { return quota_; }
+  [[nodiscard]] const std::array<std::uint64_t, kVerdicts>& verdicts() const { return verdicts_; }
 
  private:
   struct Kept {
@@ -129,14 +129,16 @@
     Payload payload;
     bool gone = false;
   };
-  Number group_size() const { return (static_cast<Number>(owners_.size()) + groups() - 1) / groups(); }
-  MergeResult judge(const Row& row) const;
+  [[nodiscard]] Number group_size() const {
+    return (static_cast<Number>(owners_.size()) + groups() - 1) / groups();
+  }
+  [[nodiscard]] MergeResult judge(const Row& row) const;
   bool offer(Time now, const Place& place, const Payload& payload, bool gone);
   void write(Time now, const Place& place, const Payload& payload, bool gone);
   void put(const Place& place, Kept kept);
   void drop(const Place& place);
-  Row row(Time now, const Place& place, const Kept& kept) const;
-  bool spread(Time now, const Place& place, const Kept& kept) const;
+  [[nodiscard]] Row row(Time now, const Place& place, const Kept& kept) const;
+  [[nodiscard]] bool spread(Time now, const Place& place, const Kept& kept) const;
 
   const Kinds& kinds_;
   Number self_;
--- a/src/routing/prefix_index.hpp
+++ b/src/routing/prefix_index.hpp
@@ -25,7 +25,7 @@
   std::map<Key, std::list<Entry>::iterator> where;
   std::size_t used = 0;
 
-  int covered(const Key& key) const {
+  [[nodiscard]] int covered(const Key& key) const {
     const auto it = where.find(key);
     return it == where.end() ? 0 : it->second->tokens;
   }
--- a/src/routing/router.cpp
+++ b/src/routing/router.cpp
@@ -83,7 +83,7 @@
     mean += gain * (x - mean);
     if (mean > 0) dev += gain * (std::abs(x - mean) / mean - dev);
   }
-  bool known() const { return n >= kMinSamples; }
+  [[nodiscard]] bool known() const { return n >= kMinSamples; }
 };
 
 // Of a host, what stays where its process is found to be another one.
@@ -115,13 +115,15 @@
   bool ejected = false, hung = false;
   Time ejected_until{}, full_until{}, last_alive{}, seen_at{};
   std::map<std::pair<std::string, std::string>, Time> rests;  // class and tenant turned away: until when
-  bool idle() const { return reads == 0 && streams == 0; }
-  bool awaited() const { return reads + streams > begun; }  // an own attempt there has shown nothing yet
+  [[nodiscard]] bool idle() const { return reads == 0 && streams == 0; }
+  [[nodiscard]] bool awaited() const {
+    return reads + streams > begun;
+  }  // an own attempt there has shown nothing yet
 };
 
 struct Place {                      // a cell, a zone or all: what it has of each
   double readers = 0, writers = 0;  // by weight
-  double near(const Place& all) const {
+  [[nodiscard]] double near(const Place& all) const {
     return std::min(1.0, writers * all.readers / std::max(readers * all.writers, 1e-9));
   }
 };
@@ -149,7 +151,7 @@
   int predicted = 0;               // prompt tokens that the index credits the reader with
   Duration read_time{};
   Time started{};  // of the stream
-  Duration latency_objective() const {
+  [[nodiscard]] Duration latency_objective() const {
     return cls->latency_objective + scaled(cls->latency_objective_per_1000_tokens, r.prompt_tokens / 1000.0);
   }
 };
@@ -179,13 +181,13 @@
     return std::exchange(actions_, {});
   }
 
-  TableSizes table_sizes() const {
+  [[nodiscard]] TableSizes table_sizes() const {
     TableSizes sizes{requests_.size(), endpoints_.size(), 0};
     for (const auto& [name, h] : endpoints_) sizes.index_keys += h.index.where.size();
     return sizes;
   }
 
-  LearnedState learned_state() const {
+  [[nodiscard]] LearnedState learned_state() const {
     LearnedState k{{}, far_norm_, {}, born_, {}};
     for (std::size_t role = 0; role < served_.size(); ++role) {
       k.starts[role] = start_norms_[role];
@@ -212,7 +214,7 @@
   }
 
   // How slow a host is now, by what was seen of it lately and by own attempts that stand in its line.
-  double slow(const Endpoint& h) const {
+  [[nodiscard]] double slow(const Endpoint& h) const {
     const double faded = 1 + (h.slowness - 1) * std::exp2(-seconds(now_ - h.seen_at) / seconds(kSlowFade));
     return std::max(1.0, faded) * std::clamp(h.lag / kLagFree, 1.0, kLagMax);
   }
@@ -221,7 +223,7 @@
   struct RoleStatistics {
     double ready = 0, ejected = 0, warm = 0, lag = 0, busy = 0, tokens = 0, memory = 0, reports = 0;
   };
-  RoleStatistics pool(Role role) const {
+  [[nodiscard]] RoleStatistics pool(Role role) const {
     RoleStatistics p;
     for (const auto& [name, h] : endpoints_) {
       if (h.role != role || h.state != EndpointState::kReady) continue;
@@ -291,11 +293,11 @@
     return std::max(Duration(std::llround(expected)), scaled(q.latency_objective(), kPatienceFloor));
   }
   // May an effect have taken place, whose repeats are discarded for a while only, from the first send?
-  bool bound_to_window(const Pending& q) const {
+  [[nodiscard]] bool bound_to_window(const Pending& q) const {
     return q.maybe_ran && q.cls->idempotency == Idempotency::kKeyed;
   }
-  Time window_end(const Pending& q) const { return q.ran_sent + q.cls->deduplication_window; }
-  bool may_repeat(const Pending& q, const Endpoint& h) const {
+  [[nodiscard]] Time window_end(const Pending& q) const { return q.ran_sent + q.cls->deduplication_window; }
+  [[nodiscard]] bool may_repeat(const Pending& q, const Endpoint& h) const {
     return q.spent < q.rules->max_attempts &&
            (h.role == Role::kReader || q.cls->idempotency == Idempotency::kIdempotent);
   }
@@ -303,14 +305,18 @@
   // ---- cold hosts ----
 
   static Time since(const Endpoint& h) { return std::max(h.started, h.back); }
-  bool cold(const Endpoint& h) const { return since(h) != Time{} && now_ < since(h) + s_->warmup_time; }
-  double warmth(const Endpoint& h) const { return cold(h) ? slow_start::warmth(*s_, now_ - since(h)) : 1; }
-  double power(const Endpoint& h) const { return std::max(0.1, warmth(h)); }
-  double budget(const Endpoint& h) const {
+  [[nodiscard]] bool cold(const Endpoint& h) const {
+    return since(h) != Time{} && now_ < since(h) + s_->warmup_time;
+  }
+  [[nodiscard]] double warmth(const Endpoint& h) const {
+    return cold(h) ? slow_start::warmth(*s_, now_ - since(h)) : 1;
+  }
+  [[nodiscard]] double power(const Endpoint& h) const { return std::max(0.1, warmth(h)); }
+  [[nodiscard]] double budget(const Endpoint& h) const {
     return slow_start::budget(*s_, warmth(h), warm_rate_[ix(h.role)]);
   }
-  bool by_turns(const Endpoint& h) const { return cold(h) && budget(h) < 1; }
-  bool cold_allows(const Endpoint& h, const Pending& q) const {
+  [[nodiscard]] bool by_turns(const Endpoint& h) const { return cold(h) && budget(h) < 1; }
+  [[nodiscard]] bool cold_allows(const Endpoint& h, const Pending& q) const {
     if (!cold(h)) return true;
     const auto used =
         std::count_if(h.sends.begin(), h.sends.end(), [&](Time t) { return t > now_ - s_->overload_window; });
@@ -340,7 +346,7 @@
 
   // ---- scoring ----
   // May this request go to this host now? `whole`: it would be served there, so an effect is possible.
-  bool usable(const Endpoint& h, const Pending& q, bool whole) const {
+  [[nodiscard]] bool usable(const Endpoint& h, const Pending& q, bool whole) const {
     if (h.state != EndpointState::kReady || now_ < h.full_until || !cold_allows(h, q)) return false;
     const auto rest = h.rests.find({q.cls->name, q.r.tenant});
     if (rest != h.rests.end() && now_ < rest->second) return false;
@@ -363,7 +369,7 @@
   // that share nothing send a session and its text to the same reader, and a hot text finds enough of them.
   // What a count of one is worth is told by how many texts were seen once and twice (absolute discounting):
   // where most are rare, a single request is no heat, and copies of rare texts push all else out (L2048df).
-  std::uint64_t slot(const Pending& q) const {
+  [[nodiscard]] std::uint64_t slot(const Pending& q) const {
     const auto number = static_cast<std::uint64_t>(s_->router_number);  // without a key routers go apart
     if (q.r.shared_prefix == 0) return mix(q.r.session != 0 ? q.r.session : hash_text(q.r.id) ^ mix(number));
     const auto heat = heat_.find(q.r.shared_prefix);
@@ -386,20 +392,20 @@
     heat_total_ /= 2;
   }
 
-  int covered(const Endpoint& h, const Pending& q) const {
+  [[nodiscard]] int covered(const Endpoint& h, const Pending& q) const {
     const int session = q.r.session != 0 ? h.index.covered({false, q.text}) : 0;
     const int shared = q.r.shared_prefix != 0 ? h.index.covered({true, q.slot}) : 0;
     return std::min(std::max(session, std::min(shared, q.r.prefix_tokens)), q.r.prompt_tokens);
   }
 
   // Ever less of what was reported counts the older it is; the mean of all reports says more by then.
-  double reported(double value, double mean, const Endpoint& h) const {
+  [[nodiscard]] double reported(double value, double mean, const Endpoint& h) const {
     return mean + (value - mean) * std::exp2(-seconds(now_ - h.reported_at) / seconds(kReportFade));
   }
 
   // Reported work plus our sends since, else our sends out. A slow or cold host has less to do it with. One
   // that was never heard of counts as idle: as the average, 300 routers that hear little found out less.
-  double load(const Endpoint& h, const RoleStatistics& p) const {
+  [[nodiscard]] double load(const Endpoint& h, const RoleStatistics& p) const {
     double tokens = h.read_tokens;
     if (const auto& told = h.report.prompt_kilotokens; told)
       tokens = reported(1000 * *told, p.tokens, h) + h.tokens_since_report;
@@ -408,12 +414,12 @@
   }
 
   // Means hide that a whole role is late: what the mixed servers' first tokens take against the others'.
-  double tilt() const {
+  [[nodiscard]] double tilt() const {
     return wait_mixed_ > 0 && wait_pair_ > 0 ? std::clamp(wait_mixed_ / wait_pair_, 1 / kTilt, kTilt) : 1;
   }
 
   // Ties go to the highest of a weighted hash of key and host, the same for all routers.
-  double tie(const Endpoint& h, std::uint64_t key) const {
+  [[nodiscard]] double tie(const Endpoint& h, std::uint64_t key) const {
     const double share = h.role == Role::kMixed ? kMixedShare / tilt() : kFarShare + (1 - kFarShare) * h.near;
     return std::log(unit(key ^ h.hash)) / (h.weight * (by_turns(h) ? 1 : power(h)) * share);
   }
@@ -480,7 +486,7 @@
 
   // ---- writer choice ----
 
-  double stream_load(const Endpoint& h) const {
+  [[nodiscard]] double stream_load(const Endpoint& h) const {
     const double streams = h.report.in_hand ? *h.report.in_hand : h.streams;
     return (streams + 1) * slow(h) / power(h);
   }
@@ -597,7 +603,7 @@
     if (v != AttemptStatus::kConnectFailed || !q.rules->reservation_expires_while_connecting)
       q.idle_since = now_;
   }
-  bool pinned_too_long(const Pending& q) const {
+  [[nodiscard]] bool pinned_too_long(const Pending& q) const {
     return q.state_held && now_ >= q.idle_since + scaled(q.rules->reservation_limit, kPinCare);
   }
 
@@ -648,17 +654,17 @@
     else if (q.spent + 2 > q.rules->max_attempts && !serves_whole())
       give_up(q);  // no read and write are left: nothing to wait for
   }
-  bool serves_whole() const {
+  [[nodiscard]] bool serves_whole() const {
     return s_->writers_read || std::any_of(endpoints_.begin(), endpoints_.end(),
                                            [](const auto& e) { return e.second.role == Role::kMixed; });
   }
 
   // How long the tick may be in coming.
-  Duration look() const {
+  [[nodiscard]] Duration look() const {
     const Duration tick = std::max(s_->tick, Duration(1));
     return (kTickEvery + tick - Duration(1)) / tick * tick;
   }
-  Duration lead() const { return 2 * std::max(kTickEvery, s_->tick); }
+  [[nodiscard]] Duration lead() const { return 2 * std::max(kTickEvery, s_->tick); }
 
   // How late first tokens come, as a share of their objectives: a mean over the last seconds that starts from
   // a few that were in time, so that one late answer is not taken for overload.
@@ -669,11 +675,11 @@
     late_at_ = now_;
   }
 
-  double lateness() const { return late_sum_ / (late_count_ + kLatePrior); }
+  [[nodiscard]] double lateness() const { return late_sum_ / (late_count_ + kLatePrior); }
 
   // Is this age more than what first tokens take everywhere now? While all are late, being late tells nothing
   // of a host: in a jam that ejected good ones and had reads run twice (L2048df, i0ea1d7, i2d69a7).
-  bool stands_out(const Pending& q, Duration age) const {
+  [[nodiscard]] bool stands_out(const Pending& q, Duration age) const {
     return age > scaled(q.latency_objective(), kAlone * lateness());
   }
 
@@ -755,7 +761,7 @@
     h = std::move(fresh);
   }
 
-  EndpointState allowed(const Endpoint& h) const {
+  [[nodiscard]] EndpointState allowed(const Endpoint& h) const {
     return h.listed == EndpointState::kReady && offline_.contains(h.endpoint) ? EndpointState::kDraining
                                                                               : h.listed;
   }
--- a/src/service_discovery/backoff.hpp
+++ b/src/service_discovery/backoff.hpp
@@ -25,7 +25,7 @@
   // The pause before the next try after a failure. `draw` is uniform in [0, 1); other values are clamped.
   Duration failed(double draw);
   void succeeded() { failures_ = 0; }
-  int failures() const { return failures_; }
+  [[nodiscard]] int failures() const { return failures_; }
 
  private:
   BackoffShape shape_;
--- a/src/service_discovery/endpoint_watcher.hpp
+++ b/src/service_discovery/endpoint_watcher.hpp
@@ -35,8 +35,10 @@
   // Follows another address from now on. What was seen so far was the old one's, so the new one's whole list
   // is taken first. The list that was told last serves until then. Before start() it opens nothing.
   void move(const net::tcp::endpoint& at);
-  std::uint64_t seq() const { return seq_; }
-  std::optional<engine::Time> heard() const { return heard_; }  // when discovery last said anything
+  [[nodiscard]] std::uint64_t seq() const { return seq_; }
+  [[nodiscard]] std::optional<engine::Time> heard() const {
+    return heard_;
+  }  // when discovery last said anything
 
  private:
   struct Call {
@@ -53,7 +55,7 @@
   void on_data(net::SlotId id) override;
   void on_sent(net::SlotId) override {}
   void on_ended(net::SlotId id, net::error_code error) override;
-  std::shared_ptr<Call> find(CallId id) const;
+  [[nodiscard]] std::shared_ptr<Call> find(CallId id) const;
   void ask(Call& call);
   bool take_head(CallId id, Call& call);  // false: the call is over
   void take(CallId id, Call& call, const std::string& text);
--- a/src/service_discovery/json_framer.hpp
+++ b/src/service_discovery/json_framer.hpp
@@ -17,9 +17,9 @@
   // Takes the next bytes and returns the objects that they complete. Whether an object is valid inside its
   // braces is the parser's to tell.
   std::vector<std::string> feed(std::string_view bytes);
-  bool inside() const { return depth_ > 0; }  // an object has begun and not ended
+  [[nodiscard]] bool inside() const { return depth_ > 0; }  // an object has begun and not ended
   // Something stood between objects that is no white space, or an object is too long. Nothing more is read.
-  bool bad() const { return bad_; }
+  [[nodiscard]] bool bad() const { return bad_; }
 
  private:
   void step(char c);
--- a/src/service_discovery/poll_schedule.hpp
+++ b/src/service_discovery/poll_schedule.hpp
@@ -46,9 +46,9 @@
   // The watch said something. `object_since`: when the first byte came of an object that is not whole yet.
   void heard(CallId id, Time now, std::optional<Time> object_since);
 
-  std::optional<Time> next() const;
-  bool started() const { return started_; }
-  std::size_t calls() const { return calls_.size(); }
+  [[nodiscard]] std::optional<Time> next() const;
+  [[nodiscard]] bool started() const { return started_; }
+  [[nodiscard]] std::size_t calls() const { return calls_.size(); }
 
  private:
   struct Call {
@@ -56,7 +56,7 @@
     Time opened{}, last{};  // the last sign of life, its opening at first
     bool answered = false;
     std::optional<Time> object_since;
-    Time limit() const {
+    [[nodiscard]] Time limit() const {
       return last + (answered ? service_discovery::kSilence : service_discovery::kCallLimit);
     }
   };
@@ -66,7 +66,7 @@
   void open(Time now, Orders& orders);
   void rest(service_discovery::Duration pause, Time now) { not_before_ = std::max(not_before_, now + pause); }
   service_discovery::Duration pause_after_failure(const Call& call, Time now, double draw);
-  Time open_at() const;  // when another call is due, as far as is known now
+  [[nodiscard]] Time open_at() const;  // when another call is due, as far as is known now
 
   Lists lists_;
   service_discovery::Backoff refusals_, resets_, silences_, spinning_;
--- a/src/settings/positions.hpp
+++ b/src/settings/positions.hpp
@@ -14,7 +14,7 @@
   explicit Positions(std::string_view json);
   // The line, from 1, of a field such as settings.categories[1].deadlineMs: of its key or, in an array, of
   // its value. Of one that is not there, the line of the innermost object or array round it that is.
-  int line_of(std::string path) const;
+  [[nodiscard]] int line_of(std::string path) const;
 
  private:
   std::map<std::string, int> lines_;
--- a/src/simulation/scenario.hpp
+++ b/src/simulation/scenario.hpp
@@ -24,11 +24,12 @@
 struct Result {
   std::vector<RequestOutcome> outcomes;  // in the order asked
   double served_weight = 0, total_weight = 0;
-  std::size_t twice = 0;                                   // requests that must not run twice and did
-  std::size_t pinned = 0;                                  // read states left at the end
-  std::size_t changes = 0;                                 // of levels, over all instances
-  double in_time(const std::string& request_class) const;  // the part of the class's requests
-  std::string csv() const;  // a line a second: asked, served in time, late, refused, shed, failed by class
+  std::size_t twice = 0;    // requests that must not run twice and did
+  std::size_t pinned = 0;   // read states left at the end
+  std::size_t changes = 0;  // of levels, over all instances
+  [[nodiscard]] double in_time(const std::string& request_class) const;  // the part of the class's requests
+  [[nodiscard]] std::string csv()
+      const;  // a line a second: asked, served in time, late, refused, shed, failed by class
 };
 
 // The same figures and seed give the same result. `levels`: what each instance is reduced by; none.
--- a/src/upstream/connect_timeout_estimator.hpp
+++ b/src/upstream/connect_timeout_estimator.hpp
@@ -15,7 +15,7 @@
   // Never less than `least`: a host that is busy accepts late. Never more than `most`, which is also the
   // patience before any connection has come up. least <= most is wanted; else `most` holds.
   ConnectTimeoutEstimator(Duration minimum, Duration maximum);
-  Duration patience() const;
+  [[nodiscard]] Duration patience() const;
   void came_up(Duration took);  // negative times count as none
   void timed_out();
   void bound(Duration minimum, Duration maximum);  // other bounds; what was learned stays
--- a/src/upstream/connection_pool.hpp
+++ b/src/upstream/connection_pool.hpp
@@ -71,10 +71,12 @@
   void adopt(AttemptId attempt, net::UniqueFd socket, const Given& given);
   // Closes the oldest idle connection: descriptors are short. False: there is none.
   bool shed();
-  std::size_t open() const { return lines_.size(); }
-  std::size_t endpoints_known() const { return endpoints_.size(); }
-  std::size_t leases_out() const { return leases_.out(); }
-  std::size_t leases_pressing() const { return leases_.pressing(); }  // that a process's end must wait for
+  [[nodiscard]] std::size_t open() const { return lines_.size(); }
+  [[nodiscard]] std::size_t endpoints_known() const { return endpoints_.size(); }
+  [[nodiscard]] std::size_t leases_out() const { return leases_.out(); }
+  [[nodiscard]] std::size_t leases_pressing() const {
+    return leases_.pressing();
+  }  // that a process's end must wait for
 
   void send(AttemptId attempt, const std::string& endpoint,
             std::shared_ptr<const engine::UpstreamRequest> message, Time deadline, Time connect_by) override;
--- a/src/upstream/release_targets.hpp
+++ b/src/upstream/release_targets.hpp
@@ -34,13 +34,13 @@
   // there are none, or the time is over.
   std::vector<std::string> round(Time now, const std::vector<Listener>& listeners);
   // From the last round to the next. Where many rounds reached nobody, as in a cut, ever longer.
-  Duration pause() const;
-  bool over(Time now) const { return now >= begun_ + patience_; }
-  Time begun() const { return begun_; }
-  int asked() const { return asked_; }  // calls so far
+  [[nodiscard]] Duration pause() const;
+  [[nodiscard]] bool over(Time now) const { return now >= begun_ + patience_; }
+  [[nodiscard]] Time begun() const { return begun_; }
+  [[nodiscard]] int asked() const { return asked_; }  // calls so far
 
  private:
-  const Listener* best(const std::vector<Listener>& listeners) const;
+  [[nodiscard]] const Listener* best(const std::vector<Listener>& listeners) const;
   Time begun_;
   Duration patience_, interval_;
   std::size_t width_ = 1;
--- a/src/upstream/reservation_releaser.hpp
+++ b/src/upstream/reservation_releaser.hpp
@@ -48,10 +48,10 @@
   void answered(const std::string& id, SlotId line);
   void failed(const std::string& id, SlotId line);
 
-  std::size_t out() const { return leases_.size(); }
-  std::size_t calls() const { return calls_; }
+  [[nodiscard]] std::size_t out() const { return leases_.size(); }
+  [[nodiscard]] std::size_t calls() const { return calls_; }
   // Those that a process told to end waits for: not those that long reached nobody.
-  std::size_t pressing() const;
+  [[nodiscard]] std::size_t pressing() const;
 
  private:
   struct Lease {
--- a/src/vrrp/state_machine.hpp
+++ b/src/vrrp/state_machine.hpp
@@ -39,16 +39,17 @@
   Sent timer(Time now);  // at or after next_timer()
   Sent receive(Time now, const Advertisement& advertisement, const Address& from);
 
-  State state() const { return state_; }
-  std::optional<Time> next_timer() const { return timer_; }
-  Duration skew() const;         // the higher the priority, the shorter: the best backup is the first to act
-  Duration active_down() const;  // silence after which the active router is taken for gone
-  bool owner() const { return p_.priority == 255; }
+  [[nodiscard]] State state() const { return state_; }
+  [[nodiscard]] std::optional<Time> next_timer() const { return timer_; }
+  [[nodiscard]] Duration skew()
+      const;  // the higher the priority, the shorter: the best backup is the first to act
+  [[nodiscard]] Duration active_down() const;  // silence after which the active router is taken for gone
+  [[nodiscard]] bool owner() const { return p_.priority == 255; }
 
  private:
   Sent become_active(Time now);
   void become_backup(Time now);
-  Advertisement own(std::uint8_t priority) const;
+  [[nodiscard]] Advertisement own(std::uint8_t priority) const;
   Parameters p_;
   State state_ = State::kInitialize;
   std::uint16_t active_interval_cs_;  // as the active router last advertised
--- a/src/vrrp/vrrp_instance.hpp
+++ b/src/vrrp/vrrp_instance.hpp
@@ -35,8 +35,8 @@
   void start(bool succeeds = false);
   void stop();   // tells the peers
   void leave();  // without a word: another process of this router takes the address and its state over
-  State state() const { return machine_.state(); }
-  udp::endpoint local() const { return socket_.local_endpoint(); }
+  [[nodiscard]] State state() const { return machine_.state(); }
+  [[nodiscard]] udp::endpoint local() const { return socket_.local_endpoint(); }
   void add_peer(const udp::endpoint& peer) { config_.peers.push_back(peer); }
 
  private:
--- a/tests/confine/confine_test.cpp
+++ b/tests/confine/confine_test.cpp
@@ -76,8 +76,8 @@
     std::error_code ignored;
     fs::remove_all(folder_, ignored);
   }
-  fs::path config() const { return folder_ / "config.json"; }
-  const fs::path& folder() const { return folder_; }
+  [[nodiscard]] fs::path config() const { return folder_ / "config.json"; }
+  [[nodiscard]] const fs::path& folder() const { return folder_; }
   void write_config(const std::string& text) const { std::ofstream(config()) << text; }
   void start() {
     std::vector<char*> env;
@@ -93,8 +93,8 @@
     REQUIRE(::posix_spawn(&pid_, program_.c_str(), &actions, nullptr, argv, env.data()) == 0);
     posix_spawn_file_actions_destroy(&actions);
   }
-  std::string log() const { return read_all(folder_ / "log"); }
-  std::string report() const { return read_all(folder_ / "report"); }
+  [[nodiscard]] std::string log() const { return read_all(folder_ / "log"); }
+  [[nodiscard]] std::string report() const { return read_all(folder_ / "report"); }
   void signal(int number) const { ::kill(pid_, number); }
   // The status that it ended with; -1 if it has not ended within the bound, which only ends a failed test.
   int wait_end() {
--- a/tests/conformance/reference_scorer.hpp
+++ b/tests/conformance/reference_scorer.hpp
@@ -32,7 +32,7 @@
 class Table {
  public:
   using Key = std::pair<std::uint64_t, std::uint64_t>;  // shared beginning, session: chained in this order
-  int tokens(const Key& key) const;
+  [[nodiscard]] int tokens(const Key& key) const;
   void learn(const Key& key, int tokens, int own_tokens, std::size_t max_blocks);
 
  private:
@@ -55,14 +55,14 @@
   void see(const Action& action);
 
   // Of each ready reader and mixed server, for this request.
-  std::map<std::string, Score> scores(const Request& request) const;
+  [[nodiscard]] std::map<std::string, Score> scores(const Request& request) const;
   // Prompt tokens of the read that is out that should be found kept.
-  int kept(const std::string& request) const;
+  [[nodiscard]] int kept(const std::string& request) const;
   // Reported or own ones, of each ready writer.
-  std::map<std::string, double> streams() const;
+  [[nodiscard]] std::map<std::string, double> streams() const;
   // The writers that the design lets a state at this reader go to; empty where it does not say ("well above"
   // has no figure there).
-  std::set<std::string> writers_for(const std::string& reader) const;
+  [[nodiscard]] std::set<std::string> writers_for(const std::string& reader) const;
 
  private:
   struct Server {
@@ -81,17 +81,17 @@
     bool writes = false;
   };
 
-  bool ready(const Server& s) const {
+  [[nodiscard]] bool ready(const Server& s) const {
     return s.entry.state == EndpointState::kReady && !offline_.contains(s.entry.endpoint);
   }
-  const EndpointKind* kind(const std::string& name) const;
-  int covered(const Server& s, const Request& r) const;
-  double load(const Server& s) const;
-  double memory(const Server& s) const;
-  double aged(double value, double mean, const Server& s) const;
-  double out(const std::string& endpoint) const;   // prompt tokens
-  int waiting(const std::string& endpoint) const;  // states
-  int own_streams(const std::string& endpoint) const;
+  [[nodiscard]] const EndpointKind* kind(const std::string& name) const;
+  [[nodiscard]] int covered(const Server& s, const Request& r) const;
+  [[nodiscard]] double load(const Server& s) const;
+  [[nodiscard]] double memory(const Server& s) const;
+  [[nodiscard]] double aged(double value, double mean, const Server& s) const;
+  [[nodiscard]] double out(const std::string& endpoint) const;   // prompt tokens
+  [[nodiscard]] int waiting(const std::string& endpoint) const;  // states
+  [[nodiscard]] int own_streams(const std::string& endpoint) const;
   template <typename Of>
   std::optional<double> mean_heard(Role role, Of of) const;
 
--- a/tests/conformance/table_runner.hpp
+++ b/tests/conformance/table_runner.hpp
@@ -29,7 +29,7 @@
   // can't be brought about.
   void step(const Json& step);
 
-  Request request(const Json& fields) const;
+  [[nodiscard]] Request request(const Json& fields) const;
   // The host that the request's next attempt went to; empty: to none. Where one is named, no other server of
   // its stage is ready meanwhile; it throws where it was not taken all the same.
   std::string ask(const Request& request, const std::string& only_at = "");
@@ -37,11 +37,11 @@
   void first(const std::string& id, Duration took = std::chrono::milliseconds(20));
   void serve(const std::string& id, const LoadReport& report = {});
 
-  Role role(const std::string& endpoint) const;
-  std::vector<std::string> endpoints() const;
-  const ReferenceScorer& design() const { return design_; }
-  const ReferenceScorer& module() const { return module_; }
-  TableSizes table_sizes() const { return router_.table_sizes(); }
+  [[nodiscard]] Role role(const std::string& endpoint) const;
+  [[nodiscard]] std::vector<std::string> endpoints() const;
+  [[nodiscard]] const ReferenceScorer& design() const { return design_; }
+  [[nodiscard]] const ReferenceScorer& module() const { return module_; }
+  [[nodiscard]] TableSizes table_sizes() const { return router_.table_sizes(); }
 
  private:
   struct Attempts {
--- a/tests/dispatcher/attempt_endings_test.cpp
+++ b/tests/dispatcher/attempt_endings_test.cpp
@@ -75,7 +75,7 @@
     acceptor_.listen();
     acceptor_.non_blocking(true);
   }
-  net::tcp::endpoint address() const { return acceptor_.local_endpoint(); }
+  [[nodiscard]] net::tcp::endpoint address() const { return acceptor_.local_endpoint(); }
   bool accepted() {
     net::tcp::socket socket(work_.io);
     net::error_code error;
--- a/tests/dispatcher/bounded_counter_test.cpp
+++ b/tests/dispatcher/bounded_counter_test.cpp
@@ -58,8 +58,8 @@
     }
     real += seconds(20);  // past the time after a start in which nothing is lent
   }
-  Number count() const { return static_cast<Number>(members.size()); }
-  Time clock(Number n) const {
+  [[nodiscard]] Number count() const { return static_cast<Number>(members.size()); }
+  [[nodiscard]] Time clock(Number n) const {
     return Time(static_cast<Time::rep>(static_cast<double>(real.count()) * rates[n])) + seconds(1000 * n);
   }
   void post(Number from, const std::vector<Transfer>& transfers) {
@@ -78,14 +78,14 @@
     members[n].open(clock(n), whole, false);  // it did not see a whole of units begin
     if (wanted) members[n].want(whole.id, wanted);
   }
-  std::uint64_t held() const {
+  [[nodiscard]] std::uint64_t held() const {
     std::uint64_t sum = spent;
     for (Number n = 0; n < count(); ++n)
       sum += whole.nature == Nature::kRate ? members[n].rate(clock(n), whole.id)
                                            : members[n].available(clock(n), whole.id);
     return sum;
   }
-  std::uint64_t hash() const {
+  [[nodiscard]] std::uint64_t hash() const {
     std::vector<std::uint64_t> s = {spent, static_cast<std::uint64_t>(restarts),
                                     static_cast<std::uint64_t>(repeats)};
     for (Number n = 0; n < count(); ++n) s.push_back(members[n].state_hash(clock(n)));
@@ -329,7 +329,7 @@
       settle();
     }
   }
-  std::uint64_t rate(Number n) const { return s.members[n].rate(s.clock(n), s.whole.id); }
+  [[nodiscard]] std::uint64_t rate(Number n) const { return s.members[n].rate(s.clock(n), s.whole.id); }
   void want(Number n, std::uint64_t amount) { s.members[n].want(s.whole.id, amount); }
 };
 
--- a/tests/dispatcher/connection_pool_test.cpp
+++ b/tests/dispatcher/connection_pool_test.cpp
@@ -60,7 +60,7 @@
       std::ignore = ::connect(socket.native_handle(), at.data(), static_cast<socklen_t>(at.size()));
     }
   }
-  net::tcp::endpoint address() const { return acceptor_.local_endpoint(); }
+  [[nodiscard]] net::tcp::endpoint address() const { return acceptor_.local_endpoint(); }
 
  private:
   net::tcp::acceptor acceptor_;
@@ -83,7 +83,7 @@
       all.push_back(at("gone" + std::to_string(i), gone[i]->address(), "x"));
     return all;
   }
-  int calls() const { return replica.count("DELETE"); }
+  [[nodiscard]] int calls() const { return replica.count("DELETE"); }
   std::vector<std::unique_ptr<Vanished>> gone;
   std::vector<std::string> logs;
   StandInReplica replica{*this, [this](StandInReplica& r, SlotId client, const StandInReplica::Seen&) {
--- a/tests/dispatcher/degradation_test.cpp
+++ b/tests/dispatcher/degradation_test.cpp
@@ -76,7 +76,7 @@
   void steps(int n, double late, double ready) {
     for (int i = 0; i < n; ++i) step(late, ready);
   }
-  std::size_t max_within(Duration window) const {
+  [[nodiscard]] std::size_t max_within(Duration window) const {
     std::size_t maximum = 0;
     for (std::size_t i = 0; i < changes.size(); ++i) {
       std::size_t n = 0;
--- a/tests/dispatcher/endpoint_watcher_test.cpp
+++ b/tests/dispatcher/endpoint_watcher_test.cpp
@@ -30,7 +30,7 @@
  public:
   explicit Agent(Clockwork& work) : io_(work.io), at_(loopback()) { listen(); }
   ~Agent() { reject(); }
-  net::tcp::endpoint address() const { return at_; }
+  [[nodiscard]] net::tcp::endpoint address() const { return at_; }
 
   struct Call {
     explicit Call(asio::io_context& io) : socket(io) {}
@@ -42,15 +42,15 @@
   std::vector<std::shared_ptr<Call>> calls;
   std::function<void(Call&)> on_asked;  // for what is to be answered at once
 
-  int open() const {
+  [[nodiscard]] int open() const {
     return static_cast<int>(std::count_if(calls.begin(), calls.end(), [](auto& c) { return !c->gone; }));
   }
-  std::size_t asked() const {
+  [[nodiscard]] std::size_t asked() const {
     std::size_t n = 0;
     for (const auto& call : calls) n += call->asked.size();
     return n;
   }
-  const std::string& last_asked() const { return calls.back()->asked.back(); }
+  [[nodiscard]] const std::string& last_asked() const { return calls.back()->asked.back(); }
 
   static void write(Call& call, const std::string& text) {
     boost::system::error_code ignored;
@@ -122,7 +122,7 @@
   std::vector<std::string> logs;
   std::vector<service_discovery::EndpointSnapshot> told;
   service_discovery::EndpointWatcher watch;
-  long logged(std::string_view start) const {
+  [[nodiscard]] long logged(std::string_view start) const {
     return std::count_if(logs.begin(), logs.end(), [&](auto& line) { return line.starts_with(start); });
   }
 };
--- a/tests/dispatcher/engine_digest_fixture.hpp
+++ b/tests/dispatcher/engine_digest_fixture.hpp
@@ -46,11 +46,11 @@
   template <class... Arguments>
   void tell(const char* call, const Arguments&... arguments);
   void count(const char* done) { ++counts_[done]; }
-  const routing::Settings& rules() const { return *settings_[current_]; }
+  [[nodiscard]] const routing::Settings& rules() const { return *settings_[current_]; }
   Client& client(net::SlotId id) { return clients_.at(id.index); }
   Client* pick_client(bool (*fits)(const Client&));
   Process& pick_process();
-  bool reads(const std::string& endpoint) const;
+  [[nodiscard]] bool reads(const std::string& endpoint) const;
 
   void step(int kind);
   void submit();
--- a/tests/dispatcher/fairness_test.cpp
+++ b/tests/dispatcher/fairness_test.cpp
@@ -62,7 +62,7 @@
 
 struct Share {
   double all = 0, answered = 0;
-  double part() const { return all > 0 ? answered / all : 1; }
+  [[nodiscard]] double part() const { return all > 0 ? answered / all : 1; }
 };
 
 // Sessions of some turns each, which a client asks one after another on its connection to one process.
--- a/tests/dispatcher/fixture.hpp
+++ b/tests/dispatcher/fixture.hpp
@@ -84,7 +84,7 @@
   }
   // A stream's events with a word each; `last` ends it as replicas do.
   void stream(SlotId client, const std::vector<std::string>& words, bool last = true);
-  int count(std::string_view method, std::string_view id = {}) const;
+  [[nodiscard]] [[nodiscard]] int count(std::string_view method, std::string_view id = {}) const;
 
   http::Server server;
   std::vector<Seen> seen;
@@ -107,7 +107,7 @@
     listener_.accept();
   }
   ~RawReplica() override;
-  net::tcp::endpoint address() const { return listener_.local(); }
+  [[nodiscard]] [[nodiscard]] net::tcp::endpoint address() const { return listener_.local(); }
   void go_on();  // says the rest of its answer
   int requests = 0, ended = 0;
 
@@ -149,7 +149,7 @@
   std::map<std::string, std::string> headers;
   bool whole = false, ended = false;  // the answer came to its end; the connection did
   net::error_code end;                // with which the connection ended
-  bool answered() const { return whole || ended; }
+  [[nodiscard]] [[nodiscard]] bool answered() const { return whole || ended; }
 
  private:
   void on_connected(SlotId, net::error_code error) override;
--- a/tests/dispatcher/fleet_fixture.hpp
+++ b/tests/dispatcher/fleet_fixture.hpp
@@ -44,13 +44,13 @@
   bool until(const std::function<bool()>& holds, microseconds maximum);
 
   GossipNode& node(Number n) { return *members_[n].node; }
-  bool runs(Number n) const { return members_[n].node != nullptr && !members_[n].stopped; }
-  Time clock(Number n) const;  // of that member, now
-  Time now() const { return now_; }
-  Number count() const { return static_cast<Number>(members_.size()); }
-  bool all_hold(Number about, MemberState standing) const;  // all that run, of another
-  Number told(std::uint64_t key);                           // members that run and read a doubt of that key
-  bool all_alive() const;                                   // all that run hold all that run alive
+  [[nodiscard]] bool runs(Number n) const { return members_[n].node != nullptr && !members_[n].stopped; }
+  [[nodiscard]] Time clock(Number n) const;  // of that member, now
+  [[nodiscard]] Time now() const { return now_; }
+  [[nodiscard]] Number count() const { return static_cast<Number>(members_.size()); }
+  [[nodiscard]] bool all_hold(Number about, MemberState standing) const;  // all that run, of another
+  Number told(std::uint64_t key);        // members that run and read a doubt of that key
+  [[nodiscard]] bool all_alive() const;  // all that run hold all that run alive
   void cut(const std::set<Number>& from, const std::set<Number>& to);  // one way
   void heal() { cut_.clear(); }
   void inject(Number from, Number to, std::vector<std::uint8_t> bytes) { arrive(from, to, bytes); }
--- a/tests/dispatcher/gossip_test.cpp
+++ b/tests/dispatcher/gossip_test.cpp
@@ -26,7 +26,7 @@
   Relay(Clockwork& work, Number count) : work_(work), everyone_(work.io, any()) {
     for (Number n = 0; n < count; ++n) addresses_.emplace_back(work.io, any());
   }
-  Links links(Number n) const {
+  [[nodiscard]] Links links(Number n) const {
     Links links;
     links.allowed = true;
     links.listen = any();
@@ -273,7 +273,9 @@
   GossipNode::Sent take(Number from, std::vector<std::uint8_t> bytes, Time now = seconds(11)) {
     return node->received(now, from, bytes);
   }
-  std::uint64_t dropped(Drop why) const { return node->counts().dropped[static_cast<std::size_t>(why)]; }
+  [[nodiscard]] std::uint64_t dropped(Drop why) const {
+    return node->counts().dropped[static_cast<std::size_t>(why)];
+  }
 };
 
 TEST_CASE(
--- a/tests/dispatcher/membership_test.cpp
+++ b/tests/dispatcher/membership_test.cpp
@@ -230,7 +230,7 @@
     mail.erase(mail.begin());
     deliver(m);
   }
-  bool all_alive() const {
+  [[nodiscard]] bool all_alive() const {
     for (const Membership& m : members) {
       for (Number n = 0; n < 3; ++n) {
         if (m.standing(n) != MemberState::kAlive) return false;
@@ -239,7 +239,7 @@
     return true;
   }
   // Nobody believes in a life or an answer that its member never had.
-  bool sound() const {
+  [[nodiscard]] bool sound() const {
     for (const Membership& m : members) {
       if (m.standing(m.self()) != MemberState::kAlive) return false;
       for (Number n = 0; n < 3; ++n) {
@@ -248,7 +248,7 @@
     }
     return true;
   }
-  std::uint64_t hash() const {
+  [[nodiscard]] std::uint64_t hash() const {
     std::vector<std::uint64_t> s;
     for (Number n = 0; n < 3; ++n) {
       s.push_back(members[n].state_hash(now));
--- a/tests/dispatcher/platform_api_test.cpp
+++ b/tests/dispatcher/platform_api_test.cpp
@@ -400,7 +400,7 @@
       : first(fixture, bytes, more), second(fixture, bytes, more) {
     fixture.pool.endpoints({{"w1", first.address(), true}, {"w2", second.address(), true}}, false);
   }
-  int requests() const { return first.requests + second.requests; }
+  [[nodiscard]] int requests() const { return first.requests + second.requests; }
   RawReplica first, second;
 };
 
--- a/tests/harness.hpp
+++ b/tests/harness.hpp
@@ -127,8 +127,9 @@
   void list(std::vector<EndpointInfo> entries, ListKind kind = ListKind::kFull) {
     pass(EndpointList{kind, std::move(entries)});
   }
-  Request make(const std::string& id, const std::string& cls = "safe", std::uint64_t session = 0,
-               std::uint64_t shared = 0, int prompt = 1000, int prefix = 0) const {
+  [[nodiscard]] Request make(const std::string& id, const std::string& cls = "safe",
+                             std::uint64_t session = 0, std::uint64_t shared = 0, int prompt = 1000,
+                             int prefix = 0) const {
     Request r;
     r.id = id;
     r.request_class = cls;
--- a/tests/settings_draw.cpp
+++ b/tests/settings_draw.cpp
@@ -21,7 +21,7 @@
     if (!genes_.range.extreme) return minimum + (maximum - minimum) * drawn / 999;
     return std::array{minimum, maximum, minimum + Duration(1), Duration(std::chrono::hours(24))}[drawn % 4];
   }
-  const Range& range() const { return genes_.range; }
+  [[nodiscard]] const Range& range() const { return genes_.range; }
   int whole(int minimum, int maximum) { return minimum + (maximum - minimum) * gene() / 999; }
   bool maybe() { return gene() % 2 == 1; }
   template <class T>
--- a/tests/settings_fixture.hpp
+++ b/tests/settings_fixture.hpp
@@ -36,12 +36,12 @@
   // Lets all that is open come to its end: nothing is left, and nothing more happens. `in_haste`: clients
   // leave and attempts break first, so that no deadline is waited for. Throws Broken.
   void finish(bool in_haste = false);
-  const std::vector<std::string>& transcript() const { return transcript_; }
+  [[nodiscard]] const std::vector<std::string>& transcript() const { return transcript_; }
   // Sees each event and what the router did at it, in order, in the place of the transcript and of the second
   // router: both take far longer than the router itself.
   using Watcher = std::function<void(Time, const Event&, const std::vector<Action>&)>;
   void watch(Watcher watcher) { watcher_ = std::move(watcher); }
-  const Router& router() const { return router_; }
+  [[nodiscard]] const Router& router() const { return router_; }
 
  private:
   struct Attempt {
@@ -59,7 +59,7 @@
     std::optional<std::string> held_at;  // the reader with its state
     Time idle_since{};
     bool answered = false, begun = false, gone = false;
-    bool over() const { return answered || begun || gone; }
+    [[nodiscard]] bool over() const { return answered || begun || gone; }
   };
   struct Known {
     EndpointInfo entry;
@@ -85,7 +85,7 @@
   Open& owed(const std::string& id, const char* what);
   void check_answer(Open& q, const char* what);
   void check_effect(const Open& q, const Known& to, const StartAttempt& send) const;
-  bool proven_harmless(const Open& q) const;
+  [[nodiscard]] bool proven_harmless(const Open& q) const;
 
   void ask(const Step& step);
   void progress(const Step& step);
@@ -98,8 +98,8 @@
   void lose_states(const std::string& endpoint);
   void send_list(ListKind kind, std::vector<EndpointInfo> entries);
 
-  Time round_up(Time time) const;
-  Time ends(const Open& q, const Attempt& a) const;  // when it times out, or its cancel shows
+  [[nodiscard]] Time round_up(Time time) const;
+  [[nodiscard]] Time ends(const Open& q, const Attempt& a) const;  // when it times out, or its cancel shows
   void let_pass(Duration time);
   bool end_due();  // ends one attempt that is due
   std::optional<std::pair<Open*, int>> pick_out(int which, bool begun_too);
