--- a/tests/run.sh
+++ b/tests/run.sh
@@ -3,7 +3,7 @@
 # KNOWN-RED.txt names are printed and passed over: see tests/known_red.py.
 set -euo pipefail
 cd "$(dirname "$0")/.."
-flags="-DDISPATCHER_TESTS=ON -DDISPATCHER_WERROR=ON"
+flags="-DDISPATCHER_TESTS=ON -DDISPATCHER_WERROR=ON -DCMAKE_EXPORT_COMPILE_COMMANDS=ON"
 cmake -B build-ci -DCMAKE_BUILD_TYPE=Release $flags
 cmake --build build-ci -j"$(nproc)"
 bash tests/consumer/run.sh build-ci
