--- /dev/null
+++ b/src/daemon/chat_address.cpp
@@ -0,0 +1,88 @@
+#include "daemon/chat_address.hpp"
+
+#include <exception>
+#include <string>
+#include <utility>
+
+#include "daemon/address_text.hpp"
+
+namespace dispatcher::daemon {
+
+namespace {
+
+// Until an address that another process still holds is tried again.
+constexpr engine::Duration kRetryPause = std::chrono::milliseconds(250);
+
+std::optional<vrrp::Config> parse_pair(const cue::File& file) {
+  if (file.text.empty()) return std::nullopt;
+  return vrrp::parse_config(file);
+}
+
+}  // namespace
+
+ChatAddress::ChatAddress(Components& parts, const cue::File& vrrp_file)
+    : parts_(parts), pair_(parse_pair(vrrp_file)) {
+  if (pair_ && !parts_.chat)
+    throw ConfigError("vrrp: field 'listen': set, but the chat front that it is for is off");
+}
+
+void ChatAddress::serve(net::UniqueFd listening) {
+  listening_ = std::move(listening);
+  if (pair_) {
+    if (!parts_.peer.has_elder()) join_pair(false);
+  } else if (parts_.chat) {
+    parts_.chat->server().open(std::move(listening_));
+  }
+  is_serving_ = true;
+}
+
+// VRRP decides who of the pair listens. Of two processes of one instance only one takes part.
+void ChatAddress::join_pair(bool succeeds) {
+  if (!pair_ || vrrp_ || has_left_) return;
+  try {
+    start_vrrp();
+  } catch (const std::exception& error) {
+    if (!is_serving_) throw;
+    parts_.log(std::string("vrrp can't speak yet: ") + error.what());
+    parts_.loop.timers().add(parts_.loop.now() + kRetryPause, [this, succeeds] { join_pair(succeeds); });
+    return;
+  }
+  vrrp_->start(succeeds);
+}
+
+void ChatAddress::start_vrrp() {
+  vrrp_.emplace(parts_.loop.io(), *pair_, parts_.loop.timers(), parts_.loop.clock(), parts_.log,
+                [this](vrrp::State state) { set_active(state == vrrp::State::kActive); });
+}
+
+void ChatAddress::leave_pair() {
+  has_left_ = true;
+  if (!vrrp_) return;
+  if (!parts_.peer.succeeded()) return vrrp_->stop();
+  const bool was_active = vrrp_->state() == vrrp::State::kActive;
+  vrrp_->leave();
+  is_active_ = false;
+  parts_.peer.tell_vrrp(was_active);
+}
+
+// The other of the pair may still be closing its listener at the shared address: tried until it is free.
+void ChatAddress::set_active(bool is_active) {
+  http::Server& server = parts_.chat->server();
+  is_active_ = is_active && !has_left_;
+  if (!is_active_) {
+    server.stop_accepting();  // what was accepted is still answered
+    server.close_idle();
+    return;
+  }
+  try {
+    server.open(std::move(listening_));
+    parts_.log("chat front on " + to_text(server.local()));
+  } catch (const std::exception& error) {
+    parts_.log(std::string("chat front can't listen yet: ") + error.what());
+    parts_.loop.timers().add(parts_.loop.now() + kRetryPause, [this] {
+      if (is_active_) set_active(true);
+    });
+  }
+}
+
+}  // namespace dispatcher::daemon
--- /dev/null
+++ b/src/daemon/components.cpp
@@ -0,0 +1,113 @@
+#include "daemon/components.hpp"
+
+#include <algorithm>
+#include <cctype>
+#include <cstdint>
+#include <utility>
+
+namespace dispatcher::daemon {
+
+namespace {
+
+// Keeps the watch's jitter apart from the other draws of the configuration's seed.
+constexpr std::uint64_t kWatchSeedMask = 0x5bd1e995;
+
+// One file of this dispatcher in the folder that its processes share; empty where there is none.
+std::string shared_path(const Config& config, const char* suffix) {
+  if (config.scratch.empty()) return {};
+  std::string name = config.name;
+  for (char& letter : name) {
+    if (std::isalnum(static_cast<unsigned char>(letter)) == 0) letter = '_';
+  }
+  return config.scratch + "/bitternferry-" + name + suffix;
+}
+
+service_discovery::Lists list_delivery(const routing::Settings& settings) {
+  return settings.polls_endpoint_list ? service_discovery::Lists::kAskedFor
+                                      : service_discovery::Lists::kPushed;
+}
+
+}  // namespace
+
+Components::Components(Loop& event_loop, const Config& configuration, const FeatureFiles& files,
+                       const engine::Log& log_sink, const ComponentCallbacks& callbacks)
+    : loop(event_loop),
+      config(configuration),
+      log(log_sink),
+      settings(std::make_shared<const routing::Settings>(config.settings)),
+      chat_config(parse_chat(files, config.settings)),
+      initial_rules(parse_rules(files, config.settings)),
+      rate_limiter(config.seed, log),
+      random(config.seed),
+      levels(config.settings, parse_levels(files, config.settings), loop.clock(), log,
+             [this] { return std::uniform_real_distribution<double>(0, 1)(random); }),
+      pool(loop.io(), loop.timers(), loop.clock(), log, pool_options(config, ProcessCount::kOne)),
+      engine(settings, config.seed, pool, loop.timers(), loop.clock(), log),
+      platform(loop.io(), config.listen, engine, settings, loop.timers(), loop.clock(),
+               server_options(config, chat_config ? 2 : 1, ProcessCount::kOne),
+               [this] { return pool.shed(); }),
+      watch(loop.io(), config.discovery, loop.timers(), loop.clock(), log, callbacks.on_endpoints,
+            config.settings.router_count, config.seed ^ kWatchSeedMask, list_delivery(config.settings)),
+      drained_endpoints(shared_path(config, ".bans"), log),
+      peer(loop.io(), shared_path(config, ".sock"), loop.timers(), loop.clock(), log,
+           callbacks.hot_restart_owner) {
+  pool.attach(engine);
+  rate_limiter.adopt(std::exchange(initial_rules, nullptr), loop.now());
+  platform.attach(rate_limiter);
+  platform.attach(levels);
+  engine.attach(&levels);
+  engine.on_subscribe([this] { watch.restart(); });
+  if (chat_config) build_chat();
+  if (config.console) build_admin(callbacks);
+  engine.attach(&peer);
+}
+
+void Components::build_chat() {
+  chat.emplace(loop.io(), *chat_config, engine, loop.timers(), loop.clock(), config.seed,
+               server_options(config, 2, ProcessCount::kOne), [this] { return pool.shed(); });
+  chat->attach(rate_limiter);
+  chat->attach(levels);
+}
+
+void Components::build_admin(const ComponentCallbacks& callbacks) {
+  admin::AdminCallbacks calls;
+  calls.ready = callbacks.is_ready;
+  calls.maintain = callbacks.drain_endpoint;
+  calls.level = [this] { return levels.level(); };
+  calls.levels = [this] { return levels.changes(); };
+  calls.pin = [this](const std::string& name) { return levels.order(name); };
+  admin.emplace(loop.io(), *config.console, loop.timers(), loop.clock(), std::move(calls),
+                [this] { return pool.shed(); });
+}
+
+std::vector<http::Server*> Components::client_servers() {
+  std::vector<http::Server*> servers{&platform.server()};
+  if (chat) servers.push_back(&chat->server());
+  return servers;
+}
+
+ProcessCount Components::processes() const { return peer.shared() ? ProcessCount::kTwo : ProcessCount::kOne; }
+
+void Components::apply_resource_limits() {
+  share_rate_limits();
+  pool.adopt(pool_options(config, processes()));
+  const http::ServerOptions options = server_options(config, client_servers().size(), processes());
+  for (http::Server* server : client_servers()) server->bound(options.max_clients, options.max_held);
+}
+
+// Two processes of one instance keep half of its part each.
+void Components::share_rate_limits() {
+  const std::size_t each = processes() == ProcessCount::kTwo ? 2 : 1;
+  const auto number = static_cast<std::size_t>(std::max(0, config.settings.router_number));
+  const auto count = static_cast<std::size_t>(std::max(1, config.settings.router_count));
+  rate_limiter.share(each * number + (peer.has_elder() ? 1 : 0), each * count);
+}
+
+void Components::update_endpoints(const service_discovery::EndpointSnapshot& snapshot) {
+  service_discovery::merge(endpoints, snapshot);
+  pool.endpoints(snapshot.addresses, snapshot.whole);
+  engine.endpoints(snapshot.list);
+  levels.endpoints(snapshot.list);
+}
+
+}  // namespace dispatcher::daemon
--- /dev/null
+++ b/src/daemon/configuration_reloader.cpp
@@ -0,0 +1,104 @@
+#include "daemon/configuration_reloader.hpp"
+
+#include <algorithm>
+#include <exception>
+#include <memory>
+#include <optional>
+#include <string>
+#include <vector>
+
+#include "daemon/address_text.hpp"
+
+namespace dispatcher::daemon {
+
+namespace {
+
+constexpr const char* kReloadFailed = "reload failed, the old configuration stays: ";
+
+// One line of a text that has several.
+std::string join_lines(std::string text) {
+  for (std::size_t at = text.find('\n'); at != std::string::npos; at = text.find('\n', at))
+    text.replace(at, 1, "; ");
+  return text;
+}
+
+}  // namespace
+
+void ConfigurationReloader::reload() {
+  if (!read_files_) return;
+  try {
+    const ConfigurationFiles files = read_files_();
+    apply(files);
+    for (const std::string& warning : files.config.warnings) parts_.log(warning);
+    log_reloaded();
+  } catch (const ConfigError& error) {
+    log_failure(error);
+  } catch (const std::exception& error) {
+    log_failure(error);
+  }
+}
+
+void ConfigurationReloader::apply(const ConfigurationFiles& files) {
+  const Config& next = files.config;
+  check_keys(parts_.config.source, next.source);
+  const auto settings = std::make_shared<const routing::Settings>(next.settings);
+  const std::optional<openai_api::Config> chat = parse_chat(files.features, *settings);
+  if (parts_.chat && !chat) throw ConfigError("the chat front's file no longer says where to listen");
+  const auto rules = parse_rules(files.features, *settings);
+  const auto levels = parse_levels(files.features, *settings);
+  // Nothing below throws: the new configuration is taken whole.
+  log_deferred_changes(next, chat);
+  const bool discovery_moved = next.discovery != parts_.config.discovery;
+  parts_.settings = settings;
+  parts_.engine.adopt(settings);
+  parts_.platform.adopt(settings);
+  if (parts_.chat) parts_.chat->adopt(*chat);
+  parts_.rate_limiter.adopt(rules, parts_.loop.now());
+  parts_.levels.adopt(*settings, levels);
+  parts_.config.settings = next.settings;
+  parts_.config.source = next.source;
+  parts_.config.sockets = next.sockets;
+  parts_.config.memory_mb = next.memory_mb;
+  parts_.config.discovery = next.discovery;
+  parts_.apply_resource_limits();
+  // Kinds of endpoints may be new: the list is read by the new ones.
+  parts_.engine.endpoints(parts_.endpoints.list);
+  if (discovery_moved) parts_.watch.move(parts_.config.discovery);
+}
+
+void ConfigurationReloader::log_deferred_changes(const Config& next,
+                                                 const std::optional<openai_api::Config>& chat) const {
+  const Config& current = parts_.config;
+  const std::optional<openai_api::Config>& current_chat = parts_.chat_config;
+  const bool chat_listen_changed =
+      chat.has_value() != current_chat.has_value() || (chat && chat->listen != current_chat->listen);
+  std::string fields;
+  const auto add = [&fields](bool is_changed, const char* field) {
+    if (is_changed) fields.append(fields.empty() ? "" : ", ").append(field);
+  };
+  add(next.listen != current.listen, "listen");
+  add(next.name != current.name, "name");
+  add(next.console != current.console, "console");
+  add(chat_listen_changed, "the chat front's listen");
+  if (!fields.empty()) parts_.log("reload: changed, but taking effect at the next start only: " + fields);
+}
+
+void ConfigurationReloader::log_reloaded() const {
+  std::string classes;
+  for (const routing::RequestClass& request_class : parts_.settings->classes)
+    classes += " " + request_class.name;
+  parts_.log("reloaded: discovery at " + to_text(parts_.config.discovery) + ", classes" + classes);
+}
+
+void ConfigurationReloader::log_failure(const ConfigError& error) const {
+  const std::vector<std::string> lines = error.lines();
+  if (lines.size() == 1) return parts_.log(kReloadFailed + lines[0]);
+  for (const std::string& line : lines) parts_.log(line);
+  parts_.log(std::string(kReloadFailed) + "see the lines above");
+}
+
+void ConfigurationReloader::log_failure(const std::exception& error) const {
+  parts_.log(kReloadFailed + join_lines(error.what()));
+}
+
+}  // namespace dispatcher::daemon
--- a/src/daemon/dispatcher.cpp
+++ b/src/daemon/dispatcher.cpp
@@ -1,11 +1,11 @@
 #include "daemon/dispatcher.hpp"
 
-#include <algorithm>
-#include <cctype>
 #include <csignal>
-#include <string>
+#include <exception>
 #include <utility>
 
+#include "daemon/address_text.hpp"
+
 namespace dispatcher::daemon {
 
 using std::chrono::milliseconds;
@@ -13,444 +13,191 @@
 namespace {
 
 // New connections come for up to 0.4 s after SIGTERM; what comes more than 0.7 s after it may be lost.
-constexpr engine::Duration kKeepAccepting = milliseconds(550);
-constexpr engine::Duration kListenAgain = milliseconds(250);
-constexpr engine::Duration kDrainLook = milliseconds(20);
-constexpr int kWakeEvery = 3;  // looks for which a stream is kept still that could not be handed over yet
-// Rounds of calls to let go of a state: several must fit into the pin limit.
-constexpr int kLeaseRounds = 6;
-constexpr std::size_t kMegabyte = 1024 * 1024;
-
-std::string text(const net::tcp::endpoint& at) {
-  return at.address().to_string() + ":" + std::to_string(at.port());
-}
-
-// Some descriptors stay for all that is neither a client nor a replica: the operators' callers have theirs
-// however many of the others there are.
-constexpr std::size_t kSpare = 32 + admin::kMaxCallers;
-// While two processes are this dispatcher, each keeps to half of what one may have.
-std::size_t usable(const Config& config, bool shared) {
-  return (config.sockets - std::min(kSpare, config.sockets / 2)) / (shared ? 2 : 1);
-}
-
-// One file of this dispatcher's in the folder that its processes share; empty where there is none.
-std::string shared_path(const Config& config, const char* suffix) {
-  if (config.scratch.empty()) return {};
-  std::string name = config.name;
-  for (char& c : name) {
-    if (std::isalnum(static_cast<unsigned char>(c)) == 0) c = '_';
-  }
-  return config.scratch + "/bitternferry-" + name + suffix;
-}
-
-upstream::Options pool_options(const Config& config, bool shared = false) {
-  upstream::Options options;
-  options.connect_timeout = config.settings.connect_timeout;
-  options.idle_timeout = config.settings.idle_timeout;
-  options.lease_patience =
-      std::max<engine::Duration>(milliseconds(20), config.settings.reservation_limit / kLeaseRounds);
-  options.drain_grace = config.settings.drain_grace;
-  options.release_again =
-      std::max<engine::Duration>(milliseconds(20), config.settings.reservation_limit * 2 / 3);
-  options.max_connections = std::min<std::size_t>(options.max_connections, usable(config, shared) * 46 / 100);
-  options.max_idle_all = std::min(options.max_idle_all, options.max_connections / 2);
-  return options;
-}
-
-http::ServerOptions server_options(const Config& config, std::size_t fronts, bool shared = false) {
-  http::ServerOptions options;
-  options.max_clients =
-      std::min<std::size_t>(options.max_clients, usable(config, shared) * 54 / 100) / fronts;
-  // A body stands in memory up to three times: as it came, to be sent again, and on its way out.
-  options.max_held = config.memory_mb * kMegabyte / 8 / fronts;
-  return options;
-}
-
-std::optional<openai_api::Config> parse_chat(const cue::File& file, const routing::Settings& settings) {
-  return file.text.empty() ? std::nullopt : openai_api::parse_config(file, settings);
-}
-
-std::shared_ptr<const rate_limit::RuleSet> parse_rules(const std::optional<cue::File>& file,
-                                                       const routing::Settings& settings) {
-  return file ? rate_limit::RuleSet::read(*file, rate_limit::vocabulary_of(settings)) : nullptr;
-}
-
-std::shared_ptr<const degradation::LevelSet> parse_levels(const std::optional<cue::File>& file,
-                                                          const routing::Settings& settings) {
-  return file ? degradation::DegradationController::read(*file, settings)
-              : std::make_shared<const degradation::LevelSet>();
-}
+constexpr engine::Duration kAcceptAfterTerm = milliseconds(550);
+constexpr engine::Duration kDrainCheckPeriod = milliseconds(20);
 
 }  // namespace
 
-Dispatcher::Dispatcher(Loop& loop, const Config& config, const Texts& texts, engine::Log log,
-                       ReadAgain read_again)
-    : loop_(loop),
-      config_(config),
-      log_(log),
-      read_again_(std::move(read_again)),
-      rules_(std::make_shared<const routing::Settings>(config.settings)),
-      chat_config_(parse_chat(texts.chat, config_.settings)),
-      first_rules_(parse_rules(texts.rules, config_.settings)),
-      rate_limiter_(config.seed, log),
-      random_(config.seed),
-      levels_(config.settings, parse_levels(texts.levels, config.settings), loop.clock(), log,
-              [this] { return std::uniform_real_distribution<double>(0, 1)(random_); }),
-      pool_(loop.io(), loop.timers(), loop.clock(), log, pool_options(config)),
-      engine_(rules_, config.seed, pool_, loop.timers(), loop.clock(), log),
-      platform_(loop.io(), config.listen, engine_, rules_, loop.timers(), loop.clock(),
-                server_options(config, chat_config_ ? 2 : 1), [this] { return pool_.shed(); }),
-      watch_(
-          loop.io(), config.discovery, loop.timers(), loop.clock(), log,
-          [this](const service_discovery::EndpointSnapshot& servers) { apply(servers); },
-          config.settings.router_count, config.seed ^ 0x5bd1e995,
-          config.settings.polls_endpoint_list ? service_discovery::Lists::kAskedFor
-                                              : service_discovery::Lists::kPushed),
-      drained_endpoints_(shared_path(config, ".bans"), log),
-      peer_(loop.io(), shared_path(config, ".sock"), loop.timers(), loop.clock(), log, *this),
+Dispatcher::Dispatcher(Loop& loop, const Config& config, const FeatureFiles& files, engine::Log log,
+                       ConfigurationReloader::ReadFiles read_files)
+    : parts_(loop, config, files, log, callbacks()),
+      chat_address_(parts_, files.vrrp),
+      reloader_(parts_, std::move(read_files)),
+      stream_handover_(parts_),
       signals_(loop.io(), SIGTERM, SIGINT, SIGHUP) {
-  pool_.attach(engine_);
-  rate_limiter_.adopt(std::exchange(first_rules_, nullptr), loop.now());
-  platform_.attach(rate_limiter_);
-  platform_.attach(levels_);
-  engine_.attach(&levels_);
-  engine_.on_subscribe([this] { watch_.restart(); });
-  if (chat_config_) {
-    chat_.emplace(loop.io(), *chat_config_, engine_, loop.timers(), loop.clock(), config.seed,
-                  server_options(config, 2), [this] { return pool_.shed(); });
-    chat_->attach(rate_limiter_);
-    chat_->attach(levels_);
-  }
-  if (config.console) {
-    console_.emplace(
-        loop.io(), *config.console, loop.timers(), loop.clock(),
-        admin::AdminCallbacks{
-            [this] { return ready(); },
-            [this](const std::string& endpoint, bool offline) { return maintain(endpoint, offline); },
-            [this] { return levels_.level(); }, [this] { return levels_.changes(); },
-            [this](const std::string& name) { return levels_.order(name); }},
-        [this] { return pool_.shed(); });
-  }
-  engine_.attach(&peer_);
-  pair_ = texts.vrrp.text.empty() ? std::nullopt : vrrp::parse_config(texts.vrrp);
-  if (pair_ && !chat_)
-    throw ConfigError("vrrp: field 'listen': set, but the chat front that it is for is off");
-  share_limits();
+  parts_.share_rate_limits();
 }
 
-std::vector<http::Server*> Dispatcher::servers() {
-  std::vector<http::Server*> all{&platform_.server()};
-  if (chat_) all.push_back(&chat_->server());
-  return all;
+ComponentCallbacks Dispatcher::callbacks() {
+  return {[this](const service_discovery::EndpointSnapshot& snapshot) { parts_.update_endpoints(snapshot); },
+          [this] { return is_ready(); },
+          [this](const std::string& endpoint, bool offline) { return drain_endpoint(endpoint, offline); },
+          *this};
 }
 
 void Dispatcher::start() {
   await_signal();
-  if (console_) {
-    console_->open();
-    log_("console on " + text(console_->local()));
+  if (parts_.admin) {
+    parts_.admin->open();
+    parts_.log("console on " + to_text(parts_.admin->local()));
   }
-  peer_.start();
+  parts_.peer.start();
 }
 
-void Dispatcher::inherit(hot_restart::HandoverState handover) {
-  if (!draining_) serve(std::move(handover));  // else: told to end before it began
+void Dispatcher::await_signal() {
+  signals_.async_wait([this](boost::system::error_code error, int number) {
+    if (error) return;
+    if (number != SIGHUP) return drain();  // what is signalled from here on changes nothing
+    reload();
+    await_signal();
+  });
 }
 
-void Dispatcher::serve(hot_restart::HandoverState handover) {
-  // What operators left out goes before any list.
-  drained_endpoints_.load();
-  for (const std::string& endpoint : drained_endpoints_.endpoints()) {
-    log_("operators: host " + endpoint + " still offline");
-    enforce(endpoint, true);
-  }
-  // Discovery may be silent for long: the list that was last known serves until it speaks.
-  apply(config_.known);
-  if (!handover.list.is_null()) {
-    try {
-      apply(service_discovery::parse_servers(handover.list));
-    } catch (const std::exception& e) {
-      log_(std::string("upgrade: the list can't be read: ") + e.what());
-    }
-  }
-  engine_.learn(handover.learned_state);
-  levels_.resume(handover.level);
-  for (const std::string& id : handover.ids) engine_.request_elsewhere(id, true);
-  watch_.start(servers_.seq);
-  platform_.server().open(std::move(handover.listening["platform"]));
-  chat_socket_ = std::move(handover.listening["chat"]);
-  if (pair_) {
-    if (!peer_.has_elder()) speak(false);
-  } else if (chat_) {
-    chat_->server().open(std::move(chat_socket_));
-  }
-  log_("serving on " + text(config_.listen) + " as " + config_.name);
-  if (chat_ && !pair_) log_("chat front on " + text(chat_->server().local()));
-  serving_ = true;
-  watch_levels();
-  peer_.serving();
+// ---- taking over and serving ----
+
+void Dispatcher::inherit(hot_restart::HandoverState handover) {
+  if (is_draining_) return;  // told to end before it began
+  serve(std::move(handover));
 }
 
-// VRRP decides who of the pair listens at the chat address. Of two processes of one router only one speaks.
-void Dispatcher::speak(bool succeeds) {
-  if (!pair_ || vrrp_ || draining_) return;
+void Dispatcher::serve(hot_restart::HandoverState handover) {
+  restore_drained_endpoints();  // before any list
+  restore_endpoint_list(handover.list);
+  parts_.engine.learn(handover.learned_state);
+  parts_.levels.resume(handover.level);
+  for (const std::string& id : handover.ids) parts_.engine.request_elsewhere(id, true);
+  parts_.watch.start(parts_.endpoints.seq);
+  parts_.platform.server().open(std::move(handover.listening["platform"]));
+  chat_address_.serve(std::move(handover.listening["chat"]));
+  parts_.log("serving on " + to_text(parts_.config.listen) + " as " + parts_.config.name);
+  if (parts_.chat && !chat_address_.is_paired())
+    parts_.log("chat front on " + to_text(parts_.chat->server().local()));
+  is_serving_ = true;
+  tick_levels();
+  parts_.peer.serving();
+}
+
+void Dispatcher::restore_drained_endpoints() {
+  parts_.drained_endpoints.load();
+  for (const std::string& endpoint : parts_.drained_endpoints.endpoints()) {
+    parts_.log("operators: host " + endpoint + " still offline");
+    apply_drain(endpoint, true);
+  }
+}
+
+// Discovery may be silent for long: the list that was last known serves until it speaks.
+void Dispatcher::restore_endpoint_list(const hot_restart::Json& handed_over) {
+  parts_.update_endpoints(parts_.config.known);
+  if (handed_over.is_null()) return;
   try {
-    vrrp_.emplace(loop_.io(), *pair_, loop_.timers(), loop_.clock(), log_,
-                  [this](vrrp::State state) { front_chat(state == vrrp::State::kActive); });
-  } catch (const std::exception& e) {
-    if (!serving_) throw;
-    log_(std::string("vrrp can't speak yet: ") + e.what());
-    loop_.timers().add(loop_.now() + kListenAgain, [this, succeeds] { speak(succeeds); });
-    return;
+    parts_.update_endpoints(service_discovery::parse_servers(handed_over));
+  } catch (const std::exception& error) {
+    parts_.log(std::string("upgrade: the list can't be read: ") + error.what());
   }
-  vrrp_->start(succeeds);
 }
 
-void Dispatcher::on_vrrp(bool was_active) {
-  if (serving_) speak(was_active);
+void Dispatcher::tick_levels() {
+  parts_.levels.tick(parts_.engine.open(), parts_.watch.heard());
+  parts_.loop.timers().add(parts_.loop.now() + degradation::DegradationController::kTick,
+                           [this] { tick_levels(); });
 }
 
+// ---- the other process of a hot restart ----
+
 std::map<std::string, int> Dispatcher::listening() {
   std::map<std::string, int> sockets;
-  if (platform_.server().is_open()) sockets["platform"] = platform_.server().listening();
-  if (chat_ && chat_->server().is_open()) sockets["chat"] = chat_->server().listening();
+  http::Server& platform = parts_.platform.server();
+  if (platform.is_open()) sockets["platform"] = platform.listening();
+  if (parts_.chat && parts_.chat->server().is_open()) sockets["chat"] = parts_.chat->server().listening();
   return sockets;
 }
 
-void Dispatcher::on_partners() {
-  bound();
-  if (!peer_.shared()) engine_.alone();
-  if (!peer_.has_elder() && serving_) speak(false);
-  if (draining_ && peer_.succeeded()) stop_taking();
-}
-
-void Dispatcher::bound() {
-  const bool shared = peer_.shared();
-  share_limits();
-  pool_.adopt(pool_options(config_, shared));
-  const http::ServerOptions options = server_options(config_, servers().size(), shared);
-  for (http::Server* server : servers()) server->bound(options.max_clients, options.max_held);
-}
-
-// Two processes of one instance keep half of its part each.
-void Dispatcher::share_limits() {
-  const std::size_t each = peer_.shared() ? 2 : 1;
-  const auto number = static_cast<std::size_t>(std::max(0, config_.settings.router_number));
-  const auto count = static_cast<std::size_t>(std::max(1, config_.settings.router_count));
-  rate_limiter_.share(each * number + (peer_.has_elder() ? 1 : 0), each * count);
-}
-
-void Dispatcher::watch_levels() {
-  levels_.tick(engine_.open(), watch_.heard());
-  loop_.timers().add(loop_.now() + degradation::DegradationController::kTick, [this] { watch_levels(); });
-}
-
-void Dispatcher::await_signal() {
-  signals_.async_wait([this](boost::system::error_code error, int number) {
-    if (error) return;
-    if (number != SIGHUP) return drain();  // what is signalled from here on changes nothing
-    reload();
-    await_signal();
-  });
+void Dispatcher::on_stream(const hot_restart::Json& facts, net::UniqueFd client, net::UniqueFd replica) {
+  stream_handover_.adopt(facts, std::move(client), std::move(replica));
 }
 
-void Dispatcher::reload() {
-  if (!read_again_) return;
-  try {
-    const Files files = read_again_();
-    adopt(files);
-    for (const std::string& line : files.config.warnings) log_(line);
-    std::string classes;
-    for (const auto& c : rules_->classes) classes += " " + c.name;
-    log_("reloaded: discovery at " + text(config_.discovery) + ", classes" + classes);
-  } catch (const ConfigError& e) {
-    const std::vector<std::string> lines = e.lines();
-    if (lines.size() > 1) std::for_each(lines.begin(), lines.end(), log_);
-    log_("reload failed, the old configuration stays: " +
-         (lines.size() > 1 ? "see the lines above" : lines[0]));
-  } catch (const std::exception& e) {
-    std::string what = e.what();  // a line each, where several things are wrong
-    for (std::size_t at = 0; (at = what.find('\n', at)) != std::string::npos;) what.replace(at, 1, "; ");
-    log_("reload failed, the old configuration stays: " + what);
-  }
+void Dispatcher::on_vrrp(bool was_active) {
+  if (is_serving_) chat_address_.join_pair(was_active);
 }
 
-void Dispatcher::adopt(const Files& files) {
-  const Config& next = files.config;
-  check_keys(config_.source, next.source);
-  const auto rules = std::make_shared<const routing::Settings>(next.settings);
-  const auto chat = parse_chat(files.texts.chat, *rules);
-  if (chat_ && !chat) throw ConfigError("the chat front's file no longer says where to listen");
-  const auto requests = parse_rules(files.texts.rules, *rules);
-  const auto service = parse_levels(files.texts.levels, *rules);
-  // Nothing below throws: the new configuration is taken whole.
-  std::string later;
-  const auto wait = [&later](bool changed, const char* field) {
-    if (changed) later.append(later.empty() ? "" : ", ").append(field);
-  };
-  wait(next.listen != config_.listen, "listen");
-  wait(next.name != config_.name, "name");
-  wait(next.console != config_.console, "console");
-  wait(chat.has_value() != chat_config_.has_value() || (chat && chat->listen != chat_config_->listen),
-       "the chat front's listen");
-  if (!later.empty()) log_("reload: changed, but taking effect at the next start only: " + later);
-  const bool moved = next.discovery != config_.discovery;
-  rules_ = rules;
-  engine_.adopt(rules);
-  platform_.adopt(rules);
-  if (chat_) chat_->adopt(*chat);
-  rate_limiter_.adopt(requests, loop_.now());
-  levels_.adopt(*rules, service);
-  config_.settings = next.settings;
-  config_.source = next.source;
-  config_.sockets = next.sockets;
-  config_.memory_mb = next.memory_mb;
-  config_.discovery = next.discovery;
-  bound();
-  // Kinds of replicas may be new: the list is read by the new ones.
-  engine_.endpoints(servers_.list);
-  if (moved) watch_.move(config_.discovery);
+void Dispatcher::on_partners() {
+  parts_.apply_resource_limits();
+  if (!parts_.peer.shared()) parts_.engine.alone();
+  if (!parts_.peer.has_elder() && is_serving_) chat_address_.join_pair(false);
+  if (is_draining_ && parts_.peer.succeeded()) stop_accepting();
 }
 
-// The other of the pair may still be closing its listener at the shared address: tried until it is free.
-void Dispatcher::front_chat(bool active) {
-  fronting_ = active && !draining_;
-  if (!fronting_) {
-    chat_->server().stop_accepting();  // what was taken is still answered
-    chat_->server().close_idle();
-    return;
-  }
-  try {
-    chat_->server().open(std::move(chat_socket_));
-    log_("chat front on " + text(chat_->server().local()));
-  } catch (const std::exception& e) {
-    log_(std::string("chat front can't listen yet: ") + e.what());
-    loop_.timers().add(loop_.now() + kListenAgain, [this] {
-      if (fronting_) front_chat(true);
-    });
-  }
-}
+// ---- operators ----
 
-bool Dispatcher::ready() {
-  return platform_.server().is_open() && !draining_ && engine_.endpoints_known() > 0;
+bool Dispatcher::is_ready() {
+  return parts_.platform.server().is_open() && !is_draining_ && parts_.engine.endpoints_known() > 0;
 }
 
-bool Dispatcher::maintain(const std::string& endpoint, bool offline) {
-  if (!engine_.knows(endpoint) && !drained_endpoints_.contains(endpoint)) return false;
-  order(endpoint, offline);
+bool Dispatcher::drain_endpoint(const std::string& endpoint, bool offline) {
+  if (!parts_.engine.knows(endpoint) && !parts_.drained_endpoints.contains(endpoint)) return false;
+  change_drain(endpoint, offline);
   return true;
 }
 
-void Dispatcher::order(const std::string& endpoint, bool offline) {
-  if (!drained_endpoints_.set(endpoint, offline)) return;
-  log_("operators: host " + endpoint + (offline ? " offline" : " online"));
-  enforce(endpoint, offline);
-  peer_.tell_ban(endpoint, offline);
+void Dispatcher::change_drain(const std::string& endpoint, bool offline) {
+  if (!parts_.drained_endpoints.set(endpoint, offline)) return;
+  parts_.log("operators: host " + endpoint + (offline ? " offline" : " online"));
+  apply_drain(endpoint, offline);
+  parts_.peer.tell_ban(endpoint, offline);
 }
 
-// The module hears of it first: what the pool gives back then goes elsewhere.
-void Dispatcher::enforce(const std::string& endpoint, bool offline) {
-  engine_.maintain(endpoint, offline);
-  pool_.maintain(endpoint, offline);
+// The router hears of it first: what the pool gives back then goes elsewhere.
+void Dispatcher::apply_drain(const std::string& endpoint, bool offline) {
+  parts_.engine.maintain(endpoint, offline);
+  parts_.pool.maintain(endpoint, offline);
 }
 
-void Dispatcher::apply(const service_discovery::EndpointSnapshot& servers) {
-  service_discovery::merge(servers_, servers);
-  pool_.endpoints(servers.addresses, servers.whole);
-  engine_.endpoints(servers.list);
-  levels_.endpoints(servers.list);
-}
+// ---- the end ----
 
 void Dispatcher::drain() {
-  if (draining_) return;
-  draining_ = true;
-  log_("draining: " + std::to_string(engine_.unanswered()) + " requests unanswered");
-  for (http::Server* server : servers()) server->drain();
-  if (vrrp_ && peer_.succeeded()) {
-    const bool active = vrrp_->state() == vrrp::State::kActive;
-    vrrp_->leave();
-    fronting_ = false;
-    peer_.tell_vrrp(active);
-  } else if (vrrp_) {
-    vrrp_->stop();  // the other of the pair takes over at once
-  }
-  if (peer_.succeeded()) {
-    stop_taking();
+  if (is_draining_) return;
+  is_draining_ = true;
+  parts_.log("draining: " + std::to_string(parts_.engine.unanswered()) + " requests unanswered");
+  for (http::Server* server : parts_.client_servers()) server->drain();
+  chat_address_.leave_pair();
+  if (parts_.peer.succeeded()) {
+    stop_accepting();
   } else {
-    loop_.timers().add(loop_.now() + kKeepAccepting, [this] { stop_taking(); });
+    parts_.loop.timers().add(parts_.loop.now() + kAcceptAfterTerm, [this] { stop_accepting(); });
   }
   finish_draining();
 }
 
-// Another process takes what comes now, or nobody does: clients that are told so by a close come again there.
-void Dispatcher::stop_taking() {
-  took_last_ = true;
-  for (http::Server* server : servers()) {
+// Another process accepts what comes now, or nobody does: clients that are told so by a close come again
+// there.
+void Dispatcher::stop_accepting() {
+  has_stopped_accepting_ = true;
+  for (http::Server* server : parts_.client_servers()) {
     server->stop_accepting();
     server->close_idle();
   }
 }
 
-// A stream may run for longer than this process does. The platform's pass to the process that takes over,
-// each where it stands between two events: both sockets, and what is left of the chunk being read.
-void Dispatcher::hand_over_streams() {
-  if (!peer_.succeeded()) return;
-  http::Server& server = platform_.server();
-  for (const engine::Engine::Stream& s : engine_.streams(platform_.response_sink())) {
-    const engine::AttemptId attempt{s.request, s.attempt};
-    // Both reads are taken back first; it is given once they are, unless more came in between.
-    const bool client_still = server.hush(s.client), replica_still = pool_.hush(attempt);
-    if (client_still && replica_still) {
-      const auto [replica, given] = pool_.give(attempt);
-      const net::UniqueFd client = server.give(s.client);
-      platform_.forget_given(s.client);
-      peer_.give_stream({{"id", s.id},
-                         {"host", given.endpoint},
-                         {"unread", std::vector<unsigned char>(given.unread.begin(), given.unread.end())},
-                         {"chunk_left", given.chunk_left},
-                         {"keep_alive", given.keep_alive}},
-                        client.get(), replica.get());
-      engine_.give_away(s.request);
-    } else if (handover_tries_ % kWakeEvery == kWakeEvery - 1) {
-      server.wake(s.client);
-      pool_.wake(attempt);
-    }
+// Everything accepted is answered, every stream handed over and every reservation released before the end.
+void Dispatcher::finish_draining() {
+  stream_handover_.hand_over();
+  if (has_stopped_accepting_) {
+    for (http::Server* server : parts_.client_servers()) server->close_idle();
   }
-  ++handover_tries_;
-}
-
-void Dispatcher::on_stream(const Json& facts, net::UniqueFd client, net::UniqueFd replica) {
-  try {
-    const auto unread = facts.at("unread").get<std::vector<unsigned char>>();
-    const upstream::ConnectionPool::Given given{facts.at("host").get<std::string>(),
-                                                {unread.begin(), unread.end()},
-                                                facts.at("chunk_left").get<std::uint64_t>(),
-                                                facts.at("keep_alive").get<bool>()};
-    const auto id = facts.at("id").get<std::string>();
-    engine_.request_elsewhere(id, false);
-    const net::SlotId request = platform_.take_over(std::move(client), id, given.endpoint);
-    pool_.adopt({request, 0}, std::move(replica), given);
-  } catch (const std::exception& e) {
-    log_(std::string("upgrade: a stream can't go on here: ") + e.what());
+  if (is_work_left()) {
+    parts_.loop.timers().add(parts_.loop.now() + kDrainCheckPeriod, [this] { finish_draining(); });
+    return;
   }
+  parts_.log("drained");
+  parts_.peer.close();
+  parts_.loop.stop();
 }
 
-// Everything taken is answered, every stream passed on and every state let go of before the end.
-void Dispatcher::finish_draining() {
-  hand_over_streams();
+bool Dispatcher::is_work_left() {
   std::size_t clients = 0;
-  for (http::Server* server : servers()) {
-    if (took_last_) server->close_idle();
-    clients += server->clients();
-  }
-  const bool owes = engine_.open() > 0 || clients > 0 || pool_.leases_pressing() > 0;
-  if (!took_last_ || !peer_.all_sent() || owes) {
-    loop_.timers().add(loop_.now() + kDrainLook, [this] { finish_draining(); });
-    return;
-  }
-  log_("drained");
-  peer_.close();
-  loop_.stop();
+  for (const http::Server* server : parts_.client_servers()) clients += server->clients();
+  const bool is_owed = parts_.engine.open() > 0 || clients > 0 || parts_.pool.leases_pressing() > 0;
+  return !has_stopped_accepting_ || !parts_.peer.all_sent() || is_owed;
 }
 
 }  // namespace dispatcher::daemon
--- a/src/daemon/dispatcher.hpp
+++ b/src/daemon/dispatcher.hpp
@@ -1,117 +1,77 @@
-// The whole dispatcher, put together: who is built from what, and its life from start to SIGTERM.
+// The life of a dispatcher process: start (or take-over from the process before it), serving, reload, drain,
+// end.
 #ifndef DISPATCHER_DAEMON_DISPATCHER_HPP_
 #define DISPATCHER_DAEMON_DISPATCHER_HPP_
 
 #include <boost/asio/signal_set.hpp>
 #include <functional>
 #include <map>
-#include <optional>
-#include <random>
 #include <string>
 #include <vector>
 
-#include "admin/admin_server.hpp"
-#include "daemon/config.hpp"
-#include "daemon/loop.hpp"
-#include "degradation/degradation_controller.hpp"
-#include "engine/engine.hpp"
-#include "hot_restart/drained_endpoint_store.hpp"
-#include "hot_restart/hot_restart_peer.hpp"
-#include "openai_api/frontend.hpp"
-#include "platform_api/frontend.hpp"
-#include "rate_limit/rate_limiter.hpp"
-#include "service_discovery/endpoint_watcher.hpp"
-#include "upstream/connection_pool.hpp"
-#include "vrrp/vrrp_instance.hpp"
+#include "daemon/chat_address.hpp"
+#include "daemon/components.hpp"
+#include "daemon/configuration_reloader.hpp"
+#include "daemon/stream_handover.hpp"
 
 namespace dispatcher::daemon {
 
-using Json = nlohmann::json;
-
-// The files of our own, each as it was read; without text: there is none.
-struct Texts {
-  cue::File chat = {}, vrrp = {};
-  std::optional<cue::File> rules = {}, levels = {};  // none: there are no rules, no levels
-};
-
-// What SIGHUP reads anew.
-struct Files {
-  Config config;
-  Texts texts;
-};
-
+// Everything runs on the thread that runs the loop; the loop outlives the dispatcher.
 class Dispatcher : private hot_restart::HotRestartPeer::Owner {
  public:
-  using ReadAgain = std::function<Files()>;  // throws where a file can't be read or is bad
-  Dispatcher(Loop& loop, const Config& config, const Texts& texts, engine::Log log,
-             ReadAgain read_again = {});  // throws where a file is bad
+  // `read_files`: what SIGHUP reads anew. Throws ConfigError or cue::Errors where a file is bad.
+  Dispatcher(Loop& loop, const Config& config, const FeatureFiles& files, engine::Log log,
+             ConfigurationReloader::ReadFiles read_files = {});
+
+  // Looks for a process to take over from, then serves. Throws where the admin address can't be listened at.
   void start();
-  // From here on a line for each thing that happens to a request.
-  void log_requests() { engine_.attach(engine::RequestLog(log_)); }
-  void reload();  // as SIGHUP asks: all of the new files takes effect or, where one is bad, nothing
-  void drain();   // as SIGTERM asks: takes what still comes for a while, finishes everything, ends the loop
-  net::tcp::endpoint address() { return platform_.server().local(); }
-  net::tcp::endpoint console() const { return console_->local(); }
+  // From here on a log line for each thing that happens to a request.
+  void log_requests() { parts_.engine.attach(engine::RequestLog(parts_.log)); }
+  // As SIGHUP asks: all of the new files takes effect or, where one is bad, nothing.
+  void reload() { reloader_.reload(); }
+  // As SIGTERM asks: accepts what still comes for a while, finishes everything, ends the loop.
+  void drain();
+  [[nodiscard]] net::tcp::endpoint address() { return parts_.platform.server().local(); }
+  // Only where the configuration has an admin address.
+  [[nodiscard]] net::tcp::endpoint console() const { return parts_.admin->local(); }
 
  private:
-  Json list() override { return service_discovery::to_json(servers_); }
+  // hot_restart::HotRestartPeer::Owner
+  hot_restart::Json list() override { return service_discovery::to_json(parts_.endpoints); }
   std::map<std::string, int> listening() override;
-  std::vector<std::string> open_ids() override { return engine_.open_ids(); }
-  routing::LearnedState learned_state() override { return engine_.learned_state(); }
-  Json level() override { return levels_.level(); }
+  std::vector<std::string> open_ids() override { return parts_.engine.open_ids(); }
+  routing::LearnedState learned_state() override { return parts_.engine.learned_state(); }
+  hot_restart::Json level() override { return parts_.levels.level(); }
   void inherit(hot_restart::HandoverState handover) override;
-  void on_ban(const std::string& endpoint, bool offline) override { order(endpoint, offline); }
-  void on_request(const std::string& id, bool open) override { engine_.request_elsewhere(id, open); }
-  void on_sent(const std::string& endpoint) override { engine_.sent_elsewhere(endpoint); }
-  void on_stream(const Json& facts, net::UniqueFd client, net::UniqueFd replica) override;
+  void on_ban(const std::string& endpoint, bool offline) override { change_drain(endpoint, offline); }
+  void on_request(const std::string& id, bool open) override { parts_.engine.request_elsewhere(id, open); }
+  void on_sent(const std::string& endpoint) override { parts_.engine.sent_elsewhere(endpoint); }
+  void on_stream(const hot_restart::Json& facts, net::UniqueFd client, net::UniqueFd replica) override;
   void on_vrrp(bool was_active) override;
   void on_partners() override;
 
-  void apply(const service_discovery::EndpointSnapshot& servers);
-  void serve(hot_restart::HandoverState handover);
-  void order(const std::string& endpoint, bool offline);
-  void enforce(const std::string& endpoint, bool offline);
-  void bound();
-  void share_limits();
-  void watch_levels();
-  void speak(bool succeeds);
-  void stop_taking();
-  void hand_over_streams();
+  ComponentCallbacks callbacks();
   void await_signal();
-  void adopt(const Files& files);
-  bool ready();
-  bool maintain(const std::string& endpoint, bool offline);
-  void front_chat(bool active);
+  void serve(hot_restart::HandoverState handover);
+  void restore_drained_endpoints();
+  void restore_endpoint_list(const hot_restart::Json& handed_over);
+  void tick_levels();
+  [[nodiscard]] bool is_ready();
+  [[nodiscard]] bool drain_endpoint(const std::string& endpoint, bool offline);
+  void change_drain(const std::string& endpoint, bool offline);
+  void apply_drain(const std::string& endpoint, bool offline);
+  void stop_accepting();
   void finish_draining();
-  std::vector<http::Server*> servers();
+  [[nodiscard]] bool is_work_left();
 
-  Loop& loop_;
-  Config config_;
-  engine::Log log_;
-  ReadAgain read_again_;
-  engine::SettingsSnapshot rules_;
-  std::optional<openai_api::Config> chat_config_;           // before the fronts, which share the descriptors
-  std::shared_ptr<const rate_limit::RuleSet> first_rules_;  // read before anything is opened
-  rate_limit::RateLimiter rate_limiter_;
-  std::mt19937_64 random_;
-  degradation::DegradationController levels_;
-  upstream::ConnectionPool pool_;
-  engine::Engine engine_;
-  platform_api::Frontend platform_;
-  std::optional<openai_api::Frontend> chat_;
-  std::optional<admin::AdminServer> console_;
-  service_discovery::EndpointWatcher watch_;
-  std::optional<vrrp::VrrpInstance> vrrp_;
-  bool fronting_ = false;  // this instance of the pair answers at the chat address
-  hot_restart::DrainedEndpointStore drained_endpoints_;
-  hot_restart::HotRestartPeer peer_;
-  service_discovery::EndpointSnapshot servers_;  // the whole list as it is now
-  std::optional<vrrp::Config> pair_;
-  net::UniqueFd chat_socket_;  // handed over, for when this instance fronts the chat address
-  bool serving_ = false;
-  int handover_tries_ = 0;
+  Components parts_;
+  ChatAddress chat_address_;
+  ConfigurationReloader reloader_;
+  StreamHandover stream_handover_;
   boost::asio::signal_set signals_;
-  bool draining_ = false, took_last_ = false;
+  bool is_serving_ = false;
+  bool is_draining_ = false;
+  bool has_stopped_accepting_ = false;
 };
 
 }  // namespace dispatcher::daemon
--- a/src/daemon/main.cpp
+++ b/src/daemon/main.cpp
@@ -38,14 +38,14 @@
   return daemon::load_config(environment);
 }
 
-int serve(const std::function<daemon::Texts()>& texts, bool log_requests) {
+int serve(const std::function<daemon::FeatureFiles()>& texts, bool log_requests) {
   const daemon::Config config = load({});
   daemon::Loop loop;
   for (const std::string& line : config.warnings) log_line(loop.now(), line);
   daemon::Dispatcher dispatcher(
       loop, config, texts(), [&loop](std::string_view text) { log_line(loop.now(), text); },
       [&texts] {
-        return daemon::Files{daemon::reload_config(daemon::read_environment()), texts()};
+        return daemon::ConfigurationFiles{daemon::reload_config(daemon::read_environment()), texts()};
       });
   if (log_requests) dispatcher.log_requests();
   dispatcher.start();
@@ -53,7 +53,7 @@
   return 0;
 }
 
-int check_config(const std::string& path, const daemon::Texts& texts) {
+int check_config(const std::string& path, const daemon::FeatureFiles& texts) {
   const daemon::Config config = load(path);
   const bool chats =
       !texts.chat.text.empty() && openai_api::parse_config(texts.chat, config.settings).has_value();
@@ -93,7 +93,7 @@
     std::cout << "class " << c.name << ": aim " << ms(c.latency_objective) << ", deadline " << ms(c.deadline)
               << "\n";
   for (const auto& a : config.known.addresses)
-    std::cout << "replica " << a.endpoint << " at " << a.endpoint << (a.ready ? ": up" : ": not up") << "\n";
+    std::cout << "replica " << a.endpoint << " at " << a.address << (a.ready ? ": up" : ": not up") << "\n";
   if (!rules) return 0;
   const auto set = rate_limit::RuleSet::read(*rules, rate_limit::vocabulary_of(config.settings));
   const auto instances = static_cast<std::size_t>(std::max(1, config.settings.router_count));
@@ -193,9 +193,9 @@
       return cue::File{levels, daemon::read_file(levels)};
     };
     const auto texts = [&] {
-      return daemon::Texts{read_optional(chat, chat_option->count() > 0),
-                           read_optional(vrrp, vrrp_option->count() > 0), rule_text(read_rules),
-                           level_text()};
+      return daemon::FeatureFiles{read_optional(chat, chat_option->count() > 0),
+                                  read_optional(vrrp, vrrp_option->count() > 0), rule_text(read_rules),
+                                  level_text()};
     };
     return *check ? check_config(path, texts()) : serve(texts, log_requests);
   } catch (const daemon::ConfigError& e) {
--- /dev/null
+++ b/src/daemon/resource_limits.cpp
@@ -0,0 +1,58 @@
+#include "daemon/resource_limits.hpp"
+
+#include <algorithm>
+#include <chrono>
+
+#include "admin/admin_server.hpp"
+
+namespace dispatcher::daemon {
+
+using std::chrono::milliseconds;
+
+namespace {
+
+// Rounds of calls that release a reservation: several must fit into its limit.
+constexpr int kReleaseRounds = 6;
+constexpr engine::Duration kMinReleasePause = milliseconds(20);
+// Of the descriptors that are left for connections.
+constexpr std::size_t kEndpointPercent = 46;
+constexpr std::size_t kClientPercent = 54;
+constexpr std::size_t kBytesPerMegabyte = 1024 * 1024;
+// Of the memory, for request bodies. A body stands in memory up to three times: as it came, to be sent again,
+// and on its way out.
+constexpr std::size_t kBodyMemoryDivisor = 8;
+// Descriptors for all that is neither a client nor an endpoint: the operators' callers have theirs however
+// many of the others there are.
+constexpr std::size_t kSpareDescriptors = 32 + admin::kMaxCallers;
+
+std::size_t connection_descriptors(const Config& config, ProcessCount processes) {
+  const std::size_t spare = std::min(kSpareDescriptors, config.sockets / 2);
+  return (config.sockets - spare) / (processes == ProcessCount::kTwo ? 2 : 1);
+}
+
+}  // namespace
+
+upstream::Options pool_options(const Config& config, ProcessCount processes) {
+  const routing::Settings& settings = config.settings;
+  upstream::Options options;
+  options.connect_timeout = settings.connect_timeout;
+  options.idle_timeout = settings.idle_timeout;
+  options.lease_patience =
+      std::max<engine::Duration>(kMinReleasePause, settings.reservation_limit / kReleaseRounds);
+  options.drain_grace = settings.drain_grace;
+  options.release_again = std::max<engine::Duration>(kMinReleasePause, settings.reservation_limit * 2 / 3);
+  const std::size_t descriptors = connection_descriptors(config, processes) * kEndpointPercent / 100;
+  options.max_connections = std::min<std::size_t>(options.max_connections, descriptors);
+  options.max_idle_all = std::min(options.max_idle_all, options.max_connections / 2);
+  return options;
+}
+
+http::ServerOptions server_options(const Config& config, std::size_t frontends, ProcessCount processes) {
+  http::ServerOptions options;
+  const std::size_t descriptors = connection_descriptors(config, processes) * kClientPercent / 100;
+  options.max_clients = std::min<std::size_t>(options.max_clients, descriptors) / frontends;
+  options.max_held = config.memory_mb * kBytesPerMegabyte / kBodyMemoryDivisor / frontends;
+  return options;
+}
+
+}  // namespace dispatcher::daemon
--- /dev/null
+++ b/src/daemon/stream_handover.cpp
@@ -0,0 +1,64 @@
+#include "daemon/stream_handover.hpp"
+
+#include <cstdint>
+#include <exception>
+#include <string>
+#include <utility>
+#include <vector>
+
+namespace dispatcher::daemon {
+
+namespace {
+
+// Passes for which a stream's reads stay suspended when it could not be handed over yet.
+constexpr int kPassesPerResume = 3;
+
+}  // namespace
+
+void StreamHandover::hand_over() {
+  if (!parts_.peer.succeeded()) return;
+  for (const engine::Engine::Stream& stream : parts_.engine.streams(parts_.platform.response_sink()))
+    hand_over(stream);
+  ++passes_;
+}
+
+// Both reads are taken back first; the stream is given once they are, unless more came in between.
+void StreamHandover::hand_over(const engine::Engine::Stream& stream) {
+  http::Server& server = parts_.platform.server();
+  const engine::AttemptId attempt{stream.request, stream.attempt};
+  const bool is_client_still = server.hush(stream.client);
+  const bool is_endpoint_still = parts_.pool.hush(attempt);
+  if (is_client_still && is_endpoint_still) {
+    const auto [endpoint_socket, state] = parts_.pool.give(attempt);
+    const net::UniqueFd client_socket = server.give(stream.client);
+    parts_.platform.forget_given(stream.client);
+    parts_.peer.give_stream({{"id", stream.id},
+                             {"host", state.endpoint},
+                             {"unread", std::vector<unsigned char>(state.unread.begin(), state.unread.end())},
+                             {"chunk_left", state.chunk_left},
+                             {"keep_alive", state.keep_alive}},
+                            client_socket.get(), endpoint_socket.get());
+    parts_.engine.give_away(stream.request);
+  } else if (passes_ % kPassesPerResume == kPassesPerResume - 1) {
+    server.wake(stream.client);
+    parts_.pool.wake(attempt);
+  }
+}
+
+void StreamHandover::adopt(const hot_restart::Json& message, net::UniqueFd client, net::UniqueFd endpoint) {
+  try {
+    const auto unread = message.at("unread").get<std::vector<unsigned char>>();
+    const upstream::ConnectionPool::Given state{message.at("host").get<std::string>(),
+                                                {unread.begin(), unread.end()},
+                                                message.at("chunk_left").get<std::uint64_t>(),
+                                                message.at("keep_alive").get<bool>()};
+    const auto id = message.at("id").get<std::string>();
+    parts_.engine.request_elsewhere(id, false);
+    const net::SlotId request = parts_.platform.take_over(std::move(client), id, state.endpoint);
+    parts_.pool.adopt({request, 0}, std::move(endpoint), state);
+  } catch (const std::exception& error) {
+    parts_.log(std::string("upgrade: a stream can't go on here: ") + error.what());
+  }
+}
+
+}  // namespace dispatcher::daemon
--- a/tests/dispatcher/config_test.cpp
+++ b/tests/dispatcher/config_test.cpp
@@ -190,7 +190,7 @@
   daemon::Dispatcher dispatcher(
       loop, parse(kGood), {{"chat.json", kChat}, {}}, [&](std::string_view line) { logs.emplace_back(line); },
       [&] {
-        return daemon::Files{parse(next), {{"chat.json", kChat}, {}}};
+        return daemon::ConfigurationFiles{parse(next), {{"chat.json", kChat}, {}}};
       });
   // A new class, which would show in the line of a reload, beside a contradiction.
   next =
--- a/tests/dispatcher/daemon_test.cpp
+++ b/tests/dispatcher/daemon_test.cpp
@@ -125,12 +125,12 @@
   net::tcp::acceptor agent(loop.io(), loopback());
   bool moved = false;
   agent.async_accept([&](net::error_code, net::tcp::socket) { moved = true; });
-  daemon::Files next{config, {{"chat.json", kChat}, {}}};
+  daemon::ConfigurationFiles next{config, {{"chat.json", kChat}, {}}};
   next.config.discovery = agent.local_endpoint();
   next.config.name = "another";
   std::vector<std::string> logs;
-  std::function<daemon::Files()> read = [] {
-    return throw daemon::ConfigError("field 'x': bad"), daemon::Files{};
+  std::function<daemon::ConfigurationFiles()> read = [] {
+    return throw daemon::ConfigError("field 'x': bad"), daemon::ConfigurationFiles{};
   };
   daemon::Dispatcher dispatcher(
       loop, config, {{"chat.json", kChat}, {}},
@@ -145,7 +145,7 @@
   hang_up();
   CHECK(logs.back() == "reload failed, the old configuration stays: field 'x': bad");
   read = [&] {
-    return daemon::Files{next.config, {{"chat.json", R"({"listen":"127.0.0.1:0","models":[]})"}, {}}};
+    return daemon::ConfigurationFiles{next.config, {{"chat.json", R"({"listen":"127.0.0.1:0","models":[]})"}, {}}};
   };
   hang_up();
   CHECK(logs.back() ==
--- a/tests/dispatcher/degradation_fleet_test.cpp
+++ b/tests/dispatcher/degradation_fleet_test.cpp
@@ -259,16 +259,16 @@
   config.discovery.port(1);
   config.settings = make_settings();
   std::vector<std::string> logs;
-  daemon::Texts texts;
+  daemon::FeatureFiles texts;
   texts.levels = cue::File{"levels.cue", kSome};
-  daemon::Files next{config, texts};
+  daemon::ConfigurationFiles next{config, texts};
   daemon::Dispatcher dispatcher(
       loop, config, texts, [&](std::string_view line) { logs.emplace_back(line); }, [&] { return next; });
   dispatcher.start();
-  next.texts.levels->text = "levels: [{name: \"a\", enter: \"open > 5\", leave: \"open > 3\"}]";
+  next.features.levels->text = "levels: [{name: \"a\", enter: \"open > 5\", leave: \"open > 3\"}]";
   dispatcher.reload();
   CHECK(logs.back().find("levels[0].leave: can hold while 'enter' does") != std::string::npos);
-  next.texts.levels->text = kSome;
+  next.features.levels->text = kSome;
   dispatcher.reload();
   CHECK(logs.back().starts_with("reloaded"));
 }
--- a/tests/dispatcher/drain_test.cpp
+++ b/tests/dispatcher/drain_test.cpp
@@ -19,7 +19,7 @@
     config.known.list.kind = routing::ListKind::kFull;
     add("r", "reader", reader.server.local());
     add("w", "writer", writer.server.local());
-    dispatcher.emplace(loop, config, daemon::Texts{},
+    dispatcher.emplace(loop, config, daemon::FeatureFiles{},
                        [this](std::string_view line) { logs.emplace_back(line); });
     dispatcher->start();
   }
--- a/tests/dispatcher/hot_restart_test.cpp
+++ b/tests/dispatcher/hot_restart_test.cpp
@@ -187,7 +187,7 @@
     config.known.list.entries = {r1};
     config.known.addresses = {{"r1", loopback(), true}};
     config.known.whole = true;
-    daemon::Texts texts{{"chat.json", chat}, {"vrrp.json", vrrp}};
+    daemon::FeatureFiles texts{{"chat.json", chat}, {"vrrp.json", vrrp}};
     if (!levels.empty()) texts.levels = cue::File{"levels.cue", levels};
     first.emplace(loop, config, texts, log("1 "));
     first->start();
--- a/tests/dispatcher/rate_limit_test.cpp
+++ b/tests/dispatcher/rate_limit_test.cpp
@@ -633,7 +633,7 @@
   config.discovery.port(1);
   config.settings = make_settings();
   Told logs;
-  daemon::Files next{config, {{}, {}, cue::File{"rules.cue", "rules: [{name: \"a\", class: \"'zz'\"}]"}}};
+  daemon::ConfigurationFiles next{config, {{}, {}, cue::File{"rules.cue", "rules: [{name: \"a\", class: \"'zz'\"}]"}}};
   daemon::Dispatcher dispatcher(
       loop, config, {{}, {}, cue::File{"rules.cue", "rules: []"}},
       [&](std::string_view line) { logs.emplace_back(line); }, [&] { return next; });
@@ -642,13 +642,13 @@
   CHECK(logs.back() ==
         "reload failed, the old configuration stays: rules.cue:1:28: rules[0].class: no class 'zz' in the "
         "settings");
-  next.texts.rules->text.clear();
+  next.features.rules->text.clear();
   dispatcher.reload();
   CHECK(logs.back().find("rules.cue: rules: missing") != std::string::npos);
-  next.texts.rules->text = "rules: [{name: \"a\", class: \"'ask'\"}]";
+  next.features.rules->text = "rules: [{name: \"a\", class: \"'ask'\"}]";
   dispatcher.reload();
   CHECK(logs.back().starts_with("reloaded"));
-  daemon::Texts bad;
+  daemon::FeatureFiles bad;
   bad.rules = cue::File{"rules.cue", "rules: ["};
   CHECK_THROWS_AS(daemon::Dispatcher(loop, config, bad, [](std::string_view) {}), cue::Errors);
 }
