--- a/src/daemon/dispatcher.cpp
+++ b/src/daemon/dispatcher.cpp
@@ -113,8 +113,8 @@
   rate_limiter_.adopt(std::exchange(first_rules_, nullptr), loop.now());
   platform_.attach(rate_limiter_);
   platform_.attach(levels_);
-  engine_.attach(&levels_);
-  engine_.on_subscribe([this] { watch_.restart(); });
+  engine_.set_request_observer(&levels_);
+  engine_.set_subscribe_callback([this] { watch_.restart(); });
   if (chat_config_) {
     chat_.emplace(loop.io(), *chat_config_, engine_, loop.timers(), loop.clock(), config.seed,
                   server_options(config, 2), [this] { return pool_.shed(); });
@@ -131,7 +131,7 @@
             [this](const std::string& name) { return levels_.order(name); }},
         [this] { return pool_.shed(); });
   }
-  engine_.attach(&peer_);
+  engine_.set_hot_restart_observer(&peer_);
   pair_ = texts.vrrp.text.empty() ? std::nullopt : vrrp::parse_config(texts.vrrp);
   if (pair_ && !chat_)
     throw ConfigError("vrrp: field 'listen': set, but the chat front that it is for is off");
@@ -173,9 +173,10 @@
       log_(std::string("upgrade: the list can't be read: ") + e.what());
     }
   }
-  engine_.learn(handover.learned_state);
+  engine_.restore_learned_state(handover.learned_state);
   levels_.resume(handover.level);
-  for (const std::string& id : handover.ids) engine_.request_elsewhere(id, true);
+  for (const std::string& id : handover.ids)
+    engine_.on_peer_request_progress(id, engine::RequestProgress::kInProgress);
   watch_.start(servers_.seq);
   platform_.server().open(std::move(handover.listening["platform"]));
   chat_socket_ = std::move(handover.listening["chat"]);
@@ -219,7 +220,7 @@
 
 void Dispatcher::on_partners() {
   bound();
-  if (!peer_.shared()) engine_.alone();
+  if (!peer_.shared()) engine_.on_peer_disconnected();
   if (!peer_.has_elder() && serving_) speak(false);
   if (draining_ && peer_.succeeded()) stop_taking();
 }
@@ -241,7 +242,7 @@
 }
 
 void Dispatcher::watch_levels() {
-  levels_.tick(engine_.open(), watch_.heard());
+  levels_.tick(engine_.open_request_count(), watch_.heard());
   loop_.timers().add(loop_.now() + degradation::DegradationController::kTick, [this] { watch_levels(); });
 }
 
@@ -296,7 +297,7 @@
   if (!later.empty()) log_("reload: changed, but taking effect at the next start only: " + later);
   const bool moved = next.discovery != config_.discovery;
   rules_ = rules;
-  engine_.adopt(rules);
+  engine_.apply_settings(rules);
   platform_.adopt(rules);
   if (chat_) chat_->adopt(*chat);
   rate_limiter_.adopt(requests, loop_.now());
@@ -308,7 +309,7 @@
   config_.discovery = next.discovery;
   bound();
   // Kinds of replicas may be new: the list is read by the new ones.
-  engine_.endpoints(servers_.list);
+  engine_.update_endpoints(servers_.list);
   if (moved) watch_.move(config_.discovery);
 }
 
@@ -332,11 +333,11 @@
 }
 
 bool Dispatcher::ready() {
-  return platform_.server().is_open() && !draining_ && engine_.endpoints_known() > 0;
+  return platform_.server().is_open() && !draining_ && engine_.endpoint_count() > 0;
 }
 
 bool Dispatcher::maintain(const std::string& endpoint, bool offline) {
-  if (!engine_.knows(endpoint) && !drained_endpoints_.contains(endpoint)) return false;
+  if (!engine_.is_known_endpoint(endpoint) && !drained_endpoints_.contains(endpoint)) return false;
   order(endpoint, offline);
   return true;
 }
@@ -350,21 +351,21 @@
 
 // The module hears of it first: what the pool gives back then goes elsewhere.
 void Dispatcher::enforce(const std::string& endpoint, bool offline) {
-  engine_.maintain(endpoint, offline);
+  engine_.set_administrative_drain(endpoint, offline);
   pool_.maintain(endpoint, offline);
 }
 
 void Dispatcher::apply(const service_discovery::EndpointSnapshot& servers) {
   service_discovery::merge(servers_, servers);
   pool_.endpoints(servers.addresses, servers.whole);
-  engine_.endpoints(servers.list);
+  engine_.update_endpoints(servers.list);
   levels_.endpoints(servers.list);
 }
 
 void Dispatcher::drain() {
   if (draining_) return;
   draining_ = true;
-  log_("draining: " + std::to_string(engine_.unanswered()) + " requests unanswered");
+  log_("draining: " + std::to_string(engine_.unanswered_count()) + " requests unanswered");
   for (http::Server* server : servers()) server->drain();
   if (vrrp_ && peer_.succeeded()) {
     const bool active = vrrp_->state() == vrrp::State::kActive;
@@ -396,7 +397,7 @@
 void Dispatcher::hand_over_streams() {
   if (!peer_.succeeded()) return;
   http::Server& server = platform_.server();
-  for (const engine::Engine::Stream& s : engine_.streams(platform_.response_sink())) {
+  for (const engine::RunningStream& s : engine_.running_streams(platform_.response_sink())) {
     const engine::AttemptId attempt{s.request, s.attempt};
     // Both reads are taken back first; it is given once they are, unless more came in between.
     const bool client_still = server.hush(s.client), replica_still = pool_.hush(attempt);
@@ -410,7 +411,7 @@
                          {"chunk_left", given.chunk_left},
                          {"keep_alive", given.keep_alive}},
                         client.get(), replica.get());
-      engine_.give_away(s.request);
+      engine_.release_stream(s.request);
     } else if (handover_tries_ % kWakeEvery == kWakeEvery - 1) {
       server.wake(s.client);
       pool_.wake(attempt);
@@ -427,7 +428,7 @@
                                                 facts.at("chunk_left").get<std::uint64_t>(),
                                                 facts.at("keep_alive").get<bool>()};
     const auto id = facts.at("id").get<std::string>();
-    engine_.request_elsewhere(id, false);
+    engine_.on_peer_request_progress(id, engine::RequestProgress::kCompleted);
     const net::SlotId request = platform_.take_over(std::move(client), id, given.endpoint);
     pool_.adopt({request, 0}, std::move(replica), given);
   } catch (const std::exception& e) {
@@ -443,7 +444,7 @@
     if (took_last_) server->close_idle();
     clients += server->clients();
   }
-  const bool owes = engine_.open() > 0 || clients > 0 || pool_.leases_pressing() > 0;
+  const bool owes = engine_.open_request_count() > 0 || clients > 0 || pool_.leases_pressing() > 0;
   if (!took_last_ || !peer_.all_sent() || owes) {
     loop_.timers().add(loop_.now() + kDrainLook, [this] { finish_draining(); });
     return;
--- a/src/daemon/dispatcher.hpp
+++ b/src/daemon/dispatcher.hpp
@@ -47,7 +47,7 @@
              ReadAgain read_again = {});  // throws where a file is bad
   void start();
   // From here on a line for each thing that happens to a request.
-  void log_requests() { engine_.attach(engine::RequestLog(log_)); }
+  void log_requests() { engine_.set_request_log(engine::RequestLog(log_)); }
   void reload();  // as SIGHUP asks: all of the new files takes effect or, where one is bad, nothing
   void drain();   // as SIGTERM asks: takes what still comes for a while, finishes everything, ends the loop
   net::tcp::endpoint address() { return platform_.server().local(); }
@@ -56,13 +56,16 @@
  private:
   Json list() override { return service_discovery::to_json(servers_); }
   std::map<std::string, int> listening() override;
-  std::vector<std::string> open_ids() override { return engine_.open_ids(); }
+  std::vector<std::string> open_ids() override { return engine_.open_request_ids(); }
   routing::LearnedState learned_state() override { return engine_.learned_state(); }
   Json level() override { return levels_.level(); }
   void inherit(hot_restart::HandoverState handover) override;
   void on_ban(const std::string& endpoint, bool offline) override { order(endpoint, offline); }
-  void on_request(const std::string& id, bool open) override { engine_.request_elsewhere(id, open); }
-  void on_sent(const std::string& endpoint) override { engine_.sent_elsewhere(endpoint); }
+  void on_request(const std::string& id, bool open) override {
+    engine_.on_peer_request_progress(
+        id, open ? engine::RequestProgress::kInProgress : engine::RequestProgress::kCompleted);
+  }
+  void on_sent(const std::string& endpoint) override { engine_.on_peer_attempt_started(endpoint); }
   void on_stream(const Json& facts, net::UniqueFd client, net::UniqueFd replica) override;
   void on_vrrp(bool was_active) override;
   void on_partners() override;
--- a/src/daemon/loop.hpp
+++ b/src/daemon/loop.hpp
@@ -13,7 +13,7 @@
 class Loop {
  public:
   Loop() : timer_(io_), anchor_(system_now() - steady_now()) {
-    timers_.on_sooner([this] { arm(); });
+    timers_.set_earlier_deadline_callback([this] { arm(); });
   }
   boost::asio::io_context& io() { return io_; }
   engine::TimerQueue& timers() { return timers_; }
--- a/src/degradation/degradation_controller.cpp
+++ b/src/degradation/degradation_controller.cpp
@@ -140,12 +140,14 @@
   log_("level " + machine_.level_name() + (pin ? ": pinned" : ": in force") + " at the process before");
 }
 
-void DegradationController::first_token(const std::string& request_class, bool late) {
+void DegradationController::on_first_token(const std::string& request_class, bool late) {
   if (active()) signals_.first_token(request_class, late, clock_());
 }
 
-void DegradationController::given_up(const std::string& request_class, bool rejected) {
-  if (active()) signals_.given_up(request_class, rejected, clock_());
+void DegradationController::on_request_not_served(const std::string& request_class,
+                                                  engine::NotServedReason reason) {
+  if (!active()) return;
+  signals_.given_up(request_class, reason == engine::NotServedReason::kRejected, clock_());
 }
 
 }  // namespace dispatcher::degradation
--- a/src/degradation/degradation_controller.hpp
+++ b/src/degradation/degradation_controller.hpp
@@ -43,8 +43,8 @@
 
   [[nodiscard]] const StateMachine& machine() const { return machine_; }
 
-  void first_token(const std::string& request_class, bool late) override;
-  void given_up(const std::string& request_class, bool rejected) override;
+  void on_first_token(const std::string& request_class, bool late) override;
+  void on_request_not_served(const std::string& request_class, engine::NotServedReason reason) override;
 
  private:
   void tell(const Change& change);
--- /dev/null
+++ b/src/engine/attempt_manager.cpp
@@ -0,0 +1,138 @@
+#include "engine/attempt_manager.hpp"
+
+#include <algorithm>
+#include <utility>
+
+namespace dispatcher::engine {
+
+namespace {
+
+// AttemptCompleted::note of a connect failure: the connection had been established, and then broke.
+constexpr int kNoteConnectionWasEstablished = 1;
+
+// A time-out or cancel of a request that the replica can't have received in full has no effect there.
+AttemptStatus status_if_undelivered(AttemptStatus status, bool is_answered) {
+  if (status == AttemptStatus::kTimeout) return AttemptStatus::kConnectFailed;
+  if (status == AttemptStatus::kCancelled && is_answered) return AttemptStatus::kNeverSent;
+  return status;
+}
+
+}  // namespace
+
+void AttemptManager::start(const routing::StartAttempt& action) {
+  const SlotId slot = requests_.slot_of(action.request);
+  ActiveRequest* request = requests_.find(slot);
+  if (request == nullptr) return;
+  const AttemptId id{slot, request->attempt_count()};
+  const Time now = context_.clock();
+  Attempt& attempt = request->attempts.emplace_back();
+  attempt.endpoint = action.endpoint;
+  attempt.started = now;
+  attempt.at_reader = endpoints_.is_reader(action.endpoint);
+  const bool has_own_deadline = action.deadline != Time{};
+  const Time deadline = has_own_deadline ? std::min(action.deadline, request->deadline) : request->deadline;
+  if (!may_start(*request, deadline, now)) {
+    attempt.is_active = false;
+    router_.handle(routing::AttemptCompleted{action.request,
+                                             action.endpoint,
+                                             id.number,
+                                             AttemptStatus::kNeverSent,
+                                             {},
+                                             request->is_answered,
+                                             0,
+                                             {}});
+    return;
+  }
+  ++request->attempts_spent;
+  attempt.deadline_timer =
+      context_.timers.add(deadline, [this, id] { terminate(id, AttemptStatus::kTimeout); });
+  if (context_.hot_restart_observer != nullptr)
+    context_.hot_restart_observer->on_attempt_started(action.endpoint);
+  context_.request_log.log_attempt_started(action.request, action.endpoint, id.number);
+  context_.upstream.start_attempt(id, action.endpoint, request->message, deadline, action.connect_by);
+}
+
+bool AttemptManager::may_start(const ActiveRequest& request, Time deadline, Time now) {
+  if (request.is_answered || request.streaming_attempt) return false;
+  return request.attempts_spent < request.settings->max_attempts && deadline > now;
+}
+
+void AttemptManager::cancel(const routing::CancelAttempt& action) {
+  const SlotId slot = requests_.slot_of(action.request);
+  const ActiveRequest* request = requests_.find(slot);
+  if (request == nullptr || request->streaming_attempt == action.attempt) return;
+  terminate({slot, action.attempt}, AttemptStatus::kCancelled);
+}
+
+void AttemptManager::terminate(AttemptId id, AttemptStatus status) {
+  const ActiveAttempt active = requests_.find_active(id);
+  if (!active) return;
+  const bool had_connection = context_.upstream.has_connection(id);
+  const bool was_delivered = context_.upstream.cancel_attempt(id);
+  if (!was_delivered) status = status_if_undelivered(status, active.request->is_answered);
+  const bool broke_connection = had_connection && status == AttemptStatus::kConnectFailed;
+  complete(id, {status, broke_connection ? kNoteConnectionWasEstablished : 0, {}});
+}
+
+void AttemptManager::terminate_unconnected(SlotId slot) {
+  for (int number = 0;; ++number) {
+    const ActiveRequest* request = requests_.find(slot);
+    if (request == nullptr || number >= request->attempt_count()) return;
+    if (!request->attempt(number).is_active || request->streaming_attempt == number) continue;
+    const AttemptId id{slot, number};
+    if (!context_.upstream.has_connection(id)) terminate(id, AttemptStatus::kNeverSent);
+  }
+}
+
+void AttemptManager::complete(AttemptId id, const AttemptResult& result) {
+  ActiveRequest& request = *requests_.find(id.request);
+  Attempt& attempt = request.attempt(id.number);
+  attempt.is_active = false;
+  const Time deadline = attempt.deadline_timer.first;
+  context_.timers.drop(attempt.deadline_timer);
+
+  const AttemptStatus status = finish_stream(request, id, result.status);
+  request.has_timed_out = status == AttemptStatus::kTimeout;
+  const bool is_free = id.number < request.settings->free_connect_failures;
+  if (status == AttemptStatus::kConnectFailed && is_free) --request.attempts_spent;
+
+  const Time may_run_until = deadline + ReservationCleanup::release_delay(request);
+  const bool may_have_left_state = request.reservations.on_attempt_ended(
+      {status, result.note, attempt.at_reader, may_run_until}, context_.clock());
+  if (result.invalid_request) fail_invalid_request(request);
+
+  routing::AttemptCompleted outcome{
+      request.id,          attempt.endpoint, id.number,    status, context_.clock() - attempt.started,
+      request.is_answered, result.note,      result.report};
+  context_.request_log.log_attempt_completed(outcome);
+  using ScheduledRelease = ReservationCleanup::ScheduledRelease;
+  cleanup_.schedule_if_needed(id.request,
+                              may_have_left_state ? ScheduledRelease::kPostpone : ScheduledRelease::kKeep);
+  router_.handle(std::move(outcome));
+  requests_.remove_if_complete(id.request);
+}
+
+AttemptStatus AttemptManager::finish_stream(ActiveRequest& request, AttemptId id, AttemptStatus status) {
+  const bool is_streaming = request.streaming_attempt == id.number;
+  if (!is_streaming) {
+    // A stream without one event: there is nothing to pass on, yet the request may have run.
+    return status == AttemptStatus::kServed ? AttemptStatus::kError : status;
+  }
+  if (request.is_answered) return status;
+  requests_.mark_answered(request);
+  if (status == AttemptStatus::kServed) {
+    request.sink->finish_stream(request.client);
+  } else {
+    context_.log("stream " + request.id + " broke at endpoint " + request.attempt(id.number).endpoint);
+    request.sink->abort_stream(request.client);
+  }
+  return status;
+}
+
+void AttemptManager::fail_invalid_request(ActiveRequest& request) {
+  if (request.is_answered) return;
+  requests_.mark_answered(request);
+  request.sink->fail(request.client, Failure::kInvalidRequest);
+}
+
+}  // namespace dispatcher::engine
--- /dev/null
+++ b/src/engine/interfaces.hpp
@@ -0,0 +1,141 @@
+/// What the engine and its neighbours say to each other: the types of a request's attempts, and the abstract
+/// sides that the engine calls (frontends, the upstream client, observers).
+///
+/// Everything here runs on the one event loop thread. The engine owns none of the implementations; each has
+/// to outlive it. Unless an interface says otherwise, an implementation must not call the engine back from
+/// inside a call: it does so from a later turn of the event loop.
+#ifndef DISPATCHER_ENGINE_INTERFACES_HPP_
+#define DISPATCHER_ENGINE_INTERFACES_HPP_
+
+#include <compare>
+#include <functional>
+#include <memory>
+#include <optional>
+#include <string>
+#include <string_view>
+
+#include "engine/timer_queue.hpp"
+#include "net/slot_table.hpp"
+#include "routing/router.hpp"
+
+namespace dispatcher::engine {
+
+using net::SlotId;
+using routing::AttemptStatus;
+
+/// Writes one line to the operators' log.
+using Log = std::function<void(std::string_view)>;
+
+/// Immutable settings, shared by everything that still works under them.
+using SettingsSnapshot = std::shared_ptr<const routing::Settings>;
+
+/// The HTTP request that is forwarded to a replica. The engine passes it on unread.
+struct UpstreamRequest {
+  std::string id, method, target;
+  std::string headers;  ///< complete header lines, each with its CRLF
+  std::string body;
+};
+
+/// Names one attempt: the request's handle and the attempt's number, from 0 in the order of their start.
+struct AttemptId {
+  SlotId request;
+  int number = 0;
+  auto operator<=>(const AttemptId&) const = default;
+};
+
+/// How an attempt ended, as the upstream client saw it.
+struct AttemptResult {
+  AttemptStatus status{};
+  int note = 0;  ///< as in routing::AttemptCompleted
+  routing::LoadReport report;
+  bool invalid_request = false;  ///< the replica can't process the request as it is, nor could another
+};
+
+/// Why a client gets an error that says nothing of whether its request has run.
+enum class Failure {
+  kDeadlineExceeded,
+  kUpstream,
+  kInvalidRequest,  ///< replicas can't process the request as it is
+};
+
+/// Where responses go: implemented by the frontends. `client` is the frontend's own handle of the request's
+/// client. Each request gets exactly one final call: finish_stream(), abort_stream(), reject() or fail(). A
+/// call may find out that the client has disconnected and call Engine::on_client_disconnected() from inside.
+class ResponseSink {
+ public:
+  virtual ~ResponseSink() = default;
+  /// The first event is about to come; from now on only finish_stream() or abort_stream() may end the
+  /// response.
+  virtual void start_stream(SlotId client) = 0;
+  /// Writes complete server-sent events. False: the client's buffer is full, and the frontend calls
+  /// Engine::resume_stream() once it has capacity again.
+  [[nodiscard]] virtual bool write_events(SlotId client, std::string_view events) = 0;
+  virtual void finish_stream(SlotId client) = 0;
+  /// Ends an incomplete stream, in a way that lets the client detect it.
+  virtual void abort_stream(SlotId client) = 0;
+  /// Nothing of the request has run: the client may retry, after `retry_after` where it is given.
+  virtual void reject(SlotId client, std::optional<Duration> retry_after) = 0;
+  virtual void fail(SlotId client, Failure why) = 0;
+  /// Asked right before an attempt is written: a disconnect may be known here before it is reported.
+  [[nodiscard]] virtual bool is_client_connected(SlotId) { return true; }
+};
+
+/// The side of the replicas: connections, requests and the release of reservations. It never calls the engine
+/// back from inside a call, except for Engine::is_still_needed().
+class UpstreamClient {
+ public:
+  virtual ~UpstreamClient() = default;
+  /// Forwards a request to an endpoint. `connect_by`: a new connection that is not established by then has
+  /// failed; zero means the usual connect timeout.
+  virtual void start_attempt(AttemptId attempt, const std::string& endpoint,
+                             std::shared_ptr<const UpstreamRequest> message, Time deadline,
+                             Time connect_by) = 0;
+  /// Ends an attempt, of which nothing is reported any more. False: the replica can't have received the
+  /// complete request.
+  [[nodiscard]] virtual bool cancel_attempt(AttemptId attempt) = 0;
+  /// Backpressure: stops, and goes on with, reading an attempt's response.
+  virtual void pause_reading(AttemptId attempt) = 0;
+  virtual void resume_reading(AttemptId attempt) = 0;
+  /// Asks a writer to reserve a slot; answered by Engine::on_reservation_result().
+  virtual void reserve_slot(AttemptId attempt, const std::string& endpoint, const std::string& id) = 0;
+  /// Releases all that replicas hold for a request; answered by Engine::on_reservation_released(). Until
+  /// `until` an attempt may still leave a state behind, so that the release is repeated. The next attempt of
+  /// the request that is written ends the release calls: they must not take its state.
+  virtual void release_reservation(const std::string& id, Time until) = 0;
+  /// Whether an active attempt has an established connection. One without can't have left any state.
+  [[nodiscard]] virtual bool has_connection(AttemptId attempt) = 0;
+};
+
+/// Why a request got no first token.
+enum class NotServedReason { kRejected, kFailed };
+
+/// Notified of how requests fare, for the degradation levels.
+class RequestObserver {
+ public:
+  virtual ~RequestObserver() = default;
+  /// `is_late`: after the latency objective of the request's class.
+  virtual void on_first_token(const std::string& request_class, bool is_late) = 0;
+  virtual void on_request_not_served(const std::string& request_class, NotServedReason reason) = 0;
+};
+
+/// Whether a request is in progress, as the two processes of a hot restart notify each other.
+enum class RequestProgress { kInProgress, kCompleted };
+
+/// Notified of what the other process of a hot restart has to know.
+class HotRestartObserver {
+ public:
+  virtual ~HotRestartObserver() = default;
+  virtual void on_request_progress(const std::string& id, RequestProgress progress) = 0;
+  virtual void on_attempt_started(const std::string& endpoint) = 0;
+};
+
+/// A stream that runs for a frontend's client, as it is handed over to the other process of a hot restart.
+struct RunningStream {
+  SlotId request, client;
+  int attempt = 0;
+  std::string id, endpoint;
+};
+
+}  // namespace dispatcher::engine
+
+#endif  // DISPATCHER_ENGINE_INTERFACES_HPP_
--- a/src/engine/request_log.cpp
+++ b/src/engine/request_log.cpp
@@ -10,47 +10,52 @@
 constexpr std::array<std::string_view, 9> kAttemptStatusNames = {
     "served", "error", "full", "timeout", "connect-failed", "reset", "cancelled", "never-sent", "read"};
 
-std::string ms(routing::Duration d) {
+std::string milliseconds_text(routing::Duration duration) {
   std::array<char, 32> text{};
-  std::snprintf(text.data(), text.size(), "%.1f", static_cast<double>(d.count()) / 1000);
+  std::snprintf(text.data(), text.size(), "%.1f", static_cast<double>(duration.count()) / 1000);
   return text.data();
 }
 
-std::string at(const std::string& endpoint, int attempt) {
+std::string attempt_fields(const std::string& endpoint, int attempt) {
   return " attempt=" + std::to_string(attempt) + " host=" + endpoint;
 }
 
 }  // namespace
 
-void RequestLog::taken(const routing::Request& r, routing::Time now) const {
+void RequestLog::log_received(const routing::Request& request, routing::Time now) const {
   if (!sink_) return;
-  line(r.id, "taken class=" + r.request_class + " account=" + r.tenant +
-                 " left=" + ms(r.client_deadline - now) + " prompt=" + std::to_string(r.prompt_tokens) +
-                 " opening=" + std::to_string(r.shared_prefix) + ":" + std::to_string(r.prefix_tokens) +
-                 " session=" + std::to_string(r.session) + " repeat=" + (r.client_retry ? "1" : "0"));
+  write(request.id, "taken class=" + request.request_class + " account=" + request.tenant +
+                        " left=" + milliseconds_text(request.client_deadline - now) +
+                        " prompt=" + std::to_string(request.prompt_tokens) + " opening=" +
+                        std::to_string(request.shared_prefix) + ":" + std::to_string(request.prefix_tokens) +
+                        " session=" + std::to_string(request.session) +
+                        " repeat=" + (request.client_retry ? "1" : "0"));
 }
 
-void RequestLog::sent(const std::string& id, const std::string& endpoint, int attempt) const {
-  if (sink_) line(id, "sent" + at(endpoint, attempt));
+void RequestLog::log_attempt_started(const std::string& id, const std::string& endpoint, int attempt) const {
+  if (sink_) write(id, "sent" + attempt_fields(endpoint, attempt));
 }
 
-void RequestLog::first(const std::string& id, const std::string& endpoint, int attempt,
-                       routing::Duration after) const {
-  if (sink_) line(id, "first" + at(endpoint, attempt) + " ms=" + ms(after));
+void RequestLog::log_first_token(const std::string& id, const std::string& endpoint, int attempt,
+                                 routing::Duration elapsed) const {
+  if (!sink_) return;
+  write(id, "first" + attempt_fields(endpoint, attempt) + " ms=" + milliseconds_text(elapsed));
 }
 
-void RequestLog::ended(const routing::AttemptCompleted& o) const {
+void RequestLog::log_attempt_completed(const routing::AttemptCompleted& outcome) const {
   if (!sink_) return;
-  std::string rest = "ended" + at(o.endpoint, o.attempt) +
-                     " verdict=" + std::string(kAttemptStatusNames.at(static_cast<std::size_t>(o.status))) +
-                     " ms=" + ms(o.elapsed) + " note=" + std::to_string(o.note);
-  if (o.report.memory_share) rest += " memory=" + std::to_string(*o.report.memory_share);
-  if (o.report.prompt_kilotokens) rest += " waiting=" + std::to_string(*o.report.prompt_kilotokens);
-  line(o.request, rest);
+  const std::string_view status = kAttemptStatusNames.at(static_cast<std::size_t>(outcome.status));
+  std::string text = "ended" + attempt_fields(outcome.endpoint, outcome.attempt) +
+                     " verdict=" + std::string(status) + " ms=" + milliseconds_text(outcome.elapsed) +
+                     " note=" + std::to_string(outcome.note);
+  const routing::LoadReport& report = outcome.report;
+  if (report.memory_share) text += " memory=" + std::to_string(*report.memory_share);
+  if (report.prompt_kilotokens) text += " waiting=" + std::to_string(*report.prompt_kilotokens);
+  write(outcome.request, text);
 }
 
-void RequestLog::answered(const std::string& id, std::string_view how) const {
-  if (sink_) line(id, "answered " + std::string(how));
+void RequestLog::log_answered(const std::string& id, std::string_view how) const {
+  if (sink_) write(id, "answered " + std::string(how));
 }
 
 }  // namespace dispatcher::engine
--- a/src/engine/request_log.hpp
+++ b/src/engine/request_log.hpp
@@ -1,31 +1,35 @@
-// A line for each thing that happens to a request, for those who must find out afterwards why it went as it
-// did, or count over a fleet. Off unless the command line asks for it: it costs a line or two an attempt.
+/// A line for each thing that happens to a request, for those who must find out afterwards why it went as it
+/// did, or count over a fleet. Off unless the command line asks for it: it costs a line or two an attempt.
 #ifndef DISPATCHER_ENGINE_REQUEST_LOG_HPP_
 #define DISPATCHER_ENGINE_REQUEST_LOG_HPP_
 
 #include <functional>
 #include <string>
 #include <string_view>
+#include <utility>
 
 #include "routing/router.hpp"
 
 namespace dispatcher::engine {
 
+/// Formats the lines. Each begins with `request ID`, names what happened, and goes on with key=value; times
+/// are milliseconds. Tools read the keys and values: they are part of the interface.
 class RequestLog {
  public:
   using Sink = std::function<void(std::string_view)>;
-  RequestLog() = default;  // off
+  RequestLog() = default;  ///< off
   explicit RequestLog(Sink sink) : sink_(std::move(sink)) {}
 
-  // Each line begins `request ID` and goes on with key=value. Times are milliseconds.
-  void taken(const routing::Request& request, routing::Time now) const;
-  void sent(const std::string& id, const std::string& endpoint, int attempt) const;
-  void first(const std::string& id, const std::string& endpoint, int attempt, routing::Duration after) const;
-  void ended(const routing::AttemptCompleted& outcome) const;
-  void answered(const std::string& id, std::string_view how) const;
+  void log_received(const routing::Request& request, routing::Time now) const;
+  void log_attempt_started(const std::string& id, const std::string& endpoint, int attempt) const;
+  void log_first_token(const std::string& id, const std::string& endpoint, int attempt,
+                       routing::Duration elapsed) const;
+  void log_attempt_completed(const routing::AttemptCompleted& outcome) const;
+  /// `how`: one word for what became of the request where it is not served.
+  void log_answered(const std::string& id, std::string_view how) const;
 
  private:
-  void line(const std::string& id, const std::string& rest) const { sink_("request " + id + " " + rest); }
+  void write(const std::string& id, const std::string& text) const { sink_("request " + id + " " + text); }
 
   Sink sink_;
 };
--- /dev/null
+++ b/src/engine/reservation_cleanup.hpp
@@ -0,0 +1,39 @@
+/// Releases what the attempts of a request may have left at replicas.
+#ifndef DISPATCHER_ENGINE_RESERVATION_CLEANUP_HPP_
+#define DISPATCHER_ENGINE_RESERVATION_CLEANUP_HPP_
+
+#include <string>
+
+#include "engine/engine_context.hpp"
+#include "engine/request_table.hpp"
+
+namespace dispatcher::engine {
+
+/// Part of the Engine; used on the event loop thread only.
+class ReservationCleanup {
+ public:
+  /// What becomes of a release that is scheduled already.
+  enum class ScheduledRelease { kKeep, kPostpone };
+
+  ReservationCleanup(EngineContext& context, RequestTable& requests)
+      : context_(context), requests_(requests) {}
+
+  /// Schedules a release if something may be held and no attempt with a connection is active: a release would
+  /// take the state of that one. Attempts whose connections fail to be established postpone nothing.
+  void schedule_if_needed(SlotId slot, ScheduledRelease scheduled);
+  /// The router releases what it knows to be held for a request.
+  void release_for_router(const std::string& id);
+  /// How long after the end of an attempt its reservations are released.
+  [[nodiscard]] static Duration release_delay(const ActiveRequest& request);
+
+ private:
+  [[nodiscard]] bool has_connected_attempt(SlotId slot);
+  void release(SlotId slot);
+
+  EngineContext& context_;
+  RequestTable& requests_;
+};
+
+}  // namespace dispatcher::engine
+
+#endif  // DISPATCHER_ENGINE_RESERVATION_CLEANUP_HPP_
--- a/src/engine/reservation_tracker.cpp
+++ b/src/engine/reservation_tracker.cpp
@@ -6,31 +6,51 @@
 
 using routing::AttemptStatus;
 
-bool ReservationTracker::attempt_ended(const End& end, Time now) {
-  const AttemptStatus v = end.status;
-  const bool astray =
-      v == AttemptStatus::kCancelled || v == AttemptStatus::kTimeout || v == AttemptStatus::kReset;
-  const bool spoilt = v == AttemptStatus::kError && end.note == 1;
-  // No state to fetch may also mean that its reader is cut off, and holds it.
-  const bool lost_touch = v == AttemptStatus::kFull && end.note == 1;
-  if (spoilt || lost_touch || (v == AttemptStatus::kReset && end.note == 1)) at_router_ = false;
-  // A replica notices its end where the dispatcher closes; what broke may run on to the time it was told.
-  if (end.reads && (spoilt || v == AttemptStatus::kReset))
-    runs_until_ = std::max(runs_until_, end.runs_until);
-  const bool left = spoilt || lost_touch || (end.reads && astray);
-  // An attempt that was written has ended the calls for what runs on.
-  const bool unwritten = v == AttemptStatus::kConnectFailed && end.note == 0;
-  if (left || (!unwritten && now < runs_until_)) may_hold_ = true;
-  if (v == AttemptStatus::kRead) {
-    may_hold_ = false;  // the router knows of a state now: its to let go
-    at_router_ = true;
+namespace {
+
+// AttemptCompleted::note of kError and kReset: a response had begun, so the state was fetched.
+constexpr int kNoteResponseHadBegun = 1;
+// AttemptCompleted::note of kFull: the writer found no state to fetch.
+constexpr int kNoteNoState = 1;
+// AttemptCompleted::note of kConnectFailed: there never was a connection.
+constexpr int kNoteNeverConnected = 0;
+
+bool has_ended_unanswered(AttemptStatus status) {
+  return status == AttemptStatus::kCancelled || status == AttemptStatus::kTimeout ||
+         status == AttemptStatus::kReset;
+}
+
+}  // namespace
+
+bool ReservationTracker::on_attempt_ended(const AttemptEnd& end, Time now) {
+  const bool is_reset = end.status == AttemptStatus::kReset;
+  const bool is_broken_response = end.status == AttemptStatus::kError && end.note == kNoteResponseHadBegun;
+  // No state to fetch may also mean that its reader is partitioned from the writer, and still holds it.
+  const bool is_state_unreachable = end.status == AttemptStatus::kFull && end.note == kNoteNoState;
+  const bool was_fetched = is_reset && end.note == kNoteResponseHadBegun;
+  if (is_broken_response || is_state_unreachable || was_fetched) is_known_to_router_ = false;
+
+  // A replica notices the end of an attempt that is cancelled here; one whose connection broke may go on up
+  // to the deadline that it was given.
+  if (end.at_reader && (is_broken_response || is_reset))
+    may_run_until_ = std::max(may_run_until_, end.may_run_until);
+
+  const bool may_have_left_state =
+      is_broken_response || is_state_unreachable || (end.at_reader && has_ended_unanswered(end.status));
+  // A written attempt has ended the release calls for those that may still run.
+  const bool was_written = end.status != AttemptStatus::kConnectFailed || end.note != kNoteNeverConnected;
+  if (may_have_left_state || (was_written && now < may_run_until_)) may_hold_ = true;
+
+  if (end.status == AttemptStatus::kRead) {
+    may_hold_ = false;  // the router knows of the state now, and releases it
+    is_known_to_router_ = true;
   }
-  return left;
+  return may_have_left_state;
 }
 
-void ReservationTracker::router_released() {
-  at_router_ = false;
-  may_hold_ = true;  // until it is answered
+void ReservationTracker::on_released_by_router() {
+  is_known_to_router_ = false;
+  may_hold_ = true;  // until it is confirmed
 }
 
 }  // namespace dispatcher::engine
--- a/src/engine/reservation_tracker.hpp
+++ b/src/engine/reservation_tracker.hpp
@@ -1,4 +1,4 @@
-// What may be held at replicas for one request, as its attempts' ends tell. No I/O; the clock is passed in.
+/// What replicas may still hold for one request, as far as the ends of its attempts tell.
 #ifndef DISPATCHER_ENGINE_RESERVATION_TRACKER_HPP_
 #define DISPATCHER_ENGINE_RESERVATION_TRACKER_HPP_
 
@@ -7,33 +7,37 @@
 
 namespace dispatcher::engine {
 
+/// A reader keeps the state (the KV cache) that it computed for a request until a writer fetches it or it is
+/// released. No I/O; the clock is passed in. One for each ActiveRequest.
 class ReservationTracker {
  public:
-  struct End {
+  /// How an attempt ended.
+  struct AttemptEnd {
     routing::AttemptStatus status{};
-    int note = 0;        // as in routing::AttemptCompleted
-    bool reads = false;  // at a reader
-    Time runs_until{};   // if it broke, it may run on up to then
+    int note = 0;            ///< as in routing::AttemptCompleted
+    bool at_reader = false;  ///< the attempt's endpoint is a reader
+    Time may_run_until{};    ///< if its connection broke, the replica may work on it up to then
   };
-  // True: something may have been left just now.
-  bool attempt_ended(const End& end, Time now);
-  // All that is held goes by itself then.
-  void first_token() { *this = {}; }
-  // The router lets go of the state that it knows of.
-  void router_released();
-  void release_answered() { may_hold_ = false; }
+  /// True: the attempt may have left a state behind.
+  bool on_attempt_ended(const AttemptEnd& end, Time now);
+  /// The state was fetched: whatever else is held ends by itself then.
+  void on_first_token() { *this = {}; }
+  /// The router releases the state that it knows of.
+  void on_released_by_router();
+  /// The replicas have confirmed a release.
+  void on_release_confirmed() { may_hold_ = false; }
 
-  // May something be held that nobody was asked to let go of, or that nobody has answered for?
+  /// Whether something may be held whose release was not asked for, or not confirmed.
   [[nodiscard]] bool may_hold() const { return may_hold_; }
-  // A release must not take the state that the router goes on with.
-  [[nodiscard]] bool may_release() const { return may_hold_ && !at_router_; }
-  // Attempts that broke may run on up to then, and leave a state.
-  [[nodiscard]] Time runs_until() const { return runs_until_; }
+  /// A release must not take the state that the router goes on with.
+  [[nodiscard]] bool may_release() const { return may_hold_ && !is_known_to_router_; }
+  /// Attempts whose connection broke may run up to then, and leave a state.
+  [[nodiscard]] Time may_run_until() const { return may_run_until_; }
 
  private:
   bool may_hold_ = false;
-  bool at_router_ = false;  // the router knows of a state
-  Time runs_until_{};
+  bool is_known_to_router_ = false;
+  Time may_run_until_{};
 };
 
 }  // namespace dispatcher::engine
--- /dev/null
+++ b/src/engine/router_runner.hpp
@@ -0,0 +1,42 @@
+/// Passes events to the router, one at a time, and its actions to whoever executes them.
+#ifndef DISPATCHER_ENGINE_ROUTER_RUNNER_HPP_
+#define DISPATCHER_ENGINE_ROUTER_RUNNER_HPP_
+
+#include <cstdint>
+#include <deque>
+#include <functional>
+
+#include "engine/timer_queue.hpp"
+#include "routing/router.hpp"
+
+namespace dispatcher::engine {
+
+/// Part of the Engine; used on the event loop thread only.
+class RouterRunner {
+ public:
+  using ActionHandler = std::function<void(const routing::Action&)>;
+
+  /// Throws std::invalid_argument naming the setting that the router does not accept.
+  RouterRunner(const routing::Settings& settings, std::uint64_t seed, Clock clock)
+      : clock_(std::move(clock)), router_(settings, seed) {}
+
+  /// Has to be set before the first event.
+  void set_action_handler(ActionHandler handler) { execute_ = std::move(handler); }
+
+  /// Has the router handle an event, and executes its actions before this returns. An event that comes up
+  /// while actions are executed is queued, and handled by the outermost call.
+  void handle(routing::Event event);
+
+  [[nodiscard]] routing::LearnedState learned_state() const { return router_.learned_state(); }
+
+ private:
+  Clock clock_;
+  routing::Router router_;
+  ActionHandler execute_;
+  std::deque<routing::Event> queue_;
+  bool is_handling_ = false;
+};
+
+}  // namespace dispatcher::engine
+
+#endif  // DISPATCHER_ENGINE_ROUTER_RUNNER_HPP_
--- /dev/null
+++ b/src/engine/stream_handover.cpp
@@ -0,0 +1,54 @@
+#include "engine/stream_handover.hpp"
+
+#include <utility>
+
+namespace dispatcher::engine {
+
+std::vector<RunningStream> StreamHandover::running_streams(const ResponseSink& sink) {
+  std::vector<RunningStream> streams;
+  for (const SlotId slot : requests_.slots()) {
+    const ActiveRequest& request = *requests_.find(slot);
+    if (request.sink != &sink || !request.streaming_attempt) continue;
+    if (request.is_answered || request.is_paused) continue;
+    const int number = *request.streaming_attempt;
+    streams.push_back({slot, request.client, number, request.id, request.attempt(number).endpoint});
+  }
+  return streams;
+}
+
+void StreamHandover::release(SlotId slot) {
+  ActiveRequest* request = requests_.find(slot);
+  if (request == nullptr || !request->streaming_attempt) return;
+  requests_.mark_answered(*request);
+  const int number = *request->streaming_attempt;
+  Attempt& attempt = request->attempt(number);
+  attempt.is_active = false;
+  // So that the router takes the end of the attempt for no sign of the endpoint's health.
+  router_.handle(routing::ClientGone{request->id});
+  router_.handle(routing::AttemptCompleted{request->id,
+                                           attempt.endpoint,
+                                           number,
+                                           AttemptStatus::kCancelled,
+                                           context_.clock() - attempt.started,
+                                           true,
+                                           0,
+                                           {}});
+  requests_.remove_if_complete(slot);
+}
+
+SlotId StreamHandover::adopt(ResponseSink& sink, SlotId client, const std::string& id,
+                             const std::string& endpoint, SettingsSnapshot settings) {
+  const SlotId slot = requests_.add(id);
+  ActiveRequest& request = *requests_.find(slot);
+  request.sink = &sink;
+  request.client = client;
+  request.settings = std::move(settings);
+  request.streaming_attempt = 0;
+  Attempt& attempt = request.attempts.emplace_back();
+  attempt.endpoint = endpoint;
+  attempt.started = context_.clock();
+  relay_.restart_idle_timer(slot);
+  return slot;
+}
+
+}  // namespace dispatcher::engine
--- /dev/null
+++ b/src/engine/stream_relay.cpp
@@ -0,0 +1,71 @@
+#include "engine/stream_relay.hpp"
+
+namespace dispatcher::engine {
+
+namespace {
+
+// A client may be left waiting for less than 5 s after a running replica's last event; a slow replica's
+// events are seconds apart at worst, so the stream is aborted as late as that allows.
+constexpr Duration kIdleTimeout = std::chrono::milliseconds(4300);
+
+}  // namespace
+
+void StreamRelay::on_events(AttemptId id, std::string_view events) {
+  const ActiveAttempt active = requests_.find_active(id);
+  if (!active) return;
+  if (!active.request->streaming_attempt) {
+    if (active.request->is_answered) return attempts_.terminate(id, AttemptStatus::kCancelled);
+    start_stream(id, active);
+  }
+  ActiveRequest* request = requests_.find(id.request);
+  if (request == nullptr || request->streaming_attempt != id.number || request->is_answered) return;
+  restart_idle_timer(id.request);
+  if (request->sink->write_events(request->client, events)) return;
+  request = requests_.find(id.request);
+  if (request == nullptr) return;
+  request->is_paused = true;
+  context_.timers.drop(request->idle_timer);  // the client is the one who is idle now
+  context_.upstream.pause_reading(id);
+}
+
+void StreamRelay::start_stream(AttemptId id, const ActiveAttempt& active) {
+  ActiveRequest& request = *active.request;
+  request.streaming_attempt = id.number;
+  request.reservations.on_first_token();
+  request.message.reset();
+  context_.timers.drop(active.attempt->deadline_timer);
+  context_.timers.drop(request.overdue_timer);
+  const Time now = context_.clock();
+  const Duration elapsed = now - active.attempt->started;
+  if (context_.request_observer != nullptr)
+    context_.request_observer->on_first_token(request.request_class, now > request.first_token_objective);
+  context_.request_log.log_first_token(request.id, active.attempt->endpoint, id.number, elapsed);
+  // The router's actions may end the request.
+  const SlotId client = request.client;
+  ResponseSink* const sink = request.sink;
+  router_.handle(routing::FirstToken{request.id, active.attempt->endpoint, id.number, elapsed});
+  sink->start_stream(client);
+}
+
+void StreamRelay::resume(SlotId slot) {
+  ActiveRequest* request = requests_.find(slot);
+  if (request == nullptr || !request->is_paused || !request->streaming_attempt) return;
+  request->is_paused = false;
+  restart_idle_timer(slot);
+  context_.upstream.resume_reading({slot, *request->streaming_attempt});
+}
+
+void StreamRelay::restart_idle_timer(SlotId slot) {
+  ActiveRequest& request = *requests_.find(slot);
+  context_.timers.drop(request.idle_timer);
+  request.idle_timer = context_.timers.add(context_.clock() + kIdleTimeout, [this, slot] { on_idle(slot); });
+}
+
+void StreamRelay::on_idle(SlotId slot) {
+  const ActiveRequest* request = requests_.find(slot);
+  if (request == nullptr || !request->streaming_attempt || request->is_answered) return;
+  context_.log("stream " + request->id + " idle: aborted");
+  attempts_.terminate({slot, *request->streaming_attempt}, AttemptStatus::kTimeout);
+}
+
+}  // namespace dispatcher::engine
--- /dev/null
+++ b/src/engine/stream_relay.hpp
@@ -0,0 +1,40 @@
+/// Passes the events of a streamed response on to its client, with backpressure and an idle timeout.
+#ifndef DISPATCHER_ENGINE_STREAM_RELAY_HPP_
+#define DISPATCHER_ENGINE_STREAM_RELAY_HPP_
+
+#include <string_view>
+
+#include "engine/attempt_manager.hpp"
+#include "engine/engine_context.hpp"
+#include "engine/request_table.hpp"
+#include "engine/router_runner.hpp"
+
+namespace dispatcher::engine {
+
+/// Part of the Engine; used on the event loop thread only.
+class StreamRelay {
+ public:
+  StreamRelay(EngineContext& context, RequestTable& requests, RouterRunner& router, AttemptManager& attempts)
+      : context_(context), requests_(requests), router_(router), attempts_(attempts) {}
+
+  /// Complete events of an attempt's response. The first ones of a request make the attempt its streaming
+  /// one; an attempt that begins to respond after its request was answered is cancelled.
+  void on_events(AttemptId id, std::string_view events);
+  /// The client's buffer has capacity again.
+  void resume(SlotId slot);
+  /// The request has to exist. Its stream is aborted if there is no further event in time.
+  void restart_idle_timer(SlotId slot);
+
+ private:
+  void start_stream(AttemptId id, const ActiveAttempt& active);
+  void on_idle(SlotId slot);
+
+  EngineContext& context_;
+  RequestTable& requests_;
+  RouterRunner& router_;
+  AttemptManager& attempts_;
+};
+
+}  // namespace dispatcher::engine
+
+#endif  // DISPATCHER_ENGINE_STREAM_RELAY_HPP_
--- a/src/engine/timer_queue.hpp
+++ b/src/engine/timer_queue.hpp
@@ -1,9 +1,9 @@
-// All deadlines of the program, in one ordered structure. Whoever drives it asks for the next one, sleeps
-// until then and calls run(); the clock is the caller's.
+/// All timers of the program, in one ordered structure, and the clock's types.
 #ifndef DISPATCHER_ENGINE_TIMER_QUEUE_HPP_
 #define DISPATCHER_ENGINE_TIMER_QUEUE_HPP_
 
 #include <chrono>
+#include <cstddef>
 #include <cstdint>
 #include <functional>
 #include <map>
@@ -12,28 +12,34 @@
 
 namespace dispatcher::engine {
 
-using Time = std::chrono::microseconds;  // since the origin of the dispatcher's clock, the Unix epoch
+using Time = std::chrono::microseconds;  ///< since the origin of the dispatcher's clock, the Unix epoch
 using Duration = std::chrono::microseconds;
 using Clock = std::function<Time()>;
 
+/// Whoever drives it asks for the next deadline, sleeps until then and calls run(); the clock is the
+/// caller's. Used on the event loop thread only. Actions run inside run(), may add and drop timers, and must
+/// not call run() again.
 class TimerQueue {
  public:
-  using Id = std::pair<Time, std::uint64_t>;  // ordered by time, then by age; {} names none
+  using Id = std::pair<Time, std::uint64_t>;  ///< ordered by time, then by age; {} names none
 
+  /// Has `action` run once, at `at` or as soon after it as run() is called.
   Id add(Time at, std::function<void()> action) {
     const Id id{at, ++last_};
     entries_.emplace(id, std::move(action));
-    if (entries_.begin()->first == id && on_sooner_) on_sooner_();
+    const bool is_earliest = entries_.begin()->first == id;
+    if (is_earliest && on_earlier_deadline_) on_earlier_deadline_();
     return id;
   }
-  // Drops the deadline, if it is still to come, and clears the handle.
+  /// Cancels the timer, if it is still to come, and clears the handle.
   void drop(Id& id) { entries_.erase(std::exchange(id, {})); }
 
+  /// The earliest deadline, if there is any.
   [[nodiscard]] std::optional<Time> next() const {
     if (entries_.empty()) return std::nullopt;
     return entries_.begin()->first.first;
   }
-  // Runs what is due, in order. What an action adds for now or earlier waits for the next call.
+  /// Runs what is due, in order. What an action adds for now or earlier is left to the next call.
   void run(Time now) {
     const std::uint64_t newest = last_;
     for (auto it = entries_.begin(); it != entries_.end() && it->first.first <= now;) {
@@ -47,13 +53,16 @@
       it = entries_.begin();
     }
   }
-  void on_sooner(std::function<void()> action) { on_sooner_ = std::move(action); }
+  /// Called as a timer is added that is due before all others.
+  void set_earlier_deadline_callback(std::function<void()> callback) {
+    on_earlier_deadline_ = std::move(callback);
+  }
   [[nodiscard]] std::size_t size() const { return entries_.size(); }
 
  private:
   std::map<Id, std::function<void()>> entries_;
-  std::uint64_t last_ = 0;
-  std::function<void()> on_sooner_;
+  std::uint64_t last_ = 0;  // age of the newest timer
+  std::function<void()> on_earlier_deadline_;
 };
 
 }  // namespace dispatcher::engine
--- a/src/hot_restart/hot_restart_peer.cpp
+++ b/src/hot_restart/hot_restart_peer.cpp
@@ -209,10 +209,11 @@
 void HotRestartPeer::give_stream(const Json& facts, int client, int replica) {
   younger_.link->send({{"stream", facts}}, {client, replica});
 }
-void HotRestartPeer::tell_request(const std::string& id, bool open) {
+void HotRestartPeer::on_request_progress(const std::string& id, engine::RequestProgress progress) {
+  const bool open = progress == engine::RequestProgress::kInProgress;
   if (shared()) tell({{"request", id}, {"open", open}});
 }
-void HotRestartPeer::tell_sent(const std::string& endpoint) {
+void HotRestartPeer::on_attempt_started(const std::string& endpoint) {
   if (shared()) tell({{"sent", endpoint}});
 }
 
--- a/src/hot_restart/hot_restart_peer.hpp
+++ b/src/hot_restart/hot_restart_peer.hpp
@@ -25,7 +25,7 @@
 Json to_json(const routing::LearnedState& learned_state);
 routing::LearnedState parse_knowledge(const Json& object);  // what can't be read is left at its default
 
-class HotRestartPeer : public engine::Engine::HotRestartObserver {
+class HotRestartPeer : public engine::HotRestartObserver {
  public:
   class Owner {
    public:
@@ -59,8 +59,8 @@
   void tell_ban(const std::string& endpoint, bool offline);
   void tell_vrrp(bool was_active);
   void give_stream(const Json& facts, int client, int replica);  // goes on at the younger process
-  void tell_request(const std::string& id, bool open) override;
-  void tell_sent(const std::string& endpoint) override;
+  void on_request_progress(const std::string& id, engine::RequestProgress progress) override;
+  void on_attempt_started(const std::string& endpoint) override;
 
  private:
   struct End : HandoverChannel::Owner {
--- a/src/http/frontend.hpp
+++ b/src/http/frontend.hpp
@@ -30,7 +30,7 @@
   // A stream that began at another process goes on here.
   SlotId take_over(net::UniqueFd socket, const std::string& id, const std::string& endpoint) {
     const SlotId client = server_.adopt(std::move(socket));
-    return requests_[client] = engine_.adopt(*this, client, id, endpoint);
+    return requests_[client] = engine_.adopt_stream(*this, client, id, endpoint);
   }
   void forget_given(SlotId client) { forget(client); }
   // Every request passes this gate before it is taken.
@@ -42,7 +42,7 @@
   void submit(SlotId client, const routing::Request& request,
               std::shared_ptr<const engine::UpstreamRequest> message) {
     const SlotId id = engine_.submit(*this, client, request, std::move(message));
-    if (engine_.waits(id)) requests_[client] = id;
+    if (engine_.is_unanswered(id)) requests_[client] = id;
   }
   // Has the rules judge a request, which gets what they compute. False: it is refused, and limited()
   // answered.
@@ -104,7 +104,7 @@
     const auto it = requests_.find(client);
     const SlotId id = it == requests_.end() ? SlotId{} : it->second;
     forget(client);
-    engine_.client_gone(id);
+    engine_.on_client_disconnected(id);
   }
   // The client's request has its answer, or nobody waits for it any more.
   virtual void forget(SlotId client) {
@@ -120,10 +120,10 @@
   engine::Engine& engine_;
 
  private:
-  bool present(SlotId client) override { return server_.present(client); }
+  bool is_client_connected(SlotId client) override { return server_.present(client); }
   void on_gone(SlotId client) override { leave(client); }
   void on_room(SlotId client) override {
-    if (const auto it = requests_.find(client); it != requests_.end()) engine_.resume(it->second);
+    if (const auto it = requests_.find(client); it != requests_.end()) engine_.resume_stream(it->second);
   }
 
   std::map<SlotId, SlotId> requests_;  // by client: its request in the core
--- a/src/openai_api/frontend.cpp
+++ b/src/openai_api/frontend.cpp
@@ -144,12 +144,12 @@
   http::Frontend::forget(client);
 }
 
-void Frontend::begin(SlotId client) {
+void Frontend::start_stream(SlotId client) {
   const auto it = exchanges_.find(client);
   if (it != exchanges_.end() && it->second.answer.stream()) server_.begin(client);
 }
 
-bool Frontend::pass(SlotId client, std::string_view events) {
+bool Frontend::write_events(SlotId client, std::string_view events) {
   const auto it = exchanges_.find(client);
   if (it == exchanges_.end()) return true;
   const std::string out = it->second.answer.take(events);
@@ -162,10 +162,10 @@
   return out.empty() || server_.pass(client, out);
 }
 
-void Frontend::finish(SlotId client) {
+void Frontend::finish_stream(SlotId client) {
   const auto it = exchanges_.find(client);
   if (it == exchanges_.end()) return;
-  if (!it->second.answer.complete()) return cut(client);  // no end that the replica did not give
+  if (!it->second.answer.complete()) return abort_stream(client);  // no end that the replica did not give
   const Answer answer = std::move(it->second.answer);
   forget(client);
   if (answer.stream()) return server_.end(client);
@@ -174,7 +174,7 @@
 
 // After the first token nothing is sent again, and nothing may look like an end: a streaming client is told
 // by an error event and by its connection, any other by its status.
-void Frontend::cut(SlotId client) {
+void Frontend::abort_stream(SlotId client) {
   const auto it = exchanges_.find(client);
   if (it == exchanges_.end()) return;
   const bool stream = it->second.answer.stream(), repeatable = it->second.repeatable;
--- a/src/platform_api/frontend.cpp
+++ b/src/platform_api/frontend.cpp
@@ -99,7 +99,8 @@
   } catch (const std::invalid_argument& e) {
     return server_.error(client, 400, e.what());
   }
-  if (engine_.in_progress(r.id)) return server_.error(client, 409, "X-Correlation-Id: already in progress");
+  if (engine_.is_in_progress(r.id))
+    return server_.error(client, 409, "X-Correlation-Id: already in progress");
   if (!admit(client, request, r, {}, *rules_)) return;
   auto message = std::make_shared<engine::UpstreamRequest>();
   message->id = r.id;
@@ -115,12 +116,12 @@
                                                              nlohmann::json::error_handler_t::replace);
 }
 
-void Frontend::finish(SlotId client) {
+void Frontend::finish_stream(SlotId client) {
   forget(client);
   server_.end(client);
 }
 
-void Frontend::cut(SlotId client) {
+void Frontend::abort_stream(SlotId client) {
   forget(client);
   server_.cut(client);
 }
--- a/src/platform_api/frontend.hpp
+++ b/src/platform_api/frontend.hpp
@@ -21,10 +21,10 @@
  private:
   void on_request(SlotId client, http::Server::Request& request, engine::Time arrived) override;
   std::string error_body(int status, std::string_view what) override;
-  void begin(SlotId client) override { server_.begin(client); }
-  bool pass(SlotId client, std::string_view events) override { return server_.pass(client, events); }
-  void finish(SlotId client) override;
-  void cut(SlotId client) override;
+  void start_stream(SlotId client) override { server_.begin(client); }
+  bool write_events(SlotId client, std::string_view events) override { return server_.pass(client, events); }
+  void finish_stream(SlotId client) override;
+  void abort_stream(SlotId client) override;
   void reject(SlotId client, std::optional<engine::Duration> retry_after) override;
   void fail(SlotId client, engine::Failure why) override;
   void limited(SlotId client, engine::Duration retry_after) override;
--- a/src/simulation/scenario.cpp
+++ b/src/simulation/scenario.cpp
@@ -41,16 +41,16 @@
         control_(
             settings_, levels ? levels : std::make_shared<const degradation::LevelSet>(), clock,
             [](std::string_view) {}, [this] { return uniform(random_); }) {
-    engine_.attach(&control_);
+    engine_.set_request_observer(&control_);
     endpoints();
   }
 
   void endpoints() {
     const auto list = fleet_.list();
-    engine_.endpoints(list);
+    engine_.update_endpoints(list);
     control_.endpoints(list);
   }
-  void tick(Time now) { control_.tick(engine_.open(), now); }
+  void tick(Time now) { control_.tick(engine_.open_request_count(), now); }
   std::size_t changes() const { return control_.machine().history().size(); }
 
   void ask(const Job& job, routing::Request request, std::size_t number) {
@@ -75,38 +75,38 @@
   RequestOutcome& outcome(SlotId client) { return outcomes_[client.index]; }
 
   // ---- to the fleet ----
-  void send(engine::AttemptId attempt, const std::string& endpoint,
-            std::shared_ptr<const engine::UpstreamRequest> message, Time, Time) override {
+  void start_attempt(engine::AttemptId attempt, const std::string& endpoint,
+                     std::shared_ptr<const engine::UpstreamRequest> message, Time, Time) override {
     SimulatedFleet::Callbacks callbacks;
-    callbacks.first = [this, attempt] { engine_.events(attempt, "data: {}\n\n"); };
+    callbacks.first = [this, attempt] { engine_.on_events(attempt, "data: {}\n\n"); };
     callbacks.ended = [this, attempt](const engine::AttemptResult& ending) {
       works_.erase(attempt);
-      engine_.ended(attempt, ending);
+      engine_.on_attempt_completed(attempt, ending);
     };
     works_[attempt] = fleet_.send(endpoint, jobs_[message->id], std::move(callbacks));
   }
-  bool abandon(engine::AttemptId attempt) override {
+  bool cancel_attempt(engine::AttemptId attempt) override {
     if (const auto it = works_.find(attempt); it != works_.end()) {
       fleet_.abandon(it->second);
       works_.erase(it);
     }
     return true;
   }
-  void pause(engine::AttemptId) override {}
-  void resume(engine::AttemptId) override {}
-  void hold(engine::AttemptId, const std::string&, const std::string&) override {}
-  void release(const std::string& id, Time) override { fleet_.release(id); }
-  bool under_way(engine::AttemptId attempt) override { return works_.contains(attempt); }
+  void pause_reading(engine::AttemptId) override {}
+  void resume_reading(engine::AttemptId) override {}
+  void reserve_slot(engine::AttemptId, const std::string&, const std::string&) override {}
+  void release_reservation(const std::string& id, Time) override { fleet_.release(id); }
+  bool has_connection(engine::AttemptId attempt) override { return works_.contains(attempt); }
 
   // ---- to the clients ----
-  void begin(SlotId client) override {
+  void start_stream(SlotId client) override {
     RequestOutcome& o = outcome(client);
     o.first = clock_() - o.asked;
     o.end = RequestOutcome::End::kCut;  // until it is whole
   }
-  bool pass(SlotId, std::string_view) override { return true; }
-  void finish(SlotId client) override { outcome(client).end = RequestOutcome::End::kServed; }
-  void cut(SlotId client) override { outcome(client).end = RequestOutcome::End::kCut; }
+  bool write_events(SlotId, std::string_view) override { return true; }
+  void finish_stream(SlotId client) override { outcome(client).end = RequestOutcome::End::kServed; }
+  void abort_stream(SlotId client) override { outcome(client).end = RequestOutcome::End::kCut; }
   void reject(SlotId client, std::optional<Duration>) override {
     outcome(client).end = RequestOutcome::End::kRejected;
   }
--- a/src/upstream/connection_pool.cpp
+++ b/src/upstream/connection_pool.cpp
@@ -187,7 +187,7 @@
 
 void ConnectionPool::write(SlotId id, PooledConnection& line) {
   if (line.kind == Kind::kAttempt) {
-    if (!engine_->wanted(line.attempt)) {
+    if (!engine_->is_still_needed(line.attempt)) {
       fail_later(line.attempt, AttemptStatus::kNeverSent);
       return park(id);
     }
@@ -239,9 +239,9 @@
 
 // ---- attempts ----
 
-void ConnectionPool::send(AttemptId attempt, const std::string& name,
-                          std::shared_ptr<const engine::UpstreamRequest> message, Time deadline,
-                          Time connect_by) {
+void ConnectionPool::start_attempt(AttemptId attempt, const std::string& name,
+                                   std::shared_ptr<const engine::UpstreamRequest> message, Time deadline,
+                                   Time connect_by) {
   const Duration patience = connects_.patience();
   const Duration bound = connect_by == Time{} ? patience : connect_by - clock_();
   const SlotId id = take(name, std::clamp(bound, Duration(0), patience));
@@ -257,16 +257,16 @@
 void ConnectionPool::fail_later(AttemptId attempt, AttemptStatus status) {
   attempts_[attempt] = SlotId{};
   timers_.add(clock_(), [this, attempt, status] {
-    if (attempts_.erase(attempt) > 0) engine_->ended(attempt, {status, 0, {}});
+    if (attempts_.erase(attempt) > 0) engine_->on_attempt_completed(attempt, {status, 0, {}});
   });
 }
 
-bool ConnectionPool::under_way(AttemptId attempt) {
+bool ConnectionPool::has_connection(AttemptId attempt) {
   const PooledConnection* line = line_of(attempt);
   return line != nullptr && line->connected;
 }
 
-bool ConnectionPool::abandon(AttemptId attempt) {
+bool ConnectionPool::cancel_attempt(AttemptId attempt) {
   const auto it = attempts_.find(attempt);
   if (it == attempts_.end()) return true;
   const SlotId id = it->second;
@@ -277,13 +277,13 @@
   return delivered;
 }
 
-void ConnectionPool::pause(AttemptId attempt) {
+void ConnectionPool::pause_reading(AttemptId attempt) {
   const auto it = attempts_.find(attempt);
   if (it == attempts_.end()) return;
   if (PooledConnection* line = lines_.find(it->second)) line->connection->pause();
 }
 
-void ConnectionPool::resume(AttemptId attempt) {
+void ConnectionPool::resume_reading(AttemptId attempt) {
   const auto it = attempts_.find(attempt);
   if (it == attempts_.end()) return;
   if (PooledConnection* line = lines_.find(it->second)) line->connection->read();
@@ -353,7 +353,7 @@
 
 // ---- leases ----
 
-void ConnectionPool::hold(AttemptId attempt, const std::string& name, const std::string& request) {
+void ConnectionPool::reserve_slot(AttemptId attempt, const std::string& name, const std::string& request) {
   const SlotId id = take(name, connects_.patience());
   if (!id) return;
   PooledConnection& line = *lines_.find(id);
@@ -363,7 +363,7 @@
 }
 
 // A call to hold a place that still waits for its connection would come after this one.
-void ConnectionPool::release(const std::string& id, Time until) {
+void ConnectionPool::release_reservation(const std::string& id, Time until) {
   for (const SlotId waiting : lines_.ids()) {
     const PooledConnection& line = *lines_.find(waiting);
     if (line.kind == Kind::kHold && !line.connected && line.id == id) drop(waiting);
@@ -484,7 +484,7 @@
   }
   if (whole.empty()) return;
   timers_.drop(line->limit);
-  engine_->events(line->attempt, whole);
+  engine_->on_events(line->attempt, whole);
 }
 
 // The connection failed, or was never made.
@@ -514,13 +514,14 @@
   ending.note = line->answers || made || blameless ? 1 : 0;
   if (line->reused && !line->answers) reuse_failed_ = clock_();
   drop(id);
-  if (kind == Kind::kAttempt && attempts_.erase(attempt) > 0) return engine_->ended(attempt, ending);
+  if (kind == Kind::kAttempt && attempts_.erase(attempt) > 0)
+    return engine_->on_attempt_completed(attempt, ending);
   if (kind == Kind::kRelease) leases_.failed(lease, id);
 }
 
 void ConnectionPool::complete(SlotId id) {
   const std::string last = lines_.find(id)->framer.finish();
-  if (!last.empty()) engine_->events(lines_.find(id)->attempt, last);
+  if (!last.empty()) engine_->on_events(lines_.find(id)->attempt, last);
   PooledConnection* found = lines_.find(id);
   if (found == nullptr || found->kind == Kind::kNone) return;
   PooledConnection& line = *found;
@@ -540,12 +541,13 @@
     drop(id);
   }
   if (Endpoint* h = find(endpoint); h != nullptr && h->busy == 0) h->asked = {};
-  if (kind == Kind::kAttempt && attempts_.erase(attempt) > 0) return engine_->ended(attempt, ending);
+  if (kind == Kind::kAttempt && attempts_.erase(attempt) > 0)
+    return engine_->on_attempt_completed(attempt, ending);
   if (kind == Kind::kHold && (status == 200 || status == 409))
-    return engine_->hold_answer(attempt, endpoint, status == 200);
+    return engine_->on_reservation_result(attempt, endpoint, status == 200);
   if (kind != Kind::kRelease) return;
   leases_.answered(lease, id);
-  if (engine_ != nullptr) engine_->released(lease);
+  if (engine_ != nullptr) engine_->on_reservation_released(lease);
 }
 
 }  // namespace dispatcher::upstream
--- a/src/upstream/connection_pool.hpp
+++ b/src/upstream/connection_pool.hpp
@@ -78,14 +78,15 @@
     return leases_.pressing();
   }  // that a process's end must wait for
 
-  void send(AttemptId attempt, const std::string& endpoint,
-            std::shared_ptr<const engine::UpstreamRequest> message, Time deadline, Time connect_by) override;
-  bool abandon(AttemptId attempt) override;
-  void pause(AttemptId attempt) override;
-  void resume(AttemptId attempt) override;
-  void hold(AttemptId attempt, const std::string& endpoint, const std::string& id) override;
-  void release(const std::string& id, Time until) override;
-  bool under_way(AttemptId attempt) override;
+  void start_attempt(AttemptId attempt, const std::string& endpoint,
+                     std::shared_ptr<const engine::UpstreamRequest> message, Time deadline,
+                     Time connect_by) override;
+  bool cancel_attempt(AttemptId attempt) override;
+  void pause_reading(AttemptId attempt) override;
+  void resume_reading(AttemptId attempt) override;
+  void reserve_slot(AttemptId attempt, const std::string& endpoint, const std::string& id) override;
+  void release_reservation(const std::string& id, Time until) override;
+  bool has_connection(AttemptId attempt) override;
 
  private:
   enum class Kind { kNone, kAttempt, kHold, kRelease };
--- a/src/upstream/exchange.cpp
+++ b/src/upstream/exchange.cpp
@@ -98,8 +98,9 @@
       break;
     default:
       ending.status = AttemptStatus::kError;
-      ending.unusable = rejects_request(message.result_int());
-      if (ending.unusable) ending.status = AttemptStatus::kNeverSent;  // no sign of the replica's health
+      ending.invalid_request = rejects_request(message.result_int());
+      if (ending.invalid_request)
+        ending.status = AttemptStatus::kNeverSent;  // no sign of the replica's health
   }
   return ending;
 }
--- a/tests/dispatcher/admin_test.cpp
+++ b/tests/dispatcher/admin_test.cpp
@@ -203,7 +203,7 @@
     fixture.io.restart();
     fixture.io.run_one();
   }
-  fixture.engine.maintain(endpoint, true);
+  fixture.engine.set_administrative_drain(endpoint, true);
   fixture.pool.maintain(endpoint, true);
   REQUIRE(fixture.until([&] { return client->whole; }));
   CHECK(client->status == 200);
--- /dev/null
+++ b/tests/dispatcher/attempt_chaos_test.cpp
@@ -0,0 +1,136 @@
+// Random failures of replicas and clients all together: no command may run twice, and nothing may stay held.
+#include <map>
+#include <random>
+#include <set>
+
+#include "attempt_endings_fixture.hpp"
+
+namespace dispatcher::testing {
+namespace {
+
+// Replicas that do whatever they may, and what they then hold and have run.
+struct ChaosFixture {
+  explicit ChaosFixture(unsigned seed) : random(seed) {}
+  int draw_percent() { return std::uniform_int_distribution<int>(0, 99)(random); }
+  engine::Duration draw_wait(int max_ms) { return milliseconds(draw_percent() * max_ms / 100); }
+  engine::Time now() const { return fixture.now; }
+  void hold(const std::string& id) {
+    if (!started.contains(id)) held_since[id] = now();
+  }
+  void read(StandInReplica& replica, SlotId client, const Seen& seen) {
+    const int percent = draw_percent();
+    if (percent < 40) {
+      replica.say(client, 202, "{}");
+      hold(seen.id);
+    } else if (percent < 65) {
+      replica.server.cut(client);
+      if (percent < 55)
+        delayed_states.emplace_back(now() + std::min<engine::Duration>(draw_wait(1500), seen.left), seen.id);
+    } else if (percent < 75) {
+      replica.say(client, 503, {}, true);
+    } else {
+      unanswered_reads[{&replica, client}] = seen.id;
+      if (percent < 90) delayed_answers.push_back({now() + draw_wait(400), &replica, client});
+    }
+  }
+  void write(StandInReplica& replica, SlotId client, const Seen& seen) {
+    const int percent = draw_percent();
+    if (!held_since.contains(seen.id)) return replica.say(client, 410, {}, true);
+    if (percent < 20) return replica.say(client, 503, {}, true);
+    ++runs_by_id[seen.id];
+    if (percent < 50) {
+      started.insert(seen.id);
+      held_since.erase(seen.id);
+      replica.stream(client, {"a"});
+    } else if (percent < 70) {
+      if (percent < 60) held_since.erase(seen.id);  // fetched
+      replica.server.cut(client);
+    } else if (percent < 85) {
+      replica.say(client, 500);
+    } else {
+      unanswered_reads[{&replica, client}] = seen.id;
+    }
+  }
+  void step() {
+    fixture.advance(milliseconds(20));
+    for (auto& replica : fixture.replicas) {
+      std::size_t& processed = processed_count[replica.get()];
+      for (; processed < replica->seen.size(); ++processed) {
+        const Seen& seen = replica->seen[processed];
+        if (seen.method == "DELETE") held_since.erase(seen.target.substr(seen.target.rfind('/') + 1));
+      }
+      for (const SlotId gone : replica->gone) unanswered_reads.erase({replica.get(), gone});
+    }
+    std::erase_if(delayed_states, [&](const auto& entry) {
+      if (entry.first <= now()) hold(entry.second);
+      return entry.first <= now();
+    });
+    std::erase_if(delayed_answers, [&](const DelayedAnswer& delayed) {
+      if (delayed.at > now()) return false;
+      if (const auto it = unanswered_reads.find({delayed.replica, delayed.client});
+          it != unanswered_reads.end()) {
+        delayed.replica->say(delayed.client, 202, "{}");
+        hold(it->second);
+        unanswered_reads.erase(it);
+      }
+      return true;
+    });
+    for (auto& [id, since] : held_since) {
+      const bool is_active = std::any_of(unanswered_reads.begin(), unanswered_reads.end(),
+                                         [&](const auto& entry) { return entry.second == id; });
+      if (is_active) since = now();
+      if (now() - since > fixture.settings.reservation_limit + milliseconds(300)) overdue.insert(id);
+    }
+  }
+  struct DelayedAnswer {
+    engine::Time at;
+    StandInReplica* replica;
+    SlotId client;
+  };
+  std::mt19937 random;
+  std::map<std::string, engine::Time> held_since;  // since when, with no attempt out
+  std::map<std::pair<StandInReplica*, SlotId>, std::string> unanswered_reads;
+  std::map<std::string, int> runs_by_id;
+  std::set<std::string> started, overdue;
+  std::vector<std::pair<engine::Time, std::string>> delayed_states;
+  std::vector<DelayedAnswer> delayed_answers;
+  std::map<StandInReplica*, std::size_t> processed_count;
+  DirectFixture fixture{
+      [this](StandInReplica& replica, SlotId client, const Seen& seen) { read(replica, client, seen); },
+      [this](StandInReplica& replica, SlotId client, const Seen& seen) { write(replica, client, seen); }};
+};
+
+TEST_CASE("whatever crosses, no command runs twice and nothing stays held", "[endings]") {
+  const unsigned seed = GENERATE(1U, 2U, 3U, 4U, 5U, 6U, 7U, 8U);
+  CAPTURE(seed);
+  ChaosFixture chaos(seed);
+  DirectFixture& fixture = chaos.fixture;
+  auto settings = make_settings();
+  settings.may_cancel = seed % 2 == 0;
+  fixture.adopt(settings);
+  fixture.pool.adopt({milliseconds(250), seconds(15), milliseconds(50)});
+  std::vector<SlotId> requests;
+  for (int i = 0; i < 250; ++i) {
+    if (chaos.draw_percent() < 40) {
+      const std::string id = std::to_string(i);
+      requests.push_back(fixture.submit(id, i % 2 == 0 ? "command" : "ask"));
+    }
+    if (!requests.empty() && chaos.draw_percent() < 15)
+      fixture.engine.on_client_disconnected(
+          requests[static_cast<std::size_t>(chaos.draw_percent()) % requests.size()]);
+    chaos.step();
+  }
+  for (int i = 0; i < 500; ++i) chaos.step();
+  CHECK(chaos.overdue == std::set<std::string>{});
+  CHECK(chaos.held_since.empty());
+  CHECK(fixture.engine.open_request_count() == 0);
+  CHECK(fixture.engine.unanswered_count() == 0);
+  CHECK(fixture.pool.leases_out() == 0);
+  CHECK(chaos.started.size() > 3);  // some are served all the same
+  for (const auto& [id, runs] : chaos.runs_by_id) {
+    if (std::stoi(id) % 2 == 0) CHECK(runs == 1);
+  }
+}
+
+}  // namespace
+}  // namespace dispatcher::testing
--- a/tests/dispatcher/connection_pool_test.cpp
+++ b/tests/dispatcher/connection_pool_test.cpp
@@ -27,7 +27,7 @@
   fixture.pool.adopt(options);
   const auto calls = [&] { return fixture.writer().count("POST"); };
   const auto ask = [&](int attempt, const std::string& id) {
-    fixture.pool.hold({SlotId{}, attempt}, "w1", id);
+    fixture.pool.reserve_slot({SlotId{}, attempt}, "w1", id);
   };
   ask(1, "first");  // opens connection A, which is parked: the one idle connection
   REQUIRE(fixture.until([&] { return calls() == 1; }));
@@ -103,7 +103,7 @@
   auto all = fixture.lost_zone();
   all.push_back(fixture.at("lives", fixture.replica.server.local(), "y"));
   fixture.pool.endpoints(all, true);
-  fixture.pool.release("5", {});
+  fixture.pool.release_reservation("5", {});
   fixture.advance(milliseconds(200));
   CHECK(fixture.calls() == 1);
   CHECK(fixture.pool.leases_out() == 0);
@@ -117,12 +117,12 @@
   fixture.pool.endpoints({fixture.at("kept", fixture.replica.server.local(), "x"),
                           fixture.at("other", other.server.local(), "x")},
                          true);
-  fixture.pool.release("1", {});
+  fixture.pool.release_reservation("1", {});
   fixture.advance(milliseconds(100));
   REQUIRE(fixture.calls() + other.count("DELETE") >= 1);  // connections are kept now
   fixture.mute = true;
-  fixture.pool.release("2", {});
-  fixture.pool.release("3", {});
+  fixture.pool.release_reservation("2", {});
+  fixture.pool.release_reservation("3", {});
   fixture.advance(milliseconds(150));
   CHECK(other.count("DELETE", "2") + fixture.replica.count("DELETE", "2") >= 1);
   CHECK(other.count("DELETE", "3") >= 1);
@@ -132,7 +132,7 @@
 TEST_CASE("with no replica left, a release goes on being tried, and is given up in the end", "[pool]") {
   ReleaseWorld fixture;
   fixture.pool.endpoints(fixture.lost_zone(), true);
-  fixture.pool.release("1", {});
+  fixture.pool.release_reservation("1", {});
   fixture.advance(milliseconds(400));
   CHECK(fixture.pool.leases_out() == 1);
   SECTION("one that comes into the list meanwhile is asked") {
--- a/tests/dispatcher/degradation_fleet_test.cpp
+++ b/tests/dispatcher/degradation_fleet_test.cpp
@@ -170,7 +170,7 @@
           "[levels][core]") {
   Fixture fixture(read_well, write_well);
   Steered s(kSome, fixture.clock());
-  fixture.engine.attach(&s.control);
+  fixture.engine.set_request_observer(&s.control);
   int id = 0;
   const auto serve = [&](int n) {
     for (int i = 0; i < n; ++i) {
@@ -187,7 +187,7 @@
   CHECK(s.control.level()["signals"]["late.command"] == 0.0);
   CHECK(s.control.machine().level() == 0);
   for (int second = 0; second < 10; ++second) {
-    for (int i = 0; i < 10; ++i) s.control.first_token("command", true);
+    for (int i = 0; i < 10; ++i) s.control.on_first_token("command", true);
     fixture.now += seconds(1);
     s.control.tick(0, fixture.now);
   }
--- a/tests/dispatcher/endings_test.cpp
+++ b/tests/dispatcher/endings_test.cpp
@@ -12,25 +12,25 @@
 namespace dispatcher::testing {
 namespace {
 
-// A front that keeps its requests until the test answers them.
-struct Desk : private http::Server::Handler {
-  explicit Desk(Clockwork& work, const http::ServerOptions& options = {})
+// A server that keeps its requests until the test answers them.
+struct HoldingServer : private http::Server::Handler {
+  explicit HoldingServer(Clockwork& work, const http::ServerOptions& options = {})
       : server(work.io, loopback(), *this, work.timers, work.clock(), options, {}) {
     server.open();
   }
   http::Server server;
-  std::vector<std::pair<SlotId, std::string>> asked;  // with their targets
-  std::vector<SlotId> gone;
-  bool room = false;     // a stream that had to wait may go on
-  bool at_once = false;  // answers each request from inside its call
+  std::vector<std::pair<SlotId, std::string>> received;  // with their targets
+  std::vector<SlotId> disconnected;
+  bool has_capacity = false;     // a stream that had to wait may go on
+  bool answers_at_once = false;  // answers each request from inside its call
 
  private:
   void on_request(SlotId client, http::Server::Request& request, engine::Time) override {
-    asked.emplace_back(client, std::string(request.target()));
-    if (at_once) server.answer(client, 200, "text/plain", "ok");
+    received.emplace_back(client, std::string(request.target()));
+    if (answers_at_once) server.answer(client, 200, "text/plain", "ok");
   }
-  void on_gone(SlotId client) override { gone.push_back(client); }
-  void on_room(SlotId) override { room = true; }
+  void on_gone(SlotId client) override { disconnected.push_back(client); }
+  void on_room(SlotId) override { has_capacity = true; }
   std::string error_body(int, std::string_view) override { return "{}"; }
 };
 
@@ -42,20 +42,20 @@
 
 std::string fill(net::RingBuffer& ring, const std::string& text) {  // as a read that ends just now
   const auto space = ring.prepare();
-  std::string left = text;
+  std::string remaining = text;
   for (const auto& piece : space) {
-    const std::size_t n = std::min(left.size(), piece.size());
-    std::copy_n(left.data(), n, static_cast<char*>(piece.data()));
-    left.erase(0, n);
+    const std::size_t size = std::min(remaining.size(), piece.size());
+    std::copy_n(remaining.data(), size, static_cast<char*>(piece.data()));
+    remaining.erase(0, size);
   }
-  ring.commit(text.size() - left.size());
-  return left;
+  ring.commit(text.size() - remaining.size());
+  return remaining;
 }
 
 TEST_CASE("what is read while the rest is consumed lands where it is looked for", "[endings]") {
   net::RingBuffer ring(64 * 1024);
   const std::size_t size = GENERATE(std::size_t{100}, std::size_t{6000});
-  for (std::string left(size, 'a'); !left.empty();) left = fill(ring, left);
+  for (std::string remaining(size, 'a'); !remaining.empty();) remaining = fill(ring, remaining);
   const auto space = ring.prepare();  // a read is under way ...
   ring.consume(size);                 // ... while all that came before is used up
   REQUIRE(space[0].size() >= 2);
@@ -84,46 +84,47 @@
 // was under way into the buffer, which gave its memory back, or set its start anew.
 TEST_CASE("requests sent at once and one more behind them are each taken once, in order", "[endings]") {
   Clockwork work;
-  Desk desk(work);
-  desk.at_once = true;
+  HoldingServer holder(work);
+  holder.answers_at_once = true;
   const std::size_t padding = GENERATE(std::size_t{0}, std::size_t{5000});
-  StandInClient client(work, desk.server.local());
+  StandInClient client(work, holder.server.local());
   client.send(get("/a", padding) + get("/b", padding));
-  REQUIRE(work.until([&] { return desk.asked.size() == 2; }));
+  REQUIRE(work.until([&] { return holder.received.size() == 2; }));
   work.settle();
   client.send(get("/c", padding));
-  work.until([&] { return desk.asked.size() >= 3; });
+  work.until([&] { return holder.received.size() >= 3; });
   work.settle();
-  REQUIRE(desk.asked.size() == 3);
-  CHECK(desk.asked[0].second == "/a");
-  CHECK(desk.asked[1].second == "/b");
-  CHECK(desk.asked[2].second == "/c");
+  REQUIRE(holder.received.size() == 3);
+  CHECK(holder.received[0].second == "/a");
+  CHECK(holder.received[1].second == "/b");
+  CHECK(holder.received[2].second == "/c");
 }
 
 TEST_CASE("a slow reader gets every byte of its stream as it was written", "[endings]") {
   Clockwork work;
   http::ServerOptions options;
   options.linger = milliseconds(100);
-  Desk desk(work, options);
-  StandInClient client(work, desk.server.local());
+  HoldingServer holder(work, options);
+  StandInClient client(work, holder.server.local());
   client.hold_back();
   client.send("GET /stream HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n");
-  REQUIRE(work.until([&] { return !desk.asked.empty(); }));
-  const SlotId id = desk.asked[0].first;
-  desk.server.begin(id);
+  REQUIRE(work.until([&] { return !holder.received.empty(); }));
+  const SlotId id = holder.received[0].first;
+  holder.server.begin(id);
   std::string all;
-  for (desk.room = true; desk.room && all.size() < 60'000'000;) {  // until the machine's buffers are full
+  for (holder.has_capacity = true;
+       holder.has_capacity && all.size() < 60'000'000;) {  // until the machine's buffers are full
     const std::string event = "data: " + std::to_string(all.size()) + std::string(3000, 'e');
     all += event;
-    desk.room = desk.server.pass(id, event);
-    if (!desk.room) work.settle();
+    holder.has_capacity = holder.server.pass(id, event);
+    if (!holder.has_capacity) work.settle();
   }
-  REQUIRE_FALSE(desk.room);
+  REQUIRE_FALSE(holder.has_capacity);
   for (int i = 0; i < 40; ++i) {
     all += std::string(3000, static_cast<char>('A' + i % 26));
-    desk.server.pass(id, std::string(3000, static_cast<char>('A' + i % 26)));
+    holder.server.pass(id, std::string(3000, static_cast<char>('A' + i % 26)));
   }
-  desk.server.end(id);
+  holder.server.end(id);
   work.advance(milliseconds(400));  // longer than a lingering close takes once all is sent
   client.go_on();
   REQUIRE(work.until([&] { return client.answered(); }));
@@ -133,19 +134,19 @@
 
 // ---- a close and a request that cross ----
 
-// A socket of the operating system's own, whose bytes arrive without the event loop: what it sends has come,
-// and has not been read, when the test says so.
-struct Outside {
-  explicit Outside(const net::tcp::endpoint& to) { socket.connect(to); }
+// A blocking socket outside the event loop: what it sends has arrived, and has not been read, when the test
+// says so.
+struct BlockingClient {
+  explicit BlockingClient(const net::tcp::endpoint& to) { socket.connect(to); }
   void send(const std::string& text) { boost::asio::write(socket, boost::asio::buffer(text)); }
   // All that comes until the end, and the error that the end came with.
-  std::string rest(Clockwork& work, net::error_code& end) {
+  std::string read_to_end(Clockwork& work, net::error_code& end) {
     socket.non_blocking(true);
     std::string all;
     work.until([&] {
       std::array<char, 4096> piece;
-      const std::size_t n = socket.read_some(boost::asio::buffer(piece), end);
-      all.append(piece.data(), n);
+      const std::size_t size = socket.read_some(boost::asio::buffer(piece), end);
+      all.append(piece.data(), size);
       return end && end != boost::asio::error::would_block;
     });
     return all;
@@ -159,54 +160,54 @@
   Clockwork work;
   http::ServerOptions options;
   options.idle = milliseconds(300);
-  Desk desk(work, options);
-  desk.at_once = true;
-  Outside client(desk.server.local());
+  HoldingServer holder(work, options);
+  holder.answers_at_once = true;
+  BlockingClient client(holder.server.local());
   client.send(get("/a"));
-  REQUIRE(work.until([&] { return desk.asked.size() == 1; }));
+  REQUIRE(work.until([&] { return holder.received.size() == 1; }));
   work.settle();
   client.send(get("/b"));  // it has come and is not read when the time is over
   work.now += milliseconds(301);
   work.timers.run(work.now);
   net::error_code end;
-  const std::string answers = client.rest(work, end);
+  const std::string answers = client.read_to_end(work, end);
   CHECK(end == boost::asio::error::eof);
   CHECK(answers.ends_with("ok"));
-  CHECK(desk.asked.size() == 1);
+  CHECK(holder.received.size() == 1);
   client.socket.close();
-  CHECK(work.until([&] { return desk.server.clients() == 0; }));
+  CHECK(work.until([&] { return holder.server.clients() == 0; }));
 }
 
 TEST_CASE("as the process ends, a request that is here is answered and the end follows", "[endings]") {
   Clockwork work;
-  Desk desk(work);
-  desk.at_once = true;
-  Outside client(desk.server.local());
+  HoldingServer holder(work);
+  holder.answers_at_once = true;
+  BlockingClient client(holder.server.local());
   client.send(get("/a"));
-  REQUIRE(work.until([&] { return desk.asked.size() == 1; }));
+  REQUIRE(work.until([&] { return holder.received.size() == 1; }));
   work.settle();
-  const bool before = GENERATE(true, false);
-  if (before) client.send(get("/b"));  // it has come and is not read
-  desk.server.drain();
-  desk.server.stop_accepting();
-  desk.server.close_idle();
-  if (!before) client.send(get("/b"));  // after the half-close
+  const bool sent_before = GENERATE(true, false);
+  if (sent_before) client.send(get("/b"));  // it has come and is not read
+  holder.server.drain();
+  holder.server.stop_accepting();
+  holder.server.close_idle();
+  if (!sent_before) client.send(get("/b"));  // after the half-close
   net::error_code end;
-  const std::string answers = client.rest(work, end);
+  const std::string answers = client.read_to_end(work, end);
   CHECK(end == boost::asio::error::eof);
   CHECK(answers.ends_with("ok"));
-  CHECK(desk.asked.size() == (before ? 2U : 1U));
+  CHECK(holder.received.size() == (sent_before ? 2U : 1U));
 }
 
 TEST_CASE("a connection that makes room is closed in good order while there is some left", "[endings]") {
   Clockwork work;
   http::ServerOptions options;
   options.max_clients = 16;
-  Desk desk(work, options);
-  desk.at_once = true;
+  HoldingServer holder(work, options);
+  holder.answers_at_once = true;
   std::vector<std::unique_ptr<StandInClient>> clients;
   for (int i = 0; i < 15; ++i) {
-    clients.push_back(std::make_unique<StandInClient>(work, desk.server.local()));
+    clients.push_back(std::make_unique<StandInClient>(work, holder.server.local()));
     clients.back()->send(get("/" + std::to_string(i)));
     REQUIRE(work.until([&] { return clients.back()->whole; }));
     work.advance(milliseconds(20));
@@ -214,46 +215,46 @@
   REQUIRE(work.until([&] { return clients[0]->ended; }));
   CHECK(clients[0]->end == boost::asio::error::eof);
   CHECK_FALSE(clients[14]->ended);
-  const std::size_t asked = desk.asked.size();
+  const std::size_t received = holder.received.size();
   clients[0]->send(get("/late"));
   work.settle();
-  CHECK(desk.asked.size() == asked);
+  CHECK(holder.received.size() == received);
 }
 
 // What the machine accepted has been taken: closing the listener over it would reset it.
 TEST_CASE("connections that wait to be accepted are served when accepting stops", "[endings]") {
   Clockwork work;
-  Desk desk(work);
-  Outside a(desk.server.local()), b(desk.server.local());
-  a.send(get("/a"));
-  b.send(get("/b"));
-  desk.server.drain();
-  desk.server.stop_accepting();
-  desk.server.close_idle();
-  CHECK(work.until([&] { return desk.asked.size() == 2; }));
+  HoldingServer holder(work);
+  BlockingClient first(holder.server.local()), second(holder.server.local());
+  first.send(get("/a"));
+  second.send(get("/b"));
+  holder.server.drain();
+  holder.server.stop_accepting();
+  holder.server.close_idle();
+  CHECK(work.until([&] { return holder.received.size() == 2; }));
 }
 
 TEST_CASE("an error is read whole by a client that is still sending", "[endings]") {
   Clockwork work;
-  Desk desk(work);
-  StandInClient client(work, desk.server.local());
+  HoldingServer holder(work);
+  StandInClient client(work, holder.server.local());
   client.send("POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 9000000\r\n\r\n" + std::string(200000, 'x'));
   REQUIRE(work.until([&] { return client.answered(); }));
   CHECK(client.status == 413);
   CHECK(client.whole);
   work.settle();
-  CHECK(desk.asked.empty());
+  CHECK(holder.received.empty());
 }
 
 // ---- the client's end ----
 
 TEST_CASE("the end of a client's connection is seen behind whatever it sent first", "[endings]") {
   Clockwork work;
-  Desk desk(work);
-  StandInClient client(work, desk.server.local());
+  HoldingServer holder(work);
+  StandInClient client(work, holder.server.local());
   client.send(get("/a"));
-  REQUIRE(work.until([&] { return desk.asked.size() == 1; }));
-  REQUIRE(desk.server.present(desk.asked[0].first));
+  REQUIRE(work.until([&] { return holder.received.size() == 1; }));
+  REQUIRE(holder.server.present(holder.received[0].first));
   const std::size_t more = GENERATE(std::size_t{0}, std::size_t{100}, std::size_t{150000});
   client.send(std::string(more, 'x'));
   SECTION("by an end in good order") { client.half_close(); }
@@ -261,31 +262,31 @@
     work.settle();
     client.reset();
   }
-  CHECK(work.until([&] { return desk.gone.size() == 1; }));
-  CHECK_FALSE(desk.server.present(desk.asked[0].first));
+  CHECK(work.until([&] { return holder.disconnected.size() == 1; }));
+  CHECK_FALSE(holder.server.present(holder.received[0].first));
 }
 
 TEST_CASE("a client that floods its connection while an answer is owed is let go of", "[endings]") {
   Clockwork work;
-  Desk desk(work);
-  StandInClient client(work, desk.server.local());
+  HoldingServer holder(work);
+  StandInClient client(work, holder.server.local());
   client.send(get("/a") + std::string(900000, 'x'));
-  CHECK(work.until([&] { return desk.gone.size() == 1; }));
-  CHECK(desk.server.clients() == 0);
+  CHECK(work.until([&] { return holder.disconnected.size() == 1; }));
+  CHECK(holder.server.clients() == 0);
 }
 
 TEST_CASE("bytes behind a request leave its answer whole, which is the connection's last", "[endings]") {
   Clockwork work;
-  Desk desk(work);
-  StandInClient client(work, desk.server.local());
+  HoldingServer holder(work);
+  StandInClient client(work, holder.server.local());
   client.send(get("/a") + std::string(100000, 'x'));
-  REQUIRE(work.until([&] { return desk.asked.size() == 1; }));
+  REQUIRE(work.until([&] { return holder.received.size() == 1; }));
   work.settle();
-  desk.server.answer(desk.asked[0].first, 200, "text/plain", "ok");
+  holder.server.answer(holder.received[0].first, 200, "text/plain", "ok");
   REQUIRE(work.until([&] { return client.answered(); }));
   CHECK(client.body == "ok");
   CHECK(client.headers["Connection"] == "close");
-  CHECK(desk.asked.size() == 1);
+  CHECK(holder.received.size() == 1);
 }
 
 }  // namespace
--- a/tests/dispatcher/engine_digest_fixture.hpp
+++ b/tests/dispatcher/engine_digest_fixture.hpp
@@ -1,6 +1,6 @@
-// The core in two processes of one dispatcher, between fronts and replicas that only write down what they are
-// told: every call goes into a digest, with its arguments and the time. A seeded script drives both; time is
-// the world's own. See tests/settings_world.hpp for the decision module alone.
+// The engine in two processes of one dispatcher, between frontends and replicas that only record their calls:
+// every call goes into a digest, with its arguments and the time. A seeded script drives both; time is the
+// script's own.
 #ifndef DISPATCHER_TESTS_DISPATCHER_ENGINE_DIGEST_FIXTURE_HPP_
 #define DISPATCHER_TESTS_DISPATCHER_ENGINE_DIGEST_FIXTURE_HPP_
 
@@ -20,19 +20,22 @@
 
 namespace dispatcher::testing {
 
-using Counts = std::map<std::string, int>;  // calls of the core, and what was done to it, by name
+using Counts = std::map<std::string, int>;  // calls of the engine, and what was done to it, by name
 
-class EngineWorld {
+// One run of drawn settings, requests and faults.
+class EngineScript {
  public:
-  EngineWorld(std::uint64_t seed, dispatcher::routing::testing::Digest& digest, Counts& counts);
-  ~EngineWorld();
-  void play(int steps);
+  EngineScript(std::uint64_t seed, dispatcher::routing::testing::Digest& digest, Counts& counts);
+  ~EngineScript();
+  void run(int steps);
   bool finish();  // all clients leave and all attempts end: true if nothing is left
 
  private:
-  struct Out {
+  struct ActiveAttempt {
     std::string endpoint;
-    bool connected = false, whole = false, begun = false;  // whole: the request reached the replica
+    bool is_connected = false;
+    bool is_delivered = false;  // the complete request reached the replica
+    bool has_started = false;   // its response did
   };
   class Process;
   class Frontend;
@@ -40,13 +43,13 @@
     Process* at = nullptr;
     net::SlotId request;
     std::string id;
-    bool over = false, left = false, paused = false;
+    bool is_over = false, has_disconnected = false, is_paused = false;
   };
 
   template <class... Arguments>
-  void tell(const char* call, const Arguments&... arguments);
+  void record(const char* call, const Arguments&... arguments);
   void count(const char* done) { ++counts_[done]; }
-  [[nodiscard]] const routing::Settings& rules() const { return *settings_[current_]; }
+  [[nodiscard]] const routing::Settings& settings() const { return *settings_[current_]; }
   Client& client(net::SlotId id) { return clients_.at(id.index); }
   Client* pick_client(bool (*fits)(const Client&));
   Process& pick_process();
@@ -56,26 +59,26 @@
   void submit();
   routing::Request draw_request(const std::string& id);
   void progress();
-  void connect(Process& process, engine::AttemptId attempt, Out& out);
+  void connect(Process& process, engine::AttemptId attempt, ActiveAttempt& active);
   void fail_attempt();
-  engine::AttemptResult draw_ending(routing::AttemptStatus status);
+  engine::AttemptResult draw_result(routing::AttemptStatus status);
   void end(Process& process, engine::AttemptId attempt, const engine::AttemptResult& ending);
-  void leave();
-  void leave(Client& client);
+  void disconnect();
+  void disconnect(Client& client);
   void change_endpoints();
   void send_list(routing::ListKind kind, std::vector<routing::EndpointInfo> entries);
-  void maintain();
+  void change_administrative_drain();
   void change_settings();
-  void answer_hold();
-  void answer_release();
-  void go_on();
-  void hand_over();
-  void exchange();
-  void disturb();
-  void let_pass(engine::Duration time);
-  void oversleep();
-  void deliver_mail();
-  void look();
+  void report_reservation();
+  void confirm_release();
+  void resume();
+  void hand_over_streams();
+  void exchange_peer_state();
+  void report_stale_events();
+  void advance(engine::Duration time);
+  void delay_timers();
+  void deliver_peer_messages();
+  void record_counts();
 
   dispatcher::routing::testing::Digest& digest_;
   Counts& counts_;
@@ -84,12 +87,12 @@
   std::vector<engine::SettingsSnapshot> settings_;
   std::size_t current_ = 0;
   std::map<std::string, routing::EndpointInfo> endpoints_;
-  std::vector<std::unique_ptr<Frontend>> fronts_;
+  std::vector<std::unique_ptr<Frontend>> frontends_;
   std::vector<std::unique_ptr<Process>> processes_;
   std::map<std::uint32_t, Client> clients_;
-  std::deque<std::function<void()>> mail_;  // on its way from one process to the other
-  std::uint32_t asked_ = 0;
-  int machines_ = 0;
+  std::deque<std::function<void()>> peer_messages_;  // on its way from one process to the other
+  std::uint32_t submitted_ = 0;
+  int replaced_endpoints_ = 0;
 };
 
 }  // namespace dispatcher::testing
--- a/tests/dispatcher/engine_digest_parts.hpp
+++ b/tests/dispatcher/engine_digest_parts.hpp
@@ -1,4 +1,5 @@
-// The two sides of the core in the digest's world: a process with its replicas, and a front.
+// The two sides of the engine in the digest test: a process with its replicas, and a frontend. The names that
+// they record are part of the hash, and stay as they are when a function is renamed.
 #ifndef DISPATCHER_TESTS_DISPATCHER_ENGINE_DIGEST_PARTS_HPP_
 #define DISPATCHER_TESTS_DISPATCHER_ENGINE_DIGEST_PARTS_HPP_
 
@@ -26,121 +27,129 @@
 }
 
 template <class... Arguments>
-void EngineWorld::tell(const char* call, const Arguments&... arguments) {
+void EngineScript::record(const char* call, const Arguments&... arguments) {
   ++counts_[call];
   digest_.add(std::string_view(call), now_);
   (add(digest_, arguments), ...);
 }
 
-class EngineWorld::Process : public engine::UpstreamClient,
-                             public engine::Engine::HotRestartObserver,
-                             public engine::RequestObserver {
+// One of the two processes: its engine, and the recorded calls to the replicas and the observers.
+class EngineScript::Process : public engine::UpstreamClient,
+                              public engine::HotRestartObserver,
+                              public engine::RequestObserver {
  public:
-  Process(EngineWorld& fixture, int number, std::uint64_t seed)
+  Process(EngineScript& fixture, int number, std::uint64_t seed)
       : engine(
             fixture.settings_[0], seed, *this, timers, [&fixture] { return fixture.now_; },
             [](std::string_view) {}),
         fixture_(fixture),
         number_(number) {
-    engine.attach(static_cast<engine::Engine::HotRestartObserver*>(this));
-    engine.attach(static_cast<engine::RequestObserver*>(this));
-    engine.on_subscribe([this] { fixture_.tell("subscribe", number_); });
-  }
-
-  void send(engine::AttemptId attempt, const std::string& endpoint,
-            std::shared_ptr<const engine::UpstreamRequest> message, engine::Time deadline,
-            engine::Time connect_by) override {
-    fixture_.tell("send", number_, attempt, endpoint, message ? message->id : "none", deadline, connect_by);
-    out[attempt] = {endpoint};
-  }
-  bool abandon(engine::AttemptId attempt) override {
-    fixture_.tell("abandon", number_, attempt);
-    const auto it = out.find(attempt);
-    const bool whole = it != out.end() && it->second.whole;
-    out.erase(attempt);
-    return whole;
-  }
-  void pause(engine::AttemptId attempt) override { fixture_.tell("pause", number_, attempt); }
-  void resume(engine::AttemptId attempt) override { fixture_.tell("resume", number_, attempt); }
-  void hold(engine::AttemptId attempt, const std::string& endpoint, const std::string& id) override {
-    fixture_.tell("hold", number_, attempt, endpoint, id);
-  }
-  void release(const std::string& id, engine::Time until) override {
-    fixture_.tell("release", number_, id, until);
+    engine.set_hot_restart_observer(static_cast<engine::HotRestartObserver*>(this));
+    engine.set_request_observer(static_cast<engine::RequestObserver*>(this));
+    engine.set_subscribe_callback([this] { fixture_.record("subscribe", number_); });
+  }
+
+  void start_attempt(engine::AttemptId attempt, const std::string& endpoint,
+                     std::shared_ptr<const engine::UpstreamRequest> message, engine::Time deadline,
+                     engine::Time connect_by) override {
+    fixture_.record("send", number_, attempt, endpoint, message ? message->id : "none", deadline, connect_by);
+    attempts[attempt] = {endpoint};
+  }
+  bool cancel_attempt(engine::AttemptId attempt) override {
+    fixture_.record("abandon", number_, attempt);
+    const auto it = attempts.find(attempt);
+    const bool is_delivered = it != attempts.end() && it->second.is_delivered;
+    attempts.erase(attempt);
+    return is_delivered;
+  }
+  void pause_reading(engine::AttemptId attempt) override { fixture_.record("pause", number_, attempt); }
+  void resume_reading(engine::AttemptId attempt) override { fixture_.record("resume", number_, attempt); }
+  void reserve_slot(engine::AttemptId attempt, const std::string& endpoint, const std::string& id) override {
+    fixture_.record("hold", number_, attempt, endpoint, id);
+  }
+  void release_reservation(const std::string& id, engine::Time until) override {
+    fixture_.record("release", number_, id, until);
     releases.push_back(id);
   }
-  bool under_way(engine::AttemptId attempt) override {
-    fixture_.tell("under_way", number_, attempt);
-    const auto it = out.find(attempt);
-    return it != out.end() && it->second.connected;
+  bool has_connection(engine::AttemptId attempt) override {
+    fixture_.record("under_way", number_, attempt);
+    const auto it = attempts.find(attempt);
+    return it != attempts.end() && it->second.is_connected;
   }
 
-  void tell_request(const std::string& id, bool open) override {
-    fixture_.tell("tell_request", number_, id, open);
-    fixture_.mail_.push_back([this, id, open] { other().engine.request_elsewhere(id, open); });
+  void on_request_progress(const std::string& id, engine::RequestProgress progress) override {
+    const bool open = progress == engine::RequestProgress::kInProgress;
+    fixture_.record("tell_request", number_, id, open);
+    fixture_.peer_messages_.push_back(
+        [this, id, progress] { other().engine.on_peer_request_progress(id, progress); });
   }
-  void tell_sent(const std::string& endpoint) override {
-    fixture_.tell("tell_sent", number_, endpoint);
-    fixture_.mail_.push_back([this, endpoint] { other().engine.sent_elsewhere(endpoint); });
+  void on_attempt_started(const std::string& endpoint) override {
+    fixture_.record("tell_sent", number_, endpoint);
+    fixture_.peer_messages_.push_back([this, endpoint] { other().engine.on_peer_attempt_started(endpoint); });
   }
-  void first_token(const std::string& request_class, bool late) override {
-    fixture_.tell("first_token", number_, request_class, late);
+  void on_first_token(const std::string& request_class, bool is_late) override {
+    fixture_.record("first_token", number_, request_class, is_late);
   }
-  void given_up(const std::string& request_class, bool rejected) override {
-    fixture_.tell("given_up", number_, request_class, rejected);
+  void on_request_not_served(const std::string& request_class, engine::NotServedReason reason) override {
+    const bool rejected = reason == engine::NotServedReason::kRejected;
+    fixture_.record("given_up", number_, request_class, rejected);
   }
 
   Process& other() { return *fixture_.processes_[static_cast<std::size_t>(1 - number_)]; }
 
   engine::TimerQueue timers;
   engine::Engine engine;
-  std::map<engine::AttemptId, Out> out;
-  std::vector<std::string> releases;  // asked for, not answered yet
+  std::map<engine::AttemptId, ActiveAttempt> attempts;
+  std::vector<std::string> releases;  // asked for, not confirmed yet
 
  private:
-  EngineWorld& fixture_;
+  EngineScript& fixture_;
   int number_;
 };
 
-class EngineWorld::Frontend : public engine::ResponseSink {
+// Records the calls for its clients, who disconnect at times as they are written to.
+class EngineScript::Frontend : public engine::ResponseSink {
  public:
-  Frontend(EngineWorld& fixture, int number) : fixture_(fixture), number_(number) {}
+  Frontend(EngineScript& fixture, int number) : fixture_(fixture), number_(number) {}
 
-  void begin(net::SlotId client) override {
-    fixture_.tell("begin", number_, client);
-    leave_at_times(client);
+  void start_stream(net::SlotId client) override {
+    fixture_.record("begin", number_, client);
+    disconnect_at_times(client);
   }
-  bool pass(net::SlotId client, std::string_view events) override {
-    fixture_.tell("pass", number_, client, events);
-    leave_at_times(client);
-    return !(fixture_.client(client).paused = fixture_.dice_.one_in(5));
+  bool write_events(net::SlotId client, std::string_view events) override {
+    fixture_.record("pass", number_, client, events);
+    disconnect_at_times(client);
+    const bool is_paused = fixture_.dice_.one_in(5);
+    fixture_.client(client).is_paused = is_paused;
+    return !is_paused;
   }
-  void finish(net::SlotId client) override { over("finish", client); }
-  void cut(net::SlotId client) override { over("cut", client); }
+  void finish_stream(net::SlotId client) override { answer("finish", client); }
+  void abort_stream(net::SlotId client) override { answer("cut", client); }
   void reject(net::SlotId client, std::optional<engine::Duration> retry_after) override {
-    over("refuse", client, retry_after);
+    answer("refuse", client, retry_after);
   }
   void fail(net::SlotId client, engine::Failure why) override {
     static const char* const names[] = {"fail late", "fail upstream", "fail unusable"};
-    over(names[static_cast<std::size_t>(why)], client);
+    answer(names[static_cast<std::size_t>(why)], client);
   }
-  bool present(net::SlotId client) override {
-    fixture_.tell("present", number_, client);
-    return !fixture_.client(client).left;
+  bool is_client_connected(net::SlotId client) override {
+    fixture_.record("present", number_, client);
+    return !fixture_.client(client).has_disconnected;
   }
 
  private:
   template <class... Arguments>
-  void over(const char* call, net::SlotId client, const Arguments&... arguments) {
-    fixture_.tell(call, number_, client, arguments...);
-    fixture_.client(client).over = true;
+  void answer(const char* call, net::SlotId client, const Arguments&... arguments) {
+    fixture_.record(call, number_, client, arguments...);
+    fixture_.client(client).is_over = true;
   }
   // Its connection breaks just as it is written to.
-  void leave_at_times(net::SlotId client) {
-    if (fixture_.dice_.one_in(40) && !fixture_.client(client).over) fixture_.leave(fixture_.client(client));
+  void disconnect_at_times(net::SlotId client) {
+    if (fixture_.dice_.one_in(40) && !fixture_.client(client).is_over)
+      fixture_.disconnect(fixture_.client(client));
   }
 
-  EngineWorld& fixture_;
+  EngineScript& fixture_;
   int number_;
 };
 
--- a/tests/dispatcher/engine_digest_test.cpp
+++ b/tests/dispatcher/engine_digest_test.cpp
@@ -1,6 +1,6 @@
-// Holds the core's behaviour still: one hash over every call that it makes to the replicas' side and to the
-// fronts, in many drawn settings and scripts. A change that is to change nothing must leave the recorded
-// value as it is. One that is to change something records the new value, and says so.
+// Pins the engine's behaviour: one hash over every call that it makes to the upstream client, the observers
+// and the frontends, in many drawn settings and scripts. A refactoring must leave the recorded value as it
+// is. A change of behaviour records the new value, and says so.
 #include <catch2/catch.hpp>
 #include <cstdint>
 #include <ios>
@@ -11,9 +11,9 @@
 namespace {
 
 constexpr std::uint64_t kRecorded = 0xE422E970AA6D6871U;
-constexpr int kPlays = 800;
+constexpr int kRuns = 800;
 
-// What has to come up often, so that nobody takes a hash over little for one over much.
+// What has to come up often, so that a hash over little is not taken for one over much.
 constexpr const char* kCalls[] = {"send",
                                   "abandon",
                                   "pause",
@@ -51,20 +51,20 @@
                                   "ended never sent",
                                   "ended read"};
 
-TEST_CASE("every call of the core is as recorded", "[core]") {
+TEST_CASE("every call of the engine is as recorded", "[core]") {
   dispatcher::routing::testing::Digest digest;
   Counts counts;
-  for (int number = 0; number < kPlays; ++number) {
-    EngineWorld fixture(static_cast<std::uint64_t>(number) + 1, digest, counts);
-    fixture.play(number % 10 == 0 ? 800 : 160);
-    INFO("play " << number);
+  for (int number = 0; number < kRuns; ++number) {
+    EngineScript fixture(static_cast<std::uint64_t>(number) + 1, digest, counts);
+    fixture.run(number % 10 == 0 ? 800 : 160);
+    INFO("run " << number);
     CHECK(fixture.finish());
   }
   for (const char* call : kCalls) {
     INFO(call << ": " << counts[call]);
     CHECK(counts[call] >= 50);
   }
-  CHECK(counts["hold"] == 0);  // the decision module makes no Hold: once it does, count it above
+  CHECK(counts["hold"] == 0);  // the routing module makes no ReserveSlot: once it does, count it above
   INFO("0x" << std::hex << digest.value());
   CHECK(digest.value() == kRecorded);
 }
--- a/tests/dispatcher/fixture.cpp
+++ b/tests/dispatcher/fixture.cpp
@@ -145,7 +145,7 @@
     addresses.push_back({name, replicas.back()->server.local(), true});
   }
   pool.endpoints(addresses, true);
-  engine.endpoints(list);
+  engine.update_endpoints(list);
   platform.server().open();
   if (chat_config.empty()) return;
   chat = std::make_unique<openai_api::Frontend>(
--- a/tests/dispatcher/hot_restart_test.cpp
+++ b/tests/dispatcher/hot_restart_test.cpp
@@ -365,7 +365,7 @@
 }
 
 // Are both ends of the stream ready to be handed over?
-bool hush(Fixture& fixture, const engine::Engine::Stream& stream) {
+bool hush(Fixture& fixture, const engine::RunningStream& stream) {
   const bool still = fixture.platform.server().hush(stream.client);
   return fixture.pool.hush({stream.request, stream.attempt}) && still;
 }
@@ -379,7 +379,7 @@
   client->post(facts("a1", "command"), "{}");
   REQUIRE(fixture.until([&] { return client->body.find("one") != std::string::npos; }));
   fixture.settle();
-  const auto streams = fixture.engine.streams(fixture.platform.response_sink());
+  const auto streams = fixture.engine.running_streams(fixture.platform.response_sink());
   REQUIRE(streams.size() == 1);
   const engine::AttemptId attempt{streams[0].request, streams[0].attempt};
   REQUIRE(fixture.until([&] { return hush(fixture, streams[0]); }));
@@ -393,26 +393,26 @@
   fixture.platform.server().wake(streams[0].client);
   fixture.pool.wake(attempt);
   fixture.settle();
-  REQUIRE(fixture.engine.open() == 1);
+  REQUIRE(fixture.engine.open_request_count() == 1);
   REQUIRE(fixture.until([&] { return hush(fixture, streams[0]); }));
   writer.server.pass(writer.waiting.back(), "data: two\n\n");  // while nobody reads
   auto [replica, given] = fixture.pool.give(attempt);
   net::UniqueFd socket = fixture.platform.server().give(streams[0].client);
   fixture.platform.forget_given(streams[0].client);
-  fixture.engine.give_away(streams[0].request);
-  CHECK(fixture.engine.open() == 0);
+  fixture.engine.release_stream(streams[0].request);
+  CHECK(fixture.engine.open_request_count() == 0);
   CHECK(fixture.platform.server().clients() == 0);
   CHECK(fixture.pool.open() == 1);  // the reader's, idle
   const SlotId request = fixture.platform.take_over(std::move(socket), "a1", given.endpoint);
   fixture.pool.adopt({request, 0}, std::move(replica), given);
   REQUIRE(fixture.until([&] { return client->body.find("two") != std::string::npos; }));
-  CHECK(fixture.engine.in_progress("a1"));
+  CHECK(fixture.engine.is_in_progress("a1"));
   writer.server.pass(writer.waiting.back(), "data: [DONE]\n\n");
   writer.server.end(writer.waiting.back());
   REQUIRE(fixture.until([&] { return client->answered(); }));
   CHECK(client->whole);
   CHECK(writer.gone.empty());
-  CHECK(fixture.engine.open() == 0);
+  CHECK(fixture.engine.open_request_count() == 0);
   // The client's connection lives on, and the replica's is kept for the next request.
   client->whole = false;
   client->get("/healthz");
@@ -428,13 +428,13 @@
   client->post(facts("a1", "ask"), "{}");
   REQUIRE(fixture.until([&] { return client->body.find("one") != std::string::npos; }));
   fixture.settle();
-  const auto stream = fixture.engine.streams(fixture.platform.response_sink()).at(0);
+  const auto stream = fixture.engine.running_streams(fixture.platform.response_sink()).at(0);
   const engine::AttemptId attempt{stream.request, stream.attempt};
   REQUIRE(fixture.until([&] { return hush(fixture, stream); }));
   auto [replica, given] = fixture.pool.give(attempt);
   net::UniqueFd socket = fixture.platform.server().give(stream.client);
   fixture.platform.forget_given(stream.client);
-  fixture.engine.give_away(stream.request);
+  fixture.engine.release_stream(stream.request);
   const SlotId request = fixture.platform.take_over(std::move(socket), "a1", given.endpoint);
   fixture.pool.adopt({request, 0}, std::move(replica), given);
   auto& writer = fixture.writer(0).waiting.empty() ? fixture.writer(1) : fixture.writer(0);
--- a/tests/dispatcher/openai_api_test.cpp
+++ b/tests/dispatcher/openai_api_test.cpp
@@ -163,7 +163,7 @@
     CHECK(client->status == 502);
     CHECK(client->headers["X-Should-Retry"] == "false");
   }
-  CHECK(fixture.engine.open() == 0);
+  CHECK(fixture.engine.open_request_count() == 0);
 }
 
 TEST_CASE("a stream that ends without its own last word is not passed off as whole", "[chat]") {
@@ -202,7 +202,7 @@
   REQUIRE(fixture.until([&] { return client->whole; }));
   CHECK(client->status == 502);
   CHECK(client->body.find("answer_too_long") != std::string::npos);
-  CHECK(fixture.engine.open() == 0);
+  CHECK(fixture.engine.open_request_count() == 0);
 }
 
 TEST_CASE("an ask always gets its final answer, whatever the replicas do", "[chat]") {
@@ -225,7 +225,7 @@
   CHECK((client->status == 502 || client->status == 503 || client->status == 504));
   if (client->status == 503) CHECK(client->headers.count("Retry-After") == 1);
   fixture.advance(seconds(1));
-  CHECK(fixture.engine.open() == 0);
+  CHECK(fixture.engine.open_request_count() == 0);
 }
 
 TEST_CASE("an ask is tried elsewhere where a command is not", "[chat]") {
@@ -261,7 +261,7 @@
   CHECK(fixture.until(stopped));
   fixture.advance(milliseconds(200));
   CHECK(fixture.until([&] { return fixture.total("DELETE", false) + fixture.total("DELETE", true) >= 1; }));
-  CHECK(fixture.engine.open() == 0);
+  CHECK(fixture.engine.open_request_count() == 0);
   CHECK(fixture.total("POST", true) == (while_reading ? 0 : 1));
 }
 
@@ -376,7 +376,7 @@
     fixture.now += seconds(25);  // hosts that were shut out come back: each request meets the same fleet
     fixture.advance(milliseconds(100));
   }
-  CHECK(fixture.engine.open() == 0);
+  CHECK(fixture.engine.open_request_count() == 0);
   return result;
 }
 
--- a/tests/dispatcher/platform_api_test.cpp
+++ b/tests/dispatcher/platform_api_test.cpp
@@ -110,7 +110,7 @@
   REQUIRE(fixture.until([&] { return !client->body.empty(); }));
   client->close();
   CHECK(fixture.until([&] { return fixture.writer(0).gone.size() + fixture.writer(1).gone.size() == 1; }));
-  CHECK(fixture.engine.open() == 0);
+  CHECK(fixture.engine.open_request_count() == 0);
 }
 
 TEST_CASE("a request that the module gives up on is refused at once, with Retry-After", "[platform]") {
@@ -348,7 +348,7 @@
   Fixture fixture(read_well, [&](StandInReplica& r, SlotId client, const StandInReplica::Seen& seen) {
     if (!vanished) write_well(r, client, seen);
   });
-  fixture.engine.endpoints(
+  fixture.engine.update_endpoints(
       {routing::ListKind::kDelta, {{"w2", "here", "writer", 0, routing::EndpointState::kRemoved, 1, {}}}});
   auto first = fixture.platform_client(), second = fixture.platform_client(),
        third = fixture.platform_client();
@@ -371,7 +371,7 @@
   Fixture fixture(read_well, [&](StandInReplica& r, SlotId client, const StandInReplica::Seen& seen) {
     used.insert(client).second ? write_well(r, client, seen) : r.server.cut(client);
   });
-  fixture.engine.endpoints(
+  fixture.engine.update_endpoints(
       {routing::ListKind::kDelta, {{"w2", "here", "writer", 0, routing::EndpointState::kRemoved, 1, {}}}});
   auto first = fixture.platform_client(), second = fixture.platform_client();
   first->post(facts("a1", "ask"), kBody);
@@ -484,7 +484,7 @@
   CHECK(fixture.total("POST", false) == 2);
   CHECK(std::none_of(fixture.logs.begin(), fixture.logs.end(),
                      [](const std::string& line) { return line.find("ejected") != std::string::npos; }));
-  CHECK(fixture.until([&] { return fixture.engine.open() == 0; }));
+  CHECK(fixture.until([&] { return fixture.engine.open_request_count() == 0; }));
 }
 
 TEST_CASE("hosts that are gone are forgotten", "[pool]") {
--- /dev/null
+++ b/tests/dispatcher/reservation_release_test.cpp
@@ -0,0 +1,146 @@
+// The calls that release what a request may hold at replicas, and what can cross them.
+#include "attempt_endings_fixture.hpp"
+
+namespace dispatcher::testing {
+namespace {
+
+// See also engine_test.cpp, where the call is out as the next read is written.
+TEST_CASE("what a broken read may have left is let go of after reads that were turned away", "[endings]") {
+  int reads = 0;
+  DirectFixture fixture(
+      [&](StandInReplica& replica, SlotId client, const Seen&) {
+        ++reads == 1 ? replica.server.cut(client) : full(replica, client, {});
+      },
+      write_well);
+  fixture.submit("a1");
+  for (int i = 0; i < 400 && fixture.engine.open_request_count() > 0; ++i) fixture.advance(milliseconds(20));
+  REQUIRE(reads > 1);
+  fixture.advance(milliseconds(400));
+  CHECK(fixture.releases() >= 1);
+}
+
+TEST_CASE("a release that is out ends as an attempt of its request is written", "[endings]") {
+  DirectFixture fixture(read_well, silent);
+  // Nobody accepts the calls: they stay out.
+  RawSocketPeer peer(fixture);
+  fixture.pool.endpoints({{"r1", peer.address(), true},
+                          {"r2", peer.address(), true},
+                          {"w1", peer.address(), true},
+                          {"w2", peer.address(), true}},
+                         false);
+  fixture.pool.release_reservation("a1", {});
+  fixture.settle();
+  CHECK(fixture.pool.leases_out() == 1);
+  fixture.submit("a1");
+  fixture.settle();
+  CHECK(fixture.pool.leases_out() == 0);
+  CHECK(fixture.pool.open() == 1);
+}
+
+// A read whose connection broke may run on at its replica, and leave a state as late as it was told to run.
+TEST_CASE("what a broken read may leave is asked for until its time is over", "[endings]") {
+  DirectFixture fixture(
+      [](StandInReplica& replica, SlotId client, const Seen&) { replica.server.cut(client); }, write_well);
+  upstream::Options options{milliseconds(250), seconds(15), milliseconds(50)};
+  fixture.pool.adopt(options);
+  const engine::Time begun = fixture.now;
+  fixture.submit("a1");
+  std::vector<engine::Time> calls;
+  for (int known = 0; fixture.now < begun + seconds(8);) {
+    fixture.advance(milliseconds(20));
+    for (; known < fixture.releases(); ++known) calls.push_back(fixture.now - begun);
+  }
+  CHECK(fixture.engine.open_request_count() == 0);
+  REQUIRE(calls.size() > 10);
+  for (std::size_t i = 1; i < calls.size(); ++i)
+    CHECK(calls[i] - calls[i - 1] <= fixture.settings.reservation_limit);
+  CHECK(calls.back() >= seconds(6));
+  CHECK(calls.back() < seconds(6) + milliseconds(600));
+  CHECK(fixture.pool.leases_out() == 0);
+}
+
+TEST_CASE("with a first token, nothing is asked for any more", "[endings]") {
+  int reads = 0;
+  DirectFixture fixture(
+      [&](StandInReplica& replica, SlotId client, const Seen& seen) {
+        ++reads == 1 ? replica.server.cut(client) : read_well(replica, client, seen);
+      },
+      write_well);
+  fixture.submit("a1");
+  fixture.advance(seconds(8));
+  CHECK(fixture.count("finish") == 1);
+  CHECK(fixture.releases() == 0);
+  CHECK(fixture.pool.leases_out() == 0);
+}
+
+// Asked for while a later read's state waits for its writer, a release would take it.
+TEST_CASE("the state that the router knows of is not taken by calls for a broken read", "[endings]") {
+  int reads = 0, writes = 0;
+  DirectFixture fixture(
+      [&](StandInReplica& replica, SlotId client, const Seen& seen) {
+        ++reads == 1 ? replica.server.cut(client) : read_well(replica, client, seen);
+      },
+      [&](StandInReplica& replica, SlotId client, const Seen& seen) {
+        ++writes == 1 ? full(replica, client, seen) : write_well(replica, client, seen);
+      });
+  fixture.submit("a1");
+  for (int i = 0; i < 100 && fixture.count("begin") == 0; ++i) fixture.advance(milliseconds(5));
+  CHECK(reads == 2);
+  CHECK(fixture.count("begin") == 1);
+  CHECK(fixture.releases() == 0);
+}
+
+// The call to hold a place waits for its connection: written after the release, it would hold one for ever.
+TEST_CASE("a hold that still waits for its connection ends with the release", "[endings]") {
+  DirectFixture fixture(read_well, write_well);
+  fixture.pool.reserve_slot({SlotId{}, 0}, "w1", "a1");
+  fixture.pool.release_reservation("a1", {});
+  fixture.advance(milliseconds(200));
+  CHECK(fixture.total("POST", true, "a1") == 0);
+  CHECK(fixture.releases() >= 1);
+}
+
+// Both endpoints of a zone that accepts connections and says nothing.
+struct PartitionFixture : Clockwork {
+  PartitionFixture() {
+    pool.endpoints({{"h1", peer.address(), true, false, "z"}, {"h2", peer.address(), true, false, "z"}},
+                   true);
+  }
+  RawSocketPeer peer{*this};  // takes connections and says nothing
+  upstream::ConnectionPool pool{io,
+                                timers,
+                                clock(),
+                                [](std::string_view) {},
+                                {milliseconds(250), seconds(15), milliseconds(50), 24, 160, 40}};
+};
+
+TEST_CASE("releases in a cut go on, ever more slowly, on few connections", "[endings]") {
+  PartitionFixture fixture;
+  for (int i = 0; i < 60; ++i) fixture.pool.release_reservation("a" + std::to_string(i), {});
+  std::size_t maximum = 0;
+  for (int i = 0; i < 60; ++i) {
+    fixture.advance(milliseconds(100));
+    maximum = std::max(maximum, fixture.pool.open());
+  }
+  CHECK(maximum <= 10);
+  CHECK(fixture.pool.leases_out() == 60);
+  fixture.advance(seconds(26));
+  CHECK(fixture.pool.leases_out() == 0);
+  CHECK(fixture.pool.open() == 0);
+}
+
+TEST_CASE("a process told to end waits for releases in a cut for no longer than they may help", "[endings]") {
+  PartitionFixture fixture;
+  fixture.pool.release_reservation("a1", {});
+  fixture.pool.release_reservation("a2", fixture.now + seconds(5));
+  fixture.advance(seconds(2));
+  CHECK(fixture.pool.leases_pressing() == 2);
+  fixture.advance(seconds(2));
+  CHECK(fixture.pool.leases_pressing() == 1);
+  fixture.advance(seconds(2));
+  CHECK(fixture.pool.leases_pressing() == 0);
+  CHECK(fixture.pool.leases_out() == 2);
+}
+
+}  // namespace
+}  // namespace dispatcher::testing
--- a/tests/dispatcher/settings_test.cpp
+++ b/tests/dispatcher/settings_test.cpp
@@ -87,7 +87,7 @@
   const auto writes = [&](const std::string& id) { return fixture.total("POST", true, id); };
   before->post(facts("a1", "command"), "{}");
   REQUIRE(fixture.until([&] { return writes("a1") == 1; }));
-  fixture.engine.adopt(other());
+  fixture.engine.apply_settings(other());
   fixture.platform.adopt(other());
   after->post(facts("a2", "more"), "{}");
   REQUIRE(fixture.until([&] { return writes("a2") == 1; }));
@@ -109,11 +109,11 @@
   const bool changed = GENERATE(false, true);
   Fixture fixture([](StandInReplica&, SlotId, const StandInReplica::Seen&) {}, write_well);
   auto client = fixture.platform_client();
-  if (changed) fixture.engine.adopt(other());
+  if (changed) fixture.engine.apply_settings(other());
   if (changed) fixture.platform.adopt(other());
   client->post(facts("a1", "command"), "{}");
   REQUIRE(fixture.until([&] { return fixture.total("POST", false, "a1") == 1; }));
-  if (!changed) fixture.engine.adopt(other());
+  if (!changed) fixture.engine.apply_settings(other());
   auto& reader = fixture.reader(0).waiting.empty() ? fixture.reader(1) : fixture.reader(0);
   reader.say(reader.waiting.back(), 500);
   if (changed) {
@@ -129,7 +129,7 @@
   const std::string next =
       R"({"listen":"127.0.0.1:0","account":"acme","models":[{"id":"more","class":"more"}]})";
   CHECK_THROWS(openai_api::parse_config({"chat.json", next}, make_settings()));
-  fixture.engine.adopt(other());
+  fixture.engine.apply_settings(other());
   fixture.chat->adopt(
       *openai_api::parse_config({"chat.json", next}, *other()));  // keeps what its models point into
   auto client = fixture.chat_client(), old = fixture.chat_client();
