--- a/src/engine/interfaces.hpp
+++ b/src/engine/interfaces.hpp
@@ -58,9 +58,9 @@
   kInvalidRequest,  ///< replicas can't process the request as it is
 };
 
-/// Where responses go: implemented by the frontends. `client` is the frontend's own handle of the request's
-/// client. Each request gets exactly one final call: finish_stream(), abort_stream(), reject() or fail(). A
-/// call may find out that the client has disconnected and call Engine::on_client_disconnected() from inside.
+/// Where responses go: implemented by the frontends. `client` is the frontend's own handle of the client. A
+/// request gets one final call, finish_stream(), abort_stream(), reject() or fail(), unless its client
+/// disconnects first; a call that finds it so may call Engine::on_client_disconnected() from inside.
 class ResponseSink {
  public:
   virtual ~ResponseSink() = default;
