--- a/src/daemon/components.cpp
+++ b/src/daemon/components.cpp
@@ -55,11 +55,11 @@
   rate_limiter.adopt(std::exchange(initial_rules, nullptr), loop.now());
   platform.attach(rate_limiter);
   platform.attach(levels);
-  engine.attach(&levels);
-  engine.on_subscribe([this] { watch.restart(); });
+  engine.set_request_observer(&levels);
+  engine.set_subscribe_callback([this] { watch.restart(); });
   if (chat_config) build_chat();
   if (config.console) build_admin(callbacks);
-  engine.attach(&peer);
+  engine.set_hot_restart_observer(&peer);
 }
 
 void Components::build_chat() {
@@ -106,7 +106,7 @@
 void Components::update_endpoints(const service_discovery::EndpointSnapshot& snapshot) {
   service_discovery::merge(endpoints, snapshot);
   pool.endpoints(snapshot.addresses, snapshot.whole);
-  engine.endpoints(snapshot.list);
+  engine.update_endpoints(snapshot.list);
   levels.endpoints(snapshot.list);
 }
 
--- a/src/daemon/configuration_reloader.cpp
+++ b/src/daemon/configuration_reloader.cpp
@@ -50,7 +50,7 @@
   log_deferred_changes(next, chat);
   const bool discovery_moved = next.discovery != parts_.config.discovery;
   parts_.settings = settings;
-  parts_.engine.adopt(settings);
+  parts_.engine.apply_settings(settings);
   parts_.platform.adopt(settings);
   if (parts_.chat) parts_.chat->adopt(*chat);
   parts_.rate_limiter.adopt(rules, parts_.loop.now());
@@ -62,7 +62,7 @@
   parts_.config.discovery = next.discovery;
   parts_.apply_resource_limits();
   // Kinds of endpoints may be new: the list is read by the new ones.
-  parts_.engine.endpoints(parts_.endpoints.list);
+  parts_.engine.update_endpoints(parts_.endpoints.list);
   if (discovery_moved) parts_.watch.move(parts_.config.discovery);
 }
 
--- a/src/daemon/dispatcher.cpp
+++ b/src/daemon/dispatcher.cpp
@@ -63,9 +63,10 @@
 void Dispatcher::serve(hot_restart::HandoverState handover) {
   restore_drained_endpoints();  // before any list
   restore_endpoint_list(handover.list);
-  parts_.engine.learn(handover.learned_state);
+  parts_.engine.restore_learned_state(handover.learned_state);
   parts_.levels.resume(handover.level);
-  for (const std::string& id : handover.ids) parts_.engine.request_elsewhere(id, true);
+  for (const std::string& id : handover.ids)
+    parts_.engine.on_peer_request_progress(id, engine::RequestProgress::kInProgress);
   parts_.watch.start(parts_.endpoints.seq);
   parts_.platform.server().open(std::move(handover.listening["platform"]));
   chat_address_.serve(std::move(handover.listening["chat"]));
@@ -97,7 +98,7 @@
 }
 
 void Dispatcher::tick_levels() {
-  parts_.levels.tick(parts_.engine.open(), parts_.watch.heard());
+  parts_.levels.tick(parts_.engine.open_request_count(), parts_.watch.heard());
   parts_.loop.timers().add(parts_.loop.now() + degradation::DegradationController::kTick,
                            [this] { tick_levels(); });
 }
@@ -122,7 +123,7 @@
 
 void Dispatcher::on_partners() {
   parts_.apply_resource_limits();
-  if (!parts_.peer.shared()) parts_.engine.alone();
+  if (!parts_.peer.shared()) parts_.engine.on_peer_disconnected();
   if (!parts_.peer.has_elder() && is_serving_) chat_address_.join_pair(false);
   if (is_draining_ && parts_.peer.succeeded()) stop_accepting();
 }
@@ -130,11 +131,12 @@
 // ---- operators ----
 
 bool Dispatcher::is_ready() {
-  return parts_.platform.server().is_open() && !is_draining_ && parts_.engine.endpoints_known() > 0;
+  return parts_.platform.server().is_open() && !is_draining_ && parts_.engine.endpoint_count() > 0;
 }
 
 bool Dispatcher::drain_endpoint(const std::string& endpoint, bool offline) {
-  if (!parts_.engine.knows(endpoint) && !parts_.drained_endpoints.contains(endpoint)) return false;
+  if (!parts_.engine.is_known_endpoint(endpoint) && !parts_.drained_endpoints.contains(endpoint))
+    return false;
   change_drain(endpoint, offline);
   return true;
 }
@@ -148,7 +150,7 @@
 
 // The router hears of it first: what the pool gives back then goes elsewhere.
 void Dispatcher::apply_drain(const std::string& endpoint, bool offline) {
-  parts_.engine.maintain(endpoint, offline);
+  parts_.engine.set_administrative_drain(endpoint, offline);
   parts_.pool.maintain(endpoint, offline);
 }
 
@@ -157,7 +159,7 @@
 void Dispatcher::drain() {
   if (is_draining_) return;
   is_draining_ = true;
-  parts_.log("draining: " + std::to_string(parts_.engine.unanswered()) + " requests unanswered");
+  parts_.log("draining: " + std::to_string(parts_.engine.unanswered_count()) + " requests unanswered");
   for (http::Server* server : parts_.client_servers()) server->drain();
   chat_address_.leave_pair();
   if (parts_.peer.succeeded()) {
@@ -196,7 +198,8 @@
 bool Dispatcher::is_work_left() {
   std::size_t clients = 0;
   for (const http::Server* server : parts_.client_servers()) clients += server->clients();
-  const bool is_owed = parts_.engine.open() > 0 || clients > 0 || parts_.pool.leases_pressing() > 0;
+  const bool is_owed =
+      parts_.engine.open_request_count() > 0 || clients > 0 || parts_.pool.leases_pressing() > 0;
   return !has_stopped_accepting_ || !parts_.peer.all_sent() || is_owed;
 }
 
--- a/src/daemon/dispatcher.hpp
+++ b/src/daemon/dispatcher.hpp
@@ -26,7 +26,7 @@
   // Looks for a process to take over from, then serves. Throws where the admin address can't be listened at.
   void start();
   // From here on a log line for each thing that happens to a request.
-  void log_requests() { parts_.engine.attach(engine::RequestLog(parts_.log)); }
+  void log_requests() { parts_.engine.set_request_log(engine::RequestLog(parts_.log)); }
   // As SIGHUP asks: all of the new files takes effect or, where one is bad, nothing.
   void reload() { reloader_.reload(); }
   // As SIGTERM asks: accepts what still comes for a while, finishes everything, ends the loop.
@@ -39,13 +39,16 @@
   // hot_restart::HotRestartPeer::Owner
   hot_restart::Json list() override { return service_discovery::to_json(parts_.endpoints); }
   std::map<std::string, int> listening() override;
-  std::vector<std::string> open_ids() override { return parts_.engine.open_ids(); }
+  std::vector<std::string> open_ids() override { return parts_.engine.open_request_ids(); }
   routing::LearnedState learned_state() override { return parts_.engine.learned_state(); }
   hot_restart::Json level() override { return parts_.levels.level(); }
   void inherit(hot_restart::HandoverState handover) override;
   void on_ban(const std::string& endpoint, bool offline) override { change_drain(endpoint, offline); }
-  void on_request(const std::string& id, bool open) override { parts_.engine.request_elsewhere(id, open); }
-  void on_sent(const std::string& endpoint) override { parts_.engine.sent_elsewhere(endpoint); }
+  void on_request(const std::string& id, bool open) override {
+    parts_.engine.on_peer_request_progress(
+        id, open ? engine::RequestProgress::kInProgress : engine::RequestProgress::kCompleted);
+  }
+  void on_sent(const std::string& endpoint) override { parts_.engine.on_peer_attempt_started(endpoint); }
   void on_stream(const hot_restart::Json& facts, net::UniqueFd client, net::UniqueFd replica) override;
   void on_vrrp(bool was_active) override;
   void on_partners() override;
--- a/src/daemon/stream_handover.cpp
+++ b/src/daemon/stream_handover.cpp
@@ -17,13 +17,13 @@
 
 void StreamHandover::hand_over() {
   if (!parts_.peer.succeeded()) return;
-  for (const engine::Engine::Stream& stream : parts_.engine.streams(parts_.platform.response_sink()))
+  for (const engine::RunningStream& stream : parts_.engine.running_streams(parts_.platform.response_sink()))
     hand_over(stream);
   ++passes_;
 }
 
 // Both reads are taken back first; the stream is given once they are, unless more came in between.
-void StreamHandover::hand_over(const engine::Engine::Stream& stream) {
+void StreamHandover::hand_over(const engine::RunningStream& stream) {
   http::Server& server = parts_.platform.server();
   const engine::AttemptId attempt{stream.request, stream.attempt};
   const bool is_client_still = server.hush(stream.client);
@@ -38,7 +38,7 @@
                              {"chunk_left", state.chunk_left},
                              {"keep_alive", state.keep_alive}},
                             client_socket.get(), endpoint_socket.get());
-    parts_.engine.give_away(stream.request);
+    parts_.engine.release_stream(stream.request);
   } else if (passes_ % kPassesPerResume == kPassesPerResume - 1) {
     server.wake(stream.client);
     parts_.pool.wake(attempt);
@@ -53,7 +53,7 @@
                                                 message.at("chunk_left").get<std::uint64_t>(),
                                                 message.at("keep_alive").get<bool>()};
     const auto id = message.at("id").get<std::string>();
-    parts_.engine.request_elsewhere(id, false);
+    parts_.engine.on_peer_request_progress(id, engine::RequestProgress::kCompleted);
     const net::SlotId request = parts_.platform.take_over(std::move(client), id, state.endpoint);
     parts_.pool.adopt({request, 0}, std::move(endpoint), state);
   } catch (const std::exception& error) {
--- a/src/daemon/stream_handover.hpp
+++ b/src/daemon/stream_handover.hpp
@@ -21,7 +21,7 @@
   void adopt(const hot_restart::Json& message, net::UniqueFd client, net::UniqueFd endpoint);
 
  private:
-  void hand_over(const engine::Engine::Stream& stream);
+  void hand_over(const engine::RunningStream& stream);
 
   Components& parts_;
   int passes_ = 0;
