--- a/src/daemon/dispatcher.cpp
+++ b/src/daemon/dispatcher.cpp
@@ -43,17 +43,17 @@
   return config.scratch + "/bitternferry-" + name + suffix;
 }
 
-upstream::Options pool_options(const Config& config, bool shared = false) {
+upstream::Options upstream_options(const Config& config, bool shared = false) {
   upstream::Options options;
   options.connect_timeout = config.settings.connect_timeout;
   options.idle_timeout = config.settings.idle_timeout;
-  options.lease_patience =
+  options.release_round_interval =
       std::max<engine::Duration>(milliseconds(20), config.settings.reservation_limit / kLeaseRounds);
   options.drain_grace = config.settings.drain_grace;
-  options.release_again =
+  options.release_repeat_interval =
       std::max<engine::Duration>(milliseconds(20), config.settings.reservation_limit * 2 / 3);
   options.max_connections = std::min<std::size_t>(options.max_connections, usable(config, shared) * 46 / 100);
-  options.max_idle_all = std::min(options.max_idle_all, options.max_connections / 2);
+  options.max_idle_total = std::min(options.max_idle_total, options.max_connections / 2);
   return options;
 }
 
@@ -96,10 +96,11 @@
       random_(config.seed),
       levels_(config.settings, parse_levels(texts.levels, config.settings), loop.clock(), log,
               [this] { return std::uniform_real_distribution<double>(0, 1)(random_); }),
-      pool_(loop.io(), loop.timers(), loop.clock(), log, pool_options(config)),
-      engine_(rules_, config.seed, pool_, loop.timers(), loop.clock(), log),
+      upstream_client_(loop.io(), loop.timers(), loop.clock(), log, upstream_options(config)),
+      engine_(rules_, config.seed, upstream_client_, loop.timers(), loop.clock(), log),
       platform_(loop.io(), config.listen, engine_, rules_, loop.timers(), loop.clock(),
-                server_options(config, chat_config_ ? 2 : 1), [this] { return pool_.shed(); }),
+                server_options(config, chat_config_ ? 2 : 1),
+                [this] { return upstream_client_.evict_idle(); }),
       watch_(
           loop.io(), config.discovery, loop.timers(), loop.clock(), log,
           [this](const service_discovery::EndpointSnapshot& servers) { apply(servers); },
@@ -109,7 +110,7 @@
       drained_endpoints_(shared_path(config, ".bans"), log),
       peer_(loop.io(), shared_path(config, ".sock"), loop.timers(), loop.clock(), log, *this),
       signals_(loop.io(), SIGTERM, SIGINT, SIGHUP) {
-  pool_.attach(engine_);
+  upstream_client_.attach(engine_);
   rate_limiter_.adopt(std::exchange(first_rules_, nullptr), loop.now());
   platform_.attach(rate_limiter_);
   platform_.attach(levels_);
@@ -117,7 +118,7 @@
   engine_.on_subscribe([this] { watch_.restart(); });
   if (chat_config_) {
     chat_.emplace(loop.io(), *chat_config_, engine_, loop.timers(), loop.clock(), config.seed,
-                  server_options(config, 2), [this] { return pool_.shed(); });
+                  server_options(config, 2), [this] { return upstream_client_.evict_idle(); });
     chat_->attach(rate_limiter_);
     chat_->attach(levels_);
   }
@@ -129,7 +130,7 @@
             [this](const std::string& endpoint, bool offline) { return maintain(endpoint, offline); },
             [this] { return levels_.level(); }, [this] { return levels_.changes(); },
             [this](const std::string& name) { return levels_.order(name); }},
-        [this] { return pool_.shed(); });
+        [this] { return upstream_client_.evict_idle(); });
   }
   engine_.attach(&peer_);
   pair_ = texts.vrrp.text.empty() ? std::nullopt : vrrp::parse_config(texts.vrrp);
@@ -227,7 +228,7 @@
 void Dispatcher::bound() {
   const bool shared = peer_.shared();
   share_limits();
-  pool_.adopt(pool_options(config_, shared));
+  upstream_client_.apply_options(upstream_options(config_, shared));
   const http::ServerOptions options = server_options(config_, servers().size(), shared);
   for (http::Server* server : servers()) server->bound(options.max_clients, options.max_held);
 }
@@ -351,12 +352,12 @@
 // The module hears of it first: what the pool gives back then goes elsewhere.
 void Dispatcher::enforce(const std::string& endpoint, bool offline) {
   engine_.maintain(endpoint, offline);
-  pool_.maintain(endpoint, offline);
+  upstream_client_.set_administratively_drained(endpoint, offline);
 }
 
 void Dispatcher::apply(const service_discovery::EndpointSnapshot& servers) {
   service_discovery::merge(servers_, servers);
-  pool_.endpoints(servers.addresses, servers.whole);
+  upstream_client_.update_endpoints(servers.addresses, servers.whole);
   engine_.endpoints(servers.list);
   levels_.endpoints(servers.list);
 }
@@ -399,21 +400,22 @@
   for (const engine::Engine::Stream& s : engine_.streams(platform_.response_sink())) {
     const engine::AttemptId attempt{s.request, s.attempt};
     // Both reads are taken back first; it is given once they are, unless more came in between.
-    const bool client_still = server.hush(s.client), replica_still = pool_.hush(attempt);
+    const bool client_still = server.hush(s.client),
+               replica_still = upstream_client_.suspend_reading(attempt);
     if (client_still && replica_still) {
-      const auto [replica, given] = pool_.give(attempt);
+      const upstream::DetachedStream replica = upstream_client_.detach_stream(attempt);
       const net::UniqueFd client = server.give(s.client);
       platform_.forget_given(s.client);
       peer_.give_stream({{"id", s.id},
-                         {"host", given.endpoint},
-                         {"unread", std::vector<unsigned char>(given.unread.begin(), given.unread.end())},
-                         {"chunk_left", given.chunk_left},
-                         {"keep_alive", given.keep_alive}},
-                        client.get(), replica.get());
+                         {"host", replica.endpoint},
+                         {"unread", std::vector<unsigned char>(replica.unread.begin(), replica.unread.end())},
+                         {"chunk_left", replica.position.chunk_left},
+                         {"keep_alive", replica.position.keep_alive}},
+                        client.get(), replica.socket.get());
       engine_.give_away(s.request);
     } else if (handover_tries_ % kWakeEvery == kWakeEvery - 1) {
       server.wake(s.client);
-      pool_.wake(attempt);
+      upstream_client_.resume_reading(attempt);
     }
   }
   ++handover_tries_;
@@ -422,14 +424,15 @@
 void Dispatcher::on_stream(const Json& facts, net::UniqueFd client, net::UniqueFd replica) {
   try {
     const auto unread = facts.at("unread").get<std::vector<unsigned char>>();
-    const upstream::ConnectionPool::Given given{facts.at("host").get<std::string>(),
-                                                {unread.begin(), unread.end()},
-                                                facts.at("chunk_left").get<std::uint64_t>(),
-                                                facts.at("keep_alive").get<bool>()};
+    upstream::DetachedStream stream{
+        std::move(replica),
+        facts.at("host").get<std::string>(),
+        {unread.begin(), unread.end()},
+        {facts.at("chunk_left").get<std::uint64_t>(), facts.at("keep_alive").get<bool>()}};
     const auto id = facts.at("id").get<std::string>();
     engine_.request_elsewhere(id, false);
-    const net::SlotId request = platform_.take_over(std::move(client), id, given.endpoint);
-    pool_.adopt({request, 0}, std::move(replica), given);
+    const net::SlotId request = platform_.take_over(std::move(client), id, stream.endpoint);
+    upstream_client_.adopt_stream({request, 0}, std::move(stream));
   } catch (const std::exception& e) {
     log_(std::string("upgrade: a stream can't go on here: ") + e.what());
   }
@@ -443,7 +446,7 @@
     if (took_last_) server->close_idle();
     clients += server->clients();
   }
-  const bool owes = engine_.open() > 0 || clients > 0 || pool_.leases_pressing() > 0;
+  const bool owes = engine_.open() > 0 || clients > 0 || upstream_client_.releases_blocking_shutdown() > 0;
   if (!took_last_ || !peer_.all_sent() || owes) {
     loop_.timers().add(loop_.now() + kDrainLook, [this] { finish_draining(); });
     return;
--- a/src/daemon/dispatcher.hpp
+++ b/src/daemon/dispatcher.hpp
@@ -21,7 +21,7 @@
 #include "platform_api/frontend.hpp"
 #include "rate_limit/rate_limiter.hpp"
 #include "service_discovery/endpoint_watcher.hpp"
-#include "upstream/connection_pool.hpp"
+#include "upstream/replica_client.hpp"
 #include "vrrp/vrrp_instance.hpp"
 
 namespace dispatcher::daemon {
@@ -95,7 +95,7 @@
   rate_limit::RateLimiter rate_limiter_;
   std::mt19937_64 random_;
   degradation::DegradationController levels_;
-  upstream::ConnectionPool pool_;
+  upstream::ReplicaClient upstream_client_;
   engine::Engine engine_;
   platform_api::Frontend platform_;
   std::optional<openai_api::Frontend> chat_;
--- a/src/daemon/main.cpp
+++ b/src/daemon/main.cpp
@@ -93,7 +93,8 @@
     std::cout << "class " << c.name << ": aim " << ms(c.latency_objective) << ", deadline " << ms(c.deadline)
               << "\n";
   for (const auto& a : config.known.addresses)
-    std::cout << "replica " << a.endpoint << " at " << a.endpoint << (a.ready ? ": up" : ": not up") << "\n";
+    std::cout << "replica " << a.endpoint << " at " << a.endpoint << (a.is_ready ? ": up" : ": not up")
+              << "\n";
   if (!rules) return 0;
   const auto set = rate_limit::RuleSet::read(*rules, rate_limit::vocabulary_of(config.settings));
   const auto instances = static_cast<std::size_t>(std::max(1, config.settings.router_count));
--- a/src/service_discovery/endpoint_snapshot.hpp
+++ b/src/service_discovery/endpoint_snapshot.hpp
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "routing/router.hpp"
-#include "upstream/connection_pool.hpp"
+#include "upstream/endpoint.hpp"
 
 namespace dispatcher::service_discovery {
 
--- /dev/null
+++ b/src/upstream/attempt_runner.cpp
@@ -0,0 +1,86 @@
+#include "upstream/attempt_runner.hpp"
+
+#include <algorithm>
+#include <utility>
+
+#include "upstream/protocol.hpp"
+
+namespace dispatcher::upstream {
+
+using routing::AttemptStatus;
+
+AttemptRunner::AttemptRunner(ConnectionPool& pool, ExchangeRunner& exchanges, ReservationClient& reservations,
+                             engine::TimerQueue& timers, engine::Clock clock)
+    : pool_(pool),
+      exchanges_(exchanges),
+      reservations_(reservations),
+      timers_(timers),
+      clock_(std::move(clock)) {}
+
+void AttemptRunner::start(const AttemptParameters& parameters) {
+  const AttemptId attempt = parameters.attempt;
+  const Duration usual = pool_.connect_timeout();
+  const Duration wanted = parameters.connect_by == Time{} ? usual : parameters.connect_by - clock_();
+  const SlotId id = pool_.acquire(parameters.endpoint, std::clamp(wanted, Duration(0), usual));
+  if (!id) return fail_unsent(attempt, AttemptStatus::kConnectFailed);
+  connections_[attempt] = id;
+  const engine::UpstreamRequest& request = *parameters.request;
+  std::string text = request_text(request, parameters.deadline - clock_());
+  exchanges_.start(id, *this, {ExchangeKind::kAttempt, attempt, request.id, std::move(text)});
+}
+
+// Nothing was sent. The engine must not be notified before its own call has returned.
+void AttemptRunner::fail_unsent(AttemptId attempt, AttemptStatus status) {
+  connections_[attempt] = SlotId{};
+  timers_.add(clock_(), [this, attempt, status] {
+    if (connections_.erase(attempt) > 0) engine_->ended(attempt, {status, 0, {}});
+  });
+}
+
+bool AttemptRunner::abandon(AttemptId attempt) {
+  const auto it = connections_.find(attempt);
+  if (it == connections_.end()) return true;
+  const SlotId id = it->second;
+  connections_.erase(it);
+  const PooledConnection* connection = pool_.find(id);
+  const bool is_sent = connection != nullptr && connection->exchange.is_request_sent;
+  pool_.close(id);
+  return is_sent;
+}
+
+void AttemptRunner::pause(AttemptId attempt) {
+  if (PooledConnection* connection = connection_of(attempt)) connection->transport->pause();
+}
+
+void AttemptRunner::resume(AttemptId attempt) {
+  if (PooledConnection* connection = connection_of(attempt)) connection->transport->read();
+}
+
+bool AttemptRunner::is_connected(AttemptId attempt) {
+  const PooledConnection* connection = connection_of(attempt);
+  return connection != nullptr && connection->is_connected;
+}
+
+PooledConnection* AttemptRunner::connection_of(AttemptId attempt) {
+  const auto it = connections_.find(attempt);
+  return it == connections_.end() ? nullptr : pool_.find(it->second);
+}
+
+bool AttemptRunner::confirm_write(const ExchangeRequest& request) {
+  if (!engine_->wanted(request.attempt)) {
+    fail_unsent(request.attempt, AttemptStatus::kNeverSent);
+    return false;
+  }
+  reservations_.cancel_release(request.request_id);  // the attempt may be about to leave a reservation
+  return true;
+}
+
+void AttemptRunner::on_events(AttemptId attempt, std::string_view complete_events) {
+  engine_->events(attempt, complete_events);
+}
+
+void AttemptRunner::on_exchange_ended(const ExchangeOutcome& outcome) {
+  if (connections_.erase(outcome.attempt) > 0) engine_->ended(outcome.attempt, outcome.result);
+}
+
+}  // namespace dispatcher::upstream
--- a/src/upstream/connect_timeout_estimator.cpp
+++ b/src/upstream/connect_timeout_estimator.cpp
@@ -6,36 +6,52 @@
 namespace dispatcher::upstream {
 
 namespace {
-// As in RFC 6298, section 2.
-constexpr double kMeanGain = 1.0 / 8, kDeviationGain = 1.0 / 4, kDeviations = 4;
+
+// The gains and the factor of RFC 6298, section 2: alpha, beta and K.
+constexpr double kMeanGain = 1.0 / 8;
+constexpr double kDeviationGain = 1.0 / 4;
+constexpr double kDeviationFactor = 4;
+
+// Several endpoints must time out in a row before the cause is taken to be common to all.
 constexpr int kTimeoutsPerDoubling = 3;
-constexpr int kMaxTimeouts = 48;  // past any bound: the exponent must not grow in a long outage
+// Past any bound: the exponent must not grow in a long outage.
+constexpr int kMaxTimeoutsInARow = 48;
+
 }  // namespace
 
 ConnectTimeoutEstimator::ConnectTimeoutEstimator(Duration minimum, Duration maximum) {
-  bound(minimum, maximum);
+  set_bounds(minimum, maximum);
 }
 
-void ConnectTimeoutEstimator::bound(Duration minimum, Duration maximum) {
-  max_ = std::max(Duration(1), maximum);
-  min_ = std::clamp(minimum, Duration(1), max_);
+void ConnectTimeoutEstimator::set_bounds(Duration minimum, Duration maximum) {
+  max_timeout_ = std::max(Duration(1), maximum);
+  min_timeout_ = std::clamp(minimum, Duration(1), max_timeout_);
 }
 
-Duration ConnectTimeoutEstimator::patience() const {
-  if (!known_) return max_;
-  const double wanted = std::max(static_cast<double>(min_.count()), mean_ + kDeviations * deviation_);
-  const double doubled = std::ldexp(wanted, timeouts_ / kTimeoutsPerDoubling);
-  return Duration(std::llround(std::min(static_cast<double>(max_.count()), doubled)));
+Duration ConnectTimeoutEstimator::timeout() const {
+  if (!has_sample_) return max_timeout_;
+  const auto min_us = static_cast<double>(min_timeout_.count());
+  const auto max_us = static_cast<double>(max_timeout_.count());
+  const double estimate_us = std::max(min_us, mean_us_ + kDeviationFactor * deviation_us_);
+  const double backed_off_us = std::ldexp(estimate_us, timeouts_in_a_row_ / kTimeoutsPerDoubling);
+  return Duration(std::llround(std::min(max_us, backed_off_us)));
 }
 
-void ConnectTimeoutEstimator::came_up(Duration took) {
-  const double us = std::max(0.0, static_cast<double>(took.count()));
-  deviation_ = known_ ? deviation_ + kDeviationGain * (std::abs(mean_ - us) - deviation_) : us / 2;
-  mean_ = known_ ? mean_ + kMeanGain * (us - mean_) : us;
-  known_ = true;
-  timeouts_ = 0;
+void ConnectTimeoutEstimator::on_connected(Duration elapsed) {
+  const double elapsed_us = std::max(0.0, static_cast<double>(elapsed.count()));
+  if (has_sample_) {
+    deviation_us_ = deviation_us_ + kDeviationGain * (std::abs(mean_us_ - elapsed_us) - deviation_us_);
+    mean_us_ = mean_us_ + kMeanGain * (elapsed_us - mean_us_);
+  } else {
+    deviation_us_ = elapsed_us / 2;
+    mean_us_ = elapsed_us;
+  }
+  has_sample_ = true;
+  timeouts_in_a_row_ = 0;
 }
 
-void ConnectTimeoutEstimator::timed_out() { timeouts_ = std::min(timeouts_ + 1, kMaxTimeouts); }
+void ConnectTimeoutEstimator::on_timeout() {
+  timeouts_in_a_row_ = std::min(timeouts_in_a_row_ + 1, kMaxTimeoutsInARow);
+}
 
 }  // namespace dispatcher::upstream
--- a/src/upstream/connect_timeout_estimator.hpp
+++ b/src/upstream/connect_timeout_estimator.hpp
@@ -1,30 +1,36 @@
-// How long a new connection is waited for: the retransmission timer of RFC 6298 (smoothed time, mean
-// deviation, doubled by time-outs, kept so until a new connection has come up), on the times that connections
-// to all hosts take. One time-out tells of its host alone, so only several in a row double. No I/O.
+// How long to wait for a new connection: the retransmission timer of RFC 6298 (smoothed time, mean deviation,
+// exponential backoff), applied to connection establishment. No I/O.
 #ifndef DISPATCHER_UPSTREAM_CONNECT_TIMEOUT_ESTIMATOR_HPP_
 #define DISPATCHER_UPSTREAM_CONNECT_TIMEOUT_ESTIMATOR_HPP_
 
-#include <chrono>
+#include "upstream/options.hpp"
 
 namespace dispatcher::upstream {
 
-using Duration = std::chrono::microseconds;
-
+// Estimates from the connections to all endpoints. One timeout tells only of its own endpoint, so the
+// estimate doubles only after several in a row, and stays so until a connection has been established. Not
+// thread-safe; owned by ConnectionPool.
 class ConnectTimeoutEstimator {
  public:
-  // Never less than `least`: a host that is busy accepts late. Never more than `most`, which is also the
-  // patience before any connection has come up. least <= most is wanted; else `most` holds.
+  // The timeout is never shorter than `minimum`, as a busy machine accepts late, and never longer than
+  // `maximum`, which is also the timeout before any connection was established. Where minimum > maximum,
+  // the maximum holds.
   ConnectTimeoutEstimator(Duration minimum, Duration maximum);
-  [[nodiscard]] Duration patience() const;
-  void came_up(Duration took);  // negative times count as none
-  void timed_out();
-  void bound(Duration minimum, Duration maximum);  // other bounds; what was learned stays
+  // Exchanges the bounds; what was learned stays.
+  void set_bounds(Duration minimum, Duration maximum);
+
+  [[nodiscard]] Duration timeout() const;
+  // A connection was established within `elapsed`; a negative time counts as zero.
+  void on_connected(Duration elapsed);
+  void on_timeout();
 
  private:
-  Duration min_, max_;
-  double mean_ = 0, deviation_ = 0;  // microseconds
-  bool known_ = false;
-  int timeouts_ = 0;  // in a row
+  Duration min_timeout_;
+  Duration max_timeout_;
+  double mean_us_ = 0;
+  double deviation_us_ = 0;
+  bool has_sample_ = false;
+  int timeouts_in_a_row_ = 0;
 };
 
 }  // namespace dispatcher::upstream
--- a/src/upstream/connection_pool.cpp
+++ b/src/upstream/connection_pool.cpp
@@ -1,551 +1,277 @@
 #include "upstream/connection_pool.hpp"
 
 #include <algorithm>
+#include <cmath>
 #include <utility>
 
-#include "upstream/exchange.hpp"
-
 namespace dispatcher::upstream {
 
 using std::chrono::milliseconds;
 
 namespace {
 
-constexpr std::size_t kMaxIn = 64 * 1024;
-constexpr std::size_t kMaxOut = http::kMaxBody + 2 * http::kMaxHead;
-constexpr double kIdlePart = 0.6;  // of the replica's idle time, after which a connection is used no more
+// Bytes that one connection buffers: a response is read as fast as its client takes it ...
+constexpr std::size_t kMaxInputBytes = std::size_t{64} * 1024;
+// ... and a request is written whole.
+constexpr std::size_t kMaxOutputBytes = http::kMaxBody + 2 * http::kMaxHead;
 
-// No first byte goes to a replica drained for so long: the rest of the grace is for the way.
-Duration drain_care(Duration grace) { return grace * 3 / 5; }
+// The part of the replica's idle timeout after which a connection is not used any more, so that no request
+// crosses the replica's close on its way.
+constexpr double kIdleTimeoutFraction = 0.6;
 
-// A kept connection may bring a second answer some milliseconds after the first, which would be passed off as
-// the answer to the next request on it. Whatever comes while it rests closes it.
-constexpr Duration kRest = milliseconds(50);
+// A connection may bring a second response some milliseconds after the first, which would be taken for the
+// response to the next request. It is not reused for so long; whatever comes while it is idle closes it.
+constexpr Duration kSettleTime = milliseconds(50);
 
-// The head of an answer comes with the first token: one that has begun and brings no event soon is spoilt.
-constexpr Duration kOpening = milliseconds(1000);
+// A replica that has a response due and sends nothing for so long may have vanished with its machine, whose
+// open connections stay silent. A new one never comes up then, so that nothing can have run.
+constexpr Duration kUnresponsiveAfter = milliseconds(400);
 
-// A replica that owes an answer and says nothing for so long may have vanished with its machine, whose open
-// connections stay silent. A new one never comes up then, so that nothing can have run.
-constexpr Duration kSuspect = milliseconds(400);
+// Where idle connections are reset at their next request, requests that may not be repeated are lost by it.
+// For so long after such a reset, new connections are worth their handshake.
+constexpr Duration kReuseQuarantine = milliseconds(10000);
 
-// Where connections that were kept are reset at their next request, commands are lost by it. For so long
-// after such a reset new ones are worth their handshake.
-constexpr Duration kDistrust = milliseconds(10000);
+// The shortest connect timeout is this part of the longest: a busy machine accepts late.
+constexpr int kMinConnectTimeoutDivisor = 5;
 
-// The least patience with a new connection: a machine that is busy accepts late.
-constexpr int kMinConnectPart = 5;  // of the longest
+// The order of idle connections may hold so many entries for each idle connection allowed.
+constexpr std::size_t kIdleOrderFactor = 4;
 
-constexpr std::size_t kReleasePart = 4;  // of all connections, the most that the calls of releases may have
+Duration min_connect_timeout(const Options& options) {
+  return options.connect_timeout / kMinConnectTimeoutDivisor;
+}
 
-constexpr std::size_t kMaxUnread = 4096;  // of a stream that changes hands
+// After so long a drain no first byte is sent: the rest of the grace is for its way to the replica.
+Duration last_first_byte(Duration drain_grace) { return drain_grace * 3 / 5; }
 
 }  // namespace
 
 ConnectionPool::ConnectionPool(boost::asio::io_context& io, engine::TimerQueue& timers, engine::Clock clock,
-                               engine::Log log, const Options& options)
+                               const Options& options)
     : io_(io),
       timers_(timers),
       clock_(std::move(clock)),
-      log_(std::move(log)),
       options_(options),
-      leases_(*this, timers, clock_, log_, lease_bounds(options)),
-      connects_(options.connect_timeout / kMinConnectPart, options.connect_timeout) {}
+      connect_timeout_estimator_(min_connect_timeout(options), options.connect_timeout) {}
+
+void ConnectionPool::apply_options(const Options& options) {
+  options_ = options;
+  connect_timeout_estimator_.set_bounds(min_connect_timeout(options), options.connect_timeout);
+  while (connections_.size() > options_.max_connections) {
+    if (!evict_idle()) return;
+  }
+}
+
+// ---- endpoints ----
 
-void ConnectionPool::endpoints(const std::vector<EndpointAddress>& addresses, bool whole) {
-  if (whole) {
+void ConnectionPool::update_endpoints(const std::vector<EndpointAddress>& addresses, bool is_complete) {
+  if (is_complete) {
     for (auto& [name, endpoint] : endpoints_) {
-      endpoint.listed = false;
-      endpoint.gone = true;
+      endpoint.is_listed = false;
+      endpoint.is_removed = true;
     }
   }
-  for (const EndpointAddress& a : addresses) {
-    Endpoint& endpoint = endpoints_[a.endpoint];
-    if (endpoint.address != a.address) drop_idle(endpoint);  // to where it listened before
-    endpoint.address = a.address;
-    endpoint.listed = a.ready;
-    endpoint.zone = a.zone;
-    endpoint.cell = a.cell;
-    endpoint.gone = a.gone;
+  for (const EndpointAddress& listed : addresses) {
+    Endpoint& endpoint = endpoints_[listed.endpoint];
+    if (endpoint.address != listed.address) close_idle(endpoint);  // they lead to its former address
+    endpoint.address = listed.address;
+    endpoint.is_listed = listed.is_ready;
+    endpoint.zone = listed.zone;
+    endpoint.cell = listed.cell;
+    endpoint.is_removed = listed.is_removed;
   }
-  for (auto& [name, endpoint] : endpoints_) review(name, endpoint);
-  forget_gone();
+  for (auto& [name, endpoint] : endpoints_) update_readiness(name, endpoint);
+  erase_removed_endpoints();
 }
 
-void ConnectionPool::review(const std::string& name, Endpoint& endpoint) {
-  const bool ready = endpoint.listed && !offline_.contains(name);
-  if (endpoint.ready && !ready) endpoint.drained = clock_();
-  endpoint.ready = ready;
-  if (!ready) drop_idle(endpoint);  // it would rather see them closed
-}
-
-void ConnectionPool::adopt(const Options& options) {
-  options_ = options;
-  leases_.bound(lease_bounds(options));
-  connects_.bound(options.connect_timeout / kMinConnectPart, options.connect_timeout);
-  while (lines_.size() > options_.max_connections && shed()) {
+void ConnectionPool::set_administratively_drained(const std::string& name, bool is_drained) {
+  if (is_drained) {
+    administratively_drained_.insert(name);
+  } else {
+    administratively_drained_.erase(name);
   }
+  if (Endpoint* endpoint = find_endpoint(name)) update_readiness(name, *endpoint);
 }
 
-void ConnectionPool::maintain(const std::string& name, bool offline) {
-  offline ? void(offline_.insert(name)) : void(offline_.erase(name));
-  Endpoint* endpoint = find(name);
-  if (endpoint == nullptr) return;
-  review(name, *endpoint);
-  if (!offline) return;
-  for (const SlotId id : lines_.ids()) {
-    const PooledConnection* line = lines_.find(id);
-    if (line != nullptr && line->endpoint == name && !line->connected)
-      lost(id, AttemptStatus::kConnectFailed, true);
-  }
+void ConnectionPool::update_readiness(const std::string& name, Endpoint& endpoint) {
+  const bool is_ready = endpoint.is_listed && !administratively_drained_.contains(name);
+  if (endpoint.is_ready && !is_ready) endpoint.drain_started = clock_();
+  endpoint.is_ready = is_ready;
+  if (!is_ready) close_idle(endpoint);  // a replica that shuts down waits for its connections to close
 }
 
-// Replicas are replaced under new names all day: what is gone must not be kept.
-void ConnectionPool::forget_gone() {
-  std::erase_if(endpoints_, [](const auto& entry) { return entry.second.gone && entry.second.lines == 0; });
+// Replicas are replaced under new names all day: their state must not pile up.
+void ConnectionPool::erase_removed_endpoints() {
+  std::erase_if(endpoints_, [](const auto& entry) {
+    const Endpoint& endpoint = entry.second;
+    return endpoint.is_removed && endpoint.connection_count == 0;
+  });
 }
 
-ConnectionPool::Endpoint* ConnectionPool::find(const std::string& name) {
+Endpoint* ConnectionPool::find_endpoint(const std::string& name) {
   const auto it = endpoints_.find(name);
   return it == endpoints_.end() ? nullptr : &it->second;
 }
 
-// ---- lines ----
+Endpoint& ConnectionPool::endpoint_of(const PooledConnection& connection) {
+  return *find_endpoint(connection.endpoint);
+}
 
-bool ConnectionPool::rested(SlotId id) { return clock_() - lines_.find(id)->parked_at >= kRest; }
+bool ConnectionPool::is_outdated(const PooledConnection& connection) {
+  const Endpoint& endpoint = endpoint_of(connection);
+  if (connection.address != endpoint.address) return true;
+  return !endpoint.is_ready && clock_() > endpoint.drain_started + last_first_byte(options_.drain_grace);
+}
+
+// ---- opening and reuse ----
 
-// The idle connection used last that has rested and still stands, or a new one. Empty: none may be opened.
-SlotId ConnectionPool::take(const std::string& name, Duration patience) {
-  Endpoint* found = find(name);
-  if (found == nullptr) return {};
-  Endpoint& endpoint = *found;
+SlotId ConnectionPool::acquire(const std::string& name, Duration connect_timeout) {
+  Endpoint* endpoint = find_endpoint(name);
+  if (endpoint == nullptr) return {};
   const Time now = clock_();
-  const bool suspect = endpoint.asked != Time{} && now - endpoint.asked > kSuspect;
-  const bool distrust = reuse_failed_ != Time{} && now - reuse_failed_ < kDistrust;
-  for (std::size_t i = suspect || distrust ? 0 : endpoint.idle.size(); i-- > 0;) {
+  const bool is_quarantined = last_reuse_failure_ != Time{} && now - last_reuse_failure_ < kReuseQuarantine;
+  if (!endpoint->is_unresponsive(now, kUnresponsiveAfter) && !is_quarantined) {
+    if (const SlotId id = acquire_idle(*endpoint)) return id;
+  }
+  if (connections_.size() >= options_.max_connections && !evict_idle()) return {};
+  return open(name, *endpoint, now, connect_timeout);
+}
+
+SlotId ConnectionPool::acquire_idle(Endpoint& endpoint) {
+  for (std::size_t i = endpoint.idle.size(); i-- > 0;) {
     const SlotId id = endpoint.idle[i];
-    if (!rested(id)) continue;
-    PooledConnection& line = *lines_.find(id);
-    if (line.connection->stale()) {
-      drop(id);
+    if (!has_settled(id)) continue;
+    PooledConnection& connection = *connections_.find(id);
+    if (connection.transport->stale()) {
+      close(id);
       continue;
     }
     endpoint.idle.erase(endpoint.idle.begin() + static_cast<std::ptrdiff_t>(i));
-    line.parked = false;
-    --idle_;
-    timers_.drop(line.limit);
+    connection.is_parked = false;
+    --idle_count_;
+    timers_.drop(connection.timer);
     return id;
   }
-  if (lines_.size() >= options_.max_connections && !shed()) return {};
-  const SlotId id = lines_.emplace();
-  ++endpoint.lines;
-  PooledConnection& line = *lines_.find(id);
-  line.endpoint = name;
-  line.address = endpoint.address;
-  line.connection = net::Connection::connect(io_, endpoint.address, *this, id, kMaxIn, kMaxOut);
-  line.opened = now;
-  line.limit = timers_.add(now + patience, [this, id] {
-    connects_.timed_out();
-    broke(id);
+  return {};
+}
+
+SlotId ConnectionPool::open(const std::string& name, Endpoint& endpoint, Time now, Duration connect_timeout) {
+  const SlotId id = connections_.emplace();
+  ++endpoint.connection_count;
+  PooledConnection& connection = *connections_.find(id);
+  connection.endpoint = name;
+  connection.address = endpoint.address;
+  connection.transport =
+      net::Connection::connect(io_, endpoint.address, *handler_, id, kMaxInputBytes, kMaxOutputBytes);
+  connection.opened_at = now;
+  connection.timer = timers_.add(now + connect_timeout, [this, id] {
+    connect_timeout_estimator_.on_timeout();
+    handler_->on_connect_timeout(id);
   });
   return id;
 }
 
-bool ConnectionPool::shed() {
-  while (!idle_order_.empty()) {
-    const SlotId id = idle_order_.front();
-    idle_order_.pop_front();
-    const PooledConnection* line = lines_.find(id);
-    if (line == nullptr || !line->parked) continue;
-    drop(id);
-    return true;
-  }
-  return false;
+SlotId ConnectionPool::adopt(const std::string& name, net::UniqueFd socket) {
+  auto transport = std::make_shared<net::Connection>(net::adopt_socket(io_, std::move(socket)),
+                                                     kMaxInputBytes, kMaxOutputBytes);
+  const SlotId id = connections_.emplace();
+  PooledConnection& connection = *connections_.find(id);
+  const auto [entry, is_new] = endpoints_.try_emplace(name);
+  Endpoint& endpoint = entry->second;
+  if (is_new) endpoint.is_removed = true;  // it has left the list since the other process connected to it
+  ++endpoint.connection_count;
+  connection.endpoint = name;
+  connection.address = endpoint.address;
+  connection.is_connected = true;
+  connection.is_reused = true;
+  connection.transport = std::move(transport);
+  connection.transport->own(*handler_, id);
+  return id;
 }
 
-void ConnectionPool::drop_idle(Endpoint& endpoint) {
-  while (!endpoint.idle.empty()) drop(SlotId(endpoint.idle.back()));
+void ConnectionPool::on_connected(PooledConnection& connection) {
+  connection.is_connected = true;
+  connect_timeout_estimator_.on_connected(clock_() - connection.opened_at);
+  timers_.drop(connection.timer);
 }
 
-void ConnectionPool::start(SlotId id, Kind kind, std::string request) {
-  PooledConnection& line = *lines_.find(id);
-  line.kind = kind;
-  line.request = std::move(request);
-  line.sent = false;
-  line.answers = false;
-  line.reader.reset();
-  line.framer = {};
-  line.ending = {};
-  if (kind == Kind::kAttempt) ++find(line.endpoint)->busy;
-  if (line.connected) write(id, line);
+bool ConnectionPool::has_settled(SlotId id) {
+  return clock_() - connections_.find(id)->parked_at >= kSettleTime;
 }
 
-void ConnectionPool::end_exchange(PooledConnection& line) {
-  if (line.kind == Kind::kAttempt) --find(line.endpoint)->busy;
-  line.kind = Kind::kNone;
+bool ConnectionPool::has_reusable_connection(const Endpoint& endpoint) {
+  return !endpoint.idle.empty() && has_settled(endpoint.idle.front());
 }
 
-void ConnectionPool::write(SlotId id, PooledConnection& line) {
-  if (line.kind == Kind::kAttempt) {
-    if (!engine_->wanted(line.attempt)) {
-      fail_later(line.attempt, AttemptStatus::kNeverSent);
-      return park(id);
-    }
-    leases_.stop(line.id);  // it may be about to leave a state
-  }
-  line.connection->write(line.request);
-  line.request.clear();
-  line.request.shrink_to_fit();
-  Endpoint& endpoint = *find(line.endpoint);
-  if (endpoint.asked == Time{}) endpoint.asked = clock_();
-  line.connection->read();
-}
+// ---- parking and closing ----
 
 void ConnectionPool::park(SlotId id) {
-  PooledConnection& line = *lines_.find(id);
-  end_exchange(line);
-  line.reused = true;
-  line.reader.reset();
-  Endpoint& endpoint = *find(line.endpoint);  // which is kept while it has connections
-  const bool moved = line.address != endpoint.address;
-  if (endpoint.idle.size() >= options_.max_idle || !endpoint.ready || moved) return drop(id);
-  if (idle_ >= options_.max_idle_all) shed();
+  PooledConnection& connection = *connections_.find(id);
+  end_exchange(connection);
+  connection.is_reused = true;
+  connection.exchange.reader.reset();
+  Endpoint& endpoint = endpoint_of(connection);
+  const bool has_moved = connection.address != endpoint.address;
+  if (endpoint.idle.size() >= options_.max_idle_per_endpoint || !endpoint.is_ready || has_moved) {
+    return close(id);
+  }
+  if (idle_count_ >= options_.max_idle_total) evict_idle();
   endpoint.idle.push_back(id);
-  line.parked = true;
-  line.parked_at = clock_();
+  connection.is_parked = true;
+  connection.parked_at = clock_();
   idle_order_.push_back(id);
-  while (!idle_order_.empty() && idle_order_.size() > 4 * options_.max_idle_all) idle_order_.pop_front();
-  ++idle_;
-  const auto stay = Duration(std::llround(static_cast<double>(options_.idle_timeout.count()) * kIdlePart));
-  line.limit = timers_.add(clock_() + stay, [this, id] { drop(id); });
-  line.connection->read();  // to notice its end
-}
-
-void ConnectionPool::drop(SlotId id) {
-  PooledConnection* line = lines_.find(id);
-  if (line == nullptr) return;
-  Endpoint& endpoint = *find(line->endpoint);
-  auto& idle = endpoint.idle;
-  if (const auto it = std::find(idle.begin(), idle.end(), id); it != idle.end()) {
-    idle.erase(it);
-    --idle_;
-  }
-  timers_.drop(line->limit);
-  end_exchange(*line);
-  line->connection->close();
-  lines_.erase(id);
-  --endpoint.lines;
-}
-
-// ---- attempts ----
-
-void ConnectionPool::send(AttemptId attempt, const std::string& name,
-                          std::shared_ptr<const engine::UpstreamRequest> message, Time deadline,
-                          Time connect_by) {
-  const Duration patience = connects_.patience();
-  const Duration bound = connect_by == Time{} ? patience : connect_by - clock_();
-  const SlotId id = take(name, std::clamp(bound, Duration(0), patience));
-  if (!id) return fail_later(attempt, AttemptStatus::kConnectFailed);
-  PooledConnection& line = *lines_.find(id);
-  line.attempt = attempt;
-  line.id = message->id;
-  attempts_[attempt] = id;
-  start(id, Kind::kAttempt, request_text(*message, deadline - clock_()));
-}
-
-// Nothing was sent; the engine must not hear of it before its own call has returned.
-void ConnectionPool::fail_later(AttemptId attempt, AttemptStatus status) {
-  attempts_[attempt] = SlotId{};
-  timers_.add(clock_(), [this, attempt, status] {
-    if (attempts_.erase(attempt) > 0) engine_->ended(attempt, {status, 0, {}});
-  });
-}
-
-bool ConnectionPool::under_way(AttemptId attempt) {
-  const PooledConnection* line = line_of(attempt);
-  return line != nullptr && line->connected;
-}
-
-bool ConnectionPool::abandon(AttemptId attempt) {
-  const auto it = attempts_.find(attempt);
-  if (it == attempts_.end()) return true;
-  const SlotId id = it->second;
-  attempts_.erase(it);
-  const PooledConnection* line = lines_.find(id);
-  const bool delivered = line != nullptr && line->sent;
-  drop(id);
-  return delivered;
-}
-
-void ConnectionPool::pause(AttemptId attempt) {
-  const auto it = attempts_.find(attempt);
-  if (it == attempts_.end()) return;
-  if (PooledConnection* line = lines_.find(it->second)) line->connection->pause();
-}
-
-void ConnectionPool::resume(AttemptId attempt) {
-  const auto it = attempts_.find(attempt);
-  if (it == attempts_.end()) return;
-  if (PooledConnection* line = lines_.find(it->second)) line->connection->read();
-}
-
-// ---- streams that change hands ----
-
-ConnectionPool::PooledConnection* ConnectionPool::line_of(AttemptId attempt) {
-  const auto it = attempts_.find(attempt);
-  return it == attempts_.end() ? nullptr : lines_.find(it->second);
-}
-
-bool ConnectionPool::hush(AttemptId attempt) {
-  PooledConnection* line = line_of(attempt);
-  if (line == nullptr || !line->sent || !line->reader.head_done()) return false;
-  if (!line->reader.message().chunked() || !line->framer.rest().empty()) return false;
-  if (line->connection->input().size() > kMaxUnread) return false;
-  if (!std::exchange(line->hushed, true)) line->connection->hush();
-  return line->connection->still();
-}
-
-void ConnectionPool::wake(AttemptId attempt) {
-  PooledConnection* line = line_of(attempt);
-  if (line != nullptr && std::exchange(line->hushed, false)) line->connection->read();
-}
-
-std::pair<net::UniqueFd, ConnectionPool::Given> ConnectionPool::give(AttemptId attempt) {
-  PooledConnection& line = *line_of(attempt);
-  Given given;
-  given.endpoint = line.endpoint;
-  given.unread = line.connection->input().text();
-  given.chunk_left = line.reader.chunk_left();
-  given.keep_alive = line.reader.keep_alive();
-  net::UniqueFd socket = line.connection->copy();
-  drop(attempts_.extract(attempt).mapped());
-  return {std::move(socket), std::move(given)};
-}
-
-void ConnectionPool::adopt(AttemptId attempt, net::UniqueFd socket, const Given& given) {
-  auto connection =
-      std::make_shared<net::Connection>(net::adopt_socket(io_, std::move(socket)), kMaxIn, kMaxOut);
-  const SlotId id = lines_.emplace();
-  PooledConnection& line = *lines_.find(id);
-  const auto [entry, unknown] = endpoints_.try_emplace(given.endpoint);
-  Endpoint& endpoint = entry->second;
-  if (unknown) endpoint.gone = true;  // it left the list meanwhile
-  ++endpoint.lines;
-  ++endpoint.busy;
-  line.endpoint = given.endpoint;
-  line.address = endpoint.address;
-  line.kind = Kind::kAttempt;
-  line.attempt = attempt;
-  line.connected = line.sent = line.reused = line.answers = true;
-  line.reader.resume_chunks(given.chunk_left, given.keep_alive);
-  line.connection = std::move(connection);
-  line.connection->own(*this, id);
-  line.connection->take_in(given.unread);
-  attempts_[attempt] = id;
-  // What was unread may be all that was left of it.
-  timers_.add(clock_(), [this, id] {
-    if (lines_.find(id) == nullptr) return;
-    on_data(id);
-    if (PooledConnection* still = lines_.find(id); still != nullptr && still->kind != Kind::kNone)
-      still->connection->read();
-  });
-}
-
-// ---- leases ----
-
-void ConnectionPool::hold(AttemptId attempt, const std::string& name, const std::string& request) {
-  const SlotId id = take(name, connects_.patience());
-  if (!id) return;
-  PooledConnection& line = *lines_.find(id);
-  line.attempt = attempt;
-  line.id = request;
-  start(id, Kind::kHold, lease_text("POST", request));
-}
-
-// A call to hold a place that still waits for its connection would come after this one.
-void ConnectionPool::release(const std::string& id, Time until) {
-  for (const SlotId waiting : lines_.ids()) {
-    const PooledConnection& line = *lines_.find(waiting);
-    if (line.kind == Kind::kHold && !line.connected && line.id == id) drop(waiting);
-  }
-  leases_.release(id, until);
-}
-
-ReservationReleaser::Bounds ConnectionPool::lease_bounds(const Options& options) {
-  return {options.lease_patience, options.release_again,
-          std::max<std::size_t>(1, options.max_connections / kReleasePart)};
-}
-
-SlotId ConnectionPool::call_release(const std::string& endpoint, const std::string& id) {
-  const SlotId line_id = take(endpoint, options_.lease_patience);
-  if (!line_id) return {};
-  PooledConnection& line = *lines_.find(line_id);
-  line.id = id;
-  start(line_id, Kind::kRelease, lease_text("DELETE", id));
-  timers_.drop(line.limit);  // it may still be heard while the next ones are asked
-  return line_id;
-}
-
-std::vector<upstream::Listener> ConnectionPool::listeners() {
-  std::vector<upstream::Listener> all;
-  const Time now = clock_();
-  for (const auto& [name, endpoint] : endpoints_) {
-    if (!endpoint.ready) continue;
-    const bool silent = endpoint.asked != Time{} && now - endpoint.asked > options_.lease_patience;
-    all.push_back({name, endpoint.zone, endpoint.cell,
-                   !endpoint.idle.empty() && rested(endpoint.idle.front()), silent, endpoint.heard});
-  }
-  return all;
-}
-
-// ---- what the connections tell ----
-
-void ConnectionPool::on_connected(SlotId id, net::error_code error) {
-  PooledConnection* line = lines_.find(id);
-  if (line == nullptr) return;
-  if (error) return broke(id);
-  line->connected = true;
-  connects_.came_up(clock_() - line->opened);
-  timers_.drop(line->limit);
-  if (too_late(*line)) return broke(id);
-  write(id, *line);
-}
-
-// The router chose this replica before it was told of the drain or of another address. Its first byte must
-// not go out late. A release is welcome anywhere.
-bool ConnectionPool::too_late(const PooledConnection& line) {
-  if (line.kind != Kind::kAttempt && line.kind != Kind::kHold) return false;
-  const Endpoint& endpoint = *find(line.endpoint);
-  if (line.address != endpoint.address) return true;
-  return !endpoint.ready && clock_() > endpoint.drained + drain_care(options_.drain_grace);
-}
-
-void ConnectionPool::on_sent(SlotId id) {
-  PooledConnection* line = lines_.find(id);
-  if (line != nullptr && line->connection->output().empty()) line->sent = true;
-}
-
-void ConnectionPool::on_data(SlotId id) {
-  if (PooledConnection* line = lines_.find(id)) read(id, *line);
-}
-
-void ConnectionPool::on_ended(SlotId id, net::error_code error) {
-  PooledConnection* line = lines_.find(id);
-  if (line == nullptr) return;
-  if (line->kind != Kind::kNone && error == boost::asio::error::eof && line->reader.started() &&
-      line->reader.end() == http::Progress::kDone) {
-    if (line->kind == Kind::kAttempt && line->reader.message().result_int() == 200)
-      pass_events(id, line->reader.take_body());
-    if ((line = lines_.find(id)) != nullptr && line->kind != Kind::kNone) complete(id);
-    return;
-  }
-  broke(id);
-}
-
-void ConnectionPool::read(SlotId id, PooledConnection& first) {
-  if (first.kind == Kind::kNone) return drop(id);  // an idle connection has nothing to say
-  Endpoint& endpoint = *find(first.endpoint);
-  endpoint.heard = clock_();
-  endpoint.asked = endpoint.busy > 0 ? endpoint.heard : Time{};  // what is under way owes the next
-  if (!first.sent) {                                             // no answer to what was not written yet
-    log_("host " + first.endpoint + " answered before it was asked");
-    return broke(id);
-  }
-  const http::Progress progress = read_answer(id, first);
-  if (progress == http::Progress::kBad) return spoilt(id, first.reader.error().message());
-  if (first.reader.head_done() && first.kind == Kind::kAttempt && first.reader.message().result_int() == 200)
-    pass_events(id, first.reader.take_body());
-  PooledConnection* line = lines_.find(id);
-  if (line == nullptr || line->kind == Kind::kNone) return;
-  if (line->reader.message().body().size() > http::kMaxBody || line->framer.too_long())
-    return spoilt(id, "no end of an event or a body");
-  if (progress == http::Progress::kDone) complete(id);
-}
-
-// Informational answers may come ahead of the one that counts.
-http::Progress ConnectionPool::read_answer(SlotId id, PooledConnection& line) {
-  http::Progress progress = line.reader.read(line.connection->input());
-  while (progress == http::Progress::kDone && line.reader.message().result_int() / 100 == 1) {
-    line.reader.reset();
-    progress = line.reader.read(line.connection->input());
-  }
-  if (line.reader.started() && !std::exchange(line.answers, true) && line.kind == Kind::kAttempt)
-    line.limit = timers_.add(clock_() + kOpening, [this, id] { spoilt(id, "no event"); });
-  return progress;
-}
-
-// Whole events go on at once; a load report and the count of tokens found kept are noted on the way.
-void ConnectionPool::pass_events(SlotId id, std::string_view bytes) {
-  PooledConnection* line = lines_.find(id);
-  std::string whole;
-  for (const std::string& event : line->framer.feed(bytes)) {
-    note_event(event, line->ending);
-    whole += event;
+  const std::size_t max_order = kIdleOrderFactor * options_.max_idle_total;
+  while (!idle_order_.empty() && idle_order_.size() > max_order) idle_order_.pop_front();
+  ++idle_count_;
+  const auto idle_timeout = static_cast<double>(options_.idle_timeout.count());
+  const auto max_idle_time = Duration(std::llround(idle_timeout * kIdleTimeoutFraction));
+  connection.timer = timers_.add(clock_() + max_idle_time, [this, id] { close(id); });
+  connection.transport->read();  // to notice that the replica closes it
+}
+
+void ConnectionPool::close(SlotId id) {
+  PooledConnection* connection = connections_.find(id);
+  if (connection == nullptr) return;
+  Endpoint& endpoint = endpoint_of(*connection);
+  remove_from_idle(endpoint, id);
+  timers_.drop(connection->timer);
+  end_exchange(*connection);
+  connection->transport->close();
+  connections_.erase(id);
+  --endpoint.connection_count;
+}
+
+void ConnectionPool::remove_from_idle(Endpoint& endpoint, SlotId id) {
+  const auto it = std::find(endpoint.idle.begin(), endpoint.idle.end(), id);
+  if (it == endpoint.idle.end()) return;
+  endpoint.idle.erase(it);
+  --idle_count_;
+}
+
+void ConnectionPool::end_exchange(PooledConnection& connection) {
+  ExchangeKind& kind = connection.exchange.request.kind;
+  if (kind == ExchangeKind::kAttempt) --endpoint_of(connection).running_attempts;
+  kind = ExchangeKind::kNone;
+  connection.exchange.handler = nullptr;
+}
+
+bool ConnectionPool::evict_idle() {
+  while (!idle_order_.empty()) {
+    const SlotId id = idle_order_.front();
+    idle_order_.pop_front();
+    const PooledConnection* connection = connections_.find(id);
+    if (connection == nullptr || !connection->is_parked) continue;
+    close(id);
+    return true;
   }
-  if (whole.empty()) return;
-  timers_.drop(line->limit);
-  engine_->events(line->attempt, whole);
-}
-
-// The connection failed, or was never made.
-void ConnectionPool::broke(SlotId id) {
-  const PooledConnection* line = lines_.find(id);
-  if (line != nullptr) lost(id, line->sent ? AttemptStatus::kReset : AttemptStatus::kConnectFailed);
-}
-
-// The replica runs, and what it says can't be read: it may have done what was asked for.
-void ConnectionPool::spoilt(SlotId id, std::string_view why) {
-  const PooledConnection* line = lines_.find(id);
-  if (line == nullptr) return;
-  log_("host " + line->endpoint + " spoilt an answer: " + std::string(why));
-  lost(id, AttemptStatus::kError);
-}
-
-// The exchange ended without an answer.
-void ConnectionPool::lost(SlotId id, AttemptStatus status, bool blameless) {
-  PooledConnection* line = lines_.find(id);
-  if (line == nullptr) return;
-  const Kind kind = line->kind;
-  const AttemptId attempt = line->attempt;
-  const std::string lease = line->id;
-  engine::AttemptResult ending = line->ending;
-  ending.status = status;
-  const bool made = status == AttemptStatus::kConnectFailed && line->connected;
-  ending.note = line->answers || made || blameless ? 1 : 0;
-  if (line->reused && !line->answers) reuse_failed_ = clock_();
-  drop(id);
-  if (kind == Kind::kAttempt && attempts_.erase(attempt) > 0) return engine_->ended(attempt, ending);
-  if (kind == Kind::kRelease) leases_.failed(lease, id);
+  return false;
 }
 
-void ConnectionPool::complete(SlotId id) {
-  const std::string last = lines_.find(id)->framer.finish();
-  if (!last.empty()) engine_->events(lines_.find(id)->attempt, last);
-  PooledConnection* found = lines_.find(id);
-  if (found == nullptr || found->kind == Kind::kNone) return;
-  PooledConnection& line = *found;
-  timers_.drop(line.limit);
-  const Kind kind = line.kind;
-  const AttemptId attempt = line.attempt;
-  const std::string lease = line.id;
-  const std::string endpoint = line.endpoint;
-  const int status = static_cast<int>(line.reader.message().result_int());
-  const engine::AttemptResult ending = judge(line.reader.message(), line.framer.rest(), line.ending);
-  if (kind == Kind::kAttempt && !is_usual(status))
-    log_("host " + endpoint + " answered " + std::to_string(status));
-  // Bytes past the answer are nobody's, and a connection that would be closed is not kept.
-  if (line.reader.keep_alive() && line.connection->input().empty() && line.sent) {
-    park(id);
-  } else {
-    drop(id);
+void ConnectionPool::close_idle(Endpoint& endpoint) {
+  while (!endpoint.idle.empty()) {
+    const SlotId id = endpoint.idle.back();
+    close(id);
   }
-  if (Endpoint* h = find(endpoint); h != nullptr && h->busy == 0) h->asked = {};
-  if (kind == Kind::kAttempt && attempts_.erase(attempt) > 0) return engine_->ended(attempt, ending);
-  if (kind == Kind::kHold && (status == 200 || status == 409))
-    return engine_->hold_answer(attempt, endpoint, status == 200);
-  if (kind != Kind::kRelease) return;
-  leases_.answered(lease, id);
-  if (engine_ != nullptr) engine_->released(lease);
 }
 
 }  // namespace dispatcher::upstream
--- a/src/upstream/connection_pool.hpp
+++ b/src/upstream/connection_pool.hpp
@@ -1,6 +1,4 @@
-// The replicas' side: pooled connections, one exchange at a time on each, and the calls about leases.
-// Never sends anything twice by itself: what is tried again is the router's to say. Only the lease calls,
-// which may be repeated freely, go to further replicas by themselves.
+// Pooled connections to replicas: opening, reuse, limits, and the table of known endpoints.
 #ifndef DISPATCHER_UPSTREAM_CONNECTION_POOL_HPP_
 #define DISPATCHER_UPSTREAM_CONNECTION_POOL_HPP_
 
@@ -12,160 +10,112 @@
 #include <string>
 #include <vector>
 
-#include "engine/engine.hpp"
-#include "http/event_framer.hpp"
-#include "http/message.hpp"
+#include "engine/timer_queue.hpp"
 #include "net/connection.hpp"
+#include "net/slot_table.hpp"
+#include "net/unique_fd.hpp"
 #include "upstream/connect_timeout_estimator.hpp"
-#include "upstream/reservation_releaser.hpp"
+#include "upstream/endpoint.hpp"
+#include "upstream/exchange.hpp"
+#include "upstream/options.hpp"
 
 namespace dispatcher::upstream {
 
-using engine::AttemptId;
-using routing::AttemptStatus;
-
-struct Options {
-  Duration connect_timeout{};      // the longest that a new connection is waited for; see
-                                   // upstream::ConnectTimeoutEstimator
-  Duration idle_timeout{};         // the replica's side closes a connection that has stood idle for so long
-  Duration lease_patience{};       // until further replicas are asked to let go of a state
-  std::size_t max_idle = 24;       // idle connections kept to one replica ...
-  std::size_t max_idle_all = 160;  // ... and to all
-  std::size_t max_connections = 360;                        // connections open at once, whatever they do
-  Duration drain_grace = std::chrono::milliseconds(250);    // for a first byte, after a replica's drain
-  Duration release_again = std::chrono::milliseconds(200);  // while something may still leave a state
+// A connection and what it carries. Owned by ConnectionPool.
+struct PooledConnection {
+  std::string endpoint;
+  net::tcp::endpoint address;  // where the endpoint listened when the connection was opened
+  std::shared_ptr<net::Connection> transport;
+  Time opened_at{};
+  Time parked_at{};
+  bool is_connected = false;
+  bool is_reused = false;             // has served an exchange before
+  bool is_reading_suspended = false;  // see StreamHandover
+  bool is_parked = false;             // in its endpoint's idle list; only such a connection may be evicted
+  Exchange exchange;
+  engine::TimerQueue::Id timer;  // limits connecting, the wait for a first event, or idleness
 };
 
-// Where a replica listens, as discovery tells.
-struct EndpointAddress {
-  std::string endpoint;
-  net::tcp::endpoint address;
-  bool ready = false, gone = false;
-  std::string zone = {};
-  int cell = 0;
+// Who is notified of what happens on the pool's connections; called from the event loop's thread.
+class ConnectionHandler : public net::Connection::Owner {
+ public:
+  // A new connection has not come up in time. It is still in the pool.
+  virtual void on_connect_timeout(SlotId id) = 0;
 };
 
-class ConnectionPool : public engine::UpstreamClient,
-                       private net::Connection::Owner,
-                       private ReservationReleaser::ReleaseConnections {
+// Opens, keeps and closes the connections to replicas. An idle connection is parked under its endpoint and
+// used again; limits hold for one endpoint, for all idle connections and for all connections. Runs on the
+// event loop's thread, never blocks, and never calls its handler from inside a call.
+class ConnectionPool {
  public:
   ConnectionPool(boost::asio::io_context& io, engine::TimerQueue& timers, engine::Clock clock,
-                 engine::Log log, const Options& options);
-  void attach(engine::Engine& engine) { engine_ = &engine; }
-  void endpoints(const std::vector<EndpointAddress>& addresses, bool whole);
-  // Offline, a host gets no first byte of anything any more: what waits for a connection there has failed
-  // without having been sent. What runs goes on.
-  void maintain(const std::string& endpoint, bool offline);
-  // Other bounds and times for what is opened from now on.
-  void adopt(const Options& options);
-  // For handing a running stream to another process, as http::Server does. hush(): does it stand between two
-  // events? What is to be known of it besides its socket is in Given.
-  struct Given {
-    std::string endpoint, unread;
-    std::uint64_t chunk_left = 0;
-    bool keep_alive = true;
-  };
-  bool hush(AttemptId attempt);
-  void wake(AttemptId attempt);
-  std::pair<net::UniqueFd, Given> give(AttemptId attempt);
-  void adopt(AttemptId attempt, net::UniqueFd socket, const Given& given);
-  // Closes the oldest idle connection: descriptors are short. False: there is none.
-  bool shed();
-  [[nodiscard]] std::size_t open() const { return lines_.size(); }
-  [[nodiscard]] std::size_t endpoints_known() const { return endpoints_.size(); }
-  [[nodiscard]] std::size_t leases_out() const { return leases_.out(); }
-  [[nodiscard]] std::size_t leases_pressing() const {
-    return leases_.pressing();
-  }  // that a process's end must wait for
-
-  void send(AttemptId attempt, const std::string& endpoint,
-            std::shared_ptr<const engine::UpstreamRequest> message, Time deadline, Time connect_by) override;
-  bool abandon(AttemptId attempt) override;
-  void pause(AttemptId attempt) override;
-  void resume(AttemptId attempt) override;
-  void hold(AttemptId attempt, const std::string& endpoint, const std::string& id) override;
-  void release(const std::string& id, Time until) override;
-  bool under_way(AttemptId attempt) override;
+                 const Options& options);
+  // Must be called before the first connection is acquired; `handler` must outlive the pool's last event.
+  void set_handler(ConnectionHandler& handler) { handler_ = &handler; }
+  // Limits and times for what is opened from now on; idle connections past the new limit are closed.
+  void apply_options(const Options& options);
 
- private:
-  enum class Kind { kNone, kAttempt, kHold, kRelease };
-  // A connection and what it carries.
-  struct PooledConnection {
-    std::string endpoint;
-    net::tcp::endpoint address;  // where the host listened when it was opened
-    std::shared_ptr<net::Connection> connection;
-    Time opened{}, parked_at{};
-    bool connected = false, sent = false;
-    bool reused = false;  // has served an exchange before
-    bool hushed = false;
-    bool parked = false;      // in its host's idle list; only such a line may be closed to make room
-    bool answers = false;     // bytes of an answer have come, other than informational ones
-    Kind kind = Kind::kNone;  // kNone: idle, or being opened for nobody any more
-    AttemptId attempt;
-    std::string id;       // of the request that an attempt or a lease call is about
-    std::string request;  // to be written once the connection is up
-    http::ResponseReader reader{std::nullopt};
-    http::EventFramer framer;
-    engine::AttemptResult ending;
-    engine::TimerQueue::Id limit;  // to connect, to begin a stream, to answer a lease call, or to stand idle
-  };
-  struct Endpoint {
-    net::tcp::endpoint address;
-    std::string zone;
-    int cell = 0;
-    bool listed = false;               // discovery has it as up
-    bool ready = false, gone = false;  // ready: listed, and operators did not leave it out
-    std::size_t lines = 0;  // open connections; a host that is gone is forgotten with the last of them
-    Time drained{}, heard{};
-    std::size_t busy = 0;     // attempts under way
-    Time asked{};             // since when it owes a sign of life; zero: it owes none
-    std::deque<SlotId> idle;  // the last used at the back
-  };
-  void on_connected(SlotId id, net::error_code error) override;
-  void on_data(SlotId id) override;
-  void on_sent(SlotId id) override;
-  void on_ended(SlotId id, net::error_code error) override;
+  // Takes a change of service discovery's list, or, if `is_complete`, all of a new one.
+  void update_endpoints(const std::vector<EndpointAddress>& addresses, bool is_complete);
+  // By the operators' word, whether the endpoint is listed or not.
+  void set_administratively_drained(const std::string& name, bool is_drained);
 
-  SlotId take(const std::string& endpoint, Duration patience);
-  void start(SlotId id, Kind kind, std::string request);
-  void write(SlotId id, PooledConnection& line);
-  void read(SlotId id, PooledConnection& line);
-  http::Progress read_answer(SlotId id, PooledConnection& line);
-  void pass_events(SlotId id, std::string_view bytes);
-  void broke(SlotId id);
-  void spoilt(SlotId id, std::string_view why);
-  void lost(SlotId id, AttemptStatus status, bool blameless = false);  // blameless: not the host's doing
-  Endpoint* find(const std::string& name);
-  PooledConnection* line_of(AttemptId attempt);
-  void review(const std::string& name, Endpoint& endpoint);
-  void forget_gone();
-  void end_exchange(PooledConnection& line);
-  void complete(SlotId id);
+  // The connection last used that is fit for reuse, else a new one that fails after `connect_timeout`.
+  // Empty: none may be opened, or the endpoint is unknown.
+  [[nodiscard]] SlotId acquire(const std::string& name, Duration connect_timeout);
+  // Takes over a connected socket to an endpoint from another process; throws where it is no TCP socket.
+  [[nodiscard]] SlotId adopt(const std::string& name, net::UniqueFd socket);
+  // Keeps a connection whose exchange has ended for the next one, or closes it where it can't be kept.
   void park(SlotId id);
-  void drop(SlotId id) override;
-  void drop_idle(Endpoint& endpoint);
-  bool rested(SlotId line);
-  bool too_late(const PooledConnection& line);
-  static ReservationReleaser::Bounds lease_bounds(const Options& options);
-  SlotId call_release(const std::string& endpoint, const std::string& id) override;
-  std::vector<upstream::Listener> listeners() override;
-  void fail_later(AttemptId attempt, AttemptStatus status);
+  // Closes a connection at once, whatever it carries; its handler hears nothing more. Unknown ids are
+  // ignored.
+  void close(SlotId id);
+  // Closes the connection that has been idle for longest. False: none is idle.
+  bool evict_idle();
+
+  void on_connected(PooledConnection& connection);
+  // Must a connection that has just come up not be written to? Its endpoint has been draining for too long,
+  // or listens elsewhere by now, and the router chose it before it was notified of that.
+  [[nodiscard]] bool is_outdated(const PooledConnection& connection);
+  // A reused connection broke without a response: for a while, only new connections are used.
+  void quarantine_reuse() { last_reuse_failure_ = clock_(); }
+
+  // nullptr: the connection has been closed.
+  [[nodiscard]] PooledConnection* find(SlotId id) { return connections_.find(id); }
+  // nullptr: unknown. An endpoint is known while it has connections.
+  [[nodiscard]] Endpoint* find_endpoint(const std::string& name);
+  [[nodiscard]] Endpoint& endpoint_of(const PooledConnection& connection);
+  [[nodiscard]] const std::map<std::string, Endpoint>& endpoints() const { return endpoints_; }
+  [[nodiscard]] std::vector<SlotId> ids() const { return connections_.ids(); }
+  [[nodiscard]] std::size_t size() const { return connections_.size(); }
+  // How long to wait for a new connection, by how long others took.
+  [[nodiscard]] Duration connect_timeout() const { return connect_timeout_estimator_.timeout(); }
+  // Has the endpoint an idle connection that may be used again?
+  [[nodiscard]] bool has_reusable_connection(const Endpoint& endpoint);
+
+ private:
+  [[nodiscard]] SlotId acquire_idle(Endpoint& endpoint);
+  [[nodiscard]] SlotId open(const std::string& name, Endpoint& endpoint, Time now, Duration connect_timeout);
+  [[nodiscard]] bool has_settled(SlotId id);
+  void update_readiness(const std::string& name, Endpoint& endpoint);
+  void close_idle(Endpoint& endpoint);
+  void remove_from_idle(Endpoint& endpoint, SlotId id);
+  void end_exchange(PooledConnection& connection);
+  void erase_removed_endpoints();
 
   boost::asio::io_context& io_;
   engine::TimerQueue& timers_;
   engine::Clock clock_;
-  engine::Log log_;
   Options options_;
-  engine::Engine* engine_ = nullptr;
-  net::SlotTable<PooledConnection> lines_;
+  ConnectionHandler* handler_ = nullptr;
+  net::SlotTable<PooledConnection> connections_;
   std::map<std::string, Endpoint> endpoints_;
-  std::set<std::string> offline_;  // by the operators' word, whether listed or not
-  std::map<AttemptId, SlotId> attempts_;
-  ReservationReleaser leases_;
-  std::deque<SlotId> idle_order_;  // all that went idle, oldest first; may name lines gone or taken since
-  std::size_t idle_ = 0;
-  upstream::ConnectTimeoutEstimator connects_;
-  Time reuse_failed_{};  // when a connection that was used again last broke without an answer
+  std::set<std::string> administratively_drained_;
+  // All connections that became idle, oldest first; may name some that were closed or acquired since.
+  std::deque<SlotId> idle_order_;
+  std::size_t idle_count_ = 0;
+  ConnectTimeoutEstimator connect_timeout_estimator_;
+  Time last_reuse_failure_{};  // zero: never
 };
 
 }  // namespace dispatcher::upstream
--- a/src/upstream/exchange.hpp
+++ b/src/upstream/exchange.hpp
@@ -1,26 +1,75 @@
-// What is said to replicas, and what their answers mean. No I/O.
+// One request and its response on a pooled connection.
 #ifndef DISPATCHER_UPSTREAM_EXCHANGE_HPP_
 #define DISPATCHER_UPSTREAM_EXCHANGE_HPP_
 
+#include <optional>
 #include <string>
 #include <string_view>
 
 #include "engine/engine.hpp"
 #include "http/event_framer.hpp"
 #include "http/message.hpp"
+#include "net/slot_table.hpp"
 
 namespace dispatcher::upstream {
 
-std::string request_text(const engine::UpstreamRequest& message, engine::Duration left);
-std::string lease_text(std::string_view method, const std::string& id);
+using engine::AttemptId;
+using net::SlotId;
 
-// Takes what an event tells besides its text: a load report, the count of tokens found kept.
-void note_event(const std::string& event, engine::AttemptResult& ending);
-// What a whole answer means, on top of what its events told. `rest`: what stands after its last whole event.
-engine::AttemptResult judge(const http::ResponseReader::Message& message, std::string_view rest,
-                            engine::AttemptResult ending);
-// One that replicas give as the protocol has it.
-bool is_usual(int status);
+// What a connection is used for.
+enum class ExchangeKind {
+  kNone,         // idle, or being opened for nobody any more
+  kAttempt,      // an attempt of a client's request
+  kReservation,  // a call that reserves a place for a request
+  kRelease,      // a call that releases what is reserved for a request
+};
+
+// What is to be sent, and for whom.
+struct ExchangeRequest {
+  ExchangeKind kind = ExchangeKind::kNone;
+  AttemptId attempt;       // of kAttempt and kReservation
+  std::string request_id;  // of the client's request that it is about
+  std::string text;        // of the HTTP request; empty once it is handed to the connection
+};
+
+// How an exchange ended.
+struct ExchangeOutcome {
+  SlotId connection;
+  ExchangeKind kind = ExchangeKind::kNone;
+  AttemptId attempt;
+  std::string request_id;
+  std::string endpoint;
+  std::optional<int> http_status;  // nothing: the exchange failed without a complete response
+  engine::AttemptResult result;    // of kAttempt only
+};
+
+// Whoever started an exchange. Must outlive it. All calls come from the event loop's thread and may start or
+// end other exchanges.
+class ExchangeHandler {
+ public:
+  virtual ~ExchangeHandler() = default;
+  // Called right before the first byte is written. False: the exchange is no longer wanted; its connection
+  // goes back to the pool and no further call is made.
+  [[nodiscard]] virtual bool confirm_write(const ExchangeRequest&) { return true; }
+  // Complete server-sent events of a response, in order.
+  virtual void on_events(AttemptId, std::string_view /*complete_events*/) {}
+  // The last call of an exchange. Its connection has been closed or parked by then.
+  virtual void on_exchange_ended(const ExchangeOutcome& outcome) = 0;
+};
+
+// The state of one exchange, kept in its connection. It stays readable after the exchange has ended, with
+// kind kNone, until the next one begins.
+struct Exchange {
+  ExchangeRequest request;
+  ExchangeHandler* handler = nullptr;  // set while the kind is not kNone
+  bool is_request_sent = false;
+  bool has_response_started = false;  // bytes of a response other than an informational one have come
+  http::ResponseReader reader{std::nullopt};
+  http::EventFramer framer;
+  engine::AttemptResult result;  // what the events have reported so far
+
+  [[nodiscard]] bool is_active() const { return request.kind != ExchangeKind::kNone; }
+};
 
 }  // namespace dispatcher::upstream
 
--- /dev/null
+++ b/src/upstream/exchange_runner.cpp
@@ -0,0 +1,250 @@
+#include "upstream/exchange_runner.hpp"
+
+#include <string>
+#include <utility>
+
+#include "upstream/protocol.hpp"
+
+namespace dispatcher::upstream {
+
+using routing::AttemptStatus;
+
+namespace {
+
+// The head of a response comes with the first token: one that has begun and brings no event soon has failed.
+constexpr Duration kFirstEventTimeout = std::chrono::milliseconds(1000);
+
+// AttemptResult::note of a failure that leaves no doubt that the endpoint runs, or doesn't tell of it.
+constexpr int kNoteEndpointNotDown = 1;
+
+unsigned http_status(Exchange& exchange) { return exchange.reader.message().result_int(); }
+
+// Does the response carry the events of an attempt's stream?
+bool is_event_stream(Exchange& exchange) {
+  return exchange.request.kind == ExchangeKind::kAttempt && http_status(exchange) == kHttpOk;
+}
+
+bool is_informational(Exchange& exchange) { return http_status(exchange) / 100 == 1; }
+
+ExchangeOutcome make_outcome(SlotId id, const PooledConnection& connection) {
+  const ExchangeRequest& request = connection.exchange.request;
+  return {id, request.kind, request.attempt, request.request_id, connection.endpoint, {}, {}};
+}
+
+}  // namespace
+
+ExchangeRunner::ExchangeRunner(ConnectionPool& pool, engine::TimerQueue& timers, engine::Clock clock,
+                               engine::Log log)
+    : pool_(pool), timers_(timers), clock_(std::move(clock)), log_(std::move(log)) {
+  pool_.set_handler(*this);
+}
+
+// ---- the request ----
+
+void ExchangeRunner::start(SlotId id, ExchangeHandler& handler, ExchangeRequest request) {
+  PooledConnection& connection = *pool_.find(id);
+  Exchange& exchange = connection.exchange;
+  exchange.request = std::move(request);
+  exchange.handler = &handler;
+  exchange.is_request_sent = false;
+  exchange.has_response_started = false;
+  exchange.reader.reset();
+  exchange.framer = {};
+  exchange.result = {};
+  if (exchange.request.kind == ExchangeKind::kAttempt) ++pool_.endpoint_of(connection).running_attempts;
+  if (connection.is_connected) write_request(id, connection);
+}
+
+void ExchangeRunner::write_request(SlotId id, PooledConnection& connection) {
+  Exchange& exchange = connection.exchange;
+  if (exchange.is_active() && !exchange.handler->confirm_write(exchange.request)) return pool_.park(id);
+  connection.transport->write(exchange.request.text);
+  exchange.request.text.clear();
+  exchange.request.text.shrink_to_fit();
+  pool_.endpoint_of(connection).on_request_written(clock_());
+  connection.transport->read();
+}
+
+void ExchangeRunner::on_connected(SlotId id, net::error_code error) {
+  PooledConnection* connection = pool_.find(id);
+  if (connection == nullptr) return;
+  if (error) return on_connection_broken(id);
+  pool_.on_connected(*connection);
+  const ExchangeKind kind = connection->exchange.request.kind;
+  const bool gives_work = kind == ExchangeKind::kAttempt || kind == ExchangeKind::kReservation;
+  // A release may go to any replica that runs, also to one that drains.
+  if (gives_work && pool_.is_outdated(*connection)) return on_connection_broken(id);
+  write_request(id, *connection);
+}
+
+void ExchangeRunner::on_sent(SlotId id) {
+  PooledConnection* connection = pool_.find(id);
+  if (connection == nullptr) return;
+  if (connection->transport->output().empty()) connection->exchange.is_request_sent = true;
+}
+
+// ---- the response ----
+
+void ExchangeRunner::resume_response(SlotId id, ExchangeHandler& handler, AttemptId attempt,
+                                     const ResponsePosition& position, std::string_view unread) {
+  PooledConnection& connection = *pool_.find(id);
+  Exchange& exchange = connection.exchange;
+  exchange.request.kind = ExchangeKind::kAttempt;
+  exchange.request.attempt = attempt;
+  exchange.handler = &handler;
+  exchange.is_request_sent = true;
+  exchange.has_response_started = true;
+  exchange.reader.resume_chunks(position.chunk_left, position.keep_alive);
+  ++pool_.endpoint_of(connection).running_attempts;
+  connection.transport->take_in(unread);
+  // The unread bytes may be all that is left of the response. The handler must not be called from in here.
+  timers_.add(clock_(), [this, id] {
+    if (pool_.find(id) == nullptr) return;
+    on_data(id);
+    PooledConnection* remaining = pool_.find(id);
+    if (remaining != nullptr && remaining->exchange.is_active()) remaining->transport->read();
+  });
+}
+
+void ExchangeRunner::on_data(SlotId id) {
+  if (PooledConnection* connection = pool_.find(id)) read_response(id, *connection);
+}
+
+void ExchangeRunner::read_response(SlotId id, PooledConnection& connection) {
+  Exchange& exchange = connection.exchange;
+  if (!exchange.is_active()) return pool_.close(id);  // nothing is due on an idle connection
+  pool_.endpoint_of(connection).on_bytes_received(clock_());
+  if (!exchange.is_request_sent) {  // no response to what was not written yet
+    log_("endpoint " + connection.endpoint + " answered before it was asked");
+    return on_connection_broken(id);
+  }
+  const http::Progress progress = parse_response(id, connection);
+  if (progress == http::Progress::kBad) return on_malformed_response(id, exchange.reader.error().message());
+  if (exchange.reader.head_done() && is_event_stream(exchange)) {
+    forward_events(id, exchange.reader.take_body());
+  }
+  // The events' receiver may have ended the exchange.
+  PooledConnection* remaining = pool_.find(id);
+  if (remaining == nullptr || !remaining->exchange.is_active()) return;
+  Exchange& unfinished = remaining->exchange;
+  if (unfinished.reader.message().body().size() > http::kMaxBody || unfinished.framer.too_long()) {
+    return on_malformed_response(id, "no end of an event or a body");
+  }
+  if (progress == http::Progress::kDone) complete_exchange(id);
+}
+
+// Skips informational responses, which may come ahead of the one that counts (RFC 9110, section 15.2).
+http::Progress ExchangeRunner::parse_response(SlotId id, PooledConnection& connection) {
+  Exchange& exchange = connection.exchange;
+  net::RingBuffer& input = connection.transport->input();
+  http::Progress progress = exchange.reader.read(input);
+  while (progress == http::Progress::kDone && is_informational(exchange)) {
+    exchange.reader.reset();
+    progress = exchange.reader.read(input);
+  }
+  if (!exchange.reader.started() || exchange.has_response_started) return progress;
+  exchange.has_response_started = true;
+  if (exchange.request.kind == ExchangeKind::kAttempt) {
+    connection.timer =
+        timers_.add(clock_() + kFirstEventTimeout, [this, id] { on_malformed_response(id, "no event"); });
+  }
+  return progress;
+}
+
+// Passes on complete events at once, and notes what they report besides their text.
+void ExchangeRunner::forward_events(SlotId id, std::string_view bytes) {
+  PooledConnection& connection = *pool_.find(id);
+  Exchange& exchange = connection.exchange;
+  std::string complete_events;
+  for (const std::string& event : exchange.framer.feed(bytes)) {
+    note_event(event, exchange.result);
+    complete_events += event;
+  }
+  if (complete_events.empty()) return;
+  timers_.drop(connection.timer);
+  exchange.handler->on_events(exchange.request.attempt, complete_events);
+}
+
+void ExchangeRunner::complete_exchange(SlotId id) {
+  Exchange& exchange = pool_.find(id)->exchange;
+  const std::string last_event = exchange.framer.finish();
+  if (!last_event.empty()) exchange.handler->on_events(exchange.request.attempt, last_event);
+  // The event's receiver may have ended the exchange.
+  PooledConnection* connection = pool_.find(id);
+  if (connection == nullptr || !connection->exchange.is_active()) return;
+  finish_complete_exchange(id, *connection);
+}
+
+void ExchangeRunner::finish_complete_exchange(SlotId id, PooledConnection& connection) {
+  Exchange& exchange = connection.exchange;
+  timers_.drop(connection.timer);
+  ExchangeHandler& handler = *exchange.handler;
+  ExchangeOutcome outcome = make_outcome(id, connection);
+  const int status = static_cast<int>(http_status(exchange));
+  outcome.http_status = status;
+  if (outcome.kind == ExchangeKind::kAttempt) {
+    outcome.result = interpret_response(exchange.reader.message(), exchange.framer.rest(), exchange.result);
+    if (!is_expected_status(status)) {
+      log_("endpoint " + outcome.endpoint + " answered " + std::to_string(status));
+    }
+  }
+  // Bytes past the response belong to no exchange; a connection with such is not kept.
+  const bool has_no_excess = connection.transport->input().empty();
+  if (exchange.reader.keep_alive() && has_no_excess && exchange.is_request_sent) {
+    pool_.park(id);
+  } else {
+    pool_.close(id);
+  }
+  if (Endpoint* endpoint = pool_.find_endpoint(outcome.endpoint)) endpoint->on_exchange_completed();
+  handler.on_exchange_ended(outcome);
+}
+
+// ---- failures ----
+
+void ExchangeRunner::on_ended(SlotId id, net::error_code error) {
+  PooledConnection* connection = pool_.find(id);
+  if (connection == nullptr) return;
+  Exchange& exchange = connection->exchange;
+  // The connection's end is that of a body with neither length nor chunks (RFC 9112, section 6.3).
+  const bool is_response_end = exchange.is_active() && error == boost::asio::error::eof &&
+                               exchange.reader.started() && exchange.reader.end() == http::Progress::kDone;
+  if (!is_response_end) return on_connection_broken(id);
+  if (is_event_stream(exchange)) forward_events(id, exchange.reader.take_body());
+  connection = pool_.find(id);
+  if (connection != nullptr && connection->exchange.is_active()) complete_exchange(id);
+}
+
+// The connection failed, or was never made.
+void ExchangeRunner::on_connection_broken(SlotId id) {
+  const PooledConnection* connection = pool_.find(id);
+  if (connection == nullptr) return;
+  const bool is_sent = connection->exchange.is_request_sent;
+  fail_exchange(id, is_sent ? AttemptStatus::kReset : AttemptStatus::kConnectFailed);
+}
+
+// The replica runs, and its response can't be read: it may have done what was asked for.
+void ExchangeRunner::on_malformed_response(SlotId id, std::string_view reason) {
+  const PooledConnection* connection = pool_.find(id);
+  if (connection == nullptr) return;
+  log_("endpoint " + connection->endpoint + " sent a malformed response: " + std::string(reason));
+  fail_exchange(id, AttemptStatus::kError);
+}
+
+void ExchangeRunner::fail_exchange(SlotId id, AttemptStatus status, FailureAttribution attribution) {
+  const PooledConnection* connection = pool_.find(id);
+  if (connection == nullptr) return;
+  const Exchange& exchange = connection->exchange;
+  ExchangeHandler* handler = exchange.handler;
+  ExchangeOutcome outcome = make_outcome(id, *connection);
+  outcome.result = exchange.result;
+  outcome.result.status = status;
+  const bool failed_once_connected = status == AttemptStatus::kConnectFailed && connection->is_connected;
+  const bool is_endpoint_running = exchange.has_response_started || failed_once_connected;
+  const bool is_exempt = attribution == FailureAttribution::kNone;
+  outcome.result.note = is_endpoint_running || is_exempt ? kNoteEndpointNotDown : 0;
+  if (connection->is_reused && !exchange.has_response_started) pool_.quarantine_reuse();
+  pool_.close(id);
+  if (handler != nullptr) handler->on_exchange_ended(outcome);
+}
+
+}  // namespace dispatcher::upstream
--- /dev/null
+++ b/src/upstream/protocol.cpp
@@ -0,0 +1,145 @@
+#include "upstream/protocol.hpp"
+
+#include <nlohmann/json.hpp>
+#include <optional>
+
+#include "wire.hpp"
+
+namespace dispatcher::upstream {
+
+using routing::AttemptStatus;
+using Json = nlohmann::json;
+
+namespace {
+
+// An event stream's comment that carries a load report, as the response header of the same name does.
+constexpr std::string_view kLoadComment = ": X-Backend-Load:";
+
+// A number in a load report at or above this is taken for an error of the replica.
+constexpr double kMaxReportedValue = 1e6;
+
+std::string request_head(std::string_view method, std::string_view target) {
+  std::string text;
+  text.append(method).append(" ").append(target).append(" HTTP/1.1\r\nHost: backend.local\r\n");
+  return text;
+}
+
+std::string reservation_text(std::string_view method, const std::string& request_id) {
+  return request_head(method, "/kv/leases/" + request_id) + "Content-Length: 0\r\n\r\n";
+}
+
+// Is the request itself at fault, whichever replica it is sent to, and not the time or the load?
+bool rejects_request(int status) {
+  const bool is_temporary =
+      status == kHttpRequestTimeout || status == kHttpTooEarly || status == kHttpTooManyRequests;
+  return status / 100 == 4 && !is_temporary;
+}
+
+int cached_tokens(const Json& object) {
+  if (!object.is_object()) return 0;
+  const auto it = object.find("cached_tokens");
+  return it != object.end() && it->is_number_integer() ? it->get<int>() : 0;
+}
+
+bool is_plausible(const std::optional<double>& value) {
+  return !value || (*value >= 0 && *value < kMaxReportedValue);
+}
+
+// An unreadable report counts as none: the response is good all the same.
+routing::LoadReport parse_report(std::string_view text) {
+  const Json fields = Json::parse(text, nullptr, false);
+  if (!fields.is_object()) return {};
+  try {
+    const routing::LoadReport report = dispatcher::wire::parse_load(fields);
+    const bool are_plausible = is_plausible(report.in_hand) && is_plausible(report.memory_share) &&
+                               is_plausible(report.prompt_kilotokens);
+    return are_plausible ? report : routing::LoadReport{};
+  } catch (const dispatcher::wire::WireError&) {
+    return {};
+  }
+}
+
+// A stream that has ended: whole, or within an event. A comment needs no blank line at the very end.
+void interpret_stream_end(std::string_view unfinished_event, engine::AttemptResult& result) {
+  if (unfinished_event.starts_with(kLoadComment)) {
+    result.report = parse_report(unfinished_event.substr(kLoadComment.size()));
+  }
+  if (unfinished_event.empty() || unfinished_event.front() == ':') {
+    result.status = AttemptStatus::kServed;
+    return;
+  }
+  result.status = AttemptStatus::kReset;
+  result.note = 1;
+}
+
+}  // namespace
+
+std::string request_text(const engine::UpstreamRequest& request, engine::Duration time_left) {
+  std::string text = request_head(request.method, request.target);
+  text += "X-Correlation-Id: " + request.id + "\r\n";
+  text += "X-Time-Left-Ms: " + std::to_string(time_left.count() / 1000) + "\r\n";
+  text += request.headers;
+  text += "Content-Length: " + std::to_string(request.body.size()) + "\r\n\r\n";
+  return text + request.body;
+}
+
+std::string reserve_text(const std::string& request_id) { return reservation_text("POST", request_id); }
+
+std::string release_text(const std::string& request_id) { return reservation_text("DELETE", request_id); }
+
+void note_event(const std::string& event, engine::AttemptResult& result) {
+  if (event.starts_with(kLoadComment)) {
+    result.report = parse_report(std::string_view(event).substr(kLoadComment.size()));
+    return;
+  }
+  if (event.find("\"cached_tokens\"") == std::string::npos) return;
+  const Json usage = Json::parse(http::event_field(event, "data"), nullptr, false);
+  const auto path = Json::json_pointer("/usage/prompt_tokens_details");
+  if (usage.is_object() && usage.contains(path)) result.note = cached_tokens(usage.at(path));
+}
+
+engine::AttemptResult interpret_response(const http::ResponseReader::Message& response,
+                                         std::string_view unfinished_event, engine::AttemptResult result) {
+  const auto load = http::header(response, "X-Backend-Load");
+  if (!load.empty()) result.report = parse_report(load);
+  const bool is_unprocessed = http::header(response, "X-Unprocessed") == "1";
+  const int status = static_cast<int>(response.result_int());
+  switch (status) {
+    case kHttpOk:
+      interpret_stream_end(unfinished_event, result);
+      break;
+    case kHttpAccepted:
+      result.status = AttemptStatus::kRead;
+      result.note = cached_tokens(Json::parse(response.body(), nullptr, false));
+      break;
+    case kHttpGone:
+      result.status = is_unprocessed ? AttemptStatus::kFull : AttemptStatus::kError;
+      result.note = is_unprocessed ? 1 : 0;
+      break;
+    case kHttpServiceUnavailable:
+    case kHttpGatewayTimeout:
+      result.status = is_unprocessed ? AttemptStatus::kFull : AttemptStatus::kError;
+      break;
+    default:
+      result.unusable = rejects_request(status);
+      // A request that no replica can use is no sign of this replica's health.
+      result.status = result.unusable ? AttemptStatus::kNeverSent : AttemptStatus::kError;
+  }
+  return result;
+}
+
+bool is_expected_status(int status) {
+  switch (status) {
+    case kHttpOk:
+    case kHttpAccepted:
+    case kHttpGone:
+    case kHttpInternalServerError:
+    case kHttpServiceUnavailable:
+    case kHttpGatewayTimeout:
+      return true;
+    default:
+      return false;
+  }
+}
+
+}  // namespace dispatcher::upstream
--- a/src/upstream/release_targets.cpp
+++ b/src/upstream/release_targets.cpp
@@ -1,62 +1,83 @@
 #include "upstream/release_targets.hpp"
 
 #include <algorithm>
+#include <chrono>
 #include <tuple>
 
 namespace dispatcher::upstream {
 
 namespace {
-constexpr std::size_t kMaxAtOnce = 8;  // calls of one round: the others of the fleet may be asking as well
-// Two pin limits' worth: what can be reached at all was found by then.
-constexpr int kBriskRounds = 12;
-constexpr Duration kLongestPause = std::chrono::seconds(1);
+
+// Calls of one round: the other dispatchers of the fleet may be calling as well.
+constexpr std::size_t kMaxRoundWidth = 8;
+// Rounds at the first interval, two reservation limits' worth: what can be reached was found by then.
+constexpr int kRoundsBeforeBackoff = 12;
+// After an outage, the next round must not be far.
+constexpr Duration kMaxInterval = std::chrono::seconds(1);
+
+template <class Map, class Key>
+int calls_to(const Map& calls, const Key& key) {
+  const auto it = calls.find(key);
+  return it == calls.end() ? 0 : it->second;
+}
+
+bool is_known_reachable(const ReleaseCandidate& candidate) {
+  return candidate.has_idle_connection && !candidate.is_unresponsive;
+}
+
 }  // namespace
 
-// Zones and cells that were asked less come first: what keeps one host silent mostly keeps its neighbours so.
-const Listener* ReleaseTargets::best(const std::vector<Listener>& listeners) const {
-  const auto calls = [](const auto& map, const auto& key) {
-    const auto it = map.find(key);
-    return it == map.end() ? 0 : it->second;
-  };
-  const auto rank = [&](const Listener& l) {
-    return std::tuple(-calls(zones_, l.zone), -calls(cells_, std::pair(l.zone, l.cell)), !l.silent,
-                      l.connected, l.heard);
+// Zones and cells with fewer calls come first: what makes one endpoint unreachable mostly does so to its
+// neighbours. Of equals, the first one in the list is taken.
+const ReleaseCandidate* ReleaseTargets::best(const std::vector<ReleaseCandidate>& candidates) const {
+  const auto rank = [&](const ReleaseCandidate& candidate) {
+    return std::tuple(-calls_to(calls_by_zone_, candidate.zone),
+                      -calls_to(calls_by_cell_, Cell(candidate.zone, candidate.cell)),
+                      !candidate.is_unresponsive, candidate.has_idle_connection, candidate.last_received);
   };
-  const Listener* found = nullptr;
-  for (const Listener& l : listeners) {
-    if (tried_.contains(l.endpoint)) continue;
-    if (found == nullptr || rank(l) > rank(*found)) found = &l;
+  const ReleaseCandidate* found = nullptr;
+  for (const ReleaseCandidate& candidate : candidates) {
+    if (called_.contains(candidate.endpoint)) continue;
+    if (found == nullptr || rank(candidate) > rank(*found)) found = &candidate;
   }
   return found;
 }
 
-std::vector<std::string> ReleaseTargets::round(Time now, const std::vector<Listener>& listeners) {
-  std::vector<std::string> chosen;
-  if (over(now)) return chosen;
-  ++rounds_;
-  while (chosen.size() < std::min(width_, listeners.size())) {
-    const Listener* next = best(listeners);
-    if (next == nullptr) {  // all were asked: from the start
-      if (!chosen.empty()) break;
-      tried_.clear();
+std::vector<std::string> ReleaseTargets::next_round(Time now,
+                                                    const std::vector<ReleaseCandidate>& candidates) {
+  std::vector<std::string> targets;
+  if (has_expired(now)) return targets;
+  ++round_count_;
+  while (targets.size() < std::min(width_, candidates.size())) {
+    const ReleaseCandidate* next = best(candidates);
+    if (next == nullptr) {  // all were called: from the start
+      if (!targets.empty()) break;
+      called_.clear();
       continue;
     }
-    // Nobody sure to hear: two at once from the start.
-    if (asked_ == 0 && chosen.empty() && (!next->connected || next->silent)) width_ = 2;
-    chosen.push_back(next->endpoint);
-    tried_.insert(next->endpoint);
-    ++zones_[next->zone];
-    ++cells_[{next->zone, next->cell}];
-    ++asked_;
+    // Where even the best may not be reachable, a single call would lose a round.
+    const bool is_first_call = call_count_ == 0 && targets.empty();
+    if (is_first_call && !is_known_reachable(*next)) width_ = 2;
+    targets.push_back(next->endpoint);
+    note_call(*next);
   }
-  width_ = std::min(2 * width_, kMaxAtOnce);
-  return chosen;
+  width_ = std::min(2 * width_, kMaxRoundWidth);
+  return targets;
 }
 
-Duration ReleaseTargets::pause() const {
-  Duration pause = interval_;
-  for (int i = kBriskRounds; i < rounds_ && pause < kLongestPause; ++i) pause *= 2;
-  return std::max(interval_, std::min(pause, kLongestPause));
+void ReleaseTargets::note_call(const ReleaseCandidate& target) {
+  called_.insert(target.endpoint);
+  ++calls_by_zone_[target.zone];
+  ++calls_by_cell_[{target.zone, target.cell}];
+  ++call_count_;
+}
+
+Duration ReleaseTargets::next_interval() const {
+  Duration interval = interval_;
+  for (int round = kRoundsBeforeBackoff; round < round_count_ && interval < kMaxInterval; ++round) {
+    interval *= 2;
+  }
+  return std::max(interval_, std::min(interval, kMaxInterval));
 }
 
 }  // namespace dispatcher::upstream
--- a/src/upstream/release_targets.hpp
+++ b/src/upstream/release_targets.hpp
@@ -1,53 +1,61 @@
-// Whom to ask to let go of what is held for a request. Any replica that runs takes the call, so the calls go
-// on, in rounds that double and spread over zones and cells, until one is answered: a zone that has just
-// fallen silent holds most of those that were heard last. No I/O; the clock is passed in.
+// Which replicas to call to release the reservations of a request. No I/O; the clock is passed in.
 #ifndef DISPATCHER_UPSTREAM_RELEASE_TARGETS_HPP_
 #define DISPATCHER_UPSTREAM_RELEASE_TARGETS_HPP_
 
-#include <chrono>
 #include <map>
 #include <set>
 #include <string>
+#include <utility>
 #include <vector>
 
-namespace dispatcher::upstream {
+#include "upstream/options.hpp"
 
-using Time = std::chrono::microseconds;
-using Duration = std::chrono::microseconds;
+namespace dispatcher::upstream {
 
-// A replica as it may be asked.
-struct Listener {
-  std::string endpoint, zone;
+// A replica that a release may be sent to.
+struct ReleaseCandidate {
+  std::string endpoint;
+  std::string zone;
   int cell = 0;
-  bool connected = false;  // an idle connection to it is kept
-  bool silent = false;     // it owes an answer for longer than usual
-  Time heard{};            // when anything came from it last; zero: never
+  bool has_idle_connection = false;  // one that may be used again
+  bool is_unresponsive = false;      // its next bytes are overdue
+  Time last_received{};              // when bytes last came from it; zero: never
 };
 
+// Chooses the targets of one release, round by round, until one answers. Any replica that runs takes the
+// call, so that rounds widen and spread over zones and cells: a zone that has just become unreachable holds
+// most of the replicas that were heard from last. Not thread-safe; owned by ReservationReleaser.
 class ReleaseTargets {
  public:
-  // Asks for as long as `patience` after `begun`, at first every `interval`; a host that was asked in vain is
-  // asked again only after all others were.
-  ReleaseTargets(Time begun, Duration patience, Duration interval)
-      : begun_(begun), patience_(patience), interval_(interval) {}
-  // Those to ask in this round: one where the first of them is sure to hear, then ever more at once. Empty:
-  // there are none, or the time is over.
-  std::vector<std::string> round(Time now, const std::vector<Listener>& listeners);
-  // From the last round to the next. Where many rounds reached nobody, as in a cut, ever longer.
-  [[nodiscard]] Duration pause() const;
-  [[nodiscard]] bool over(Time now) const { return now >= begun_ + patience_; }
-  [[nodiscard]] Time begun() const { return begun_; }
-  [[nodiscard]] int asked() const { return asked_; }  // calls so far
+  // Chooses until `started` + `give_up_after`, at first every `interval`. An endpoint that did not answer is
+  // called again only after all others were.
+  ReleaseTargets(Time started, Duration give_up_after, Duration interval)
+      : started_(started), give_up_after_(give_up_after), interval_(interval) {}
+  // The endpoints to call in this round: a single one where it is known to be reachable, then twice as many
+  // in each round up to a limit. Empty: there are no candidates, or the time is over.
+  [[nodiscard]] std::vector<std::string> next_round(Time now,
+                                                    const std::vector<ReleaseCandidate>& candidates);
+  // From the last round to the next: longer with each round once many have reached nobody.
+  [[nodiscard]] Duration next_interval() const;
+  [[nodiscard]] bool has_expired(Time now) const { return now >= started_ + give_up_after_; }
+  [[nodiscard]] Time started() const { return started_; }
+  [[nodiscard]] int call_count() const { return call_count_; }
 
  private:
-  [[nodiscard]] const Listener* best(const std::vector<Listener>& listeners) const;
-  Time begun_;
-  Duration patience_, interval_;
-  std::size_t width_ = 1;
-  int asked_ = 0, rounds_ = 0;
-  std::set<std::string> tried_;
-  std::map<std::string, int> zones_;                  // calls in vain by zone ...
-  std::map<std::pair<std::string, int>, int> cells_;  // ... and by cell
+  using Cell = std::pair<std::string, int>;  // a zone, and the cell within it
+
+  [[nodiscard]] const ReleaseCandidate* best(const std::vector<ReleaseCandidate>& candidates) const;
+  void note_call(const ReleaseCandidate& target);
+
+  Time started_;
+  Duration give_up_after_;
+  Duration interval_;
+  std::size_t width_ = 1;  // calls of the next round
+  int call_count_ = 0;
+  int round_count_ = 0;
+  std::set<std::string> called_;  // endpoints called since all were last called
+  std::map<std::string, int> calls_by_zone_;
+  std::map<Cell, int> calls_by_cell_;
 };
 
 }  // namespace dispatcher::upstream
--- /dev/null
+++ b/src/upstream/replica_client.cpp
@@ -0,0 +1,63 @@
+#include "upstream/replica_client.hpp"
+
+#include <utility>
+
+namespace dispatcher::upstream {
+
+ReplicaClient::ReplicaClient(boost::asio::io_context& io, engine::TimerQueue& timers,
+                             const engine::Clock& clock, const engine::Log& log, const Options& options)
+    : pool_(io, timers, clock, options),
+      exchanges_(pool_, timers, clock, log),
+      reservations_(pool_, exchanges_, timers, clock, log, options),
+      attempts_(pool_, exchanges_, reservations_, timers, clock),
+      handover_(pool_, exchanges_, attempts_) {}
+
+void ReplicaClient::attach(engine::Engine& engine) {
+  attempts_.attach(engine);
+  reservations_.attach(engine);
+}
+
+void ReplicaClient::update_endpoints(const std::vector<EndpointAddress>& addresses, bool is_complete) {
+  pool_.update_endpoints(addresses, is_complete);
+}
+
+void ReplicaClient::set_administratively_drained(const std::string& endpoint, bool is_drained) {
+  pool_.set_administratively_drained(endpoint, is_drained);
+  if (!is_drained) return;
+  for (const SlotId id : pool_.ids()) {
+    const PooledConnection* connection = pool_.find(id);  // an exchange that fails may end others
+    if (connection == nullptr || connection->endpoint != endpoint || connection->is_connected) continue;
+    exchanges_.fail_exchange(id, routing::AttemptStatus::kConnectFailed, FailureAttribution::kNone);
+  }
+}
+
+void ReplicaClient::apply_options(const Options& options) {
+  reservations_.apply_options(options);
+  pool_.apply_options(options);
+}
+
+void ReplicaClient::adopt_stream(AttemptId attempt, DetachedStream stream) {
+  handover_.adopt_stream(attempt, std::move(stream));
+}
+
+void ReplicaClient::send(AttemptId attempt, const std::string& endpoint,
+                         std::shared_ptr<const engine::UpstreamRequest> message, Time deadline,
+                         Time connect_by) {
+  attempts_.start({attempt, endpoint, std::move(message), deadline, connect_by});
+}
+
+bool ReplicaClient::abandon(AttemptId attempt) { return attempts_.abandon(attempt); }
+
+void ReplicaClient::pause(AttemptId attempt) { attempts_.pause(attempt); }
+
+void ReplicaClient::resume(AttemptId attempt) { attempts_.resume(attempt); }
+
+void ReplicaClient::hold(AttemptId attempt, const std::string& endpoint, const std::string& id) {
+  reservations_.reserve(attempt, endpoint, id);
+}
+
+void ReplicaClient::release(const std::string& id, Time until) { reservations_.release(id, until); }
+
+bool ReplicaClient::under_way(AttemptId attempt) { return attempts_.is_connected(attempt); }
+
+}  // namespace dispatcher::upstream
--- /dev/null
+++ b/src/upstream/replica_client.hpp
@@ -0,0 +1,75 @@
+// The dispatcher's side towards the replicas: the engine's UpstreamClient over pooled HTTP/1.1 connections.
+#ifndef DISPATCHER_UPSTREAM_REPLICA_CLIENT_HPP_
+#define DISPATCHER_UPSTREAM_REPLICA_CLIENT_HPP_
+
+#include <boost/asio/io_context.hpp>
+#include <memory>
+#include <string>
+#include <vector>
+
+#include "engine/engine.hpp"
+#include "upstream/attempt_runner.hpp"
+#include "upstream/connection_pool.hpp"
+#include "upstream/exchange_runner.hpp"
+#include "upstream/options.hpp"
+#include "upstream/reservation_client.hpp"
+#include "upstream/stream_handover.hpp"
+
+namespace dispatcher::upstream {
+
+// Composes the connection pool, attempts, reservation calls and stream handover. Owned by the daemon's
+// Dispatcher; runs on the event loop's thread, and must outlive the loop's last event. Calls the engine from
+// events and timers only, but for Engine::wanted().
+class ReplicaClient : public engine::UpstreamClient {
+ public:
+  ReplicaClient(boost::asio::io_context& io, engine::TimerQueue& timers, const engine::Clock& clock,
+                const engine::Log& log, const Options& options);
+  ReplicaClient(const ReplicaClient&) = delete;
+  ReplicaClient& operator=(const ReplicaClient&) = delete;
+  // Must be called before the first attempt or reservation.
+  void attach(engine::Engine& engine);
+
+  // See ConnectionPool::update_endpoints().
+  void update_endpoints(const std::vector<EndpointAddress>& addresses, bool is_complete);
+  // A drained endpoint gets no first byte of anything any more: exchanges that wait for a connection to it
+  // fail as not sent. Those that run go on.
+  void set_administratively_drained(const std::string& endpoint, bool is_drained);
+  // Limits and times for what is opened from now on.
+  void apply_options(const Options& options);
+
+  // See StreamHandover.
+  [[nodiscard]] bool suspend_reading(AttemptId attempt) { return handover_.suspend_reading(attempt); }
+  void resume_reading(AttemptId attempt) { handover_.resume_reading(attempt); }
+  [[nodiscard]] DetachedStream detach_stream(AttemptId attempt) { return handover_.detach_stream(attempt); }
+  void adopt_stream(AttemptId attempt, DetachedStream stream);
+
+  // Closes the connection that has been idle for longest, where descriptors are short. False: none is idle.
+  bool evict_idle() { return pool_.evict_idle(); }
+  [[nodiscard]] std::size_t open_connections() const { return pool_.size(); }
+  [[nodiscard]] std::size_t known_endpoints() const { return pool_.endpoints().size(); }
+  // See ReservationClient.
+  [[nodiscard]] std::size_t pending_releases() const { return reservations_.pending_releases(); }
+  [[nodiscard]] std::size_t releases_blocking_shutdown() const {
+    return reservations_.releases_blocking_shutdown();
+  }
+
+  void send(AttemptId attempt, const std::string& endpoint,
+            std::shared_ptr<const engine::UpstreamRequest> message, Time deadline, Time connect_by) override;
+  bool abandon(AttemptId attempt) override;
+  void pause(AttemptId attempt) override;
+  void resume(AttemptId attempt) override;
+  void hold(AttemptId attempt, const std::string& endpoint, const std::string& id) override;
+  void release(const std::string& id, Time until) override;
+  bool under_way(AttemptId attempt) override;
+
+ private:
+  ConnectionPool pool_;
+  ExchangeRunner exchanges_;
+  ReservationClient reservations_;
+  AttemptRunner attempts_;
+  StreamHandover handover_;
+};
+
+}  // namespace dispatcher::upstream
+
+#endif  // DISPATCHER_UPSTREAM_REPLICA_CLIENT_HPP_
--- /dev/null
+++ b/src/upstream/reservation_client.cpp
@@ -0,0 +1,90 @@
+#include "upstream/reservation_client.hpp"
+
+#include <algorithm>
+
+#include "upstream/protocol.hpp"
+
+namespace dispatcher::upstream {
+
+namespace {
+
+// Release calls may have this part of all connections: a burst of them must leave room for attempts.
+constexpr std::size_t kReleaseConnectionsDivisor = 4;
+
+ReservationReleaser::Limits release_limits(const Options& options) {
+  return {options.release_round_interval, options.release_repeat_interval,
+          std::max<std::size_t>(1, options.max_connections / kReleaseConnectionsDivisor)};
+}
+
+}  // namespace
+
+ReservationClient::ReservationClient(ConnectionPool& pool, ExchangeRunner& exchanges,
+                                     engine::TimerQueue& timers, const engine::Clock& clock,
+                                     const engine::Log& log, const Options& options)
+    : pool_(pool),
+      exchanges_(exchanges),
+      timers_(timers),
+      clock_(clock),
+      round_interval_(options.release_round_interval),
+      releaser_(*this, timers, clock, log, release_limits(options)) {}
+
+void ReservationClient::apply_options(const Options& options) {
+  round_interval_ = options.release_round_interval;
+  releaser_.set_limits(release_limits(options));
+}
+
+void ReservationClient::reserve(AttemptId attempt, const std::string& endpoint,
+                                const std::string& request_id) {
+  const SlotId id = pool_.acquire(endpoint, pool_.connect_timeout());
+  if (!id) return;
+  exchanges_.start(id, *this, {ExchangeKind::kReservation, attempt, request_id, reserve_text(request_id)});
+}
+
+void ReservationClient::release(const std::string& request_id, Time until) {
+  // A reservation call that still waits for its connection would come after the release.
+  for (const SlotId id : pool_.ids()) {
+    const PooledConnection& connection = *pool_.find(id);
+    const ExchangeRequest& request = connection.exchange.request;
+    const bool is_unsent = request.kind == ExchangeKind::kReservation && !connection.is_connected;
+    if (is_unsent && request.request_id == request_id) pool_.close(id);
+  }
+  releaser_.release(request_id, until);
+}
+
+SlotId ReservationClient::start_release_call(const std::string& endpoint, const std::string& request_id) {
+  const SlotId id = pool_.acquire(endpoint, round_interval_);
+  if (!id) return {};
+  exchanges_.start(id, *this, {ExchangeKind::kRelease, {}, request_id, release_text(request_id)});
+  timers_.drop(pool_.find(id)->timer);  // its response counts also while further replicas are asked
+  return id;
+}
+
+std::vector<ReleaseCandidate> ReservationClient::release_candidates() {
+  std::vector<ReleaseCandidate> candidates;
+  const Time now = clock_();
+  for (const auto& [name, endpoint] : pool_.endpoints()) {
+    if (!endpoint.is_ready) continue;
+    candidates.push_back({name, endpoint.zone, endpoint.cell, pool_.has_reusable_connection(endpoint),
+                          endpoint.is_unresponsive(now, round_interval_), endpoint.last_received});
+  }
+  return candidates;
+}
+
+void ReservationClient::on_exchange_ended(const ExchangeOutcome& outcome) {
+  if (outcome.kind == ExchangeKind::kReservation) on_reservation_ended(outcome);
+  if (outcome.kind == ExchangeKind::kRelease) on_release_ended(outcome);
+}
+
+void ReservationClient::on_reservation_ended(const ExchangeOutcome& outcome) {
+  const bool is_granted = outcome.http_status == kHttpOk;
+  const bool is_denied = outcome.http_status == kHttpConflict;
+  if (is_granted || is_denied) engine_->hold_answer(outcome.attempt, outcome.endpoint, is_granted);
+}
+
+void ReservationClient::on_release_ended(const ExchangeOutcome& outcome) {
+  if (!outcome.http_status) return releaser_.on_call_failed(outcome.request_id, outcome.connection);
+  releaser_.on_call_answered(outcome.request_id, outcome.connection);
+  if (engine_ != nullptr) engine_->released(outcome.request_id);
+}
+
+}  // namespace dispatcher::upstream
--- /dev/null
+++ b/src/upstream/reservation_client.hpp
@@ -0,0 +1,60 @@
+// The calls to replicas that reserve a place for a request, or release what is reserved for it.
+#ifndef DISPATCHER_UPSTREAM_RESERVATION_CLIENT_HPP_
+#define DISPATCHER_UPSTREAM_RESERVATION_CLIENT_HPP_
+
+#include <string>
+#include <vector>
+
+#include "engine/engine.hpp"
+#include "upstream/connection_pool.hpp"
+#include "upstream/exchange_runner.hpp"
+#include "upstream/options.hpp"
+#include "upstream/reservation_releaser.hpp"
+
+namespace dispatcher::upstream {
+
+// Makes the calls about reservations. ReservationReleaser decides which replicas a release is sent to, and
+// how often; unlike attempts, releases are idempotent and go to further replicas by themselves. Owned by
+// ReplicaClient; runs on the event loop's thread, and calls the engine only from events.
+class ReservationClient : private ExchangeHandler, private ReservationReleaser::ReleaseTransport {
+ public:
+  ReservationClient(ConnectionPool& pool, ExchangeRunner& exchanges, engine::TimerQueue& timers,
+                    const engine::Clock& clock, const engine::Log& log, const Options& options);
+  // Without an engine, results of calls go to nobody.
+  void attach(engine::Engine& engine) { engine_ = &engine; }
+  void apply_options(const Options& options);
+
+  // Asks an endpoint to reserve a place for the request; Engine::hold_answer() is notified of its response.
+  void reserve(AttemptId attempt, const std::string& endpoint, const std::string& request_id);
+  // As engine::UpstreamClient::release().
+  void release(const std::string& request_id, Time until);
+  // Ends the calls of a release under way: they must not release what an attempt written now reserves.
+  void cancel_release(const std::string& request_id) { releaser_.cancel(request_id); }
+
+  // Releases that have not come to their end.
+  [[nodiscard]] std::size_t pending_releases() const { return releaser_.pending(); }
+  // Those of them that the process's end must wait for.
+  [[nodiscard]] std::size_t releases_blocking_shutdown() const { return releaser_.blocking_shutdown(); }
+
+ private:
+  void on_exchange_ended(const ExchangeOutcome& outcome) override;
+  void on_reservation_ended(const ExchangeOutcome& outcome);
+  void on_release_ended(const ExchangeOutcome& outcome);
+
+  [[nodiscard]] SlotId start_release_call(const std::string& endpoint,
+                                          const std::string& request_id) override;
+  void close_release_call(SlotId call) override { pool_.close(call); }
+  [[nodiscard]] std::vector<ReleaseCandidate> release_candidates() override;
+
+  ConnectionPool& pool_;
+  ExchangeRunner& exchanges_;
+  engine::TimerQueue& timers_;
+  engine::Clock clock_;
+  Duration round_interval_;
+  ReservationReleaser releaser_;
+  engine::Engine* engine_ = nullptr;
+};
+
+}  // namespace dispatcher::upstream
+
+#endif  // DISPATCHER_UPSTREAM_RESERVATION_CLIENT_HPP_
--- a/src/upstream/reservation_releaser.cpp
+++ b/src/upstream/reservation_releaser.cpp
@@ -2,104 +2,138 @@
 
 #include <algorithm>
 #include <chrono>
+#include <utility>
 
 namespace dispatcher::upstream {
 
 namespace {
 
-constexpr Duration kGiveUp = std::chrono::seconds(30);
+// A network partition may last for many seconds; a release that reached nobody for longer is given up.
+constexpr Duration kGiveUpAfter = std::chrono::seconds(30);
 // A process told to end waits for so long for a replica that can be reached.
-constexpr Duration kPressing = std::chrono::seconds(3);
-constexpr std::size_t kMaxCalls = 12;  // out at once for one request: what is older hardly comes through
+constexpr Duration kMaxShutdownWait = std::chrono::seconds(3);
+// Calls under way at once for one request: what is older hardly comes through.
+constexpr std::size_t kMaxCallsPerRelease = 12;
 
 }  // namespace
 
-void ReservationReleaser::release(const std::string& id, Time until) {
-  const auto [entry, anew] =
-      leases_.try_emplace(id, Lease{{clock_(), kGiveUp, bounds_.patience}, {}, until, false, {}});
-  Lease& lease = entry->second;
-  lease.until = std::max(lease.until, until);
-  if (anew) return ask(id);
-  if (lease.rests) begin(id, lease);
+ReservationReleaser::ReservationReleaser(ReleaseTransport& transport, engine::TimerQueue& timers,
+                                         engine::Clock clock, engine::Log log, const Limits& limits)
+    : transport_(transport),
+      timers_(timers),
+      clock_(std::move(clock)),
+      log_(std::move(log)),
+      limits_(limits) {}
+
+ReleaseTargets ReservationReleaser::new_targets(Time now) const {
+  return {now, kGiveUpAfter, limits_.round_interval};
+}
+
+void ReservationReleaser::release(const std::string& request_id, Time until) {
+  const auto [entry, is_new] =
+      releases_.try_emplace(request_id, Release{new_targets(clock_()), {}, until, false, {}});
+  Release& release = entry->second;
+  release.until = std::max(release.until, until);
+  if (is_new) return start_round(request_id);
+  if (release.is_awaiting_repeat) restart(request_id, release);
 }
 
-void ReservationReleaser::begin(const std::string& id, Lease& lease) {
-  lease.rests = false;
-  lease.plan = upstream::ReleaseTargets(clock_(), kGiveUp, bounds_.patience);
-  ask(id);
+void ReservationReleaser::restart(const std::string& request_id, Release& release) {
+  release.is_awaiting_repeat = false;
+  release.targets = new_targets(clock_());
+  start_round(request_id);
 }
 
-void ReservationReleaser::stop(const std::string& id) {
-  const auto lease = leases_.extract(id);
-  if (lease.empty()) return;
-  timers_.drop(lease.mapped().next);
-  hang_up(lease.mapped(), 0);
+void ReservationReleaser::cancel(const std::string& request_id) {
+  const auto release = releases_.extract(request_id);
+  if (release.empty()) return;
+  timers_.drop(release.mapped().timer);
+  close_calls(release.mapped(), 0);
 }
 
-void ReservationReleaser::hang_up(Lease& lease, std::size_t left) {
-  while (lease.lines.size() > left) {
-    lines_.drop(lease.lines.front());
-    lease.lines.pop_front();
-    --calls_;
+void ReservationReleaser::close_calls(Release& release, std::size_t remaining) {
+  while (release.calls.size() > remaining) {
+    transport_.close_release_call(release.calls.front());
+    release.calls.pop_front();
+    --call_count_;
   }
 }
 
-// One round of calls, and the next where none of them is answered soon.
-void ReservationReleaser::ask(const std::string& id) {
-  Lease& lease = leases_.at(id);
-  timers_.drop(lease.next);
+// One round of calls, and the next one if none of them is answered soon.
+void ReservationReleaser::start_round(const std::string& request_id) {
+  Release& release = releases_.at(request_id);
+  timers_.drop(release.timer);
   const Time now = clock_();
-  if (lease.plan.over(now)) {
-    log_("release of " + id + " reached no replica in " + std::to_string(lease.plan.asked()) + " calls");
-    return stop(id);
+  if (release.targets.has_expired(now)) {
+    const std::string calls = std::to_string(release.targets.call_count());
+    log_("release of " + request_id + " reached no replica in " + calls + " calls");
+    return cancel(request_id);
   }
-  const std::vector<std::string> round = lease.plan.round(now, lines_.listeners());
-  hang_up(lease, kMaxCalls - std::min(kMaxCalls, round.size()));
-  for (const std::string& endpoint : round) {
-    if (calls_ >= bounds_.max_calls) {
-      if (lease.lines.empty()) break;  // the calls of others: they end
-      hang_up(lease, lease.lines.size() - 1);
+  start_calls(request_id, release, release.targets.next_round(now, transport_.release_candidates()));
+  release.timer =
+      timers_.add(now + release.targets.next_interval(), [this, request_id] { start_round(request_id); });
+}
+
+void ReservationReleaser::start_calls(const std::string& request_id, Release& release,
+                                      const std::vector<std::string>& targets) {
+  close_calls(release, kMaxCallsPerRelease - std::min(kMaxCallsPerRelease, targets.size()));
+  for (const std::string& endpoint : targets) {
+    if (call_count_ >= limits_.max_calls) {
+      if (release.calls.empty()) break;  // the limit is used up by other releases, whose calls will end
+      close_calls(release, release.calls.size() - 1);
     }
-    const SlotId line = lines_.call_release(endpoint, id);
-    if (!line) continue;
-    lease.lines.push_back(line);
-    ++calls_;
+    const SlotId call = transport_.start_release_call(endpoint, request_id);
+    if (!call) continue;
+    release.calls.push_back(call);
+    ++call_count_;
   }
-  lease.next = timers_.add(now + lease.plan.pause(), [this, id] { ask(id); });
 }
 
-void ReservationReleaser::failed(const std::string& id, SlotId line) {
-  const auto it = leases_.find(id);
-  if (it == leases_.end() || std::erase(it->second.lines, line) == 0) return;
-  --calls_;
-  // Where all refuse at once, the next round waits for its time.
-  const std::size_t asked = static_cast<std::size_t>(it->second.plan.asked());
-  if (it->second.lines.empty() && asked < lines_.listeners().size()) ask(id);
+void ReservationReleaser::on_call_failed(const std::string& request_id, SlotId call) {
+  const auto it = releases_.find(request_id);
+  if (it == releases_.end()) return;
+  Release& release = it->second;
+  if (std::erase(release.calls, call) == 0) return;
+  --call_count_;
+  // Where all replicas refuse at once, the next round waits for its time.
+  const auto calls_made = static_cast<std::size_t>(release.targets.call_count());
+  if (release.calls.empty() && calls_made < transport_.release_candidates().size()) start_round(request_id);
+}
+
+void ReservationReleaser::on_call_answered(const std::string& request_id, SlotId call) {
+  const auto it = releases_.find(request_id);
+  if (it == releases_.end()) return;
+  Release& release = it->second;
+  call_count_ -= std::erase(release.calls, call);  // its connection stays with the pool
+  const Time now = clock_();
+  const Time started = release.targets.started();
+  if (release.targets.call_count() > 1) {
+    const auto elapsed = std::chrono::duration_cast<std::chrono::milliseconds>(now - started);
+    log_("release of " + request_id + " took " + std::to_string(release.targets.call_count()) + " calls, " +
+         std::to_string(elapsed.count()) + " ms");
+  }
+  if (started >= release.until) return cancel(request_id);
+  schedule_repeat(request_id, release, now);
 }
 
-void ReservationReleaser::answered(const std::string& id, SlotId line) {
-  const auto it = leases_.find(id);
-  if (it == leases_.end()) return;
-  Lease& lease = it->second;
-  calls_ -= std::erase(lease.lines, line);  // its connection is kept
-  const Time now = clock_(), begun = lease.plan.begun();
-  if (lease.plan.asked() > 1)
-    log_("release of " + id + " took " + std::to_string(lease.plan.asked()) + " calls, " +
-         std::to_string((now - begun).count() / 1000) + " ms");
-  if (begun >= lease.until) return stop(id);
-  timers_.drop(lease.next);
-  hang_up(lease, 0);
-  lease.rests = true;
-  const Time soonest = std::max(now + bounds_.patience, lease.until);  // what is left last goes with the last
-  lease.next = timers_.add(std::min(now + bounds_.again, soonest), [this, id] { begin(id, leases_.at(id)); });
+// The last repetition comes once nothing can leave a reservation any more.
+void ReservationReleaser::schedule_repeat(const std::string& request_id, Release& release, Time now) {
+  timers_.drop(release.timer);
+  close_calls(release, 0);
+  release.is_awaiting_repeat = true;
+  const Time last_repeat = std::max(now + limits_.round_interval, release.until);
+  release.timer = timers_.add(std::min(now + limits_.repeat_interval, last_repeat),
+                              [this, request_id] { restart(request_id, releases_.at(request_id)); });
 }
 
-std::size_t ReservationReleaser::pressing() const {
+std::size_t ReservationReleaser::blocking_shutdown() const {
   const Time now = clock_();
-  return static_cast<std::size_t>(std::count_if(leases_.begin(), leases_.end(), [&](const auto& entry) {
-    const Lease& lease = entry.second;
-    return lease.rests || now < std::max(lease.until, lease.plan.begun() + kPressing);
-  }));
+  const auto is_blocking = [&](const auto& entry) {
+    const Release& release = entry.second;
+    const Time wait_until = std::max(release.until, release.targets.started() + kMaxShutdownWait);
+    return release.is_awaiting_repeat || now < wait_until;
+  };
+  return static_cast<std::size_t>(std::count_if(releases_.begin(), releases_.end(), is_blocking));
 }
 
 }  // namespace dispatcher::upstream
--- a/src/upstream/reservation_releaser.hpp
+++ b/src/upstream/reservation_releaser.hpp
@@ -1,5 +1,4 @@
-// The calls that let go of what is held for requests: to further and further replicas until one answers, ever
-// more slowly where none can be reached, and anew for as long as something may still leave a state.
+// When and how often to call replicas to release the reservations of requests.
 #ifndef DISPATCHER_UPSTREAM_RESERVATION_RELEASER_HPP_
 #define DISPATCHER_UPSTREAM_RESERVATION_RELEASER_HPP_
 
@@ -9,69 +8,79 @@
 #include <vector>
 
 #include "engine/engine.hpp"
+#include "net/slot_table.hpp"
+#include "upstream/options.hpp"
 #include "upstream/release_targets.hpp"
 
 namespace dispatcher::upstream {
 
-using engine::Duration;
-using engine::Time;
 using net::SlotId;
 
+// Drives the releases of all requests. Each calls further and further replicas until one answers, with
+// growing intervals where none can be reached, and is repeated for as long as something may still leave a
+// reservation behind. Owned by ReservationClient; runs on the event loop's thread.
 class ReservationReleaser {
  public:
-  // What the calls go over. Never calls back from inside a call.
-  class ReleaseConnections {
+  // Makes the calls. Never calls back from inside a call.
+  class ReleaseTransport {
    public:
-    virtual ~ReleaseConnections() = default;
+    virtual ~ReleaseTransport() = default;
     // Empty: no connection may be opened now.
-    virtual SlotId call_release(const std::string& endpoint, const std::string& id) = 0;
-    virtual void drop(SlotId line) = 0;
-    virtual std::vector<upstream::Listener> listeners() = 0;
+    [[nodiscard]] virtual SlotId start_release_call(const std::string& endpoint,
+                                                    const std::string& request_id) = 0;
+    virtual void close_release_call(SlotId call) = 0;
+    [[nodiscard]] virtual std::vector<ReleaseCandidate> release_candidates() = 0;
   };
-  struct Bounds {
-    Duration patience{};        // with one round of calls, until the next
-    Duration again{};           // from an answer to the next call, where something may still leave a state
-    std::size_t max_calls = 0;  // calls out at once, for all requests together
+  struct Limits {
+    Duration round_interval{};   // from one round of calls to the next, at first
+    Duration repeat_interval{};  // from an answer to the next call, while a reservation may still be left
+    std::size_t max_calls = 0;   // calls under way at once, for all requests together
   };
-  ReservationReleaser(ReleaseConnections& lines, engine::TimerQueue& timers, engine::Clock clock,
-                      engine::Log log, const Bounds& bounds)
-      : lines_(lines), timers_(timers), clock_(std::move(clock)), log_(std::move(log)), bounds_(bounds) {}
+
+  ReservationReleaser(ReleaseTransport& transport, engine::TimerQueue& timers, engine::Clock clock,
+                      engine::Log log, const Limits& limits);
   ReservationReleaser(const ReservationReleaser&) = delete;
   ReservationReleaser& operator=(const ReservationReleaser&) = delete;
-  void bound(const Bounds& bounds) { bounds_ = bounds; }
+  void set_limits(const Limits& limits) { limits_ = limits; }
 
-  // `until`: by then, something of the request may still leave a state. One that is being asked for already
-  // goes on.
-  void release(const std::string& id, Time until);
-  // An attempt of the request is being written: calls before it must not take what it leaves.
-  void stop(const std::string& id);
-  void answered(const std::string& id, SlotId line);
-  void failed(const std::string& id, SlotId line);
+  // Releases what is reserved for the request. `until`: by then, something of the request may still leave a
+  // reservation. Continues a release of the request that is under way.
+  void release(const std::string& request_id, Time until);
+  // Ends a release and its calls: an attempt of the request is being written, whose reservation earlier calls
+  // must not release.
+  void cancel(const std::string& request_id);
+  // How a call ended. Calls of a release that has ended are ignored.
+  void on_call_answered(const std::string& request_id, SlotId call);
+  void on_call_failed(const std::string& request_id, SlotId call);
 
-  [[nodiscard]] std::size_t out() const { return leases_.size(); }
-  [[nodiscard]] std::size_t calls() const { return calls_; }
-  // Those that a process told to end waits for: not those that long reached nobody.
-  [[nodiscard]] std::size_t pressing() const;
+  // Releases that have not come to their end.
+  [[nodiscard]] std::size_t pending() const { return releases_.size(); }
+  // Those that a process told to end waits for: not those that have reached nobody for long.
+  [[nodiscard]] std::size_t blocking_shutdown() const;
 
  private:
-  struct Lease {
-    upstream::ReleaseTargets plan;
-    std::deque<SlotId> lines;  // the oldest call at the front
+  struct Release {
+    ReleaseTargets targets;
+    std::deque<SlotId> calls;  // under way, the oldest at the front
     Time until{};
-    bool rests = false;  // answered, to be asked for again
-    engine::TimerQueue::Id next;
+    bool is_awaiting_repeat = false;  // answered, and to be repeated
+    engine::TimerQueue::Id timer;     // of the next round, or the repetition
   };
-  void begin(const std::string& id, Lease& lease);
-  void ask(const std::string& id);
-  void hang_up(Lease& lease, std::size_t left);
+  [[nodiscard]] ReleaseTargets new_targets(Time now) const;
+  void restart(const std::string& request_id, Release& release);
+  void start_round(const std::string& request_id);
+  void start_calls(const std::string& request_id, Release& release, const std::vector<std::string>& targets);
+  void schedule_repeat(const std::string& request_id, Release& release, Time now);
+  // Closes the oldest calls, so that `remaining` are left.
+  void close_calls(Release& release, std::size_t remaining);
 
-  ReleaseConnections& lines_;
+  ReleaseTransport& transport_;
   engine::TimerQueue& timers_;
   engine::Clock clock_;
   engine::Log log_;
-  Bounds bounds_;
-  std::map<std::string, Lease> leases_;
-  std::size_t calls_ = 0;
+  Limits limits_;
+  std::map<std::string, Release> releases_;  // by request id
+  std::size_t call_count_ = 0;               // under way, of all releases
 };
 
 }  // namespace dispatcher::upstream
--- /dev/null
+++ b/src/upstream/stream_handover.cpp
@@ -0,0 +1,54 @@
+#include "upstream/stream_handover.hpp"
+
+#include <utility>
+
+namespace dispatcher::upstream {
+
+namespace {
+
+// A detached stream may have so many unread bytes: they pass to the other process in one message.
+constexpr std::size_t kMaxUnreadBytes = 4096;
+
+}  // namespace
+
+bool StreamHandover::suspend_reading(AttemptId attempt) {
+  PooledConnection* connection = attempts_.connection_of(attempt);
+  if (connection == nullptr) return false;
+  Exchange& exchange = connection->exchange;
+  if (!exchange.is_request_sent || !exchange.reader.head_done()) return false;
+  const bool is_between_events = exchange.framer.rest().empty();
+  if (!exchange.reader.message().chunked() || !is_between_events) return false;
+  if (connection->transport->input().size() > kMaxUnreadBytes) return false;
+  if (!connection->is_reading_suspended) {
+    connection->is_reading_suspended = true;
+    connection->transport->hush();
+  }
+  return connection->transport->still();
+}
+
+void StreamHandover::resume_reading(AttemptId attempt) {
+  PooledConnection* connection = attempts_.connection_of(attempt);
+  if (connection == nullptr || !connection->is_reading_suspended) return;
+  connection->is_reading_suspended = false;
+  connection->transport->read();
+}
+
+DetachedStream StreamHandover::detach_stream(AttemptId attempt) {
+  PooledConnection& connection = *attempts_.connection_of(attempt);
+  const http::ResponseReader& reader = connection.exchange.reader;
+  DetachedStream stream;
+  stream.endpoint = connection.endpoint;
+  stream.unread = connection.transport->input().text();
+  stream.position = {reader.chunk_left(), reader.keep_alive()};
+  stream.socket = connection.transport->copy();
+  pool_.close(attempts_.remove(attempt));
+  return stream;
+}
+
+void StreamHandover::adopt_stream(AttemptId attempt, DetachedStream stream) {
+  const SlotId id = pool_.adopt(stream.endpoint, std::move(stream.socket));
+  attempts_.add(attempt, id);
+  exchanges_.resume_response(id, attempts_, attempt, stream.position, stream.unread);
+}
+
+}  // namespace dispatcher::upstream
--- a/tests/dispatcher/admin_test.cpp
+++ b/tests/dispatcher/admin_test.cpp
@@ -199,12 +199,12 @@
   auto client = fixture.platform_client();
   client->post(facts("a1", "command"), R"({"model":"chat","messages":[]})");
   // The reader's connection is being opened within the very call that takes the request.
-  while (fixture.pool.open() == 0) {
+  while (fixture.pool.open_connections() == 0) {
     fixture.io.restart();
     fixture.io.run_one();
   }
   fixture.engine.maintain(endpoint, true);
-  fixture.pool.maintain(endpoint, true);
+  fixture.pool.set_administratively_drained(endpoint, true);
   REQUIRE(fixture.until([&] { return client->whole; }));
   CHECK(client->status == 200);
   CHECK(fixture.reader(left_out).seen.empty());
--- a/tests/dispatcher/attempt_endings_test.cpp
+++ b/tests/dispatcher/attempt_endings_test.cpp
@@ -113,7 +113,7 @@
 };
 
 void Direct::write_at(const BarePeer& peer) {
-  pool.endpoints({{"w1", peer.address(), true}, {"w2", peer.address(), true}}, false);
+  pool.update_endpoints({{"w1", peer.address(), true}, {"w2", peer.address(), true}}, false);
 }
 
 // ---- the client leaves ----
@@ -169,7 +169,7 @@
   fixture.advance(milliseconds(400));
   CHECK(fixture.total("POST", true) == 0);
   CHECK(fixture.releases() >= 1);  // two calls at once, where no connection is kept
-  CHECK(fixture.pool.leases_out() == 0);
+  CHECK(fixture.pool.pending_releases() == 0);
   CHECK(fixture.engine.open() == 0);
 }
 
@@ -183,7 +183,7 @@
   fixture.engine.client_gone(id);  // the answer is written, and not read
   fixture.advance(milliseconds(400));
   CHECK(fixture.releases() >= 1);  // two calls at once, where no connection is kept
-  CHECK(fixture.pool.leases_out() == 0);
+  CHECK(fixture.pool.pending_releases() == 0);
   CHECK(fixture.total("POST", true) == 0);
   CHECK(fixture.engine.open() == 0);
 }
@@ -205,8 +205,8 @@
   Direct fixture(read_well, write_well);
   StandInReplica elsewhere(fixture, read_well);
   fixture.submit("a1");
-  fixture.pool.endpoints({{"r1", elsewhere.server.local(), true}, {"r2", elsewhere.server.local(), true}},
-                         false);
+  fixture.pool.update_endpoints(
+      {{"r1", elsewhere.server.local(), true}, {"r2", elsewhere.server.local(), true}}, false);
   fixture.advance(milliseconds(400));
   CHECK(fixture.total("POST", false) == 0);
   CHECK(elsewhere.count("POST") == 1);
@@ -218,13 +218,13 @@
   StandInReplica elsewhere(fixture, read_well);
   fixture.submit("a1");
   REQUIRE(fixture.until([&] { return fixture.posts() == 1; }));
-  fixture.pool.endpoints({{"r1", elsewhere.server.local(), true}, {"r2", elsewhere.server.local(), true}},
-                         false);
+  fixture.pool.update_endpoints(
+      {{"r1", elsewhere.server.local(), true}, {"r2", elsewhere.server.local(), true}}, false);
   for (std::size_t i : {0U, 1U})
     for (const SlotId client : fixture.reader(i).waiting) fixture.reader(i).say(client, 202, "{}");
   REQUIRE(fixture.until([&] { return fixture.count("finish") == 1; }));
   fixture.advance(milliseconds(60));
-  CHECK(fixture.pool.open() == 1);  // the writer's
+  CHECK(fixture.pool.open_connections() == 1);  // the writer's
 }
 
 TEST_CASE("a drain told while a connection comes up keeps the first byte back past part of the grace",
@@ -234,9 +234,9 @@
   Direct fixture(read_well, write_well);
   upstream::Options options{milliseconds(250), seconds(15), milliseconds(50)};
   options.drain_grace = grace;
-  fixture.pool.adopt(options);
+  fixture.pool.apply_options(options);
   fixture.submit("a1");
-  fixture.pool.endpoints(
+  fixture.pool.update_endpoints(
       {{"r1", fixture.reader(0).server.local(), false}, {"r2", fixture.reader(1).server.local(), false}},
       false);
   fixture.now += grace * 3 / 5 + milliseconds(late ? 1 : 0);
@@ -323,18 +323,18 @@
   const std::string answer =
       kAnswerHead + http::chunk("data: {\"a\":1}\n\n") + http::chunk("data: [DONE]\n\n") + "0\r\n\r\n";
   RawReplica writer(fixture, answer, kAnswerHead + http::chunk("data: {\"late\":1}\n\n") + "0\r\n\r\n");
-  fixture.pool.endpoints({{"w1", writer.address(), true}, {"w2", writer.address(), true}}, false);
+  fixture.pool.update_endpoints({{"w1", writer.address(), true}, {"w2", writer.address(), true}}, false);
   auto first = fixture.platform_client(), second = fixture.platform_client();
   first->post(facts("a1", "command"), kBody);
   REQUIRE(fixture.until([&] { return first->answered(); }));
-  CHECK(fixture.pool.open() == 2);
+  CHECK(fixture.pool.open_connections() == 2);
   fixture.advance(milliseconds(20));
   second->post(facts("a2", "command"), kBody);
   REQUIRE(fixture.until([&] { return second->answered(); }));
-  CHECK(fixture.pool.open() == 4);  // new ones: the others rest
+  CHECK(fixture.pool.open_connections() == 4);  // new ones: the others rest
   writer.go_on();
   fixture.settle();
-  CHECK(fixture.pool.open() == 2);  // the readers' alone
+  CHECK(fixture.pool.open_connections() == 2);  // the readers' alone
   CHECK(second->body.find("late") == std::string::npos);
 }
 
@@ -345,7 +345,7 @@
     used.push_back(client);
     if (seen.target.ends_with("now")) r.say(client, 409);
   });
-  fixture.pool.endpoints({{"w1", one.server.local(), true}}, false);
+  fixture.pool.update_endpoints({{"w1", one.server.local(), true}}, false);
   const auto call = [&](int attempt, const std::string& id) {
     const std::size_t before = used.size();
     fixture.pool.hold({SlotId{}, attempt}, "w1", id);
@@ -415,25 +415,25 @@
   Direct fixture(read_well, silent);
   // Nobody accepts the calls: they stay out.
   BarePeer peer(fixture);
-  fixture.pool.endpoints({{"r1", peer.address(), true},
-                          {"r2", peer.address(), true},
-                          {"w1", peer.address(), true},
-                          {"w2", peer.address(), true}},
-                         false);
+  fixture.pool.update_endpoints({{"r1", peer.address(), true},
+                                 {"r2", peer.address(), true},
+                                 {"w1", peer.address(), true},
+                                 {"w2", peer.address(), true}},
+                                false);
   fixture.pool.release("a1", {});
   fixture.settle();
-  CHECK(fixture.pool.leases_out() == 1);
+  CHECK(fixture.pool.pending_releases() == 1);
   fixture.submit("a1");
   fixture.settle();
-  CHECK(fixture.pool.leases_out() == 0);
-  CHECK(fixture.pool.open() == 1);
+  CHECK(fixture.pool.pending_releases() == 0);
+  CHECK(fixture.pool.open_connections() == 1);
 }
 
 // A read whose connection broke may run on at its replica, and leave a state as late as it was told to run.
 TEST_CASE("what a broken read may leave is asked for until its time is over", "[endings]") {
   Direct fixture([](StandInReplica& r, SlotId client, const Seen&) { r.server.cut(client); }, write_well);
   upstream::Options options{milliseconds(250), seconds(15), milliseconds(50)};
-  fixture.pool.adopt(options);
+  fixture.pool.apply_options(options);
   const engine::Time begun = fixture.now;
   fixture.submit("a1");
   std::vector<engine::Time> calls;
@@ -447,7 +447,7 @@
     CHECK(calls[i] - calls[i - 1] <= fixture.settings.reservation_limit);
   CHECK(calls.back() >= seconds(6));
   CHECK(calls.back() < seconds(6) + milliseconds(600));
-  CHECK(fixture.pool.leases_out() == 0);
+  CHECK(fixture.pool.pending_releases() == 0);
 }
 
 TEST_CASE("with a first token, nothing is asked for any more", "[endings]") {
@@ -459,7 +459,7 @@
   fixture.advance(seconds(8));
   CHECK(fixture.count("finish") == 1);
   CHECK(fixture.releases() == 0);
-  CHECK(fixture.pool.leases_out() == 0);
+  CHECK(fixture.pool.pending_releases() == 0);
 }
 
 // Asked for while a later read's state waits for its writer, a release would take it.
@@ -489,15 +489,15 @@
 
 struct Cut : Clockwork {
   Cut() {
-    pool.endpoints({{"h1", peer.address(), true, false, "z"}, {"h2", peer.address(), true, false, "z"}},
-                   true);
+    pool.update_endpoints(
+        {{"h1", peer.address(), true, false, "z"}, {"h2", peer.address(), true, false, "z"}}, true);
   }
   BarePeer peer{*this};  // takes connections and says nothing
-  upstream::ConnectionPool pool{io,
-                                timers,
-                                clock(),
-                                [](std::string_view) {},
-                                {milliseconds(250), seconds(15), milliseconds(50), 24, 160, 40}};
+  upstream::ReplicaClient pool{io,
+                               timers,
+                               clock(),
+                               [](std::string_view) {},
+                               {milliseconds(250), seconds(15), milliseconds(50), 24, 160, 40}};
 };
 
 TEST_CASE("releases in a cut go on, ever more slowly, on few connections", "[endings]") {
@@ -506,13 +506,13 @@
   std::size_t maximum = 0;
   for (int i = 0; i < 60; ++i) {
     fixture.advance(milliseconds(100));
-    maximum = std::max(maximum, fixture.pool.open());
+    maximum = std::max(maximum, fixture.pool.open_connections());
   }
   CHECK(maximum <= 10);
-  CHECK(fixture.pool.leases_out() == 60);
+  CHECK(fixture.pool.pending_releases() == 60);
   fixture.advance(seconds(26));
-  CHECK(fixture.pool.leases_out() == 0);
-  CHECK(fixture.pool.open() == 0);
+  CHECK(fixture.pool.pending_releases() == 0);
+  CHECK(fixture.pool.open_connections() == 0);
 }
 
 TEST_CASE("a process told to end waits for releases in a cut for no longer than they may help", "[endings]") {
@@ -520,12 +520,12 @@
   fixture.pool.release("a1", {});
   fixture.pool.release("a2", fixture.now + seconds(5));
   fixture.advance(seconds(2));
-  CHECK(fixture.pool.leases_pressing() == 2);
+  CHECK(fixture.pool.releases_blocking_shutdown() == 2);
   fixture.advance(seconds(2));
-  CHECK(fixture.pool.leases_pressing() == 1);
+  CHECK(fixture.pool.releases_blocking_shutdown() == 1);
   fixture.advance(seconds(2));
-  CHECK(fixture.pool.leases_pressing() == 0);
-  CHECK(fixture.pool.leases_out() == 2);
+  CHECK(fixture.pool.releases_blocking_shutdown() == 0);
+  CHECK(fixture.pool.pending_releases() == 2);
 }
 
 // ---- all of it together ----
@@ -627,7 +627,7 @@
   auto rules = make_settings();
   rules.may_cancel = seed % 2 == 0;
   fixture.adopt(rules);
-  fixture.pool.adopt({milliseconds(250), seconds(15), milliseconds(50)});
+  fixture.pool.apply_options({milliseconds(250), seconds(15), milliseconds(50)});
   std::vector<SlotId> requests;
   for (int i = 0; i < 250; ++i) {
     if (chaos.roll() < 40) {
@@ -643,7 +643,7 @@
   CHECK(chaos.held.empty());
   CHECK(fixture.engine.open() == 0);
   CHECK(fixture.engine.unanswered() == 0);
-  CHECK(fixture.pool.leases_out() == 0);
+  CHECK(fixture.pool.pending_releases() == 0);
   CHECK(chaos.begun.size() > 3);  // some are served all the same
   for (const auto& [id, runs] : chaos.ran) {
     if (std::stoi(id) % 2 == 0) CHECK(runs == 1);
--- a/tests/dispatcher/connection_pool_test.cpp
+++ b/tests/dispatcher/connection_pool_test.cpp
@@ -1,4 +1,4 @@
-// The pool of connections to replicas, against stand-in replicas on loopback.
+// Connections to replicas and release calls, against stand-in replicas on loopback.
 #include <sys/socket.h>
 
 #include <array>
@@ -9,55 +9,64 @@
 namespace dispatcher::testing {
 namespace {
 
-bool lease_call(const StandInReplica::Seen& seen) { return seen.target.starts_with("/kv/leases/"); }
+// Longer than an idle connection must stand before it is used again.
+constexpr auto kSettleTime = milliseconds(60);
 
-// Seen on the soak day of the standing test: a dispatcher crashed after 35 minutes. A connection that had
-// been idle once stays named in the order of idle ones after it is taken. Parked again while the pool holds
-// its most idle connections, it made room by closing the oldest in that order: itself. It was then parked all
-// the same, and the next connection taken for its replica was one that no longer existed.
-TEST_CASE("a connection parked again is not the one closed to make room for it", "[pool]") {
-  std::vector<std::pair<SlotId, std::string>> held;  // answers that the writer keeps back
+bool is_reservation_call(const StandInReplica::Seen& seen) { return seen.target.starts_with("/kv/leases/"); }
+
+// A connection that has been idle stays named in the order of idle ones after it is acquired. Parked again
+// while the pool holds its maximum of idle connections, it must not be evicted by that entry: it would be
+// parked although it no longer exists, and be acquired for the next exchange.
+TEST_CASE("a connection parked again is not the one evicted to make room for it", "[upstream]") {
+  std::vector<SlotId> unanswered;  // clients of the writer whose responses are delayed
   Fixture fixture(read_well, [&](StandInReplica& replica, SlotId client, const StandInReplica::Seen& seen) {
-    if (!lease_call(seen)) return write_well(replica, client, seen);
-    if (seen.target.ends_with("/slow")) return void(held.emplace_back(client, seen.target));
+    if (!is_reservation_call(seen)) return write_well(replica, client, seen);
+    if (seen.target.ends_with("/slow")) return unanswered.push_back(client);
     replica.say(client, 200);
   });
-  upstream::Options options{
-      fixture.settings.connect_timeout, fixture.settings.idle_timeout, milliseconds(100), 4, 1, 64};
-  fixture.pool.adopt(options);
-  const auto calls = [&] { return fixture.writer().count("POST"); };
-  const auto ask = [&](int attempt, const std::string& id) {
-    fixture.pool.hold({SlotId{}, attempt}, "w1", id);
+  upstream::Options options;
+  options.connect_timeout = fixture.settings.connect_timeout;
+  options.idle_timeout = fixture.settings.idle_timeout;
+  options.release_round_interval = milliseconds(100);
+  options.max_idle_per_endpoint = 4;
+  options.max_idle_total = 1;
+  options.max_connections = 64;
+  fixture.pool.apply_options(options);
+  const auto has_calls = [&](int count) {
+    return fixture.until([&] { return fixture.writer().count("POST") == count; });
+  };
+  const auto reserve = [&](int attempt, const std::string& request_id) {
+    fixture.pool.hold({SlotId{}, attempt}, "w1", request_id);
   };
-  ask(1, "first");  // opens connection A, which is parked: the one idle connection
-  REQUIRE(fixture.until([&] { return calls() == 1; }));
-  fixture.advance(milliseconds(60));  // it has rested, as have those below
-  ask(2, "slow");                     // takes A, whose answer is kept back
-  REQUIRE(fixture.until([&] { return held.size() == 1; }));
-  ask(3, "third");  // opens B, parked while A is out
-  REQUIRE(fixture.until([&] { return calls() == 3; }));
-  fixture.advance(milliseconds(60));
-  fixture.writer().say(held[0].first, 200);  // A comes back while B is the one idle connection
-  fixture.advance(milliseconds(60));
-  ask(4, "fourth");  // takes whatever is idle for w1
-  REQUIRE(fixture.until([&] { return calls() == 4; }));
+  reserve(1, "first");  // opens connection A, which is parked: the one idle connection
+  REQUIRE(has_calls(1));
+  fixture.advance(kSettleTime);
+  reserve(2, "slow");  // acquires A, whose response is delayed
+  REQUIRE(fixture.until([&] { return unanswered.size() == 1; }));
+  reserve(3, "third");  // opens B, which is parked while A is in use
+  REQUIRE(has_calls(3));
+  fixture.advance(kSettleTime);
+  fixture.writer().say(unanswered[0], 200);  // A is parked again while B is the one idle connection
+  fixture.advance(kSettleTime);
+  reserve(4, "fourth");  // acquires whichever connection is idle
+  REQUIRE(has_calls(4));
   fixture.settle();
-  CHECK(fixture.pool.open() <= 2);
+  CHECK(fixture.pool.open_connections() <= 2);
 }
 
-// A machine that is gone: connections to it never come up. The queue of a listener that accepts nobody is
-// full.
-class Vanished {
+// A machine that has vanished: connections to it are never established. The queue of a listener that accepts
+// nobody is full.
+class UnreachableListener {
  public:
-  explicit Vanished(Clockwork& work) : acceptor_(work.io) {
+  explicit UnreachableListener(Clockwork& clockwork) : acceptor_(clockwork.io) {
     acceptor_.open(net::tcp::v4());
     acceptor_.bind(loopback());
     acceptor_.listen(0);
     for (auto& socket : queue_) {
       socket.open(net::tcp::v4());
       socket.non_blocking(true);
-      const auto at = acceptor_.local_endpoint();
-      std::ignore = ::connect(socket.native_handle(), at.data(), static_cast<socklen_t>(at.size()));
+      const auto address = acceptor_.local_endpoint();
+      std::ignore = ::connect(socket.native_handle(), address.data(), static_cast<socklen_t>(address.size()));
     }
   }
   [[nodiscard]] net::tcp::endpoint address() const { return acceptor_.local_endpoint(); }
@@ -69,86 +78,95 @@
       net::tcp::socket(acceptor_.get_executor()), net::tcp::socket(acceptor_.get_executor())};
 };
 
-struct ReleaseWorld : Clockwork {
-  ReleaseWorld() {
-    for (int i = 0; i < 8; ++i) gone.push_back(std::make_unique<Vanished>(*this));
-  }
-  upstream::EndpointAddress at(const std::string& endpoint, const net::tcp::endpoint& address,
-                               const std::string& zone) {
-    return {endpoint, address, true, false, zone, 0};
+upstream::EndpointAddress ready_endpoint(const std::string& name, const net::tcp::endpoint& address,
+                                         const std::string& zone) {
+  return {name, address, true, false, zone, 0};
+}
+
+// A client of replicas without an engine, a replica that takes releases, and a zone whose replicas vanished.
+struct ReleaseFixture : Clockwork {
+  ReleaseFixture() {
+    for (int i = 0; i < 8; ++i) unreachable.push_back(std::make_unique<UnreachableListener>(*this));
   }
-  std::vector<upstream::EndpointAddress> lost_zone() {
-    std::vector<upstream::EndpointAddress> all;
-    for (std::size_t i = 0; i < gone.size(); ++i)
-      all.push_back(at("gone" + std::to_string(i), gone[i]->address(), "x"));
-    return all;
+  [[nodiscard]] std::vector<upstream::EndpointAddress> unreachable_zone() const {
+    std::vector<upstream::EndpointAddress> addresses;
+    for (std::size_t i = 0; i < unreachable.size(); ++i) {
+      const std::string name = "unreachable" + std::to_string(i);
+      addresses.push_back(ready_endpoint(name, unreachable[i]->address(), "x"));
+    }
+    return addresses;
   }
   [[nodiscard]] int calls() const { return replica.count("DELETE"); }
-  std::vector<std::unique_ptr<Vanished>> gone;
+  void answer(StandInReplica& called, SlotId client) const {
+    if (!is_silent) called.say(client, 204);
+  }
+
+  std::vector<std::unique_ptr<UnreachableListener>> unreachable;
   std::vector<std::string> logs;
-  StandInReplica replica{*this, [this](StandInReplica& r, SlotId client, const StandInReplica::Seen&) {
-                           if (!mute) r.say(client, 204);
+  bool is_silent = false;  // the replica answers nothing
+  StandInReplica replica{*this, [this](StandInReplica& called, SlotId client, const StandInReplica::Seen&) {
+                           answer(called, client);
                          }};
-  bool mute = false;
-  upstream::ConnectionPool pool{io,
-                                timers,
-                                clock(),
-                                [this](std::string_view line) { logs.emplace_back(line); },
-                                {milliseconds(250), seconds(15), milliseconds(50)}};
+  upstream::ReplicaClient upstream_client{io,
+                                          timers,
+                                          clock(),
+                                          [this](std::string_view line) { logs.emplace_back(line); },
+                                          {milliseconds(250), seconds(15), milliseconds(50)}};
 };
 
-// `pinned` on days with a zone lost: a call that is answered late or never must not be the only one.
-TEST_CASE("a release reaches the one replica that runs, past a zone that keeps silent", "[pool]") {
-  ReleaseWorld fixture;
-  auto all = fixture.lost_zone();
-  all.push_back(fixture.at("lives", fixture.replica.server.local(), "y"));
-  fixture.pool.endpoints(all, true);
-  fixture.pool.release("5", {});
+// Reservations outlive their limit where the only release call is answered late or never.
+TEST_CASE("a release reaches the one replica that runs, past a zone that does not answer", "[upstream]") {
+  ReleaseFixture fixture;
+  auto addresses = fixture.unreachable_zone();
+  addresses.push_back(ready_endpoint("reachable", fixture.replica.server.local(), "y"));
+  fixture.upstream_client.update_endpoints(addresses, true);
+  fixture.upstream_client.release("5", {});
   fixture.advance(milliseconds(200));
   CHECK(fixture.calls() == 1);
-  CHECK(fixture.pool.leases_out() == 0);
-  CHECK(fixture.pool.open() <= 1);  // the calls in vain are over as well
+  CHECK(fixture.upstream_client.pending_releases() == 0);
+  CHECK(fixture.upstream_client.open_connections() <= 1);  // the unanswered calls are over as well
 }
 
-TEST_CASE("a release is not held up by a kept connection that has gone silent", "[pool]") {
-  ReleaseWorld fixture;
-  StandInReplica other(
-      fixture, [](StandInReplica& r, SlotId client, const StandInReplica::Seen&) { r.say(client, 204); });
-  fixture.pool.endpoints({fixture.at("kept", fixture.replica.server.local(), "x"),
-                          fixture.at("other", other.server.local(), "x")},
-                         true);
-  fixture.pool.release("1", {});
+TEST_CASE("a release is not delayed by an idle connection to a replica that fell silent", "[upstream]") {
+  ReleaseFixture fixture;
+  StandInReplica other(fixture, [](StandInReplica& called, SlotId client, const StandInReplica::Seen&) {
+    called.say(client, 204);
+  });
+  fixture.upstream_client.update_endpoints({ready_endpoint("silent", fixture.replica.server.local(), "x"),
+                                            ready_endpoint("other", other.server.local(), "x")},
+                                           true);
+  fixture.upstream_client.release("1", {});
   fixture.advance(milliseconds(100));
-  REQUIRE(fixture.calls() + other.count("DELETE") >= 1);  // connections are kept now
-  fixture.mute = true;
-  fixture.pool.release("2", {});
-  fixture.pool.release("3", {});
+  REQUIRE(fixture.calls() + other.count("DELETE") >= 1);  // there are idle connections now
+  fixture.is_silent = true;
+  fixture.upstream_client.release("2", {});
+  fixture.upstream_client.release("3", {});
   fixture.advance(milliseconds(150));
   CHECK(other.count("DELETE", "2") + fixture.replica.count("DELETE", "2") >= 1);
   CHECK(other.count("DELETE", "3") >= 1);
-  CHECK(fixture.pool.leases_out() == 0);
+  CHECK(fixture.upstream_client.pending_releases() == 0);
 }
 
-TEST_CASE("with no replica left, a release goes on being tried, and is given up in the end", "[pool]") {
-  ReleaseWorld fixture;
-  fixture.pool.endpoints(fixture.lost_zone(), true);
-  fixture.pool.release("1", {});
+TEST_CASE("with no replica reachable, a release is retried, and given up in the end", "[upstream]") {
+  ReleaseFixture fixture;
+  fixture.upstream_client.update_endpoints(fixture.unreachable_zone(), true);
+  fixture.upstream_client.release("1", {});
   fixture.advance(milliseconds(400));
-  CHECK(fixture.pool.leases_out() == 1);
-  SECTION("one that comes into the list meanwhile is asked") {
-    auto all = fixture.lost_zone();
-    all.push_back(fixture.at("new", fixture.replica.server.local(), "y"));
-    fixture.pool.endpoints(all, true);
+  CHECK(fixture.upstream_client.pending_releases() == 1);
+  SECTION("a replica listed meanwhile is called") {
+    auto addresses = fixture.unreachable_zone();
+    addresses.push_back(ready_endpoint("new", fixture.replica.server.local(), "y"));
+    fixture.upstream_client.update_endpoints(addresses, true);
     fixture.advance(milliseconds(150));
     CHECK(fixture.calls() == 1);
   }
-  SECTION("none ever comes") {
+  SECTION("no replica is ever reachable") {
     fixture.advance(seconds(2));
-    CHECK(fixture.pool.leases_out() == 1);  // a cut may last for longer
+    CHECK(fixture.upstream_client.pending_releases() == 1);  // a network partition may last for longer
     fixture.advance(seconds(30));
     CHECK_FALSE(fixture.logs.empty());
   }
-  CHECK(fixture.pool.leases_out() == 0);
+  CHECK(fixture.upstream_client.pending_releases() == 0);
 }
 
 }  // namespace
--- a/tests/dispatcher/fixture.cpp
+++ b/tests/dispatcher/fixture.cpp
@@ -144,7 +144,7 @@
     list.entries.push_back({name, "here", reads ? "reader" : "writer", 0, EndpointState::kReady, 1, {}});
     addresses.push_back({name, replicas.back()->server.local(), true});
   }
-  pool.endpoints(addresses, true);
+  pool.update_endpoints(addresses, true);
   engine.endpoints(list);
   platform.server().open();
   if (chat_config.empty()) return;
--- a/tests/dispatcher/fixture.hpp
+++ b/tests/dispatcher/fixture.hpp
@@ -16,7 +16,7 @@
 #include "http/message.hpp"
 #include "openai_api/frontend.hpp"
 #include "platform_api/frontend.hpp"
-#include "upstream/connection_pool.hpp"
+#include "upstream/replica_client.hpp"
 
 namespace dispatcher::testing {
 
@@ -181,7 +181,7 @@
   std::vector<std::string> logs;
   routing::Settings settings = make_settings();
   std::vector<std::unique_ptr<StandInReplica>> replicas;
-  upstream::ConnectionPool pool;
+  upstream::ReplicaClient pool;
   engine::Engine engine;
   platform_api::Frontend platform;
   std::unique_ptr<openai_api::Frontend> chat;
--- a/tests/dispatcher/hot_restart_test.cpp
+++ b/tests/dispatcher/hot_restart_test.cpp
@@ -367,7 +367,7 @@
 // Are both ends of the stream ready to be handed over?
 bool hush(Fixture& fixture, const engine::Engine::Stream& stream) {
   const bool still = fixture.platform.server().hush(stream.client);
-  return fixture.pool.hush({stream.request, stream.attempt}) && still;
+  return fixture.pool.suspend_reading({stream.request, stream.attempt}) && still;
 }
 
 // The world hands a stream to itself, as it would to another process: sockets, and what is left of a chunk.
@@ -387,24 +387,24 @@
   // One that could not be handed over yet is woken, also while its reads are being taken back.
   for (int twice = 0; twice < 2; ++twice) {
     fixture.platform.server().wake(streams[0].client);
-    fixture.pool.wake(attempt);
+    fixture.pool.resume_reading(attempt);
     hush(fixture, streams[0]);
   }
   fixture.platform.server().wake(streams[0].client);
-  fixture.pool.wake(attempt);
+  fixture.pool.resume_reading(attempt);
   fixture.settle();
   REQUIRE(fixture.engine.open() == 1);
   REQUIRE(fixture.until([&] { return hush(fixture, streams[0]); }));
   writer.server.pass(writer.waiting.back(), "data: two\n\n");  // while nobody reads
-  auto [replica, given] = fixture.pool.give(attempt);
+  upstream::DetachedStream replica = fixture.pool.detach_stream(attempt);
   net::UniqueFd socket = fixture.platform.server().give(streams[0].client);
   fixture.platform.forget_given(streams[0].client);
   fixture.engine.give_away(streams[0].request);
   CHECK(fixture.engine.open() == 0);
   CHECK(fixture.platform.server().clients() == 0);
-  CHECK(fixture.pool.open() == 1);  // the reader's, idle
-  const SlotId request = fixture.platform.take_over(std::move(socket), "a1", given.endpoint);
-  fixture.pool.adopt({request, 0}, std::move(replica), given);
+  CHECK(fixture.pool.open_connections() == 1);  // the reader's, idle
+  const SlotId request = fixture.platform.take_over(std::move(socket), "a1", replica.endpoint);
+  fixture.pool.adopt_stream({request, 0}, std::move(replica));
   REQUIRE(fixture.until([&] { return client->body.find("two") != std::string::npos; }));
   CHECK(fixture.engine.in_progress("a1"));
   writer.server.pass(writer.waiting.back(), "data: [DONE]\n\n");
@@ -417,7 +417,7 @@
   client->whole = false;
   client->get("/healthz");
   CHECK(fixture.until([&] { return client->whole; }));
-  CHECK(fixture.pool.open() == 2);
+  CHECK(fixture.pool.open_connections() == 2);
 }
 
 TEST_CASE("a stream that changed hands and breaks ends without the last chunk", "[upgrade]") {
@@ -431,12 +431,12 @@
   const auto stream = fixture.engine.streams(fixture.platform.response_sink()).at(0);
   const engine::AttemptId attempt{stream.request, stream.attempt};
   REQUIRE(fixture.until([&] { return hush(fixture, stream); }));
-  auto [replica, given] = fixture.pool.give(attempt);
+  upstream::DetachedStream replica = fixture.pool.detach_stream(attempt);
   net::UniqueFd socket = fixture.platform.server().give(stream.client);
   fixture.platform.forget_given(stream.client);
   fixture.engine.give_away(stream.request);
-  const SlotId request = fixture.platform.take_over(std::move(socket), "a1", given.endpoint);
-  fixture.pool.adopt({request, 0}, std::move(replica), given);
+  const SlotId request = fixture.platform.take_over(std::move(socket), "a1", replica.endpoint);
+  fixture.pool.adopt_stream({request, 0}, std::move(replica));
   auto& writer = fixture.writer(0).waiting.empty() ? fixture.writer(1) : fixture.writer(0);
   writer.server.cut(writer.waiting.back());
   REQUIRE(fixture.until([&] { return client->answered(); }));
--- a/tests/dispatcher/parsers_test.cpp
+++ b/tests/dispatcher/parsers_test.cpp
@@ -1,5 +1,5 @@
-// The parsers against random cuts of valid messages and random garbage, from fixed seeds: a message must
-// parse alike whole or cut anywhere, and garbage must end in the same refusal however it arrives.
+// The parsers against valid messages and random garbage, both split at random from fixed seeds: a message
+// must parse alike however it is split, and garbage must end in the same error however it arrives.
 #include <deque>
 #include <random>
 
@@ -11,50 +11,52 @@
 
 using Random = std::mt19937;
 
-std::vector<std::string> cut(const std::string& text, Random& random) {
+std::vector<std::string> split_randomly(const std::string& text, Random& random) {
   std::vector<std::string> pieces;
   for (std::size_t at = 0; at < text.size();) {
-    const std::size_t n = 1 + random() % (random() % 3 == 0 ? 200 : 7);
-    pieces.push_back(text.substr(at, n));
-    at += n;
+    const std::size_t length = 1 + random() % (random() % 3 == 0 ? 200 : 7);
+    pieces.push_back(text.substr(at, length));
+    at += length;
   }
   return pieces;
 }
 
-// What a reader makes of a connection's bytes, written down.
+// What a reader parses from a connection's bytes, as text.
 template <bool kRequest>
-std::string account(const std::vector<std::string>& pieces) {
+std::string transcript_of(const std::vector<std::string>& pieces) {
   http::Reader<kRequest> reader(http::kMaxBody);
   net::RingBuffer input(64 * 1024);
-  std::string story;
+  std::string transcript;
   for (const std::string& piece : pieces) {
     REQUIRE(input.append(piece));
     for (auto progress = reader.read(input); progress != http::Progress::kMore;
          progress = reader.read(input)) {
-      if (progress == http::Progress::kBad) return story + "bad: " + reader.error().message();
-      auto& m = reader.message();
+      if (progress == http::Progress::kBad) return transcript + "bad: " + reader.error().message();
+      auto& message = reader.message();
       if constexpr (kRequest) {
-        story += std::string(m.method_string()) + " " + std::string(m.target());
+        transcript += std::string(message.method_string()) + " " + std::string(message.target());
       } else {
-        story += std::to_string(m.result_int());
+        transcript += std::to_string(message.result_int());
       }
-      for (const auto& f : m) story += "|" + std::string(f.name_string()) + "=" + std::string(f.value());
-      story += "|" + m.body() + "\n";
+      for (const auto& field : message) {
+        transcript += "|" + std::string(field.name_string()) + "=" + std::string(field.value());
+      }
+      transcript += "|" + message.body() + "\n";
       reader.reset();
       if (input.empty()) break;
     }
   }
-  return story + (reader.started() || !input.empty() ? "more" : "end");
+  return transcript + (reader.started() || !input.empty() ? "more" : "end");
 }
 
-std::string random_bytes(Random& random, std::size_t n) {
+std::string random_bytes(Random& random, std::size_t length) {
   std::string text;
-  while (text.size() < n) text += static_cast<char>(random() & 0xff);
+  while (text.size() < length) text += static_cast<char>(random() & 0xff);
   return text;
 }
 
 // A valid message with a few bytes changed, dropped or added.
-std::string spoil(std::string text, Random& random) {
+std::string corrupt(std::string text, Random& random) {
   for (unsigned i = 0; i <= random() % 4; ++i) {
     const std::size_t at = random() % text.size();
     switch (random() % 3) {
@@ -84,8 +86,9 @@
     "HTTP/1.1 204 No Content\r\n\r\n"
     "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n7\r\ndata: x\r\n2\r\n\n\n\r\n0\r\n\r\n";
 
-TEST_CASE("messages parse alike, whole or cut anywhere", "[parsers]") {
-  const std::string requests = account<true>({kRequests}), responses = account<false>({kResponses});
+TEST_CASE("messages parse alike, whole or split anywhere", "[parsers]") {
+  const std::string requests = transcript_of<true>({kRequests});
+  const std::string responses = transcript_of<false>({kResponses});
   CHECK(requests ==
         "POST /v1/chat/completions?a=b|Host=x|X-Facts=prefix=5c,prompt_len=10|Content-Length=11|hello world\n"
         "GET /healthz|Host=x|\nPOST /c|Host=x|Transfer-Encoding=chunked|abcdefgh\nend");
@@ -94,36 +97,37 @@
         "x\n\n\nend");
   Random random(1);
   for (int i = 0; i < 500; ++i) {
-    REQUIRE(account<true>(cut(kRequests, random)) == requests);
-    REQUIRE(account<false>(cut(kResponses, random)) == responses);
+    REQUIRE(transcript_of<true>(split_randomly(kRequests, random)) == requests);
+    REQUIRE(transcript_of<false>(split_randomly(kResponses, random)) == responses);
   }
 }
 
-TEST_CASE("garbage is refused alike, whole or cut anywhere", "[parsers]") {
+TEST_CASE("garbage is rejected alike, whole or split anywhere", "[parsers]") {
   Random random(2);
-  int bad = 0;
+  int rejected = 0;
   for (int i = 0; i < 1500; ++i) {
     const std::string noise = random_bytes(random, 1 + random() % 300);
-    const std::string request = spoil(kRequests, random), response = spoil(kResponses, random);
-    const auto cut_anyhow = [&](const std::string& text) { return cut(text, random); };
+    const std::string request = corrupt(kRequests, random);
+    const std::string response = corrupt(kResponses, random);
+    const auto split = [&](const std::string& text) { return split_randomly(text, random); };
     INFO("noise " << Catch::Detail::stringify(std::vector<int>(noise.begin(), noise.end())));
-    REQUIRE(account<true>(cut_anyhow(noise)) == account<true>({noise}));
-    const std::string status = account<true>({request});
-    REQUIRE(account<true>(cut_anyhow(request)) == status);
-    REQUIRE(account<false>(cut_anyhow(response)) == account<false>({response}));
-    bad += status.find("bad: ") != std::string::npos ? 1 : 0;
+    REQUIRE(transcript_of<true>(split(noise)) == transcript_of<true>({noise}));
+    const std::string transcript = transcript_of<true>({request});
+    REQUIRE(transcript_of<true>(split(request)) == transcript);
+    REQUIRE(transcript_of<false>(split(response)) == transcript_of<false>({response}));
+    rejected += transcript.find("bad: ") != std::string::npos ? 1 : 0;
   }
-  CHECK(bad > 500);  // the garbage is such that refusals are really seen
+  CHECK(rejected > 500);  // the garbage is such that errors do occur
 }
 
-TEST_CASE("a head or body past its limit is refused", "[parsers]") {
+TEST_CASE("a head or body past its limit is rejected", "[parsers]") {
   const std::string head = "POST / HTTP/1.1\r\n";
-  CHECK(account<true>({head + "Content-Length: 262145\r\n\r\n"}) == "bad: body limit exceeded");
-  CHECK(account<true>({head + "X: " + std::string(http::kMaxHead, 'y') + "\r\n\r\n"}) ==
+  CHECK(transcript_of<true>({head + "Content-Length: 262145\r\n\r\n"}) == "bad: body limit exceeded");
+  CHECK(transcript_of<true>({head + "X: " + std::string(http::kMaxHead, 'y') + "\r\n\r\n"}) ==
         "bad: header limit exceeded");
 }
 
-TEST_CASE("events come out whole and unchanged, however they are cut and whatever ends their lines",
+TEST_CASE("events come out complete and unchanged, however they are split and whatever ends their lines",
           "[parsers]") {
   const std::string end = GENERATE("\n", "\r\n", "\r");
   std::vector<std::string> events;
@@ -138,7 +142,7 @@
   for (int i = 0; i < 300; ++i) {
     http::EventFramer framer;
     std::vector<std::string> out;
-    for (const std::string& piece : cut(stream + "data: cut", random)) {
+    for (const std::string& piece : split_randomly(stream + "data: cut", random)) {
       for (auto& event : framer.feed(piece)) out.push_back(std::move(event));
     }
     REQUIRE(out == events);
@@ -148,19 +152,19 @@
   CHECK(http::event_field(events[1], "event") == "x");
 }
 
-TEST_CASE("an event that ends in a lone CR is given at the stream's end", "[parsers]") {
+TEST_CASE("an event that ends in a lone CR is complete at the stream's end", "[parsers]") {
   http::EventFramer framer;
   CHECK(framer.feed("data: x\r\r").empty());
   CHECK(framer.finish() == "data: x\r\r");
   CHECK(framer.rest().empty());
 }
 
-TEST_CASE("no garbage changes in the framer", "[parsers]") {
+TEST_CASE("the framer passes garbage on unchanged", "[parsers]") {
   Random random(4);
   for (int i = 0; i < 500; ++i) {
     std::string noise = random_bytes(random, random() % 400);
-    for (char& c : noise) c = random() % 3 == 0 ? "\r\n"[random() % 2] : c;
-    const auto pass = [](const std::vector<std::string>& pieces) {
+    for (char& byte : noise) byte = random() % 3 == 0 ? "\r\n"[random() % 2] : byte;
+    const auto frame = [](const std::vector<std::string>& pieces) {
       http::EventFramer framer;
       std::string all;
       for (const auto& piece : pieces) {
@@ -168,9 +172,9 @@
       }
       return all + framer.finish() + "#" + framer.rest();
     };
-    const std::string whole = pass({noise});
-    REQUIRE(pass(cut(noise, random)) == whole);
-    std::string plain = whole;
+    const std::string unsplit = frame({noise});
+    REQUIRE(frame(split_randomly(noise, random)) == unsplit);
+    std::string plain = unsplit;
     std::erase(plain, '#');
     std::erase(noise, '#');
     REQUIRE(plain == noise);
@@ -181,18 +185,18 @@
     R"({"seq":43,"whole":false,"hosts":[{"host":"s-1","dial":"127.0.0.1:3000","site":"a","class":"reader",)"
     R"("block":3,"health":"draining","share":1.5,"born_ms":1500}]})";
 
-TEST_CASE("the list of servers is read, and spoilt ones are refused by their field", "[parsers]") {
+TEST_CASE("the list of endpoints is parsed, and malformed ones are rejected by their field", "[parsers]") {
   const auto servers = service_discovery::parse_servers(nlohmann::json::parse(kServers));
   CHECK(servers.seq == 43);
   CHECK(servers.list.kind == routing::ListKind::kDelta);
   CHECK(servers.list.entries[0].state == routing::EndpointState::kDraining);
   CHECK(servers.list.entries[0].started == milliseconds(1500));
-  CHECK_FALSE(servers.addresses[0].ready);
+  CHECK_FALSE(servers.addresses[0].is_ready);
   Random random(5);
   int rejected = 0;
   for (int i = 0; i < 2000; ++i) {
     try {
-      service_discovery::parse_servers(nlohmann::json::parse(spoil(kServers, random), nullptr, false));
+      service_discovery::parse_servers(nlohmann::json::parse(corrupt(kServers, random), nullptr, false));
     } catch (const std::invalid_argument&) {
       ++rejected;
     }
@@ -200,7 +204,7 @@
   CHECK(rejected > 1000);
 }
 
-TEST_CASE("a request's headers are read, and bad ones are named", "[parsers]") {
+TEST_CASE("a request's headers are parsed, and malformed ones are named", "[parsers]") {
   const auto settings = make_settings();
   const auto parse = [&](const std::string& headers) {
     http::RequestReader reader(http::kMaxBody);
@@ -209,33 +213,36 @@
     REQUIRE(reader.read(input) == http::Progress::kDone);
     return platform_api::parse_request(reader.message(), settings, seconds(100));
   };
-  const auto r = parse(facts("9b1f03aa5c7e2d41", "ask", 4800) + "X-Repeat: 1\r\n");
-  CHECK(r.id == "9b1f03aa5c7e2d41");
-  CHECK(r.session == 0x7f);
-  CHECK(r.shared_prefix == 0x5c);
-  CHECK(r.prompt_tokens == 1000);
-  CHECK(r.max_tokens == 100);
-  CHECK(r.client_deadline == milliseconds(104800));
-  CHECK(r.client_retry);
+  const auto request = parse(facts("9b1f03aa5c7e2d41", "ask", 4800) + "X-Repeat: 1\r\n");
+  CHECK(request.id == "9b1f03aa5c7e2d41");
+  CHECK(request.session == 0x7f);
+  CHECK(request.shared_prefix == 0x5c);
+  CHECK(request.prompt_tokens == 1000);
+  CHECK(request.max_tokens == 100);
+  CHECK(request.client_deadline == milliseconds(104800));
+  CHECK(request.client_retry);
   const auto problem = [&](const std::string& headers) {
     try {
       parse(headers);
-    } catch (const std::invalid_argument& e) {
-      return std::string(e.what());
+    } catch (const std::invalid_argument& error) {
+      return std::string(error.what());
     }
     return std::string("none");
   };
-  const std::string id = "X-Correlation-Id: ab\r\n", cls = "X-Service-Class: ask\r\n";
-  CHECK(problem(cls) == "X-Correlation-Id: letters and digits expected");
-  CHECK(problem("X-Correlation-Id: a/../b\r\n" + cls) == "X-Correlation-Id: letters and digits expected");
+  const std::string id = "X-Correlation-Id: ab\r\n";
+  const std::string service_class = "X-Service-Class: ask\r\n";
+  CHECK(problem(service_class) == "X-Correlation-Id: letters and digits expected");
+  CHECK(problem("X-Correlation-Id: a/../b\r\n" + service_class) ==
+        "X-Correlation-Id: letters and digits expected");
   CHECK(problem(id) == "X-Service-Class: unknown class");
-  CHECK(problem(id + cls + "X-Time-Left-Ms: soon\r\n") == "X-Time-Left-Ms: not a number");
-  CHECK(problem(id + cls + "X-Time-Left-Ms: -5\r\n") == "X-Time-Left-Ms: out of range");
-  CHECK(problem(id + cls + "X-Facts: prompt_len=99999999999\r\n") == "X-Facts prompt_len: not a number");
-  CHECK(problem(id + cls + "X-Session-Key: zz\r\n") == "X-Session-Key: not a number");
+  CHECK(problem(id + service_class + "X-Time-Left-Ms: soon\r\n") == "X-Time-Left-Ms: not a number");
+  CHECK(problem(id + service_class + "X-Time-Left-Ms: -5\r\n") == "X-Time-Left-Ms: out of range");
+  CHECK(problem(id + service_class + "X-Facts: prompt_len=99999999999\r\n") ==
+        "X-Facts prompt_len: not a number");
+  CHECK(problem(id + service_class + "X-Session-Key: zz\r\n") == "X-Session-Key: not a number");
 }
 
-TEST_CASE("a bad configuration is refused by the name of its field", "[parsers]") {
+TEST_CASE("a malformed configuration is rejected by the name of its field", "[parsers]") {
   const nlohmann::json good =
       nlohmann::json::parse(R"({"name":"n1","listen":"127.0.0.1:1","discovery":"127.0.0.1:2",
     "seed":"8c1f","limits":{"sockets":512,"memory_mb":192},"settings":{"myNumber":0,"balancers":2,"myZone":"here",
@@ -249,31 +256,31 @@
   CHECK(config.settings.connect_timeout == milliseconds(250));
   CHECK(config.settings.idle_timeout == seconds(15));
   const auto problem = [&](const char* path, const nlohmann::json& value) {
-    nlohmann::json bad = good;
-    bad[nlohmann::json::json_pointer(path)] = value;
+    nlohmann::json malformed = good;
+    malformed[nlohmann::json::json_pointer(path)] = value;
     try {
-      daemon::parse_config(bad.dump(), {});
-    } catch (const daemon::ConfigError& e) {
-      return std::string(e.what());
+      daemon::parse_config(malformed.dump(), {});
+    } catch (const daemon::ConfigError& error) {
+      return std::string(error.what());
     }
     return std::string("none");
   };
-  const auto told = [](const std::string& what) { return "configuration:1: field " + what; };
-  CHECK(problem("/listen", "here") == told("'listen': 'here'; wanted: address and port"));
-  CHECK(problem("/seed", "xyz") == told("'seed': no number; wanted: hexadecimal text"));
-  CHECK(problem("/limits/sockets", 0) == told("'limits.sockets': 0; wanted: number above 0"));
-  CHECK(problem("/settings", 5) == told("'settings': no object; wanted: object"));
+  const auto field_error = [](const std::string& what) { return "configuration:1: field " + what; };
+  CHECK(problem("/listen", "here") == field_error("'listen': 'here'; wanted: address and port"));
+  CHECK(problem("/seed", "xyz") == field_error("'seed': no number; wanted: hexadecimal text"));
+  CHECK(problem("/limits/sockets", 0) == field_error("'limits.sockets': 0; wanted: number above 0"));
+  CHECK(problem("/settings", 5) == field_error("'settings': no object; wanted: object"));
   CHECK(problem("/settings/limits/idleCloseMs", 0) ==
-        told("'settings.limits.idleCloseMs': 0 ms: no connection can be kept; wanted: above 0"));
+        field_error("'settings.limits.idleCloseMs': 0 ms: no connection can be kept; wanted: above 0"));
   CHECK(problem("/settings/limits/connectTimeoutMs", "x") ==
-        told("'settings.limits.connectTimeoutMs': \"x\"; wanted: number of milliseconds"));
+        field_error("'settings.limits.connectTimeoutMs': \"x\"; wanted: number of milliseconds"));
   CHECK(problem("/settings/limits/mostTries", 0) ==
-        told("'settings.limits.mostTries': 0; wanted: at least 1"));
-  CHECK(problem("/known", 5) == told("'known': an object expected"));
+        field_error("'settings.limits.mostTries': 0; wanted: at least 1"));
+  CHECK(problem("/known", 5) == field_error("'known': an object expected"));
   CHECK_THROWS_AS(daemon::parse_config("{", {}), daemon::ConfigError);
 }
 
-TEST_CASE("the ring buffer keeps bytes in order through growth and wrapping", "[net]") {
+TEST_CASE("a ring buffer keeps bytes in order through growth and wrapping", "[net]") {
   Random random(6);
   net::RingBuffer ring(1 << 16);
   std::string model;
@@ -284,19 +291,20 @@
       REQUIRE(ring.append(piece) == fits);
       if (fits) model += piece;
     } else {
-      const std::size_t n = std::min<std::size_t>(random() % 3000, model.size());
-      ring.consume(n);
-      model.erase(0, n);
+      const std::size_t length = std::min<std::size_t>(random() % 3000, model.size());
+      ring.consume(length);
+      model.erase(0, length);
     }
     REQUIRE(ring.size() == model.size());
     if (i % 50 != 0) continue;
-    std::string held;
-    for (const auto& piece : ring.data()) held.append(static_cast<const char*>(piece.data()), piece.size());
-    REQUIRE(held == model);
+    std::string content;
+    for (const auto& piece : ring.data())
+      content.append(static_cast<const char*>(piece.data()), piece.size());
+    REQUIRE(content == model);
   }
 }
 
-TEST_CASE("a handle finds nothing once its slot serves another", "[net]") {
+TEST_CASE("a slot id finds nothing once its slot is reused", "[net]") {
   net::SlotTable<std::string> table;
   const auto first = table.emplace("one");
   table.erase(first);
@@ -309,7 +317,7 @@
   CHECK(table.find({}) == nullptr);
 }
 
-TEST_CASE("deadlines run in order, once, and not when dropped", "[core]") {
+TEST_CASE("timers run in order, once, and not when dropped", "[core]") {
   engine::TimerQueue timers;
   std::vector<int> ran;
   auto dropped = timers.add(seconds(1), [&] { ran.push_back(0); });
--- a/tests/dispatcher/platform_api_test.cpp
+++ b/tests/dispatcher/platform_api_test.cpp
@@ -307,14 +307,14 @@
   auto client = fixture.platform_client();
   client->post(facts("a1", "command"), kBody);
   REQUIRE(fixture.until([&] { return client->whole; }));
-  CHECK(fixture.pool.open() == 2);
+  CHECK(fixture.pool.open_connections() == 2);
   fixture.now += seconds(8);
   fixture.settle();
   fixture.timers.run(fixture.now);
-  CHECK(fixture.pool.open() == 2);
+  CHECK(fixture.pool.open_connections() == 2);
   fixture.now += seconds(2);
   fixture.timers.run(fixture.now);
-  CHECK(fixture.pool.open() == 0);
+  CHECK(fixture.pool.open_connections() == 0);
 }
 
 TEST_CASE("a command whose writers refuse connections never ran, and is refused", "[pool]") {
@@ -338,7 +338,7 @@
   fixture.settle();
   fixture.advance(milliseconds(400));
   CHECK(fixture.until([&] { return fixture.writer(1).count("DELETE", "a1") == 1; }));
-  CHECK(fixture.until([&] { return fixture.pool.leases_out() == 0; }));
+  CHECK(fixture.until([&] { return fixture.pool.pending_releases() == 0; }));
 }
 
 // The machine has vanished: its open connections stay open and silent. A new one never comes up, which
@@ -398,7 +398,7 @@
 struct RawWriters {
   RawWriters(Fixture& fixture, const std::string& bytes, const std::string& more = {})
       : first(fixture, bytes, more), second(fixture, bytes, more) {
-    fixture.pool.endpoints({{"w1", first.address(), true}, {"w2", second.address(), true}}, false);
+    fixture.pool.update_endpoints({{"w1", first.address(), true}, {"w2", second.address(), true}}, false);
   }
   [[nodiscard]] int requests() const { return first.requests + second.requests; }
   RawReplica first, second;
@@ -491,12 +491,12 @@
   Fixture fixture(read_well, write_well);
   for (int i = 0; i < 100; ++i) {
     const std::string name = "n" + std::to_string(i);
-    fixture.pool.endpoints({{name, fixture.writer().server.local(), true}}, false);
-    fixture.pool.endpoints({{name, fixture.writer().server.local(), false, true}}, false);
+    fixture.pool.update_endpoints({{name, fixture.writer().server.local(), true}}, false);
+    fixture.pool.update_endpoints({{name, fixture.writer().server.local(), false, true}}, false);
   }
-  CHECK(fixture.pool.endpoints_known() == 4);
-  fixture.pool.endpoints({}, true);
-  CHECK(fixture.pool.endpoints_known() == 0);
+  CHECK(fixture.pool.known_endpoints() == 4);
+  fixture.pool.update_endpoints({}, true);
+  CHECK(fixture.pool.known_endpoints() == 0);
 }
 
 TEST_CASE("out of connections, the oldest idle one makes room", "[pool]") {
@@ -504,11 +504,11 @@
   auto client = fixture.platform_client();
   client->post(facts("a1", "ask"), kBody);
   REQUIRE(fixture.until([&] { return client->whole; }));
-  CHECK(fixture.pool.open() == 2);
-  CHECK(fixture.pool.shed());
-  CHECK(fixture.pool.shed());
-  CHECK_FALSE(fixture.pool.shed());
-  CHECK(fixture.pool.open() == 0);
+  CHECK(fixture.pool.open_connections() == 2);
+  CHECK(fixture.pool.evict_idle());
+  CHECK(fixture.pool.evict_idle());
+  CHECK_FALSE(fixture.pool.evict_idle());
+  CHECK(fixture.pool.open_connections() == 0);
 }
 
 }  // namespace
--- a/tests/dispatcher/release_targets_test.cpp
+++ b/tests/dispatcher/release_targets_test.cpp
@@ -1,4 +1,4 @@
-// What can be reached: how long a connection is waited for, and whom a release is asked of.
+// The estimate of connect timeouts, and the choice of the endpoints that a release is sent to.
 #include "upstream/release_targets.hpp"
 
 #include <algorithm>
@@ -12,123 +12,129 @@
 
 using std::chrono::milliseconds;
 
-Listener listener(const std::string& endpoint, const std::string& zone, int cell = 0, bool connected = true,
-                  bool silent = false, Time heard = milliseconds(100)) {
-  return {endpoint, zone, cell, connected, silent, heard};
+ReleaseCandidate candidate(const std::string& endpoint, const std::string& zone, int cell = 0,
+                           bool has_idle_connection = true, bool is_unresponsive = false,
+                           Time last_received = milliseconds(100)) {
+  return {endpoint, zone, cell, has_idle_connection, is_unresponsive, last_received};
 }
 
-TEST_CASE("before any connection has come up, one is waited for as long as may be", "[reach]") {
-  ConnectTimeoutEstimator timer(milliseconds(50), milliseconds(250));
-  CHECK(timer.patience() == milliseconds(250));
-  timer.timed_out();
-  CHECK(timer.patience() == milliseconds(250));
+TEST_CASE("before any connection was established, the connect timeout is the longest allowed", "[upstream]") {
+  ConnectTimeoutEstimator estimator(milliseconds(50), milliseconds(250));
+  CHECK(estimator.timeout() == milliseconds(250));
+  estimator.on_timeout();
+  CHECK(estimator.timeout() == milliseconds(250));
 }
 
-TEST_CASE("connections that come up fast make the patience short, within its bounds", "[reach]") {
-  ConnectTimeoutEstimator timer(milliseconds(50), milliseconds(250));
-  for (int i = 0; i < 20; ++i) timer.came_up(milliseconds(3));
-  CHECK(timer.patience() == milliseconds(50));
-  for (int i = 0; i < 20; ++i) timer.came_up(milliseconds(i % 2 == 0 ? 60 : 100));
-  CHECK(timer.patience() > milliseconds(100));
-  for (int i = 0; i < 20; ++i) timer.came_up(milliseconds(900));
-  CHECK(timer.patience() == milliseconds(250));
-  timer.came_up(milliseconds(-5));
-  CHECK(timer.patience() <= milliseconds(250));
+TEST_CASE("fast connections shorten the connect timeout, within its bounds", "[upstream]") {
+  ConnectTimeoutEstimator estimator(milliseconds(50), milliseconds(250));
+  for (int i = 0; i < 20; ++i) estimator.on_connected(milliseconds(3));
+  CHECK(estimator.timeout() == milliseconds(50));
+  for (int i = 0; i < 20; ++i) estimator.on_connected(milliseconds(i % 2 == 0 ? 60 : 100));
+  CHECK(estimator.timeout() > milliseconds(100));
+  for (int i = 0; i < 20; ++i) estimator.on_connected(milliseconds(900));
+  CHECK(estimator.timeout() == milliseconds(250));
+  estimator.on_connected(milliseconds(-5));
+  CHECK(estimator.timeout() <= milliseconds(250));
 }
 
-// Where all connections have become slow, none would ever come up in a short time, and nothing be learned.
-TEST_CASE("time-outs in a row lengthen the patience, and a connection that came up ends that", "[reach]") {
-  ConnectTimeoutEstimator timer(milliseconds(50), milliseconds(250));
-  for (int i = 0; i < 20; ++i) timer.came_up(milliseconds(3));
-  timer.timed_out();
-  timer.timed_out();
-  CHECK(timer.patience() == milliseconds(50));  // two hosts, and nothing of the others
-  timer.timed_out();
-  CHECK(timer.patience() == milliseconds(100));
-  for (int i = 0; i < 1000; ++i) timer.timed_out();
-  CHECK(timer.patience() == milliseconds(250));
-  timer.came_up(milliseconds(3));
-  CHECK(timer.patience() == milliseconds(50));
+// Where all connections have become slow, none would be established within a short timeout, and nothing
+// would be learned.
+TEST_CASE("timeouts in a row double the connect timeout until a connection is established", "[upstream]") {
+  ConnectTimeoutEstimator estimator(milliseconds(50), milliseconds(250));
+  for (int i = 0; i < 20; ++i) estimator.on_connected(milliseconds(3));
+  estimator.on_timeout();
+  estimator.on_timeout();
+  CHECK(estimator.timeout() == milliseconds(50));  // two endpoints tell nothing of the others
+  estimator.on_timeout();
+  CHECK(estimator.timeout() == milliseconds(100));
+  for (int i = 0; i < 1000; ++i) estimator.on_timeout();
+  CHECK(estimator.timeout() == milliseconds(250));
+  estimator.on_connected(milliseconds(3));
+  CHECK(estimator.timeout() == milliseconds(50));
 }
 
-TEST_CASE("bounds that contradict each other keep to the longest", "[reach]") {
-  ConnectTimeoutEstimator timer(milliseconds(500), milliseconds(250));
-  timer.came_up(milliseconds(1));
-  CHECK(timer.patience() == milliseconds(250));
-  timer.bound(milliseconds(0), milliseconds(0));
-  CHECK(timer.patience() > Duration(0));
+TEST_CASE("of contradictory bounds on the connect timeout, the maximum holds", "[upstream]") {
+  ConnectTimeoutEstimator estimator(milliseconds(500), milliseconds(250));
+  estimator.on_connected(milliseconds(1));
+  CHECK(estimator.timeout() == milliseconds(250));
+  estimator.set_bounds(milliseconds(0), milliseconds(0));
+  CHECK(estimator.timeout() > Duration(0));
 }
 
-TEST_CASE("one host that is sure to hear is asked alone at first", "[reach]") {
-  ReleaseTargets plan(milliseconds(1000), milliseconds(1200), milliseconds(50));
-  const std::vector<Listener> all = {listener("a", "x", 0, false), listener("b", "x"),
-                                     listener("c", "y", 1, true, true)};
-  CHECK(plan.round(milliseconds(1000), all) == std::vector<std::string>{"b"});
+TEST_CASE("an endpoint known to be reachable is the only target of the first round", "[upstream]") {
+  ReleaseTargets targets(milliseconds(1000), milliseconds(1200), milliseconds(50));
+  const std::vector<ReleaseCandidate> candidates = {candidate("a", "x", 0, false), candidate("b", "x"),
+                                                    candidate("c", "y", 1, true, true)};
+  CHECK(targets.next_round(milliseconds(1000), candidates) == std::vector<std::string>{"b"});
 }
 
-TEST_CASE("where none is sure to hear, two are asked, in different zones", "[reach]") {
-  ReleaseTargets plan(milliseconds(1000), milliseconds(1200), milliseconds(50));
-  const std::vector<Listener> all = {listener("a", "x", 0, false, false, milliseconds(900)),
-                                     listener("b", "x", 0, false, false, milliseconds(800)),
-                                     listener("c", "y", 1, false, false, milliseconds(10))};
-  CHECK(plan.round(milliseconds(1000), all) == std::vector<std::string>{"a", "c"});
+TEST_CASE("where no endpoint is known to be reachable, two in different zones are called", "[upstream]") {
+  ReleaseTargets targets(milliseconds(1000), milliseconds(1200), milliseconds(50));
+  const std::vector<ReleaseCandidate> candidates = {candidate("a", "x", 0, false, false, milliseconds(900)),
+                                                    candidate("b", "x", 0, false, false, milliseconds(800)),
+                                                    candidate("c", "y", 1, false, false, milliseconds(10))};
+  CHECK(targets.next_round(milliseconds(1000), candidates) == std::vector<std::string>{"a", "c"});
 }
 
-// The zone that has just fallen silent was heard last, host by host: its twelve would all come first.
-TEST_CASE("a zone that has fallen silent does not use up the time", "[reach]") {
-  std::vector<Listener> all;
+// All twelve endpoints of the zone that has just become unreachable were heard from last, and would come
+// first.
+TEST_CASE("the second round leaves a zone that does not answer", "[upstream]") {
+  std::vector<ReleaseCandidate> candidates;
   for (int i = 0; i < 12; ++i)
-    all.push_back(listener("gone" + std::to_string(i), "x", i / 4, true, false, milliseconds(990)));
-  all.push_back(listener("lives", "y", 9, false, true, milliseconds(1)));
-  ReleaseTargets plan(milliseconds(1000), milliseconds(1200), milliseconds(50));
-  std::set<std::string> asked;
-  for (const auto& endpoint : plan.round(milliseconds(1000), all)) asked.insert(endpoint);
-  CHECK_FALSE(asked.contains("lives"));
-  for (const auto& endpoint : plan.round(milliseconds(1050), all)) asked.insert(endpoint);
-  CHECK(asked.contains("lives"));
+    candidates.push_back(
+        candidate("unreachable" + std::to_string(i), "x", i / 4, true, false, milliseconds(990)));
+  candidates.push_back(candidate("reachable", "y", 9, false, true, milliseconds(1)));
+  ReleaseTargets targets(milliseconds(1000), milliseconds(1200), milliseconds(50));
+  std::set<std::string> called;
+  for (const auto& endpoint : targets.next_round(milliseconds(1000), candidates)) called.insert(endpoint);
+  CHECK_FALSE(called.contains("reachable"));
+  for (const auto& endpoint : targets.next_round(milliseconds(1050), candidates)) called.insert(endpoint);
+  CHECK(called.contains("reachable"));
 }
 
-TEST_CASE("rounds widen up to a bound, nobody twice before all were asked", "[reach]") {
-  std::vector<Listener> all;
-  for (int i = 0; i < 40; ++i) all.push_back(listener("h" + std::to_string(i), "x", i / 5));
-  ReleaseTargets plan(Time{}, milliseconds(1200), milliseconds(50));
-  std::set<std::string> asked;
+TEST_CASE("rounds widen up to a limit, and no endpoint is called twice before all were", "[upstream]") {
+  std::vector<ReleaseCandidate> candidates;
+  for (int i = 0; i < 40; ++i) candidates.push_back(candidate("h" + std::to_string(i), "x", i / 5));
+  ReleaseTargets targets(Time{}, milliseconds(1200), milliseconds(50));
+  std::set<std::string> called;
   std::vector<std::size_t> widths;
-  for (int round = 0; asked.size() < all.size(); ++round) {
-    const auto endpoints = plan.round(milliseconds(50 * round), all);
+  for (int round = 0; called.size() < candidates.size(); ++round) {
+    const auto endpoints = targets.next_round(milliseconds(50 * round), candidates);
     widths.push_back(endpoints.size());
-    for (const auto& endpoint : endpoints) CHECK(asked.insert(endpoint).second);
+    for (const auto& endpoint : endpoints) CHECK(called.insert(endpoint).second);
     REQUIRE(round < 20);
   }
   CHECK(widths == std::vector<std::size_t>{1, 2, 4, 8, 8, 8, 8, 1});
-  CHECK(plan.round(milliseconds(500), all).size() == 8);  // from the start again
+  CHECK(targets.next_round(milliseconds(500), candidates).size() == 8);  // from the start again
 }
 
-TEST_CASE("nobody to ask, or no time left: no calls", "[reach]") {
-  ReleaseTargets plan(Time{}, milliseconds(1200), milliseconds(50));
-  CHECK(plan.round(Time{}, {}).empty());
-  CHECK(plan.round(milliseconds(10), {listener("a", "x", 0, false)}).size() == 1);  // it came into the list
-  CHECK(plan.round(milliseconds(1200), {listener("a", "x")}).empty());
-  CHECK(plan.over(milliseconds(1200)));
+TEST_CASE("without candidates or after the time is over, a round has no targets", "[upstream]") {
+  ReleaseTargets targets(Time{}, milliseconds(1200), milliseconds(50));
+  CHECK(targets.next_round(Time{}, {}).empty());
+  CHECK(targets.next_round(milliseconds(10), {candidate("a", "x", 0, false)}).size() ==
+        1);  // it came into the list
+  CHECK(targets.next_round(milliseconds(1200), {candidate("a", "x")}).empty());
+  CHECK(targets.has_expired(milliseconds(1200)));
 }
 
-// In a cut, calls at the first pace would only pile up; after it, the next must not be far.
-TEST_CASE("rounds in vain come ever more slowly, to a bound", "[reach]") {
-  ReleaseTargets plan(Time{}, std::chrono::seconds(30), milliseconds(50));
-  const std::vector<Listener> all = {listener("a", "x"), listener("b", "y")};
+// In a network partition, calls at the first interval would only pile up; after it, the next must not be far.
+TEST_CASE("intervals between unanswered rounds grow up to a limit", "[upstream]") {
+  ReleaseTargets targets(Time{}, std::chrono::seconds(30), milliseconds(50));
+  const std::vector<ReleaseCandidate> candidates = {candidate("a", "x"), candidate("b", "y")};
   Time now{};
-  std::vector<Duration> pauses;
-  while (!plan.over(now)) {
-    CHECK_FALSE(plan.round(now, all).empty());
-    pauses.push_back(plan.pause());
-    now += plan.pause();
+  std::vector<Duration> intervals;
+  while (!targets.has_expired(now)) {
+    CHECK_FALSE(targets.next_round(now, candidates).empty());
+    intervals.push_back(targets.next_interval());
+    now += targets.next_interval();
   }
-  CHECK(pauses[0] == milliseconds(50));
-  CHECK(pauses[10] == milliseconds(50));  // two pin limits' worth at the first pace
-  CHECK(std::is_sorted(pauses.begin(), pauses.end()));
-  CHECK(pauses.back() == milliseconds(1000));
-  CHECK(pauses.size() < 60);
-  CHECK(ReleaseTargets(Time{}, std::chrono::seconds(30), milliseconds(1500)).pause() == milliseconds(1500));
+  CHECK(intervals[0] == milliseconds(50));
+  CHECK(intervals[10] == milliseconds(50));  // two reservation limits' worth at the first interval
+  CHECK(std::is_sorted(intervals.begin(), intervals.end()));
+  CHECK(intervals.back() == milliseconds(1000));
+  CHECK(intervals.size() < 60);
+  CHECK(ReleaseTargets(Time{}, std::chrono::seconds(30), milliseconds(1500)).next_interval() ==
+        milliseconds(1500));
 }
 
 }  // namespace
--- a/tests/dispatcher/reservation_tracker_test.cpp
+++ b/tests/dispatcher/reservation_tracker_test.cpp
@@ -3,7 +3,7 @@
 
 #include <catch2/catch.hpp>
 
-#include "upstream/exchange.hpp"
+#include "upstream/protocol.hpp"
 
 namespace dispatcher::engine {
 namespace {
@@ -76,10 +76,10 @@
 TEST_CASE("a stream whose last event is cut short had begun", "[held]") {
   http::ResponseReader::Message message;
   message.result(200);
-  CHECK(upstream::judge(message, "data: {\"a\"", {}).status == AttemptStatus::kReset);
-  CHECK(upstream::judge(message, "data: {\"a\"", {}).note == 1);
-  CHECK(upstream::judge(message, ": X-Backend-Load: {}", {}).status == AttemptStatus::kServed);
-  CHECK(upstream::judge(message, "", {}).status == AttemptStatus::kServed);
+  CHECK(upstream::interpret_response(message, "data: {\"a\"", {}).status == AttemptStatus::kReset);
+  CHECK(upstream::interpret_response(message, "data: {\"a\"", {}).note == 1);
+  CHECK(upstream::interpret_response(message, ": X-Backend-Load: {}", {}).status == AttemptStatus::kServed);
+  CHECK(upstream::interpret_response(message, "", {}).status == AttemptStatus::kServed);
 }
 
 }  // namespace
