--- a/tests/dispatcher/drain_test.cpp
+++ b/tests/dispatcher/drain_test.cpp
@@ -1,4 +1,5 @@
-// A whole dispatcher that is told to end: what is owed at that instant is given, and it ends by itself.
+// The graceful shutdown of a complete dispatcher: it finishes the requests it has accepted, and ends by
+// itself.
 #include <array>
 #include <boost/asio/write.hpp>
 
@@ -8,9 +9,9 @@
 namespace dispatcher::testing {
 namespace {
 
-// A dispatcher on its own loop and clock, before stand-in replicas on the test's.
-struct Service {
-  Service(StandInReplica::Script reads, StandInReplica::Script writes)
+// A dispatcher on its own event loop and clock, with stand-in replicas on the test's.
+struct DrainFixture {
+  DrainFixture(StandInReplica::Script reads, StandInReplica::Script writes)
       : reader(work, std::move(reads)), writer(work, std::move(writes)) {
     config.listen = config.discovery = loopback();
     config.discovery.port(1);  // nobody listens there
@@ -27,11 +28,11 @@
     config.known.list.entries.push_back({endpoint, "here", kind, 0, routing::EndpointState::kReady, 1, {}});
     config.known.addresses.push_back({endpoint, at, true, false, "here", 0});
   }
-  // Runs both sides until the condition holds; the bound only ends a test that has failed.
+  // Runs both sides until the condition holds; the timeout only ends a test that has failed.
   template <class Condition>
   bool until(Condition condition) {
-    const auto end = std::chrono::steady_clock::now() + seconds(20);
-    while (std::chrono::steady_clock::now() < end) {
+    const auto timeout = std::chrono::steady_clock::now() + seconds(20);
+    while (std::chrono::steady_clock::now() < timeout) {
       work.now += milliseconds(1);
       work.timers.run(work.now);
       work.io.restart();
@@ -52,100 +53,105 @@
   daemon::Loop loop;
   daemon::Config config;
   std::vector<std::string> logs;
-  StandInReplica reader, writer;
+  StandInReplica reader;
+  StandInReplica writer;
   std::optional<daemon::Dispatcher> dispatcher;
 };
 
-void keep(StandInReplica&, SlotId, const StandInReplica::Seen&) {}  // its answer is the test's to give
+void never_answer(StandInReplica&, SlotId, const StandInReplica::Seen&) {}  // the test answers by itself
 
-TEST_CASE("told to end, a dispatcher finishes a request wherever that stands", "[drain]") {
-  Service service(keep, keep);
-  auto client = service.client();
+TEST_CASE("a draining dispatcher finishes a request in each of its phases", "[drain]") {
+  DrainFixture fixture(never_answer, never_answer);
+  auto client = fixture.client();
   client->post(facts("a1", "command"), "{}");
-  REQUIRE(service.until([&] { return service.reader.waiting.size() == 1; }));
-  const auto read = [&] { service.reader.say(service.reader.waiting[0], 202, R"({"cached_tokens":0})"); };
-  const auto at_writer = [&] { return service.writer.waiting.size() == 1; };
-  SECTION("in its read") {
-    service.dispatcher->drain();
-    read();
-    REQUIRE(service.until(at_writer));
-    service.writer.stream(service.writer.waiting[0], {"yes"});
+  REQUIRE(fixture.until([&] { return fixture.reader.waiting.size() == 1; }));
+  const auto answer_read = [&] {
+    fixture.reader.say(fixture.reader.waiting[0], 202, R"({"cached_tokens":0})");
+  };
+  const auto at_writer = [&] { return fixture.writer.waiting.size() == 1; };
+  SECTION("while it is read") {
+    fixture.dispatcher->drain();
+    answer_read();
+    REQUIRE(fixture.until(at_writer));
+    fixture.writer.stream(fixture.writer.waiting[0], {"yes"});
   }
   SECTION("between read and write") {
-    read();
-    service.dispatcher->drain();
-    REQUIRE(service.until(at_writer));
-    service.writer.stream(service.writer.waiting[0], {"yes"});
+    answer_read();
+    fixture.dispatcher->drain();
+    REQUIRE(fixture.until(at_writer));
+    fixture.writer.stream(fixture.writer.waiting[0], {"yes"});
   }
-  SECTION("in its stream") {
-    read();
-    REQUIRE(service.until(at_writer));
-    service.writer.stream(service.writer.waiting[0], {"yes"}, false);
-    REQUIRE(service.until([&] { return client->body.find("yes") != std::string::npos; }));
-    service.dispatcher->drain();
-    service.writer.server.pass(service.writer.waiting[0], "data: [DONE]\n\n");
-    service.writer.server.end(service.writer.waiting[0]);
+  SECTION("while it streams") {
+    answer_read();
+    REQUIRE(fixture.until(at_writer));
+    fixture.writer.stream(fixture.writer.waiting[0], {"yes"}, false);
+    REQUIRE(fixture.until([&] { return client->body.find("yes") != std::string::npos; }));
+    fixture.dispatcher->drain();
+    fixture.writer.server.pass(fixture.writer.waiting[0], "data: [DONE]\n\n");
+    fixture.writer.server.end(fixture.writer.waiting[0]);
   }
-  REQUIRE(service.until([&] { return client->whole; }));
+  REQUIRE(fixture.until([&] { return client->whole; }));
   CHECK(client->status == 200);
   CHECK(client->body.find("[DONE]") != std::string::npos);
-  CHECK(service.drained());
-  CHECK(service.writer.count("POST", "a1") == 1);
+  CHECK(fixture.drained());
+  CHECK(fixture.writer.count("POST", "a1") == 1);
 }
 
-TEST_CASE("a request that no replica takes has its final answer before the end", "[drain]") {
-  Service service(
-      [](StandInReplica& r, SlotId client, const StandInReplica::Seen&) { r.say(client, 503, {}, true); },
-      keep);
-  auto client = service.client();
+TEST_CASE("a draining dispatcher rejects a request that no replica takes before it ends", "[drain]") {
+  DrainFixture fixture([](StandInReplica& replica, SlotId client,
+                          const StandInReplica::Seen&) { replica.say(client, 503, {}, true); },
+                       never_answer);
+  auto client = fixture.client();
   client->post(facts("a1", "ask", 1000), "{}");
-  REQUIRE(service.until([&] { return service.reader.count("POST", "a1") > 0; }));
-  service.dispatcher->drain();
-  REQUIRE(service.until([&] { return client->answered(); }));
+  REQUIRE(fixture.until([&] { return fixture.reader.count("POST", "a1") > 0; }));
+  fixture.dispatcher->drain();
+  REQUIRE(fixture.until([&] { return client->answered(); }));
   CHECK(client->status == 503);
-  CHECK(service.drained());
+  CHECK(fixture.drained());
 }
 
-TEST_CASE("what comes on connections while the process ends is answered or shut in good order", "[drain]") {
-  Service service(read_well, write_well);
-  auto idle = service.client(), half = service.client();
+TEST_CASE("a draining dispatcher answers what still comes, and closes idle connections gracefully",
+          "[drain]") {
+  DrainFixture fixture(read_well, write_well);
+  auto idle = fixture.client();
+  auto partial = fixture.client();  // has sent a part of its request
   idle->post(facts("a1", "ask"), "{}");
-  REQUIRE(service.until([&] { return idle->whole; }));
-  half->send("POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\n" + facts("a2", "ask") +
-             "Content-Length: 2\r\n\r\n{");
-  service.until([&] { return service.work.io.poll() == 0; });
-  service.dispatcher->drain();
-  auto late = service.client();  // connections still come for 0.4 s
+  REQUIRE(fixture.until([&] { return idle->whole; }));
+  partial->send("POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\n" + facts("a2", "ask") +
+                "Content-Length: 2\r\n\r\n{");
+  fixture.until([&] { return fixture.work.io.poll() == 0; });
+  fixture.dispatcher->drain();
+  auto late = fixture.client();  // connections still come for 0.4 s
   late->post(facts("a3", "command"), "{}");
-  REQUIRE(service.until([&] { return late->whole; }));
+  REQUIRE(fixture.until([&] { return late->whole; }));
   CHECK(late->status == 200);
   CHECK(late->headers["Connection"] == "close");
-  REQUIRE(service.until([&] { return idle->ended; }));  // accepting is over
+  REQUIRE(fixture.until([&] { return idle->ended; }));  // accepting is over
   CHECK(idle->end == boost::asio::error::eof);
-  half->send("}");
-  REQUIRE(service.until([&] { return half->whole; }));
-  CHECK(half->status == 200);
-  CHECK(half->headers["Connection"] == "close");
-  const std::size_t taken = service.reader.seen.size();
+  partial->send("}");
+  REQUIRE(fixture.until([&] { return partial->whole; }));
+  CHECK(partial->status == 200);
+  CHECK(partial->headers["Connection"] == "close");
+  const std::size_t requests_before = fixture.reader.seen.size();
   idle->post(facts("a4", "command"), "{}");  // after the half-close
-  half->close();
+  partial->close();
   late->close();
-  service.until([&] { return service.work.io.poll() == 0; });
+  fixture.until([&] { return fixture.work.io.poll() == 0; });
   idle->close();
-  CHECK(service.drained());
-  CHECK(service.reader.seen.size() == taken);
+  CHECK(fixture.drained());
+  CHECK(fixture.reader.seen.size() == requests_before);
 }
 
-// Of a request whose client has gone nothing is owed to anybody, but for what a reader still holds for it.
-TEST_CASE("the process ends only once what is held for its requests is let go of", "[drain]") {
-  Service service(read_well, keep);
-  auto client = service.client();
+// A request whose client has gone leaves nothing to do but the release of what a reader reserved for it.
+TEST_CASE("a draining dispatcher ends only once the reservations of its requests are released", "[drain]") {
+  DrainFixture fixture(read_well, never_answer);
+  auto client = fixture.client();
   client->post(facts("a1", "command"), "{}");
-  REQUIRE(service.until([&] { return service.writer.waiting.size() == 1; }));
-  service.dispatcher->drain();
+  REQUIRE(fixture.until([&] { return fixture.writer.waiting.size() == 1; }));
+  fixture.dispatcher->drain();
   client->close();
-  CHECK(service.drained());
-  CHECK(service.reader.count("DELETE", "a1") + service.writer.count("DELETE", "a1") >= 1);
+  CHECK(fixture.drained());
+  CHECK(fixture.reader.count("DELETE", "a1") + fixture.writer.count("DELETE", "a1") >= 1);
 }
 
 }  // namespace
