--- a/src/daemon/components.cpp
+++ b/src/daemon/components.cpp
@@ -41,11 +41,11 @@
       random(config.seed),
       levels(config.settings, parse_levels(files, config.settings), loop.clock(), log,
              [this] { return std::uniform_real_distribution<double>(0, 1)(random); }),
-      pool(loop.io(), loop.timers(), loop.clock(), log, pool_options(config, ProcessCount::kOne)),
+      pool(loop.io(), loop.timers(), loop.clock(), log, upstream_options(config, ProcessCount::kOne)),
       engine(settings, config.seed, pool, loop.timers(), loop.clock(), log),
       platform(loop.io(), config.listen, engine, settings, loop.timers(), loop.clock(),
                server_options(config, chat_config ? 2 : 1, ProcessCount::kOne),
-               [this] { return pool.shed(); }),
+               [this] { return pool.evict_idle(); }),
       watch(loop.io(), config.discovery, loop.timers(), loop.clock(), log, callbacks.on_endpoints,
             config.settings.router_count, config.seed ^ kWatchSeedMask, list_delivery(config.settings)),
       drained_endpoints(shared_path(config, ".bans"), log),
@@ -64,7 +64,7 @@
 
 void Components::build_chat() {
   chat.emplace(loop.io(), *chat_config, engine, loop.timers(), loop.clock(), config.seed,
-               server_options(config, 2, ProcessCount::kOne), [this] { return pool.shed(); });
+               server_options(config, 2, ProcessCount::kOne), [this] { return pool.evict_idle(); });
   chat->attach(rate_limiter);
   chat->attach(levels);
 }
@@ -77,7 +77,7 @@
   calls.levels = [this] { return levels.changes(); };
   calls.pin = [this](const std::string& name) { return levels.order(name); };
   admin.emplace(loop.io(), *config.console, loop.timers(), loop.clock(), std::move(calls),
-                [this] { return pool.shed(); });
+                [this] { return pool.evict_idle(); });
 }
 
 std::vector<http::Server*> Components::client_servers() {
@@ -90,7 +90,7 @@
 
 void Components::apply_resource_limits() {
   share_rate_limits();
-  pool.adopt(pool_options(config, processes()));
+  pool.apply_options(upstream_options(config, processes()));
   const http::ServerOptions options = server_options(config, client_servers().size(), processes());
   for (http::Server* server : client_servers()) server->bound(options.max_clients, options.max_held);
 }
@@ -105,7 +105,7 @@
 
 void Components::update_endpoints(const service_discovery::EndpointSnapshot& snapshot) {
   service_discovery::merge(endpoints, snapshot);
-  pool.endpoints(snapshot.addresses, snapshot.whole);
+  pool.update_endpoints(snapshot.addresses, snapshot.whole);
   engine.update_endpoints(snapshot.list);
   levels.endpoints(snapshot.list);
 }
--- a/src/daemon/components.hpp
+++ b/src/daemon/components.hpp
@@ -24,7 +24,7 @@
 #include "platform_api/frontend.hpp"
 #include "rate_limit/rate_limiter.hpp"
 #include "service_discovery/endpoint_watcher.hpp"
-#include "upstream/connection_pool.hpp"
+#include "upstream/replica_client.hpp"
 
 namespace dispatcher::daemon {
 
@@ -62,7 +62,7 @@
   rate_limit::RateLimiter rate_limiter;
   std::mt19937_64 random;
   degradation::DegradationController levels;
-  upstream::ConnectionPool pool;
+  upstream::ReplicaClient pool;
   engine::Engine engine;
   platform_api::Frontend platform;
   std::optional<openai_api::Frontend> chat;
--- a/src/daemon/dispatcher.cpp
+++ b/src/daemon/dispatcher.cpp
@@ -151,7 +151,7 @@
 // The router hears of it first: what the pool gives back then goes elsewhere.
 void Dispatcher::apply_drain(const std::string& endpoint, bool offline) {
   parts_.engine.set_administrative_drain(endpoint, offline);
-  parts_.pool.maintain(endpoint, offline);
+  parts_.pool.set_administratively_drained(endpoint, offline);
 }
 
 // ---- the end ----
@@ -199,7 +199,7 @@
   std::size_t clients = 0;
   for (const http::Server* server : parts_.client_servers()) clients += server->clients();
   const bool is_owed =
-      parts_.engine.open_request_count() > 0 || clients > 0 || parts_.pool.leases_pressing() > 0;
+      parts_.engine.open_request_count() > 0 || clients > 0 || parts_.pool.releases_blocking_shutdown() > 0;
   return !has_stopped_accepting_ || !parts_.peer.all_sent() || is_owed;
 }
 
--- a/src/daemon/resource_limits.cpp
+++ b/src/daemon/resource_limits.cpp
@@ -32,18 +32,19 @@
 
 }  // namespace
 
-upstream::Options pool_options(const Config& config, ProcessCount processes) {
+upstream::Options upstream_options(const Config& config, ProcessCount processes) {
   const routing::Settings& settings = config.settings;
   upstream::Options options;
   options.connect_timeout = settings.connect_timeout;
   options.idle_timeout = settings.idle_timeout;
-  options.lease_patience =
+  options.release_round_interval =
       std::max<engine::Duration>(kMinReleasePause, settings.reservation_limit / kReleaseRounds);
   options.drain_grace = settings.drain_grace;
-  options.release_again = std::max<engine::Duration>(kMinReleasePause, settings.reservation_limit * 2 / 3);
+  options.release_repeat_interval =
+      std::max<engine::Duration>(kMinReleasePause, settings.reservation_limit * 2 / 3);
   const std::size_t descriptors = connection_descriptors(config, processes) * kEndpointPercent / 100;
   options.max_connections = std::min<std::size_t>(options.max_connections, descriptors);
-  options.max_idle_all = std::min(options.max_idle_all, options.max_connections / 2);
+  options.max_idle_total = std::min(options.max_idle_total, options.max_connections / 2);
   return options;
 }
 
--- a/src/daemon/resource_limits.hpp
+++ b/src/daemon/resource_limits.hpp
@@ -7,7 +7,7 @@
 
 #include "daemon/config.hpp"
 #include "http/server.hpp"
-#include "upstream/connection_pool.hpp"
+#include "upstream/replica_client.hpp"
 
 namespace dispatcher::daemon {
 
@@ -15,7 +15,7 @@
 // keeps to half of what one may have.
 enum class ProcessCount { kOne, kTwo };
 
-[[nodiscard]] upstream::Options pool_options(const Config& config, ProcessCount processes);
+[[nodiscard]] upstream::Options upstream_options(const Config& config, ProcessCount processes);
 // `frontends`: client fronts of this process, which share its part equally.
 [[nodiscard]] http::ServerOptions server_options(const Config& config, std::size_t frontends,
                                                  ProcessCount processes);
--- a/src/daemon/stream_handover.cpp
+++ b/src/daemon/stream_handover.cpp
@@ -27,35 +27,36 @@
   http::Server& server = parts_.platform.server();
   const engine::AttemptId attempt{stream.request, stream.attempt};
   const bool is_client_still = server.hush(stream.client);
-  const bool is_endpoint_still = parts_.pool.hush(attempt);
+  const bool is_endpoint_still = parts_.pool.suspend_stream(attempt);
   if (is_client_still && is_endpoint_still) {
-    const auto [endpoint_socket, state] = parts_.pool.give(attempt);
+    const upstream::DetachedStream state = parts_.pool.detach_stream(attempt);
     const net::UniqueFd client_socket = server.give(stream.client);
     parts_.platform.forget_given(stream.client);
     parts_.peer.give_stream({{"id", stream.id},
                              {"host", state.endpoint},
                              {"unread", std::vector<unsigned char>(state.unread.begin(), state.unread.end())},
-                             {"chunk_left", state.chunk_left},
-                             {"keep_alive", state.keep_alive}},
-                            client_socket.get(), endpoint_socket.get());
+                             {"chunk_left", state.position.chunk_left},
+                             {"keep_alive", state.position.keep_alive}},
+                            client_socket.get(), state.socket.get());
     parts_.engine.release_stream(stream.request);
   } else if (passes_ % kPassesPerResume == kPassesPerResume - 1) {
     server.wake(stream.client);
-    parts_.pool.wake(attempt);
+    parts_.pool.resume_stream(attempt);
   }
 }
 
 void StreamHandover::adopt(const hot_restart::Json& message, net::UniqueFd client, net::UniqueFd endpoint) {
   try {
     const auto unread = message.at("unread").get<std::vector<unsigned char>>();
-    const upstream::ConnectionPool::Given state{message.at("host").get<std::string>(),
-                                                {unread.begin(), unread.end()},
-                                                message.at("chunk_left").get<std::uint64_t>(),
-                                                message.at("keep_alive").get<bool>()};
+    upstream::DetachedStream state{
+        std::move(endpoint),
+        message.at("host").get<std::string>(),
+        {unread.begin(), unread.end()},
+        {message.at("chunk_left").get<std::uint64_t>(), message.at("keep_alive").get<bool>()}};
     const auto id = message.at("id").get<std::string>();
     parts_.engine.on_peer_request_progress(id, engine::RequestProgress::kCompleted);
     const net::SlotId request = parts_.platform.take_over(std::move(client), id, state.endpoint);
-    parts_.pool.adopt({request, 0}, std::move(endpoint), state);
+    parts_.pool.adopt_stream({request, 0}, std::move(state));
   } catch (const std::exception& error) {
     parts_.log(std::string("upgrade: a stream can't go on here: ") + error.what());
   }
--- a/tests/dispatcher/attempt_chaos_test.cpp
+++ b/tests/dispatcher/attempt_chaos_test.cpp
@@ -108,7 +108,7 @@
   auto settings = make_settings();
   settings.may_cancel = seed % 2 == 0;
   fixture.adopt(settings);
-  fixture.pool.adopt({milliseconds(250), seconds(15), milliseconds(50)});
+  fixture.pool.apply_options({milliseconds(250), seconds(15), milliseconds(50)});
   std::vector<SlotId> requests;
   for (int i = 0; i < 250; ++i) {
     if (chaos.draw_percent() < 40) {
@@ -125,7 +125,7 @@
   CHECK(chaos.held_since.empty());
   CHECK(fixture.engine.open_request_count() == 0);
   CHECK(fixture.engine.unanswered_count() == 0);
-  CHECK(fixture.pool.leases_out() == 0);
+  CHECK(fixture.pool.pending_releases() == 0);
   CHECK(chaos.started.size() > 3);  // some are served all the same
   for (const auto& [id, runs] : chaos.runs_by_id) {
     if (std::stoi(id) % 2 == 0) CHECK(runs == 1);
--- a/tests/dispatcher/attempt_endings_fixture.hpp
+++ b/tests/dispatcher/attempt_endings_fixture.hpp
@@ -123,7 +123,7 @@
 };
 
 inline void DirectFixture::send_writes_to(const RawSocketPeer& peer) {
-  pool.endpoints({{"w1", peer.address(), true}, {"w2", peer.address(), true}}, false);
+  pool.update_endpoints({{"w1", peer.address(), true}, {"w2", peer.address(), true}}, false);
 }
 }  // namespace dispatcher::testing
 
--- a/tests/dispatcher/attempt_endings_test.cpp
+++ b/tests/dispatcher/attempt_endings_test.cpp
@@ -58,7 +58,7 @@
   fixture.advance(milliseconds(400));
   CHECK(fixture.total("POST", true) == 0);
   CHECK(fixture.releases() >= 1);  // two calls at once, where no connection is kept
-  CHECK(fixture.pool.leases_out() == 0);
+  CHECK(fixture.pool.pending_releases() == 0);
   CHECK(fixture.engine.open_request_count() == 0);
 }
 
@@ -72,7 +72,7 @@
   fixture.engine.on_client_disconnected(id);  // the answer is written, and not read
   fixture.advance(milliseconds(400));
   CHECK(fixture.releases() >= 1);  // two calls at once, where no connection is kept
-  CHECK(fixture.pool.leases_out() == 0);
+  CHECK(fixture.pool.pending_releases() == 0);
   CHECK(fixture.total("POST", true) == 0);
   CHECK(fixture.engine.open_request_count() == 0);
 }
@@ -94,8 +94,8 @@
   DirectFixture fixture(read_well, write_well);
   StandInReplica new_address(fixture, read_well);
   fixture.submit("a1");
-  fixture.pool.endpoints({{"r1", new_address.server.local(), true}, {"r2", new_address.server.local(), true}},
-                         false);
+  fixture.pool.update_endpoints(
+      {{"r1", new_address.server.local(), true}, {"r2", new_address.server.local(), true}}, false);
   fixture.advance(milliseconds(400));
   CHECK(fixture.total("POST", false) == 0);
   CHECK(new_address.count("POST") == 1);
@@ -107,13 +107,13 @@
   StandInReplica new_address(fixture, read_well);
   fixture.submit("a1");
   REQUIRE(fixture.until([&] { return fixture.posts() == 1; }));
-  fixture.pool.endpoints({{"r1", new_address.server.local(), true}, {"r2", new_address.server.local(), true}},
-                         false);
+  fixture.pool.update_endpoints(
+      {{"r1", new_address.server.local(), true}, {"r2", new_address.server.local(), true}}, false);
   for (std::size_t i : {0U, 1U})
     for (const SlotId client : fixture.reader(i).waiting) fixture.reader(i).say(client, 202, "{}");
   REQUIRE(fixture.until([&] { return fixture.count("finish") == 1; }));
   fixture.advance(milliseconds(60));
-  CHECK(fixture.pool.open() == 1);  // the writer's
+  CHECK(fixture.pool.open_connections() == 1);  // the writer's
 }
 
 TEST_CASE("a drain told while a connection comes up keeps the first byte back past part of the grace",
@@ -123,9 +123,9 @@
   DirectFixture fixture(read_well, write_well);
   upstream::Options options{milliseconds(250), seconds(15), milliseconds(50)};
   options.drain_grace = grace;
-  fixture.pool.adopt(options);
+  fixture.pool.apply_options(options);
   fixture.submit("a1");
-  fixture.pool.endpoints(
+  fixture.pool.update_endpoints(
       {{"r1", fixture.reader(0).server.local(), false}, {"r2", fixture.reader(1).server.local(), false}},
       false);
   fixture.now += grace * 3 / 5 + milliseconds(late ? 1 : 0);
@@ -212,18 +212,18 @@
   const std::string answer =
       kAnswerHead + http::chunk("data: {\"a\":1}\n\n") + http::chunk("data: [DONE]\n\n") + "0\r\n\r\n";
   RawReplica writer(fixture, answer, kAnswerHead + http::chunk("data: {\"late\":1}\n\n") + "0\r\n\r\n");
-  fixture.pool.endpoints({{"w1", writer.address(), true}, {"w2", writer.address(), true}}, false);
+  fixture.pool.update_endpoints({{"w1", writer.address(), true}, {"w2", writer.address(), true}}, false);
   auto first = fixture.platform_client(), second = fixture.platform_client();
   first->post(facts("a1", "command"), kBody);
   REQUIRE(fixture.until([&] { return first->answered(); }));
-  CHECK(fixture.pool.open() == 2);
+  CHECK(fixture.pool.open_connections() == 2);
   fixture.advance(milliseconds(20));
   second->post(facts("a2", "command"), kBody);
   REQUIRE(fixture.until([&] { return second->answered(); }));
-  CHECK(fixture.pool.open() == 4);  // new ones: the others rest
+  CHECK(fixture.pool.open_connections() == 4);  // new ones: the others rest
   writer.go_on();
   fixture.settle();
-  CHECK(fixture.pool.open() == 2);  // the readers' alone
+  CHECK(fixture.pool.open_connections() == 2);  // the readers' alone
   CHECK(second->body.find("late") == std::string::npos);
 }
 
@@ -234,7 +234,7 @@
     used.push_back(client);
     if (seen.target.ends_with("now")) replica.say(client, 409);
   });
-  fixture.pool.endpoints({{"w1", one.server.local(), true}}, false);
+  fixture.pool.update_endpoints({{"w1", one.server.local(), true}}, false);
   const auto call = [&](int attempt, const std::string& id) {
     const std::size_t before = used.size();
     fixture.pool.reserve_slot({SlotId{}, attempt}, "w1", id);
--- a/tests/dispatcher/daemon_test.cpp
+++ b/tests/dispatcher/daemon_test.cpp
@@ -145,7 +145,8 @@
   hang_up();
   CHECK(logs.back() == "reload failed, the old configuration stays: field 'x': bad");
   read = [&] {
-    return daemon::ConfigurationFiles{next.config, {{"chat.json", R"({"listen":"127.0.0.1:0","models":[]})"}, {}}};
+    return daemon::ConfigurationFiles{next.config,
+                                      {{"chat.json", R"({"listen":"127.0.0.1:0","models":[]})"}, {}}};
   };
   hang_up();
   CHECK(logs.back() ==
--- a/tests/dispatcher/rate_limit_test.cpp
+++ b/tests/dispatcher/rate_limit_test.cpp
@@ -633,7 +633,8 @@
   config.discovery.port(1);
   config.settings = make_settings();
   Told logs;
-  daemon::ConfigurationFiles next{config, {{}, {}, cue::File{"rules.cue", "rules: [{name: \"a\", class: \"'zz'\"}]"}}};
+  daemon::ConfigurationFiles next{
+      config, {{}, {}, cue::File{"rules.cue", "rules: [{name: \"a\", class: \"'zz'\"}]"}}};
   daemon::Dispatcher dispatcher(
       loop, config, {{}, {}, cue::File{"rules.cue", "rules: []"}},
       [&](std::string_view line) { logs.emplace_back(line); }, [&] { return next; });
--- a/tests/dispatcher/reservation_release_test.cpp
+++ b/tests/dispatcher/reservation_release_test.cpp
@@ -23,18 +23,18 @@
   DirectFixture fixture(read_well, silent);
   // Nobody accepts the calls: they stay out.
   RawSocketPeer peer(fixture);
-  fixture.pool.endpoints({{"r1", peer.address(), true},
-                          {"r2", peer.address(), true},
-                          {"w1", peer.address(), true},
-                          {"w2", peer.address(), true}},
-                         false);
+  fixture.pool.update_endpoints({{"r1", peer.address(), true},
+                                 {"r2", peer.address(), true},
+                                 {"w1", peer.address(), true},
+                                 {"w2", peer.address(), true}},
+                                false);
   fixture.pool.release_reservation("a1", {});
   fixture.settle();
-  CHECK(fixture.pool.leases_out() == 1);
+  CHECK(fixture.pool.pending_releases() == 1);
   fixture.submit("a1");
   fixture.settle();
-  CHECK(fixture.pool.leases_out() == 0);
-  CHECK(fixture.pool.open() == 1);
+  CHECK(fixture.pool.pending_releases() == 0);
+  CHECK(fixture.pool.open_connections() == 1);
 }
 
 // A read whose connection broke may run on at its replica, and leave a state as late as it was told to run.
@@ -42,7 +42,7 @@
   DirectFixture fixture(
       [](StandInReplica& replica, SlotId client, const Seen&) { replica.server.cut(client); }, write_well);
   upstream::Options options{milliseconds(250), seconds(15), milliseconds(50)};
-  fixture.pool.adopt(options);
+  fixture.pool.apply_options(options);
   const engine::Time begun = fixture.now;
   fixture.submit("a1");
   std::vector<engine::Time> calls;
@@ -56,7 +56,7 @@
     CHECK(calls[i] - calls[i - 1] <= fixture.settings.reservation_limit);
   CHECK(calls.back() >= seconds(6));
   CHECK(calls.back() < seconds(6) + milliseconds(600));
-  CHECK(fixture.pool.leases_out() == 0);
+  CHECK(fixture.pool.pending_releases() == 0);
 }
 
 TEST_CASE("with a first token, nothing is asked for any more", "[endings]") {
@@ -70,7 +70,7 @@
   fixture.advance(seconds(8));
   CHECK(fixture.count("finish") == 1);
   CHECK(fixture.releases() == 0);
-  CHECK(fixture.pool.leases_out() == 0);
+  CHECK(fixture.pool.pending_releases() == 0);
 }
 
 // Asked for while a later read's state waits for its writer, a release would take it.
@@ -103,15 +103,15 @@
 // Both endpoints of a zone that accepts connections and says nothing.
 struct PartitionFixture : Clockwork {
   PartitionFixture() {
-    pool.endpoints({{"h1", peer.address(), true, false, "z"}, {"h2", peer.address(), true, false, "z"}},
-                   true);
+    pool.update_endpoints(
+        {{"h1", peer.address(), true, false, "z"}, {"h2", peer.address(), true, false, "z"}}, true);
   }
   RawSocketPeer peer{*this};  // takes connections and says nothing
-  upstream::ConnectionPool pool{io,
-                                timers,
-                                clock(),
-                                [](std::string_view) {},
-                                {milliseconds(250), seconds(15), milliseconds(50), 24, 160, 40}};
+  upstream::ReplicaClient pool{io,
+                               timers,
+                               clock(),
+                               [](std::string_view) {},
+                               {milliseconds(250), seconds(15), milliseconds(50), 24, 160, 40}};
 };
 
 TEST_CASE("releases in a cut go on, ever more slowly, on few connections", "[endings]") {
@@ -120,13 +120,13 @@
   std::size_t maximum = 0;
   for (int i = 0; i < 60; ++i) {
     fixture.advance(milliseconds(100));
-    maximum = std::max(maximum, fixture.pool.open());
+    maximum = std::max(maximum, fixture.pool.open_connections());
   }
   CHECK(maximum <= 10);
-  CHECK(fixture.pool.leases_out() == 60);
+  CHECK(fixture.pool.pending_releases() == 60);
   fixture.advance(seconds(26));
-  CHECK(fixture.pool.leases_out() == 0);
-  CHECK(fixture.pool.open() == 0);
+  CHECK(fixture.pool.pending_releases() == 0);
+  CHECK(fixture.pool.open_connections() == 0);
 }
 
 TEST_CASE("a process told to end waits for releases in a cut for no longer than they may help", "[endings]") {
@@ -134,12 +134,12 @@
   fixture.pool.release_reservation("a1", {});
   fixture.pool.release_reservation("a2", fixture.now + seconds(5));
   fixture.advance(seconds(2));
-  CHECK(fixture.pool.leases_pressing() == 2);
+  CHECK(fixture.pool.releases_blocking_shutdown() == 2);
   fixture.advance(seconds(2));
-  CHECK(fixture.pool.leases_pressing() == 1);
+  CHECK(fixture.pool.releases_blocking_shutdown() == 1);
   fixture.advance(seconds(2));
-  CHECK(fixture.pool.leases_pressing() == 0);
-  CHECK(fixture.pool.leases_out() == 2);
+  CHECK(fixture.pool.releases_blocking_shutdown() == 0);
+  CHECK(fixture.pool.pending_releases() == 2);
 }
 
 }  // namespace
