--- a/tests/dispatcher/parsers_test.cpp
+++ b/tests/dispatcher/parsers_test.cpp
@@ -25,7 +25,7 @@
 template <bool kRequest>
 std::string transcript_of(const std::vector<std::string>& pieces) {
   http::Reader<kRequest> reader(http::kMaxBody);
-  net::RingBuffer input(64 * 1024);
+  net::RingBuffer input(std::size_t{64} * 1024);
   std::string transcript;
   for (const std::string& piece : pieces) {
     REQUIRE(input.append(piece));
@@ -74,21 +74,21 @@
   return text;
 }
 
-const std::string kRequests =
+const std::string valid_requests =
     "POST /v1/chat/completions?a=b HTTP/1.1\r\nHost: x\r\nX-Facts: "
     "prefix=5c,prompt_len=10\r\nContent-Length: 11\r\n\r\n"
     "hello world"
     "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n"
     "POST /c HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: "
     "chunked\r\n\r\n5\r\nabcde\r\n3;e=1\r\nfgh\r\n0\r\n\r\n";
-const std::string kResponses =
+const std::string valid_responses =
     "HTTP/1.1 202 Accepted\r\nX-Backend-Load: {\"x0\":0.5}\r\nContent-Length: 2\r\n\r\n{}"
     "HTTP/1.1 204 No Content\r\n\r\n"
     "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n7\r\ndata: x\r\n2\r\n\n\n\r\n0\r\n\r\n";
 
 TEST_CASE("messages parse alike, whole or split anywhere", "[parsers]") {
-  const std::string requests = transcript_of<true>({kRequests});
-  const std::string responses = transcript_of<false>({kResponses});
+  const std::string requests = transcript_of<true>({valid_requests});
+  const std::string responses = transcript_of<false>({valid_responses});
   CHECK(requests ==
         "POST /v1/chat/completions?a=b|Host=x|X-Facts=prefix=5c,prompt_len=10|Content-Length=11|hello world\n"
         "GET /healthz|Host=x|\nPOST /c|Host=x|Transfer-Encoding=chunked|abcdefgh\nend");
@@ -97,8 +97,8 @@
         "x\n\n\nend");
   Random random(1);
   for (int i = 0; i < 500; ++i) {
-    REQUIRE(transcript_of<true>(split_randomly(kRequests, random)) == requests);
-    REQUIRE(transcript_of<false>(split_randomly(kResponses, random)) == responses);
+    REQUIRE(transcript_of<true>(split_randomly(valid_requests, random)) == requests);
+    REQUIRE(transcript_of<false>(split_randomly(valid_responses, random)) == responses);
   }
 }
 
@@ -107,8 +107,8 @@
   int rejected = 0;
   for (int i = 0; i < 1500; ++i) {
     const std::string noise = random_bytes(random, 1 + random() % 300);
-    const std::string request = corrupt(kRequests, random);
-    const std::string response = corrupt(kResponses, random);
+    const std::string request = corrupt(valid_requests, random);
+    const std::string response = corrupt(valid_responses, random);
     const auto split = [&](const std::string& text) { return split_randomly(text, random); };
     INFO("noise " << Catch::Detail::stringify(std::vector<int>(noise.begin(), noise.end())));
     REQUIRE(transcript_of<true>(split(noise)) == transcript_of<true>({noise}));
@@ -181,12 +181,12 @@
   }
 }
 
-const std::string kServers =
+const std::string endpoint_list =
     R"({"seq":43,"whole":false,"hosts":[{"host":"s-1","dial":"127.0.0.1:3000","site":"a","class":"reader",)"
     R"("block":3,"health":"draining","share":1.5,"born_ms":1500}]})";
 
 TEST_CASE("the list of endpoints is parsed, and malformed ones are rejected by their field", "[parsers]") {
-  const auto servers = service_discovery::parse_servers(nlohmann::json::parse(kServers));
+  const auto servers = service_discovery::parse_servers(nlohmann::json::parse(endpoint_list));
   CHECK(servers.seq == 43);
   CHECK(servers.list.kind == routing::ListKind::kDelta);
   CHECK(servers.list.entries[0].state == routing::EndpointState::kDraining);
@@ -196,7 +196,7 @@
   int rejected = 0;
   for (int i = 0; i < 2000; ++i) {
     try {
-      service_discovery::parse_servers(nlohmann::json::parse(corrupt(kServers, random), nullptr, false));
+      service_discovery::parse_servers(nlohmann::json::parse(corrupt(endpoint_list, random), nullptr, false));
     } catch (const std::invalid_argument&) {
       ++rejected;
     }
@@ -208,7 +208,7 @@
   const auto settings = make_settings();
   const auto parse = [&](const std::string& headers) {
     http::RequestReader reader(http::kMaxBody);
-    net::RingBuffer input(64 * 1024);
+    net::RingBuffer input(std::size_t{64} * 1024);
     REQUIRE(input.append("POST / HTTP/1.1\r\n" + headers + "\r\n"));
     REQUIRE(reader.read(input) == http::Progress::kDone);
     return platform_api::parse_request(reader.message(), settings, seconds(100));
--- a/tests/dispatcher/release_targets_test.cpp
+++ b/tests/dispatcher/release_targets_test.cpp
@@ -80,6 +80,7 @@
 // first.
 TEST_CASE("the second round leaves a zone that does not answer", "[upstream]") {
   std::vector<ReleaseCandidate> candidates;
+  candidates.reserve(13);
   for (int i = 0; i < 12; ++i)
     candidates.push_back(
         candidate("unreachable" + std::to_string(i), "x", i / 4, true, false, milliseconds(990)));
@@ -94,6 +95,7 @@
 
 TEST_CASE("rounds widen up to a limit, and no endpoint is called twice before all were", "[upstream]") {
   std::vector<ReleaseCandidate> candidates;
+  candidates.reserve(40);
   for (int i = 0; i < 40; ++i) candidates.push_back(candidate("h" + std::to_string(i), "x", i / 5));
   ReleaseTargets targets(Time{}, milliseconds(1200), milliseconds(50));
   std::set<std::string> called;
