--- /dev/null
+++ b/include/routing/events.hpp
@@ -0,0 +1,149 @@
+// Events: what a dispatcher tells the router. See router.hpp for the order in which they are passed.
+#ifndef DISPATCHER_ROUTING_EVENTS_HPP_
+#define DISPATCHER_ROUTING_EVENTS_HPP_
+
+#include <array>
+#include <cstdint>
+#include <memory>
+#include <optional>
+#include <string>
+#include <variant>
+#include <vector>
+
+#include "routing/settings.hpp"
+
+namespace dispatcher::routing {
+
+// An endpoint's state as service discovery has it.
+enum class EndpointState { kRemoved, kDraining, kReady };
+
+// How an endpoint list is to be read: kFull and kCached replace all that was known, kDelta changes only the
+// endpoints that it names, kFailed has none and says that a request for the list failed.
+enum class ListKind { kFull, kFailed, kCached, kDelta };
+
+// How an attempt ended. kRead: the reader holds the prompt's state now.
+enum class AttemptStatus {
+  kServed,
+  kError,
+  kFull,
+  kTimeout,
+  kConnectFailed,
+  kReset,
+  kCancelled,
+  kNeverSent,
+  kRead
+};
+
+// One endpoint as service discovery describes it.
+struct EndpointInfo {
+  std::string endpoint, zone, kind;
+  int cell{};  // endpoints of one zone and cell share a fast network
+  EndpointState state{};
+  double weight{};  // see Settings::weights
+  Time started{};   // start of its process; zero: long ago
+};
+
+// The list of endpoints, or a change of it.
+struct EndpointList {
+  ListKind kind{};
+  std::vector<EndpointInfo> entries;
+};
+
+// A request that the router now owes exactly one final answer. A known id is ignored; an unknown class is
+// answered with Fail at once. The answer comes by client_deadline if timers are delivered on time.
+struct Request {
+  std::string id, request_class, tenant;
+  std::uint64_t session{}, shared_prefix{};  // zero: none
+  int prompt_tokens{}, prefix_tokens{}, max_tokens{};
+  Time client_deadline{};
+  std::optional<Duration> length_hint;  // expected answer tokens times the class's token objective
+  bool client_retry{}, resubmitted{};
+};
+
+// An endpoint's report of its load; fields that it does not report are empty.
+struct LoadReport {
+  std::optional<double> in_hand, memory_share, prompt_kilotokens;
+};
+
+// The end of an attempt: exactly one for each StartAttempt. `finished`: the request got its final answer with
+// this result or before.
+struct AttemptCompleted {
+  std::string request, endpoint;
+  int attempt{};
+  AttemptStatus status{};
+  Duration elapsed{};  // since the attempt was sent
+  bool finished{};
+  int note{};  // kRead, kServed: prompt tokens found cached. kFull: 1 if there was no state to fetch. kError,
+               // kReset: 1 if an answer had begun, so that its state was fetched and the endpoint does run.
+               // kConnectFailed: 1 if the connection had been made
+  LoadReport report;
+};
+
+// The first token of an attempt's answer arrived.
+struct FirstToken {
+  std::string request, endpoint;
+  int attempt{};
+  Duration elapsed{};  // since the attempt was sent
+};
+
+// The result of a ReserveSlot action.
+struct ReservationResult {
+  std::string request, endpoint;
+  bool held{};
+};
+
+// The client closed its connection: no answer is owed any more.
+struct ClientGone {
+  std::string request;
+};
+
+// A timer set with SetTimer is due.
+struct TimerExpired {
+  std::uint64_t tag{};
+};
+
+// Operators take an endpoint out of service or put it back; this takes precedence over every endpoint list.
+// An offline endpoint gets nothing new, also after it left the list and returned. Repeats change nothing.
+struct AdministrativeDrain {
+  std::string endpoint;
+  bool offline{};
+};
+
+// A moving average, with the mean absolute deviation as a share of the mean and the number of samples.
+struct MovingAverage {
+  double mean = 0, dev = 0.5;
+  int n = 0;
+};
+
+// What a router has learned, passed to the process that takes over from it in a hot restart.
+struct LearnedState {
+  // An endpoint that is warming up.
+  struct EndpointHistory {
+    std::string endpoint;
+    std::vector<Time> sends;  // recent attempts sent to it
+    Time back{};              // when operators put it back into service; zero: never
+  };
+  std::array<MovingAverage, 3> starts;  // microseconds per token of start work, by Role
+  MovingAverage far;                    // ... and for a state fetched from another cell
+  std::array<int, 3> served{};          // results of the last seconds, by Role
+  Time since{};                         // when counting those began
+  std::vector<EndpointHistory> endpoints;
+};
+
+// During a hot restart, the other process sent a request to this endpoint: both share the slow-start budget.
+struct PeerForwarded {
+  std::string endpoint;
+};
+
+// Other settings, for the requests from now on; each open request keeps those that it was admitted under.
+// They must be valid (settings/check.hpp).
+struct SettingsChanged {
+  std::shared_ptr<const Settings> settings;
+};
+
+using Event = std::variant<EndpointList, Request, AttemptCompleted, FirstToken, ReservationResult, ClientGone,
+                           TimerExpired, AdministrativeDrain, LearnedState, PeerForwarded, SettingsChanged>;
+
+}  // namespace dispatcher::routing
+
+#endif  // DISPATCHER_ROUTING_EVENTS_HPP_
--- /dev/null
+++ b/include/routing/settings.hpp
@@ -0,0 +1,129 @@
+// Settings of the router: what a deployment is like, what it promises and what it permits.
+//
+// Plain values without behaviour. settings/check.hpp says which values are valid; the constructor of Router
+// rejects the others. All durations are microseconds.
+#ifndef DISPATCHER_ROUTING_SETTINGS_HPP_
+#define DISPATCHER_ROUTING_SETTINGS_HPP_
+
+#include <chrono>
+#include <string>
+#include <vector>
+
+namespace dispatcher::routing {
+
+using Duration = std::chrono::microseconds;
+using Time = std::chrono::microseconds;  // since the origin of the dispatcher's steady clock
+
+// What an endpoint does: readers process prompts (prefill), writers generate tokens from a prompt's state
+// (decode), mixed ones do both.
+enum class Role { kReader, kWriter, kMixed };
+
+// Whether a request may be executed more than once. Repeats of a keyed one are discarded for a while.
+enum class Idempotency { kIdempotent, kKeyed, kNonIdempotent };
+
+// The endpoints that discard each other's repeats of a keyed request.
+enum class DeduplicationScope { kAll, kZone, kCell };
+
+// Where load reports are carried; kInAnswers: in answers and in health checks.
+enum class ReportSource { kNone, kInAnswers, kInProbes };
+
+// The fields that load reports have.
+enum class LoadField { kInHand, kQueued, kBusy, kLatency, kRate, kFailRate, kMemoryShare, kPromptKilotokens };
+
+// What EndpointInfo::weight stands for.
+enum class WeightMeaning { kNothing, kNominal, kRough, kLive };
+
+// A class of requests and its service-level objectives.
+struct RequestClass {
+  std::string name;
+  Idempotency idempotency{};
+  DeduplicationScope deduplication_scope{};
+  Duration deduplication_window{};               // keyed: how long repeats are discarded, from the first send
+  Duration latency_objective{};                  // a first token within this time has its full value ...
+  Duration latency_objective_per_1000_tokens{};  // ... plus this for each 1,000 prompt tokens
+  Duration deadline{};
+  Duration token_latency_objective{};  // wanted mean time between tokens
+  double priority_weight{};            // value of a request that is answered in time
+  double late_weight{};                // value of one that is answered after its objective
+  double latency_objective_stretch{};  // the objective grows by this multiple of the request's own work
+};
+
+// A customer with a request quota.
+struct Tenant {
+  std::string name;
+  double quota_rps{};  // requests per second, over all routers together
+};
+
+// A hardware and model variant of endpoints.
+struct EndpointKind {
+  std::string name;
+  Role role{};
+  double memory_tokens{};  // size of the prefix cache; 0: unknown
+};
+
+// Costs that are subtracted from the score, each multiplied by a share or rate; 0: not priced.
+struct Prices {
+  double waste{};       // endpoint work that served no answer, as a share of the work asked for
+  double probe{};       // health checks and reservations, per first attempt
+  double cross_zone{};  // attempts that cross zones, per first attempt
+  double late_fail{};   // weight of requests that failed after their objective
+  double peer{};        // full messages (256 bytes) delivered to other routers, per first attempt
+  double far{};         // prompt tokens moved out of their cell, as a share of all
+  double move{};        // migrated streams, per first attempt
+  double connection{};  // mean number of open connections / (100 x endpoints)
+  double handshake{};   // new connections, per first attempt
+  double list_line{};   // lines of endpoint lists sent / (100 x first attempts)
+};
+
+// Weights of the parts of the score.
+struct Goal {
+  double whole{}, worst_window{}, worst_class{}, worst_tenant{};
+};
+
+// All settings of one router. `router_number` and `router_count` tell the routers of a fleet apart.
+struct Settings {
+  int router_number{};
+  int router_count{};
+  std::string zone;                // the router's own zone ...
+  std::vector<std::string> zones;  // ... among these; may be empty
+  std::vector<RequestClass> classes;
+  std::vector<Tenant> tenants;  // may be empty
+  std::vector<EndpointKind> kinds;
+  bool polls_endpoint_list{};  // endpoint lists come only after Subscribe
+  Duration poll_interval{};    // of that poll; a list older than this counts as delivered
+  WeightMeaning weights{};
+  ReportSource report_source{};
+  std::vector<LoadField> report_fields;
+  bool writers_read{};   // a writer that gets no state processes the prompt itself
+  bool early_pairing{};  // ReserveSlot is allowed
+  bool resume{};         // MigrateStream is allowed; the client of a broken stream returns
+  bool may_cancel{};
+  bool may_probe{};
+  bool may_duplicate{};         // two attempts of one request may be in flight together (hedging)
+  bool peers{};                 // routers may send each other messages
+  bool clients_mark_retries{};  // clients mark their retries: see Request::client_retry
+  bool retry_advice{};          // Reject may carry retry_after
+  Duration max_retry_after{};
+  int max_attempts{};
+  int free_connect_failures{};  // so many attempts that end as kConnectFailed do not count as attempts
+  bool reservation_expires_while_connecting{};  // failing connections do not extend the reservation limit
+  int max_open_requests{};                      // received and not answered yet; 0: unlimited
+  bool weight_by_work{};                        // priority weight counts by work; else by request
+  double over_quota_weight{};                   // factor on the priority weight of over-quota requests
+  Prices prices;
+  Goal goal;
+  Duration tick{};                // least time between two batches of events
+  Duration answer_slack{};        // an answer that is this late still keeps the client's deadline
+  Duration drain_grace{};         // how long a draining endpoint completes what it has
+  Duration reservation_limit{};   // how long a prompt's state may wait at its reader
+  Duration connect_timeout{};     // for dispatchers on sockets: limit for making a connection
+  Duration idle_timeout{};        // for dispatchers on sockets: endpoints close connections idle for so long
+  double warmup_initial_share{};  // a started endpoint has at least this share of its capacity ...
+  Duration warmup_time{};         // ... and all of it after this time
+  double overload_multiple{};     // multiple of an endpoint's capacity that overloads it ...
+  Duration overload_window{};     // ... when sent within this time
+};
+
+}  // namespace dispatcher::routing
+
+#endif  // DISPATCHER_ROUTING_SETTINGS_HPP_
--- a/src/routing/slow_start.hpp
+++ b/src/routing/slow_start.hpp
@@ -7,7 +7,7 @@
 #include <chrono>
 #include <cmath>
 
-#include "routing/router.hpp"
+#include "routing/settings.hpp"
 
 namespace dispatcher::routing::slow_start {
 
--- a/src/settings/check.hpp
+++ b/src/settings/check.hpp
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-#include "routing/router.hpp"
+#include "routing/settings.hpp"
 
 namespace dispatcher::settings {
 
