--- /dev/null
+++ b/src/routing/eligibility.cpp
@@ -0,0 +1,63 @@
+#include "routing/eligibility.hpp"
+
+#include <algorithm>
+
+#include "routing/retry_policy.hpp"
+
+namespace dispatcher::routing {
+namespace {
+
+constexpr Duration kFullPause = Milliseconds(300);      // of a full endpoint, for all requests
+constexpr Duration kRejectPause = Milliseconds(20000);  // for a class and tenant that it rejected
+
+bool rejects(const Endpoint& endpoint, const RequestState& state, Time now) {
+  if (endpoint.rejects_until.empty()) return false;
+  const auto found = endpoint.rejects_until.find({state.request_class->name, state.request.tenant});
+  return found != endpoint.rejects_until.end() && now < found->second;
+}
+
+// An ejected endpoint returns by single requests that may be repeated elsewhere.
+bool may_try_ejected(const Endpoint& endpoint, const RequestState& state, Step step, Time now) {
+  if (now < endpoint.ejected_until || endpoint.has_unanswered_attempt()) return false;
+  return step == Step::kRead || state.request_class->idempotency == Idempotency::kIdempotent;
+}
+
+// Whether a repeat is discarded there if the request was executed before. Reads count as well.
+bool is_in_deduplication_scope(const Endpoint& endpoint, const RequestState& state) {
+  const bool same_zone = endpoint.zone == state.first_run_zone;
+  switch (state.request_class->deduplication_scope) {
+    case DeduplicationScope::kAll:
+      return true;
+    case DeduplicationScope::kZone:
+      return same_zone;
+    case DeduplicationScope::kCell:
+      return same_zone && endpoint.cell == state.first_run_cell;
+  }
+  return true;
+}
+
+}  // namespace
+
+bool is_eligible(const SelectionContext& selection, const Endpoint& endpoint, const RequestState& state,
+                 Step step) {
+  const Time now = selection.context.now;
+  if (endpoint.state != EndpointState::kReady || now < endpoint.full_until) return false;
+  if (!selection.slow_start.admits(selection.context, selection.endpoints, endpoint, state)) return false;
+  if (rejects(endpoint, state, now)) return false;
+  const auto& failed = state.failed_endpoints;
+  if (std::find(failed.begin(), failed.end(), endpoint.endpoint) != failed.end()) return false;
+  if (endpoint.is_ejected && !may_try_ejected(endpoint, state, step, now)) return false;
+  return !retry_policy::needs_deduplication(state) || is_in_deduplication_scope(endpoint, state);
+}
+
+// The endpoint pauses for all requests only when it rejected several classes or tenants: one rejection may
+// concern that class or tenant alone.
+void record_rejection(Time now, Endpoint& endpoint, const RequestState& state) {
+  std::erase_if(endpoint.rejects_until, [&](const auto& entry) { return entry.second <= now; });
+  endpoint.rejects_until[{state.request_class->name, state.request.tenant}] = now + kRejectPause;
+  if (endpoint.rejects_until.size() < 2) return;
+  endpoint.full_until = now + kFullPause;
+  endpoint.rejects_until.clear();
+}
+
+}  // namespace dispatcher::routing
--- /dev/null
+++ b/src/routing/endpoint.hpp
@@ -0,0 +1,64 @@
+// What a router knows of one endpoint. Support: data only.
+#ifndef DISPATCHER_ROUTING_ENDPOINT_HPP_
+#define DISPATCHER_ROUTING_ENDPOINT_HPP_
+
+#include <cstdint>
+#include <deque>
+#include <map>
+#include <string>
+#include <utility>
+
+#include "routing/events.hpp"
+#include "routing/prefix_index.hpp"
+
+namespace dispatcher::routing {
+
+// What remains valid when the endpoint's process has restarted.
+struct RestartPersistentState {
+  std::uint64_t name_hash = 0;
+  Role role{};
+  double memory_tokens = 0;  // size of its prefix cache; 0: unknown
+  int active_reads = 0;      // own attempts that read a prompt there
+  int active_streams = 0;    // own attempts that write an answer there
+  int started_streams = 0;   // those of them whose first token has come
+  int waiting_states = 0;    // own prompts' states that wait there for a writer
+  std::deque<Time> sends_while_warming_up;
+  EndpointState listed_state{};    // as in the list; `state` also respects administrative drains
+  Time reinstated_at{};            // when operators put it back; it warms up from then
+  bool awaits_first_send = false;  // it was put back, and this router has sent nothing to it since
+};
+
+struct Endpoint : EndpointInfo, RestartPersistentState {
+  double local_write_share = 1;  // part of what is read here that can be written close to it
+  double cell_reader_share = 1;  // part of all readers' weight that is in its cell
+  PrefixIndex prefix_index;
+  double pending_prompt_tokens = 0;  // of own attempts, still to be read here
+  LoadReport report;
+  Time reported_at{};
+  double tokens_since_report = 0;  // own prompt tokens sent here since the last report
+  double latency_ratio = 1;        // moving average of times here over what they are elsewhere
+  Time latency_ratio_at{};         // when that was updated
+  double queue_delay_ratio = 0;    // age of the oldest own attempt over what its role's average expects
+  double failure_score = 0;        // recent failures
+  int ejection_count = 0;          // since it last succeeded
+  bool is_ejected = false;
+  bool is_unresponsive = false;  // ejected for a time-out
+  Time ejected_until{};
+  Time full_until{};
+  Time last_response_at{};
+  std::map<std::pair<std::string, std::string>, Time> rejects_until;  // by class and tenant
+
+  [[nodiscard]] bool is_idle() const { return active_reads == 0 && active_streams == 0; }
+  // Whether an own attempt there has shown no first token yet.
+  [[nodiscard]] bool has_unanswered_attempt() const {
+    return active_reads + active_streams > started_streams;
+  }
+};
+
+[[nodiscard]] inline bool in_same_cell(const Endpoint& left, const Endpoint& right) {
+  return left.zone == right.zone && left.cell == right.cell;
+}
+
+}  // namespace dispatcher::routing
+
+#endif  // DISPATCHER_ROUTING_ENDPOINT_HPP_
--- /dev/null
+++ b/src/routing/endpoint_table.cpp
@@ -0,0 +1,140 @@
+#include "routing/endpoint_table.hpp"
+
+#include <algorithm>
+#include <utility>
+
+#include "routing/hashing.hpp"
+#include "routing/locality.hpp"
+
+namespace dispatcher::routing {
+namespace {
+
+// Forgets what is void when the endpoint's process is another one.
+void reset_after_restart(Endpoint& endpoint, Time now) {
+  Endpoint fresh;
+  static_cast<EndpointInfo&>(fresh) = endpoint;
+  static_cast<RestartPersistentState&>(fresh) = endpoint;
+  fresh.last_response_at = now;
+  endpoint = std::move(fresh);
+}
+
+}  // namespace
+
+std::vector<std::string> EndpointTable::apply(const EndpointList& list, const Settings& settings, Time now) {
+  std::vector<std::string> restarted;
+  if (list.kind != ListKind::kDelta) {
+    for (auto& [name, endpoint] : endpoints_) {
+      endpoint.listed_state = EndpointState::kRemoved;
+      endpoint.state = EndpointState::kRemoved;
+    }
+  }
+  for (const EndpointInfo& info : list.entries) {
+    const auto kind = std::find_if(settings.kinds.begin(), settings.kinds.end(),
+                                   [&](const EndpointKind& known) { return known.name == info.kind; });
+    if (kind == settings.kinds.end()) continue;
+    Endpoint& endpoint = endpoints_[info.endpoint];
+    const bool is_new = endpoint.endpoint.empty();
+    if (!is_new && endpoint.started != info.started) {
+      restarted.push_back(info.endpoint);
+      reset_after_restart(endpoint, now);
+    }
+    if (is_new) endpoint.last_response_at = now;
+    static_cast<EndpointInfo&>(endpoint) = info;
+    endpoint.listed_state = info.state;
+    endpoint.state = effective_state(endpoint);
+    if (endpoint.weight <= 0) endpoint.weight = 1;
+    endpoint.name_hash = hash_text(endpoint.endpoint);
+    endpoint.role = kind->role;
+    endpoint.memory_tokens = kind->memory_tokens;
+  }
+  std::erase_if(endpoints_, [](const auto& entry) {
+    const Endpoint& endpoint = entry.second;
+    return endpoint.state == EndpointState::kRemoved && endpoint.is_idle() && endpoint.waiting_states == 0;
+  });
+  update_locality();
+  return restarted;
+}
+
+bool EndpointTable::apply(const AdministrativeDrain& drain, Time now) {
+  if (drain.offline == offline_.contains(drain.endpoint)) return false;
+  if (drain.offline) {
+    offline_.insert(drain.endpoint);
+  } else {
+    offline_.erase(drain.endpoint);
+  }
+  Endpoint* endpoint = find(drain.endpoint);
+  if (endpoint == nullptr) return false;
+  if (!drain.offline) {  // what was done to it meanwhile is unknown: it counts as restarted
+    reset_after_restart(*endpoint, now);
+    endpoint->reinstated_at = now;
+    endpoint->awaits_first_send = true;
+  }
+  endpoint->state = effective_state(*endpoint);
+  update_locality();
+  return true;
+}
+
+Endpoint* EndpointTable::find(const std::string& name) {
+  const auto it = endpoints_.find(name);
+  return it == endpoints_.end() ? nullptr : &it->second;
+}
+
+const Endpoint* EndpointTable::find(const std::string& name) const {
+  const auto it = endpoints_.find(name);
+  return it == endpoints_.end() ? nullptr : &it->second;
+}
+
+RoleStatistics EndpointTable::statistics(Role role) const {
+  RoleStatistics result;
+  double reports = 0;
+  for (const auto& [name, endpoint] : endpoints_) {
+    if (endpoint.role != role || endpoint.state != EndpointState::kReady) continue;
+    const LoadReport& report = endpoint.report;
+    result.ready += 1;
+    result.ejected += endpoint.is_ejected ? 1 : 0;
+    result.queue_delay_ratio_sum += endpoint.queue_delay_ratio;
+    result.delayed += endpoint.queue_delay_ratio > 0 ? 1 : 0;
+    result.prompt_tokens += 1000 * report.prompt_kilotokens.value_or(0);
+    result.memory_share += report.memory_share.value_or(0);
+    reports += report.prompt_kilotokens || report.memory_share ? 1 : 0;
+  }
+  result.prompt_tokens /= std::max(1.0, reports);
+  result.memory_share /= std::max(1.0, reports);
+  return result;
+}
+
+bool EndpointTable::has_mixed_endpoint() const {
+  return std::any_of(endpoints_.begin(), endpoints_.end(),
+                     [](const auto& entry) { return entry.second.role == Role::kMixed; });
+}
+
+EndpointState EndpointTable::effective_state(const Endpoint& endpoint) const {
+  if (endpoint.listed_state == EndpointState::kReady && offline_.contains(endpoint.endpoint))
+    return EndpointState::kDraining;
+  return endpoint.listed_state;
+}
+
+// All that a reader's cell cannot write crosses the cell's one link, which is slower to another zone: states
+// from cells without writers waited 2 s where others waited 40 ms. No router sees a link often enough to
+// measure it, so the list of endpoints says how much must cross it.
+void EndpointTable::update_locality() {
+  CellCapacities cells;
+  std::map<std::string, RegionCapacity> zones;
+  RegionCapacity all;
+  for (const auto& [name, endpoint] : endpoints_) {
+    if (endpoint.state != EndpointState::kReady || endpoint.role == Role::kMixed) continue;
+    for (RegionCapacity* region : {&cells[{endpoint.zone, endpoint.cell}], &zones[endpoint.zone], &all}) {
+      (endpoint.role == Role::kReader ? region->readers : region->writers) += endpoint.weight;
+    }
+  }
+  for (auto& [name, endpoint] : endpoints_) {
+    const RegionCapacity& cell = cells[{endpoint.zone, endpoint.cell}];
+    const double in_cell = cell.local_write_share(all);
+    endpoint.cell_reader_share = cell.readers / std::max(all.readers, 1e-9);
+    endpoint.local_write_share =
+        in_cell + (1 - in_cell) * kOtherZoneWeight * zones[endpoint.zone].local_write_share(all);
+  }
+  reader_count_ = statistics(Role::kReader).ready + statistics(Role::kMixed).ready;
+}
+
+}  // namespace dispatcher::routing
--- /dev/null
+++ b/src/routing/load_estimate.cpp
@@ -0,0 +1,43 @@
+#include "routing/load_estimate.hpp"
+
+#include <cmath>
+
+#include "routing/outlier_detection.hpp"
+#include "routing/slow_start.hpp"
+#include "routing/units.hpp"
+
+namespace dispatcher::routing {
+namespace {
+
+constexpr double kAttemptTokens = 600;                    // the fixed cost of an attempt, in prompt tokens
+constexpr Duration kReportHalfLife = Milliseconds(3000);  // the mean of all says more about old ones
+
+}  // namespace
+
+double start_work(const Endpoint& endpoint, double tokens_to_read) {
+  if (endpoint.role == Role::kWriter) return kAttemptTokens;
+  return kAttemptTokens + (endpoint.pending_prompt_tokens + tokens_to_read);
+}
+
+double aged_report(const Context& context, const Endpoint& endpoint, double value, double mean) {
+  return mean + (value - mean) *
+                    std::exp2(-to_seconds(context.now - endpoint.reported_at) / to_seconds(kReportHalfLife));
+}
+
+// An endpoint that never reported counts as idle but for own sends: counted as the average, 300 routers that
+// hear little found out less.
+double prompt_load(const Context& context, const Endpoint& endpoint, const RoleStatistics& role) {
+  double tokens = endpoint.pending_prompt_tokens;
+  if (const auto& reported = endpoint.report.prompt_kilotokens; reported)
+    tokens =
+        aged_report(context, endpoint, 1000 * *reported, role.prompt_tokens) + endpoint.tokens_since_report;
+  if (endpoint.role == Role::kMixed) tokens += endpoint.active_streams * kAttemptTokens;
+  return (tokens / effective_capacity(context, endpoint) + kAttemptTokens) * slowdown(context, endpoint);
+}
+
+double stream_load(const Context& context, const Endpoint& endpoint) {
+  const double streams = endpoint.report.in_hand ? *endpoint.report.in_hand : endpoint.active_streams;
+  return (streams + 1) * slowdown(context, endpoint) / effective_capacity(context, endpoint);
+}
+
+}  // namespace dispatcher::routing
--- /dev/null
+++ b/src/routing/load_shedding.cpp
@@ -0,0 +1,85 @@
+#include "routing/load_shedding.hpp"
+
+#include <algorithm>
+#include <cmath>
+
+#include "routing/hashing.hpp"
+#include "routing/retry_policy.hpp"
+
+namespace dispatcher::routing {
+namespace {
+
+constexpr Duration kPressureTime = Milliseconds(4000);  // time constant of the pressure's mean
+constexpr double kPunctualPrior = 2;        // punctual samples assumed: one late answer is no overload
+constexpr double kMaxObjectiveRatio = 1.5;  // that one sample counts for, and that a late attempt counts for
+constexpr double kSheddingPressure = 0.6;   // pressure at which the queue is bounded
+constexpr Duration kStartWindow = Milliseconds(3000);  // in which first tokens are counted for their rate
+constexpr double kStalledMultiple = 2;  // of its objective: what waits longer is not in a queue that moves
+constexpr double kMinTimeMultiple = 2;  // of the present first-token time, that the client must have left
+constexpr double kQueueShare = 0.8;     // of the objective, that an admitted request may wait
+constexpr double kOverQuotaQueueShare = 0.3;  // the same over quota: such requests give way first
+
+// Whether the request waits for its first token in a queue that moves. Two silent endpoints, counted as
+// queues, had kept all other requests out.
+bool is_queued(Time now, const RequestState& state) {
+  const bool is_stalled =
+      retry_policy::is_overtaken(state) ||
+      (state.is_in_flight && now > state.sent_at + scaled(state.latency_objective(), kStalledMultiple));
+  return !state.is_ended && state.phase != Phase::kStreaming && !is_stalled;
+}
+
+}  // namespace
+
+void LoadShedding::apply_settings(const Settings& settings) {
+  const auto is_shorter = [](const RequestClass& left, const RequestClass& right) {
+    return left.latency_objective < right.latency_objective;
+  };
+  min_latency_objective_ =
+      std::min_element(settings.classes.begin(), settings.classes.end(), is_shorter)->latency_objective;
+}
+
+void LoadShedding::record_start(Time now, double objective_ratio) {
+  starts_.push_back(now);
+  add_sample(now, objective_ratio, 1);
+}
+
+void LoadShedding::record_late(Time now) { add_sample(now, kMaxObjectiveRatio, 1); }
+
+void LoadShedding::add_sample(Time now, double objective_ratio, double weight) {
+  const double fade = std::exp(-to_seconds(now - lateness_at_) / to_seconds(kPressureTime));
+  lateness_sum_ = lateness_sum_ * fade + weight * std::min(objective_ratio, kMaxObjectiveRatio);
+  lateness_weight_ = lateness_weight_ * fade + weight;
+  lateness_at_ = now;
+}
+
+double LoadShedding::latency_pressure() const { return lateness_sum_ / (lateness_weight_ + kPunctualPrior); }
+
+bool LoadShedding::stands_out(const RequestState& state, Duration age) const {
+  return age > scaled(state.latency_objective(), kStandsOutMultiple * latency_pressure());
+}
+
+// A queue that grows past the objective serves nobody in time, and never drains while clients retry. So while
+// first tokens are late, only what should start within the shortest objective at their present rate is
+// admitted. A hash settles the fractions of a request that many routers have. A request whose client leaves
+// before first tokens come now is work for nobody: such requests had half of all reads cancelled.
+bool LoadShedding::should_shed(Time now, const RequestState& state, const RequestTable& requests) {
+  add_sample(now, 0, 0);  // fades the mean to the present
+  const double pressure = latency_pressure();
+  while (!starts_.empty() && starts_.front() < now - kStartWindow) starts_.pop_front();
+
+  // The pressure comes from queues: the time for a long prompt's own reading does not grow with it.
+  const Duration queue_time = scaled(state.request_class->latency_objective, pressure);
+  const Duration own_time = state.latency_objective() - state.request_class->latency_objective;
+  const Duration start_time = queue_time + scaled(own_time, std::min(1.0, pressure));
+  if (state.request.client_deadline - now < scaled(start_time, kMinTimeMultiple)) return true;
+  if (pressure < kSheddingPressure) return false;
+
+  double queue_length = -1;  // the request itself is among those counted
+  for (const auto& [id, other] : requests) queue_length += is_queued(now, other) ? 1 : 0;
+  const double start_rate = static_cast<double>(starts_.size() + 1) / to_seconds(kStartWindow);
+  const double capacity = start_rate * to_seconds(min_latency_objective_) *
+                          (state.is_over_quota ? kOverQuotaQueueShare : kQueueShare);
+  return unit_interval(hash_text(state.request.id) ^ mix_bits(seed_)) < queue_length - capacity;
+}
+
+}  // namespace dispatcher::routing
--- /dev/null
+++ b/src/routing/outlier_detection.cpp
@@ -0,0 +1,156 @@
+#include "routing/outlier_detection.hpp"
+
+#include <algorithm>
+#include <cmath>
+
+#include "routing/slow_start.hpp"
+
+namespace dispatcher::routing {
+namespace {
+
+constexpr int kMinSamples = 8;         // observations before an average is trusted
+constexpr double kRoleGain = 0.15;     // of a role's averages: many endpoints, so slowly
+constexpr double kMaxSampleRatio = 3;  // multiple of the average at which an observation is cut
+constexpr Smoothing kSmoothing{kMinSamples, kRoleGain, kMaxSampleRatio};
+constexpr double kEndpointGain = 0.25;  // of one endpoint's ratio: few samples, so faster
+constexpr double kMaxLatencyRatio = 8;  // that one sample counts for
+constexpr Duration kLatencyRatioHalfLife = Milliseconds(10000);  // what was seen long ago says little
+constexpr double kFreeQueueDelayRatio = 4;        // a queue up to this multiple of the average is ordinary
+constexpr double kMaxQueueDelayFactor = 3;        // most that a queue counts for
+constexpr double kEjectionScore = 2;              // failures that eject ...
+constexpr double kReliableRoleEjectionScore = 1;  // ... where the role's endpoints hardly ever fail
+constexpr double kReliableFailureRate = 0.15;     // failure rate under which they hardly ever do
+constexpr double kMaxEjectedShare = 0.5;          // of a role's endpoints: the rest must not be overloaded
+constexpr Duration kBaseEjectionTime = Milliseconds(1000);  // doubled for each ejection in a row
+constexpr Duration kMaxEjectionTime = Milliseconds(8000);   // it must be tried again in time
+constexpr int kMaxEjectionDoublings = 4;                    // past these the maximum applies anyway
+
+// The latency ratio, less what has faded of its distance from 1.
+double faded_latency_ratio(const Context& context, const Endpoint& endpoint) {
+  return 1 + (endpoint.latency_ratio - 1) * std::exp2(-to_seconds(context.now - endpoint.latency_ratio_at) /
+                                                      to_seconds(kLatencyRatioHalfLife));
+}
+
+void record_latency_ratio(const Context& context, Endpoint& endpoint, double ratio) {
+  endpoint.latency_ratio = faded_latency_ratio(context, endpoint);
+  endpoint.latency_ratio += kEndpointGain * (std::min(ratio, kMaxLatencyRatio) - endpoint.latency_ratio);
+  endpoint.latency_ratio_at = context.now;
+}
+
+const char* describe(AttemptStatus status) {
+  if (status == AttemptStatus::kConnectFailed || status == AttemptStatus::kReset) return "unreachable";
+  return status == AttemptStatus::kTimeout ? "silent" : "errors";
+}
+
+// Takes an endpoint out of the choice for a while. It returns by single idempotent requests: see
+// eligibility.cpp.
+std::optional<LogMessage> eject(const Context& context, const EndpointTable& endpoints, Endpoint& endpoint,
+                                AttemptStatus status) {
+  std::optional<LogMessage> log;
+  if (!endpoint.is_ejected) {
+    const RoleStatistics role = endpoints.statistics(endpoint.role);
+    const double max_ejected = std::max(1.0, role.ready * kMaxEjectedShare);
+    if (role.ready < 2 || role.ejected + 1 > max_ejected) return std::nullopt;
+    log = LogMessage{"endpoint " + endpoint.endpoint + " ejected: " + describe(status)};
+  }
+  const Duration backoff =
+      kBaseEjectionTime * (1 << std::min(endpoint.ejection_count, kMaxEjectionDoublings));
+  endpoint.is_ejected = true;
+  endpoint.is_unresponsive = status == AttemptStatus::kTimeout;
+  endpoint.ejected_until = context.now + std::min(kMaxEjectionTime, backoff);
+  ++endpoint.ejection_count;
+  endpoint.failure_score = 0;
+  return log;
+}
+
+}  // namespace
+
+double slowdown(const Context& context, const Endpoint& endpoint) {
+  return std::max(1.0, faded_latency_ratio(context, endpoint)) *
+         std::clamp(endpoint.queue_delay_ratio / kFreeQueueDelayRatio, 1.0, kMaxQueueDelayFactor);
+}
+
+const ExponentialMovingAverage& OutlierDetection::average(const Endpoint& endpoint,
+                                                          const RequestState& state) const {
+  return state.fetches_from_other_cell ? remote_start_average_ : start_averages_[role_index(endpoint.role)];
+}
+
+const MovingAverage* OutlierDetection::start_average(const Endpoint& endpoint,
+                                                     const RequestState& state) const {
+  const ExponentialMovingAverage& found = average(endpoint, state);
+  return found.is_trusted(kSmoothing) ? &found : nullptr;
+}
+
+double OutlierDetection::record_start(const Context& context, const Endpoint& endpoint,
+                                      const RequestState& state, Duration elapsed) {
+  ExponentialMovingAverage& average =
+      state.fetches_from_other_cell ? remote_start_average_ : start_averages_[role_index(endpoint.role)];
+  const double per_token = static_cast<double>(elapsed.count()) / state.start_work_tokens;
+  const double ratio = average.is_trusted(kSmoothing) ? per_token / average.mean : 1;
+  const bool warming_up = is_warming_up(context, endpoint);
+  if (!warming_up) average.add(per_token, kSmoothing);
+  // That a link or a warm-up takes long is no fault of the endpoint.
+  return state.fetches_from_other_cell || warming_up ? std::min(1.0, ratio) : ratio;
+}
+
+// A slow writer still starts streams fast: only how long its streams take shows it.
+void OutlierDetection::record_stream(const Context& context, Endpoint& endpoint, const RequestState& state) {
+  ExponentialMovingAverage& average = stream_averages_[state.request_class->name];
+  const double time = to_seconds(context.now - state.stream_started_at);
+  if (average.is_trusted(kSmoothing))
+    record_latency_ratio(context, endpoint, std::min(time / average.mean, kMaxSampleRatio));
+  average.add(time, kSmoothing);
+}
+
+void OutlierDetection::record_wait(Endpoint& endpoint, const RequestState& state, Duration age) const {
+  const MovingAverage* average = start_average(endpoint, state);
+  if (average == nullptr) return;
+  const double ratio = static_cast<double>(age.count()) / (average->mean * state.start_work_tokens);
+  endpoint.queue_delay_ratio = std::max(endpoint.queue_delay_ratio, ratio);
+}
+
+std::optional<LogMessage> OutlierDetection::record_success(const Context& context, Endpoint& endpoint,
+                                                           double latency_ratio) {
+  endpoint.last_response_at = context.now;
+  failure_rates_[role_index(endpoint.role)] *= 1 - kRoleGain;
+  endpoint.failure_score /= 2;
+  endpoint.is_unresponsive = false;
+  record_latency_ratio(context, endpoint, latency_ratio);
+  if (!endpoint.is_ejected) return std::nullopt;
+  endpoint.is_ejected = false;
+  endpoint.ejection_count = 0;
+  return LogMessage{"endpoint " + endpoint.endpoint + " returned"};
+}
+
+// Two failures in a row eject. While the role's endpoints hardly ever fail, the first one is enough, and so
+// is a new connection that never comes up. An endpoint that is alive is given one more: ejecting such
+// endpoints took half of a fleet out and overloaded the others.
+std::optional<LogMessage> OutlierDetection::record_failure(const Context& context,
+                                                           const EndpointTable& endpoints, Endpoint& endpoint,
+                                                           Failure failure) {
+  double& failure_rate = failure_rates_[role_index(endpoint.role)];
+  endpoint.failure_score += 1;
+  const bool is_broken =
+      failure.status == AttemptStatus::kConnectFailed || failure.status == AttemptStatus::kReset;
+  const bool is_role_reliable = failure_rate < kReliableFailureRate;
+  const double enough =
+      (is_role_reliable ? kReliableRoleEjectionScore : kEjectionScore) + (failure.is_alive ? 1 : 0);
+  std::optional<LogMessage> log;
+  if ((is_broken && !failure.is_alive) || endpoint.is_ejected || endpoint.failure_score >= enough)
+    log = eject(context, endpoints, endpoint, failure.status);
+  failure_rate += kRoleGain * (1 - failure_rate);
+  return log;
+}
+
+void OutlierDetection::save(LearnedState& learned_state) const {
+  learned_state.far = remote_start_average_;
+  for (std::size_t role = 0; role < kRoles; ++role) learned_state.starts[role] = start_averages_[role];
+}
+
+void OutlierDetection::restore(const LearnedState& learned_state) {
+  static_cast<MovingAverage&>(remote_start_average_) = learned_state.far;
+  for (std::size_t role = 0; role < kRoles; ++role)
+    static_cast<MovingAverage&>(start_averages_[role]) = learned_state.starts[role];
+}
+
+}  // namespace dispatcher::routing
--- /dev/null
+++ b/src/routing/outlier_detection.hpp
@@ -0,0 +1,66 @@
+// Outlier detection: recent latencies and failures of endpoints, their ejection and return.
+#ifndef DISPATCHER_ROUTING_OUTLIER_DETECTION_HPP_
+#define DISPATCHER_ROUTING_OUTLIER_DETECTION_HPP_
+
+#include <array>
+#include <map>
+#include <optional>
+#include <string>
+
+#include "routing/actions.hpp"
+#include "routing/context.hpp"
+#include "routing/endpoint_table.hpp"
+#include "routing/moving_average.hpp"
+#include "routing/request_state.hpp"
+
+namespace dispatcher::routing {
+
+// How much slower than its peers an endpoint is now, from 1: by its recent latencies and by the own attempts
+// that wait in its queue.
+[[nodiscard]] double slowdown(const Context& context, const Endpoint& endpoint);
+
+// A failed attempt, as far as it speaks against the endpoint.
+struct Failure {
+  AttemptStatus status{};
+  bool is_alive = false;  // the endpoint runs, or did a moment ago: one connection or answer broke
+};
+
+// Keeps the latency averages and ejects endpoints. Owned by one Router and used on its thread.
+class OutlierDetection {
+ public:
+  // Microseconds per token of start work in the attempt's role, or for states from another cell; null until
+  // there are enough samples.
+  [[nodiscard]] const MovingAverage* start_average(const Endpoint& endpoint, const RequestState& state) const;
+
+  // A first token or a read state came. Returns its time over the average.
+  [[nodiscard]] double record_start(const Context& context, const Endpoint& endpoint,
+                                    const RequestState& state, Duration elapsed);
+  // A stream ended well.
+  void record_stream(const Context& context, Endpoint& endpoint, const RequestState& state);
+  // An attempt of this age waits for its first token.
+  void record_wait(Endpoint& endpoint, const RequestState& state, Duration age) const;
+  // An endpoint responded, with this time over the average; one that was ejected returns.
+  [[nodiscard]] std::optional<LogMessage> record_success(const Context& context, Endpoint& endpoint,
+                                                         double latency_ratio);
+  // An attempt failed; the endpoint may be ejected.
+  [[nodiscard]] std::optional<LogMessage> record_failure(const Context& context,
+                                                         const EndpointTable& endpoints, Endpoint& endpoint,
+                                                         Failure failure);
+
+  void save(LearnedState& learned_state) const;
+  void restore(const LearnedState& learned_state);
+
+ private:
+  [[nodiscard]] const ExponentialMovingAverage& average(const Endpoint& endpoint,
+                                                        const RequestState& state) const;
+
+  // By role; states fetched over a cell's link apart: a slow link must not look like a slow writer.
+  std::array<ExponentialMovingAverage, kRoles> start_averages_;
+  ExponentialMovingAverage remote_start_average_;
+  std::map<std::string, ExponentialMovingAverage> stream_averages_;  // seconds a stream takes, by class
+  std::array<double, kRoles> failure_rates_{};                       // moving average, by role
+};
+
+}  // namespace dispatcher::routing
+
+#endif  // DISPATCHER_ROUTING_OUTLIER_DETECTION_HPP_
--- a/src/routing/prefix_index.hpp
+++ b/src/routing/prefix_index.hpp
@@ -1,5 +1,5 @@
-// A bounded index of the texts that one router has sent to one reader, as a stand-in of that one's prefix
-// cache. A table, no decision: what a covered length is worth is the module's to say.
+// A bounded index of the prompts that this router has sent to one reader: an estimate of the reader's prefix
+// cache. Support: no choice.
 #ifndef DISPATCHER_ROUTING_PREFIX_INDEX_HPP_
 #define DISPATCHER_ROUTING_PREFIX_INDEX_HPP_
 
@@ -11,40 +11,51 @@
 
 namespace dispatcher::routing {
 
-constexpr int kBlockTokens = 16;  // lengths are counted in these
+constexpr int kBlockTokens = 16;  // caches hold whole blocks of so many tokens
 
-// What this router has sent to one reader: texts by key, least recently used first to go.
-struct PrefixIndex {
-  using Key = std::pair<bool, std::uint64_t>;  // whether it is a shared text, and Pending's slot or text
+// Prompts by key, least recently used evicted first.
+class PrefixIndex {
+ public:
+  using Key = std::pair<bool, std::uint64_t>;  // whether it is a shared prefix; its affinity or session key
+
+  // Tokens held for this key; 0: none.
+  [[nodiscard]] int cached_tokens(const Key& key) const {
+    const auto it = entries_.find(key);
+    return it == entries_.end() ? 0 : it->second->tokens;
+  }
+
+  // Adds a prompt, or renews it. `own_tokens`: those that no other key accounts for. A shorter prompt than
+  // the one known does not shorten it. Evicts what exceeds `max_blocks`.
+  void insert(const Key& key, int tokens, int own_tokens, std::size_t max_blocks) {
+    Entry entry{key, tokens / kBlockTokens * kBlockTokens, std::size_t(own_tokens / kBlockTokens) + 1};
+    if (cached_tokens(key) > entry.tokens) entry = *entries_[key];
+    erase(key);
+    recency_.push_front(entry);
+    entries_[key] = recency_.begin();
+    used_blocks_ += entry.blocks;
+    while (used_blocks_ > max_blocks && !recency_.empty()) erase(Key(recency_.back().key));
+  }
+
+  [[nodiscard]] std::size_t size() const { return entries_.size(); }
+
+ private:
   struct Entry {
     Key key;
     int tokens;
     std::size_t blocks;
   };
-  std::list<Entry> order;
-  std::map<Key, std::list<Entry>::iterator> where;
-  std::size_t used = 0;
 
-  [[nodiscard]] int covered(const Key& key) const {
-    const auto it = where.find(key);
-    return it == where.end() ? 0 : it->second->tokens;
-  }
-  void learn(const Key& key, int tokens, int own_tokens, std::size_t max_blocks) {
-    Entry entry{key, tokens / kBlockTokens * kBlockTokens, std::size_t(own_tokens / kBlockTokens) + 1};
-    if (covered(key) > entry.tokens) entry = *where[key];  // a shorter prompt takes nothing from it
-    forget(key);
-    order.push_front(entry);
-    where[key] = order.begin();
-    used += entry.blocks;
-    while (used > max_blocks && !order.empty()) forget(Key(order.back().key));
-  }
-  void forget(const Key& key) {
-    const auto it = where.find(key);
-    if (it == where.end()) return;
-    used -= it->second->blocks;
-    order.erase(it->second);
-    where.erase(it);
+  void erase(const Key& key) {
+    const auto it = entries_.find(key);
+    if (it == entries_.end()) return;
+    used_blocks_ -= it->second->blocks;
+    recency_.erase(it->second);
+    entries_.erase(it);
   }
+
+  std::list<Entry> recency_;  // most recent first
+  std::map<Key, std::list<Entry>::iterator> entries_;
+  std::size_t used_blocks_ = 0;
 };
 
 }  // namespace dispatcher::routing
--- /dev/null
+++ b/src/routing/reader_selection.cpp
@@ -0,0 +1,144 @@
+#include "routing/reader_selection.hpp"
+
+#include <algorithm>
+#include <array>
+#include <cmath>
+#include <optional>
+#include <vector>
+
+#include "routing/hashing.hpp"
+#include "routing/load_estimate.hpp"
+#include "routing/prefix_affinity.hpp"
+#include "routing/retry_policy.hpp"
+
+namespace dispatcher::routing {
+namespace {
+
+constexpr double kPrefixWeight = 3;  // of the cached part of the prompt in the score
+constexpr double kLoadWeight = 2;    // of the free capacity in the score
+constexpr double kMemoryWeight = 2;  // of the free memory in the score
+constexpr double kTotalWeight = kPrefixWeight + kLoadWeight + kMemoryWeight;
+constexpr double kMinLoadSpread = 0.5;       // of the mean load: smaller differences are not stretched
+constexpr double kMaxLoadSpread = 2;         // one jammed endpoint must not hide the others' differences
+constexpr double kMinMeanLoadTokens = 5000;  // the noise of idle endpoints is no load
+constexpr double kMinFullStates = 8;         // fewer states at the fullest reader are no shortage
+constexpr double kTieBand = 0.05;            // scores this near the best are ties, settled by hash
+constexpr double kMixedTieShare = 0.8;       // of a mixed endpoint in ties
+constexpr double kRemoteTieShare = 0.4;      // in ties, of a reader with no writer near
+constexpr double kWarmupDrawBonus = 0.3;     // score added where slow start has drawn this request
+
+struct Candidate {
+  Endpoint* endpoint;
+  double load, memory, score;
+};
+
+struct RoleLoads {
+  std::array<RoleStatistics, kRoles> statistics;
+  std::array<double, kRoles> sum{}, count{};
+  double max_states = kMinFullStates;  // at the fullest reader
+};
+
+// Ties go to the highest of a weighted hash of key and endpoint (weighted rendezvous hashing), the same for
+// all routers.
+double tie_break(const SelectionContext& selection, const RoleBalance& balance, const Endpoint& endpoint,
+                 std::uint64_t key) {
+  const double share = endpoint.role == Role::kMixed
+                           ? kMixedTieShare / balance.mixed_over_paired()
+                           : kRemoteTieShare + (1 - kRemoteTieShare) * endpoint.local_write_share;
+  const double capacity = selection.slow_start.admits_by_draw(selection.context, endpoint)
+                              ? 1
+                              : effective_capacity(selection.context, endpoint);
+  return std::log(unit_interval(key ^ endpoint.name_hash)) / (endpoint.weight * capacity * share);
+}
+
+// The eligible endpoints with their loads. A reader is one only while an attempt at a writer is left too.
+std::vector<Candidate> find_candidates(const SelectionContext& selection, const RequestState& state,
+                                       RoleLoads& loads) {
+  std::vector<Candidate> candidates;
+  const bool may_read_only = retry_policy::has_attempts_for_both_stages(state);
+  for (auto& [name, endpoint] : selection.endpoints.entries()) {
+    if (endpoint.state != EndpointState::kReady || endpoint.role == Role::kWriter) continue;
+    const std::size_t role = role_index(endpoint.role);
+    loads.max_states = std::max(loads.max_states, static_cast<double>(endpoint.waiting_states));
+    const double load = prompt_load(selection.context, endpoint, loads.statistics[role]);
+    loads.sum[role] += load;
+    loads.count[role] += 1;
+    const bool executes = endpoint.role == Role::kMixed;
+    if (!executes && !may_read_only) continue;
+    if (is_eligible(selection, endpoint, state, executes ? Step::kExecute : Step::kRead))
+      candidates.push_back({&endpoint, load, 0, 0});
+  }
+  if (!selection.context.settings->writers_read || !candidates.empty()) return candidates;
+  for (auto& [name, endpoint] : selection.endpoints.entries()) {
+    if (endpoint.role == Role::kWriter && is_eligible(selection, endpoint, state, Step::kExecute))
+      candidates.push_back({&endpoint, 0, 0, 0});
+  }
+  return candidates;
+}
+
+// Expresses load as a multiple of the role's own mean, and memory as the used share.
+void normalize(const SelectionContext& selection, const RoleBalance& balance, const RoleLoads& loads,
+               Candidate& candidate) {
+  const Endpoint& endpoint = *candidate.endpoint;
+  const std::size_t role = role_index(endpoint.role);
+  const double mean = loads.count[role] > 0 ? loads.sum[role] / loads.count[role] : 0;
+  candidate.load /= std::max(mean, kMinMeanLoadTokens);
+  if (endpoint.role == Role::kMixed) candidate.load *= balance.mixed_over_paired();
+  const std::optional<double>& reported = endpoint.report.memory_share;
+  candidate.memory =
+      reported ? aged_report(selection.context, endpoint, *reported, loads.statistics[role].memory_share)
+               : endpoint.waiting_states / loads.max_states;
+}
+
+// Sets the scores, and returns the highest.
+double score(const SelectionContext& selection, const RequestState& state,
+             std::vector<Candidate>& candidates) {
+  double min_load = 1e300;
+  double max_load = 0;
+  for (const Candidate& candidate : candidates) {
+    min_load = std::min(min_load, candidate.load);
+    max_load = std::max(max_load, candidate.load);
+  }
+  const double spread = std::clamp(max_load - min_load, kMinLoadSpread, kMaxLoadSpread);
+  const double prompt_tokens = state.request.prompt_tokens;
+  double max_score = 0;
+  for (Candidate& candidate : candidates) {
+    const double prefix = prompt_tokens > 0 ? cached_tokens(*candidate.endpoint, state) / prompt_tokens : 0;
+    const double free_load = std::clamp(1 - (candidate.load - min_load) / spread, 0.0, 1.0);
+    const double free_memory = std::clamp(1 - candidate.memory, 0.0, 1.0);
+    candidate.score =
+        (kPrefixWeight * prefix + kLoadWeight * free_load + kMemoryWeight * free_memory) / kTotalWeight;
+    if (selection.slow_start.admits_by_draw(selection.context, *candidate.endpoint))
+      candidate.score += kWarmupDrawBonus;
+    max_score = std::max(max_score, candidate.score);
+  }
+  return max_score;
+}
+
+}  // namespace
+
+// Normalized weighted sum of prefix match, min-max load and free memory; the highest wins.
+Endpoint* choose_reader(const SelectionContext& selection, const RoleBalance& balance,
+                        const RequestState& state) {
+  RoleLoads loads{{selection.endpoints.statistics(Role::kReader),
+                   selection.endpoints.statistics(Role::kWriter),
+                   selection.endpoints.statistics(Role::kMixed)}};
+  std::vector<Candidate> candidates = find_candidates(selection, state, loads);
+  for (Candidate& candidate : candidates) normalize(selection, balance, loads, candidate);
+  const double max_score = score(selection, state, candidates);
+  Endpoint* best = nullptr;
+  double best_tie_break = 0;
+  for (const Candidate& candidate : candidates) {
+    // Its cache is empty as far as is known here, so that no score would find it soon.
+    if (candidate.endpoint->awaits_first_send) return candidate.endpoint;
+    if (candidate.score < max_score - kTieBand) continue;
+    const double own = tie_break(selection, balance, *candidate.endpoint, state.affinity_key);
+    if (best == nullptr || own > best_tie_break) {
+      best = candidate.endpoint;
+      best_tie_break = own;
+    }
+  }
+  return best;
+}
+
+}  // namespace dispatcher::routing
--- /dev/null
+++ b/src/routing/reader_selection.hpp
@@ -0,0 +1,17 @@
+// Selection of the endpoint that reads a request's prompt.
+#ifndef DISPATCHER_ROUTING_READER_SELECTION_HPP_
+#define DISPATCHER_ROUTING_READER_SELECTION_HPP_
+
+#include "routing/eligibility.hpp"
+#include "routing/role_balance.hpp"
+
+namespace dispatcher::routing {
+
+// A reader, a mixed endpoint or, where Settings::writers_read allows it and there is no other, a writer.
+// Null: none is eligible now.
+[[nodiscard]] Endpoint* choose_reader(const SelectionContext& selection, const RoleBalance& balance,
+                                      const RequestState& state);
+
+}  // namespace dispatcher::routing
+
+#endif  // DISPATCHER_ROUTING_READER_SELECTION_HPP_
--- /dev/null
+++ b/src/routing/retry_policy.cpp
@@ -0,0 +1,193 @@
+#include "routing/retry_policy.hpp"
+
+#include <algorithm>
+#include <cmath>
+
+namespace dispatcher::routing::retry_policy {
+namespace {
+
+constexpr Duration kTimerInterval = Milliseconds(20);  // unless the settings' tick is longer
+constexpr int kLeadIntervals = 2;       // before the client's deadline: an answer may wait for the next timer
+constexpr double kTimeoutMultiple = 3;  // of the expected time, for an attempt ...
+constexpr double kTimeoutDeviations = 3;         // ... plus so many relative deviations
+constexpr double kMinTimeoutObjectives = 1.0;    // of the objective, that an attempt has at least
+constexpr double kOverdueMultiple = 3;           // of the time-out, at an endpoint that still answers others
+constexpr int kOvertakenSends = 2;               // later sends answered first: the attempt is lost
+constexpr double kOvertakenTimeoutShare = 0.35;  // of the time-out, for an overtaken attempt
+constexpr double kMigrateQuietObjectives = 0.5;  // of the objective in silence, at an unresponsive endpoint
+constexpr double kReservationShare = 0.7;  // of the reservation limit after which a state is not tried again
+
+bool may_repeat(const RequestState& state, const Endpoint& endpoint) {
+  return state.charged_attempts < state.settings->max_attempts &&
+         (endpoint.role == Role::kReader || state.request_class->idempotency == Idempotency::kIdempotent);
+}
+
+// When repeats of the request are no longer discarded.
+Time deduplication_end(const RequestState& state) {
+  return state.first_run_sent_at + state.request_class->deduplication_window;
+}
+
+Time reservation_end(const RequestState& state) {
+  return state.idle_since + state.settings->reservation_limit;
+}
+
+Duration attempt_timeout(const OutlierDetection& outliers, const Endpoint& endpoint,
+                         const RequestState& state) {
+  const MovingAverage* average = outliers.start_average(endpoint, state);
+  if (average == nullptr) return scaled(state.latency_objective(), kOverdueMultiple);
+  const double expected =
+      average->mean * state.start_work_tokens * (kTimeoutMultiple + kTimeoutDeviations * average->dev);
+  return std::max(Duration(std::llround(expected)), scaled(state.latency_objective(), kMinTimeoutObjectives));
+}
+
+}  // namespace
+
+Duration timer_interval(const Settings& settings) { return std::max(kTimerInterval, settings.tick); }
+
+bool needs_deduplication(const RequestState& state) {
+  return state.may_have_run && state.request_class->idempotency == Idempotency::kKeyed;
+}
+
+bool is_overtaken(const RequestState& state) { return state.later_sends_answered >= kOvertakenSends; }
+
+// Where attempts may be cancelled, should_cancel() ends them instead, knowing more by then.
+AttemptLimits attempt_limits(const Context& context, const OutlierDetection& outliers,
+                             const Endpoint& endpoint, const RequestState& state) {
+  const Settings& settings = *context.settings;
+  Time deadline = state.request.client_deadline;
+  if (!settings.may_cancel && may_repeat(state, endpoint))
+    deadline = context.now + attempt_timeout(outliers, endpoint, state);
+  // A time-out is learned of up to a tick later, and must still be answered within the slack then.
+  const Duration answer_time = std::max(Duration(0), settings.tick - state.settings->answer_slack);
+  deadline = std::min(state.request.client_deadline - answer_time, deadline);
+
+  Time connect_by = state.holds_state ? reservation_end(state) : Time{};
+  // A repeat counts when it arrives: one whose connection is late may arrive outside the window.
+  if (needs_deduplication(state)) {
+    const Time end = deduplication_end(state);
+    connect_by = connect_by == Time{} ? end : std::min(connect_by, end);
+  }
+  return {deadline, connect_by};
+}
+
+bool is_exhausted(const Context& context, const RequestState& state) {
+  // A repeat after its window is no repeat: the effect would take place again.
+  const bool is_window_over = needs_deduplication(state) && context.now >= deduplication_end(state);
+  const Duration lead = kLeadIntervals * timer_interval(*context.settings);
+  return state.charged_attempts >= state.settings->max_attempts ||
+         context.now + lead >= state.request.client_deadline || is_window_over;
+}
+
+bool can_wait_for_writer(const Context& context, const RequestState& state) {
+  const Duration tick = std::max(context.settings->tick, Duration(1));
+  const Duration next_timer = (kTimerInterval + tick - Duration(1)) / tick * tick;
+  return context.now + next_timer <= reservation_end(state);
+}
+
+bool has_attempts_for_both_stages(const RequestState& state) {
+  return state.charged_attempts + 2 <= state.settings->max_attempts;
+}
+
+bool is_reservation_expired(const Context& context, const RequestState& state) {
+  const Duration limit = scaled(state.settings->reservation_limit, kReservationShare);
+  return state.holds_state && context.now >= state.idle_since + limit;
+}
+
+bool may_retry(const Context& context, const RequestState& state, AttemptStatus status) {
+  const bool is_unsafe =
+      state.request_class->idempotency == Idempotency::kNonIdempotent && state.may_have_run;
+  return !is_unsafe && status != AttemptStatus::kNeverSent && !is_reservation_expired(context, state);
+}
+
+bool is_charged(const RequestState& state, AttemptStatus status) {
+  return status != AttemptStatus::kConnectFailed ||
+         state.attempt_count > state.settings->free_connect_failures;
+}
+
+bool has_no_effect(AttemptStatus status, Phase phase) {
+  return status == AttemptStatus::kFull || status == AttemptStatus::kConnectFailed ||
+         status == AttemptStatus::kNeverSent || phase == Phase::kReading;
+}
+
+bool excludes_endpoint(AttemptStatus status) {
+  return status != AttemptStatus::kRead && status != AttemptStatus::kFull;
+}
+
+bool loses_state(const AttemptCompleted& completed) {
+  const AttemptStatus status = completed.status;
+  const bool is_lost =
+      status == AttemptStatus::kFull || status == AttemptStatus::kError || status == AttemptStatus::kReset;
+  return is_lost && completed.note == 1;
+}
+
+// Three writers in a row that never came up, 250 ms each, had states outlive their limit.
+bool renews_reservation(const RequestState& state, AttemptStatus status) {
+  return status != AttemptStatus::kConnectFailed || !state.settings->reservation_expires_while_connecting;
+}
+
+bool is_retry_harmless(const RequestState& state) {
+  const RequestClass& request_class = *state.request_class;
+  if (request_class.idempotency == Idempotency::kIdempotent || !state.may_have_run) return true;
+  return request_class.idempotency == Idempotency::kKeyed &&
+         request_class.deduplication_scope == DeduplicationScope::kAll;
+}
+
+std::optional<Duration> retry_after(const RequestState& state) {
+  if (!state.settings->retry_advice) return std::nullopt;
+  return std::min(state.settings->max_retry_after, state.latency_objective());
+}
+
+// An endpoint that answers nobody while its role's average has long passed hangs. In a jam, when all are
+// late, moving on would only make it worse.
+bool should_cancel(const Context& context, const OutlierDetection& outliers, const LoadShedding& shedding,
+                   const EndpointTable& endpoints, const Endpoint& endpoint, const RequestState& state) {
+  const Duration age = context.now - state.sent_at;
+  const Duration timeout = attempt_timeout(outliers, endpoint, state);
+  const bool is_lost = is_overtaken(state) && age > scaled(timeout, kOvertakenTimeoutShare);
+  if (!is_lost) {
+    const bool is_silent = endpoint.last_response_at < state.sent_at;
+    if (age <= (is_silent ? timeout : scaled(timeout, kOverdueMultiple))) return false;
+    const RoleStatistics role = endpoints.statistics(endpoint.role);
+    const double own = endpoint.queue_delay_ratio;
+    const double others_sum = role.queue_delay_ratio_sum - own;
+    const bool is_alone = own > kStandsOutMultiple * others_sum / std::max(1.0, role.delayed - 1);
+    if (!is_alone || !shedding.stands_out(state, age)) return false;
+  }
+  return context.settings->may_cancel && !state.is_cancelled && may_repeat(state, endpoint) &&
+         context.now + timeout < state.request.client_deadline;
+}
+
+bool should_migrate(const Context& context, const Endpoint& endpoint, const RequestState& state) {
+  const bool is_quiet =
+      context.now - endpoint.last_response_at > scaled(state.latency_objective(), kMigrateQuietObjectives);
+  return endpoint.is_ejected && endpoint.is_unresponsive && is_quiet && context.settings->resume;
+}
+
+bool has_become_late(Time now, const RequestState& state) {
+  return !state.is_counted_late && state.later_sends_answered == 0 && state.phase != Phase::kStreaming &&
+         state.is_in_flight && now > state.sent_at + state.latency_objective();
+}
+
+std::optional<Failure> failure_of(const AttemptCompleted& completed, Phase phase,
+                                  const LoadShedding& shedding, const Endpoint& endpoint,
+                                  const RequestState& state) {
+  switch (completed.status) {
+    case AttemptStatus::kError:
+    case AttemptStatus::kConnectFailed:
+      return Failure{completed.status, completed.note == 1};
+    case AttemptStatus::kReset:
+      return Failure{completed.status, true};
+    case AttemptStatus::kTimeout:
+      if (phase == Phase::kStreaming) return std::nullopt;
+      break;
+    case AttemptStatus::kCancelled:
+      if (state.is_ended) return std::nullopt;
+      break;
+    default:
+      return std::nullopt;
+  }
+  if (!shedding.stands_out(state, completed.elapsed)) return std::nullopt;
+  return Failure{AttemptStatus::kTimeout, endpoint.last_response_at > state.sent_at};
+}
+
+}  // namespace dispatcher::routing::retry_policy
--- a/src/routing/slow_start.hpp
+++ b/src/routing/slow_start.hpp
@@ -1,44 +1,62 @@
-// Slow start of a host that has just started, by many processes that share nothing but the settings. Pure;
-// the choice and its arithmetic stand in docs/design/slow-start.md.
+// Slow start of endpoints that have just started, by many routers that share nothing but the settings.
+// The choice and its arithmetic: docs/design/slow-start.md.
 #ifndef DISPATCHER_ROUTING_SLOW_START_HPP_
 #define DISPATCHER_ROUTING_SLOW_START_HPP_
 
-#include <algorithm>
-#include <chrono>
-#include <cmath>
-
-#include "routing/settings.hpp"
-
-namespace dispatcher::routing::slow_start {
-
-constexpr double kBudget = 0.6, kDraw = 0.36;  // of N
-constexpr double kFarDraw = 0.25;  // of a cold writer's draws, by requests that were read in any cell
-
-// The part of a warm host's capacity that one has at this age.
-inline double warmth(const Settings& s, Duration age) {
-  return age < s.warmup_time
-             ? std::lerp(s.warmup_initial_share, 1.0, double(age.count()) / double(s.warmup_time.count()))
-             : 1;
-}
-
-// Requests that this process may send it in a window; `warm_rate`: a second, what a warm host does for it.
-inline double budget(const Settings& s, double warmth, double warm_rate) {
-  return kBudget * s.overload_multiple * warmth * std::chrono::duration<double>(s.overload_window).count() *
-         warm_rate;
-}
-
-// The part of all requests that a host is open to, among so many.
-inline double draw(const Settings& s, double warmth, double endpoints) {
-  return std::min(1.0, kDraw * s.overload_multiple * warmth) / std::max(1.0, endpoints);
-}
-
-// By how much that changes for a request read in the host's own cell, which does this part of all reads, or
-// in another one: the sum over all requests stays the same, so that a cell with few writers, or requests from
-// elsewhere in a jam, bring no more.
-inline double draw_by_cell(bool own, double part_of_reads) {
-  return part_of_reads <= 0 ? 1 : kFarDraw + (own ? (1 - kFarDraw) / part_of_reads : 0);
-}
-
-}  // namespace dispatcher::routing::slow_start
+#include <array>
+#include <deque>
+#include <utility>
+
+#include "routing/context.hpp"
+#include "routing/endpoint_table.hpp"
+#include "routing/request_state.hpp"
+
+namespace dispatcher::routing {
+
+[[nodiscard]] bool is_warming_up(const Context& context, const Endpoint& endpoint);
+
+// The part of its capacity that an endpoint has at its age: 1 for a warm one.
+[[nodiscard]] double warmup_fraction(const Context& context, const Endpoint& endpoint);
+
+// The same, for dividing by.
+[[nodiscard]] double effective_capacity(const Context& context, const Endpoint& endpoint);
+
+// Measures what warm endpoints do for this router, and from that limits what it sends to those that warm up.
+// Owned by one Router and used on its thread.
+class SlowStart {
+ public:
+  // Counting of results begins.
+  void start(Time now) { counting_since_ = now; }
+  // A result of this endpoint has come.
+  void record_result(const Context& context, const Endpoint& endpoint);
+  // Updates the rates; called at each timer and whenever the endpoints have changed.
+  void update(const Context& context, const EndpointTable& endpoints);
+
+  // Whether this request may go to the endpoint now, as far as slow start is concerned.
+  [[nodiscard]] bool admits(const Context& context, const EndpointTable& endpoints, const Endpoint& endpoint,
+                            const RequestState& state) const;
+  // Whether the endpoint warms up and this router's budget for it is less than one request a window, so that
+  // a hash draws the requests that are open to it.
+  [[nodiscard]] bool admits_by_draw(const Context& context, const Endpoint& endpoint) const;
+
+  void save(LearnedState& learned_state) const;
+  void restore(const Context& context, const LearnedState& learned_state);
+
+ private:
+  // Requests that this router may send to the endpoint in an overload window.
+  [[nodiscard]] double budget(const Context& context, const Endpoint& endpoint) const;
+  // The part of all requests that the endpoint is open to.
+  [[nodiscard]] double draw_share(const Context& context, const EndpointTable& endpoints,
+                                  const Endpoint& endpoint, const RequestState& state) const;
+
+  // By role: when a warm endpoint gave a result, and one over the number of warm endpoints then.
+  std::array<std::deque<std::pair<Time, double>>, kRoles> results_;
+  std::array<double, kRoles> warm_count_{};
+  std::array<double, kRoles> warm_rate_{};  // results per second that one warm endpoint gives this router
+  std::array<double, kRoles> ready_count_{};
+  Time counting_since_{};
+};
+
+}  // namespace dispatcher::routing
 
 #endif  // DISPATCHER_ROUTING_SLOW_START_HPP_
--- /dev/null
+++ b/src/routing/writer_selection.hpp
@@ -0,0 +1,15 @@
+// Selection of the endpoint that writes a request's answer.
+#ifndef DISPATCHER_ROUTING_WRITER_SELECTION_HPP_
+#define DISPATCHER_ROUTING_WRITER_SELECTION_HPP_
+
+#include "routing/eligibility.hpp"
+
+namespace dispatcher::routing {
+
+// An endpoint of this role for the state that waits at the request's reader. Null: none is eligible now.
+[[nodiscard]] Endpoint* choose_writer(const SelectionContext& selection, const RequestState& state,
+                                      Role role);
+
+}  // namespace dispatcher::routing
+
+#endif  // DISPATCHER_ROUTING_WRITER_SELECTION_HPP_
--- a/tests/guards_test.cpp
+++ b/tests/guards_test.cpp
@@ -58,7 +58,7 @@
     const std::string at = h.ask(id, "safe", 1);
     h.out[id] = "";
     ejected.push_back(logged(h.pass(AttemptCompleted{id, at, 0, AttemptStatus::kReset, {}, false, 0, {}}),
-                             "host " + at + " ejected"));
+                             "endpoint " + at + " ejected"));
   }
   EXPECT_EQ(ejected, (std::vector<bool>{false, false, true}));
 }
