--- a/src/routing/endpoint.hpp
+++ b/src/routing/endpoint.hpp
@@ -28,6 +28,7 @@
   bool awaits_first_send = false;  // it was put back, and this router has sent nothing to it since
 };
 
+// One endpoint: as listed, with its load and its health as this router sees them.
 struct Endpoint : EndpointInfo, RestartPersistentState {
   double local_write_share = 1;  // part of what is read here that can be written close to it
   double cell_reader_share = 1;  // part of all readers' weight that is in its cell
@@ -48,6 +49,13 @@
   Time last_response_at{};
   std::map<std::pair<std::string, std::string>, Time> rejects_until;  // by class and tenant
 
+  // Takes a load report over; one without any known field is ignored.
+  void record_report(const LoadReport& received, Time now) {
+    if (!received.in_hand && !received.memory_share && !received.prompt_kilotokens) return;
+    report = received;
+    reported_at = now;
+    tokens_since_report = 0;
+  }
   [[nodiscard]] bool is_idle() const { return active_reads == 0 && active_streams == 0; }
   // Whether an own attempt there has shown no first token yet.
   [[nodiscard]] bool has_unanswered_attempt() const {
--- a/src/routing/load_shedding.cpp
+++ b/src/routing/load_shedding.cpp
@@ -23,7 +23,7 @@
 // queues, had kept all other requests out.
 bool is_queued(Time now, const RequestState& state) {
   const bool is_stalled =
-      retry_policy::is_overtaken(state) ||
+      retry_policy::is_likely_lost(state) ||
       (state.is_in_flight && now > state.sent_at + scaled(state.latency_objective(), kStalledMultiple));
   return !state.is_ended && state.phase != Phase::kStreaming && !is_stalled;
 }
--- a/src/routing/moving_average.hpp
+++ b/src/routing/moving_average.hpp
@@ -10,12 +10,14 @@
 
 namespace dispatcher::routing {
 
+// Parameters of an average.
 struct Smoothing {
   int min_samples;      // samples before the mean is trusted
   double min_gain;      // weight of a new sample, once there are many
   double max_multiple;  // of a trusted mean, at which a sample is cut
 };
 
+// The average itself; a plain MovingAverage as it is handed over in a hot restart.
 struct ExponentialMovingAverage : MovingAverage {
   // Until there are 1 / min_gain samples this is their plain mean.
   void add(double sample, const Smoothing& smoothing) {
--- a/src/routing/request_state.hpp
+++ b/src/routing/request_state.hpp
@@ -13,8 +13,10 @@
 
 namespace dispatcher::routing {
 
+// What a request waits for, or what its attempt in flight does.
 enum class Phase { kNeedsRead, kReading, kNeedsWriter, kWriting, kStreaming };
 
+// One open request and its attempts.
 struct RequestState {
   Request request;
   std::shared_ptr<const Settings> settings;     // those that it was admitted under
--- a/src/routing/retry_policy.cpp
+++ b/src/routing/retry_policy.cpp
@@ -12,8 +12,8 @@
 constexpr double kTimeoutDeviations = 3;         // ... plus so many relative deviations
 constexpr double kMinTimeoutObjectives = 1.0;    // of the objective, that an attempt has at least
 constexpr double kOverdueMultiple = 3;           // of the time-out, at an endpoint that still answers others
-constexpr int kOvertakenSends = 2;               // later sends answered first: the attempt is lost
-constexpr double kOvertakenTimeoutShare = 0.35;  // of the time-out, for an overtaken attempt
+constexpr int kLostAfterLaterSends = 2;          // later sends answered first: the attempt is lost
+constexpr double kLostTimeoutShare = 0.35;       // of the time-out, for such an attempt
 constexpr double kMigrateQuietObjectives = 0.5;  // of the objective in silence, at an unresponsive endpoint
 constexpr double kReservationShare = 0.7;  // of the reservation limit after which a state is not tried again
 
@@ -48,7 +48,7 @@
   return state.may_have_run && state.request_class->idempotency == Idempotency::kKeyed;
 }
 
-bool is_overtaken(const RequestState& state) { return state.later_sends_answered >= kOvertakenSends; }
+bool is_likely_lost(const RequestState& state) { return state.later_sends_answered >= kLostAfterLaterSends; }
 
 // Where attempts may be cancelled, should_cancel() ends them instead, knowing more by then.
 AttemptLimits attempt_limits(const Context& context, const OutlierDetection& outliers,
@@ -125,7 +125,7 @@
   return status != AttemptStatus::kConnectFailed || !state.settings->reservation_expires_while_connecting;
 }
 
-bool is_retry_harmless(const RequestState& state) {
+bool is_retry_safe(const RequestState& state) {
   const RequestClass& request_class = *state.request_class;
   if (request_class.idempotency == Idempotency::kIdempotent || !state.may_have_run) return true;
   return request_class.idempotency == Idempotency::kKeyed &&
@@ -143,7 +143,7 @@
                    const EndpointTable& endpoints, const Endpoint& endpoint, const RequestState& state) {
   const Duration age = context.now - state.sent_at;
   const Duration timeout = attempt_timeout(outliers, endpoint, state);
-  const bool is_lost = is_overtaken(state) && age > scaled(timeout, kOvertakenTimeoutShare);
+  const bool is_lost = is_likely_lost(state) && age > scaled(timeout, kLostTimeoutShare);
   if (!is_lost) {
     const bool is_silent = endpoint.last_response_at < state.sent_at;
     if (age <= (is_silent ? timeout : scaled(timeout, kOverdueMultiple))) return false;
--- a/src/routing/retry_policy.hpp
+++ b/src/routing/retry_policy.hpp
@@ -22,7 +22,7 @@
 // Whether an effect may have taken place whose repeats are discarded for a while only.
 [[nodiscard]] bool needs_deduplication(const RequestState& state);
 // Whether the endpoint has answered so many later requests first that the attempt in flight is lost.
-[[nodiscard]] bool is_overtaken(const RequestState& state);
+[[nodiscard]] bool is_likely_lost(const RequestState& state);
 // Limits for an attempt that is sent now; the state already describes it.
 [[nodiscard]] AttemptLimits attempt_limits(const Context& context, const OutlierDetection& outliers,
                                            const Endpoint& endpoint, const RequestState& state);
@@ -47,7 +47,7 @@
 // Whether the end of such an attempt starts the time anew that a state may wait at its reader.
 [[nodiscard]] bool renews_reservation(const RequestState& state, AttemptStatus status);
 // Whether the client may safely send the request again after a final rejection.
-[[nodiscard]] bool is_retry_harmless(const RequestState& state);
+[[nodiscard]] bool is_retry_safe(const RequestState& state);
 // What a rejected client is told to wait, if anything.
 [[nodiscard]] std::optional<Duration> retry_after(const RequestState& state);
 // Whether the attempt in flight has waited for its first token so long that it should move elsewhere.
--- a/src/routing/router.cpp
+++ b/src/routing/router.cpp
@@ -157,7 +157,7 @@
 
   void handle(const AttemptCompleted& completed) {
     Endpoint* endpoint = endpoints_.find(completed.endpoint);
-    if (endpoint != nullptr) record_report(*endpoint, completed.report);
+    if (endpoint != nullptr) endpoint->record_report(completed.report, context_.now);
     RequestState* state = find_in_flight(completed.request, completed.attempt);
     if (state == nullptr) return;
     const Phase phase = state->phase;
@@ -372,7 +372,7 @@
   void give_up(RequestState& state) {
     release(state);
     state.is_ended = true;
-    if (retry_policy::is_retry_harmless(state)) {
+    if (retry_policy::is_retry_safe(state)) {
       emit(Reject{state.request.id, retry_policy::retry_after(state)});
     } else {
       emit(Fail{state.request.id});
@@ -381,22 +381,15 @@
 
   // ---- what endpoints show ----
 
-  void record_report(Endpoint& endpoint, const LoadReport& report) const {
-    if (!report.in_hand && !report.memory_share && !report.prompt_kilotokens) return;
-    endpoint.report = report;
-    endpoint.reported_at = context_.now;
-    endpoint.tokens_since_report = 0;
-  }
-
   void record_start(Endpoint& endpoint, const RequestState& state, Duration elapsed) {
-    count_as_overtaking(endpoint, state);
+    count_later_send_answered(endpoint, state);
     const double latency_ratio = outliers_.record_start(context_, endpoint, state, elapsed);
     slow_start_.record_result(context_, endpoint);
     emit_if_present(outliers_.record_success(context_, endpoint, latency_ratio));
   }
 
   // Endpoints answer in order: attempts that were sent earlier and are still waiting may be lost.
-  void count_as_overtaking(const Endpoint& endpoint, const RequestState& answered) {
+  void count_later_send_answered(const Endpoint& endpoint, const RequestState& answered) {
     for (auto& [id, other] : requests_) {
       const bool is_waiting = other.is_in_flight && other.phase != Phase::kStreaming &&
                               other.endpoint == endpoint.endpoint &&
