--- a/fuzz/gossip_fuzz.cpp
+++ b/fuzz/gossip_fuzz.cpp
@@ -1,5 +1,5 @@
-// Any bytes as a datagram between dispatchers: dropped or taken within the bounds, and never answered with a
-// longer one than the platform allows.
+// Any bytes as a datagram between dispatchers: dropped or accepted within the bounds, and never answered with
+// a longer one than the platform allows.
 #include <cstddef>
 #include <cstdint>
 #include <cstdlib>
@@ -12,19 +12,21 @@
 using namespace dispatcher;
 using std::chrono::milliseconds;
 
+constexpr gossip::MemberIndex kMemberCount = 40;
+
 struct Fleet {
-  replicated_state::Kinds kinds;
-  gossip::Options options;
+  replicated_state::EntryKinds kinds;
+  gossip::NodeOptions options;
   Fleet() {
-    kinds.add(replicated_state::doubt_kind());
-    options.count = 40;
+    kinds.add(replicated_state::failure_evidence_kind());
+    options.member_count = kMemberCount;
   }
 };
 
-void check(const gossip::GossipNode::Sent& sent) {
-  for (const gossip::Outgoing& one : sent) {
-    if (one.datagram.size() > gossip::kMaxBytes || one.datagram.size() == 0) std::abort();
-    if (one.to && *one.to >= 40) std::abort();
+void check(const gossip::GossipNode::OutgoingDatagrams& datagrams) {
+  for (const gossip::OutgoingDatagram& outgoing : datagrams) {
+    if (outgoing.datagram.size() > gossip::kMaxDatagramBytes || outgoing.datagram.size() == 0) std::abort();
+    if (outgoing.to && *outgoing.to >= kMemberCount) std::abort();
   }
 }
 
@@ -34,13 +36,15 @@
   static const Fleet fleet;
   const std::span bytes(data, size);
   gossip::GossipNode node(fleet.options, fleet.kinds, 1'800'000'000'000, 7, milliseconds(1000));
-  const replicated_state::Whole whole{{1, 7}, replicated_state::Nature::kRate, 4000, std::chrono::seconds(5)};
-  node.rights().open(milliseconds(1000), whole, true);
-  // The input names its sender, as the speaker would by the address.
-  for (const gossip::Number from : {1U, 2U}) check(node.received(milliseconds(1100), from, bytes));
-  for (int i = 0; i < 4; ++i) check(node.tick(node.next()));
-  if (node.rights().rate(node.next(), whole.id) > 4000 || node.rows().size() > fleet.options.rows)
+  const replicated_state::Budget budget{
+      {1, 7}, replicated_state::BudgetType::kRate, 4000, std::chrono::seconds(5)};
+  node.quotas().open(milliseconds(1000), budget, true);
+  // The input names its sender, as the transport would by the address.
+  for (const gossip::MemberIndex from : {1U, 2U}) check(node.on_received(milliseconds(1100), from, bytes));
+  for (int i = 0; i < 4; ++i) check(node.tick(node.next_deadline()));
+  if (node.quotas().rate(node.next_deadline(), budget.id) > 4000 ||
+      node.entries().size() > fleet.options.max_entries)
     std::abort();
-  if (node.members().standing(0) != membership::MemberState::kAlive) std::abort();
+  if (node.members().state(0) != membership::MemberState::kAlive) std::abort();
   return 0;
 }
--- a/src/gossip/byte_budget.hpp
+++ b/src/gossip/byte_budget.hpp
@@ -1,5 +1,5 @@
-// How many bytes a member may send, over the fleet: a token bucket. What answers a probe may run it into
-// debt, up to a bound; what can wait finds out how much room there is.
+// How many bytes a member may send, over all receivers: a token bucket. Answers to probes may run it into
+// debt up to a bound; what can wait asks how much is available.
 #ifndef DISPATCHER_GOSSIP_BYTE_BUDGET_HPP_
 #define DISPATCHER_GOSSIP_BYTE_BUDGET_HPP_
 
@@ -13,31 +13,49 @@
 using membership::Duration;
 using membership::Time;
 
+// The token bucket of one member. Part of a GossipNode; used on its thread.
 class ByteBudget {
  public:
-  // In any time t at most rate x t + burst + debt bytes are sent.
+  // Within any time t at most rate * t + burst + debt bytes are sent; `rate` is in bytes a second.
   ByteBudget(std::int64_t rate, std::int64_t burst, std::int64_t debt, Time now)
-      : rate_(rate), burst_(burst * kMicro), debt_(debt * kMicro), level_(burst * kMicro), at_(now) {}
-
-  std::int64_t left(Time now) {  // bytes; below zero in debt
-    const Duration passed = std::min<Duration>(now - at_, std::chrono::hours(1));
-    if (passed > Duration::zero()) {
-      level_ = std::min(burst_, level_ + passed.count() * rate_);
-      at_ = now;
-    }
-    return level_ / kMicro;
+      : rate_(rate),
+        burst_(burst * kMicrosPerByte),
+        debt_(debt * kMicrosPerByte),
+        level_(burst * kMicrosPerByte),
+        refilled_at_(now) {}
+
+  // Bytes that may be sent now; negative while in debt.
+  [[nodiscard]] std::int64_t available(Time now) {
+    refill(now);
+    return level_ / kMicrosPerByte;
   }
-  bool spend(Time now, std::int64_t bytes) {  // false: not even as debt
-    left(now);
-    if (level_ - bytes * kMicro < -debt_) return false;
-    level_ -= bytes * kMicro;
+
+  // Takes the bytes, as debt where need be. False: they would exceed the debt's bound.
+  [[nodiscard]] bool try_spend(Time now, std::int64_t bytes) {
+    refill(now);
+    if (level_ - bytes * kMicrosPerByte < -debt_) return false;
+    level_ -= bytes * kMicrosPerByte;
     return true;
   }
 
  private:
-  static constexpr std::int64_t kMicro = 1'000'000;  // levels count millionths of a byte
-  std::int64_t rate_, burst_, debt_, level_;
-  Time at_;
+  static constexpr std::int64_t kMicrosPerByte =
+      1'000'000;  // so that a byte a second accrues one a microsecond
+  static constexpr Duration kMaxElapsed = std::chrono::hours(1);  // keeps the product within 64 bits
+
+  void refill(Time now) {
+    const Duration elapsed = std::min<Duration>(now - refilled_at_, kMaxElapsed);
+    if (elapsed <= Duration::zero()) return;
+    level_ = std::min(burst_, level_ + elapsed.count() * rate_);
+    refilled_at_ = now;
+  }
+
+  // All but the rate in millionths of a byte.
+  std::int64_t rate_;
+  std::int64_t burst_;
+  std::int64_t debt_;
+  std::int64_t level_;
+  Time refilled_at_;
 };
 
 }  // namespace dispatcher::gossip
--- a/src/gossip/config.cpp
+++ b/src/gossip/config.cpp
@@ -15,6 +15,9 @@
 
 using Json = nlohmann::json;
 
+constexpr std::uint64_t kMaxTier = 1000;  // two bytes on the wire
+
+// deploy/fleet.cue; its keys are older than the names in the code.
 constexpr std::string_view kSchema = R"cue(
 #Fleet: {
 	share: *false | bool // false: each dispatcher works alone
@@ -42,7 +45,7 @@
 }
 )cue";
 
-udp::endpoint endpoint(const Json& value, const std::string& field) {
+udp::endpoint read_endpoint(const Json& value, const std::string& field) {
   const auto parsed = value.is_string() ? net::parse_endpoint(value.get<std::string>()) : std::nullopt;
   if (!parsed) throw std::runtime_error("field '" + field + "': address and port expected");
   return {parsed->address(), parsed->port()};
@@ -57,7 +60,7 @@
 std::uint32_t read_tier(const Json& settings) {
   const Json* tier = member(settings, "tier");
   if (tier == nullptr) return 0;
-  if (!tier->is_number_unsigned() || tier->get<std::uint64_t>() > 1000)
+  if (!tier->is_number_unsigned() || tier->get<std::uint64_t>() > kMaxTier)
     throw std::runtime_error("settings: field 'tier': number expected");
   return tier->get<std::uint32_t>();
 }
@@ -65,83 +68,88 @@
 membership::Duration ms(const cue::Data& data) { return std::chrono::milliseconds(data.integer()); }
 
 membership::Parameters read_members(const cue::Data& data) {
-  membership::Parameters p;
-  p.period = ms(data["period_ms"]);
-  p.probe_timeout = ms(data["probe_timeout_ms"]);
-  p.helpers = static_cast<unsigned>(data["helpers"].integer());
-  p.suspicion_min = data["suspicion_periods"].real();
-  p.suspicion_stretch = data["suspicion_stretch"].real();
-  p.confirmations = static_cast<unsigned>(data["confirmations"].integer());
-  p.spread = data["spread"].real();
-  p.call_every = static_cast<unsigned>(data["call_every_periods"].integer());
-  return p;
+  membership::Parameters parameters;
+  parameters.probe_interval = ms(data["period_ms"]);
+  parameters.probe_timeout = ms(data["probe_timeout_ms"]);
+  parameters.indirect_probes = static_cast<unsigned>(data["helpers"].integer());
+  parameters.suspicion_multiplier = data["suspicion_periods"].real();
+  parameters.suspicion_max_multiplier = data["suspicion_stretch"].real();
+  parameters.required_confirmations = static_cast<unsigned>(data["confirmations"].integer());
+  parameters.retransmit_multiplier = data["spread"].real();
+  parameters.reconnect_every = static_cast<unsigned>(data["call_every_periods"].integer());
+  return parameters;
 }
 
-replicated_state::Terms read_terms(const cue::Data& data) {
-  replicated_state::Terms terms;
-  terms.lends = data["lend"].flag();
-  terms.lease = ms(data["lease_ms"]);
-  terms.kept = data["kept"].real();
-  terms.drift = data["drift"].real();
-  return terms;
+replicated_state::LendingPolicy read_lending(const cue::Data& data) {
+  replicated_state::LendingPolicy policy;
+  policy.lending_enabled = data["lend"].flag();
+  policy.lease = ms(data["lease_ms"]);
+  policy.reserved_fraction = data["kept"].real();
+  policy.max_drift = data["drift"].real();
+  return policy;
 }
 
-void check(const Links& links, const routing::Settings& settings) {
+void check(const PeerConfig& config, const routing::Settings& settings) {
   const auto count = static_cast<std::size_t>(settings.router_count);
-  if (!links.listen) throw std::runtime_error("field 'peer_listen': missing, though talk is allowed");
-  if (links.peers.size() != count)
+  if (!config.listen) throw std::runtime_error("field 'peer_listen': missing, though talk is allowed");
+  if (config.peers.size() != count)
     throw std::runtime_error("field 'peers': " + std::to_string(count) +
                              " addresses expected, one a dispatcher, not " +
-                             std::to_string(links.peers.size()));
-  if (std::set<udp::endpoint>(links.peers.begin(), links.peers.end()).size() != count)
+                             std::to_string(config.peers.size()));
+  if (std::set<udp::endpoint>(config.peers.begin(), config.peers.end()).size() != count)
     throw std::runtime_error("field 'peers': an address stands twice");
 }
 
+std::vector<udp::endpoint> read_peers(const Json& peers) {
+  if (!peers.is_array()) throw std::runtime_error("field 'peers': list of addresses expected");
+  std::vector<udp::endpoint> endpoints;
+  for (std::size_t i = 0; i < peers.size(); ++i)
+    endpoints.push_back(read_endpoint(peers[i], "peers[" + std::to_string(i) + "]"));
+  return endpoints;
+}
+
 }  // namespace
 
-Links parse_links(const Json& configuration) {
-  Links links;
+PeerConfig parse_peer_config(const Json& configuration) {
+  PeerConfig config;
   const Json* settings = member(configuration, "settings");
-  if (settings == nullptr) return links;
+  if (settings == nullptr) return config;
   const Json* limits = member(*settings, "limits");
   const Json* allowed = limits == nullptr ? nullptr : member(*limits, "peers");
   if (allowed != nullptr && !allowed->is_boolean())
     throw std::runtime_error("settings: field 'limits.peers': true or false expected");
-  links.allowed = allowed != nullptr && allowed->get<bool>();
-  if (!links.allowed) return links;
-  links.tier = read_tier(*settings);
+  config.is_allowed = allowed != nullptr && allowed->get<bool>();
+  if (!config.is_allowed) return config;
+  config.tier = read_tier(*settings);
   if (const Json* listen = member(configuration, "peer_listen"))
-    links.listen = endpoint(*listen, "peer_listen");
-  if (const Json* all = member(configuration, "peers_all")) links.everyone = endpoint(*all, "peers_all");
-  if (const Json* peers = member(configuration, "peers")) {
-    if (!peers->is_array()) throw std::runtime_error("field 'peers': list of addresses expected");
-    for (std::size_t i = 0; i < peers->size(); ++i)
-      links.peers.push_back(endpoint((*peers)[i], "peers[" + std::to_string(i) + "]"));
-  }
-  return links;
+    config.listen = read_endpoint(*listen, "peer_listen");
+  if (const Json* all = member(configuration, "peers_all"))
+    config.broadcast = read_endpoint(*all, "peers_all");
+  if (const Json* peers = member(configuration, "peers")) config.peers = read_peers(*peers);
+  return config;
 }
 
 std::optional<Config> parse_config(const cue::File& file, const routing::Settings& settings,
-                                   const Links& links) {
+                                   const PeerConfig& peers) {
   static const cue::Schema schema(kSchema, "#Fleet");
   const cue::Data data = schema.read(file);
   Config config;
-  config.links = links;
-  Options& o = config.options;
-  o.swim = read_members(data["members"]);
-  if (o.swim.probe_timeout * 3 >= o.swim.period) {
+  config.peers = peers;
+  NodeOptions& options = config.options;
+  options.membership = read_members(data["members"]);
+  if (options.membership.probe_timeout * 3 >= options.membership.probe_interval) {
     const auto& at = data["members"]["probe_timeout_ms"];
     throw cue::Errors(file.name, {cue::problem(at, "below a third of period_ms expected")});
   }
-  o.rights = read_terms(data["rights"]);
-  o.rows = static_cast<std::size_t>(data["rows"].integer());
-  o.bytes_per_second = data["bytes"]["per_second"].integer();
-  o.burst_bytes = data["bytes"]["burst"].integer();
-  if (!data["share"].flag() || !links.allowed || settings.router_count < 2) return std::nullopt;
-  check(links, settings);
-  o.self = static_cast<Number>(settings.router_number);
-  o.count = static_cast<Number>(settings.router_count);
-  o.tier = links.tier;
+  options.lending = read_lending(data["rights"]);
+  options.max_entries = static_cast<std::size_t>(data["rows"].integer());
+  options.bytes_per_second = data["bytes"]["per_second"].integer();
+  options.burst_bytes = data["bytes"]["burst"].integer();
+  if (!data["share"].flag() || !peers.is_allowed || settings.router_count < 2) return std::nullopt;
+  check(peers, settings);
+  options.self = static_cast<MemberIndex>(settings.router_number);
+  options.member_count = static_cast<MemberIndex>(settings.router_count);
+  options.tier = peers.tier;
   return config;
 }
 
--- /dev/null
+++ b/src/gossip/datagram_builder.hpp
@@ -0,0 +1,50 @@
+// Writes datagrams.
+#ifndef DISPATCHER_GOSSIP_DATAGRAM_BUILDER_HPP_
+#define DISPATCHER_GOSSIP_DATAGRAM_BUILDER_HPP_
+
+#include <cstddef>
+#include <cstdint>
+#include <memory>
+#include <optional>
+
+#include "gossip/datagram.hpp"
+#include "gossip/message.hpp"
+
+namespace dispatcher::gossip {
+
+// Fills one datagram. Each add returns whether the content fitted, within kMaxDatagramBytes and the limit
+// set; content that didn't fit is left out. A local of whoever sends; not shared between threads.
+class DatagramBuilder {
+ public:
+  explicit DatagramBuilder(const Sender& sender);
+  ~DatagramBuilder();
+  DatagramBuilder(DatagramBuilder&&) noexcept;
+  DatagramBuilder& operator=(DatagramBuilder&&) = delete;
+
+  bool add(const Probe& probe);
+  bool add_members_hash(std::uint32_t hash);
+  bool add_group(MemberIndex group, std::uint32_t hash);
+  bool add(const MemberUpdate& update);
+  bool add(const QuotaRequest& request);
+  bool add(const QuotaGrant& grant);
+  bool add(const QuotaReturn& returned);
+  bool add(const Entry& entry);
+  bool add(const Digest& digest, bool is_digest_reply);
+
+  // Bounds the size from here on; what is there already stays.
+  void set_limit(std::size_t max_bytes);
+  [[nodiscard]] std::size_t size() const;
+  [[nodiscard]] std::size_t remaining() const { return size() < max_bytes_ ? max_bytes_ - size() : 0; }
+  // None only where the sender's head alone is too long, which its bounds rule out.
+  [[nodiscard]] std::optional<Datagram> finish() const;
+
+ private:
+  [[nodiscard]] bool fits(std::size_t bytes) const { return size() + bytes <= max_bytes_; }
+  struct Content;  // hides protobuf
+  std::unique_ptr<Content> content_;
+  std::size_t max_bytes_ = kMaxDatagramBytes;
+};
+
+}  // namespace dispatcher::gossip
+
+#endif  // DISPATCHER_GOSSIP_DATAGRAM_BUILDER_HPP_
--- a/src/gossip/gossip_node.cpp
+++ b/src/gossip/gossip_node.cpp
@@ -8,38 +8,42 @@
 namespace {
 
 using membership::MemberState;
+using replicated_state::Delivery;
 
-// Answers to probes may be sent on credit of a second's bytes: silence would be taken for death.
-std::int64_t credit(const Options& options) { return options.bytes_per_second; }
-constexpr std::int64_t kReserve = 4;  // datagrams to all leave this part of the burst
-constexpr std::size_t kPage = 16;     // claims of a page, at most
+constexpr std::int64_t kBurstReserveDivisor = 4;  // broadcasts leave this part of the burst for probes
+constexpr std::size_t kMaxPageUpdates = 16;       // about what half a datagram holds
 
-membership::Random random(std::uint64_t seed, std::uint64_t stream) {
+// Independent streams from one seed (SplitMix64's multipliers).
+membership::Random random_stream(std::uint64_t seed, std::uint64_t stream) {
   const std::uint64_t mixed = (seed ^ (stream * 0x9E3779B97F4A7C15U)) * 0xBF58476D1CE4E5B9U;
   return membership::Random(static_cast<std::uint32_t>(mixed >> 32U));
 }
 
+// Answers to probes may go out on a debt of a second's bytes, as silence would be taken for death.
+std::int64_t max_debt(const NodeOptions& options) { return options.bytes_per_second; }
+
 }  // namespace
 
-GossipNode::GossipNode(const Options& options, const replicated_state::Kinds& kinds, std::uint64_t life,
-                       std::uint64_t seed, Time now)
+GossipNode::GossipNode(const NodeOptions& options, const replicated_state::EntryKinds& kinds,
+                       std::uint64_t incarnation, std::uint64_t seed, Time now)
     : options_(options),
-      members_(options.swim, options.self, options.count, life, now, random(seed, 1)),
-      rows_(kinds, options.self, options.count, life, options.rows),
-      rights_(options.rights, options.self, options.count, life, now, random(seed, 2)),
-      budget_(options.bytes_per_second, options.burst_bytes, credit(options), now),
-      replays_(options.count) {}
+      members_(options.membership, options.self, options.member_count, incarnation, now,
+               random_stream(seed, 1)),
+      entries_(kinds, options.self, options.member_count, incarnation, options.max_entries),
+      quotas_(options.lending, options.self, options.member_count, incarnation, now, random_stream(seed, 2)),
+      budget_(options.bytes_per_second, options.burst_bytes, max_debt(options), now),
+      replay_window_(options.member_count) {}
 
-// Each datagram.
+// Packing.
 
 Sender GossipNode::next_sender() {
-  return {options_.tier, options_.count, options_.self, members_.incarnation(), ++serial_};
+  return {options_.tier, options_.member_count, options_.self, members_.version(), ++serial_};
 }
 
-bool GossipNode::pay(Time now, const Datagram& datagram, std::int64_t receivers) {
+bool GossipNode::charge(Time now, const Datagram& datagram, std::int64_t receivers) {
   const auto bytes = static_cast<std::int64_t>(datagram.size()) * receivers;
-  if (!budget_.spend(now, bytes)) {
-    ++counts_.held_back;
+  if (!budget_.try_spend(now, bytes)) {
+    ++counts_.deferred;
     return false;
   }
   counts_.sent += static_cast<std::uint64_t>(receivers);
@@ -47,229 +51,222 @@
   return true;
 }
 
-void GossipNode::pack_core(Packer& packer, const Draft& draft) {
-  if (draft.probe) packer.add(*draft.probe);
-  for (const MemberUpdate& claim : draft.claims) packer.add(claim);
-  for (const replicated_state::Transfer& transfer : draft.transfers)
-    std::visit([&](const auto& what) { packer.add(what); }, transfer.what);
+void GossipNode::add_probe_hashes(Time now, DatagramBuilder& builder) {
+  builder.add_members_hash(members_.view_hash());
+  group_ = (group_ + 1) % entries_.group_count();
+  builder.add_group(group_, entries_.group_hash(now, group_));
 }
 
-void GossipNode::fill(Time now, Packer& packer, const Draft& draft) {
-  if (draft.probe && draft.probe->type == Probe::Type::kPing) {
-    packer.add_members_hash(members_.summary());
-    const Number group = group_ = (group_ + 1) % rows_.groups();
-    packer.add_group(group, rows_.group_hash(now, group));
-  }
-  for (const MemberUpdate& claim : members_.queue(draft.to, draft.agreed)) {
-    if (packer.add(claim)) members_.sent(claim.about);
-  }
-  if (draft.page) {
-    const std::size_t whole = packer.room();
-    for (const MemberUpdate& claim : members_.page(kPage)) {
-      if (packer.room() > whole / 2) packer.add(claim);  // the rest is for rows
-    }
+void GossipNode::add_updates(DatagramBuilder& builder, const Draft& draft) {
+  const auto filter = draft.view == ViewComparison::kEqual ? membership::UpdateFilter::kSuspicionsOnly
+                                                           : membership::UpdateFilter::kAll;
+  for (const MemberUpdate& update : members_.update_queue(draft.to, filter)) {
+    if (builder.add(update)) members_.mark_sent(update.member);
   }
-  for (const Summary& summary : draft.summaries) packer.add(summary, draft.reply);
-  for (const Row& row : draft.rows) packer.add(row);
-  for (const Row& row : rows_.queue(now)) {
-    if (row.place.owner != draft.to && packer.add(row)) rows_.sent(row.place);
+  if (draft.view != ViewComparison::kDifferent) return;
+  const std::size_t reserved_for_entries = builder.remaining() / 2;
+  for (const MemberUpdate& update : members_.next_page(kMaxPageUpdates)) {
+    if (builder.remaining() > reserved_for_entries) builder.add(update);
   }
 }
 
-void GossipNode::pack(Time now, const Draft& draft, Sent& out) {
-  const std::int64_t left = budget_.left(now);
-  if (!draft.needed() && draft.claims.empty() && left < static_cast<std::int64_t>(kMaxBytes)) {
-    ++counts_.held_back;
-    return;
+void GossipNode::add_entries(Time now, DatagramBuilder& builder, const Draft& draft) {
+  for (const Digest& digest : draft.digests) builder.add(digest, draft.is_digest_reply);
+  for (const Entry& entry : draft.entries) builder.add(entry);
+  for (const Entry& entry : entries_.send_queue(now, Delivery::kUnicast)) {
+    if (entry.key.owner == draft.to) continue;
+    if (builder.add(entry)) entries_.mark_sent(entry.key, Delivery::kUnicast);
   }
-  Packer packer(next_sender());
-  pack_core(packer, draft);
-  packer.limit(static_cast<std::size_t>(std::clamp<std::int64_t>(left, 0, kMaxBytes)));
-  fill(now, packer, draft);
-  auto datagram = packer.finish();
-  if (datagram && pay(now, *datagram, 1)) out.push_back({draft.to, *datagram});
 }
 
-GossipNode::Sent GossipNode::carry_out(Time now, std::vector<Draft> drafts) {
-  Sent out;
-  for (const Draft& draft : drafts) pack(now, draft, out);
-  return out;
-}
-
-GossipNode::Draft& GossipNode::draft_for(std::vector<Draft>& drafts, Number to) {
-  for (Draft& draft : drafts) {
-    if (draft.to == to) return draft;
+std::optional<Datagram> GossipNode::pack(Time now, const Draft& draft) {
+  const std::int64_t available = budget_.available(now);
+  if (!draft.is_urgent() && available < static_cast<std::int64_t>(kMaxDatagramBytes)) {
+    ++counts_.deferred;
+    return std::nullopt;
   }
-  drafts.emplace_back();
-  drafts.back().to = to;
-  return drafts.back();
+  DatagramBuilder builder(next_sender());
+  if (draft.probe) builder.add(*draft.probe);
+  for (const MemberUpdate& update : draft.updates) builder.add(update);
+  for (const replicated_state::QuotaMessage& message : draft.quota_messages)
+    std::visit([&](const auto& content) { builder.add(content); }, message.content);
+  // From here on, only what the budget has.
+  builder.set_limit(static_cast<std::size_t>(std::clamp<std::int64_t>(available, 0, kMaxDatagramBytes)));
+  if (draft.probe && draft.probe->type == Probe::Type::kPing) add_probe_hashes(now, builder);
+  add_updates(builder, draft);
+  add_entries(now, builder, draft);
+  return builder.finish();
 }
 
-void GossipNode::add(std::vector<Draft>& drafts, const std::vector<membership::Sending>& sendings) {
-  for (const membership::Sending& sending : sendings) {
-    drafts.emplace_back();  // one probe a datagram
-    drafts.back().to = sending.to;
-    drafts.back().probe = sending.probe;
-  }
-}
-
-void GossipNode::add(std::vector<Draft>& drafts, const std::vector<replicated_state::Transfer>& transfers) {
-  for (const replicated_state::Transfer& transfer : transfers) {
-    Draft& draft = draft_for(drafts, transfer.to);
-    // A core of a probe and four transfers stays within a datagram.
-    if (draft.transfers.size() < 4) {
-      draft.transfers.push_back(transfer);
-    } else {
-      drafts.emplace_back();
-      drafts.back().to = transfer.to;
-      drafts.back().transfers.push_back(transfer);
-    }
+GossipNode::OutgoingDatagrams GossipNode::send(Time now, Drafts drafts) {
+  OutgoingDatagrams out;
+  for (const Draft& draft : drafts.all()) {
+    const auto datagram = pack(now, draft);
+    if (datagram && charge(now, *datagram, 1)) out.push_back({draft.to, *datagram});
   }
+  return out;
 }
 
-// To everybody: only where there is one address or many, the price is the same.
-void GossipNode::tell_all(Time now, Sent& out) {
-  soon_.reset();
-  const std::vector<Row> urgent = rows_.queue(now, true);
+// A broadcast costs the same whether one address reaches all members or each gets its own copy.
+void GossipNode::broadcast_urgent(Time now, OutgoingDatagrams& out) {
+  broadcast_at_.reset();
+  const std::vector<Entry> urgent = entries_.send_queue(now, Delivery::kBroadcast);
   if (urgent.empty()) return;
-  Packer packer(next_sender());
-  std::vector<replicated_state::Place> told;
-  for (const Row& row : urgent) {
-    if (packer.add(row)) told.push_back(row.place);
+  DatagramBuilder builder(next_sender());
+  std::vector<replicated_state::EntryKey> packed;
+  for (const Entry& entry : urgent) {
+    if (builder.add(entry)) packed.push_back(entry.key);
   }
-  const auto datagram = packer.finish();
-  const auto receivers = static_cast<std::int64_t>(options_.count - 1);
+  const auto datagram = builder.finish();
   if (!datagram) return;
-  const auto cost = static_cast<std::int64_t>(datagram->size()) * receivers;
-  if (budget_.left(now) - cost < options_.burst_bytes / kReserve || !pay(now, *datagram, receivers)) {
-    ++counts_.held_back;  // it goes round with the probes
+  const auto cost = static_cast<std::int64_t>(datagram->size()) * peer_count();
+  const bool leaves_reserve = budget_.available(now) - cost >= options_.burst_bytes / kBurstReserveDivisor;
+  if (!leaves_reserve || !charge(now, *datagram, peer_count())) {
+    ++counts_.deferred;  // the entries go out with the probes instead
     return;
   }
-  for (const replicated_state::Place& place : told) rows_.sent(place, true);
+  for (const replicated_state::EntryKey& key : packed) entries_.mark_sent(key, Delivery::kBroadcast);
   out.push_back({std::nullopt, *datagram});
 }
 
 // Events.
 
-GossipNode::Sent GossipNode::start(Time now) {
-  Sent out;
-  const auto datagram = Packer(next_sender()).finish();
-  const auto receivers = static_cast<std::int64_t>(options_.count - 1);
-  const bool room = datagram && static_cast<std::int64_t>(datagram->size()) * receivers <= budget_.left(now);
-  if (room && pay(now, *datagram, receivers)) out.push_back({std::nullopt, *datagram});
+GossipNode::OutgoingDatagrams GossipNode::start(Time now) {
+  OutgoingDatagrams out;
+  const auto datagram = DatagramBuilder(next_sender()).finish();
+  if (!datagram) return out;
+  const auto cost = static_cast<std::int64_t>(datagram->size()) * peer_count();
+  if (cost <= budget_.available(now) && charge(now, *datagram, peer_count()))
+    out.push_back({std::nullopt, *datagram});
   return out;
 }
 
-GossipNode::Sent GossipNode::tick(Time now) {
-  rows_.tick(now);
-  std::vector<Draft> drafts;
-  add(drafts, members_.tick(now));
-  follow_changes(now);
-  add(drafts, rights_.tick(now, members_.living()));
-  Sent out = carry_out(now, std::move(drafts));
-  tell_all(now, out);
+GossipNode::OutgoingDatagrams GossipNode::tick(Time now) {
+  entries_.tick(now);
+  Drafts drafts;
+  drafts.add(members_.tick(now));
+  apply_member_changes(now);
+  drafts.add(quotas_.tick(now, members_.live_members()));
+  OutgoingDatagrams out = send(now, std::move(drafts));
+  broadcast_urgent(now, out);
   return out;
 }
 
-GossipNode::Sent GossipNode::leave(Time now) {
-  std::vector<Draft> drafts;
-  add(drafts, members_.leave());
-  for (Draft& draft : drafts) draft.claims = {members_.claim(options_.self)};
-  return carry_out(now, std::move(drafts));
+GossipNode::OutgoingDatagrams GossipNode::leave(Time now) {
+  Drafts drafts;
+  drafts.add(members_.leave());
+  for (Draft& draft : drafts.all()) draft.updates = {members_.latest_update(options_.self)};
+  return send(now, std::move(drafts));
 }
 
-Time GossipNode::next() const {
-  Time at = members_.next();
-  if (const auto rights = rights_.next()) at = std::min(at, *rights);
-  if (soon_) at = std::min(at, *soon_);
-  return at;
+Time GossipNode::next_deadline() const {
+  Time earliest = members_.next_deadline();
+  if (const auto quotas = quotas_.next_deadline()) earliest = std::min(earliest, *quotas);
+  if (broadcast_at_) earliest = std::min(earliest, *broadcast_at_);
+  return earliest;
 }
 
-bool GossipNode::set(Time now, std::uint32_t kind, std::uint64_t key, replicated_state::Bytes payload) {
-  if (!rows_.set(now, kind, key, payload)) return false;
-  if (!rows_.queue(now, true).empty()) soon_ = now;
+bool GossipNode::set(Time now, std::uint32_t kind, std::uint64_t id, replicated_state::ByteView payload) {
+  if (!entries_.set(now, kind, id, payload)) return false;
+  if (!entries_.send_queue(now, Delivery::kBroadcast).empty()) broadcast_at_ = now;
   return true;
 }
 
-GossipNode::Sent GossipNode::received(Time now, Number from, std::span<const std::uint8_t> bytes) {
-  if (from == options_.self) return {};  // what went to everybody comes back
+GossipNode::OutgoingDatagrams GossipNode::on_received(Time now, MemberIndex from,
+                                                      std::span<const std::uint8_t> bytes) {
+  if (from == options_.self) return {};  // an own broadcast comes back
   ++counts_.received;
   counts_.received_bytes += bytes.size();
-  auto read = decode(bytes, from, options_.tier, options_.count);
-  if (const Drop* why = std::get_if<Drop>(&read)) {
-    drop(*why);
+  const auto decoded = decode(bytes, from, options_.tier, options_.member_count);
+  if (const DropReason* reason = std::get_if<DropReason>(&decoded)) {
+    count_drop(*reason);
     return {};
   }
-  const Message& message = std::get<Message>(read);
-  counts_.absurd += message.absurd;
-  switch (replays_.see(from, message.sender.incarnation.life, message.sender.serial)) {
-    case ReplayWindow::Seen::kBefore:
-      drop(Drop::kReplay);
+  const Message& message = std::get<Message>(decoded);
+  counts_.invalid_entries += message.invalid_entries;
+  switch (replay_window_.check(from, message.sender.version.incarnation, message.sender.serial)) {
+    case ReplayWindow::Result::kReplayed:
+      count_drop(DropReason::kReplay);
       return {};
-    case ReplayWindow::Seen::kOldLife:
-      drop(Drop::kOldLife);
-      return carry_out(now, outdated(from, message));
-    case ReplayWindow::Seen::kNew:
+    case ReplayWindow::Result::kStaleIncarnation:
+      count_drop(DropReason::kStaleIncarnation);
+      return send(now, answer_stale(from, message));
+    case ReplayWindow::Result::kNew:
       break;
   }
-  std::vector<Draft> drafts;
-  add(drafts, members_.received(now, from, message.sender.incarnation, message.probe, message.claims));
-  follow_changes(now);
-  for (const Row& row : message.rows) rows_.merge(now, row);
-  add(drafts, rights_.received(now, from, message.sender.incarnation.life, message.asks, message.grants,
-                               message.returns));
-  compare(now, from, message, drafts);
-  return carry_out(now, std::move(drafts));
+  Drafts drafts;
+  accept(now, from, message, drafts);
+  return send(now, std::move(drafts));
 }
 
-// A process that starts on a clock that was set back is not heard until it knows of its later life. It is
-// told with an answer to its ping, and takes nothing else from it.
-std::vector<GossipNode::Draft> GossipNode::outdated(Number from, const Message& message) {
-  if (!message.probe || message.probe->type != Probe::Type::kPing) return {};
-  Draft draft;
-  draft.to = from;
-  draft.claims = {members_.claim(from)};
-  return {draft};
+void GossipNode::accept(Time now, MemberIndex from, const Message& message, Drafts& drafts) {
+  const MemberVersion& version = message.sender.version;
+  drafts.add(members_.on_received(now, from, version, message.probe, message.updates));
+  apply_member_changes(now);
+  for (const Entry& entry : message.entries) entries_.merge(now, entry);
+  drafts.add(
+      quotas_.on_received(now, from, version.incarnation, message.requests, message.grants, message.returns));
+  compare_views(from, message, drafts);
+  reconcile_entries(now, from, message, drafts);
 }
 
-void GossipNode::compare(Time now, Number from, const Message& message, std::vector<Draft>& drafts) {
-  if (message.members_hash) {
-    Draft& draft = draft_for(drafts, from);
-    draft.agreed = *message.members_hash == members_.summary();
-    draft.page = !draft.agreed;
-    if (draft.agreed) members_.agreed();
-  }
-  if (message.group && *message.group < rows_.groups() &&
-      message.group_hash != rows_.group_hash(now, *message.group))
-    draft_for(drafts, from).summaries = rows_.summaries(now, *message.group, serial_);
-  for (const Summary& theirs : message.summaries) {
-    const auto lacking = rows_.lacking(now, theirs);
-    const bool behind = !message.reply && rows_.behind(now, theirs);
-    if (lacking.empty() && !behind) continue;
-    Draft& draft = draft_for(drafts, from);
-    draft.rows.insert(draft.rows.end(), lacking.begin(), lacking.end());
-    if (!behind) continue;
-    draft.summaries.push_back(rows_.summary(now, theirs.owner));
-    draft.reply = true;
+// A process that starts on a clock that was set back is ignored until it knows of its later incarnation. The
+// answer to its ping tells it; nothing else is accepted from it.
+Drafts GossipNode::answer_stale(MemberIndex from, const Message& message) const {
+  Drafts drafts;
+  if (!message.probe || message.probe->type != Probe::Type::kPing) return drafts;
+  drafts.to(from).updates = {members_.latest_update(from)};
+  return drafts;
+}
+
+void GossipNode::compare_views(MemberIndex from, const Message& message, Drafts& drafts) {
+  if (!message.members_hash) return;
+  const bool is_equal = *message.members_hash == members_.view_hash();
+  drafts.to(from).view = is_equal ? ViewComparison::kEqual : ViewComparison::kDifferent;
+  if (is_equal) members_.mark_view_agreed();
+}
+
+// Anti-entropy, in three steps: a probe bears a group's hash; where it differs, the group's digests are
+// answered; and they are answered with the entries that they lack, and with digests of our own where we lack
+// some.
+void GossipNode::reconcile_entries(Time now, MemberIndex from, const Message& message, Drafts& drafts) {
+  if (message.group && *message.group < entries_.group_count() &&
+      message.group_hash != entries_.group_hash(now, *message.group))
+    drafts.to(from).digests = entries_.digests(now, *message.group, serial_);
+  for (const Digest& theirs : message.digests) {
+    const std::vector<Entry> missing = entries_.entries_missing_from(now, theirs);
+    const bool is_behind = !message.is_digest_reply && entries_.is_behind(now, theirs);
+    if (missing.empty() && !is_behind) continue;
+    Draft& draft = drafts.to(from);
+    draft.entries.insert(draft.entries.end(), missing.begin(), missing.end());
+    if (!is_behind) continue;
+    draft.digests.push_back(entries_.digest(now, theirs.owner));
+    draft.is_digest_reply = true;
   }
 }
 
-void GossipNode::follow_changes(Time now) {
-  for (const membership::Change& change : members_.take_changes()) {
-    const std::uint64_t life = members_.claim(change.member).incarnation.life;
+void GossipNode::apply_member_changes(Time now) {
+  for (const membership::MemberChange& change : members_.take_changes()) {
     if (change.member == options_.self) {
-      rows_.own_life(now, life);
-      rights_.own_life(life);
+      const std::uint64_t incarnation = members_.version().incarnation;
+      entries_.set_own_incarnation(now, incarnation);
+      quotas_.set_own_incarnation(incarnation);
     } else {
-      if (change.new_life) rows_.adopt_life(change.member, life);
-      const bool heard = change.after == MemberState::kAlive;
-      const bool was_silent = change.before >= MemberState::kSuspect && !change.new_life;
-      if (heard) rows_.silent(change.member, std::nullopt);
-      if (!heard && !was_silent) rows_.silent(change.member, now);
-      if (change.new_life || change.after == MemberState::kDead) rights_.lost(change.member);
+      apply_peer_change(now, change);
     }
     if (on_change_) on_change_(change);
   }
 }
 
+void GossipNode::apply_peer_change(Time now, const membership::MemberChange& change) {
+  const MemberIndex member = change.member;
+  if (change.is_new_incarnation)
+    entries_.adopt_incarnation(member, members_.latest_update(member).version.incarnation);
+  const bool is_alive = change.after == MemberState::kAlive;
+  const bool was_silent = change.before >= MemberState::kSuspect && !change.is_new_incarnation;
+  if (is_alive) entries_.set_silent_since(member, std::nullopt);
+  if (!is_alive && !was_silent) entries_.set_silent_since(member, now);
+  if (change.is_new_incarnation || change.after == MemberState::kDead) quotas_.on_member_lost(member);
+}
+
 }  // namespace dispatcher::gossip
--- a/src/gossip/gossip_node.hpp
+++ b/src/gossip/gossip_node.hpp
@@ -1,18 +1,23 @@
-// One dispatcher's part in its fleet: who is alive, what each has told, and the rights that add up. No I/O:
-// the clock, the randomness and the datagrams are passed in, and datagrams to be sent are handed back. The
-// speaker carries them.
+// One dispatcher's part in its fleet: who is alive, what each member replicates, and the quotas that add up.
+// No I/O: the clock, the randomness and the datagrams are passed in, and datagrams to be sent are returned.
+// UdpTransport carries them.
 #ifndef DISPATCHER_GOSSIP_GOSSIP_NODE_HPP_
 #define DISPATCHER_GOSSIP_GOSSIP_NODE_HPP_
 
 #include <array>
+#include <cstddef>
+#include <cstdint>
 #include <functional>
 #include <optional>
 #include <span>
+#include <utility>
 #include <vector>
 
 #include "gossip/byte_budget.hpp"
 #include "gossip/codec.hpp"
 #include "gossip/config.hpp"
+#include "gossip/datagram_builder.hpp"
+#include "gossip/drafts.hpp"
 #include "gossip/replay_window.hpp"
 #include "membership/membership.hpp"
 #include "replicated_state/bounded_counter.hpp"
@@ -20,83 +25,90 @@
 
 namespace dispatcher::gossip {
 
-struct Outgoing {
-  std::optional<Number> to;  // none: everybody
+// A datagram and its receiver.
+struct OutgoingDatagram {
+  std::optional<MemberIndex> to;  // none: all members
   Datagram datagram;
 };
 
+// The protocol of one dispatcher. Owned by the daemon, used on its event loop alone. Calls back from within
+// tick() and on_received() only.
 class GossipNode {
  public:
-  using Sent = std::vector<Outgoing>;
-  using OnChange = std::function<void(const membership::Change&)>;
+  using OutgoingDatagrams = std::vector<OutgoingDatagram>;
+  using OnChange = std::function<void(const membership::MemberChange&)>;
 
-  // `life`: when this process started, ms since the Unix epoch. `kinds` outlives the node, complete.
-  GossipNode(const Options& options, const replicated_state::Kinds& kinds, std::uint64_t life,
+  // `incarnation`: when this process started, ms since the Unix epoch. `kinds` outlives the node.
+  GossipNode(const NodeOptions& options, const replicated_state::EntryKinds& kinds, std::uint64_t incarnation,
              std::uint64_t seed, Time now);
 
-  Sent start(Time now);                                                       // says that we are there
-  Sent tick(Time now);                                                        // at or after next()
-  Sent received(Time now, Number from, std::span<const std::uint8_t> bytes);  // from that member's address
-  Sent leave(Time now);                                                       // says that we go
-  [[nodiscard]] Time next() const;
+  // Announces this process to all members.
+  [[nodiscard]] OutgoingDatagrams start(Time now);
+  // Does what is due, at or after next_deadline().
+  [[nodiscard]] OutgoingDatagrams tick(Time now);
+  // A datagram arrived from the address of `from`.
+  [[nodiscard]] OutgoingDatagrams on_received(Time now, MemberIndex from,
+                                              std::span<const std::uint8_t> bytes);
+  // Announces the end of this process to a few members.
+  [[nodiscard]] OutgoingDatagrams leave(Time now);
+  [[nodiscard]] Time next_deadline() const;
 
-  // Each of the three is this node's to write to; messages follow with the next tick, at once where next()
-  // says so.
-  bool set(Time now, std::uint32_t kind, std::uint64_t key, replicated_state::Bytes payload);
-  void erase(Time now, std::uint32_t kind, std::uint64_t key) { rows_.erase(now, kind, key); }
-  [[nodiscard]] const replicated_state::ReplicatedMap& rows() const { return rows_; }
-  replicated_state::BoundedCounter& rights() { return rights_; }
-  [[nodiscard]] const replicated_state::BoundedCounter& rights() const { return rights_; }
+  // Writes to the node's entries and quotas. Messages follow with the next tick, which next_deadline() may
+  // ask for at once. set() fails as ReplicatedMap::set() does.
+  bool set(Time now, std::uint32_t kind, std::uint64_t id, replicated_state::ByteView payload);
+  void erase(Time now, std::uint32_t kind, std::uint64_t id) { entries_.erase(now, kind, id); }
+  [[nodiscard]] replicated_state::BoundedCounter& quotas() { return quotas_; }
+
+  [[nodiscard]] const replicated_state::ReplicatedMap& entries() const { return entries_; }
+  [[nodiscard]] const replicated_state::BoundedCounter& quotas() const { return quotas_; }
   [[nodiscard]] const membership::Membership& members() const { return members_; }
+  // Sets who is called at each change of a member. It must not change the node.
   void on_change(OnChange on_change) { on_change_ = std::move(on_change); }
 
-  void unknown_address() { drop(Drop::kUnknownAddress); }  // a datagram came from nobody whom we know
+  // A datagram came from an address that is no member's.
+  void on_unknown_address() { count_drop(DropReason::kUnknownAddress); }
+
+  // Totals since the start of the process.
   struct Counts {
-    std::uint64_t sent = 0, sent_bytes = 0;  // of a datagram to all, each receiver counts
-    std::uint64_t received = 0, received_bytes = 0;
-    std::uint64_t held_back = 0;  // for want of budget
-    std::uint64_t absurd = 0;     // entries beyond their bounds
-    std::array<std::uint64_t, kDrops> dropped{};
+    std::uint64_t sent = 0;  // a datagram to all members counts once for each
+    std::uint64_t sent_bytes = 0;
+    std::uint64_t received = 0;
+    std::uint64_t received_bytes = 0;
+    std::uint64_t deferred = 0;         // datagrams not sent, for want of byte budget
+    std::uint64_t invalid_entries = 0;  // skipped within accepted datagrams
+    std::array<std::uint64_t, kDropReasonCount> dropped{};
   };
   [[nodiscard]] const Counts& counts() const { return counts_; }
 
  private:
-  // What one datagram is to hold, the most valuable first. Claims and rows of the queues fill it.
-  struct Draft {
-    Number to = 0;
-    std::optional<Probe> probe;
-    std::vector<replicated_state::Transfer> transfers;
-    std::vector<MemberUpdate> claims;   // that the receiver needs whatever has been sent before
-    bool page = false, agreed = false;  // its table of members differs from ours, is ours
-    std::vector<Summary> summaries;
-    bool reply = false;
-    std::vector<Row> rows;  // that it lacks
-    [[nodiscard]] bool needed() const { return probe || !transfers.empty(); }
-  };
-  Sent carry_out(Time now, std::vector<Draft> drafts);
-  void pack(Time now, const Draft& draft, Sent& out);
-  void pack_core(Packer& packer, const Draft& draft);
-  void fill(Time now, Packer& packer, const Draft& draft);
-  void tell_all(Time now, Sent& out);
-  bool pay(Time now, const Datagram& datagram, std::int64_t receivers);
-  Draft& draft_for(std::vector<Draft>& drafts, Number to);
-  void add(std::vector<Draft>& drafts, const std::vector<membership::Sending>& sendings);
-  void add(std::vector<Draft>& drafts, const std::vector<replicated_state::Transfer>& transfers);
-  void compare(Time now, Number from, const Message& message, std::vector<Draft>& drafts);
-  std::vector<Draft> outdated(Number from, const Message& message);
-  void follow_changes(Time now);
-  void drop(Drop why) { ++counts_.dropped[static_cast<std::size_t>(why)]; }
-  Sender next_sender();
+  [[nodiscard]] OutgoingDatagrams send(Time now, Drafts drafts);
+  [[nodiscard]] std::optional<Datagram> pack(Time now, const Draft& draft);
+  void add_probe_hashes(Time now, DatagramBuilder& builder);
+  void add_updates(DatagramBuilder& builder, const Draft& draft);
+  void add_entries(Time now, DatagramBuilder& builder, const Draft& draft);
+  void broadcast_urgent(Time now, OutgoingDatagrams& out);
+  bool charge(Time now, const Datagram& datagram, std::int64_t receivers);
+  void accept(Time now, MemberIndex from, const Message& message, Drafts& drafts);
+  void compare_views(MemberIndex from, const Message& message, Drafts& drafts);
+  void reconcile_entries(Time now, MemberIndex from, const Message& message, Drafts& drafts);
+  [[nodiscard]] Drafts answer_stale(MemberIndex from, const Message& message) const;
+  void apply_member_changes(Time now);
+  void apply_peer_change(Time now, const membership::MemberChange& change);
+  void count_drop(DropReason reason) { ++counts_.dropped[static_cast<std::size_t>(reason)]; }
+  [[nodiscard]] Sender next_sender();
+  [[nodiscard]] std::int64_t peer_count() const {
+    return static_cast<std::int64_t>(options_.member_count) - 1;
+  }
 
-  Options options_;
+  NodeOptions options_;
   membership::Membership members_;
-  replicated_state::ReplicatedMap rows_;
-  replicated_state::BoundedCounter rights_;
+  replicated_state::ReplicatedMap entries_;
+  replicated_state::BoundedCounter quotas_;
   ByteBudget budget_;
-  ReplayWindow replays_;
+  ReplayWindow replay_window_;
   std::uint32_t serial_ = 0;
-  Number group_ = 0;
-  std::optional<Time> soon_;  // a row was written that is worth a datagram to all
+  MemberIndex group_ = 0;             // whose hash went out last
+  std::optional<Time> broadcast_at_;  // an entry was written that is worth a datagram to all
   OnChange on_change_;
   Counts counts_;
 };
--- a/src/gossip/replay_window.hpp
+++ b/src/gossip/replay_window.hpp
@@ -1,5 +1,5 @@
-// Which datagrams of each sender have been seen: of its present life, the last 64 serial numbers. A repeated
-// one is known, and one from before that counts as repeated.
+// Which datagrams of each sender have been seen: the last 64 serial numbers of its current incarnation, as in
+// IPsec's anti-replay window (RFC 4303, 3.4.3). An older one counts as replayed.
 #ifndef DISPATCHER_GOSSIP_REPLAY_WINDOW_HPP_
 #define DISPATCHER_GOSSIP_REPLAY_WINDOW_HPP_
 
@@ -10,35 +10,40 @@
 
 namespace dispatcher::gossip {
 
+// The windows of all senders. Part of a GossipNode; used on its thread.
 class ReplayWindow {
  public:
-  enum class Seen { kNew, kBefore, kOldLife };
-  explicit ReplayWindow(membership::Number count) : senders_(count) {}
-
-  Seen see(membership::Number from, std::uint64_t life, std::uint32_t serial) {
-    Window& w = senders_[from];
-    if (life < w.life) return Seen::kOldLife;
-    if (life > w.life)
-      w = {life, serial, 1};
-    else if (serial > w.top) {
-      const std::uint32_t step = serial - w.top;
-      w.mask = (step < 64 ? w.mask << step : 0) | 1U;
-      w.top = serial;
-    } else {
-      const std::uint32_t back = w.top - serial;
-      if (back >= 64 || (w.mask >> back & 1U) != 0) return Seen::kBefore;
-      w.mask |= std::uint64_t{1} << back;
+  enum class Result : std::uint8_t { kNew, kReplayed, kStaleIncarnation };
+  explicit ReplayWindow(membership::MemberIndex count) : windows_(count) {}
+
+  // Records a datagram, and says whether it is a new one.
+  [[nodiscard]] Result check(membership::MemberIndex from, std::uint64_t incarnation, std::uint32_t serial) {
+    Window& window = windows_[from];
+    if (incarnation < window.incarnation) return Result::kStaleIncarnation;
+    if (incarnation > window.incarnation) {
+      window = {incarnation, serial, 1};
+      return Result::kNew;
     }
-    return Seen::kNew;
+    if (serial > window.max_serial) {
+      const std::uint32_t step = serial - window.max_serial;
+      window.seen_mask = (step < kWindowBits ? window.seen_mask << step : 0) | 1U;
+      window.max_serial = serial;
+      return Result::kNew;
+    }
+    const std::uint32_t age = window.max_serial - serial;
+    if (age >= kWindowBits || (window.seen_mask >> age & 1U) != 0) return Result::kReplayed;
+    window.seen_mask |= std::uint64_t{1} << age;
+    return Result::kNew;
   }
 
  private:
+  static constexpr std::uint32_t kWindowBits = 64;  // of the mask
   struct Window {
-    std::uint64_t life = 0;
-    std::uint32_t top = 0;
-    std::uint64_t mask = 0;  // bit b: top - b was seen
+    std::uint64_t incarnation = 0;
+    std::uint32_t max_serial = 0;
+    std::uint64_t seen_mask = 0;  // bit b: max_serial - b was seen
   };
-  std::vector<Window> senders_;
+  std::vector<Window> windows_;
 };
 
 }  // namespace dispatcher::gossip
--- a/src/gossip/udp_transport.cpp
+++ b/src/gossip/udp_transport.cpp
@@ -5,35 +5,35 @@
 
 namespace dispatcher::gossip {
 
-UdpTransport::UdpTransport(boost::asio::io_context& io, const Links& links, GossipNode& node,
+UdpTransport::UdpTransport(boost::asio::io_context& io, const PeerConfig& config, GossipNode& node,
                            engine::TimerQueue& timers, engine::Clock clock)
-    : node_(node), timers_(timers), clock_(std::move(clock)), socket_(io, links.listen.value()) {
-  // The loop must not wait for room: a datagram that finds none is lost, as others are.
+    : node_(node), timers_(timers), clock_(std::move(clock)), socket_(io, config.listen.value()) {
+  // The event loop must not block: a datagram that finds the send buffer full is lost, as others are.
   socket_.non_blocking(true);
-  set_links(links);
+  set_peer_config(config);
 }
 
-void UdpTransport::set_links(const Links& links) {
-  links_ = links;
-  numbers_.clear();
-  for (std::size_t i = 0; i < links_.peers.size(); ++i)
-    numbers_.emplace(links_.peers[i], static_cast<Number>(i));
+void UdpTransport::set_peer_config(const PeerConfig& config) {
+  config_ = config;
+  members_by_address_.clear();
+  for (std::size_t i = 0; i < config_.peers.size(); ++i)
+    members_by_address_.emplace(config_.peers[i], static_cast<MemberIndex>(i));
 }
 
 void UdpTransport::start() {
   receive();
-  carry(node_.start(clock_()));
+  send_all(node_.start(clock_()));
 }
 
-void UdpTransport::poke() {
+void UdpTransport::on_node_changed() {
   if (!socket_.is_open()) return;
-  if (const Time now = clock_(); node_.next() <= now) return carry(node_.tick(now));
-  arm();
+  if (const Time now = clock_(); node_.next_deadline() <= now) return send_all(node_.tick(now));
+  schedule_tick();
 }
 
 void UdpTransport::leave() {
   if (!socket_.is_open()) return;
-  carry(node_.leave(clock_()));
+  send_all(node_.leave(clock_()));
   stop();
 }
 
@@ -45,48 +45,48 @@
 
 void UdpTransport::receive() {
   socket_.async_receive_from(
-      boost::asio::buffer(packet_), from_,
+      boost::asio::buffer(receive_buffer_), sender_address_,
       [this, alive = std::weak_ptr(alive_)](boost::system::error_code error, std::size_t size) {
         if (alive.expired() || !socket_.is_open()) return;
-        // A member that is down answers what was sent to it with an error here.
-        if (!error) take(size);
+        // An error here is the answer of a host to what was sent to a member that is down.
+        if (!error) on_datagram(size);
         receive();
       });
 }
 
-void UdpTransport::take(std::size_t size) {
-  const auto number = numbers_.find(from_);
-  if (number == numbers_.end()) return node_.unknown_address();
-  carry(node_.received(clock_(), number->second, {packet_.data(), size}));
+void UdpTransport::on_datagram(std::size_t size) {
+  const auto member = members_by_address_.find(sender_address_);
+  if (member == members_by_address_.end()) return node_.on_unknown_address();
+  send_all(node_.on_received(clock_(), member->second, {receive_buffer_.data(), size}));
 }
 
 void UdpTransport::send(const Datagram& datagram, const udp::endpoint& to) {
-  boost::system::error_code ignored;  // what is lost is the protocol's to bear
+  boost::system::error_code ignored;  // the protocol tolerates lost datagrams
   const auto bytes = datagram.bytes();
   socket_.send_to(boost::asio::buffer(bytes.data(), bytes.size()), to, 0, ignored);
 }
 
-void UdpTransport::carry(const GossipNode::Sent& sent) {
-  for (const Outgoing& one : sent) {
-    if (one.to) {
-      send(one.datagram, links_.peers.at(*one.to));
-    } else if (links_.everyone) {
-      send(one.datagram, *links_.everyone);
+void UdpTransport::send_all(const GossipNode::OutgoingDatagrams& datagrams) {
+  for (const OutgoingDatagram& outgoing : datagrams) {
+    if (outgoing.to) {
+      send(outgoing.datagram, config_.peers.at(*outgoing.to));
+    } else if (config_.broadcast) {
+      send(outgoing.datagram, *config_.broadcast);
     } else {
-      for (Number n = 0; n < links_.peers.size(); ++n) {
-        if (n != node_.members().self()) send(one.datagram, links_.peers[n]);
+      for (MemberIndex member = 0; member < config_.peers.size(); ++member) {
+        if (member != node_.members().self()) send(outgoing.datagram, config_.peers[member]);
       }
     }
   }
-  arm();
+  schedule_tick();
 }
 
-void UdpTransport::arm() {
+void UdpTransport::schedule_tick() {
   timers_.drop(timer_);
   if (!socket_.is_open()) return;
-  timer_ = timers_.add(node_.next(), [this] {
+  timer_ = timers_.add(node_.next_deadline(), [this] {
     timer_ = {};
-    carry(node_.tick(clock_()));
+    send_all(node_.tick(clock_()));
   });
 }
 
--- a/src/gossip/udp_transport.hpp
+++ b/src/gossip/udp_transport.hpp
@@ -1,4 +1,4 @@
-// Carries a node's datagrams over UDP, and tells it the time. Nothing is decided here.
+// Carries a node's datagrams over UDP, and passes it the time. It makes no decisions of the protocol.
 #ifndef DISPATCHER_GOSSIP_UDP_TRANSPORT_HPP_
 #define DISPATCHER_GOSSIP_UDP_TRANSPORT_HPP_
 
@@ -13,37 +13,44 @@
 
 namespace dispatcher::gossip {
 
+// Owned by the daemon, used on the event loop of its io_context alone. A receive that completes after the
+// transport's end is ignored.
 class UdpTransport {
  public:
-  // Binds to links.listen; throws boost::system::system_error where it can't. The node outlives the speaker.
-  UdpTransport(boost::asio::io_context& io, const Links& links, GossipNode& node, engine::TimerQueue& timers,
-               engine::Clock clock);
+  // Binds to config.listen; throws boost::system::system_error where it can't. The node and the timers
+  // outlive the transport.
+  UdpTransport(boost::asio::io_context& io, const PeerConfig& config, GossipNode& node,
+               engine::TimerQueue& timers, engine::Clock clock);
   ~UdpTransport() { stop(); }
+  // Begins to receive, and announces the node.
   void start();
-  void poke();   // the node was written to: it may have something to say at once
-  void leave();  // tells the others, then stops
-  void stop();   // without a word
+  // The node was written to: sends what is due at once.
+  void on_node_changed();
+  // Announces the node's end to other members, then stops.
+  void leave();
+  // Closes the socket without any announcement.
+  void stop();
   [[nodiscard]] udp::endpoint local() const { return socket_.local_endpoint(); }
   // For tests on ephemeral ports, which are known only once all sockets are bound.
-  void set_links(const Links& links);
+  void set_peer_config(const PeerConfig& config);
 
  private:
   void receive();
-  void take(std::size_t size);
-  void carry(const GossipNode::Sent& sent);
+  void on_datagram(std::size_t size);
+  void send_all(const GossipNode::OutgoingDatagrams& datagrams);
   void send(const Datagram& datagram, const udp::endpoint& to);
-  void arm();
+  void schedule_tick();
 
-  Links links_;
-  std::map<udp::endpoint, Number> numbers_;
+  PeerConfig config_;
+  std::map<udp::endpoint, MemberIndex> members_by_address_;
   GossipNode& node_;
   engine::TimerQueue& timers_;
   engine::Clock clock_;
   udp::socket socket_;
-  udp::endpoint from_;
-  std::array<std::uint8_t, kMaxBytes + 1> packet_{};  // one more: a longer one is noticed
+  udp::endpoint sender_address_;
+  std::array<std::uint8_t, kMaxDatagramBytes + 1> receive_buffer_{};  // one more, to detect longer ones
   engine::TimerQueue::Id timer_;
-  std::shared_ptr<char> alive_ = std::make_shared<char>();  // a datagram may complete after our end
+  std::shared_ptr<char> alive_ = std::make_shared<char>();  // expires with the transport
 };
 
 }  // namespace dispatcher::gossip
--- a/src/membership/member.hpp
+++ b/src/membership/member.hpp
@@ -1,11 +1,12 @@
-// What members of a fleet say of one another. Numbers and their count come from the settings, so nobody joins
-// or leaves the set; what changes is who is alive, and in which of its lives.
+// What members of a fleet say about one another. Their indexes and their count come from the settings, so
+// nobody joins or leaves the set; what changes is who is alive, and in which incarnation.
 #ifndef DISPATCHER_MEMBERSHIP_MEMBER_HPP_
 #define DISPATCHER_MEMBERSHIP_MEMBER_HPP_
 
 #include <boost/random/taus88.hpp>
 #include <compare>
 #include <cstdint>
+#include <optional>
 #include <tuple>
 
 #include "routing/router.hpp"
@@ -14,43 +15,62 @@
 
 using routing::Duration;
 using routing::Time;                   // of this process's own steady clock
-using Number = std::uint32_t;          // a dispatcher's, from 0
-using Random = boost::random::taus88;  // small and reproducible; seeded by whoever owns the machine
-
-// `life` is when the process started, in milliseconds since the Unix epoch by its own clock. It is compared
-// with other lives of the same member only, so that skew between hosts does not matter; where a host's clock
-// was set back, the member is told of its later life and takes the next one. `refuted` counts the suspicions
-// that this process has answered.
-struct Incarnation {
-  std::uint64_t life = 0;  // 0: never heard of
-  std::uint32_t refuted = 0;
-  auto operator<=>(const Incarnation&) const = default;
+using MemberIndex = std::uint32_t;     // a dispatcher's in its fleet, from 0
+using Random = boost::random::taus88;  // small and reproducible; seeded by the owner
+
+// Orders what is said about one member. `incarnation` is when its process started, in ms since the Unix epoch
+// by its own clock. It is compared with other incarnations of the same member only, so that skew between
+// hosts does not matter; where a host's clock was set back, the member hears of its later incarnation and
+// takes the next one. `refutations` counts the suspicions that this process has refuted; SWIM's incarnation
+// number is both together.
+struct MemberVersion {
+  std::uint64_t incarnation = 0;  // 0: unknown
+  std::uint32_t refutations = 0;
+  auto operator<=>(const MemberVersion&) const = default;
 };
-inline constexpr std::uint64_t kMaxLife = std::uint64_t{1} << 42U;  // the year 2109
-inline constexpr std::uint32_t kMaxRefuted = std::uint32_t{1} << 28U;
+inline constexpr std::uint64_t kMaxIncarnation = std::uint64_t{1} << 42U;  // the year 2109
+inline constexpr std::uint32_t kMaxRefutations = std::uint32_t{1} << 28U;  // four bytes on the wire
 
-enum class MemberState : std::uint8_t { kUnknown, kAlive, kSuspect, kDead };  // in the order of precedence
+// In the order of precedence.
+enum class MemberState : std::uint8_t { kUnknown, kAlive, kSuspect, kDead };
 
-// Of two claims about a member the one with the higher incarnation holds, and of one incarnation the one with
-// the graver standing: merging takes the greater, so that order, loss and repetition do not matter.
+// What somebody believes about a member. Of two updates the one with the higher version holds, and within one
+// version the one with the graver state: merging takes the greater, so that order, loss and repetition do not
+// matter.
 struct MemberUpdate {
-  Number about = 0;
-  Incarnation incarnation;
-  MemberState standing = MemberState::kUnknown;
-  Number by = 0;  // of a suspicion: who holds it
-  [[nodiscard]] auto rank() const { return std::tuple(incarnation, standing); }
+  MemberIndex member = 0;
+  MemberVersion version;
+  MemberState state = MemberState::kUnknown;
+  MemberIndex accuser = 0;  // kSuspect: who suspects the member
+  [[nodiscard]] auto precedence() const { return std::tuple(version, state); }
   bool operator==(const MemberUpdate&) const = default;
 };
 
+// One message of SWIM's failure detector.
 struct Probe {
-  // kNack: the helper was reached, its target has not answered it yet.
-  enum class Type : std::uint8_t { kPing, kAskToPing, kAck, kNack };
+  // kPingRequest asks a helper for an indirect probe. kNack: the helper was reached, but its target has not
+  // answered it yet (Lifeguard).
+  enum class Type : std::uint8_t { kPing, kPingRequest, kAck, kNack };
   Type type{};
   std::uint32_t sequence = 0;  // the prober's; an answer repeats it
-  Number target = 0;           // kAskToPing only
+  MemberIndex target = 0;      // kPingRequest only
   bool operator==(const Probe&) const = default;
 };
 
+// A message to send. Whoever sends it adds this member's version and updates about others.
+struct OutgoingMessage {
+  MemberIndex to = 0;
+  std::optional<Probe> probe;  // none: only the updates
+};
+
+// A member's state or incarnation has changed in this process's view.
+struct MemberChange {
+  MemberIndex member = 0;
+  MemberState before{};
+  MemberState after{};
+  bool is_new_incarnation = false;
+};
+
 }  // namespace dispatcher::membership
 
 #endif  // DISPATCHER_MEMBERSHIP_MEMBER_HPP_
--- a/src/membership/membership.hpp
+++ b/src/membership/membership.hpp
@@ -1,146 +1,149 @@
-// Who of the fleet is alive: SWIM (Das, Gupta, Motivala, 2002) with suspicion, and Lifeguard's local health.
-// No I/O: time, randomness and messages are passed in, and what is to be sent is handed back. Whoever carries
-// the messages puts this member's incarnation on each of them and fills them with claims (queue(), page()).
+// Who of the fleet is alive: SWIM (Das, Gupta, Motivala, "SWIM: scalable weakly-consistent infection-style
+// process group membership protocol", 2002) with suspicion, and Lifeguard's local health. No I/O: time,
+// randomness and messages are passed in, and what is to be sent is returned. Whoever carries the messages
+// puts this member's version on each of them and fills them with updates (update_queue(), next_page()).
 //
 // Differences from the papers, as the set of members is fixed and their addresses are known:
-// - a member is unknown until it, or word of it, was heard. Unknown and dead members are called now and then,
-//   so that a fleet cut in two finds itself again; a call that isn't answered says nothing new.
-// - a ping that is not answered is repeated each time the timeout passes again, beside the helpers: a direct
-// path
-//   has two chances to lose a message, one by a helper four. This costs bytes only where something is wrong.
-// - a process that was stopped notices the pause by its own clock: its probe of before is void, suspicions
-// wait
-//   on by the pause, and it counts itself as unwell.
+// - A member is unknown until it, or an update about it, was received. Unknown and dead members are pinged
+// now
+//   and then, so that a partitioned fleet finds itself again; such a ping that isn't acked means nothing new.
+// - A ping that is not acked is repeated each time the timeout passes again, beside the indirect probes: a
+//   direct path has two chances to lose a message, one by a helper four. This costs bytes only where
+//   something is wrong.
+// - A process that was stopped detects the pause by its own clock: its probe from before is void, suspicions
+//   wait longer by the pause, and it lowers its local health.
 #ifndef DISPATCHER_MEMBERSHIP_MEMBERSHIP_HPP_
 #define DISPATCHER_MEMBERSHIP_MEMBERSHIP_HPP_
 
 #include <cstddef>
+#include <cstdint>
 #include <optional>
 #include <vector>
 
-#include "membership/member.hpp"
-#include "membership/suspicion.hpp"
+#include "membership/member_table.hpp"
 
 namespace dispatcher::membership {
 
-struct Parameters {
-  Duration period = std::chrono::seconds(1);                // from one probe to the next
-  Duration probe_timeout = std::chrono::milliseconds(250);  // a direct answer; below a third of the period
-  unsigned helpers = 3;                                     // asked to ping what has not answered
-  double suspicion_min = 3;      // periods, times log10 of the count (at least 1): the shortest wait
-  double suspicion_stretch = 4;  // the longest wait, in shortest ones
-  unsigned confirmations = 3;    // that shorten the wait to its least
-  unsigned max_unwell = 8;       // of LocalHealth
-  double spread = 4;             // a claim is sent so many times, times log10 of the count, rounded up
-  unsigned call_every = 4;       // periods between two calls of the unknown and the dead
-};
-
-struct Sending {
-  Number to = 0;
-  std::optional<Probe> probe;  // none: only what it carries besides
-};
-
-struct Change {
-  Number member = 0;
-  MemberState before{}, after{};
-  bool new_life = false;
+// SWIM's round-robin order of probes: all other members, shuffled anew each round.
+struct ProbeRotation {
+  std::vector<MemberIndex> order;
+  std::size_t position = 0;
 };
 
+// The failure detector of one member and its view of the fleet. Owned by a GossipNode; used on one thread,
+// with no callbacks.
 class Membership {
  public:
-  // `self` below `count`. `life`: see Incarnation, at least 1.
-  Membership(const Parameters& parameters, Number self, Number count, std::uint64_t life, Time now,
-             Random random);
-
-  // What arrived from `from`: its own incarnation, the probe if any, and the claims, in this order.
-  std::vector<Sending> received(Time now, Number from, Incarnation incarnation,
-                                const std::optional<Probe>& probe, const std::vector<MemberUpdate>& claims);
-  std::vector<Sending> tick(Time now);  // at or after next()
-  [[nodiscard]] Time next() const;
-  std::vector<Sending> leave();  // says that this process ends; nothing may be called after it but queue()
-
-  // Claims worth sending to `to`, the most valuable first: what it must know of itself, then what was sent
-  // the least often. Tell by sent() which ones went out.
-  // `suspicions_alone`: the receiver's summary is ours.
-  [[nodiscard]] std::vector<MemberUpdate> queue(Number to, bool suspicions_alone = false) const;
-  void sent(Number about);
-  // Claims about known members from a moving place on, for one whose summary() differs.
-  std::vector<MemberUpdate> page(std::size_t maximum);
-  [[nodiscard]] std::uint32_t summary()
-      const;      // equal where the same members are held alive, in the same lives
-  void agreed();  // somebody's summary is ours: what it covers needs one telling less
-
-  [[nodiscard]] Number self() const { return self_; }
-  [[nodiscard]] Number count() const { return static_cast<Number>(members_.size()); }
-  [[nodiscard]] const Incarnation& incarnation() const { return members_[self_].claim.incarnation; }
-  [[nodiscard]] MemberState standing(Number number) const { return members_[number].claim.standing; }
-  [[nodiscard]] const MemberUpdate& claim(Number number) const { return members_[number].claim; }
-  [[nodiscard]] Time since(Number number) const { return members_[number].since; }  // of its standing
-  [[nodiscard]] std::vector<Number> living() const;  // alive or suspect, without self
-  [[nodiscard]] unsigned unwell() const { return health_.score(); }
-  std::vector<Change> take_changes() { return std::exchange(changes_, {}); }
-
-  // Over all that it will act by, times from `now` on: machines with equal ones act alike. For exploring.
+  // `self` is below `count`; `incarnation` is at least 1, see MemberVersion.
+  Membership(const Parameters& parameters, MemberIndex self, MemberIndex count, std::uint64_t incarnation,
+             Time now, Random random);
+
+  // A message arrived from `from`: its own version, the probe if any, and the updates, in this order. Returns
+  // the answers.
+  std::vector<OutgoingMessage> on_received(Time now, MemberIndex from, MemberVersion version,
+                                           const std::optional<Probe>& probe,
+                                           const std::vector<MemberUpdate>& updates);
+  // Does what is due, at or after next_deadline().
+  std::vector<OutgoingMessage> tick(Time now);
+  [[nodiscard]] Time next_deadline() const;
+  // Announces the end of this process; only update_queue() may be called after it.
+  std::vector<OutgoingMessage> leave();
+
+  // See MemberTable.
+  [[nodiscard]] std::vector<MemberUpdate> update_queue(MemberIndex to,
+                                                       UpdateFilter filter = UpdateFilter::kAll) const {
+    return table_.update_queue(to, filter);
+  }
+  void mark_sent(MemberIndex member) { table_.mark_sent(member); }
+  [[nodiscard]] std::vector<MemberUpdate> next_page(std::size_t max_updates) {
+    return table_.next_page(max_updates);
+  }
+  [[nodiscard]] std::uint32_t view_hash() const { return table_.view_hash(); }
+  void mark_view_agreed() { table_.mark_view_agreed(); }
+
+  [[nodiscard]] MemberIndex self() const { return table_.self(); }
+  [[nodiscard]] MemberIndex count() const { return table_.count(); }
+  [[nodiscard]] const MemberVersion& version() const { return table_.own_version(); }
+  [[nodiscard]] MemberState state(MemberIndex member) const { return table_.state(member); }
+  [[nodiscard]] const MemberUpdate& latest_update(MemberIndex member) const {
+    return table_.latest_update(member);
+  }
+  [[nodiscard]] Time state_since(MemberIndex member) const { return table_.state_since(member); }
+  // Alive or suspect ones, without this member.
+  [[nodiscard]] std::vector<MemberIndex> live_members() const;
+  [[nodiscard]] unsigned health_score() const { return health_.score(); }
+  // Changes since the last call.
+  [[nodiscard]] std::vector<MemberChange> take_changes() { return table_.take_changes(); }
+
+  // A hash of all state that decides future behaviour, times relative to `now`. For tests that explore all
+  // states.
   [[nodiscard]] std::uint64_t state_hash(Time now) const;
 
+  // Totals since the start of the process.
   struct Counts {
-    std::uint64_t suspicions = 0, refutations = 0, deaths = 0, probes = 0, failed_probes = 0, pauses = 0;
+    std::uint64_t suspicions = 0;
+    std::uint64_t refutations = 0;
+    std::uint64_t deaths = 0;
+    std::uint64_t probes = 0;
+    std::uint64_t failed_probes = 0;
+    std::uint64_t pauses = 0;
   };
-  [[nodiscard]] const Counts& counts() const { return counts_; }
+  [[nodiscard]] Counts counts() const;
 
  private:
-  struct Member {
-    MemberUpdate claim;
-    Time since{};
-    std::optional<Suspicion> suspicion;
-    unsigned sends_left = 0;
-  };
-  struct Probing {
-    Number target = 0;
+  // This member's own probe of the current interval.
+  struct PendingProbe {
+    MemberIndex target = 0;
     std::uint32_t sequence = 0;
-    Time again{}, ends{};  // when the next ping is due, and when all is over
-    bool asked = false, answered = false;
-    unsigned helpers = 0, nacks = 0;
+    Time retry_at{};
+    Time deadline{};
+    bool is_indirect = false;  // helpers were asked
+    bool is_acked = false;
+    unsigned helpers = 0;
+    unsigned nacks = 0;
   };
-  struct Relay {  // a ping that another member asked for
-    Number origin = 0;
-    std::uint32_t origin_sequence = 0, sequence = 0;
-    Number target = 0;
-    Time nack_at{}, ends{};
-    bool nacked = false;
+  // A ping on behalf of another member.
+  struct IndirectProbe {
+    MemberIndex origin = 0;
+    std::uint32_t origin_sequence = 0;
+    std::uint32_t sequence = 0;
+    MemberIndex target = 0;
+    Time nack_at{};
+    Time deadline{};
+    bool is_nacked = false;
   };
-  void notice_pause(Time now);
-  void merge(Time now, const MemberUpdate& claim);
-  void merge_own(const MemberUpdate& claim);
-  void set(Time now, const MemberUpdate& claim);
-  void suspect(Time now, Number number);
-  void answer(Time now, Number from, const Probe& probe, std::vector<Sending>& out);
+  enum class Liveness : std::uint8_t { kLive, kUnreachable };
+
+  void detect_pause(Time now);
+  void merge(Time now, const MemberUpdate& update);
+  void answer(Time now, MemberIndex from, const Probe& probe, std::vector<OutgoingMessage>& out);
+  void start_indirect_probe(Time now, MemberIndex origin, const Probe& request,
+                            std::vector<OutgoingMessage>& out);
+  void on_ack(MemberIndex from, std::uint32_t sequence, std::vector<OutgoingMessage>& out);
+  void on_nack(std::uint32_t sequence);
   void finish_probe(Time now);
-  void start_probe(Time now, std::vector<Sending>& out);
-  void probe_again(Time now, std::vector<Sending>& out);
-  void ask_helpers(std::vector<Sending>& out);
-  void call_lost(std::vector<Sending>& out);
-  void run_relays(Time now, std::vector<Sending>& out);
-  [[nodiscard]] bool lives(Number number) const;
-  std::optional<Number> next_in(std::vector<Number>& order, std::size_t& place, bool living);
-  [[nodiscard]] unsigned sends() const;
-  [[nodiscard]] Duration min_wait() const;
-
-  Parameters p_;
-  Number self_;
+  void start_probe(Time now, std::vector<OutgoingMessage>& out);
+  void retry_probe(Time now, std::vector<OutgoingMessage>& out);
+  void request_indirect_probes(std::vector<OutgoingMessage>& out);
+  void ping_unreachable(std::vector<OutgoingMessage>& out);
+  void tick_indirect_probes(Time now, std::vector<OutgoingMessage>& out);
+  std::optional<MemberIndex> next_target(ProbeRotation& rotation, Liveness wanted);
+
+  Parameters parameters_;
   Random random_;
-  std::vector<Member> members_;
+  MemberTable table_;
   LocalHealth health_;
-  std::vector<Number> order_, call_order_;  // everybody else, shuffled anew each time round
-  std::size_t place_ = 0, call_place_ = 0, page_ = 0;
+  ProbeRotation probe_rotation_;
+  ProbeRotation reconnect_rotation_;
   std::uint32_t sequence_ = 0;
-  std::uint64_t period_ = 0;
+  std::uint64_t interval_count_ = 0;
   Time probe_at_;
-  Time seen_;  // the latest clock
-  std::optional<Probing> probing_;
-  std::vector<Relay> relays_;  // at most kMostRelays
-  std::vector<Change> changes_;
-  Counts counts_;
+  Time last_seen_;  // the latest time passed in
+  std::optional<PendingProbe> pending_probe_;
+  std::vector<IndirectProbe> indirect_probes_;
+  std::uint64_t probes_ = 0;
+  std::uint64_t failed_probes_ = 0;
+  std::uint64_t pauses_ = 0;
 };
 
 }  // namespace dispatcher::membership
--- a/src/membership/suspicion.hpp
+++ b/src/membership/suspicion.hpp
@@ -1,5 +1,5 @@
-// How long a suspicion waits for its member's answer, and how far a member trusts itself: the two scales of
-// Lifeguard (Dadgar, Phillips, Currey, 2018).
+// How long a suspicion awaits its member's refutation, and how far a member trusts itself: from Lifeguard
+// (Dadgar, Phillips, Currey, "Lifeguard: local health awareness for more accurate failure detection", 2018).
 #ifndef DISPATCHER_MEMBERSHIP_SUSPICION_HPP_
 #define DISPATCHER_MEMBERSHIP_SUSPICION_HPP_
 
@@ -9,39 +9,48 @@
 
 namespace dispatcher::membership {
 
-// Begins with the longest wait and shortens it, logarithmically, with each other member that suspects the
-// same on its own: a slow accuser alone waits long enough to be answered.
+// The timer of one suspicion. It starts with the longest timeout and shortens it, logarithmically, with each
+// other member that confirms the suspicion on its own: a slow accuser alone waits long enough to be refuted.
+// Part of a MemberTable; used on its thread.
 class Suspicion {
  public:
-  // `wanted`: confirmations that bring the wait down to `least`; 0 (a fleet too small to have them): at once.
-  Suspicion(Time since, Number accuser, unsigned wanted, Duration minimum, Duration maximum);
-  bool confirm(Number accuser);  // true: an accuser that is news and still counts
-  [[nodiscard]] Duration wait() const;
-  [[nodiscard]] Time ends() const { return since_ + wait(); }
-  void shift(Duration pause) { since_ += pause; }  // time in which this process did not run
-  [[nodiscard]] const std::vector<Number>& accusers() const { return accusers_; }
+  // `required_confirmations` bring the timeout down to the shortest; 0 (a fleet too small for any): at once.
+  Suspicion(Time since, MemberIndex accuser, unsigned required_confirmations, Duration min_timeout,
+            Duration max_timeout);
+  // True: the accuser is a new one, and its confirmation still counts.
+  bool confirm(MemberIndex accuser);
+  [[nodiscard]] Duration timeout() const;
+  [[nodiscard]] Time deadline() const { return since_ + timeout(); }
+  // Adds time in which this process did not run.
+  void extend(Duration pause) { since_ += pause; }
+  [[nodiscard]] const std::vector<MemberIndex>& accusers() const { return accusers_; }
 
  private:
   Time since_;
-  unsigned wanted_;
-  Duration min_, max_;
-  std::vector<Number> accusers_;  // at most wanted_ + 1
+  unsigned required_confirmations_;
+  Duration min_timeout_;
+  Duration max_timeout_;
+  std::vector<MemberIndex> accusers_;  // at most required_confirmations_ + 1
 };
 
-// From 0, well, to `most`: raised by probes that fail without a sign of their helpers and by suspicions of
-// this member, lowered by probes that succeed. Its probes wait and pause (1 + score) times as long.
+// Lifeguard's local health: a score from 0 (healthy) to `max_score`, raised by probes that fail without a
+// sign of their helpers and by suspicions of this member, lowered by probes that succeed. This member's probe
+// interval and timeout are (1 + score) times as long. Part of a Membership; used on its thread.
 class LocalHealth {
  public:
-  explicit LocalHealth(unsigned maximum) : max_(maximum) {}
-  void worse(unsigned by = 1) { score_ = by >= max_ - score_ ? max_ : score_ + by; }
-  void better() { score_ -= score_ > 0 ? 1 : 0; }
+  explicit LocalHealth(unsigned max_score) : max_score_(max_score) {}
+  void degrade(unsigned amount = 1) {
+    const unsigned headroom = max_score_ - score_;
+    score_ = amount >= headroom ? max_score_ : score_ + amount;
+  }
+  void improve() { score_ -= score_ > 0 ? 1 : 0; }
   [[nodiscard]] unsigned score() const { return score_; }
   [[nodiscard]] Duration scaled(Duration time) const {
     return time * (1 + static_cast<Duration::rep>(score_));
   }
 
  private:
-  unsigned max_;
+  unsigned max_score_;
   unsigned score_ = 0;
 };
 
--- a/src/replicated_state/failure_evidence.hpp
+++ b/src/replicated_state/failure_evidence.hpp
@@ -1,8 +1,9 @@
-// A member's doubt about a replica: the part of its latest attempts there that failed. A hint to others, to
-// be weighed by its age and its owner's silence.
+// A member's evidence that an endpoint fails: how many of its latest attempts there did. A hint to others, to
+// be weighed by its age and by its owner's silence.
 #ifndef DISPATCHER_REPLICATED_STATE_FAILURE_EVIDENCE_HPP_
 #define DISPATCHER_REPLICATED_STATE_FAILURE_EVIDENCE_HPP_
 
+#include <cstdint>
 #include <optional>
 #include <vector>
 
@@ -10,16 +11,20 @@
 
 namespace dispatcher::replicated_state {
 
-inline constexpr std::uint32_t kDoubtKind = 1;
+inline constexpr std::uint32_t kFailureEvidenceKind = 1;  // its id on the wire
+inline constexpr std::uint32_t kMaxAttempts = 1000;       // keeps the payload within its bytes
 
+// The payload of one entry, whose id is entry_id(the endpoint's name).
 struct FailureEvidence {
-  std::uint32_t failed = 0, tried = 0;  // at most kMostTried; failed at most tried, tried at least 1
+  std::uint32_t failed_attempts = 0;  // at most `attempts`
+  std::uint32_t attempts = 0;         // from 1 to kMaxAttempts
 };
-inline constexpr std::uint32_t kMaxTried = 1000;
 
-Kind doubt_kind();  // its key: key_of(the replica's name)
-std::vector<std::uint8_t> encode(const FailureEvidence& doubt);
-std::optional<FailureEvidence> decode_doubt(Bytes payload);  // none: not within the bounds
+// The kind to register.
+[[nodiscard]] EntryKind failure_evidence_kind();
+[[nodiscard]] std::vector<std::uint8_t> encode(const FailureEvidence& evidence);
+// None: not a message of this kind, or beyond its bounds.
+[[nodiscard]] std::optional<FailureEvidence> decode_failure_evidence(ByteView payload);
 
 }  // namespace dispatcher::replicated_state
 
--- a/tests/dispatcher/fleet_figures.cpp
+++ b/tests/dispatcher/fleet_figures.cpp
@@ -7,86 +7,94 @@
 namespace {
 
 struct Figures {
-  double joined = 0, idle_bytes = 0, false_suspicions = 0, false_deaths = 0, first = 0, all = 0,
-         half_told = 0, all_told = 0, busy_bytes = 0;
+  double joined_s = 0;
+  double idle_bytes_per_second = 0;
+  double false_suspicions = 0;
+  double false_deaths = 0;
+  double first_detected_s = 0;
+  double all_detected_s = 0;
+  double half_informed_s = 0;
+  double all_informed_s = 0;
+  double busy_bytes_per_second = 0;
 };
 
 double to_seconds(Time time) { return static_cast<double>(time.count()) / 1e6; }
 
-std::uint64_t bytes_of(FleetFixture& fixture) {
+std::uint64_t sent_bytes(FleetFixture& fixture) {
   std::uint64_t sum = 0;
-  for (Number n = 0; n < fixture.count(); ++n)
-    sum += fixture.runs(n) ? fixture.node(n).counts().sent_bytes : 0;
+  for (MemberIndex member = 0; member < fixture.count(); ++member)
+    sum += fixture.is_running(member) ? fixture.node(member).counts().sent_bytes : 0;
   return sum;
 }
 
-Figures measure(Number count, double loss, std::uint64_t seed) {
-  Figures f;
+Figures measure(MemberIndex count, double loss, std::uint64_t seed) {
+  Figures figures;
   FleetFixture fixture(count, seed);
-  fixture.weather.loss = loss;
+  fixture.network.loss = loss;
   std::uint64_t suspicions = 0, deaths = 0;
-  fixture.on_change = [&](Number, const membership::Change& change) {
+  fixture.on_change = [&](MemberIndex, const membership::MemberChange& change) {
     suspicions += change.after == MemberState::kSuspect && change.before == MemberState::kAlive;
     deaths += change.after == MemberState::kDead;
   };
   fixture.start_all();
-  const Time began = fixture.now();
+  const Time started_at = fixture.now();
   // Under loss somebody is nearly always under suspicion somewhere.
   fixture.until(
       [&] {
-        for (Number a = 0; a < count; ++a) {
-          if (fixture.node(a).members().living().size() + 1 < count) return false;
+        for (MemberIndex member = 0; member < count; ++member) {
+          if (fixture.node(member).members().live_members().size() + 1 < count) return false;
         }
         return true;
       },
       seconds(120));
-  f.joined = to_seconds(fixture.now() - began);
+  figures.joined_s = to_seconds(fixture.now() - started_at);
   fixture.run(seconds(30));
   suspicions = deaths = 0;
-  std::uint64_t before = bytes_of(fixture);
+  std::uint64_t before = sent_bytes(fixture);
   fixture.run(seconds(120));
-  f.idle_bytes = static_cast<double>(bytes_of(fixture) - before) / 120 / count;
+  figures.idle_bytes_per_second = static_cast<double>(sent_bytes(fixture) - before) / 120 / count;
   // Views that turned, by member accused and minute: one suspicion seen by all counts as (count - 1) views.
   const double member_minutes = 2.0 * count;
-  f.false_suspicions = static_cast<double>(suspicions) / (count - 1) / member_minutes;
-  f.false_deaths = static_cast<double>(deaths) / (count - 1) / member_minutes;
+  figures.false_suspicions = static_cast<double>(suspicions) / (count - 1) / member_minutes;
+  figures.false_deaths = static_cast<double>(deaths) / (count - 1) / member_minutes;
 
-  const std::uint64_t key = replicated_state::key_of("s-1");
-  const Time written = fixture.now();
-  fixture.node(0).set(fixture.clock(0), replicated_state::kDoubtKind, key, replicated_state::encode({1, 2}));
-  fixture.until([&] { return fixture.told(key) * 2 >= count; }, seconds(29));
-  f.half_told = to_seconds(fixture.now() - written);
-  fixture.until([&] { return fixture.told(key) == count; }, seconds(29) - (fixture.now() - written));
-  f.all_told = to_seconds(fixture.now() - written);
+  const std::uint64_t id = replicated_state::entry_id("s-1");
+  const Time written_at = fixture.now();
+  fixture.write_evidence(0, id);
+  fixture.until([&] { return fixture.members_with_evidence(id) * 2 >= count; }, seconds(29));
+  figures.half_informed_s = to_seconds(fixture.now() - written_at);
+  fixture.until([&] { return fixture.members_with_evidence(id) == count; },
+                seconds(29) - (fixture.now() - written_at));
+  figures.all_informed_s = to_seconds(fixture.now() - written_at);
   fixture.run(seconds(20));
 
-  // One new doubt a second, by members in turn.
-  before = bytes_of(fixture);
-  for (Number i = 0; i < 60; ++i) {
-    const Number n = i % count;
-    fixture.node(n).set(fixture.clock(n), replicated_state::kDoubtKind, 1000 + i,
-                        replicated_state::encode({1, 2}));
+  // One new piece of evidence a second, by members in turn.
+  before = sent_bytes(fixture);
+  for (MemberIndex i = 0; i < 60; ++i) {
+    const MemberIndex member = i % count;
+    fixture.write_evidence(member, 1000 + i);
     fixture.run(seconds(1));
   }
-  f.busy_bytes = static_cast<double>(bytes_of(fixture) - before) / 60 / count;
+  figures.busy_bytes_per_second = static_cast<double>(sent_bytes(fixture) - before) / 60 / count;
   fixture.run(seconds(20));
 
-  const Number victim = count / 2;
+  const MemberIndex victim = count / 2;
   fixture.kill(victim);
-  const Time died = fixture.now();
+  const Time died_at = fixture.now();
   fixture.until(
       [&] {
-        for (Number n = 0; n < count; ++n) {
-          if (fixture.runs(n) && fixture.node(n).members().standing(victim) == MemberState::kDead)
+        for (MemberIndex member = 0; member < count; ++member) {
+          if (fixture.is_running(member) &&
+              fixture.node(member).members().state(victim) == MemberState::kDead)
             return true;
         }
         return false;
       },
       seconds(120));
-  f.first = to_seconds(fixture.now() - died);
-  fixture.until([&] { return fixture.all_hold(victim, MemberState::kDead); }, seconds(120));
-  f.all = to_seconds(fixture.now() - died);
-  return f;
+  figures.first_detected_s = to_seconds(fixture.now() - died_at);
+  fixture.until([&] { return fixture.all_consider(victim, MemberState::kDead); }, seconds(120));
+  figures.all_detected_s = to_seconds(fixture.now() - died_at);
+  return figures;
 }
 
 // As varints alone, without tags and lengths: what a format by hand would take.
@@ -100,92 +108,96 @@
 }
 
 TEST_CASE("sizes of what datagrams hold", "[.figures]") {
-  using gossip::Packer;
-  const std::uint64_t life = 1'800'000'000'000;
-  const gossip::Sender sender{0, 100, 42, {life, 0}, 20'000};
-  const std::size_t head = Packer(sender).size(), head_by_hand = by_hand({1, 0, 100, 42, life, 0, 20'000});
+  using gossip::DatagramBuilder;
+  const std::uint64_t incarnation = 1'800'000'000'000;
+  const gossip::Sender sender{0, 100, 42, {incarnation, 0}, 20'000};
+  const std::size_t head = DatagramBuilder(sender).size(),
+                    head_by_hand = by_hand({1, 0, 100, 42, incarnation, 0, 20'000});
   std::printf("head %zu by hand %zu\n", head, head_by_hand);
   const auto print = [&](const char* name, auto add, std::size_t hand) {
-    Packer packer(sender);
-    add(packer);
-    std::printf("%s %zu by hand %zu\n", name, packer.size() - head, hand);
+    DatagramBuilder builder(sender);
+    add(builder);
+    std::printf("%s %zu by hand %zu\n", name, builder.size() - head, hand);
   };
   print(
       "probe",
-      [](Packer& p) {
-        p.add(membership::Probe{membership::Probe::Type::kPing, 20'000, 0});
+      [](DatagramBuilder& builder) {
+        builder.add(membership::Probe{membership::Probe::Type::kPing, 20'000, 0});
       },
       by_hand({0, 20'000}));
   print(
       "hashes",
-      [](Packer& p) {
-        p.add_members_hash(1);
-        p.add_group(3, 1);
+      [](DatagramBuilder& builder) {
+        builder.add_members_hash(1);
+        builder.add_group(3, 1);
       },
       9);
   print(
-      "claim",
-      [&](Packer& p) {
-        p.add(membership::MemberUpdate{77, {life, 0}, MemberState::kAlive, 0});
+      "update",
+      [&](DatagramBuilder& builder) {
+        builder.add(membership::MemberUpdate{77, {incarnation, 0}, MemberState::kAlive, 0});
       },
-      by_hand({77, life, 0}));
+      by_hand({77, incarnation, 0}));
   print(
       "suspicion",
-      [&](Packer& p) {
-        p.add(membership::MemberUpdate{77, {life, 1}, MemberState::kSuspect, 5});
+      [&](DatagramBuilder& builder) {
+        builder.add(membership::MemberUpdate{77, {incarnation, 1}, MemberState::kSuspect, 5});
       },
-      by_hand({77, life, 1, 5}));
-  replicated_state::Row row;
-  row.place = {1, replicated_state::key_of("s-5be2a07c"), 42};
-  row.life = life;
-  row.version = 300;
-  row.age = seconds(2);
+      by_hand({77, incarnation, 1, 5}));
+  replicated_state::Entry entry;
+  entry.key = {1, replicated_state::entry_id("s-5be2a07c"), 42};
+  entry.incarnation = incarnation;
+  entry.version = 300;
+  entry.age = seconds(2);
   const auto payload = replicated_state::encode({3, 4});
-  row.payload.assign(payload.begin(), payload.end());
-  const std::size_t own = by_hand({1, row.place.key, 300, 200}) + 1 + 2 + 1;  // flags, payload, its length
+  entry.payload.assign(payload.begin(), payload.end());
+  const std::size_t own = by_hand({1, entry.key.id, 300, 200}) + 1 + 2 + 1;  // flags, payload, its length
   print(
-      "own row", [&](Packer& p) { p.add(row); }, own);
-  row.place.owner = 7;
+      "own entry", [&](DatagramBuilder& builder) { builder.add(entry); }, own);
+  entry.key.owner = 7;
   print(
-      "row of another", [&](Packer& p) { p.add(row); }, own + by_hand({7, life}));
+      "entry of another", [&](DatagramBuilder& builder) { builder.add(entry); },
+      own + by_hand({7, incarnation}));
   print(
-      "summary",
-      [](Packer& p) {
-        p.add(replicated_state::Summary{77, 300, 1}, false);
+      "digest",
+      [](DatagramBuilder& builder) {
+        builder.add(replicated_state::Digest{77, 300, 1}, false);
       },
       by_hand({77, 300}) + 4);
   print(
-      "ask",
-      [](Packer& p) {
-        p.add(replicated_state::Ask{{1, 1000}, 300, 0, 500});
+      "request",
+      [](DatagramBuilder& builder) {
+        builder.add(replicated_state::QuotaRequest{{1, 1000}, 300, 0, 500});
       },
       by_hand({1, 1000, 300, 0, 500}));
   print(
       "grant",
-      [&](Packer& p) {
-        p.add(replicated_state::Grant{{1, 1000}, life, 300, 500, seconds(10)});
+      [&](DatagramBuilder& builder) {
+        builder.add(replicated_state::QuotaGrant{{1, 1000}, incarnation, 300, 500, seconds(10)});
       },
-      by_hand({1, 1000, life, 300, 500, 10000}));
+      by_hand({1, 1000, incarnation, 300, 500, 10000}));
 }
 
 TEST_CASE("figures of a fleet", "[.figures]") {
   std::printf(
       "| N | loss | joined s | idle B/s | suspicions | deaths | told half s | told all s | busy B/s | dead "
       "first s | dead all s |\n");
-  for (const Number count : {3U, 30U, 100U, 300U}) {
+  for (const MemberIndex count : {3U, 30U, 100U, 300U}) {
     for (const double loss : {0.0, 0.1, 0.3}) {
       const int seeds = count > 100 ? 2 : 5;
       Figures sum;
       for (int seed = 1; seed <= seeds; ++seed) {
-        const Figures f = measure(count, loss, static_cast<std::uint64_t>(seed));
+        const Figures figures = measure(count, loss, static_cast<std::uint64_t>(seed));
         for (auto field :
-             {&Figures::joined, &Figures::idle_bytes, &Figures::false_suspicions, &Figures::false_deaths,
-              &Figures::first, &Figures::all, &Figures::half_told, &Figures::all_told, &Figures::busy_bytes})
-          sum.*field += f.*field / seeds;
+             {&Figures::joined_s, &Figures::idle_bytes_per_second, &Figures::false_suspicions,
+              &Figures::false_deaths, &Figures::first_detected_s, &Figures::all_detected_s,
+              &Figures::half_informed_s, &Figures::all_informed_s, &Figures::busy_bytes_per_second})
+          sum.*field += figures.*field / seeds;
       }
       std::printf("| %u | %.0f%% | %.1f | %.0f | %.3f | %.4f | %.1f | %.1f | %.0f | %.1f | %.1f |\n", count,
-                  loss * 100, sum.joined, sum.idle_bytes, sum.false_suspicions, sum.false_deaths,
-                  sum.half_told, sum.all_told, sum.busy_bytes, sum.first, sum.all);
+                  loss * 100, sum.joined_s, sum.idle_bytes_per_second, sum.false_suspicions, sum.false_deaths,
+                  sum.half_informed_s, sum.all_informed_s, sum.busy_bytes_per_second, sum.first_detected_s,
+                  sum.all_detected_s);
       std::fflush(stdout);
     }
   }
--- a/tests/dispatcher/fleet_fixture.cpp
+++ b/tests/dispatcher/fleet_fixture.cpp
@@ -4,129 +4,138 @@
 
 namespace dispatcher::testing {
 
-FleetFixture::FleetFixture(Number count, std::uint64_t seed, gossip::Options options)
-    : skew(count), rate(count, 1.0), options_(options), seed_(seed), random_(seed), members_(count) {
-  options_.count = count;
-  kinds.add(replicated_state::doubt_kind());
-}
-
-Time FleetFixture::clock(Number n) const {
-  const auto ticks = static_cast<double>(now_.count()) * rate[n];
-  return Time(static_cast<Time::rep>(ticks)) + seconds(77 * (n + 1));  // origins differ, too
-}
-
-void FleetFixture::start(Number n) {
-  gossip::Options options = options_;
-  options.self = n;
-  Member& m = members_[n];
-  const auto wall = seconds(1'800'000'000) + now_ + skew[n];
-  const auto life = static_cast<std::uint64_t>(std::chrono::duration_cast<milliseconds>(wall).count());
-  m.node = std::make_unique<GossipNode>(options, kinds, life, seed_ * 1000 + n * 10 + ++m.process, clock(n));
-  m.node->on_change([this, n](const membership::Change& change) {
-    if (on_change) on_change(n, change);
+FleetFixture::FleetFixture(MemberIndex count, std::uint64_t seed, gossip::NodeOptions options)
+    : skew(count), rate(count, 1.0), options_(options), seed_(seed), random_(seed), processes_(count) {
+  options_.member_count = count;
+  kinds.add(replicated_state::failure_evidence_kind());
+}
+
+Time FleetFixture::clock(MemberIndex member) const {
+  const auto ticks = static_cast<double>(now_.count()) * rate[member];
+  return Time(static_cast<Time::rep>(ticks)) + seconds(77 * (member + 1));  // origins differ, too
+}
+
+void FleetFixture::start(MemberIndex member) {
+  gossip::NodeOptions options = options_;
+  options.self = member;
+  Process& process = processes_[member];
+  const auto wall = seconds(1'800'000'000) + now_ + skew[member];
+  const auto incarnation = static_cast<std::uint64_t>(std::chrono::duration_cast<milliseconds>(wall).count());
+  process.node = std::make_unique<GossipNode>(options, kinds, incarnation,
+                                              seed_ * 1000 + member * 10 + ++process.restarts, clock(member));
+  process.node->on_change([this, member](const membership::MemberChange& change) {
+    if (on_change) on_change(member, change);
   });
-  m.stopped = false;
-  m.waiting.clear();
-  carry(n, m.node->start(clock(n)));
+  process.is_stopped = false;
+  process.waiting.clear();
+  transmit(member, process.node->start(clock(member)));
 }
 
 void FleetFixture::start_all() {
-  for (Number n = 0; n < count(); ++n) start(n);
+  for (MemberIndex member = 0; member < count(); ++member) start(member);
 }
-void FleetFixture::kill(Number n) {
-  members_[n].node.reset();
-  members_[n].waiting.clear();
+void FleetFixture::kill(MemberIndex member) {
+  processes_[member].node.reset();
+  processes_[member].waiting.clear();
 }
-void FleetFixture::stop(Number n) { members_[n].stopped = true; }
+void FleetFixture::stop(MemberIndex member) { processes_[member].is_stopped = true; }
 
-void FleetFixture::resume(Number n) {
-  Member& m = members_[n];
-  m.stopped = false;
-  for (; !m.waiting.empty(); m.waiting.pop_front())
-    arrive(m.waiting.front().first, n, m.waiting.front().second);
+void FleetFixture::resume(MemberIndex member) {
+  Process& process = processes_[member];
+  process.is_stopped = false;
+  for (; !process.waiting.empty(); process.waiting.pop_front())
+    deliver(process.waiting.front().first, member, process.waiting.front().second);
 }
 
-void FleetFixture::cut(const std::set<Number>& from, const std::set<Number>& to) {
-  for (const Number f : from) {
-    for (const Number t : to) cut_.emplace(f, t);
+void FleetFixture::block(const std::set<MemberIndex>& from, const std::set<MemberIndex>& to) {
+  for (const MemberIndex sender : from) {
+    for (const MemberIndex receiver : to) blocked_.emplace(sender, receiver);
   }
 }
 
-void FleetFixture::carry(Number from, const GossipNode::Sent& sent) {
-  for (const gossip::Outgoing& one : sent) {
-    if (one.to) {
-      post(from, *one.to, one.datagram.bytes());
+void FleetFixture::transmit(MemberIndex from, const GossipNode::OutgoingDatagrams& datagrams) {
+  for (const gossip::OutgoingDatagram& outgoing : datagrams) {
+    if (outgoing.to) {
+      send(from, *outgoing.to, outgoing.datagram.bytes());
     } else {
-      for (Number to = 0; to < count(); ++to) post(from, to, one.datagram.bytes());
+      for (MemberIndex to = 0; to < count(); ++to) send(from, to, outgoing.datagram.bytes());
     }
   }
 }
 
-void FleetFixture::post(Number from, Number to, std::span<const std::uint8_t> bytes) {
+void FleetFixture::send(MemberIndex from, MemberIndex to, std::span<const std::uint8_t> bytes) {
   if (bytes.size() > 256) FAIL("a datagram of " << bytes.size() << " bytes");
   if (on_datagram) on_datagram(from, to, bytes);
-  if (cut_.contains({from, to})) return;
-  for (int copies = 1 + (chance(weather.repeated) ? 1 : 0); copies > 0; --copies) {
-    if (chance(weather.loss)) continue;
-    std::uniform_int_distribution<Time::rep> delay(microseconds(weather.minimum).count(),
-                                                   microseconds(weather.maximum).count());
-    flights_.emplace(now_ + microseconds(delay(random_)),
-                     InFlightRequest{from, to, {bytes.begin(), bytes.end()}});
+  if (blocked_.contains({from, to})) return;
+  for (int copies = 1 + (chance(network.repetition) ? 1 : 0); copies > 0; --copies) {
+    if (chance(network.loss)) continue;
+    std::uniform_int_distribution<Time::rep> delay(microseconds(network.min_delay).count(),
+                                                   microseconds(network.max_delay).count());
+    in_flight_.emplace(now_ + microseconds(delay(random_)),
+                       InFlightDatagram{from, to, {bytes.begin(), bytes.end()}});
   }
 }
 
-void FleetFixture::arrive(Number from, Number to, const std::vector<std::uint8_t>& bytes) {
-  Member& m = members_[to];
-  if (m.node == nullptr) return;
-  if (!m.stopped) return carry(to, m.node->received(clock(to), from, bytes));
-  if (m.waiting.size() < 200) m.waiting.emplace_back(from, bytes);
+void FleetFixture::deliver(MemberIndex from, MemberIndex to, const std::vector<std::uint8_t>& bytes) {
+  Process& process = processes_[to];
+  if (process.node == nullptr) return;
+  if (!process.is_stopped) return transmit(to, process.node->on_received(clock(to), from, bytes));
+  if (process.waiting.size() < 200) process.waiting.emplace_back(from, bytes);
 }
 
 void FleetFixture::run(microseconds time) {
   for (const Time end = now_ + time; now_ < end;) {
     // Steps of at most 5 ms: all that is due within one is due at its end.
     now_ = std::min<Time>(end, now_ + milliseconds(5));
-    while (!flights_.empty() && flights_.begin()->first <= now_) {
-      const InFlightRequest flight = std::move(flights_.begin()->second);
-      flights_.erase(flights_.begin());
-      arrive(flight.from, flight.to, flight.bytes);
+    while (!in_flight_.empty() && in_flight_.begin()->first <= now_) {
+      const InFlightDatagram datagram = std::move(in_flight_.begin()->second);
+      in_flight_.erase(in_flight_.begin());
+      deliver(datagram.from, datagram.to, datagram.bytes);
     }
-    for (Number n = 0; n < count(); ++n) {
-      if (!runs(n) || members_[n].node->next() > clock(n)) continue;
-      carry(n, members_[n].node->tick(clock(n)));
-      if (members_[n].node->next() <= clock(n)) FAIL("a node that was ticked asks for it again at once");
+    for (MemberIndex member = 0; member < count(); ++member) {
+      if (!is_running(member) || processes_[member].node->next_deadline() > clock(member)) continue;
+      transmit(member, processes_[member].node->tick(clock(member)));
+      if (processes_[member].node->next_deadline() <= clock(member))
+        FAIL("a node that was ticked asks for it again at once");
     }
   }
 }
 
-bool FleetFixture::until(const std::function<bool()>& holds, microseconds maximum) {
-  for (const Time end = now_ + maximum; now_ < end;) {
+bool FleetFixture::until(const std::function<bool()>& holds, microseconds max_time) {
+  for (const Time end = now_ + max_time; now_ < end;) {
     if (holds()) return true;
     run(milliseconds(100));
   }
   return holds();
 }
 
-bool FleetFixture::all_hold(Number about, MemberState standing) const {
-  for (Number n = 0; n < count(); ++n) {
-    if (n != about && runs(n) && members_[n].node->members().standing(about) != standing) return false;
+bool FleetFixture::all_consider(MemberIndex subject, MemberState state) const {
+  for (MemberIndex member = 0; member < count(); ++member) {
+    if (member == subject || !is_running(member)) continue;
+    if (processes_[member].node->members().state(subject) != state) return false;
   }
   return true;
 }
 
-Number FleetFixture::told(std::uint64_t key) {
-  Number found = 0;
-  for (Number n = 0; n < count(); ++n) {
-    if (!runs(n)) continue;
-    node(n).rows().each(clock(n), replicated_state::kDoubtKind,
-                        [&](const replicated_state::Heard& heard) { found += heard.key == key; });
+MemberIndex FleetFixture::members_with_evidence(std::uint64_t id) {
+  MemberIndex found = 0;
+  for (MemberIndex member = 0; member < count(); ++member) {
+    if (!is_running(member)) continue;
+    node(member).entries().for_each(clock(member), replicated_state::kFailureEvidenceKind,
+                                    [&](const replicated_state::EntryView& view) { found += view.id == id; });
   }
   return found;
 }
 
+void FleetFixture::write_evidence(MemberIndex member, std::uint64_t id,
+                                  const replicated_state::FailureEvidence& evidence) {
+  node(member).set(clock(member), replicated_state::kFailureEvidenceKind, id,
+                   replicated_state::encode(evidence));
+}
+
 bool FleetFixture::all_alive() const {
-  for (Number n = 0; n < count(); ++n) {
-    if (runs(n) && !all_hold(n, MemberState::kAlive)) return false;
+  for (MemberIndex member = 0; member < count(); ++member) {
+    if (is_running(member) && !all_consider(member, MemberState::kAlive)) return false;
   }
   return true;
 }
--- a/tests/dispatcher/fleet_fixture.hpp
+++ b/tests/dispatcher/fleet_fixture.hpp
@@ -1,4 +1,4 @@
-// A fleet of nodes in virtual time with a network that loses, delays, repeats and cuts: everything follows
+// A fleet of nodes in virtual time with a network that loses, delays, repeats and blocks: everything follows
 // from the seed. Each member has a clock of its own, off by an offset and a rate.
 #ifndef DISPATCHER_TESTS_DISPATCHER_FLEET_FIXTURE_HPP_
 #define DISPATCHER_TESTS_DISPATCHER_FLEET_FIXTURE_HPP_
@@ -18,74 +18,88 @@
 namespace dispatcher::testing {
 
 using gossip::GossipNode;
+using membership::MemberIndex;
 using membership::MemberState;
-using membership::Number;
 using std::chrono::microseconds;
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 using Time = routing::Time;
 
-struct Weather {
-  double loss = 0, repeated = 0;
-  milliseconds minimum{1}, maximum{27};
+// What the network does to each datagram. Probabilities from 0 to 1.
+struct NetworkConditions {
+  double loss = 0;
+  double repetition = 0;
+  milliseconds min_delay{1};
+  milliseconds max_delay{27};
 };
 
 class FleetFixture {
  public:
-  FleetFixture(Number count, std::uint64_t seed, gossip::Options options = {});
+  FleetFixture(MemberIndex count, std::uint64_t seed, gossip::NodeOptions options = {});
 
-  void start(Number n);  // a new process, a life later than any before it
+  void start(MemberIndex member);  // a new process, in a later incarnation than any before it
   void start_all();
-  void kill(Number n);  // without a word
-  void stop(Number n);  // SIGSTOP: its clock goes on, its socket fills
-  void resume(Number n);
+  void kill(MemberIndex member);  // without any announcement
+  void stop(MemberIndex member);  // as by SIGSTOP: its clock goes on, its socket fills
+  void resume(MemberIndex member);
   void run(microseconds time);
-  // Runs in steps of 100 ms until it holds; false after the bound.
-  bool until(const std::function<bool()>& holds, microseconds maximum);
+  // Runs in steps of 100 ms until the condition holds; false after max_time.
+  bool until(const std::function<bool()>& holds, microseconds max_time);
 
-  GossipNode& node(Number n) { return *members_[n].node; }
-  [[nodiscard]] bool runs(Number n) const { return members_[n].node != nullptr && !members_[n].stopped; }
-  [[nodiscard]] Time clock(Number n) const;  // of that member, now
+  GossipNode& node(MemberIndex member) { return *processes_[member].node; }
+  [[nodiscard]] bool is_running(MemberIndex member) const {
+    return processes_[member].node != nullptr && !processes_[member].is_stopped;
+  }
+  [[nodiscard]] Time clock(MemberIndex member) const;  // of that member, now
   [[nodiscard]] Time now() const { return now_; }
-  [[nodiscard]] Number count() const { return static_cast<Number>(members_.size()); }
-  [[nodiscard]] bool all_hold(Number about, MemberState standing) const;  // all that run, of another
-  Number told(std::uint64_t key);        // members that run and read a doubt of that key
-  [[nodiscard]] bool all_alive() const;  // all that run hold all that run alive
-  void cut(const std::set<Number>& from, const std::set<Number>& to);  // one way
-  void heal() { cut_.clear(); }
-  void inject(Number from, Number to, std::vector<std::uint8_t> bytes) { arrive(from, to, bytes); }
+  [[nodiscard]] MemberIndex count() const { return static_cast<MemberIndex>(processes_.size()); }
+  // Whether all running members but the subject consider it to be in that state.
+  [[nodiscard]] bool all_consider(MemberIndex subject, MemberState state) const;
+  // Whether all running members consider all running members alive.
+  [[nodiscard]] bool all_alive() const;
+  // How many running members have failure evidence with that id.
+  MemberIndex members_with_evidence(std::uint64_t id);
+  // A member writes failure evidence.
+  void write_evidence(MemberIndex member, std::uint64_t id,
+                      const replicated_state::FailureEvidence& evidence = {1, 2});
+  // Drops all datagrams one way.
+  void block(const std::set<MemberIndex>& from, const std::set<MemberIndex>& to);
+  void unblock_all() { blocked_.clear(); }
+  void inject(MemberIndex from, MemberIndex to, const std::vector<std::uint8_t>& bytes) {
+    deliver(from, to, bytes);
+  }
 
-  Weather weather;
-  std::vector<microseconds> skew;  // of each host's clock; taken at start
+  NetworkConditions network;
+  std::vector<microseconds> skew;  // of each host's clock; applied at start
   std::vector<double> rate;        // of each steady clock
-  std::function<void(Number observer, const membership::Change&)> on_change;
-  std::function<void(Number from, Number to, std::span<const std::uint8_t>)> on_datagram;
-  replicated_state::Kinds kinds;
+  std::function<void(MemberIndex observer, const membership::MemberChange&)> on_change;
+  std::function<void(MemberIndex from, MemberIndex to, std::span<const std::uint8_t>)> on_datagram;
+  replicated_state::EntryKinds kinds;
 
  private:
-  struct Member {
+  struct Process {
     std::unique_ptr<GossipNode> node;
-    bool stopped = false;
-    std::deque<std::pair<Number, std::vector<std::uint8_t>>> waiting;
-    unsigned process = 0;
+    bool is_stopped = false;
+    std::deque<std::pair<MemberIndex, std::vector<std::uint8_t>>> waiting;
+    unsigned restarts = 0;
   };
-  struct InFlightRequest {
-    Number from, to;
+  struct InFlightDatagram {
+    MemberIndex from;
+    MemberIndex to;
     std::vector<std::uint8_t> bytes;
   };
-  void carry(Number from, const GossipNode::Sent& sent);
-  void post(Number from, Number to, std::span<const std::uint8_t> bytes);
-  void arrive(Number from, Number to, const std::vector<std::uint8_t>& bytes);
-  bool chance(double p) { return std::generate_canonical<double, 32>(random_) < p; }
+  void transmit(MemberIndex from, const GossipNode::OutgoingDatagrams& datagrams);
+  void send(MemberIndex from, MemberIndex to, std::span<const std::uint8_t> bytes);
+  void deliver(MemberIndex from, MemberIndex to, const std::vector<std::uint8_t>& bytes);
+  bool chance(double probability) { return std::generate_canonical<double, 32>(random_) < probability; }
 
-  gossip::Options options_;
+  gossip::NodeOptions options_;
   std::uint64_t seed_;
   std::mt19937_64 random_;
   Time now_ = seconds(1000);
-  std::vector<Member> members_;
-  std::multimap<Time, InFlightRequest> flights_;
-  std::set<std::pair<Number, Number>> cut_;
-  std::uint64_t lives_ = 0;
+  std::vector<Process> processes_;
+  std::multimap<Time, InFlightDatagram> in_flight_;
+  std::set<std::pair<MemberIndex, MemberIndex>> blocked_;
 };
 
 }  // namespace dispatcher::testing
--- /dev/null
+++ b/tests/dispatcher/gossip_config_test.cpp
@@ -0,0 +1,93 @@
+// Gossip's configuration: the fleet's file and the platform's list of peers.
+#include <fstream>
+#include <iterator>
+#include <nlohmann/json.hpp>
+
+#include "fixture.hpp"
+#include "gossip/config.hpp"
+
+namespace dispatcher::testing {
+namespace {
+
+using gossip::PeerConfig;
+using gossip::udp;
+using membership::MemberIndex;
+
+PeerConfig peers_for(MemberIndex count) {
+  PeerConfig config;
+  config.is_allowed = true;
+  config.listen = udp::endpoint(boost::asio::ip::address_v4::loopback(), 4000);
+  for (MemberIndex member = 0; member < count; ++member)
+    config.peers.emplace_back(boost::asio::ip::address_v4::loopback(), 4000 + member);
+  return config;
+}
+
+std::string parse_error(const std::string& file) {
+  try {
+    static_cast<void>(gossip::parse_config({"fleet.cue", file}, make_settings(), PeerConfig{}));
+  } catch (const cue::Errors& errors) {
+    return errors.what();
+  }
+  return "";
+}
+
+TEST_CASE("the fleet's file: off as it ships, its bounds, and errors that name the field", "[gossip]") {
+  const cue::File shipped{"deploy/fleet.cue", [] {
+                            std::ifstream file(DISPATCHER_SOURCE "/deploy/fleet.cue");
+                            return std::string(std::istreambuf_iterator<char>(file), {});
+                          }()};
+  auto settings = make_settings();
+  settings.router_count = 4;
+  settings.router_number = 2;
+  CHECK_FALSE(gossip::parse_config(shipped, settings, peers_for(4)));
+  cue::File on = shipped;
+  on.text.replace(on.text.find("share: false"), 12, "share: true");
+  const auto config = gossip::parse_config(on, settings, peers_for(4));
+  REQUIRE(config);
+  CHECK(config->options.self == 2);
+  CHECK(config->options.member_count == 4);
+  CHECK(config->options.bytes_per_second == 768);
+  CHECK(config->options.lending.lease == seconds(10));
+  CHECK(config->options.membership.probe_interval == seconds(1));
+  CHECK(config->options.membership.indirect_probes == 3);
+
+  PeerConfig forbidden = peers_for(4);
+  forbidden.is_allowed = false;
+  CHECK_FALSE(gossip::parse_config(on, settings, forbidden));
+  CHECK_THROWS_WITH(gossip::parse_config(on, settings, peers_for(3)),
+                    Catch::Contains("'peers'") && Catch::Contains("4 addresses"));
+  PeerConfig duplicate = peers_for(4);
+  duplicate.peers[1] = duplicate.peers[0];
+  CHECK_THROWS_WITH(gossip::parse_config(on, settings, duplicate), Catch::Contains("twice"));
+  PeerConfig without_listener = peers_for(4);
+  without_listener.listen.reset();
+  CHECK_THROWS_WITH(gossip::parse_config(on, settings, without_listener), Catch::Contains("peer_listen"));
+
+  CHECK_THAT(parse_error("share: true\nbytes: per_second: 10"),
+             Catch::Contains("fleet.cue:2:") && Catch::Contains("bytes.per_second"));
+  CHECK_THAT(parse_error("members: {period_ms: 500, probe_timeout_ms: 200}"),
+             Catch::Contains("fleet.cue:1:") && Catch::Contains("probe_timeout_ms"));
+  CHECK_THAT(parse_error("rights: lease_ms: 16_000"), Catch::Contains("rights.lease_ms"));
+  CHECK_THAT(parse_error("shares: true"), Catch::Contains("shares"));
+}
+
+TEST_CASE("the platform's configuration: peers are read only where gossip is allowed", "[gossip]") {
+  auto json = nlohmann::json::parse(
+      R"({"settings": {"tier": 1, "limits": {"peers": true}}, "peer_listen": "127.0.0.1:7001",
+    "peers": ["127.0.0.1:7001", "127.0.0.1:7002"], "peers_all": "127.0.0.1:7000"})");
+  const PeerConfig config = gossip::parse_peer_config(json);
+  CHECK(config.is_allowed);
+  CHECK(config.tier == 1);
+  CHECK(config.peers.size() == 2);
+  CHECK(config.peers[1].port() == 7002);
+  CHECK(config.broadcast->port() == 7000);
+  CHECK(config.listen->port() == 7001);
+  json["peers"][1] = "nowhere";
+  CHECK_THROWS_WITH(gossip::parse_peer_config(json), Catch::Contains("peers[1]"));
+  json["settings"]["limits"]["peers"] = false;
+  CHECK_FALSE(gossip::parse_peer_config(json).is_allowed);
+  CHECK_FALSE(gossip::parse_peer_config(nlohmann::json::object()).is_allowed);
+}
+
+}  // namespace
+}  // namespace dispatcher::testing
--- /dev/null
+++ b/tests/dispatcher/lending_fixture.hpp
@@ -0,0 +1,81 @@
+// Members of a fleet that lend one another quota of a budget, in virtual time, with clocks of different rates
+// and a network that may do anything to their messages.
+#ifndef DISPATCHER_TESTS_DISPATCHER_LENDING_FIXTURE_HPP_
+#define DISPATCHER_TESTS_DISPATCHER_LENDING_FIXTURE_HPP_
+
+#include <cstdint>
+#include <utility>
+#include <vector>
+
+#include "fleet_fixture.hpp"
+#include "replicated_state/bounded_counter.hpp"
+
+namespace dispatcher::testing {
+
+using replicated_state::BoundedCounter;
+using replicated_state::Budget;
+using replicated_state::BudgetType;
+using replicated_state::lease_with_drift;
+using replicated_state::LendingPolicy;
+using replicated_state::QuotaGrant;
+using replicated_state::QuotaMessage;
+using replicated_state::QuotaRequest;
+using replicated_state::QuotaReturn;
+
+// A budget of either type, small enough to explore all that may happen to it.
+inline const Budget kRateBudget{{1, 7}, BudgetType::kRate, 6, seconds(10)};
+inline const Budget kUnitsBudget{{2, 7}, BudgetType::kConsumable, 6, {}};
+
+// A message that was sent and may arrive.
+struct SentMessage {
+  MemberIndex from = 0;
+  std::uint64_t incarnation = 0;  // the sender's
+  QuotaMessage message;
+};
+
+// Members with clocks of different rates, and messages in flight that arrive in any order, late, never or
+// twice, also those of processes that have ended. Nothing filters them: the datagrams' own checks come on
+// top.
+struct LendingFleet {
+  std::vector<BoundedCounter> members;
+  std::vector<std::uint64_t> incarnations;
+  std::vector<double> rates;
+  std::vector<SentMessage> in_flight;
+  Budget budget;
+  LendingPolicy policy;
+  Time real_time = seconds(100);
+  std::uint64_t spent = 0;
+  int restarts = 0;
+  int repeats = 0;
+
+  LendingFleet(MemberIndex count, const Budget& shared_budget, const LendingPolicy& lending_policy,
+               std::vector<double> clock_rates);
+  [[nodiscard]] MemberIndex count() const { return static_cast<MemberIndex>(members.size()); }
+  [[nodiscard]] Time clock(MemberIndex member) const;
+  void send(MemberIndex from, const std::vector<QuotaMessage>& messages);
+  void tick(MemberIndex member, const std::vector<MemberIndex>& live_members);
+  // A message in flight arrives; a repeated one stays in flight, too.
+  enum class Arrival { kOnce, kRepeated };
+  void arrive(std::size_t index, Arrival arrival);
+  void restart(MemberIndex member);  // a new process with the same demand
+  // What all members may use together, and have used.
+  [[nodiscard]] std::uint64_t held() const;
+  [[nodiscard]] std::uint64_t hash() const;
+  // Of the only budget.
+  [[nodiscard]] std::uint64_t available(MemberIndex member) const;
+  [[nodiscard]] std::uint64_t rate(MemberIndex member) const;
+  [[nodiscard]] std::uint64_t demand(MemberIndex member) const;
+  void set_demand(MemberIndex member, std::uint64_t amount);
+  [[nodiscard]] bool consume(MemberIndex member, std::uint64_t amount);
+};
+
+// Two members, one that has demand and one that does not; messages arrive at once.
+struct TwoMembers {
+  LendingFleet fleet{2, {{1, 7}, BudgetType::kRate, 1000, seconds(10)}, LendingPolicy{}, {1.0, 1.0}};
+  void deliver_all();
+  void run(Time time);
+};
+
+}  // namespace dispatcher::testing
+
+#endif  // DISPATCHER_TESTS_DISPATCHER_LENDING_FIXTURE_HPP_
--- /dev/null
+++ b/tests/dispatcher/membership_fleet_test.cpp
@@ -0,0 +1,212 @@
+// Membership of fleets in virtual time, over a network that loses, delays, repeats and partitions.
+#include <set>
+
+#include "fleet_fixture.hpp"
+
+namespace dispatcher::testing {
+namespace {
+
+TEST_CASE("a fleet that starts together knows itself, and a quiet one sends little", "[membership]") {
+  const MemberIndex count = GENERATE(2, 3, 30);
+  FleetFixture fixture(count, 1);
+  fixture.start_all();
+  REQUIRE(fixture.until([&] { return fixture.all_alive(); }, seconds(10)));
+  fixture.run(seconds(40));
+  std::uint64_t before = 0, after = 0;
+  for (MemberIndex member = 0; member < count; ++member) before += fixture.node(member).counts().sent_bytes;
+  fixture.run(seconds(60));
+  for (MemberIndex member = 0; member < count; ++member) after += fixture.node(member).counts().sent_bytes;
+  CHECK((after - before) / 60 / count < 80);
+  CHECK(fixture.all_alive());
+}
+
+TEST_CASE("a member that dies is considered dead by all, and one that restarts is alive again",
+          "[membership]") {
+  FleetFixture fixture(12, 2);
+  fixture.network.loss = 0.1;
+  fixture.start_all();
+  REQUIRE(fixture.until([&] { return fixture.all_alive(); }, seconds(20)));
+  fixture.kill(5);
+  REQUIRE(fixture.until([&] { return fixture.all_consider(5, MemberState::kDead); }, seconds(25)));
+  fixture.start(5);
+  CHECK(fixture.until([&] { return fixture.all_alive(); }, seconds(20)));
+}
+
+TEST_CASE("a restart faster than detection is seen as a new incarnation, and its earlier entries are dropped",
+          "[membership]") {
+  FleetFixture fixture(6, 3);
+  fixture.start_all();
+  REQUIRE(fixture.until([&] { return fixture.all_alive(); }, seconds(10)));
+  fixture.write_evidence(2, 9);
+  fixture.run(seconds(3));
+  const auto entries = [&](MemberIndex member) {
+    int found = 0;
+    fixture.node(member).entries().for_each(fixture.clock(member), replicated_state::kFailureEvidenceKind,
+                                            [&](const replicated_state::EntryView&) { ++found; });
+    return found;
+  };
+  REQUIRE(entries(0) == 1);
+  int new_incarnations = 0, deaths = 0;
+  fixture.on_change = [&](MemberIndex observer, const membership::MemberChange& change) {
+    if (observer != 2 && change.member == 2) new_incarnations += change.is_new_incarnation;
+    deaths += change.after == MemberState::kDead;
+  };
+  fixture.kill(2);
+  fixture.run(milliseconds(50));
+  fixture.start(2);
+  fixture.run(seconds(10));
+  CHECK(new_incarnations == 5);
+  CHECK(deaths == 0);
+  for (const MemberIndex member : {0U, 1U, 3U, 4U, 5U}) CHECK(entries(member) == 0);
+}
+
+TEST_CASE("a host whose clock was set back: its next process is accepted all the same", "[membership]") {
+  FleetFixture fixture(5, 4);
+  fixture.start_all();
+  REQUIRE(fixture.until([&] { return fixture.all_alive(); }, seconds(10)));
+  fixture.run(seconds(30));  // nobody spreads its first incarnation any more
+  int suspicions = 0;
+  fixture.on_change = [&](MemberIndex, const membership::MemberChange& change) {
+    suspicions += change.after == MemberState::kSuspect;
+  };
+  fixture.kill(1);
+  fixture.skew[1] = -std::chrono::hours(2);
+  fixture.run(milliseconds(200));
+  fixture.start(1);
+  const auto is_accepted = [&] {
+    const auto incarnation = fixture.node(1).members().version().incarnation;
+    for (const MemberIndex member : {0U, 2U, 3U, 4U}) {
+      if (fixture.node(member).members().latest_update(1).version.incarnation != incarnation) return false;
+    }
+    return fixture.all_alive();
+  };
+  CHECK_FALSE(is_accepted());
+  CHECK(fixture.until(is_accepted, seconds(3)));  // its first ping is answered with its later incarnation
+  fixture.run(seconds(10));
+  CHECK(suspicions == 0);
+  CHECK(fixture.node(0).counts().dropped[static_cast<std::size_t>(gossip::DropReason::kStaleIncarnation)] >
+        0);
+}
+
+TEST_CASE("clocks apart by hours and running at different rates make no difference", "[membership]") {
+  FleetFixture fixture(10, 5);
+  for (MemberIndex member = 0; member < 10; ++member) {
+    fixture.skew[member] = seconds(3600) * static_cast<int>(member) - seconds(7200);
+    fixture.rate[member] = 1 + 0.01 * (static_cast<int>(member % 3) - 1);
+  }
+  int deaths = 0;
+  fixture.on_change = [&](MemberIndex, const membership::MemberChange& change) {
+    deaths += change.after == MemberState::kDead;
+  };
+  fixture.start_all();
+  REQUIRE(fixture.until([&] { return fixture.all_alive(); }, seconds(20)));
+  fixture.run(seconds(120));
+  CHECK(deaths == 0);
+}
+
+TEST_CASE("a stopped member is considered dead; it resumes, and neither it nor what waited for it does harm",
+          "[membership]") {
+  FleetFixture fixture(8, 6);
+  fixture.start_all();
+  REQUIRE(fixture.until([&] { return fixture.all_alive(); }, seconds(10)));
+  fixture.stop(3);
+  REQUIRE(fixture.until([&] { return fixture.all_consider(3, MemberState::kDead); }, seconds(30)));
+  fixture.run(seconds(60));
+  int accused = 0;
+  fixture.on_change = [&](MemberIndex, const membership::MemberChange& change) {
+    if (change.member != 3) accused += change.after != MemberState::kAlive;
+  };
+  fixture.resume(3);
+  CHECK(fixture.until([&] { return fixture.all_alive(); }, seconds(20)));
+  fixture.run(seconds(30));
+  CHECK(accused == 0);  // it did not take its own pause for the others' silence
+  CHECK(fixture.node(3).members().counts().pauses >= 1);
+  CHECK(fixture.node(0).members().latest_update(3).version.refutations >= 1);
+}
+
+TEST_CASE("each side of a partitioned fleet considers the other dead, and they find each other again",
+          "[membership]") {
+  FleetFixture fixture(10, 7);
+  fixture.start_all();
+  REQUIRE(fixture.until([&] { return fixture.all_alive(); }, seconds(10)));
+  const std::set<MemberIndex> left{0, 1, 2, 3}, right{4, 5, 6, 7, 8, 9};
+  fixture.block(left, right);
+  fixture.block(right, left);
+  const auto apart = [&] {
+    for (const MemberIndex on_left : left) {
+      for (const MemberIndex on_right : right) {
+        if (fixture.node(on_left).members().state(on_right) != MemberState::kDead) return false;
+        if (fixture.node(on_right).members().state(on_left) != MemberState::kDead) return false;
+      }
+    }
+    return true;
+  };
+  CHECK(fixture.until(apart, seconds(60)));
+  fixture.run(seconds(60));
+  for (const MemberIndex observer : left) {
+    for (const MemberIndex member : left)
+      CHECK((observer == member || fixture.node(observer).members().state(member) == MemberState::kAlive));
+  }
+  fixture.unblock_all();
+  CHECK(fixture.until([&] { return fixture.all_alive(); }, seconds(40)));
+}
+
+TEST_CASE("a member that few paths connect to the others stays alive by indirect probes", "[membership]") {
+  FleetFixture fixture(8, 8);
+  fixture.start_all();
+  REQUIRE(fixture.until([&] { return fixture.all_alive(); }, seconds(10)));
+  int deaths = 0;
+  fixture.on_change = [&](MemberIndex, const membership::MemberChange& change) {
+    deaths += change.after == MemberState::kDead;
+  };
+  fixture.block({0}, {1, 2, 3});  // one way
+  fixture.run(seconds(120));
+  CHECK(deaths == 0);
+  fixture.unblock_all();
+  fixture.run(seconds(5));
+  CHECK(fixture.all_alive());
+}
+
+TEST_CASE("a member whose messages reach nobody is considered dead, though it receives; it accuses no others",
+          "[membership]") {
+  FleetFixture fixture(6, 9);
+  fixture.start_all();
+  REQUIRE(fixture.until([&] { return fixture.all_alive(); }, seconds(10)));
+  fixture.block({0}, {1, 2, 3, 4, 5});
+  CHECK(fixture.until([&] { return fixture.all_consider(0, MemberState::kDead); }, seconds(30)));
+  for (MemberIndex observer = 1; observer < 6; ++observer) {
+    for (MemberIndex member = 1; member < 6; ++member)
+      CHECK((observer == member || fixture.node(observer).members().state(member) == MemberState::kAlive));
+  }
+  fixture.unblock_all();
+  CHECK(fixture.until([&] { return fixture.all_alive(); }, seconds(40)));
+}
+
+TEST_CASE("loss, repetitions and datagrams seconds late: all live members are found alive in the end",
+          "[membership]") {
+  FleetFixture fixture(15, 10);
+  fixture.network = {0.3, 0.2, milliseconds(1), milliseconds(3000)};
+  fixture.start_all();
+  fixture.run(seconds(120));
+  fixture.network = {};
+  CHECK(fixture.until([&] { return fixture.all_alive(); }, seconds(60)));
+}
+
+TEST_CASE("a member that leaves is known to be dead without a suspicion", "[membership]") {
+  FleetFixture fixture(8, 11);
+  fixture.start_all();
+  REQUIRE(fixture.until([&] { return fixture.all_alive(); }, seconds(10)));
+  int suspicions = 0;
+  fixture.on_change = [&](MemberIndex, const membership::MemberChange& change) {
+    suspicions += change.after == MemberState::kSuspect;
+  };
+  for (const gossip::OutgoingDatagram& outgoing : fixture.node(4).leave(fixture.clock(4)))
+    fixture.inject(4, outgoing.to.value(),
+                   {outgoing.datagram.bytes().begin(), outgoing.datagram.bytes().end()});
+  fixture.kill(4);
+  CHECK(fixture.until([&] { return fixture.all_consider(4, MemberState::kDead); }, seconds(10)));
+  CHECK(suspicions == 0);
+}
+
+}  // namespace
+}  // namespace dispatcher::testing
--- a/tests/dispatcher/replicated_map_test.cpp
+++ b/tests/dispatcher/replicated_map_test.cpp
@@ -1,4 +1,4 @@
-// Shared rows: merging as a join, bounds, ages, caps, repair.
+// The replicated map: merging as a join, bounds, ages, limits, anti-entropy.
 #include "replicated_state/replicated_map.hpp"
 
 #include <map>
@@ -16,316 +16,327 @@
 
 constexpr Time kNow = seconds(5000);
 
-Kind plain(std::uint32_t id) {
-  Kind kind;
+EntryKind test_kind(std::uint32_t id) {
+  EntryKind kind;
   kind.id = id;
-  kind.name = "plain";
-  kind.valid = [](Bytes payload) { return payload.empty() || payload[0] < 200; };
+  kind.name = "test";
+  kind.is_valid = [](ByteView payload) { return payload.empty() || payload[0] < 200; };
   return kind;
 }
 
-struct Store {
-  Kinds kinds;
-  ReplicatedMap rows;
-  explicit Store(Number self = 0, std::size_t total = 4 * 64, std::uint64_t life = 1)
-      : rows(add(kinds), self, 4, life, total) {
-    for (Number n = 0; n < 4; ++n) rows.adopt_life(n, 1);
+struct Replica {
+  EntryKinds kinds;
+  ReplicatedMap map;
+  explicit Replica(MemberIndex self = 0, std::size_t max_entries = 4 * 64, std::uint64_t incarnation = 1)
+      : map(add(kinds), self, 4, incarnation, max_entries) {
+    for (MemberIndex member = 0; member < 4; ++member) map.adopt_incarnation(member, 1);
   }
-  static Kinds& add(Kinds& kinds) {
-    kinds.add(plain(5));
-    kinds.add(plain(6));
+  static EntryKinds& add(EntryKinds& kinds) {
+    kinds.add(test_kind(5));
+    kinds.add(test_kind(6));
     return kinds;
   }
 };
 
-Row row(Number owner, std::uint64_t key, std::uint64_t version, std::uint8_t value = 1, Duration age = {}) {
-  return {{5, key, owner}, 1, version, false, age, Payload{value}};
+Entry make_entry(MemberIndex owner, std::uint64_t id, std::uint64_t version, std::uint8_t value = 1,
+                 Duration age = {}) {
+  return {{5, id, owner}, 1, version, false, age, Payload{value}};
 }
 
-// All that a store holds, as text that tells any difference.
-std::string dump(const ReplicatedMap& rows) {
+// All that a replica has, as text that shows any difference.
+std::string describe(const ReplicatedMap& map) {
   std::string text;
-  for (Number n = 0; n < 4; ++n) {
-    for (const Row& r : rows.lacking(kNow, {n, 0, 0})) {
-      text += std::to_string(n) + "/" + std::to_string(r.place.kind) + "/" + std::to_string(r.place.key) +
-              " life " + std::to_string(r.life) + " v" + std::to_string(r.version) + (r.gone ? " gone" : "") +
-              " age " + std::to_string(r.age.count()) + " [";
-      for (const auto byte : r.payload) text += std::to_string(byte) + " ";
+  for (MemberIndex member = 0; member < 4; ++member) {
+    for (const Entry& entry : map.entries_missing_from(kNow, {member, 0, 0})) {
+      text += std::to_string(member) + "/" + std::to_string(entry.key.kind) + "/" +
+              std::to_string(entry.key.id) + " incarnation " + std::to_string(entry.incarnation) + " v" +
+              std::to_string(entry.version) + (entry.is_tombstone ? " tombstone" : "") + " age " +
+              std::to_string(entry.age.count()) + " [";
+      for (const auto byte : entry.payload) text += std::to_string(byte) + " ";
       text += "]\n";
     }
   }
   return text;
 }
 
-// What three owners wrote in their lives, as it may reach somebody: with different ages, and now and then
+// What three owners wrote in their incarnations, as it may arrive: with different ages, and now and then
 // with a payload that the owner never wrote.
-std::vector<Row> history(std::mt19937& random, int length, std::uint64_t lives) {
-  std::vector<Row> rows;
-  std::map<std::pair<Number, std::uint64_t>, std::uint64_t> versions;
+std::vector<Entry> history(std::mt19937& random, int length, std::uint64_t incarnations) {
+  std::vector<Entry> entries;
+  std::map<std::pair<MemberIndex, std::uint64_t>, std::uint64_t> versions;
   for (int i = 0; i < length; ++i) {
-    Row r = row(1 + random() % 3, random() % 12, 0, static_cast<std::uint8_t>(random() % 3));
-    r.place.kind = 5 + random() % 2;
-    r.life = 1 + random() % lives;
-    r.version = ++versions[{r.place.owner, r.life}];
-    r.gone = random() % 5 == 0;
-    r.age = seconds(random() % 50);
-    rows.push_back(r);
+    Entry entry = make_entry(1 + random() % 3, random() % 12, 0, static_cast<std::uint8_t>(random() % 3));
+    entry.key.kind = 5 + random() % 2;
+    entry.incarnation = 1 + random() % incarnations;
+    entry.version = ++versions[{entry.key.owner, entry.incarnation}];
+    entry.is_tombstone = random() % 5 == 0;
+    entry.age = seconds(random() % 50);
+    entries.push_back(entry);
     if (random() % 3 == 0) {
-      r.age += milliseconds(random() % 5000);
-      rows.push_back(r);
+      entry.age += milliseconds(random() % 5000);
+      entries.push_back(entry);
     }
     if (random() % 10 == 0) {
-      r.payload = {static_cast<std::uint8_t>(random() % 100), 7};
-      rows.push_back(r);
+      entry.payload = {static_cast<std::uint8_t>(random() % 100), 7};
+      entries.push_back(entry);
     }
   }
-  return rows;
+  return entries;
 }
 
-TEST_CASE("merging in any order, with repetitions, gives one state", "[shared]") {
+TEST_CASE("merging in any order, with repetitions, gives one state", "[replicated_state]") {
   holds(
       [] {
         std::mt19937 random(*rc::gen::arbitrary<std::uint32_t>());
-        const std::size_t quota = *rc::gen::inRange<std::size_t>(1, 14);
-        std::vector<Row> rows = history(random, *rc::gen::inRange(0, 80), 1);
-        Store one(0, 4 * quota), other(0, 4 * quota);
-        for (const Row& r : rows) one.rows.merge(kNow, r);
-        std::shuffle(rows.begin(), rows.end(), random);
-        for (const Row& r : rows) {
-          other.rows.merge(kNow, r);
-          if (random() % 4 == 0) other.rows.merge(kNow, rows[random() % rows.size()]);
+        const std::size_t max_per_owner = *rc::gen::inRange<std::size_t>(1, 14);
+        std::vector<Entry> entries = history(random, *rc::gen::inRange(0, 80), 1);
+        Replica one(0, 4 * max_per_owner);
+        Replica other(0, 4 * max_per_owner);
+        for (const Entry& entry : entries) one.map.merge(kNow, entry);
+        std::shuffle(entries.begin(), entries.end(), random);
+        for (const Entry& entry : entries) {
+          other.map.merge(kNow, entry);
+          if (random() % 4 == 0) other.map.merge(kNow, entries[random() % entries.size()]);
         }
-        RC_ASSERT(dump(one.rows) == dump(other.rows));
-        RC_ASSERT(other.rows.size() <= 4 * quota);
-        // Idempotent, as a whole.
-        const std::string before = dump(one.rows);
-        for (const Row& r : rows) one.rows.merge(kNow, r);
-        RC_ASSERT(dump(one.rows) == before);
+        RC_ASSERT(describe(one.map) == describe(other.map));
+        RC_ASSERT(other.map.size() <= 4 * max_per_owner);
+        // Idempotent.
+        const std::string before = describe(one.map);
+        for (const Entry& entry : entries) one.map.merge(kNow, entry);
+        RC_ASSERT(describe(one.map) == before);
       },
       500);
 }
 
-TEST_CASE("lives that become known at any time between: once all have come again, one state", "[shared]") {
+TEST_CASE(
+    "incarnations that become known at any time between: once all entries were received again, one state",
+    "[replicated_state]") {
   holds([] {
     std::mt19937 random(*rc::gen::arbitrary<std::uint32_t>());
-    std::vector<Row> rows = history(random, *rc::gen::inRange(0, 60), 3);
-    Store one(0, 4 * 6), other(0, 4 * 6);
-    for (Store* s : {&one, &other}) {
-      std::shuffle(rows.begin(), rows.end(), random);
-      for (const Row& r : rows) {
-        if (random() % 10 == 0) s->rows.adopt_life(1 + random() % 3, 1 + random() % 3);
-        s->rows.merge(kNow, r);
+    std::vector<Entry> entries = history(random, *rc::gen::inRange(0, 60), 3);
+    Replica one(0, 4 * 6);
+    Replica other(0, 4 * 6);
+    for (Replica* replica : {&one, &other}) {
+      std::shuffle(entries.begin(), entries.end(), random);
+      for (const Entry& entry : entries) {
+        if (random() % 10 == 0) replica->map.adopt_incarnation(1 + random() % 3, 1 + random() % 3);
+        replica->map.merge(kNow, entry);
       }
-      for (Number n = 1; n < 4; ++n) s->rows.adopt_life(n, 3);
-      std::shuffle(rows.begin(), rows.end(), random);
-      for (const Row& r : rows) s->rows.merge(kNow, r);
+      for (MemberIndex member = 1; member < 4; ++member) replica->map.adopt_incarnation(member, 3);
+      std::shuffle(entries.begin(), entries.end(), random);
+      for (const Entry& entry : entries) replica->map.merge(kNow, entry);
     }
-    RC_ASSERT(dump(one.rows) == dump(other.rows));
+    RC_ASSERT(describe(one.map) == describe(other.map));
   });
 }
 
-TEST_CASE("two stores that know different parts agree after their summaries", "[shared]") {
+TEST_CASE("two replicas that have different parts agree after they exchange digests", "[replicated_state]") {
   holds([] {
     std::mt19937 random(*rc::gen::arbitrary<std::uint32_t>());
-    std::vector<Row> rows = history(random, *rc::gen::inRange(0, 60), 1);
+    std::vector<Entry> entries = history(random, *rc::gen::inRange(0, 60), 1);
     // Of one age each, neither spreading still nor near its end.
-    for (Row& r : rows) r.age = seconds(10);
-    std::erase_if(rows, [](const Row& r) { return r.payload.size() > 1; });
-    Store one, other;
-    for (const Row& r : rows) (random() % 2 == 0 ? one : other).rows.merge(kNow, r);
-    const auto push = [](Store& from, Store& to) {
-      for (Number n = 0; n < 4; ++n) {
-        for (const Row& r : from.rows.lacking(kNow, to.rows.summary(kNow, n))) to.rows.merge(kNow, r);
+    for (Entry& entry : entries) entry.age = seconds(10);
+    std::erase_if(entries, [](const Entry& entry) { return entry.payload.size() > 1; });
+    Replica one;
+    Replica other;
+    for (const Entry& entry : entries) (random() % 2 == 0 ? one : other).map.merge(kNow, entry);
+    const auto push = [](Replica& from, Replica& to) {
+      for (MemberIndex member = 0; member < 4; ++member) {
+        for (const Entry& entry : from.map.entries_missing_from(kNow, to.map.digest(kNow, member)))
+          to.map.merge(kNow, entry);
       }
     };
     push(one, other);
     push(other, one);
-    RC_ASSERT(dump(one.rows) == dump(other.rows));
-    RC_ASSERT(one.rows.group_hash(kNow, 0) == other.rows.group_hash(kNow, 0));
-    for (Number n = 0; n < 4; ++n) RC_ASSERT(one.rows.lacking(kNow, other.rows.summary(kNow, n)).empty());
+    RC_ASSERT(describe(one.map) == describe(other.map));
+    RC_ASSERT(one.map.group_hash(kNow, 0) == other.map.group_hash(kNow, 0));
+    for (MemberIndex member = 0; member < 4; ++member)
+      RC_ASSERT(one.map.entries_missing_from(kNow, other.map.digest(kNow, member)).empty());
   });
 }
 
-TEST_CASE("nothing is taken past its bounds, and each reason is counted", "[shared]") {
-  Store s;
-  const auto merge = [&](Row r) { return s.rows.merge(kNow, r); };
-  Row good = row(1, 1, 5);
-  Row r = good;
-  r.place.owner = 4;
-  CHECK(merge(r) == MergeResult::kOutOfBounds);
-  r = good;
-  r.place.owner = 0;
-  r.version = 1000;
-  CHECK(merge(r) == MergeResult::kOwn);
-  r = good;
-  r.life = 0;
-  CHECK(merge(r) == MergeResult::kOldLife);
-  r = good;
-  r.life = 2;
-  CHECK(merge(r) == MergeResult::kUnknownLife);
-  r = good;
-  r.place.kind = 77;
-  CHECK(merge(r) == MergeResult::kUnknownKind);
-  r = good;
-  r.age = seconds(60);
-  CHECK(merge(r) == MergeResult::kTooOld);
-  r = good;
-  r.age = -milliseconds(1);
-  CHECK(merge(r) == MergeResult::kOutOfBounds);
-  r = good;
-  r.version = 0;
-  CHECK(merge(r) == MergeResult::kOutOfBounds);
-  r.version = kMaxVersion + 1;
-  CHECK(merge(r) == MergeResult::kOutOfBounds);
-  r = good;
-  r.payload = {200};
-  CHECK(merge(r) == MergeResult::kOutOfBounds);
-  r.payload.assign(9, 1);
-  CHECK(merge(r) == MergeResult::kOutOfBounds);
-  CHECK(s.rows.size() == 0);
-  CHECK(merge(good) == MergeResult::kNew);
-  CHECK(merge(good) == MergeResult::kKnown);
-  r = row(1, 2, 5);
-  CHECK(merge(r) == MergeResult::kOutOfBounds);  // one row a version
-  CHECK(s.rows.verdicts()[static_cast<std::size_t>(MergeResult::kOutOfBounds)] == 7);
-  CHECK(s.rows.verdicts()[static_cast<std::size_t>(MergeResult::kOwn)] == 1);
+TEST_CASE("nothing is accepted beyond its bounds, and each result is counted", "[replicated_state]") {
+  Replica replica;
+  const auto merge = [&](Entry entry) { return replica.map.merge(kNow, entry); };
+  const Entry valid_entry = make_entry(1, 1, 5);
+  Entry entry = valid_entry;
+  entry.key.owner = 4;
+  CHECK(merge(entry) == MergeResult::kInvalid);
+  entry = valid_entry;
+  entry.key.owner = 0;
+  entry.version = 1000;
+  CHECK(merge(entry) == MergeResult::kOwnEntry);
+  entry = valid_entry;
+  entry.incarnation = 0;
+  CHECK(merge(entry) == MergeResult::kStaleIncarnation);
+  entry = valid_entry;
+  entry.incarnation = 2;
+  CHECK(merge(entry) == MergeResult::kUnknownIncarnation);
+  entry = valid_entry;
+  entry.key.kind = 77;
+  CHECK(merge(entry) == MergeResult::kUnknownKind);
+  entry = valid_entry;
+  entry.age = seconds(60);
+  CHECK(merge(entry) == MergeResult::kExpired);
+  entry = valid_entry;
+  entry.age = -milliseconds(1);
+  CHECK(merge(entry) == MergeResult::kInvalid);
+  entry = valid_entry;
+  entry.version = 0;
+  CHECK(merge(entry) == MergeResult::kInvalid);
+  entry.version = kMaxVersion + 1;
+  CHECK(merge(entry) == MergeResult::kInvalid);
+  entry = valid_entry;
+  entry.payload = {200};
+  CHECK(merge(entry) == MergeResult::kInvalid);
+  entry.payload.assign(9, 1);
+  CHECK(merge(entry) == MergeResult::kInvalid);
+  CHECK(replica.map.size() == 0);
+  CHECK(merge(valid_entry) == MergeResult::kAccepted);
+  CHECK(merge(valid_entry) == MergeResult::kAlreadyKnown);
+  entry = make_entry(1, 2, 5);
+  CHECK(merge(entry) == MergeResult::kInvalid);  // one entry a version
+  CHECK(replica.map.merge_counts()[static_cast<std::size_t>(MergeResult::kInvalid)] == 7);
+  CHECK(replica.map.merge_counts()[static_cast<std::size_t>(MergeResult::kOwnEntry)] == 1);
 }
 
-TEST_CASE("a doubt is a part of what was tried", "[shared]") {
-  const Kind kind = doubt_kind();
-  CHECK(kind.valid(encode({0, 1})));
-  CHECK(kind.valid(encode({7, 7})));
-  CHECK_FALSE(kind.valid(encode({8, 7})));
-  CHECK_FALSE(kind.valid(encode({0, 0})));
-  CHECK_FALSE(kind.valid(encode({0, kMaxTried + 1})));
-  CHECK_FALSE(kind.valid(std::vector<std::uint8_t>{0xFF}));
-  CHECK(encode({kMaxTried, kMaxTried}).size() <= kind.max_payload);
+TEST_CASE("failed attempts of evidence are a part of its attempts", "[replicated_state]") {
+  const EntryKind kind = failure_evidence_kind();
+  CHECK(kind.is_valid(encode({0, 1})));
+  CHECK(kind.is_valid(encode({7, 7})));
+  CHECK_FALSE(kind.is_valid(encode({8, 7})));
+  CHECK_FALSE(kind.is_valid(encode({0, 0})));
+  CHECK_FALSE(kind.is_valid(encode({0, kMaxAttempts + 1})));
+  CHECK_FALSE(kind.is_valid(std::vector<std::uint8_t>{0xFF}));
+  CHECK(encode({kMaxAttempts, kMaxAttempts}).size() <= kind.max_payload_bytes);
 }
 
-TEST_CASE("a kind must be whole, and its number its own", "[shared]") {
-  Kinds kinds;
-  kinds.add(plain(5));
-  CHECK_THROWS_WITH(kinds.add(plain(5)), Catch::Contains("taken"));
-  CHECK_THROWS(kinds.add(plain(0)));
-  CHECK_THROWS(kinds.add(plain(kMaxKind + 1)));
-  Kind bad = plain(7);
-  bad.valid = {};
+TEST_CASE("a kind must be complete, and its id unused", "[replicated_state]") {
+  EntryKinds kinds;
+  kinds.add(test_kind(5));
+  CHECK_THROWS_WITH(kinds.add(test_kind(5)), Catch::Contains("taken"));
+  CHECK_THROWS(kinds.add(test_kind(0)));
+  CHECK_THROWS(kinds.add(test_kind(kMaxKindId + 1)));
+  EntryKind bad = test_kind(7);
+  bad.is_valid = {};
   CHECK_THROWS_WITH(kinds.add(bad), Catch::Contains("bounds"));
-  bad = plain(7);
-  bad.max_payload = kMaxPayload + 1;
+  bad = test_kind(7);
+  bad.max_payload_bytes = kMaxPayloadBytes + 1;
   CHECK_THROWS(kinds.add(bad));
 }
 
-std::vector<Heard> heard(const ReplicatedMap& rows, Time now) {
-  std::vector<Heard> found;
-  rows.each(now, 5, [&](const Heard& h) { found.push_back(h); });
+std::vector<EntryView> visible(const ReplicatedMap& map, Time now) {
+  std::vector<EntryView> found;
+  map.for_each(now, 5, [&](const EntryView& view) { found.push_back(view); });
   return found;
 }
 
-TEST_CASE("a row ages by the receiver's clock from the age it was told, and is forgotten", "[shared]") {
-  Store s;
-  s.rows.merge(kNow, row(1, 1, 1, 1, seconds(20)));
-  REQUIRE(heard(s.rows, kNow + seconds(5)).size() == 1);
-  CHECK(heard(s.rows, kNow + seconds(5))[0].age == seconds(25));
-  s.rows.merge(kNow + seconds(5), row(1, 1, 1, 1, seconds(24)));  // it came by a shorter reckoning
-  CHECK(heard(s.rows, kNow + seconds(5))[0].age == seconds(25));
-  CHECK(heard(s.rows, kNow + seconds(40)).empty());
-  s.rows.tick(kNow + seconds(40));
-  CHECK(s.rows.size() == 0);
-  CHECK(s.rows.merge(kNow + seconds(40), row(1, 1, 1, 1, seconds(60))) == MergeResult::kTooOld);
+TEST_CASE("an entry ages by the receiver's clock from the age it was sent with, and expires",
+          "[replicated_state]") {
+  Replica replica;
+  replica.map.merge(kNow, make_entry(1, 1, 1, 1, seconds(20)));
+  REQUIRE(visible(replica.map, kNow + seconds(5)).size() == 1);
+  CHECK(visible(replica.map, kNow + seconds(5))[0].age == seconds(25));
+  replica.map.merge(kNow + seconds(5), make_entry(1, 1, 1, 1, seconds(24)));  // a less exact age
+  CHECK(visible(replica.map, kNow + seconds(5))[0].age == seconds(25));
+  CHECK(visible(replica.map, kNow + seconds(40)).empty());
+  replica.map.tick(kNow + seconds(40));
+  CHECK(replica.map.size() == 0);
+  CHECK(replica.map.merge(kNow + seconds(40), make_entry(1, 1, 1, 1, seconds(60))) == MergeResult::kExpired);
 }
 
-TEST_CASE("a row fades with its owner's silence, and no further when it is heard again", "[shared]") {
-  Store s;
-  s.rows.merge(kNow, row(1, 1, 1));
-  CHECK(heard(s.rows, kNow + seconds(10))[0].weight == 1);
-  s.rows.silent(1, kNow);
-  CHECK(heard(s.rows, kNow + seconds(10))[0].weight == Approx(0.5));
-  CHECK(heard(s.rows, kNow + seconds(30))[0].weight == Approx(0.125));
-  s.rows.silent(1, std::nullopt);
-  CHECK(heard(s.rows, kNow + seconds(30))[0].weight == 1);
+TEST_CASE("an entry's weight decays while its owner is silent, and is restored when it is alive again",
+          "[replicated_state]") {
+  Replica replica;
+  replica.map.merge(kNow, make_entry(1, 1, 1));
+  CHECK(visible(replica.map, kNow + seconds(10))[0].weight == 1);
+  replica.map.set_silent_since(1, kNow);
+  CHECK(visible(replica.map, kNow + seconds(10))[0].weight == Approx(0.5));
+  CHECK(visible(replica.map, kNow + seconds(30))[0].weight == Approx(0.125));
+  replica.map.set_silent_since(1, std::nullopt);
+  CHECK(visible(replica.map, kNow + seconds(30))[0].weight == 1);
 }
 
-TEST_CASE("a later life drops what the earlier one said", "[shared]") {
-  Store s;
-  s.rows.merge(kNow, row(1, 1, 50));
-  s.rows.adopt_life(1, 2);
-  CHECK(s.rows.size() == 0);
-  CHECK(s.rows.merge(kNow, row(1, 1, 51)) == MergeResult::kOldLife);
-  Row r = row(1, 1, 1);
-  r.life = 2;
-  CHECK(s.rows.merge(kNow, r) == MergeResult::kNew);
+TEST_CASE("a later incarnation drops the entries of the earlier one", "[replicated_state]") {
+  Replica replica;
+  replica.map.merge(kNow, make_entry(1, 1, 50));
+  replica.map.adopt_incarnation(1, 2);
+  CHECK(replica.map.size() == 0);
+  CHECK(replica.map.merge(kNow, make_entry(1, 1, 51)) == MergeResult::kStaleIncarnation);
+  Entry entry = make_entry(1, 1, 1);
+  entry.incarnation = 2;
+  CHECK(replica.map.merge(kNow, entry) == MergeResult::kAccepted);
 }
 
-TEST_CASE(
-    "own writes: too soon, they wait and the last wins; the same again is free until it needs refreshing",
-    "[shared]") {
-  Store s;
+TEST_CASE("own writes: early ones wait and the last wins; an unchanged one is free until it needs a refresh",
+          "[replicated_state]") {
+  Replica replica;
   const auto set = [&](Time now, std::uint8_t value) {
-    return s.rows.set(now, 5, 1, std::vector<std::uint8_t>{value});
+    return replica.map.set(now, 5, 1, std::vector<std::uint8_t>{value});
   };
-  const auto version = [&] { return s.rows.summary(kNow, 0).top; };
+  const auto version = [&] { return replica.map.digest(kNow, 0).max_version; };
   CHECK_FALSE(set(kNow, 200));
-  CHECK_FALSE(s.rows.set(kNow, 99, 1, {}));
+  CHECK_FALSE(replica.map.set(kNow, 99, 1, {}));
   CHECK(set(kNow, 1));
   CHECK(version() == 1);
   CHECK(set(kNow + seconds(1), 2));
   CHECK(set(kNow + seconds(1), 3));
-  s.rows.tick(kNow + milliseconds(1999));
+  replica.map.tick(kNow + milliseconds(1999));
   CHECK(version() == 1);
-  s.rows.tick(kNow + seconds(2));
+  replica.map.tick(kNow + seconds(2));
   CHECK(version() == 2);
-  CHECK(heard(s.rows, kNow + seconds(2))[0].payload[0] == 3);
+  CHECK(visible(replica.map, kNow + seconds(2))[0].payload[0] == 3);
   CHECK(set(kNow + seconds(15), 3));
   CHECK(version() == 2);
   CHECK(set(kNow + seconds(22), 3));
   CHECK(version() == 3);
-  s.rows.erase(kNow + seconds(30), 5, 1);
-  CHECK(heard(s.rows, kNow + seconds(30)).empty());
+  replica.map.erase(kNow + seconds(30), 5, 1);
+  CHECK(visible(replica.map, kNow + seconds(30)).empty());
   CHECK(version() == 4);
-  REQUIRE(s.rows.queue(kNow + seconds(30)).size() == 1);
-  CHECK(s.rows.queue(kNow + seconds(30))[0].gone);
+  REQUIRE(replica.map.send_queue(kNow + seconds(30), Delivery::kUnicast).size() == 1);
+  CHECK(replica.map.send_queue(kNow + seconds(30), Delivery::kUnicast)[0].is_tombstone);
 }
 
-TEST_CASE("an owner's rows stay within its quota, own writes that wait included", "[shared]") {
-  Store s(0, 4 * 3);
-  for (std::uint64_t key = 0; key < 10; ++key) s.rows.set(kNow, 5, key, std::vector<std::uint8_t>{1});
-  CHECK(s.rows.size() == 3);
-  for (std::uint64_t key = 7; key < 10; ++key)
-    CHECK(s.rows.set(kNow + seconds(1), 5, key, std::vector<std::uint8_t>{2}));
-  CHECK(heard(s.rows, kNow)[0].key == 7);
-  // A flood by another owner takes nothing from ours.
-  for (std::uint64_t v = 1; v < 100; ++v) s.rows.merge(kNow, row(1, v, v));
-  CHECK(s.rows.size() == 6);
-  CHECK(s.rows.merge(kNow, row(1, 1, 1)) ==
-        MergeResult::kKnown);  // below the floor: it does not come back in
-  CHECK(s.rows.size() == 6);
+TEST_CASE("an owner's entries stay within its limit, deferred writes included", "[replicated_state]") {
+  Replica replica(0, 4 * 3);
+  for (std::uint64_t id = 0; id < 10; ++id) replica.map.set(kNow, 5, id, std::vector<std::uint8_t>{1});
+  CHECK(replica.map.size() == 3);
+  for (std::uint64_t id = 7; id < 10; ++id)
+    CHECK(replica.map.set(kNow + seconds(1), 5, id, std::vector<std::uint8_t>{2}));
+  CHECK(visible(replica.map, kNow)[0].id == 7);
+  // A flood by another owner evicts nothing of ours.
+  for (std::uint64_t version = 1; version < 100; ++version)
+    replica.map.merge(kNow, make_entry(1, version, version));
+  CHECK(replica.map.size() == 6);
+  CHECK(replica.map.merge(kNow, make_entry(1, 1, 1)) ==
+        MergeResult::kAlreadyKnown);  // evicted: it does not return
+  CHECK(replica.map.size() == 6);
 }
 
-TEST_CASE("an own life that has to change takes the rows along", "[shared]") {
-  Store s;
-  s.rows.set(kNow, 5, 1, std::vector<std::uint8_t>{1});
-  s.rows.set(kNow + seconds(3), 5, 1, std::vector<std::uint8_t>{2});
-  s.rows.own_life(kNow + seconds(5), 9);
-  const auto queue = s.rows.queue(kNow + seconds(5));
+TEST_CASE("own entries are written again under a new own incarnation", "[replicated_state]") {
+  Replica replica;
+  replica.map.set(kNow, 5, 1, std::vector<std::uint8_t>{1});
+  replica.map.set(kNow + seconds(3), 5, 1, std::vector<std::uint8_t>{2});
+  replica.map.set_own_incarnation(kNow + seconds(5), 9);
+  const auto queue = replica.map.send_queue(kNow + seconds(5), Delivery::kUnicast);
   REQUIRE(queue.size() == 1);
-  CHECK(queue[0].life == 9);
+  CHECK(queue[0].incarnation == 9);
   CHECK(queue[0].version == 1);
   CHECK(queue[0].age == seconds(2));
 }
 
-TEST_CASE("a row is passed on as often as its kind says", "[shared]") {
-  Store s;
-  s.rows.merge(kNow, row(1, 1, 1));
-  for (unsigned i = 0; i < plain(5).spread; ++i) {
-    REQUIRE(s.rows.queue(kNow).size() == 1);
-    s.rows.sent({5, 1, 1});
+TEST_CASE("an entry is sent as often as its kind says", "[replicated_state]") {
+  Replica replica;
+  replica.map.merge(kNow, make_entry(1, 1, 1));
+  for (unsigned i = 0; i < test_kind(5).max_transmissions; ++i) {
+    REQUIRE(replica.map.send_queue(kNow, Delivery::kUnicast).size() == 1);
+    replica.map.mark_sent({5, 1, 1}, Delivery::kUnicast);
   }
-  CHECK(s.rows.queue(kNow).empty());
-  s.rows.merge(kNow, row(1, 1, 1));
-  CHECK(s.rows.queue(kNow).empty());
-  s.rows.merge(kNow, row(1, 1, 2));
-  CHECK(s.rows.queue(kNow).size() == 1);
+  CHECK(replica.map.send_queue(kNow, Delivery::kUnicast).empty());
+  replica.map.merge(kNow, make_entry(1, 1, 1));
+  CHECK(replica.map.send_queue(kNow, Delivery::kUnicast).empty());
+  replica.map.merge(kNow, make_entry(1, 1, 2));
+  CHECK(replica.map.send_queue(kNow, Delivery::kUnicast).size() == 1);
 }
 
 }  // namespace
