--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -231,6 +231,7 @@
   shuffle(receivers, random_);
   receivers.resize(std::min<std::size_t>(receivers.size(), parameters_.indirect_probes));
   std::vector<OutgoingMessage> out;
+  out.reserve(receivers.size());
   for (const MemberIndex receiver : receivers) out.push_back({receiver, std::nullopt});
   return out;
 }
--- a/src/replicated_state/replicated_map.cpp
+++ b/src/replicated_state/replicated_map.cpp
@@ -246,6 +246,7 @@
     return std::pair(rank(left), *left.first) < std::pair(rank(right), *right.first);
   });
   std::vector<Entry> queue;
+  queue.reserve(found.size());
   for (const auto& [key, stored] : found) queue.push_back(to_entry(now, *key, *stored));
   return queue;
 }
--- a/tests/dispatcher/fleet_fixture.cpp
+++ b/tests/dispatcher/fleet_fixture.cpp
@@ -22,7 +22,8 @@
   const auto wall = seconds(1'800'000'000) + now_ + skew[member];
   const auto incarnation = static_cast<std::uint64_t>(std::chrono::duration_cast<milliseconds>(wall).count());
   process.node = std::make_unique<GossipNode>(options, kinds, incarnation,
-                                              seed_ * 1000 + member * 10 + ++process.restarts, clock(member));
+                                              seed_ * 1000 + std::uint64_t{member} * 10 + ++process.restarts,
+                                              clock(member));
   process.node->on_change([this, member](const membership::MemberChange& change) {
     if (on_change) on_change(member, change);
   });
--- a/tests/dispatcher/gossip_wire_test.cpp
+++ b/tests/dispatcher/gossip_wire_test.cpp
@@ -67,8 +67,9 @@
   std::string_view content;  // after the head, in hexadecimal
 };
 
-const std::vector<RecordedDatagram>& recorded_datagrams() {
-  static const std::vector<RecordedDatagram> datagrams = {
+// Messages of the membership.
+std::vector<RecordedDatagram> recorded_membership() {
+  return {
       {"head alone", [](DatagramBuilder&) {}, ""},
       {"ping",
        [](DatagramBuilder& builder) {
@@ -105,6 +106,12 @@
          builder.add(MemberUpdate{7, {kIncarnation + 1, 2}, MemberState::kDead, 11});
        },
        "520d08071081a0f1c2b13418022002"},
+  };
+}
+
+// Messages of the replicated state.
+std::vector<RecordedDatagram> recorded_state() {
+  return {
       {"quota request",
        [](DatagramBuilder& builder) {
          builder.add(QuotaRequest{{2, 1000}, 300, 0, 500});
@@ -148,7 +155,13 @@
       {"digest reply", [](DatagramBuilder& builder) { builder.add(kRecordedDigest, true); },
        "7a0a080c10ac021defbeadde900101"},
   };
-  return datagrams;
+}
+
+std::vector<RecordedDatagram> recorded_datagrams() {
+  std::vector<RecordedDatagram> all = recorded_membership();
+  const std::vector<RecordedDatagram> state = recorded_state();
+  all.insert(all.end(), state.begin(), state.end());
+  return all;
 }
 
 // Adds all content of a decoded message to a datagram.
--- a/tests/dispatcher/lending_fixture.hpp
+++ b/tests/dispatcher/lending_fixture.hpp
@@ -23,8 +23,8 @@
 using replicated_state::QuotaReturn;
 
 // A budget of either type, small enough to explore all that may happen to it.
-inline const Budget kRateBudget{{1, 7}, BudgetType::kRate, 6, seconds(10)};
-inline const Budget kUnitsBudget{{2, 7}, BudgetType::kConsumable, 6, {}};
+inline constexpr Budget kRateBudget{{1, 7}, BudgetType::kRate, 6, seconds(10)};
+inline constexpr Budget kUnitsBudget{{2, 7}, BudgetType::kConsumable, 6, {}};
 
 // A message that was sent and may arrive.
 struct SentMessage {
--- a/tests/dispatcher/membership_protocol_test.cpp
+++ b/tests/dispatcher/membership_protocol_test.cpp
@@ -57,6 +57,7 @@
         std::mt19937 random(*rc::gen::arbitrary<std::uint32_t>());
         std::vector<MemberUpdate> updates;
         const int length = *rc::gen::inRange(0, 60);
+        updates.reserve(static_cast<std::size_t>(length));
         for (int i = 0; i < length; ++i)
           updates.push_back({static_cast<MemberIndex>(1 + random() % 4),
                              {1 + random() % 3, static_cast<std::uint32_t>(random() % 3)},
--- a/tests/dispatcher/membership_test.cpp
+++ b/tests/dispatcher/membership_test.cpp
@@ -79,7 +79,7 @@
     for (const InFlightMessage& message : messages) deliver(message);
   }
   InFlightMessage take_first() {
-    const InFlightMessage message = in_flight.front();
+    InFlightMessage message = in_flight.front();
     in_flight.erase(in_flight.begin());
     return message;
   }
--- a/tests/dispatcher/quota_lending_test.cpp
+++ b/tests/dispatcher/quota_lending_test.cpp
@@ -81,7 +81,7 @@
   const std::uint64_t borrowed = pair.fleet.rate(0) - 500, before = pair.fleet.available(0);
   REQUIRE(borrowed > 0);
   pair.fleet.real_time += seconds(300);
-  CHECK(pair.fleet.available(0) == before + 300 * 500 + 10 * borrowed);
+  CHECK(pair.fleet.available(0) == before + 300UL * 500 + 10 * borrowed);
 }
 
 TEST_CASE("a restarted lender uses only the reserved part until its earlier loans are over",
--- a/tests/dispatcher/replicated_map_test.cpp
+++ b/tests/dispatcher/replicated_map_test.cpp
@@ -27,7 +27,8 @@
 struct Replica {
   EntryKinds kinds;
   ReplicatedMap map;
-  explicit Replica(MemberIndex self = 0, std::size_t max_entries = 4 * 64, std::uint64_t incarnation = 1)
+  explicit Replica(MemberIndex self = 0, std::size_t max_entries = std::size_t{4} * 64,
+                   std::uint64_t incarnation = 1)
       : map(add(kinds), self, 4, incarnation, max_entries) {
     for (MemberIndex member = 0; member < 4; ++member) map.adopt_incarnation(member, 1);
   }
@@ -114,8 +115,8 @@
   holds([] {
     std::mt19937 random(*rc::gen::arbitrary<std::uint32_t>());
     std::vector<Entry> entries = history(random, *rc::gen::inRange(0, 60), 3);
-    Replica one(0, 4 * 6);
-    Replica other(0, 4 * 6);
+    Replica one(0, std::size_t{4} * 6);
+    Replica other(0, std::size_t{4} * 6);
     for (Replica* replica : {&one, &other}) {
       std::shuffle(entries.begin(), entries.end(), random);
       for (const Entry& entry : entries) {
@@ -157,7 +158,7 @@
 
 TEST_CASE("nothing is accepted beyond its bounds, and each result is counted", "[replicated_state]") {
   Replica replica;
-  const auto merge = [&](Entry entry) { return replica.map.merge(kNow, entry); };
+  const auto merge = [&](const Entry& entry) { return replica.map.merge(kNow, entry); };
   const Entry valid_entry = make_entry(1, 1, 5);
   Entry entry = valid_entry;
   entry.key.owner = 4;
@@ -298,7 +299,7 @@
 }
 
 TEST_CASE("an owner's entries stay within its limit, deferred writes included", "[replicated_state]") {
-  Replica replica(0, 4 * 3);
+  Replica replica(0, std::size_t{4} * 3);
   for (std::uint64_t id = 0; id < 10; ++id) replica.map.set(kNow, 5, id, std::vector<std::uint8_t>{1});
   CHECK(replica.map.size() == 3);
   for (std::uint64_t id = 7; id < 10; ++id)
