--- /dev/null
+++ b/adapter/action_encoder.cpp
@@ -0,0 +1,87 @@
+#include "adapter/action_encoder.hpp"
+
+#include <nlohmann/json.hpp>
+
+#include "adapter/protocol_names.hpp"
+#include "json/typed_value.hpp"
+
+namespace dispatcher::simulator_adapter {
+namespace {
+
+using json::Json;
+
+double milliseconds_of(routing::Duration time) {
+  return static_cast<double>(time.count()) / json::kMicrosecondsPerMillisecond;
+}
+
+// Visits an action: sets the members of its reply that are its own and returns the reply's name.
+class ReplyWriter {
+ public:
+  explicit ReplyWriter(Json& reply) : reply_(reply) {}
+
+  const char* operator()(const routing::StartAttempt& action) const {
+    reply_[fields::kRequest] = action.request;
+    reply_[fields::kEndpoint] = action.endpoint;
+    if (action.deadline != routing::Time{}) reply_[fields::kDeadline] = milliseconds_of(action.deadline);
+    return replies::kStartAttempt;
+  }
+  const char* operator()(const routing::CancelAttempt& action) const {
+    reply_[fields::kRequest] = action.request;
+    reply_[fields::kAttempt] = action.attempt;
+    return replies::kCancelAttempt;
+  }
+  const char* operator()(const routing::Reject& action) const {
+    reply_[fields::kRequest] = action.request;
+    if (action.retry_after) reply_[fields::kRetryAfter] = milliseconds_of(*action.retry_after);
+    return replies::kReject;
+  }
+  const char* operator()(const routing::Fail& action) const {
+    reply_[fields::kRequest] = action.request;
+    return replies::kFail;
+  }
+  const char* operator()(const routing::MigrateStream& action) const {
+    reply_[fields::kRequest] = action.request;
+    return replies::kMigrateStream;
+  }
+  const char* operator()(const routing::ReserveSlot& action) const {
+    reply_[fields::kRequest] = action.request;
+    reply_[fields::kEndpoint] = action.endpoint;
+    return replies::kReserveSlot;
+  }
+  const char* operator()(const routing::ReleaseReservation& action) const {
+    reply_[fields::kRequest] = action.request;
+    return replies::kReleaseReservation;
+  }
+  const char* operator()(const routing::SetTimer& action) const {
+    reply_[fields::kTimerDelay] = milliseconds_of(action.after);
+    reply_[fields::kTimerTag] = action.tag;
+    return replies::kSetTimer;
+  }
+  const char* operator()(const routing::Subscribe&) const {
+    reply_[fields::kSubscribed] = true;
+    return replies::kSubscribe;
+  }
+  const char* operator()(const routing::LogMessage& action) const {
+    reply_[fields::kText] = action.text;
+    return replies::kLogMessage;
+  }
+
+ private:
+  Json& reply_;
+};
+
+}  // namespace
+
+std::string encode_action(const std::string& dispatcher, const routing::Action& action) {
+  Json reply{{fields::kDispatcher, dispatcher}};
+  const char* const name = std::visit(ReplyWriter(reply), action);
+  return Json{{name, reply}}.dump();
+}
+
+std::string encode_start_failure(const std::string& dispatcher, const std::string& reason) {
+  return Json{{replies::kStartFailed, {{fields::kDispatcher, dispatcher}, {fields::kText, reason}}}}.dump();
+}
+
+std::string encode_end_of_batch() { return Json{{replies::kEndOfBatch, Json::object()}}.dump(); }
+
+}  // namespace dispatcher::simulator_adapter
--- /dev/null
+++ b/adapter/event_decoder.hpp
@@ -0,0 +1,25 @@
+// Decodes the simulator's messages to events of the decision module.
+#ifndef DISPATCHER_ADAPTER_EVENT_DECODER_HPP_
+#define DISPATCHER_ADAPTER_EVENT_DECODER_HPP_
+
+#include <optional>
+#include <string>
+
+#include "json/members.hpp"
+#include "routing/router.hpp"
+
+namespace dispatcher::simulator_adapter {
+
+using json::Json;
+
+// The endpoint list that a message announces; `page` has its entries and must be an array. Of a list whose
+// retrieval failed only the kind is set. Throws json::ParseError.
+[[nodiscard]] routing::EndpointList decode_endpoint_list(const Json& message, const Json& page);
+
+// The event of any other message. Empty: the name is unknown, and the message to be ignored. Throws
+// json::ParseError.
+[[nodiscard]] std::optional<routing::Event> decode_event(const std::string& name, const Json& message);
+
+}  // namespace dispatcher::simulator_adapter
+
+#endif  // DISPATCHER_ADAPTER_EVENT_DECODER_HPP_
--- a/adapter/main.cpp
+++ b/adapter/main.cpp
@@ -1,20 +1,22 @@
-// The wire host: reads batches on standard input, writes replies on standard output.
+// The simulator's adapter as a program: reads batches on standard input and writes replies to standard
+// output. Ends with status 1 at the first malformed line, whose number and error go to standard error.
+#include <exception>
 #include <iostream>
 #include <string>
 
-#include "wire.hpp"
+#include "adapter/simulator_session.hpp"
 
 int main() {
   std::ios::sync_with_stdio(false);
-  dispatcher::wire::Session session;
-  std::string line;
-  long number = 0;
-  while (std::getline(std::cin, line)) {
-    ++number;
+  dispatcher::simulator_adapter::SimulatorSession session;
+  std::string input;
+  long line_number = 0;
+  while (std::getline(std::cin, input)) {
+    ++line_number;
     try {
-      if (const auto reply = session.feed(line)) std::cout << *reply << std::flush;
-    } catch (const std::exception& e) {
-      std::cerr << "line " << number << ": " << e.what() << "\n";
+      if (const auto replies = session.handle_line(input)) std::cout << *replies << std::flush;
+    } catch (const std::exception& error) {
+      std::cerr << "line " << line_number << ": " << error.what() << "\n";
       return 1;
     }
   }
--- /dev/null
+++ b/adapter/simulator_session.hpp
@@ -0,0 +1,47 @@
+// Runs decision modules for the simulator: one process serves any number of dispatchers by lines of JSON.
+// Makes no decision itself.
+#ifndef DISPATCHER_ADAPTER_SIMULATOR_SESSION_HPP_
+#define DISPATCHER_ADAPTER_SIMULATOR_SESSION_HPP_
+
+#include <array>
+#include <cstddef>
+#include <map>
+#include <optional>
+#include <string>
+#include <string_view>
+
+#include "json/members.hpp"
+#include "routing/router.hpp"
+
+namespace dispatcher::simulator_adapter {
+
+using json::Json;
+
+// The state of one connection to the simulator, from its first line to its last. Used by one thread; calls no
+// callbacks. The same input gives the same output, byte for byte.
+class SimulatorSession {
+ public:
+  // Handles one line of input, without its line break. Returns the replies to a batch, each with its line
+  // break, once its last line has come; blank lines are ignored. Throws json::ParseError where the line is
+  // malformed; the session can't go on then.
+  [[nodiscard]] std::optional<std::string> handle_line(std::string_view input);
+
+ private:
+  static constexpr std::size_t kMaxPages = 16;  // of the protocol
+
+  void handle_dispatcher_message(const std::string& name, const Json& message);
+  void start(const std::string& dispatcher, const Json& message);
+  void deliver(const std::string& dispatcher, const routing::Event& event);
+  // The page of an endpoint list that a message refers to. Throws json::ParseError.
+  [[nodiscard]] Json& page_of(const Json& message);
+  [[nodiscard]] std::string take_replies();
+
+  routing::Time now_{};
+  std::array<Json, kMaxPages> pages_;               // entries of endpoint lists that later messages refer to
+  std::map<std::string, routing::Router> routers_;  // by the name of the dispatcher; stopped ones have none
+  std::string replies_;                             // to the batch so far
+};
+
+}  // namespace dispatcher::simulator_adapter
+
+#endif  // DISPATCHER_ADAPTER_SIMULATOR_SESSION_HPP_
--- a/src/daemon/config.cpp
+++ b/src/daemon/config.cpp
@@ -9,8 +9,9 @@
 #include <sstream>
 #include <utility>
 
+#include "settings/check.hpp"
+#include "settings/parse.hpp"
 #include "settings/report.hpp"
-#include "wire.hpp"
 
 namespace dispatcher::daemon {
 
@@ -33,7 +34,7 @@
       : object_(object), environment_(environment), findings_(findings) {}
 
   void wrong(std::string field, std::string what, std::string wanted) const {
-    findings_.push_back({Severity::kRefuse, std::move(field), std::move(what), std::move(wanted)});
+    findings_.push_back({Severity::kError, std::move(field), std::move(what), std::move(wanted)});
   }
   std::string text(const char* field, const char* variable) const {
     if (const auto it = environment_.find(variable); it != environment_.end()) return it->second;
@@ -97,16 +98,16 @@
 
 routing::Settings read_settings(const Json& source, std::vector<Finding>& findings) {
   try {
-    std::vector<Finding> odd;
-    routing::Settings settings = dispatcher::wire::parse_settings(source, &odd);
+    dispatcher::settings::ParsedSettings parsed = dispatcher::settings::parse_settings(source);
+    routing::Settings settings = std::move(parsed.settings);
     // On sockets an attempt counts once its last byte has come.
     settings.free_connect_failures = kConnectsPerAttempt * settings.max_attempts;
     settings.reservation_expires_while_connecting = true;  // and what is held waits on while connections fail
-    add_all(findings, std::move(odd));
+    add_all(findings, std::move(parsed.warnings));
     add_all(findings, dispatcher::settings::check(settings));
-    add_all(findings, dispatcher::settings::check_sockets(settings));
+    add_all(findings, dispatcher::settings::check_socket_settings(settings));
     return settings;
-  } catch (const dispatcher::wire::SettingsError& e) {
+  } catch (const dispatcher::settings::SettingsError& e) {
     add_all(findings, e.findings);
     return {};
   }
@@ -119,7 +120,7 @@
     known.whole = true;
     known.list.kind = routing::ListKind::kCached;
   } catch (const std::exception& e) {
-    findings.push_back({Severity::kRefuse, "known", e.what(), ""});
+    findings.push_back({Severity::kError, "known", e.what(), ""});
   }
   return known;
 }
@@ -194,9 +195,9 @@
   if (const Json* settings = top.object("settings", true))
     config.settings = read_settings(*settings, findings);
   if (const Json* known = member(object, "known")) config.known = read_known(*known, findings);
-  std::vector<std::string> lines = dispatcher::settings::report(file, source, findings);
+  std::vector<std::string> lines = dispatcher::settings::format_report(file, source, findings);
   if (std::any_of(findings.begin(), findings.end(),
-                  [](const Finding& f) { return f.severity == Severity::kRefuse; }))
+                  [](const Finding& f) { return f.severity == Severity::kError; }))
     throw ConfigError(lines);
   config.warnings = std::move(lines);
   return config;
--- /dev/null
+++ b/src/json/load_report.hpp
@@ -0,0 +1,29 @@
+// Parses the load reports of replicas, which come in answers, in health checks and in the simulator's
+// messages.
+#ifndef DISPATCHER_JSON_LOAD_REPORT_HPP_
+#define DISPATCHER_JSON_LOAD_REPORT_HPP_
+
+#include "json/members.hpp"
+#include "routing/router.hpp"
+
+namespace dispatcher::json {
+
+// Names of a report's values in the replicas' JSON, which stay as they are.
+namespace load_report_keys {
+inline constexpr const char* kInFlight = "rif";
+inline constexpr const char* kQueued = "q";
+inline constexpr const char* kBusy = "busy";
+inline constexpr const char* kLatency = "lat_ms";
+inline constexpr const char* kRate = "rate";
+inline constexpr const char* kFailRate = "fail_rate";
+inline constexpr const char* kMemoryShare = "x0";
+inline constexpr const char* kPromptKilotokens = "x1";
+}  // namespace load_report_keys
+
+// The values that the dispatcher uses; those which `fields` doesn't have are empty, and unknown ones are
+// ignored. Throws ParseError where one is no number.
+[[nodiscard]] routing::LoadReport parse_load_report(const Json& fields);
+
+}  // namespace dispatcher::json
+
+#endif  // DISPATCHER_JSON_LOAD_REPORT_HPP_
--- /dev/null
+++ b/src/json/members.hpp
@@ -0,0 +1,67 @@
+// Typed access to the members of a JSON object that throws at the first one that is missing or of a wrong
+// type: for messages, of which a malformed one is rejected as a whole.
+#ifndef DISPATCHER_JSON_MEMBERS_HPP_
+#define DISPATCHER_JSON_MEMBERS_HPP_
+
+#include <stdexcept>
+#include <string>
+
+#include "json/typed_value.hpp"
+
+namespace dispatcher::json {
+
+// A malformed message; what() names the field.
+struct ParseError : std::runtime_error {
+  using std::runtime_error::runtime_error;
+};
+
+[[noreturn]] inline void throw_missing(const std::string& key) {
+  throw ParseError("field '" + key + "' is missing");
+}
+
+[[noreturn]] inline void throw_unexpected(const std::string& key, const std::string& expected) {
+  throw ParseError("field '" + key + "': " + expected + " expected");
+}
+
+// The value of a key, or `fallback` where it is missing or null. Throws ParseError.
+template <class T>
+[[nodiscard]] T optional_member(const Json& object, const std::string& key, T fallback = {}) {
+  const Json* value = find_member(object, key);
+  if (value == nullptr) return fallback;
+  if (!is_convertible<T>(*value)) throw_unexpected(key, type_name<T>());
+  return convert<T>(*value);
+}
+
+// The value of a key that must be present. Throws ParseError.
+template <class T>
+[[nodiscard]] T required_member(const Json& object, const std::string& key) {
+  if (find_member(object, key) == nullptr) throw_missing(key);
+  return optional_member<T>(object, key);
+}
+
+// A number of milliseconds; zero where it is missing or null. Throws ParseError.
+[[nodiscard]] inline routing::Duration optional_duration(const Json& object, const std::string& key) {
+  const Json* value = find_member(object, key);
+  if (value == nullptr) return {};
+  if (!is_duration(*value)) throw_unexpected(key, kDurationTypeName);
+  return convert_duration(*value);
+}
+
+// A number of milliseconds that must be present. Throws ParseError.
+[[nodiscard]] inline routing::Duration required_duration(const Json& object, const std::string& key) {
+  if (find_member(object, key) == nullptr) throw_missing(key);
+  return optional_duration(object, key);
+}
+
+// The value of a key that must be present and of the type, such as an object or an array. Throws ParseError.
+[[nodiscard]] inline const Json& required_value(const Json& object, const std::string& key,
+                                                Json::value_t type) {
+  const auto it = object.find(key);
+  if (it == object.end()) throw_missing(key);
+  if (it->type() != type) throw ParseError("field '" + key + "' has the wrong type");
+  return *it;
+}
+
+}  // namespace dispatcher::json
+
+#endif  // DISPATCHER_JSON_MEMBERS_HPP_
--- a/src/routing/router.cpp
+++ b/src/routing/router.cpp
@@ -162,7 +162,7 @@
  public:
   Impl(const Settings& settings, std::uint64_t seed)
       : s_(std::make_shared<const Settings>(settings)), seed_(seed) {
-    settings::require(*s_);
+    settings::require_valid(*s_);
   }
 
   std::vector<Action> handle(Time now, const Event& event) {
--- /dev/null
+++ b/src/settings/consistency_checks.cpp
@@ -0,0 +1,249 @@
+#include "settings/consistency_checks.hpp"
+
+#include <algorithm>
+#include <cmath>
+#include <string>
+
+#include "settings/keys.hpp"
+
+namespace dispatcher::settings {
+namespace {
+
+using routing::Duration;
+using routing::EndpointKind;
+using routing::Idempotency;
+using routing::ReportSource;
+using routing::RequestClass;
+using routing::Role;
+using routing::Settings;
+using routing::Tenant;
+
+// The module checks waiting requests at this interval, rounded up to whole ticks.
+constexpr Duration kWaitingCheckInterval = std::chrono::milliseconds(20);
+constexpr double kMicrosecondsPerSecond = 1e6;
+
+bool has_kind(const Settings& settings, Role role) {
+  return std::any_of(settings.kinds.begin(), settings.kinds.end(),
+                     [&](const EndpointKind& kind) { return kind.role == role; });
+}
+
+// The smallest value of a time over all classes, of which there must be at least one.
+Duration shortest(const Settings& settings, Duration RequestClass::*time) {
+  const auto is_shorter = [&](const auto& one, const auto& other) { return one.*time < other.*time; };
+  return *std::min_element(settings.classes.begin(), settings.classes.end(), is_shorter).*time;
+}
+
+double total_quota(const Settings& settings) {
+  double sum = 0;
+  for (const Tenant& tenant : settings.tenants) sum += tenant.quota_rps;
+  return sum;
+}
+
+// The shortest reservation limit under which a reserved state can wait for a writer. The module releases a
+// state when 0.7 of the limit is over, so that the remaining 0.3 must cover one check of what waits.
+Duration min_reservation_limit(const Settings& settings) {
+  const Duration tick = std::max(settings.tick, Duration(1));
+  return (kWaitingCheckInterval + tick - Duration(1)) / tick * tick * 10 / 3;
+}
+
+// Whether one endpoint can both read a request's prompt and write its answer.
+bool has_complete_service(const Settings& settings) {
+  return has_kind(settings, Role::kMixed) || (settings.writers_read && has_kind(settings, Role::kWriter));
+}
+
+void check_roles(const Settings& settings, FindingCollector& findings) {
+  if (has_complete_service(settings)) return;
+  if (!has_kind(settings, Role::kReader))
+    findings.add_error(path(keys::kRoles), "no kind reads a prompt",
+                       "one of duty 'read' or 'both', or writersRead with one that writes");
+  if (!has_kind(settings, Role::kWriter))
+    findings.add_error(path(keys::kRoles), "no kind writes an answer", "one of duty 'write' or 'both'");
+  if (settings.max_attempts == 1)
+    findings.add_error(path(keys::kMaxAttempts),
+                       "1, but a request is read by one attempt and written by another",
+                       "at least 2, or a kind that does both");
+}
+
+void check_options_of_roles(const Settings& settings, FindingCollector& findings) {
+  const bool has_reader = has_kind(settings, Role::kReader);
+  const bool has_writer = has_kind(settings, Role::kWriter);
+  const bool has_mixed = has_kind(settings, Role::kMixed);
+  if (settings.writers_read && !has_writer)
+    findings.add_warning(path(keys::kWritersRead), "true, but no kind writes only: it changes nothing",
+                         "false, or a kind of duty 'write'");
+  if (settings.early_pairing && (!has_reader || !(has_writer || has_mixed)))
+    findings.add_warning(path(keys::kEarlyPairing),
+                         "true, but without a kind that reads and one that writes no place is held ahead",
+                         "false");
+  if (settings.may_duplicate && settings.max_attempts == 1)
+    findings.add_warning(path(keys::kMayDuplicate), "true, but of one attempt there is no second copy",
+                         "mostTries above 1");
+}
+
+void check_service(const Settings& settings, FindingCollector& findings) {
+  if (settings.kinds.empty()) return;
+  check_roles(settings, findings);
+  check_options_of_roles(settings, findings);
+}
+
+void check_retries(const Settings& settings, FindingCollector& findings) {
+  const bool has_retryable_class =
+      std::any_of(settings.classes.begin(), settings.classes.end(), [](const RequestClass& request_class) {
+        return request_class.idempotency != Idempotency::kNonIdempotent;
+      });
+  if (settings.resume && !settings.classes.empty() && !has_retryable_class)
+    findings.add_warning(path(keys::kResume), "true, but no class may be repeated",
+                         "a class whose repeat is 'safe' or 'keyed'");
+  for (std::size_t i = 0; i < settings.classes.size(); ++i) {
+    const RequestClass& request_class = settings.classes[i];
+    if (request_class.idempotency == Idempotency::kKeyed && request_class.deduplication_window.count() == 0)
+      findings.add_warning(path_in_element(keys::kDeduplicationWindow, i),
+                           "0 for a keyed class: what may have run is not sent again", "above 0");
+  }
+}
+
+void check_class_deadlines(const Settings& settings, FindingCollector& findings) {
+  for (std::size_t i = 0; i < settings.classes.size(); ++i) {
+    const RequestClass& request_class = settings.classes[i];
+    if (request_class.deadline.count() <= 0) continue;  // an error of its own
+    const std::string field = path_in_element(keys::kDeadline, i);
+    const std::string deadline = format_ms(request_class.deadline);
+    if (request_class.deadline < request_class.latency_objective)
+      findings.add_warning(
+          field, deadline + ", before the objective of " + format_ms(request_class.latency_objective),
+          "at least the objective");
+    if (request_class.deadline <= 2 * settings.tick)
+      findings.add_warning(field,
+                           deadline + ", within two ticks: every request of the class is refused at once",
+                           "well above two ticks of " + format_ms(settings.tick));
+  }
+}
+
+void check_answer_slack(const Settings& settings, Duration shortest_deadline, FindingCollector& findings) {
+  const std::string field = path(keys::kAnswerSlack);
+  const std::string slack = format_ms(settings.answer_slack);
+  if (shortest_deadline.count() > 0 && settings.answer_slack >= shortest_deadline)
+    findings.add_warning(field, slack + ", as long as the shortest deadline",
+                         "below " + format_ms(shortest_deadline));
+  if (settings.answer_slack.count() >= 0 && settings.answer_slack < settings.tick)
+    findings.add_warning(field, slack + ", less than a tick: attempts time out that much before the deadline",
+                         "at least " + format_ms(settings.tick));
+}
+
+void check_reservation_limit(const Settings& settings, Duration shortest_deadline,
+                             FindingCollector& findings) {
+  const std::string field = path(keys::kReservationLimit);
+  const std::string limit = format_ms(settings.reservation_limit);
+  const Duration minimum = min_reservation_limit(settings);
+  if (shortest_deadline.count() > 0 && settings.reservation_limit > shortest_deadline)
+    findings.add_warning(field, limit + ", longer than the shortest deadline",
+                         "at most " + format_ms(shortest_deadline));
+  if (settings.reservation_limit.count() >= 0 && settings.reservation_limit < minimum)
+    findings.add_warning(field, limit + ": a state that finds no writer at once is let go of",
+                         "at least " + format_ms(minimum));
+}
+
+void check_deadlines(const Settings& settings, FindingCollector& findings) {
+  check_class_deadlines(settings, findings);
+  if (settings.classes.empty()) return;
+  const Duration shortest_deadline = shortest(settings, &RequestClass::deadline);
+  check_answer_slack(settings, shortest_deadline, findings);
+  check_reservation_limit(settings, shortest_deadline, findings);
+  if (settings.drain_grace.count() >= 0 && settings.drain_grace < settings.tick)
+    findings.add_warning(path(keys::kDrainGrace), format_ms(settings.drain_grace) + ", less than a tick",
+                         "at least " + format_ms(settings.tick));
+}
+
+// How many requests overload a replica depends on its capacity, which the settings don't contain. The quotas
+// are a part of what all replicas together can do, and one replica can do less: a budget that is below one
+// request even by the quotas is too small.
+void check_overload_budget(const Settings& settings, FindingCollector& findings) {
+  const auto window = static_cast<double>(settings.overload_window.count());
+  const double budget_per_rps =
+      settings.overload_multiple * settings.warmup_initial_share * window / kMicrosecondsPerSecond;
+  const double max_budget = budget_per_rps * total_quota(settings);
+  if (!(max_budget > 0 && max_budget < 1)) return;
+  findings.add_warning(
+      path(keys::kOverloadWindow),
+      "with tipMultiple and coldShare " + format_number(max_budget) +
+          " requests, even if one replica did the work of all quotas: a single one may fell it",
+      "at least " + format_ms(Duration(std::llround(window / max_budget))));
+}
+
+void check_warmup(const Settings& settings, FindingCollector& findings) {
+  if (settings.warmup_time.count() <= 0) return;  // no replica ever warms up
+  const std::string no_traffic = "0: a cold replica gets nothing until it is warm";
+  if (settings.overload_multiple == 0)
+    findings.add_warning(path(keys::kOverloadMultiple), no_traffic, "above 0");
+  if (settings.warmup_initial_share == 0)
+    findings.add_warning(path(keys::kWarmupInitialShare), no_traffic, "above 0");
+  if (settings.overload_window.count() == 0)
+    findings.add_warning(path(keys::kOverloadWindow), no_traffic, "above 0");
+  if (settings.overload_multiple > 0 && settings.overload_multiple < 1)
+    findings.add_warning(
+        path(keys::kOverloadMultiple),
+        format_number(settings.overload_multiple) + ": a cold replica falls below its capacity",
+        "at least 1");
+  check_overload_budget(settings, findings);
+}
+
+void check_load_reports(const Settings& settings, FindingCollector& findings) {
+  if (settings.report_source == ReportSource::kInProbes && !settings.may_probe)
+    findings.add_warning(path(keys::kReportSource),
+                         "reports come in probes, which are not allowed: there is none",
+                         "mayProbe, or reports in answers");
+  if (settings.report_source != ReportSource::kNone && settings.report_fields.empty())
+    findings.add_warning(path(keys::kReportFields), "reports come, but none of their values is known here",
+                         "at least one value");
+}
+
+void check_zone(const Settings& settings, FindingCollector& findings) {
+  const auto& zones = settings.zones;
+  if (!zones.empty() && std::find(zones.begin(), zones.end(), settings.zone) == zones.end())
+    findings.add_warning(path(keys::kZone),
+                         "'" + settings.zone + "' is none of the zones: every replica is far",
+                         "one of 'dcs'");
+}
+
+void check_quotas(const Settings& settings, FindingCollector& findings) {
+  if (!settings.tenants.empty() && total_quota(settings) == 0)
+    findings.add_warning(keys::kTenants,
+                         "the quotas add up to nothing: every request is over its tenant's share",
+                         "a quotaRps above 0");
+}
+
+void check_retry_advice(const Settings& settings, FindingCollector& findings) {
+  if (settings.retry_advice && settings.max_retry_after.count() == 0)
+    findings.add_warning(path(keys::kMaxRetryAfter),
+                         "0, but advice on when to come again is allowed: none can be given",
+                         "above 0, or retryAfter false");
+}
+
+}  // namespace
+
+void check_consistency(const Settings& settings, FindingCollector& findings) {
+  check_service(settings, findings);
+  check_retries(settings, findings);
+  check_deadlines(settings, findings);
+  check_warmup(settings, findings);
+  check_load_reports(settings, findings);
+  check_zone(settings, findings);
+  check_quotas(settings, findings);
+  check_retry_advice(settings, findings);
+}
+
+void check_connection_times(const Settings& settings, FindingCollector& findings) {
+  if (settings.connect_timeout.count() == 0)
+    findings.add_error(path(keys::kConnectTimeout), "0 ms: no connection can be made", "above 0");
+  if (settings.idle_timeout.count() == 0)
+    findings.add_error(path(keys::kIdleTimeout), "0 ms: no connection can be kept", "above 0");
+  if (settings.classes.empty()) return;
+  const Duration shortest_objective = shortest(settings, &RequestClass::latency_objective);
+  if (settings.connect_timeout > shortest_objective)
+    findings.add_warning(path(keys::kConnectTimeout),
+                         format_ms(settings.connect_timeout) +
+                             ", longer than the shortest objective: who meets a dead replica is late",
+                         "at most " + format_ms(shortest_objective));
+}
+
+}  // namespace dispatcher::settings
--- /dev/null
+++ b/src/settings/consistency_checks.hpp
@@ -0,0 +1,19 @@
+// Checks of settings against each other: combinations that contradict each other or have no effect. Internal
+// to the package.
+#ifndef DISPATCHER_SETTINGS_CONSISTENCY_CHECKS_HPP_
+#define DISPATCHER_SETTINGS_CONSISTENCY_CHECKS_HPP_
+
+#include "routing/router.hpp"
+#include "settings/finding_collector.hpp"
+
+namespace dispatcher::settings {
+
+// Adds what is wrong with combinations of values to `findings`.
+void check_consistency(const routing::Settings& settings, FindingCollector& findings);
+
+// Adds what would keep a dispatcher on sockets from making and reusing connections.
+void check_connection_times(const routing::Settings& settings, FindingCollector& findings);
+
+}  // namespace dispatcher::settings
+
+#endif  // DISPATCHER_SETTINGS_CONSISTENCY_CHECKS_HPP_
--- /dev/null
+++ b/src/settings/finding.cpp
@@ -0,0 +1,20 @@
+#include "settings/finding.hpp"
+
+namespace dispatcher::settings {
+
+std::string describe(const Finding& finding) {
+  const std::string expected = finding.expected.empty() ? "" : "; wanted: " + finding.expected;
+  return "field '" + finding.field + "': " + finding.problem + expected;
+}
+
+std::string describe_errors(const std::vector<Finding>& findings) {
+  std::string errors;
+  for (const Finding& finding : findings) {
+    if (finding.severity != Severity::kError) continue;
+    if (!errors.empty()) errors += "; ";
+    errors += describe(finding);
+  }
+  return errors;
+}
+
+}  // namespace dispatcher::settings
--- /dev/null
+++ b/src/settings/finding.hpp
@@ -0,0 +1,32 @@
+// One thing that is wrong with a configuration, as a value that callers can test, sort and print.
+#ifndef DISPATCHER_SETTINGS_FINDING_HPP_
+#define DISPATCHER_SETTINGS_FINDING_HPP_
+
+#include <string>
+#include <vector>
+
+namespace dispatcher::settings {
+
+// What a finding means for the settings that it is about.
+enum class Severity {
+  kError,   // meaningless, contradictory, or no request could be served: the settings are rejected
+  kWarning  // absurd, but its effects are known and break no rule: the settings are accepted
+};
+
+// A field, what is wrong with it and what was expected instead.
+struct Finding {
+  Severity severity{};
+  std::string field;     // its path in the JSON form, such as limits.mostTries or categories[1].deadlineMs
+  std::string problem;   // what is wrong, with the value
+  std::string expected;  // what would be right; may be empty
+};
+
+// "field 'limits.mostTries': 0; wanted: at least 1".
+[[nodiscard]] std::string describe(const Finding& finding);
+
+// The descriptions of all errors, separated by "; ". Empty where there is none.
+[[nodiscard]] std::string describe_errors(const std::vector<Finding>& findings);
+
+}  // namespace dispatcher::settings
+
+#endif  // DISPATCHER_SETTINGS_FINDING_HPP_
--- /dev/null
+++ b/src/settings/finding_collector.hpp
@@ -0,0 +1,48 @@
+// Collects findings while settings are checked, with the comparisons that many checks share. Internal to the
+// package.
+#ifndef DISPATCHER_SETTINGS_FINDING_COLLECTOR_HPP_
+#define DISPATCHER_SETTINGS_FINDING_COLLECTOR_HPP_
+
+#include <string>
+#include <vector>
+
+#include "routing/router.hpp"
+#include "settings/finding.hpp"
+
+namespace dispatcher::settings {
+
+// The number as it stands in messages: at most ten significant digits.
+[[nodiscard]] std::string format_number(double value);
+// "12.5 ms".
+[[nodiscard]] std::string format_ms(routing::Duration time);
+
+// Longer times are typing errors, and their multiples would overflow: a latency objective is multiplied by
+// the length of a prompt, which the client chooses.
+inline constexpr routing::Duration kMaxTime = std::chrono::hours(24);
+
+// The findings of one check, in the order in which they were added. Lives for one call, on its stack.
+class FindingCollector {
+ public:
+  void add_error(std::string field, std::string problem, std::string expected);
+  void add_warning(std::string field, std::string problem, std::string expected);
+
+  // Errors for times that are out of bounds; the first two also for those beyond kMaxTime.
+  void require_not_negative(std::string field, routing::Duration time);
+  void require_positive(std::string field, routing::Duration time);
+  void require_at_most(std::string field, routing::Duration time, routing::Duration maximum);
+
+  // The bounds of numbers are worded so that NaN is out of bounds too.
+  void require_not_negative(std::string field, double value);
+  void warn_if_negative(std::string field, double value);
+  void warn_if_not_fraction(std::string field, double value);  // outside 0 to 1
+
+  // Hands over all findings and leaves none.
+  [[nodiscard]] std::vector<Finding> release();
+
+ private:
+  std::vector<Finding> findings_;
+};
+
+}  // namespace dispatcher::settings
+
+#endif  // DISPATCHER_SETTINGS_FINDING_COLLECTOR_HPP_
--- /dev/null
+++ b/src/settings/object_reader.hpp
@@ -0,0 +1,118 @@
+// Typed access to the settings' JSON that collects what is wrong instead of throwing at the first error, so
+// that operators see all of it at once. Internal to the package.
+#ifndef DISPATCHER_SETTINGS_OBJECT_READER_HPP_
+#define DISPATCHER_SETTINGS_OBJECT_READER_HPP_
+
+#include <span>
+#include <string>
+#include <utility>
+#include <vector>
+
+#include "json/typed_value.hpp"
+#include "routing/router.hpp"
+#include "settings/finding.hpp"
+
+namespace dispatcher::settings {
+
+using json::Json;
+
+// The name of an enumerator in the JSON form. Of a table of them, the first is the default.
+template <class Enum>
+struct EnumName {
+  const char* name;
+  Enum value;
+};
+template <class Enum>
+using EnumNames = std::span<const EnumName<Enum>>;
+
+enum class Presence { kRequired, kOptional };
+
+// Reads one object of the settings. A value that is missing or wrong becomes a finding, and its type's
+// default. Where the object itself is missing, that is the only finding: its members are all defaults.
+// Refers to the JSON and to the findings, which must outlive it.
+class ObjectReader {
+ public:
+  // `path` is the object's own, empty at the top level.
+  ObjectReader(const Json* object, std::string path, std::vector<Finding>& findings)
+      : object_(object), path_(std::move(path)), findings_(findings) {}
+
+  template <class T>
+  [[nodiscard]] T required(const std::string& key) const {
+    return read<T>(key, Presence::kRequired, {}, json::type_name<T>(), json::is_convertible<T>,
+                   json::convert<T>);
+  }
+  template <class T>
+  [[nodiscard]] T optional(const std::string& key, T fallback = {}) const {
+    return read<T>(key, Presence::kOptional, std::move(fallback), json::type_name<T>(),
+                   json::is_convertible<T>, json::convert<T>);
+  }
+  // Numbers of milliseconds.
+  [[nodiscard]] routing::Duration required_duration(const std::string& key) const;
+  [[nodiscard]] routing::Duration optional_duration(const std::string& key) const;
+
+  // Elements of an array of numbers; zero where it is shorter. The unit is in microseconds.
+  [[nodiscard]] double number_at(const std::string& key, std::size_t index) const;
+  [[nodiscard]] routing::Duration duration_at(const std::string& key, std::size_t index,
+                                              double unit_us) const;
+
+  // An unknown name is an error, as the settings can't be followed without it.
+  template <class Enum>
+  [[nodiscard]] Enum required_enum(const std::string& key, EnumNames<Enum> names) const {
+    return parse_enum(key, required<std::string>(key), names, Severity::kError);
+  }
+  template <class Enum>
+  [[nodiscard]] Enum optional_enum(const std::string& key, EnumNames<Enum> names) const {
+    return parse_enum(key, optional<std::string>(key, names.front().name), names, Severity::kError);
+  }
+  // An unknown name is a warning, as the setting only informs and the name may be newer than this program.
+  template <class Enum>
+  [[nodiscard]] Enum informative_enum(const std::string& key, EnumNames<Enum> names) const {
+    return parse_enum(key, optional<std::string>(key, names.front().name), names, Severity::kWarning);
+  }
+  template <class Enum>
+  [[nodiscard]] Enum parse_enum(const std::string& key, const std::string& given, EnumNames<Enum> names,
+                                Severity severity) const {
+    std::string known;
+    for (const EnumName<Enum>& candidate : names) {
+      if (given == candidate.name) return candidate.value;
+      known += (known.empty() ? "'" : ", '") + std::string(candidate.name) + "'";
+    }
+    add({severity, path_of(key), "unknown word '" + given + "'", known});
+    return names.front().value;
+  }
+
+  [[nodiscard]] ObjectReader object(const std::string& key, Presence presence) const;
+  [[nodiscard]] std::vector<ObjectReader> objects(const std::string& key, Presence presence) const;
+  [[nodiscard]] std::vector<std::string> strings(const std::string& key, Presence presence) const;
+
+  // Adds an error about a member.
+  void add_error(const std::string& key, std::string problem, std::string expected) const;
+
+ private:
+  // Adds a finding, one for each field: later ones only follow from the first.
+  void add(Finding finding) const;
+  // Adds an error about a member whose value is not of the type, or is null and required.
+  void add_type_error(const std::string& key, const Json* value, Presence presence,
+                      const char* expected) const;
+  [[nodiscard]] const Json* member(const std::string& key) const;
+  [[nodiscard]] const Json* array(const std::string& key, Presence presence) const;
+  [[nodiscard]] std::string path_of(const std::string& key) const;
+  [[nodiscard]] routing::Duration read_duration(const std::string& key, Presence presence) const;
+
+  template <class T, class IsConvertible, class Convert>
+  T read(const std::string& key, Presence presence, T fallback, const char* expected,
+         IsConvertible is_convertible, Convert convert) const {
+    const Json* value = member(key);
+    if (value != nullptr && is_convertible(*value)) return convert(*value);
+    add_type_error(key, value, presence, expected);
+    return fallback;
+  }
+
+  const Json* object_;
+  std::string path_;
+  std::vector<Finding>& findings_;
+};
+
+}  // namespace dispatcher::settings
+
+#endif  // DISPATCHER_SETTINGS_OBJECT_READER_HPP_
--- a/src/settings/report.hpp
+++ b/src/settings/report.hpp
@@ -1,4 +1,4 @@
-// Findings as lines for operators, each with the place in the file that it came from.
+// Formats findings for operators, each with its place in the configuration file.
 #ifndef DISPATCHER_SETTINGS_REPORT_HPP_
 #define DISPATCHER_SETTINGS_REPORT_HPP_
 
@@ -6,14 +6,15 @@
 #include <string_view>
 #include <vector>
 
-#include "settings/check.hpp"
+#include "settings/finding.hpp"
 
 namespace dispatcher::settings {
 
-// "FILE:12: field 'settings.limits.mostTries': 0; wanted: at least 1", in the order of the file. Of what is
-// only warned of: "FILE:12: warning: field ...". `findings` have their paths from the top of `json`.
-std::vector<std::string> report(const std::string& file, std::string_view json,
-                                const std::vector<Finding>& findings);
+// One message for each finding, in the order of the file: an error as
+// "FILE:12: field 'settings.limits.mostTries': 0; wanted: at least 1", a warning as
+// "FILE:12: warning: field ...". The paths of `findings` must start at the top of `json`, the file's text.
+[[nodiscard]] std::vector<std::string> format_report(const std::string& file, std::string_view json,
+                                                     const std::vector<Finding>& findings);
 
 }  // namespace dispatcher::settings
 
--- /dev/null
+++ b/src/settings/value_checks.hpp
@@ -0,0 +1,15 @@
+// Checks of each setting by itself: its bounds, and that names are unique. Internal to the package.
+#ifndef DISPATCHER_SETTINGS_VALUE_CHECKS_HPP_
+#define DISPATCHER_SETTINGS_VALUE_CHECKS_HPP_
+
+#include "routing/router.hpp"
+#include "settings/finding_collector.hpp"
+
+namespace dispatcher::settings {
+
+// Adds what is wrong with single values to `findings`.
+void check_values(const routing::Settings& settings, FindingCollector& findings);
+
+}  // namespace dispatcher::settings
+
+#endif  // DISPATCHER_SETTINGS_VALUE_CHECKS_HPP_
--- a/src/upstream/exchange.cpp
+++ b/src/upstream/exchange.cpp
@@ -2,7 +2,7 @@
 
 #include <nlohmann/json.hpp>
 
-#include "wire.hpp"
+#include "json/load_report.hpp"
 
 namespace dispatcher::upstream {
 
@@ -34,13 +34,13 @@
   const Json fields = Json::parse(text, nullptr, false);
   if (!fields.is_object()) return {};
   try {
-    const routing::LoadReport report = dispatcher::wire::parse_load(fields);
+    const routing::LoadReport report = json::parse_load_report(fields);
     const auto sound = [](const std::optional<double>& value) {
       return !value || (*value >= 0 && *value < 1e6);
     };
     const bool all = sound(report.in_hand) && sound(report.memory_share) && sound(report.prompt_kilotokens);
     return all ? report : routing::LoadReport{};
-  } catch (const dispatcher::wire::WireError&) {
+  } catch (const json::ParseError&) {
     return {};  // the answer is good all the same
   }
 }
--- a/tests/dispatcher/config_test.cpp
+++ b/tests/dispatcher/config_test.cpp
@@ -4,17 +4,17 @@
 
 #include "daemon/dispatcher.hpp"
 #include "fixture.hpp"
-#include "settings/positions.hpp"
+#include "settings/json_line_index.hpp"
 #include "settings/report.hpp"
 
 namespace dispatcher::testing {
 namespace {
 
-using dispatcher::settings::Positions;
+using dispatcher::settings::JsonLineIndex;
 using Json = nlohmann::json;
 
 TEST_CASE("a field is found by the line of its key, an array's value by its own", "[config]") {
-  const Positions at(
+  const JsonLineIndex at(
       "{\n"
       " \"a\": 1,\n"
       " \"b\":\n"
@@ -32,7 +32,7 @@
       {"b.c[9]", 4}, {"b.f.g[3]", 3}, {"nothing", 1}, {"b.c[2].f", 8}, {"", 1}};
   for (const auto& [path, line] : lines) {
     INFO(path);
-    CHECK(at.line_of(path) == line);
+    CHECK(at.line_number(path) == line);
   }
 }
 
@@ -56,9 +56,9 @@
 }
 
 void check_lines(const Json& value, const std::string& path, const std::vector<std::string>& lines,
-                 const Positions& at) {
+                 const JsonLineIndex& at) {
   const auto found = [&](const std::string& where) -> const std::string& {
-    return lines.at(static_cast<std::size_t>(at.line_of(where) - 1));
+    return lines.at(static_cast<std::size_t>(at.line_number(where) - 1));
   };
   if (value.is_object()) {
     for (const auto& [key, inner] : value.items()) {
@@ -83,19 +83,19 @@
     std::vector<std::string> lines;
     std::istringstream stream(text);
     for (std::string line; std::getline(stream, line);) lines.push_back(line);
-    check_lines(value, "", lines, Positions(text));
-    const Positions cut(text.substr(0, random() % text.size()));
-    CHECK(cut.line_of("top.k1[2].k3") >= 1);
-    CHECK(cut.line_of("top.k1[2].k3") <= static_cast<int>(lines.size()));
+    check_lines(value, "", lines, JsonLineIndex(text));
+    const JsonLineIndex cut(text.substr(0, random() % text.size()));
+    CHECK(cut.line_number("top.k1[2].k3") >= 1);
+    CHECK(cut.line_number("top.k1[2].k3") <= static_cast<int>(lines.size()));
   }
 }
 
 TEST_CASE("what is nested deeper than settings are has the line of what is round it", "[config]") {
   const std::string deep = std::string(100'000, '[') + "\n1\n" + std::string(100'000, ']');
-  CHECK(Positions("{\"a\":\n" + deep + ",\n\"b\":1}").line_of("b") == 5);
+  CHECK(JsonLineIndex("{\"a\":\n" + deep + ",\n\"b\":1}").line_number("b") == 5);
   std::string path = "a";
   for (int i = 0; i < 40; ++i) path += "[0]";
-  CHECK(Positions("{\"a\":\n" + deep + "}").line_of(path) == 2);
+  CHECK(JsonLineIndex("{\"a\":\n" + deep + "}").line_number(path) == 2);
 }
 
 const char* const kGood = R"({"name":"n1","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"7",
--- a/tests/settings_check_test.cpp
+++ b/tests/settings_check_test.cpp
@@ -12,7 +12,7 @@
 
 bool operator==(const Finding& a, const Finding& b) { return a.severity == b.severity && a.field == b.field; }
 std::ostream& operator<<(std::ostream& out, const Finding& f) {
-  return out << (f.severity == Severity::kRefuse ? "refused: " : "warned of: ") << text(f);
+  return out << (f.severity == Severity::kError ? "refused: " : "warned of: ") << describe(f);
 }
 
 namespace {
@@ -151,7 +151,7 @@
 
 TEST(Check, FindsNothingInSoundSettings) {
   EXPECT_EQ(check(sound()), std::vector<Finding>{});
-  EXPECT_EQ(check_sockets(sound()), std::vector<Finding>{});
+  EXPECT_EQ(check_socket_settings(sound()), std::vector<Finding>{});
 }
 
 // None of these contradicts itself, though each looks as if it lacked its other half.
@@ -190,7 +190,7 @@
   for (const Case& c : rejected()) {
     Settings s = sound();
     c.change(s);
-    EXPECT_EQ(check(s), (std::vector<Finding>{{Severity::kRefuse, c.field, "", ""}}));
+    EXPECT_EQ(check(s), (std::vector<Finding>{{Severity::kError, c.field, "", ""}}));
     try {
       Router(s, 1);
       ADD_FAILURE() << c.field << " was taken";
@@ -205,7 +205,7 @@
   for (const Case& c : warned()) {
     Settings s = sound();
     c.change(s);
-    EXPECT_EQ(check(s), (std::vector<Finding>{{Severity::kWarn, c.field, "", ""}}));
+    EXPECT_EQ(check(s), (std::vector<Finding>{{Severity::kWarning, c.field, "", ""}}));
     Harness h(s);
     std::vector<EndpointInfo> endpoints;
     for (const EndpointKind& kind : s.kinds) endpoints.push_back(endpoint(kind.name + "1", kind.name));
@@ -231,8 +231,8 @@
   s.classes[0].deadline = milliseconds(600);
   s.tick = s.answer_slack = milliseconds(300);
   s.drain_grace = s.reservation_limit = milliseconds(1000);
-  EXPECT_EQ(check(s), (std::vector<Finding>{{Severity::kWarn, "categories[0].deadlineMs", "", ""},
-                                            {Severity::kWarn, "familyInfo.pinLimitMs", "", ""}}));
+  EXPECT_EQ(check(s), (std::vector<Finding>{{Severity::kWarning, "categories[0].deadlineMs", "", ""},
+                                            {Severity::kWarning, "familyInfo.pinLimitMs", "", ""}}));
   Harness h(s);
   h.list({endpoint("r1", "r"), endpoint("w1", "w")});
   Request r = h.make("a");
@@ -264,15 +264,15 @@
   const auto found = [](auto change) {
     Settings s = sound();
     change(s);
-    return check_sockets(s);
+    return check_socket_settings(s);
   };
   using All = std::vector<Finding>;
   EXPECT_EQ(found([](Settings& s) { s.connect_timeout = {}; }),
-            (All{{Severity::kRefuse, "limits.connectTimeoutMs", "", ""}}));
+            (All{{Severity::kError, "limits.connectTimeoutMs", "", ""}}));
   EXPECT_EQ(found([](Settings& s) { s.idle_timeout = {}; }),
-            (All{{Severity::kRefuse, "limits.idleCloseMs", "", ""}}));
+            (All{{Severity::kError, "limits.idleCloseMs", "", ""}}));
   EXPECT_EQ(found([](Settings& s) { s.connect_timeout = milliseconds(1001); }),
-            (All{{Severity::kWarn, "limits.connectTimeoutMs", "", ""}}));
+            (All{{Severity::kWarning, "limits.connectTimeoutMs", "", ""}}));
 }
 
 // Of the budget only what the whole fleet could bring is known: two requests of ten a second would not do.
@@ -283,7 +283,7 @@
   s.overload_window = milliseconds(100);
   s.tenants = {{"one", 9.9}};
   ASSERT_EQ(check(s).size(), 1U);
-  EXPECT_EQ(check(s)[0].wanted, "at least 101.01 ms");
+  EXPECT_EQ(check(s)[0].expected, "at least 101.01 ms");
   s.tenants[0].quota_rps = 10;
   EXPECT_EQ(check(s), std::vector<Finding>{});
 }
--- a/tests/settings_property_test.cpp
+++ b/tests/settings_property_test.cpp
@@ -109,7 +109,7 @@
     const Site site = draw(*any_genes());
     for (const Settings& s : site.settings) {
       for (const settings::Finding& f : settings::check(s))
-        RC_ASSERT(f.severity != settings::Severity::kRefuse);
+        RC_ASSERT(f.severity != settings::Severity::kError);
     }
   });
 }
