--- a/tests/harness.hpp
+++ b/tests/harness.hpp
@@ -86,6 +86,12 @@
   return {name, zone, kind, cell, state, 1.0, started};
 }
 
+// One or more endpoints of each role.
+inline std::vector<EndpointInfo> make_endpoints() {
+  return {endpoint("r1", "r", 1), endpoint("r2", "r", 2), endpoint("w1", "w", 1), endpoint("w2", "w", 2),
+          endpoint("w3", "w", 3, "west")};
+}
+
 class Harness {
  public:
   explicit Harness(const Settings& s = make_settings()) : router(s, 1) {}
