--- a/src/routing/router.cpp
+++ b/src/routing/router.cpp
@@ -30,7 +30,7 @@
  public:
   Impl(const Settings& settings, std::uint64_t seed)
       : context_{std::make_shared<const Settings>(settings), {}}, shedding_(seed) {
-    settings::require(*context_.settings);
+    settings::require_valid(*context_.settings);
   }
 
   std::vector<Action> handle(Time now, const Event& event) {
--- a/src/upstream/protocol.cpp
+++ b/src/upstream/protocol.cpp
@@ -3,7 +3,7 @@
 #include <nlohmann/json.hpp>
 #include <optional>
 
-#include "wire.hpp"
+#include "json/load_report.hpp"
 
 namespace dispatcher::upstream {
 
@@ -50,11 +50,11 @@
   const Json fields = Json::parse(text, nullptr, false);
   if (!fields.is_object()) return {};
   try {
-    const routing::LoadReport report = dispatcher::wire::parse_load(fields);
+    const routing::LoadReport report = json::parse_load_report(fields);
     const bool are_plausible = is_plausible(report.in_hand) && is_plausible(report.memory_share) &&
                                is_plausible(report.prompt_kilotokens);
     return are_plausible ? report : routing::LoadReport{};
-  } catch (const dispatcher::wire::WireError&) {
+  } catch (const json::ParseError&) {
     return {};
   }
 }
