--- a/bench/rules_bench.cpp
+++ b/bench/rules_bench.cpp
@@ -17,7 +17,7 @@
 namespace {
 
 using namespace dispatcher;
-using rate_limit::Facts;
+using rate_limit::RequestAttributes;
 using rate_limit::RuleSet;
 
 constexpr std::size_t kRequests = 1'000'000;
@@ -80,19 +80,19 @@
   return last;
 }
 
-using MakeFacts = std::function<Facts(std::size_t)>;
+using MakeAttributes = std::function<RequestAttributes(std::size_t)>;
 
-void decide(benchmark::State& state, const RuleSet& rules, const MakeFacts& facts) {
+void decide(benchmark::State& state, const RuleSet& rules, const MakeAttributes& make_attributes) {
   expression::Scratch scratch;
   rules.reserve(scratch);
-  std::vector<Facts> requests;
-  for (std::size_t i = 0; i < 4096; ++i) requests.push_back(facts(i));
+  std::vector<RequestAttributes> requests;
+  for (std::size_t i = 0; i < 4096; ++i) requests.push_back(make_attributes(i));
   std::vector<float> times;
   times.reserve(kRequests);
   for (auto _ : state) {
-    const Facts& f = requests[times.size() % requests.size()];
+    const RequestAttributes& attributes = requests[times.size() % requests.size()];
     const auto begin = std::chrono::steady_clock::now();
-    benchmark::DoNotOptimize(rules.decide(f, scratch));
+    benchmark::DoNotOptimize(rules.decide(attributes, scratch));
     const std::chrono::duration<float, std::nano> took = std::chrono::steady_clock::now() - begin;
     times.push_back(took.count());
     state.SetIterationTime(static_cast<double>(took.count()) * 1e-9);
@@ -107,11 +107,11 @@
   state.counters["computed"] = rules.worst_ns();
   // Each request by the best of five tries: what is left is the rules' own cost, without the interruptions.
   times.clear();
-  for (const Facts& f : requests) {
+  for (const RequestAttributes& attributes : requests) {
     float best = 1e9;
     for (int k = 0; k < 5; ++k) {
       const auto begin = std::chrono::steady_clock::now();
-      benchmark::DoNotOptimize(rules.decide(f, scratch));
+      benchmark::DoNotOptimize(rules.decide(attributes, scratch));
       best = std::min(
           best, std::chrono::duration<float, std::nano>(std::chrono::steady_clock::now() - begin).count());
     }
@@ -134,16 +134,16 @@
   const auto rules = read(usual(static_cast<int>(state.range(0))));
   std::mt19937_64 random(1);
   decide(state, *rules, [&](std::size_t) {
-    Facts f;
-    f.request_class = random() % 4 == 0 ? "command" : "ask";
-    f.account =
+    RequestAttributes attributes;
+    attributes.request_class = random() % 4 == 0 ? "command" : "ask";
+    attributes.account =
         accounts()[random() % std::min<std::size_t>(accounts().size(),
                                                     static_cast<std::size_t>(state.range(0)) * 5 / 4)];
-    f.session = random();
-    f.prompt_tokens = static_cast<std::int64_t>(random() % 20'000);
+    attributes.session = random();
+    attributes.prompt_tokens = static_cast<std::int64_t>(random() % 20'000);
     const std::string_view tiers[] = {"gold-12", "silver", "platinum-1234567890", "iron"};
-    f.headers.push_back(random() % 2 == 0 ? std::nullopt : std::optional(tiers[random() % 4]));
-    return f;
+    attributes.headers.push_back(random() % 2 == 0 ? std::nullopt : std::optional(tiers[random() % 4]));
+    return attributes;
   });
 }
 
@@ -157,12 +157,12 @@
   }();
   state.counters["rules"] = static_cast<double>(rules->rules().size());
   decide(state, *rules, [&](std::size_t i) {
-    Facts f;
-    f.request_class = "ask";
-    f.account = std::string_view(x).substr(0, 128);
-    f.prompt_tokens = 1'000'000'007;
-    f.headers = {std::string_view(i % 2 == 0 ? x : ab), std::string_view(ab)};
-    return f;
+    RequestAttributes attributes;
+    attributes.request_class = "ask";
+    attributes.account = std::string_view(x).substr(0, 128);
+    attributes.prompt_tokens = 1'000'000'007;
+    attributes.headers = {std::string_view(i % 2 == 0 ? x : ab), std::string_view(ab)};
+    return attributes;
   });
 }
 
@@ -196,17 +196,17 @@
 void million_keys(benchmark::State& state) {
   for (auto _ : state) {
     rate_limit::CounterTable table(1'000'000);
-    const rate_limit::Bound bound{
-        1, std::chrono::seconds(10), std::chrono::seconds(0), rate_limit::Bound::kAny, {}};
+    const rate_limit::InstanceLimit limit{
+        1, std::chrono::seconds(10), std::chrono::seconds(0), rate_limit::InstanceLimit::kUnlimited, {}};
     std::mt19937_64 random(3);
-    rate_limit::Held held;
+    rate_limit::ChargeHandle handle;
     for (std::size_t i = 0; i < kRequests; ++i) {
-      const rate_limit::Charge charge{bound, random() | 1U};
-      benchmark::DoNotOptimize(table.admit({&charge, 1}, std::chrono::nanoseconds(i), {&held, 1}));
+      const rate_limit::Charge charge{limit, random() | 1U};
+      benchmark::DoNotOptimize(table.admit({&charge, 1}, std::chrono::nanoseconds(i), {&handle, 1}));
     }
     state.counters["bytes"] = static_cast<double>(table.bytes());
-    state.counters["keys"] = static_cast<double>(table.used(std::chrono::nanoseconds(kRequests)));
-    state.counters["shared"] = static_cast<double>(table.shared());
+    state.counters["keys"] = static_cast<double>(table.active_keys(std::chrono::nanoseconds(kRequests)));
+    state.counters["shared"] = static_cast<double>(table.overflow_count());
     state.counters["ns/key"] = benchmark::Counter(static_cast<double>(kRequests) * 1e-9,
                                                   benchmark::Counter::kIsRate | benchmark::Counter::kInvert);
   }
--- a/src/daemon/dispatcher.cpp
+++ b/src/daemon/dispatcher.cpp
@@ -110,7 +110,7 @@
       peer_(loop.io(), shared_path(config, ".sock"), loop.timers(), loop.clock(), log, *this),
       signals_(loop.io(), SIGTERM, SIGINT, SIGHUP) {
   pool_.attach(engine_);
-  rate_limiter_.adopt(std::exchange(first_rules_, nullptr), loop.now());
+  rate_limiter_.replace_rules(std::exchange(first_rules_, nullptr), loop.now());
   platform_.attach(rate_limiter_);
   platform_.attach(levels_);
   engine_.attach(&levels_);
@@ -127,8 +127,8 @@
         admin::AdminCallbacks{
             [this] { return ready(); },
             [this](const std::string& endpoint, bool offline) { return maintain(endpoint, offline); },
-            [this] { return levels_.level(); }, [this] { return levels_.changes(); },
-            [this](const std::string& name) { return levels_.order(name); }},
+            [this] { return levels_.status(); }, [this] { return levels_.history(); },
+            [this](const std::string& name) { return levels_.set_override(name); }},
         [this] { return pool_.shed(); });
   }
   engine_.attach(&peer_);
@@ -174,7 +174,7 @@
     }
   }
   engine_.learn(handover.learned_state);
-  levels_.resume(handover.level);
+  levels_.restore(handover.level);
   for (const std::string& id : handover.ids) engine_.request_elsewhere(id, true);
   watch_.start(servers_.seq);
   platform_.server().open(std::move(handover.listening["platform"]));
@@ -237,7 +237,7 @@
   const std::size_t each = peer_.shared() ? 2 : 1;
   const auto number = static_cast<std::size_t>(std::max(0, config_.settings.router_number));
   const auto count = static_cast<std::size_t>(std::max(1, config_.settings.router_count));
-  rate_limiter_.share(each * number + (peer_.has_elder() ? 1 : 0), each * count);
+  rate_limiter_.set_instance(each * number + (peer_.has_elder() ? 1 : 0), each * count);
 }
 
 void Dispatcher::watch_levels() {
@@ -299,8 +299,8 @@
   engine_.adopt(rules);
   platform_.adopt(rules);
   if (chat_) chat_->adopt(*chat);
-  rate_limiter_.adopt(requests, loop_.now());
-  levels_.adopt(*rules, service);
+  rate_limiter_.replace_rules(requests, loop_.now());
+  levels_.apply_settings(*rules, service);
   config_.settings = next.settings;
   config_.source = next.source;
   config_.sockets = next.sockets;
@@ -358,7 +358,7 @@
   service_discovery::merge(servers_, servers);
   pool_.endpoints(servers.addresses, servers.whole);
   engine_.endpoints(servers.list);
-  levels_.endpoints(servers.list);
+  levels_.update_endpoints(servers.list);
 }
 
 void Dispatcher::drain() {
--- a/src/daemon/dispatcher.hpp
+++ b/src/daemon/dispatcher.hpp
@@ -58,7 +58,7 @@
   std::map<std::string, int> listening() override;
   std::vector<std::string> open_ids() override { return engine_.open_ids(); }
   routing::LearnedState learned_state() override { return engine_.learned_state(); }
-  Json level() override { return levels_.level(); }
+  Json level() override { return levels_.status(); }
   void inherit(hot_restart::HandoverState handover) override;
   void on_ban(const std::string& endpoint, bool offline) override { order(endpoint, offline); }
   void on_request(const std::string& id, bool open) override { engine_.request_elsewhere(id, open); }
--- a/src/daemon/main.cpp
+++ b/src/daemon/main.cpp
@@ -101,11 +101,12 @@
     std::cout << "rule " << rule.name << ": " << rule.when << "\n";
     for (const rate_limit::Limit& l : rule.limits) {
       const auto part =
-          rate_limit::part_of(l, static_cast<std::size_t>(config.settings.router_number), instances);
+          rate_limit::instance_limit(l, static_cast<std::size_t>(config.settings.router_number), instances);
       std::cout << "  limit " << l.name << ", this instance's part:";
-      if (part.interval.count() > 0)
-        std::cout << " one each " << static_cast<double>(part.interval.count()) / 1e6 << " ms";
-      if (part.maximum != rate_limit::Bound::kAny) std::cout << " " << part.maximum << " in progress";
+      if (part.emission_interval.count() > 0)
+        std::cout << " one each " << static_cast<double>(part.emission_interval.count()) / 1e6 << " ms";
+      if (part.max_in_progress != rate_limit::InstanceLimit::kUnlimited)
+        std::cout << " " << part.max_in_progress << " in progress";
       std::cout << "\n";
     }
   }
--- a/src/daemon/rules_command.cpp
+++ b/src/daemon/rules_command.cpp
@@ -79,7 +79,7 @@
   if (rules == nullptr) return 1;
   try {
     const auto sample = rate_limit::read_sample(request, *rules);
-    for (const std::string& line : rate_limit::explain(*rules, sample->facts)) out << line << "\n";
+    for (const std::string& line : rate_limit::explain(*rules, sample->attributes)) out << line << "\n";
   } catch (const cue::Errors& e) {
     errors << e.what() << "\n";
     return 1;
@@ -91,7 +91,7 @@
                 std::ostream& out, std::ostream& errors) {
   const auto rules = load(file, names, errors);
   if (rules == nullptr) return 1;
-  constexpr std::size_t kFixed = 10;  // fields before the headers
+  constexpr std::size_t kFixed = rate_limit::kRequestFields;  // fields before the headers
   const Values values(*rules);
   std::mt19937_64 random(1);
   expression::Scratch scratch;
@@ -100,12 +100,12 @@
   times.reserve(requests);
   std::size_t matched = 0;
   for (std::size_t n = 0; n < requests; ++n) {
-    rate_limit::Facts facts;
+    rate_limit::RequestAttributes facts;
     facts.request_class = values.any(0, random);
     facts.account = values.any(1, random);
     facts.model = values.any(2, random);
     facts.session = random();
-    facts.chat = random() % 2 == 0;
+    facts.is_openai_api = random() % 2 == 0;
     facts.prompt_tokens = static_cast<std::int64_t>(random() % 32'768);
     facts.time_left_ms = static_cast<std::int64_t>(random() % 10'000);
     for (std::size_t h = 0; h < rules->headers().size(); ++h)
@@ -115,7 +115,7 @@
     const rate_limit::Decision decision = rules->decide(facts, scratch);
     times.push_back(
         std::chrono::duration<float, std::nano>(std::chrono::steady_clock::now() - begin).count());
-    matched += decision.rule >= 0 ? 1 : 0;
+    matched += decision.rule ? 1 : 0;
   }
   if (times.empty()) return 0;
   double sum = 0;
--- a/src/degradation/degradation_controller.cpp
+++ b/src/degradation/degradation_controller.cpp
@@ -9,17 +9,24 @@
 
 namespace {
 
-Json to_json(const expression::Value& v) {
-  if (v.kind == expression::Kind::kDouble) return v.real;
-  if (v.kind == expression::Kind::kInt) return v.integer;
+// What operators name to clear an override.
+constexpr const char* kAutomatic = "auto";
+
+// Keys of status(), which operators' scripts and other processes read.
+constexpr const char* kLevelKey = "level";
+constexpr const char* kOverriddenKey = "pinned";
+
+Json to_json(const expression::Value& value) {
+  if (value.kind == expression::Kind::kDouble) return value.real;
+  if (value.kind == expression::Kind::kInt) return value.integer;
   return nullptr;
 }
 
-Json named(const expression::Environment& fields, const std::vector<expression::Value>& values) {
-  Json all = Json::object();
+Json to_json(const expression::Environment& fields, const std::vector<expression::Value>& values) {
+  Json object = Json::object();
   for (std::size_t i = 0; i < values.size() && i < fields.fields().size(); ++i)
-    all[fields.fields()[i].path] = to_json(values[i]);
-  return all;
+    object[fields.fields()[i].path] = to_json(values[i]);
+  return object;
 }
 
 }  // namespace
@@ -27,11 +34,11 @@
 std::shared_ptr<const LevelSet> DegradationController::read(const cue::File& file,
                                                             const routing::Settings& settings) {
   const expression::Environment signals = Signals::fields(settings);
+  const rate_limit::Vocabulary vocabulary = rate_limit::vocabulary_of(settings);
   expression::Environment request = signals;
   request.add({"account.use", expression::Kind::kDouble, true, 0, {}});
-  const rate_limit::Vocabulary names = rate_limit::vocabulary_of(settings);
-  rate_limit::add_request_fields(request, names);
-  return LevelSet::read(file, signals, request, names.classes);
+  rate_limit::add_request_fields(request, vocabulary);
+  return LevelSet::read(file, signals, request, vocabulary.classes);
 }
 
 DegradationController::DegradationController(const routing::Settings& settings,
@@ -44,100 +51,106 @@
       signals_(settings),
       machine_(std::move(levels)) {}
 
-void DegradationController::adopt(const routing::Settings& settings, std::shared_ptr<const LevelSet> levels) {
-  signals_.adopt(settings);
+void DegradationController::apply_settings(const routing::Settings& settings,
+                                           std::shared_ptr<const LevelSet> levels) {
+  signals_.apply_settings(settings);
   fields_ = Signals::fields(settings);
-  last_.clear();
-  const std::string before = machine_.level_name();
-  machine_.adopt(std::move(levels), clock_());
-  if (machine_.level_name() != before) tell(machine_.history().back());
+  last_signals_.clear();
+  const std::string previous_name = machine_.level_name();
+  machine_.replace_levels(std::move(levels), clock_());
+  if (machine_.level_name() != previous_name) log_change(machine_.history().back());
 }
 
-void DegradationController::tick(std::size_t open, std::optional<Time> heard) {
+void DegradationController::tick(std::size_t in_progress, std::optional<Time> endpoints_updated_at) {
   if (!active()) return;
-  last_ = signals_.values(open, heard, clock_());
-  if (machine_.step(last_, clock_())) tell(machine_.history().back());
+  last_signals_ = signals_.values(in_progress, endpoints_updated_at, clock_());
+  if (machine_.step(last_signals_, clock_())) log_change(machine_.history().back());
 }
 
-void DegradationController::tell(const Change& change) {
-  std::string line = "level " + change.from + " -> " + change.to + ": " + name(change.cause);
-  if (!change.condition.empty()) line += " by " + change.condition;
-  const Json signals = named(fields_, change.signals);
+void DegradationController::log_change(const LevelChange& change) {
+  std::string text = "level " + change.from + " -> " + change.to + ": " + name(change.cause);
+  if (!change.condition.empty()) text += " by " + change.condition;
+  const Json signals = to_json(fields_, change.signals);
   for (const auto& [field, value] : signals.items()) {
-    if (!value.is_null()) line += ", " + field + " " + value.dump();
+    if (!value.is_null()) text += ", " + field + " " + value.dump();
   }
-  if (change.from != "normal") line += ", " + std::to_string(shed_) + " shed at " + change.from;
-  shed_ = 0;
-  log_(line);
+  if (change.from != kNormalLevelName) text += ", " + std::to_string(shed_count_) + " shed at " + change.from;
+  shed_count_ = 0;
+  log_(text);
 }
 
 std::optional<Duration> DegradationController::shed(const routing::Request& request,
-                                                    rate_limit::Facts facts) {
+                                                    rate_limit::RequestAttributes attributes) {
   if (!active()) return std::nullopt;
-  signals_.asked(request.tenant, clock_());
-  if (machine_.level() == 0) return std::nullopt;
-  facts.request_class = request.request_class;
-  facts.account = request.tenant;
-  facts.session = request.session;
-  std::array<expression::Value, rate_limit::kRequestFields> fields;
-  std::array<char, 16> session{};
-  rate_limit::fill_request(facts, session, fields);
-  std::vector<expression::Value> values = last_;
+  signals_.request_arrived(request.tenant, clock_());
+  if (machine_.level() == kNormalLevel) return std::nullopt;
+  attributes.request_class = request.request_class;
+  attributes.account = request.tenant;
+  attributes.session = request.session;
+  std::array<expression::Value, rate_limit::kRequestFields> request_values;
+  rate_limit::SessionText session_text{};
+  rate_limit::fill_request_fields(attributes, session_text, request_values);
+
+  // In the order of the environment that read() makes.
+  std::vector<expression::Value> values = last_signals_;
   values.resize(fields_.fields().size(), expression::Value::of(expression::Fault::kAbsent));
-  values.push_back(signals_.use(request.tenant, clock_()));
-  values.insert(values.end(), fields.begin(), fields.end());
-  const auto retry = machine_.shed(request.request_class, values, random_());
-  shed_ += retry ? 1 : 0;
-  return retry;
+  values.push_back(signals_.quota_usage(request.tenant, clock_()));
+  values.insert(values.end(), request_values.begin(), request_values.end());
+  const auto retry_after = machine_.shed(request.request_class, values, random_());
+  if (retry_after) ++shed_count_;
+  return retry_after;
 }
 
-Json DegradationController::level() const {
-  return {{"level", machine_.level_name()},
-          {"pinned", machine_.pinned()},
-          {"shed", shed_},
-          {"signals", named(fields_, last_)}};
+Json DegradationController::status() const {
+  return {{kLevelKey, machine_.level_name()},
+          {kOverriddenKey, machine_.is_overridden()},
+          {"shed", shed_count_},
+          {"signals", to_json(fields_, last_signals_)}};
 }
 
-Json DegradationController::changes() const {
-  Json all = Json::array();
-  for (const Change& c : machine_.history()) {
-    all.push_back({{"at_ms", c.at.count() / 1000},
-                   {"from", c.from},
-                   {"to", c.to},
-                   {"cause", name(c.cause)},
-                   {"condition", c.condition},
-                   {"signals", named(fields_, c.signals)}});
+Json DegradationController::history() const {
+  Json changes = Json::array();
+  for (const LevelChange& change : machine_.history()) {
+    const auto at = std::chrono::duration_cast<std::chrono::milliseconds>(change.at);
+    changes.push_back({{"at_ms", at.count()},
+                       {"from", change.from},
+                       {"to", change.to},
+                       {"cause", name(change.cause)},
+                       {"condition", change.condition},
+                       {"signals", to_json(fields_, change.signals)}});
   }
-  Json names = Json::array({"normal"});
-  for (const Level& l : machine_.levels().levels()) names.push_back(l.name);
-  return {{"levels", names}, {"changes", all}};
+  Json names = Json::array({kNormalLevelName});
+  for (const Level& level : machine_.levels().levels()) names.push_back(level.name);
+  return {{"levels", names}, {"changes", changes}};
 }
 
-bool DegradationController::order(const std::string& name) {
-  if (name == "auto") {
-    if (machine_.pinned()) log_("level " + machine_.level_name() + ": no longer pinned by operators");
-    machine_.unpin();
+bool DegradationController::set_override(const std::string& name) {
+  if (name == kAutomatic) {
+    if (machine_.is_overridden()) log_("level " + machine_.level_name() + ": no longer pinned by operators");
+    machine_.clear_override();
     return true;
   }
   const auto level = machine_.levels().find(name);
   if (!level) return false;
-  const std::string before = machine_.level_name();
-  if (!machine_.pinned() || name != before) log_("level " + name + ": pinned by operators");
-  machine_.pin(*level, clock_());
-  if (name != before) tell(machine_.history().back());
+  const std::string previous_name = machine_.level_name();
+  if (!machine_.is_overridden() || name != previous_name) log_("level " + name + ": pinned by operators");
+  machine_.set_override(*level, clock_());
+  if (name != previous_name) log_change(machine_.history().back());
   return true;
 }
 
-void DegradationController::resume(const Json& level) {
-  const auto it = level.find("level");
-  if (!level.is_object() || it == level.end() || !it->is_string()) return;
-  const auto number = machine_.levels().find(it->get<std::string>());
-  const auto pinned = level.find("pinned");
-  const bool pin = pinned != level.end() && pinned->is_boolean() && pinned->get<bool>();
-  if (!number || (*number == 0 && !pin)) return;
-  machine_.pin(*number, clock_());
-  if (!pin) machine_.unpin();
-  log_("level " + machine_.level_name() + (pin ? ": pinned" : ": in force") + " at the process before");
+void DegradationController::restore(const Json& status) {
+  const auto level_name = status.find(kLevelKey);
+  if (!status.is_object() || level_name == status.end() || !level_name->is_string()) return;
+  const auto level = machine_.levels().find(level_name->get<std::string>());
+  const auto overridden = status.find(kOverriddenKey);
+  const bool is_overridden =
+      overridden != status.end() && overridden->is_boolean() && overridden->get<bool>();
+  if (!level || (*level == kNormalLevel && !is_overridden)) return;
+  machine_.set_override(*level, clock_());
+  if (!is_overridden) machine_.clear_override();
+  log_("level " + machine_.level_name() + (is_overridden ? ": pinned" : ": in force") +
+       " at the process before");
 }
 
 void DegradationController::first_token(const std::string& request_class, bool late) {
--- a/src/degradation/degradation_controller.hpp
+++ b/src/degradation/degradation_controller.hpp
@@ -1,5 +1,5 @@
-// Levels in a running dispatcher: signals in, the state machine, and whether a request is shed. No I/O;
-// whoever owns it calls tick() and passes the clock in.
+// Degradation levels in a running dispatcher: collects the signals, drives the state machine, and decides
+// whether a request is shed. No I/O; whoever owns it calls tick() and passes the clock in.
 #ifndef DISPATCHER_DEGRADATION_DEGRADATION_CONTROLLER_HPP_
 #define DISPATCHER_DEGRADATION_DEGRADATION_CONTROLLER_HPP_
 
@@ -13,33 +13,46 @@
 #include "degradation/signals.hpp"
 #include "degradation/state_machine.hpp"
 #include "engine/engine.hpp"
-#include "rate_limit/facts.hpp"
+#include "rate_limit/request_attributes.hpp"
 
 namespace dispatcher::degradation {
 
+// One for all front ends of a process. Owned by the daemon and used on its event loop only; the engine calls
+// the RequestObserver part from within its own handlers on that loop.
 class DegradationController : public engine::RequestObserver {
  public:
+  // How often tick() is due: a fifth of the shortest times that the file of levels has by default, or less.
   static constexpr Duration kTick = std::chrono::milliseconds(500);
 
   // `random`: numbers from 0 to 1.
   DegradationController(const routing::Settings& settings, std::shared_ptr<const LevelSet> levels,
                         engine::Clock clock, engine::Log log, std::function<double()> random);
+
+  // Reads a file of levels for these settings. Throws cue::Errors with all problems.
   static std::shared_ptr<const LevelSet> read(const cue::File& file, const routing::Settings& settings);
 
-  // Where the file names no level nothing is shed and nothing counted.
+  // False where the file names no level: nothing is shed and nothing counted.
   [[nodiscard]] bool active() const { return !machine_.levels().levels().empty(); }
-  void adopt(const routing::Settings& settings, std::shared_ptr<const LevelSet> levels);
-  void tick(std::size_t open, std::optional<Time> heard);
-  void endpoints(const routing::EndpointList& list) { signals_.endpoints(list, clock_()); }
+  // The level in force stays where the new set has it (StateMachine::replace_levels).
+  void apply_settings(const routing::Settings& settings, std::shared_ptr<const LevelSet> levels);
+  // Evaluates the signals and changes the level where it is time. `in_progress`: requests.
+  // `endpoints_updated_at`: when service discovery last confirmed the endpoint list, if it has.
+  void tick(std::size_t in_progress, std::optional<Time> endpoints_updated_at);
+  void update_endpoints(const routing::EndpointList& list) { signals_.update_endpoints(list, clock_()); }
 
-  // None: it passes. Else it is refused at once, to come again after this. `request`: as the rules left it.
-  std::optional<Duration> shed(const routing::Request& request, rate_limit::Facts facts);
+  // Whether the request is shed: the Retry-After then, else nullopt. Counts it, too. `request`: as the rate
+  // limiting rules left it; its class, account and session replace those of `attributes`.
+  [[nodiscard]] std::optional<Duration> shed(const routing::Request& request,
+                                             rate_limit::RequestAttributes attributes);
 
-  // For operators, and for the process that takes over.
-  [[nodiscard]] nlohmann::json level() const;
-  [[nodiscard]] nlohmann::json changes() const;
-  bool order(const std::string& name);       // a level to pin, or "auto"; false: there is none such
-  void resume(const nlohmann::json& level);  // as another process's level() told it
+  // The level in force with its signals, for operators and for the process that takes over (restore()).
+  [[nodiscard]] nlohmann::json status() const;
+  // The names of the levels and the last changes, for operators.
+  [[nodiscard]] nlohmann::json history() const;
+  // An operator's override: the name of a level, or "auto" to clear it. False: there is no such level.
+  [[nodiscard]] bool set_override(const std::string& name);
+  // Takes over the level of another process's status(); what is malformed is ignored.
+  void restore(const nlohmann::json& status);
 
   [[nodiscard]] const StateMachine& machine() const { return machine_; }
 
@@ -47,7 +60,7 @@
   void given_up(const std::string& request_class, bool rejected) override;
 
  private:
-  void tell(const Change& change);
+  void log_change(const LevelChange& change);
 
   engine::Clock clock_;
   engine::Log log_;
@@ -55,8 +68,8 @@
   expression::Environment fields_;
   Signals signals_;
   StateMachine machine_;
-  std::vector<expression::Value> last_;  // signals, as they were at the last tick
-  std::uint64_t shed_ = 0;               // since the level in force was entered
+  std::vector<expression::Value> last_signals_;  // as of the last tick
+  std::uint64_t shed_count_ = 0;                 // since the level in force was entered
 };
 
 }  // namespace dispatcher::degradation
--- a/src/degradation/levels.cpp
+++ b/src/degradation/levels.cpp
@@ -11,6 +11,9 @@
 
 namespace dispatcher::degradation {
 
+using expression::Kind;
+using expression::Value;
+
 namespace {
 
 constexpr std::string_view kSchema = R"cue(
@@ -37,63 +40,147 @@
 }
 )cue";
 
-constexpr std::size_t kMaxSamples = 4096;
+// ---- conditions that contradict each other ----
 
-using expression::Kind;
-using expression::Value;
+// The values of each field, by its index, at which a condition may change.
+using SamplePoints = std::map<std::int64_t, std::set<double>>;
+
+// Combinations of sample points that are tried at most: a few milliseconds.
+constexpr std::size_t kMaxSamples = 4096;
 
-// The numbers that a condition compares each signal with, and a little to either side of each.
-void collect(const expression::Node& n, std::map<std::int64_t, std::set<double>>& points) {
-  for (const expression::Node& a : n.kids) {
-    if (a.op != expression::Op::kField) continue;
-    for (const expression::Node& b : n.kids) {
-      if (b.op != expression::Op::kLiteral) continue;
-      const double at = b.type.kind == Kind::kInt ? static_cast<double>(b.integer) : b.real;
-      const double near = b.type.kind == Kind::kInt ? 1 : std::max(1e-6, std::abs(at) * 1e-3);
-      points[a.integer].insert({at - near, at, at + near});
+// Adds the numbers that a condition compares each signal with, and a value a little to either side of each.
+void collect_sample_points(const expression::Node& node, SamplePoints& points) {
+  for (const expression::Node& field : node.kids) {
+    if (field.op != expression::Op::kField) continue;
+    for (const expression::Node& literal : node.kids) {
+      if (literal.op != expression::Op::kLiteral) continue;
+      const bool is_integer = literal.type.kind == Kind::kInt;
+      const double value = is_integer ? static_cast<double>(literal.integer) : literal.real;
+      const double step = is_integer ? 1 : std::max(1e-6, std::abs(value) * 1e-3);
+      points[field.integer].insert({value - step, value, value + step});
     }
   }
-  for (const expression::Node& kid : n.kids) collect(kid, points);
+  for (const expression::Node& child : node.kids) collect_sample_points(child, points);
+}
+
+// The product of the numbers of points, or kMaxSamples + 1 where it is more.
+std::size_t count_combinations(const SamplePoints& points) {
+  std::size_t combinations = 1;
+  for (const auto& [field, values] : points)
+    combinations = std::min(combinations * values.size(), kMaxSamples + 1);
+  return combinations;
 }
 
-// May both hold at once? Tried at all the places where either changes; beyond the bound, at some of them.
-bool both_may_hold(const Level& level, const expression::Environment& signals) {
-  std::map<std::int64_t, std::set<double>> points;
-  collect(level.enter.tree(), points);
-  collect(level.leave.tree(), points);
+// Whether both conditions of a level can hold at once. Tries every combination of the points at which either
+// changes; where there are too many, a random sample of them (the same each time).
+bool conditions_overlap(const Level& level, const expression::Environment& signals) {
+  SamplePoints points;
+  collect_sample_points(level.enter.tree(), points);
+  collect_sample_points(level.leave.tree(), points);
   std::vector<Value> values(signals.fields().size(), Value::of(expression::Fault::kAbsent));
   for (std::size_t i = 0; i < values.size(); ++i) {
     if (signals.fields()[i].kind == Kind::kBool) values[i] = Value::of(false);
   }
-  std::size_t combinations = 1;
-  for (const auto& [field, at] : points) combinations = std::min(combinations * at.size(), kMaxSamples + 1);
   expression::Scratch scratch;
-  for (const auto* p : {&level.enter, &level.leave}) scratch.reserve(p->max_values(), p->max_text());
+  for (const auto* program : {&level.enter, &level.leave})
+    scratch.reserve(program->max_values(), program->max_text());
+
+  const std::size_t combinations = count_combinations(points);
+  const bool is_exhaustive = combinations <= kMaxSamples;
   std::mt19937 random(1);
-  const bool all = combinations <= kMaxSamples;
-  for (std::size_t n = 0; n < std::min(combinations, kMaxSamples); ++n) {
-    std::size_t rest = n;
-    for (const auto& [field, at] : points) {
-      const std::size_t which = all ? rest % at.size() : random() % at.size();
-      rest /= at.size();
-      const double value = *std::next(at.begin(), static_cast<std::ptrdiff_t>(which));
-      const auto i = static_cast<std::size_t>(field);
-      values[i] = signals.fields()[i].kind == Kind::kInt ? Value::of(static_cast<std::int64_t>(value))
-                                                         : Value::of(value);
+  for (std::size_t sample = 0; sample < std::min(combinations, kMaxSamples); ++sample) {
+    std::size_t remaining = sample;  // the combination's number, in a mixed radix
+    for (const auto& [field, candidates] : points) {
+      const std::size_t which = is_exhaustive ? remaining % candidates.size() : random() % candidates.size();
+      remaining /= candidates.size();
+      const double value = *std::next(candidates.begin(), static_cast<std::ptrdiff_t>(which));
+      const auto index = static_cast<std::size_t>(field);
+      const bool is_integer = signals.fields()[index].kind == Kind::kInt;
+      values[index] = is_integer ? Value::of(static_cast<std::int64_t>(value)) : Value::of(value);
     }
     if (level.enter.run(values, scratch).is(true) && level.leave.run(values, scratch).is(true)) return true;
   }
   return false;
 }
 
-class Reader {
+// ---- the file ----
+
+Duration milliseconds_of(const cue::Data& data) { return std::chrono::milliseconds(data.integer()); }
+
+// Reads the levels of one file. Problems collect, so that operators see all of them at once; what has one is
+// left out.
+class LevelReader {
  public:
-  std::vector<cue::Problem> problems;
+  LevelReader(const expression::Environment& signals, const expression::Environment& request,
+              const std::vector<std::string>& classes)
+      : signals_(signals), request_(request), classes_(classes) {}
+
+  std::vector<Level> read_levels(const cue::Data& data) {
+    if (data.items().size() > kMaxLevels)
+      add_problem(data,
+                  "more than " + std::to_string(kMaxLevels) + " levels: the bound on changes would not hold");
+    std::vector<Level> levels;
+    std::set<std::string> names;
+    for (const cue::Data& item : data.items()) {
+      if (!names.insert(item["name"].text()).second) add_problem(item["name"], "the name stands twice");
+      if (auto level = read_level(item)) levels.push_back(std::move(*level));
+    }
+    return levels;
+  }
 
-  void bad(const cue::Data& at, std::string what) { problems.push_back(cue::problem(at, std::move(what))); }
-};
+  std::vector<cue::Problem> take_problems() { return std::move(problems_); }
 
-Duration ms(const cue::Data& data) { return std::chrono::milliseconds(data.integer()); }
+ private:
+  // nullopt: a condition does not compile.
+  std::optional<Level> read_level(const cue::Data& data) {
+    Level level;
+    level.name = data["name"].text();
+    level.enter_text = data["enter"].text();
+    level.leave_text = data["leave"].text();
+    level.enter_for = milliseconds_of(data["enter_for_ms"]);
+    level.leave_for = milliseconds_of(data["leave_for_ms"]);
+    level.min_stay = milliseconds_of(data["least_stay_ms"]);
+    level.max_stay = std::max(level.min_stay, milliseconds_of(data["most_stay_ms"]));
+    auto enter = expression::compile(data["enter"], signals_, Kind::kBool, problems_);
+    auto leave = expression::compile(data["leave"], signals_, Kind::kBool, problems_);
+    for (const cue::Data& item : data["shed"].items()) {
+      if (auto rule = read_shedding_rule(item)) level.shedding_rules.push_back(std::move(*rule));
+    }
+    if (!enter || !leave) return std::nullopt;
+    level.enter = std::move(*enter);
+    level.leave = std::move(*leave);
+    if (conditions_overlap(level, signals_))
+      add_problem(data["leave"], "can hold while 'enter' does: the level would swing");
+    return level;
+  }
+
+  // nullopt: its condition does not compile.
+  std::optional<SheddingRule> read_shedding_rule(const cue::Data& data) {
+    SheddingRule rule;
+    for (const cue::Data& name : data["classes"].items()) {
+      rule.classes.push_back(name.text());
+      const bool is_known =
+          classes_.empty() || std::find(classes_.begin(), classes_.end(), name.text()) != classes_.end();
+      if (!is_known) add_problem(name, "no class '" + name.text() + "' in the settings");
+    }
+    rule.min_retry_after = milliseconds_of(data["retry_ms"]["least"]);
+    rule.max_retry_after = milliseconds_of(data["retry_ms"]["most"]);
+    if (rule.max_retry_after < rule.min_retry_after) add_problem(data["retry_ms"], "most is less than least");
+    auto when = expression::compile(data["when"], request_, Kind::kBool, problems_);
+    if (!when) return std::nullopt;
+    rule.when = std::move(*when);
+    return rule;
+  }
+
+  void add_problem(const cue::Data& at, std::string what) {
+    problems_.push_back(cue::problem(at, std::move(what)));
+  }
+
+  const expression::Environment& signals_;
+  const expression::Environment& request_;
+  const std::vector<std::string>& classes_;
+  std::vector<cue::Problem> problems_;
+};
 
 }  // namespace
 
@@ -102,66 +189,33 @@
                                                const std::vector<std::string>& classes) {
   static const cue::Schema schema(kSchema, "#Levels");
   const cue::Data data = schema.read(file);
+  // An empty file, or one cut before its levels, must not pass for one that has none.
   if (!data["levels"].where().in_file())
     throw cue::Errors(file.name, {{{}, "levels", "missing: a file without levels says levels: []"}});
-  auto made = std::make_shared<LevelSet>();
-  Reader reader;
-  if (data["levels"].items().size() > kMaxLevels)
-    reader.bad(data["levels"],
-               "more than " + std::to_string(kMaxLevels) + " levels: the bound on changes would not hold");
-  std::set<std::string> names;
-  for (const cue::Data& l : data["levels"].items()) {
-    Level level;
-    level.name = l["name"].text();
-    if (!names.insert(level.name).second) reader.bad(l["name"], "the name stands twice");
-    level.enter_text = l["enter"].text();
-    level.leave_text = l["leave"].text();
-    level.enter_for = ms(l["enter_for_ms"]);
-    level.leave_for = ms(l["leave_for_ms"]);
-    level.min_stay = ms(l["least_stay_ms"]);
-    level.max_stay = std::max(level.min_stay, ms(l["most_stay_ms"]));
-    auto enter = expression::compile(l["enter"], signals, Kind::kBool, reader.problems),
-         leave = expression::compile(l["leave"], signals, Kind::kBool, reader.problems);
-    for (const cue::Data& s : l["shed"].items()) {
-      SheddingRule shed;
-      for (const cue::Data& name : s["classes"].items()) {
-        shed.classes.push_back(name.text());
-        if (!classes.empty() && std::find(classes.begin(), classes.end(), name.text()) == classes.end())
-          reader.bad(name, "no class '" + name.text() + "' in the settings");
-      }
-      shed.retry_min = ms(s["retry_ms"]["least"]);
-      shed.retry_max = ms(s["retry_ms"]["most"]);
-      if (shed.retry_max < shed.retry_min) reader.bad(s["retry_ms"], "most is less than least");
-      if (auto when = expression::compile(s["when"], request, Kind::kBool, reader.problems)) {
-        shed.when = std::move(*when);
-        level.shed.push_back(std::move(shed));
-      }
-    }
-    if (!enter || !leave) continue;
-    level.enter = std::move(*enter);
-    level.leave = std::move(*leave);
-    if (both_may_hold(level, signals))
-      reader.bad(l["leave"], "can hold while 'enter' does: the level would swing");
-    made->levels_.push_back(std::move(level));
-  }
-  if (!reader.problems.empty()) throw cue::Errors(file.name, std::move(reader.problems));
-  return made;
+  LevelReader reader(signals, request, classes);
+  auto set = std::make_shared<LevelSet>();
+  set->levels_ = reader.read_levels(data["levels"]);
+  if (auto problems = reader.take_problems(); !problems.empty())
+    throw cue::Errors(file.name, std::move(problems));
+  return set;
 }
 
 std::optional<std::size_t> LevelSet::find(const std::string& name) const {
-  if (name == "normal") return 0;
+  if (name == kNormalLevelName) return kNormalLevel;
   const auto it =
-      std::find_if(levels_.begin(), levels_.end(), [&](const Level& l) { return l.name == name; });
+      std::find_if(levels_.begin(), levels_.end(), [&](const Level& level) { return level.name == name; });
   if (it == levels_.end()) return std::nullopt;
   return static_cast<std::size_t>(it - levels_.begin()) + 1;
 }
 
 void LevelSet::reserve(expression::Scratch& scratch) const {
-  const auto one = [&](const expression::Program& p) { scratch.reserve(p.max_values(), p.max_text()); };
-  for (const Level& l : levels_) {
-    one(l.enter);
-    one(l.leave);
-    for (const SheddingRule& s : l.shed) one(s.when);
+  const auto reserve_for = [&](const expression::Program& program) {
+    scratch.reserve(program.max_values(), program.max_text());
+  };
+  for (const Level& level : levels_) {
+    reserve_for(level.enter);
+    reserve_for(level.leave);
+    for (const SheddingRule& rule : level.shedding_rules) reserve_for(rule.when);
   }
 }
 
--- a/src/degradation/levels.hpp
+++ b/src/degradation/levels.hpp
@@ -1,5 +1,4 @@
-// Levels of reduced service as the operators' file has them: when each is entered and left, and what it
-// sheds.
+// The degradation levels of the operators' file: when each is entered and left, and which requests it sheds.
 #ifndef DISPATCHER_DEGRADATION_LEVELS_HPP_
 #define DISPATCHER_DEGRADATION_LEVELS_HPP_
 
@@ -17,38 +16,52 @@
 using routing::Duration;
 using routing::Time;
 
-// Above normal service. The bounds on changes could not be kept with more (state_machine.hpp).
+// Besides normal service. With more the limits on changes could not be guaranteed (state_machine.hpp).
 inline constexpr std::size_t kMaxLevels = 3;
 
+// Level 0, at which nothing is shed. Its name is reserved.
+inline constexpr std::size_t kNormalLevel = 0;
+inline constexpr const char* kNormalLevelName = "normal";
+
+// Which requests a level sheds, and the range that their Retry-After is drawn from.
 struct SheddingRule {
   std::vector<std::string> classes;  // by name, and no others
-  expression::Program when;          // over the request and the signals
-  Duration retry_min{}, retry_max{};
+  expression::Program when;          // over the signals and the request
+  Duration min_retry_after{}, max_retry_after{};
 };
 
+// One level of reduced service. Conditions are over the signals.
 struct Level {
   std::string name;
-  expression::Program enter, leave;  // over the signals
-  std::string enter_text, leave_text;
-  Duration enter_for{}, leave_for{};  // how long a condition must hold
-  Duration min_stay{}, max_stay{};    // a level that is soon entered again is kept twice as long each time
-  std::vector<SheddingRule> shed;
+  expression::Program enter, leave;
+  std::string enter_text, leave_text;  // as the file has them
+  Duration enter_for{}, leave_for{};   // how long the condition must hold
+  // How long the level stays in force at least. It starts at the first and doubles up to the second as long
+  // as the level is entered again soon after it was left.
+  Duration min_stay{}, max_stay{};
+  std::vector<SheddingRule> shedding_rules;
 };
 
-// The levels in order, the mildest first. Level 0, normal service, is not among them.
+// The levels in order, the mildest first; immutable once read, so that it may be shared. Levels are numbered
+// from 1, after kNormalLevel.
 class LevelSet {
  public:
-  // `signals` and `request`: the fields that conditions and `shed.when` may ask for; the latter begins with
-  // the signals. `classes`: the names that the settings know, none: any. Throws cue::Errors.
+  // Reads and checks a file. `signals`: the fields that conditions may use. `request`: the fields that
+  // `shed.when` may use, the signals first. `classes`: the names that the settings know; none: any name goes.
+  // Throws cue::Errors with all problems.
   static std::shared_ptr<const LevelSet> read(const cue::File& file, const expression::Environment& signals,
                                               const expression::Environment& request,
                                               const std::vector<std::string>& classes);
 
   [[nodiscard]] const std::vector<Level>& levels() const { return levels_; }
-  [[nodiscard]] std::optional<std::size_t> find(const std::string& name) const;  // 0: normal
-  [[nodiscard]] std::string name(std::size_t level) const {
-    return level == 0 ? "normal" : levels_[level - 1].name;
+  // `number`: above kNormalLevel.
+  [[nodiscard]] const Level& level(std::size_t number) const { return levels_[number - 1]; }
+  // The level's number; nullopt: there is none of this name.
+  [[nodiscard]] std::optional<std::size_t> find(const std::string& name) const;
+  [[nodiscard]] std::string name(std::size_t number) const {
+    return number == kNormalLevel ? kNormalLevelName : level(number).name;
   }
+  // Makes the scratch large enough for all programs of the levels.
   void reserve(expression::Scratch& scratch) const;
 
  private:
--- a/src/degradation/signals.cpp
+++ b/src/degradation/signals.cpp
@@ -12,160 +12,143 @@
 
 namespace {
 
-constexpr Duration kListStale = std::chrono::seconds(10);
+// Service discovery polls every second or so: past this the list says nothing about the present.
+constexpr Duration kMaxListAge = std::chrono::seconds(10);
+// Of fewer events a fraction would be chance.
+constexpr std::size_t kMinEvents = 20;
+// Zones have names, so that the empty one is free to stand for all of them.
+constexpr const char* kAllZones = "";
+constexpr std::array kRoles = {Role::kReader, Role::kWriter};
 
-std::int64_t second_of(Time now) { return std::chrono::duration_cast<std::chrono::seconds>(now).count(); }
+bool serves_role(Role endpoint, Role wanted) { return endpoint == wanted || endpoint == Role::kMixed; }
 
-bool plays(Role endpoint, Role wanted) { return endpoint == wanted || endpoint == Role::kMixed; }
+Value absent() { return Value::of(expression::Fault::kAbsent); }
 
-Value known(std::optional<double> value) {
-  return value ? Value::of(*value) : Value::of(expression::Fault::kAbsent);
-}
+Value value_or_absent(std::optional<double> value) { return value ? Value::of(*value) : absent(); }
 
 }  // namespace
 
-void Share::count(bool yes, Time now) {
-  const std::int64_t second = second_of(now);
-  Slot& slot = slots_[static_cast<std::size_t>(second % kSlots)];
-  if (slot.second != second) slot = {second, 0, 0};
-  slot.yes += yes ? 1 : 0;
-  ++slot.all;
-}
-
-std::pair<std::size_t, std::size_t> Share::sum(Time now) const {
-  const std::int64_t second = second_of(now);
-  std::size_t yes = 0, all = 0;
-  for (const Slot& s : slots_) {
-    if (s.second <= second - kSlots || s.second > second) continue;
-    yes += s.yes;
-    all += s.all;
-  }
-  return {yes, all};
-}
-
-double Share::rate(Time now) const {
-  return static_cast<double>(sum(now).second) / static_cast<double>(kSlots);
-}
-
-std::optional<double> Share::value(std::size_t minimum, Time now) const {
-  const auto [yes, all] = sum(now);
-  if (all < minimum) return std::nullopt;
-  return static_cast<double>(yes) / static_cast<double>(all);
-}
-
-void Peak::see(std::size_t n, Time now) {
-  if (!std::exchange(begun_, true)) since_ = now;
-  if (now - since_ >= kHalf) {
-    before_ = std::exchange(now_, 0);
-    since_ = now;
-  }
-  now_ = std::max(now_, n);
-}
-
 expression::Environment Signals::fields(const routing::Settings& settings) {
-  expression::Environment e;
+  expression::Environment environment;
   for (const char* name :
        {"ready.readers", "ready.writers", "ready.least_zone_readers", "ready.least_zone_writers", "refused"})
-    e.add({name, Kind::kDouble, true, 0, {}});
-  e.add({"open", Kind::kInt, false, 0, {}});
-  for (const auto& c : settings.classes) e.add({"late." + c.name, Kind::kDouble, true, 0, {}});
-  return e;
+    environment.add({name, Kind::kDouble, true, 0, {}});
+  environment.add({"open", Kind::kInt, false, 0, {}});
+  for (const auto& request_class : settings.classes)
+    environment.add({"late." + request_class.name, Kind::kDouble, true, 0, {}});
+  return environment;
 }
 
-void Signals::adopt(const routing::Settings& settings) {
-  kinds_.clear();
+void Signals::apply_settings(const routing::Settings& settings) {
+  roles_by_kind_.clear();
   quotas_.clear();
   classes_.clear();
-  for (const auto& k : settings.kinds) kinds_[k.name] = k.role;
-  for (const auto& t : settings.tenants) quotas_[t.name] = t.quota_rps / std::max(1, settings.router_count);
-  for (const auto& c : settings.classes) classes_.push_back(c.name);
-  std::erase_if(late_, [&](const auto& l) {
-    return std::find(classes_.begin(), classes_.end(), l.first) == classes_.end();
-  });
-  std::erase_if(asked_, [&](const auto& a) { return !quotas_.contains(a.first); });
+  for (const auto& kind : settings.kinds) roles_by_kind_[kind.name] = kind.role;
+  for (const auto& tenant : settings.tenants)
+    quotas_[tenant.name] = tenant.quota_rps / std::max(1, settings.router_count);
+  for (const auto& request_class : settings.classes) classes_.push_back(request_class.name);
+  std::erase_if(late_, [&](const auto& entry) { return !has_class(entry.first); });
+  std::erase_if(arrivals_, [&](const auto& entry) { return !quotas_.contains(entry.first); });
 }
 
-void Signals::endpoints(const routing::EndpointList& list, Time now) {
+void Signals::update_endpoints(const routing::EndpointList& list, Time now) {
   if (list.kind != routing::ListKind::kDelta) endpoints_.clear();
   for (const auto& entry : list.entries) {
-    const auto kind = kinds_.find(entry.kind);
-    if (entry.state == EndpointState::kRemoved || kind == kinds_.end()) {
+    const auto kind = roles_by_kind_.find(entry.kind);
+    if (entry.state == EndpointState::kRemoved || kind == roles_by_kind_.end()) {
       endpoints_.erase(entry.endpoint);
     } else {
       endpoints_[entry.endpoint] = {entry.zone, kind->second, entry.state == EndpointState::kReady};
     }
   }
-  std::set<std::string> zones = {""};
-  for (const auto& [endpoint, h] : endpoints_) zones.insert(h.zone);
+  std::set<std::string> zones = {kAllZones};
+  for (const auto& [name, endpoint] : endpoints_) zones.insert(endpoint.zone);
   for (const std::string& zone : zones) {
-    for (const Role role : {Role::kReader, Role::kWriter}) {
-      const auto count = std::count_if(endpoints_.begin(), endpoints_.end(), [&](const auto& h) {
-        return h.second.ready && plays(h.second.role, role) && (zone.empty() || h.second.zone == zone);
-      });
-      peaks_[{zone, role}].see(static_cast<std::size_t>(count), now);
+    for (const Role role : kRoles) {
+      const ZoneRole group{zone, role};
+      ready_maxima_[group].observe(count_ready(group), now);
     }
   }
 }
 
 void Signals::first_token(const std::string& request_class, bool late, Time now) {
-  if (std::find(classes_.begin(), classes_.end(), request_class) == classes_.end()) return;
-  late_[request_class].count(late, now);
-  rejected_.count(false, now);
+  if (!has_class(request_class)) return;
+  late_[request_class].record(late, now);
+  rejected_.record(false, now);
 }
 
 void Signals::given_up(const std::string& request_class, bool rejected, Time now) {
-  if (std::find(classes_.begin(), classes_.end(), request_class) == classes_.end()) return;
-  // What was refused or failed had no first token in time either.
-  late_[request_class].count(true, now);
-  rejected_.count(rejected, now);
+  if (!has_class(request_class)) return;
+  // A request that was rejected or failed had no first token in time either.
+  late_[request_class].record(true, now);
+  rejected_.record(rejected, now);
 }
 
-void Signals::asked(const std::string& account, Time now) {
-  if (quotas_.contains(account)) asked_[account].count(true, now);
+void Signals::request_arrived(const std::string& account, Time now) {
+  if (quotas_.contains(account)) arrivals_[account].record(true, now);
 }
 
-Value Signals::use(const std::string& account, Time now) const {
+Value Signals::quota_usage(const std::string& account, Time now) const {
   const auto quota = quotas_.find(account);
-  if (quota == quotas_.end() || quota->second <= 0) return Value::of(expression::Fault::kAbsent);
-  const auto asked = asked_.find(account);
-  return Value::of(asked == asked_.end() ? 0.0 : asked->second.rate(now) / quota->second);
+  if (quota == quotas_.end() || quota->second <= 0) return absent();
+  const auto arrivals = arrivals_.find(account);
+  if (arrivals == arrivals_.end()) return Value::of(0.0);
+  return Value::of(arrivals->second.events_per_second(now) / quota->second);
 }
 
-Value Signals::ready(Role role, const std::string* zone, Time now) {
-  const auto count =
-      static_cast<std::size_t>(std::count_if(endpoints_.begin(), endpoints_.end(), [&](const auto& h) {
-        return h.second.ready && plays(h.second.role, role) && (zone == nullptr || h.second.zone == *zone);
-      }));
-  Peak& peak = peaks_[{zone == nullptr ? std::string() : *zone, role}];
-  peak.see(count, now);
-  if (peak.maximum() == 0) return Value::of(expression::Fault::kAbsent);
-  return Value::of(static_cast<double>(count) / static_cast<double>(peak.maximum()));
+bool Signals::has_class(const std::string& request_class) const {
+  return std::find(classes_.begin(), classes_.end(), request_class) != classes_.end();
 }
 
-std::vector<Value> Signals::values(std::size_t open, std::optional<Time> heard, Time now) {
-  std::vector<Value> all;
-  const bool fresh = heard && now - *heard <= kListStale;
-  const Value absent = Value::of(expression::Fault::kAbsent);
-  for (const Role role : {Role::kReader, Role::kWriter})
-    all.push_back(fresh ? ready(role, nullptr, now) : absent);
-  for (const Role role : {Role::kReader, Role::kWriter}) {
-    Value minimum = absent;
-    std::vector<std::string> zones;
-    for (const auto& [key, peak] : peaks_) {
-      if (key.second == role && !key.first.empty()) zones.push_back(key.first);
-    }
-    for (const std::string& zone : zones) {
-      const Value one = ready(role, &zone, now);
-      if (!one.failed() && (minimum.failed() || one.real < minimum.real)) minimum = one;
-    }
-    all.push_back(fresh ? minimum : absent);
+std::size_t Signals::count_ready(const ZoneRole& group) const {
+  const auto& [zone, role] = group;
+  const auto count = std::count_if(endpoints_.begin(), endpoints_.end(), [&](const auto& entry) {
+    const Endpoint& endpoint = entry.second;
+    return endpoint.ready && serves_role(endpoint.role, role) && (zone == kAllZones || endpoint.zone == zone);
+  });
+  return static_cast<std::size_t>(count);
+}
+
+Value Signals::ready_fraction(const ZoneRole& group, Time now) {
+  const std::size_t ready = count_ready(group);
+  RecentMaximum& maximum = ready_maxima_[group];
+  maximum.observe(ready, now);
+  if (maximum.maximum() == 0) return absent();
+  return Value::of(static_cast<double>(ready) / static_cast<double>(maximum.maximum()));
+}
+
+Value Signals::min_zone_ready_fraction(Role role, Time now) {
+  std::vector<ZoneRole> groups;
+  for (const auto& [group, maximum] : ready_maxima_) {
+    if (group.second == role && group.first != kAllZones) groups.push_back(group);
+  }
+  Value minimum = absent();
+  for (const ZoneRole& group : groups) {
+    const Value fraction = ready_fraction(group, now);
+    if (fraction.failed()) continue;
+    if (minimum.failed() || fraction.real < minimum.real) minimum = fraction;
+  }
+  return minimum;
+}
+
+std::vector<Value> Signals::values(std::size_t in_progress, std::optional<Time> endpoints_updated_at,
+                                   Time now) {
+  std::vector<Value> values;
+  const bool is_list_fresh = endpoints_updated_at && now - *endpoints_updated_at <= kMaxListAge;
+  for (const Role role : kRoles)
+    values.push_back(is_list_fresh ? ready_fraction({kAllZones, role}, now) : absent());
+  for (const Role role : kRoles) {
+    // Computed also of a list that is too old: the maxima go on observing.
+    const Value minimum = min_zone_ready_fraction(role, now);
+    values.push_back(is_list_fresh ? minimum : absent());
   }
-  all.push_back(known(rejected_.value(kMinSamples, now)));
-  all.push_back(Value::of(static_cast<std::int64_t>(open)));
-  for (const std::string& c : classes_) all.push_back(known(late_[c].value(kMinSamples, now)));
-  // Zones that have had no host for so long that none is missed.
-  std::erase_if(peaks_, [](const auto& p) { return p.second.maximum() == 0; });
-  return all;
+  values.push_back(value_or_absent(rejected_.ratio(kMinEvents, now)));
+  values.push_back(Value::of(static_cast<std::int64_t>(in_progress)));
+  for (const std::string& request_class : classes_)
+    values.push_back(value_or_absent(late_[request_class].ratio(kMinEvents, now)));
+  // Zones that have had no ready endpoint for so long that none is missed.
+  std::erase_if(ready_maxima_, [](const auto& entry) { return entry.second.maximum() == 0; });
+  return values;
 }
 
 }  // namespace dispatcher::degradation
--- a/src/degradation/signals.hpp
+++ b/src/degradation/signals.hpp
@@ -1,75 +1,51 @@
-// What levels are entered and left by: how an instance fares, over the last seconds. No I/O; the clock is
-// passed in. What is not known, or no longer, is absent.
+// The signals that conditions of degradation levels are evaluated on: how this dispatcher fared over the last
+// seconds, and how much of the fleet is ready. No I/O; the clock is passed in. A signal that is not known, or
+// no longer, is absent.
 #ifndef DISPATCHER_DEGRADATION_SIGNALS_HPP_
 #define DISPATCHER_DEGRADATION_SIGNALS_HPP_
 
-#include <array>
 #include <map>
 #include <optional>
 #include <string>
 #include <utility>
 #include <vector>
 
+#include "degradation/sliding_window.hpp"
 #include "expression/value.hpp"
 #include "routing/router.hpp"
 
 namespace dispatcher::degradation {
 
-using routing::Duration;
-using routing::Time;
-
-// How many of how many, over the last ten seconds.
-class Share {
- public:
-  static constexpr Duration kWindow = std::chrono::seconds(10);
-  void count(bool yes, Time now);
-  [[nodiscard]] double rate(Time now) const;  // of all, a second
-  [[nodiscard]] std::optional<double> value(std::size_t minimum,
-                                            Time now) const;  // none: fewer than `least` were counted
-
- private:
-  static constexpr std::int64_t kSlots = 10;
-  struct Slot {
-    std::int64_t second = -1;
-    std::size_t yes = 0, all = 0;
-  };
-  [[nodiscard]] std::pair<std::size_t, std::size_t> sum(Time now) const;
-  std::array<Slot, kSlots> slots_{};
-};
-
-// The most of the last quarter to half of an hour.
-class Peak {
- public:
-  void see(std::size_t n, Time now);
-  [[nodiscard]] std::size_t maximum() const { return std::max(now_, before_); }
-
- private:
-  static constexpr Duration kHalf = std::chrono::minutes(15);
-  std::size_t now_ = 0, before_ = 0;
-  Time since_{};
-  bool begun_ = false;
-};
-
+// Collects events of requests and endpoint lists, and computes the signals from them. Owned by the
+// DegradationController and used on its event loop only.
 class Signals {
  public:
-  // The fields, in the order of values(): ready.readers, ready.writers (the share of the hosts that were
-  // ready lately that still are), ready.least_zone_readers and ready.least_zone_writers (in the worst zone),
-  // refused (the share of requests), open (requests in progress), and for each class late.CLASS (the share of
-  // first tokens past the class's aim).
+  // The fields, in the order of values():
+  //   ready.readers, ready.writers     endpoints that are ready over those that were lately, 0 to 1
+  //   ready.least_zone_readers, ready.least_zone_writers     the same, of the zone that has fewest
+  //   refused                          the fraction of requests that were rejected
+  //   open                             requests in progress
+  //   late.CLASS, for each class       the fraction of first tokens past the class's latency objective
   static expression::Environment fields(const routing::Settings& settings);
 
-  explicit Signals(const routing::Settings& settings) { adopt(settings); }
-  void adopt(const routing::Settings& settings);
+  explicit Signals(const routing::Settings& settings) { apply_settings(settings); }
 
-  void endpoints(const routing::EndpointList& list, Time now);
-  void first_token(const std::string& request_class, bool late, Time now);
-  void given_up(const std::string& request_class, bool rejected, Time now);  // without a first token
-  void asked(const std::string& account, Time now);
+  // Classes, accounts and endpoint kinds that the settings no longer name are dropped.
+  void apply_settings(const routing::Settings& settings);
 
-  // `heard`: when discovery last spoke, if it has.
-  std::vector<expression::Value> values(std::size_t open, std::optional<Time> heard, Time now);
-  // What an account asks for, as a part of its quota over the whole fleet; absent where it has none.
-  [[nodiscard]] expression::Value use(const std::string& account, Time now) const;
+  void update_endpoints(const routing::EndpointList& list, Time now);
+  void first_token(const std::string& request_class, bool late, Time now);
+  // A request that was rejected or failed without a first token.
+  void given_up(const std::string& request_class, bool rejected, Time now);
+  // A request of the account arrived, whether it is served or not.
+  void request_arrived(const std::string& account, Time now);
+
+  // `in_progress`: requests. `endpoints_updated_at`: when service discovery last confirmed the endpoint list;
+  // readiness is absent once that is too long ago.
+  std::vector<expression::Value> values(std::size_t in_progress, std::optional<Time> endpoints_updated_at,
+                                        Time now);
+  // The account's request rate over this dispatcher's part of its quota; absent where it has no quota.
+  [[nodiscard]] expression::Value quota_usage(const std::string& account, Time now) const;
 
  private:
   struct Endpoint {
@@ -77,17 +53,21 @@
     routing::Role role{};
     bool ready = false;
   };
-  static constexpr std::size_t kMinSamples = 20;
-  expression::Value ready(routing::Role role, const std::string* zone, Time now);
+  using ZoneRole = std::pair<std::string, routing::Role>;  // kAllZones: the whole fleet
+
+  [[nodiscard]] bool has_class(const std::string& request_class) const;
+  [[nodiscard]] std::size_t count_ready(const ZoneRole& group) const;
+  expression::Value ready_fraction(const ZoneRole& group, Time now);
+  expression::Value min_zone_ready_fraction(routing::Role role, Time now);
 
-  std::map<std::string, routing::Role> kinds_;
-  std::map<std::string, double> quotas_;  // of this instance, a second
+  std::map<std::string, routing::Role> roles_by_kind_;
+  std::map<std::string, double> quotas_;  // requests a second that this dispatcher's part allows, by account
   std::vector<std::string> classes_;
   std::map<std::string, Endpoint> endpoints_;
-  std::map<std::pair<std::string, routing::Role>, Peak> peaks_;  // by zone; "": all
-  std::map<std::string, Share> late_;
-  std::map<std::string, Share> asked_;
-  Share rejected_;
+  std::map<ZoneRole, RecentMaximum> ready_maxima_;
+  std::map<std::string, WindowedRatio> late_;      // by class
+  std::map<std::string, WindowedRatio> arrivals_;  // by account
+  WindowedRatio rejected_;
 };
 
 }  // namespace dispatcher::degradation
--- /dev/null
+++ b/src/degradation/sliding_window.hpp
@@ -0,0 +1,64 @@
+// Statistics over a sliding window of time, at a fixed cost in memory. No I/O; the clock is passed in.
+#ifndef DISPATCHER_DEGRADATION_SLIDING_WINDOW_HPP_
+#define DISPATCHER_DEGRADATION_SLIDING_WINDOW_HPP_
+
+#include <algorithm>
+#include <array>
+#include <chrono>
+#include <cstddef>
+#include <cstdint>
+#include <optional>
+
+#include "routing/router.hpp"
+
+namespace dispatcher::degradation {
+
+using routing::Duration;
+using routing::Time;
+
+// The fraction of recent events that match, in buckets of one second each. Not synchronized: the event loop
+// that owns it is its only user.
+class WindowedRatio {
+ public:
+  static constexpr Duration kWindow = std::chrono::seconds(10);
+
+  void record(bool matches, Time now);
+
+  // All events of the window, per second.
+  [[nodiscard]] double events_per_second(Time now) const;
+
+  // Matching events over all events; nullopt while the window holds fewer than `min_events`.
+  [[nodiscard]] std::optional<double> ratio(std::size_t min_events, Time now) const;
+
+ private:
+  static constexpr std::int64_t kBuckets = std::chrono::duration_cast<std::chrono::seconds>(kWindow).count();
+  struct Counts {
+    std::size_t matching = 0, total = 0;
+  };
+  struct Bucket {
+    std::int64_t second = -1;
+    Counts counts;
+  };
+  [[nodiscard]] Counts sum(Time now) const;
+
+  std::array<Bucket, kBuckets> buckets_{};
+};
+
+// The greatest value observed in the current and the previous period, so in the last 15 to 30 minutes. Not
+// synchronized.
+class RecentMaximum {
+ public:
+  void observe(std::size_t value, Time now);
+  [[nodiscard]] std::size_t maximum() const { return std::max(current_, previous_); }
+
+ private:
+  // Long enough to outlast a rolling restart, short enough to accept a fleet that was made smaller.
+  static constexpr Duration kPeriod = std::chrono::minutes(15);
+
+  std::size_t current_ = 0, previous_ = 0;
+  std::optional<Time> period_start_;
+};
+
+}  // namespace dispatcher::degradation
+
+#endif  // DISPATCHER_DEGRADATION_SLIDING_WINDOW_HPP_
--- a/src/degradation/state_machine.cpp
+++ b/src/degradation/state_machine.cpp
@@ -1,127 +1,162 @@
 #include "degradation/state_machine.hpp"
 
 #include <algorithm>
+#include <utility>
 
 namespace dispatcher::degradation {
 
-const char* name(Change::Cause cause) {
+namespace {
+
+// Doublings of a level's least stay; from then on `max_stay` has long been reached.
+constexpr unsigned kMaxReentries = 16;
+
+// A condition that has no value does not hold: nothing is decided by what is not known.
+void update_since(std::optional<Time>& since, bool holds, Time now) {
+  if (!holds) {
+    since.reset();
+  } else if (!since) {
+    since = now;
+  }
+}
+
+bool has_held(const std::optional<Time>& since, Duration duration, Time now) {
+  return since && now - *since >= duration;
+}
+
+// The level of `next` that takes the place of `level` of `current`: by name, else the next milder one.
+std::size_t matching_level(const LevelSet& current, std::size_t level, const LevelSet& next) {
+  for (std::size_t i = level; i > kNormalLevel; --i) {
+    if (const auto same_name = next.find(current.name(i))) return *same_name;
+  }
+  return kNormalLevel;
+}
+
+}  // namespace
+
+const char* name(LevelChange::Cause cause) {
+  // Operators' scripts read these words: an override is "pinned" to them.
   constexpr std::array<const char*, 4> kNames = {"entered", "left", "pinned", "reloaded"};
   return kNames[static_cast<std::size_t>(cause)];
 }
 
-void StateMachine::take(std::shared_ptr<const LevelSet> levels) {
+void StateMachine::install(std::shared_ptr<const LevelSet> levels) {
   levels_ = std::move(levels);
   levels_->reserve(scratch_);
-  watches_.assign(levels_->levels().size() + 1, {});
+  timers_.assign(levels_->levels().size() + 1, {});
 }
 
-// A condition that has no value holds no longer: nothing is decided by what is not known.
-void StateMachine::hold(std::optional<Time>& since, bool holds, Time now) {
-  if (!holds) since.reset();
-  if (holds && !since) since = now;
+bool StateMachine::step(std::span<const expression::Value> signals, Time now) {
+  update_timers(signals, now);
+  if (overridden_) return false;
+  return step_up(signals, now) || step_down(signals, now);
 }
 
-bool StateMachine::step(std::span<const expression::Value> signals, Time now) {
-  for (std::size_t i = 1; i < watches_.size(); ++i) {
-    const Level& level = levels_->levels()[i - 1];
-    hold(watches_[i].enters, level.enter.run(signals, scratch_).is(true), now);
-    hold(watches_[i].leaves, level.leave.run(signals, scratch_).is(true), now);
+void StateMachine::update_timers(std::span<const expression::Value> signals, Time now) {
+  for (std::size_t i = kNormalLevel + 1; i < timers_.size(); ++i) {
+    const Level& level = levels_->level(i);
+    update_since(timers_[i].enter_since, level.enter.run(signals, scratch_).is(true), now);
+    update_since(timers_[i].leave_since, level.leave.run(signals, scratch_).is(true), now);
   }
-  if (pinned_) return false;
-  for (std::size_t i = watches_.size(); --i > level_;) {
-    const Level& level = levels_->levels()[i - 1];
-    Watch& watch = watches_[i];
-    if (!watch.enters || now - *watch.enters < level.enter_for) continue;
-    const Duration soon = 2 * std::min(level.max_stay, level.min_stay * (1U << watch.again));
-    const bool again = watch.left && now - *watch.left < soon;
-    constexpr unsigned kMaxAgain = 16;
-    watch.again = again ? std::min(watch.again + 1, kMaxAgain) : 0;
-    change(i, Change::Cause::kEntered, level.enter_text, signals, now);
+}
+
+// To the highest level whose condition has held.
+bool StateMachine::step_up(std::span<const expression::Value> signals, Time now) {
+  for (std::size_t i = timers_.size(); --i > level_;) {
+    const Level& level = levels_->level(i);
+    LevelTimers& timers = timers_[i];
+    if (!has_held(timers.enter_since, level.enter_for, now)) continue;
+    const bool is_reentry = timers.left_at && now - *timers.left_at < 2 * min_stay(i);
+    timers.reentries = is_reentry ? std::min(timers.reentries + 1, kMaxReentries) : 0;
+    change_level(i, LevelChange::Cause::kEntered, level.enter_text, signals, now);
     return true;
   }
-  if (level_ == 0) return false;
-  const Level& level = levels_->levels()[level_ - 1];
-  Watch& watch = watches_[level_];
-  const bool left = watch.leaves && now - *watch.leaves >= level.leave_for && now - since_ >= stay();
-  if (!left || !may_step_down(now)) return false;
-  watch.left = now;
-  change(level_ - 1, Change::Cause::kLeft, level.leave_text, signals, now);
+  return false;
+}
+
+bool StateMachine::step_down(std::span<const expression::Value> signals, Time now) {
+  if (level_ == kNormalLevel) return false;
+  const Level& level = levels_->level(level_);
+  LevelTimers& timers = timers_[level_];
+  if (!has_held(timers.leave_since, level.leave_for, now)) return false;
+  if (now - entered_at_ < min_stay(level_)) return false;
+  if (!is_step_down_allowed(now)) return false;
+  timers.left_at = now;
+  change_level(level_ - 1, LevelChange::Cause::kLeft, level.leave_text, signals, now);
   return true;
 }
 
-Duration StateMachine::stay() const {
-  const Level& level = levels_->levels()[level_ - 1];
-  return std::min(level.max_stay, level.min_stay * (1U << watches_[level_].again));
+Duration StateMachine::min_stay(std::size_t number) const {
+  const Level& level = levels_->level(number);
+  return std::min(level.max_stay, level.min_stay * (1U << timers_[number].reentries));
 }
 
-bool StateMachine::may_step_down(Time now) {
-  const Duration longest = kBounds.back().window;
-  while (!recent_.empty() && recent_.front() < now - longest) recent_.pop_front();
-  const std::size_t above = levels_->levels().size() - (level_ - 1);  // steps up that may follow
-  return std::all_of(kBounds.begin(), kBounds.end(), [&](const Bound& bound) {
-    const auto first = std::lower_bound(recent_.begin(), recent_.end(), now - bound.window);
-    return static_cast<std::size_t>(recent_.end() - first) + 1 + above <= bound.maximum;
+bool StateMachine::is_step_down_allowed(Time now) {
+  const Duration longest_window = kChangeLimits.back().window;
+  while (!recent_changes_.empty() && recent_changes_.front() < now - longest_window)
+    recent_changes_.pop_front();
+  const std::size_t steps_up_left = levels_->levels().size() - (level_ - 1);  // after the step down
+  return std::all_of(kChangeLimits.begin(), kChangeLimits.end(), [&](const ChangeLimit& limit) {
+    const auto first = std::lower_bound(recent_changes_.begin(), recent_changes_.end(), now - limit.window);
+    const auto changes = static_cast<std::size_t>(recent_changes_.end() - first);
+    return changes + 1 + steps_up_left <= limit.max_changes;
   });
 }
 
-void StateMachine::change(std::size_t to, Change::Cause cause, const std::string& condition,
-                          std::span<const expression::Value> signals, Time now) {
-  Change made{now, levels_->name(level_), levels_->name(to), cause, condition, {}};
-  for (const expression::Value& v : signals)
-    made.signals.push_back(
-        v.kind == expression::Kind::kString ? expression::Value::of(expression::Fault::kAbsent) : v);
-  history_.push_back(std::move(made));
-  if (history_.size() > kKept) history_.pop_front();
-  if (cause == Change::Cause::kEntered || cause == Change::Cause::kLeft) recent_.push_back(now);
+void StateMachine::change_level(std::size_t to, LevelChange::Cause cause, const std::string& condition,
+                                std::span<const expression::Value> signals, Time now) {
+  LevelChange change{now, levels_->name(level_), levels_->name(to), cause, condition, {}};
+  for (const expression::Value& value : signals) {
+    const bool is_text = value.kind == expression::Kind::kString;
+    change.signals.push_back(is_text ? expression::Value::of(expression::Fault::kAbsent) : value);
+  }
+  record(std::move(change));
+  if (cause == LevelChange::Cause::kEntered || cause == LevelChange::Cause::kLeft)
+    recent_changes_.push_back(now);
   level_ = to;
-  since_ = now;
+  entered_at_ = now;
 }
 
-void StateMachine::pin(std::size_t level, Time now) {
-  pinned_ = true;
-  if (level != level_ && level < watches_.size()) change(level, Change::Cause::kPinned, {}, {}, now);
+void StateMachine::record(LevelChange change) {
+  history_.push_back(std::move(change));
+  if (history_.size() > kMaxHistory) history_.pop_front();
 }
 
-void StateMachine::adopt(std::shared_ptr<const LevelSet> next, Time now) {
-  // By name; else the next milder one that is still there.
-  std::size_t to = 0;
-  for (std::size_t i = level_; i > 0; --i) {
-    if (const auto same = next->find(levels_->name(i))) {
-      to = *same;
-      break;
-    }
-  }
-  const std::string before = level_name();
-  const bool dropped = next->name(to) != before;
-  // Conditions that stay the same go on holding.
-  std::vector<std::pair<std::string, Watch>> watches;
-  for (std::size_t i = 1; i < watches_.size(); ++i) {
-    const Level& level = levels_->levels()[i - 1];
-    const auto same = next->find(level.name);
-    if (!same) continue;
-    const Level& now_is = next->levels()[*same - 1];
-    Watch kept = watches_[i];
-    if (now_is.enter_text != level.enter_text) kept.enters.reset();
-    if (now_is.leave_text != level.leave_text) kept.leaves.reset();
-    watches.emplace_back(level.name, kept);
+void StateMachine::set_override(std::size_t level, Time now) {
+  overridden_ = true;
+  if (level == level_ || level >= timers_.size()) return;
+  change_level(level, LevelChange::Cause::kOverridden, {}, {}, now);
+}
+
+void StateMachine::replace_levels(std::shared_ptr<const LevelSet> next, Time now) {
+  const std::shared_ptr<const LevelSet> previous = levels_;
+  const std::vector<LevelTimers> previous_timers = timers_;
+  const std::string previous_name = level_name();
+  const std::size_t level = matching_level(*previous, level_, *next);
+  install(std::move(next));
+  for (std::size_t i = kNormalLevel + 1; i < previous_timers.size(); ++i) {
+    const Level& before = previous->level(i);
+    const auto same_name = levels_->find(before.name);
+    if (!same_name) continue;
+    const Level& after = levels_->level(*same_name);
+    LevelTimers& timers = timers_[*same_name];
+    timers = previous_timers[i];
+    if (after.enter_text != before.enter_text) timers.enter_since.reset();
+    if (after.leave_text != before.leave_text) timers.leave_since.reset();
   }
-  take(std::move(next));
-  for (const auto& [name, watch] : watches) watches_[*levels_->find(name)] = watch;
-  level_ = to;
-  if (!dropped) return;
-  history_.push_back({now, before, level_name(), Change::Cause::kReloaded, {}, {}});
-  if (history_.size() > kKept) history_.pop_front();
-  since_ = now;
+  level_ = level;
+  if (level_name() == previous_name) return;
+  record({now, previous_name, level_name(), LevelChange::Cause::kReloaded, {}, {}});
+  entered_at_ = now;
 }
 
 std::optional<Duration> StateMachine::shed(const std::string& request_class,
                                            std::span<const expression::Value> request, double random) {
-  if (level_ == 0) return std::nullopt;
-  for (const SheddingRule& s : levels_->levels()[level_ - 1].shed) {
-    if (std::find(s.classes.begin(), s.classes.end(), request_class) == s.classes.end()) continue;
-    if (!s.when.run(request, scratch_).is(true)) continue;
-    const auto spread = static_cast<double>((s.retry_max - s.retry_min).count());
-    return s.retry_min + Duration(static_cast<std::int64_t>(spread * random));
+  if (level_ == kNormalLevel) return std::nullopt;
+  for (const SheddingRule& rule : levels_->level(level_).shedding_rules) {
+    if (std::find(rule.classes.begin(), rule.classes.end(), request_class) == rule.classes.end()) continue;
+    if (!rule.when.run(request, scratch_).is(true)) continue;
+    const auto spread = static_cast<double>((rule.max_retry_after - rule.min_retry_after).count());
+    return rule.min_retry_after + Duration(static_cast<std::int64_t>(spread * random));
   }
   return std::nullopt;
 }
--- a/src/degradation/state_machine.hpp
+++ b/src/degradation/state_machine.hpp
@@ -1,12 +1,12 @@
-// Which level of reduced service is in force: up as soon as a level's condition has held for its time, down
-// one level at a time. No I/O; the clock and the randomness are passed in.
+// Which degradation level is in force: up as soon as a level's condition has held for its time, down one
+// level at a time. No I/O; the clock and the randomness are passed in.
 //
-// The bound on changes, those that operators order aside: at most 4 in any minute and 6 in any ten. Let c be
-// the level in force, n the number of levels and k(W) the changes of the last W. A step up is always allowed,
-// a step down only while k(W) + 1 + n - (c - 1) stays within the bound of each W. So k(W) + n - c is never
-// above it: a step up adds one to k and takes one or more from n - c, a step down is checked, and with time k
-// only falls. As n - c is never below 0, nor is k(W) ever above the bound. With three levels a step down to
-// normal service asks for a minute without a change, so that it is always allowed in the end.
+// The limits on changes, those of an override or a reload aside: at most 4 in any minute and 6 in any ten.
+// Let c be the level in force, n the number of levels and k(W) the changes of the last W. A step up is always
+// allowed, a step down only while k(W) + 1 + n - (c - 1) stays within the limit of each W. So k(W) + n - c is
+// never above it: a step up adds one to k and takes one or more from n - c, a step down is checked, and with
+// time k only falls. As n - c is never below 0, nor is k(W) ever above the limit. With three levels a step
+// down to normal service needs a minute without a change, so that it is always allowed in the end.
 #ifndef DISPATCHER_DEGRADATION_STATE_MACHINE_HPP_
 #define DISPATCHER_DEGRADATION_STATE_MACHINE_HPP_
 
@@ -22,74 +22,88 @@
 
 namespace dispatcher::degradation {
 
-struct Change {
-  enum class Cause { kEntered, kLeft, kPinned, kReloaded };
+// A change of the level in force, as the history records it.
+struct LevelChange {
+  enum class Cause { kEntered, kLeft, kOverridden, kReloaded };
   Time at{};
   std::string from, to;
   Cause cause{};
-  std::string condition;  // that held; empty where an operator or a file made the change
-  std::vector<expression::Value>
-      signals;  // as they were, in the environment's order; numbers and truths only
+  std::string condition;  // that held; empty where an operator or a new file made the change
+  // As they were, in the environment's order; texts are left out (absent), as they don't outlive the request.
+  std::vector<expression::Value> signals;
 };
-const char* name(Change::Cause cause);
 
+// The cause as the admin interface and the log write it.
+const char* name(LevelChange::Cause cause);
+
+// Not synchronized: the DegradationController owns it, on one event loop.
 class StateMachine {
  public:
-  struct Bound {
+  struct ChangeLimit {
     Duration window;
-    std::size_t maximum;
+    std::size_t max_changes;
   };
-  static constexpr std::array<Bound, 2> kBounds = {
+  // The longest window last.
+  static constexpr std::array<ChangeLimit, 2> kChangeLimits = {
       {{std::chrono::minutes(1), 4}, {std::chrono::minutes(10), 6}}};
-  static constexpr std::size_t kKept = 64;  // changes in the history
+  // Changes in the history: more than an operator looks back on, and bounded.
+  static constexpr std::size_t kMaxHistory = 64;
 
-  explicit StateMachine(std::shared_ptr<const LevelSet> levels) { take(std::move(levels)); }
+  explicit StateMachine(std::shared_ptr<const LevelSet> levels) { install(std::move(levels)); }
 
-  // Looks at the signals as they are now; a signal that is missing or stale is a fault among them, and
-  // neither enters a level nor leaves one. True: the level changed, as history().back() tells. Asked often,
-  // but for a condition's time to be kept no more rarely than a fifth of it.
-  bool step(std::span<const expression::Value> signals, Time now);
+  // Evaluates the conditions on the signals as they are now. A signal that is missing or stale is a fault
+  // among them, and neither enters a level nor leaves one. Call it at least five times in the shortest
+  // `enter_for` or `leave_for`, which are kept no more exactly than that. Returns whether the level changed;
+  // history().back() is the change then.
+  [[nodiscard]] bool step(std::span<const expression::Value> signals, Time now);
 
-  [[nodiscard]] std::size_t level() const { return level_; }  // 0: normal service
+  [[nodiscard]] std::size_t level() const { return level_; }  // kNormalLevel: normal service
   [[nodiscard]] std::string level_name() const { return levels_->name(level_); }
-  // An operator's word goes before the signals until it is taken back; the level then goes on from there.
-  void pin(std::size_t level, Time now);
-  void unpin() { pinned_ = false; }
-  [[nodiscard]] bool pinned() const { return pinned_; }
 
-  // Other levels: the one in force stays where it has the same name; else the next milder one that is still
-  // there takes its place.
-  void adopt(std::shared_ptr<const LevelSet> levels, Time now);
+  // An operator's override holds whatever the signals are, until it is cleared; the level then goes on from
+  // there.
+  void set_override(std::size_t level, Time now);
+  void clear_override() { overridden_ = false; }
+  [[nodiscard]] bool is_overridden() const { return overridden_; }
+
+  // Other levels: the one in force stays where the new set has one of the same name; else the next milder one
+  // that it has takes its place. Conditions that stay the same keep the time that they have held.
+  void replace_levels(std::shared_ptr<const LevelSet> levels, Time now);
 
-  // What the level in force sheds: when the request may come again, if it is to be shed. `request`: the
-  // values of the request's environment; `random` from 0 to 1 spreads those that are shed together.
-  std::optional<Duration> shed(const std::string& request_class, std::span<const expression::Value> request,
-                               double random);
+  // Whether the level in force sheds a request: the Retry-After then, else nullopt. `request`: the values of
+  // the request's environment. `random`: from 0 to 1, spreads the retries of requests that are shed together.
+  [[nodiscard]] std::optional<Duration> shed(const std::string& request_class,
+                                             std::span<const expression::Value> request, double random);
 
-  [[nodiscard]] const std::deque<Change>& history() const { return history_; }
+  [[nodiscard]] const std::deque<LevelChange>& history() const { return history_; }  // the latest last
   [[nodiscard]] const LevelSet& levels() const { return *levels_; }
 
  private:
-  struct Watch {                         // of one level
-    std::optional<Time> enters, leaves;  // since when the condition has held
-    std::optional<Time> left;            // when it was left for a milder one
-    unsigned again = 0;                  // how often it was soon entered again
+  struct LevelTimers {
+    std::optional<Time> enter_since, leave_since;  // since when the condition has held
+    std::optional<Time> left_at;                   // when it was last left for a milder one
+    unsigned reentries = 0;                        // how often in a row it was soon entered again
   };
-  void take(std::shared_ptr<const LevelSet> levels);
-  void change(std::size_t to, Change::Cause cause, const std::string& condition,
-              std::span<const expression::Value> signals, Time now);
-  bool may_step_down(Time now);
-  [[nodiscard]] Duration stay() const;
-  static void hold(std::optional<Time>& since, bool holds, Time now);
+
+  void install(std::shared_ptr<const LevelSet> levels);
+  void update_timers(std::span<const expression::Value> signals, Time now);
+  bool step_up(std::span<const expression::Value> signals, Time now);
+  bool step_down(std::span<const expression::Value> signals, Time now);
+  [[nodiscard]] bool is_step_down_allowed(Time now);
+  // How long the level stays in force at least, by how often it was entered again.
+  [[nodiscard]] Duration min_stay(std::size_t level) const;
+  void change_level(std::size_t to, LevelChange::Cause cause, const std::string& condition,
+                    std::span<const expression::Value> signals, Time now);
+  void record(LevelChange change);
 
   std::shared_ptr<const LevelSet> levels_;
   expression::Scratch scratch_;
-  std::vector<Watch> watches_;  // by level, the first one's at 1
-  std::size_t level_ = 0;
-  Time since_{};  // when the level in force was entered
-  bool pinned_ = false;
-  std::deque<Time> recent_;  // changes of the longest window
-  std::deque<Change> history_;
+  std::vector<LevelTimers> timers_;  // by level; that of normal service is not used
+  std::size_t level_ = kNormalLevel;
+  Time entered_at_{};  // the level in force
+  bool overridden_ = false;
+  std::deque<Time> recent_changes_;  // of the longest window; without overrides and reloads
+  std::deque<LevelChange> history_;
 };
 
 }  // namespace dispatcher::degradation
--- a/src/http/frontend.hpp
+++ b/src/http/frontend.hpp
@@ -46,8 +46,8 @@
   }
   // Has the rules judge a request, which gets what they compute. False: it is refused, and limited()
   // answered.
-  bool admit(SlotId client, const Server::Request& http, routing::Request& request, rate_limit::Facts facts,
-             const routing::Settings& settings) {
+  bool admit(SlotId client, const Server::Request& http, routing::Request& request,
+             rate_limit::RequestAttributes facts, const routing::Settings& settings) {
     const bool rules = rate_limiter_ != nullptr && rate_limiter_->rules() != nullptr;
     if (rate_limiter_ == nullptr || (!rules && (levels_ == nullptr || !levels_->active()))) return true;
     const engine::Time now = clock_();
@@ -58,7 +58,7 @@
     facts.shared_tokens = request.prefix_tokens;
     facts.max_tokens = request.max_tokens;
     facts.time_left_ms = (request.client_deadline - now).count() / 1000;
-    facts.retry = request.client_retry;
+    facts.is_retry = request.client_retry;
     static const std::vector<rate_limit::Header> none;
     for (const rate_limit::Header& wanted : rules ? rate_limiter_->rules()->headers() : none) {
       // One that comes twice has no one value: it counts as absent.
@@ -69,19 +69,20 @@
                : std::nullopt);
     }
     bool shed = false;
-    const rate_limit::RateLimiter::Stop stop =
+    const rate_limit::RateLimiter::ShedCheck shed_check =
         [&](const routing::Request& judged) -> std::optional<engine::Duration> {
       if (levels_ == nullptr) return std::nullopt;
       const auto retry_after = levels_->shed(judged, facts);
       shed = retry_after.has_value();
       return retry_after;
     };
-    rate_limit::RateLimiter::Passage passage = rate_limiter_->pass(request, facts, settings, now, stop);
-    if (passage.rejected) {
-      shed ? busy(client, *passage.rejected) : limited(client, *passage.rejected);
+    rate_limit::RateLimiter::Admission admission =
+        rate_limiter_->admit(request, facts, settings, now, shed_check);
+    if (admission.is_rejected()) {
+      shed ? busy(client, *admission.retry_after) : limited(client, *admission.retry_after);
       return false;
     }
-    if (!passage.ticket.empty()) tickets_.insert_or_assign(client, passage.ticket);
+    if (!admission.ticket.empty()) tickets_.insert_or_assign(client, admission.ticket);
     return true;
   }
   virtual void limited(SlotId client, engine::Duration retry_after) = 0;
--- a/src/openai_api/frontend.cpp
+++ b/src/openai_api/frontend.cpp
@@ -99,8 +99,8 @@
   // The standard's client libraries count their retries in this header.
   const auto retry = http::header(request, "X-Stainless-Retry-Count");
   r.client_retry = !retry.empty() && retry != "0";
-  rate_limit::Facts facts;
-  facts.chat = true;
+  rate_limit::RequestAttributes facts;
+  facts.is_openai_api = true;
   facts.model = chat.model->id;
   if (!admit(client, request, r, facts, *config_.rules)) return;
   const routing::RequestClass& cls = class_of(r, *chat.model);
--- a/src/rate_limit/counter_table.cpp
+++ b/src/rate_limit/counter_table.cpp
@@ -7,121 +7,142 @@
 namespace dispatcher::rate_limit {
 
 namespace {
-__extension__ using Wide = unsigned __int128;
-}
+
+__extension__ using Uint128 = unsigned __int128;
+
+// 2^64 over the golden ratio: multiplied by it, a key selects a set that is independent of its first one.
+constexpr std::uint64_t kGoldenRatio = 0x9E3779B97F4A7C15ULL;
+
+}  // namespace
 
 CounterTable::CounterTable(std::size_t keys) {
-  // Sets of a few: with a fifth more room than keys, hardly one set is full before the table is.
+  // With a fifth more entries than keys, hardly one set is full before the table is.
   const std::size_t sets = std::max<std::size_t>(1, (keys + keys / 5 + kWays - 1) / kWays);
   entries_.resize(sets * kWays);
 }
 
-std::span<CounterTable::Entry> CounterTable::set(std::uint64_t key) {
+// By the key's high bits: a multiplication in place of a division (Lemire, "Fast Random Integer Generation in
+// an Interval", 2019).
+std::span<CounterTable::Entry> CounterTable::primary_set(std::uint64_t key) {
   const std::size_t sets = entries_.size() / kWays;
-  const auto at = static_cast<std::size_t>((static_cast<Wide>(key) * sets) >> 64U);
-  return std::span(entries_).subspan(at * kWays, kWays);
+  const auto index = static_cast<std::size_t>((static_cast<Uint128>(key) * sets) >> 64U);
+  return std::span(entries_).subspan(index * kWays, kWays);
 }
 
-// Each key may stand in either of two sets: where only one would do, one in thirteen found no room in a table
-// that was five sixths full.
-std::span<CounterTable::Entry> CounterTable::other_set(std::uint64_t key) {
-  return set(key * 0x9E3779B97F4A7C15ULL);
+// Each key may stand in either of two sets: with one only, one key in thirteen found no entry in a table that
+// was five sixths full.
+std::span<CounterTable::Entry> CounterTable::secondary_set(std::uint64_t key) {
+  return primary_set(key * kGoldenRatio);
 }
 
 CounterTable::Entry* CounterTable::find(std::uint64_t key) {
-  for (const auto where : {set(key), other_set(key)}) {
-    for (Entry& e : where) {
-      if (e.key == key) return &e;
+  for (const auto set : {primary_set(key), secondary_set(key)}) {
+    for (Entry& entry : set) {
+      if (entry.key == key) return &entry;
     }
   }
   return nullptr;
 }
 
-// The key's entry, made where there is none: in place of one that holds nothing, or else of the one that is
-// furthest from its limit. One that is at its limit, or whose requests run, never makes room.
-CounterTable::Entry& CounterTable::entry(const Charge& charge, std::int64_t now) {
-  if (Entry* known = find(charge.key)) return *known;
-  Entry* room = nullptr;
-  std::size_t max_idle = 0;
-  const auto ahead = [&](const Entry& x) { return x.key == 0 || x.idle(now) ? 0 : x.arrival - now; };
-  for (const auto where : {set(charge.key), other_set(charge.key)}) {
-    Entry* best = nullptr;
-    std::size_t idle = 0;
-    for (Entry& e : where) {
-      if (e.key != 0 && e.pinned(now)) continue;
-      idle += ahead(e) == 0 ? 1 : 0;
-      if (best == nullptr || ahead(e) < ahead(*best)) best = &e;
-    }
-    if (best == nullptr || (room != nullptr && idle <= max_idle && ahead(*best) >= ahead(*room))) continue;
-    room = best;
-    max_idle = idle;
-  }
-  if (room == nullptr) {
-    ++shared_;
-    std::erase_if(overflow_, [&](const auto& o) { return o.first != charge.bound.id && o.second.idle(now); });
-    return overflow_[charge.bound.id];
+// The entry of a set that is the least ahead of its rate.
+CounterTable::Victim CounterTable::choose_victim(std::span<Entry> set, std::int64_t now) {
+  Victim victim;
+  for (Entry& entry : set) {
+    if (entry.key != 0 && entry.is_protected(now)) continue;
+    if (entry.ahead(now) == 0) ++victim.idle;
+    if (victim.entry == nullptr || entry.ahead(now) < victim.entry->ahead(now)) victim.entry = &entry;
   }
-  *room = {};
-  room->key = charge.key;
-  return *room;
+  return victim;
 }
 
-Nanoseconds CounterTable::wait(const Entry& e, const Bound& b, std::int64_t now) {
-  const std::int64_t ahead = e.arrival - b.tolerance.count() - now;
-  const bool late = b.interval.count() > 0 && ahead > 0;
-  const bool full = e.in_progress >= b.maximum;
-  return std::max(late ? Nanoseconds(ahead) : Nanoseconds(0),
-                  full ? std::max(b.retry, Nanoseconds(1)) : Nanoseconds(0));
+// The key's entry. Where there is none it replaces one that is free or idle, in the set that has more of
+// them; else the one that is furthest from its limit. A protected entry is never replaced.
+CounterTable::Entry& CounterTable::find_or_insert(const Charge& charge, std::int64_t now) {
+  if (Entry* existing = find(charge.key)) return *existing;
+  Victim victim = choose_victim(primary_set(charge.key), now);
+  const Victim other = choose_victim(secondary_set(charge.key), now);
+  const bool is_other_better = victim.entry == nullptr || other.idle > victim.idle ||
+                               (other.entry != nullptr && other.entry->ahead(now) < victim.entry->ahead(now));
+  if (other.entry != nullptr && is_other_better) victim = other;
+  if (victim.entry == nullptr) return overflow_entry(charge.limit.id, now);
+  *victim.entry = {};
+  victim.entry->key = charge.key;
+  return *victim.entry;
 }
 
-Nanoseconds CounterTable::admit(std::span<const Charge> charges, Nanoseconds at, std::span<Held> held) {
-  const std::int64_t now = at.count();
-  Nanoseconds longest{0};
-  for (const Charge& c : charges) longest = std::max(longest, wait(entry(c, now), c.bound, now));
-  if (longest.count() > 0) return longest;
-  // Looked up again: an entry that was made for one charge may have made room for the next.
+// Where the table has no entry for one more key, all such keys of a limit count as one.
+CounterTable::Entry& CounterTable::overflow_entry(std::uint64_t limit_id, std::int64_t now) {
+  ++overflow_count_;
+  std::erase_if(overflow_,
+                [&](const auto& entry) { return entry.first != limit_id && entry.second.is_idle(now); });
+  return overflow_[limit_id];
+}
+
+Nanoseconds CounterTable::wait_time(const Entry& entry, const InstanceLimit& limit, std::int64_t now) {
+  const std::int64_t over_rate = entry.theoretical_arrival - limit.burst_tolerance.count() - now;
+  Nanoseconds wait{0};
+  if (limit.emission_interval.count() > 0 && over_rate > 0) wait = Nanoseconds(over_rate);
+  if (entry.in_progress >= limit.max_in_progress)
+    wait = std::max({wait, limit.retry_after, Nanoseconds(1)});  // not 0, which would admit it
+  return wait;
+}
+
+Nanoseconds CounterTable::admit(std::span<const Charge> charges, Nanoseconds time,
+                                std::span<ChargeHandle> handles) {
+  const std::int64_t now = time.count();
+  Nanoseconds longest_wait{0};
+  for (const Charge& charge : charges)
+    longest_wait = std::max(longest_wait, wait_time(find_or_insert(charge, now), charge.limit, now));
+  if (longest_wait.count() > 0) return longest_wait;
+  // Looked up again: the entry that was inserted for one charge may have been replaced for the next.
   for (std::size_t i = 0; i < charges.size(); ++i) {
-    const Charge& c = charges[i];
-    Entry& e = entry(c, now);
-    held[i] = {c.key, c.bound.id, e.key != c.key};
-    e.arrival = std::max(e.arrival, now) + c.bound.interval.count();
-    e.tolerance = c.bound.tolerance.count();
-    e.maximum = c.bound.maximum;
-    if (c.bound.maximum != Bound::kAny) ++e.in_progress;
+    const auto& [limit, key] = charges[i];
+    Entry& entry = find_or_insert(charges[i], now);
+    handles[i] = {key, limit.id, entry.key != key};
+    entry.theoretical_arrival = std::max(entry.theoretical_arrival, now) + limit.emission_interval.count();
+    entry.burst_tolerance = limit.burst_tolerance.count();
+    if (limit.max_in_progress != InstanceLimit::kUnlimited) ++entry.in_progress;
   }
   return Nanoseconds(0);
 }
 
-void CounterTable::release(const Held& held) {
-  const auto it = held.overflow ? overflow_.find(held.limit) : overflow_.end();
-  Entry* e = held.overflow ? it == overflow_.end() ? nullptr : &it->second : find(held.key);
-  if (e != nullptr && e->in_progress > 0) --e->in_progress;
+void CounterTable::release(const ChargeHandle& handle) {
+  Entry* entry = nullptr;
+  if (!handle.is_overflow) {
+    entry = find(handle.key);
+  } else if (const auto it = overflow_.find(handle.limit_id); it != overflow_.end()) {
+    entry = &it->second;
+  }
+  if (entry != nullptr && entry->in_progress > 0) --entry->in_progress;
 }
 
 void CounterTable::resize(std::size_t keys, Nanoseconds now) {
-  CounterTable next(keys);
-  if (next.entries_.size() == entries_.size()) return;
-  std::vector<Entry> kept;
-  std::copy_if(entries_.begin(), entries_.end(), std::back_inserter(kept),
-               [&](const Entry& e) { return e.key != 0 && !e.idle(now.count()); });
-  // The most charged first: what finds no room is what matters least.
-  std::sort(kept.begin(), kept.end(), [](const Entry& a, const Entry& b) {
-    return std::pair(a.in_progress, a.arrival) > std::pair(b.in_progress, b.arrival);
+  CounterTable resized(keys);
+  if (resized.entries_.size() == entries_.size()) return;
+  std::vector<Entry> active;
+  std::copy_if(entries_.begin(), entries_.end(), std::back_inserter(active),
+               [&](const Entry& entry) { return entry.key != 0 && !entry.is_idle(now.count()); });
+  // The most charged first: what finds no entry is what matters least.
+  std::sort(active.begin(), active.end(), [](const Entry& left, const Entry& right) {
+    return std::pair(left.in_progress, left.theoretical_arrival) >
+           std::pair(right.in_progress, right.theoretical_arrival);
   });
-  for (const Entry& e : kept) {
-    for (const auto where : {next.set(e.key), next.other_set(e.key)}) {
-      const auto room = std::find_if(where.begin(), where.end(), [](const Entry& r) { return r.key == 0; });
-      if (room == where.end()) continue;
-      *room = e;
+  for (const Entry& entry : active) {
+    for (const auto set : {resized.primary_set(entry.key), resized.secondary_set(entry.key)}) {
+      const auto free = std::find_if(set.begin(), set.end(), [](const Entry& it) { return it.key == 0; });
+      if (free == set.end()) continue;
+      *free = entry;
       break;
     }
   }
-  entries_ = std::move(next.entries_);
+  entries_ = std::move(resized.entries_);
 }
 
-std::size_t CounterTable::used(Nanoseconds now) const {
-  return static_cast<std::size_t>(std::count_if(
-      entries_.begin(), entries_.end(), [&](const Entry& e) { return e.key != 0 && !e.idle(now.count()); }));
+std::size_t CounterTable::active_keys(Nanoseconds now) const {
+  const auto count = std::count_if(entries_.begin(), entries_.end(), [&](const Entry& entry) {
+    return entry.key != 0 && !entry.is_idle(now.count());
+  });
+  return static_cast<std::size_t>(count);
 }
 
 }  // namespace dispatcher::rate_limit
--- a/src/rate_limit/counter_table.hpp
+++ b/src/rate_limit/counter_table.hpp
@@ -1,5 +1,5 @@
-// Counters of limits by key, in a table of fixed size: rates by GCRA (the generic cell rate algorithm, ITU-T
-// I.371) and requests in progress. No I/O; the clock is passed in.
+// Counters of rate limits by key, in a table of fixed size: rates by GCRA (the generic cell rate algorithm,
+// ITU-T I.371) and requests in progress. No I/O; the clock is passed in.
 #ifndef DISPATCHER_RATE_LIMIT_COUNTER_TABLE_HPP_
 #define DISPATCHER_RATE_LIMIT_COUNTER_TABLE_HPP_
 
@@ -14,66 +14,87 @@
 
 using Nanoseconds = std::chrono::nanoseconds;
 
-// A limit, as far as one instance keeps it.
-struct Bound {
-  static constexpr std::uint32_t kAny = std::numeric_limits<std::uint32_t>::max();
-  std::uint64_t id = 0;          // of the limit: the same for as long as it stays what it is
-  Nanoseconds interval{};        // between two requests at the rate; 0: no rate
-  Nanoseconds tolerance{};       // how far ahead of the rate a burst may run
-  std::uint32_t maximum = kAny;  // requests in progress
-  Nanoseconds retry{};           // when to come back, where too many are in progress
+// The part of a limit that one instance enforces, in the terms of GCRA.
+struct InstanceLimit {
+  static constexpr std::uint32_t kUnlimited = std::numeric_limits<std::uint32_t>::max();
+  std::uint64_t id = 0;             // of the limit: the same for as long as its definition is
+  Nanoseconds emission_interval{};  // between two requests at the rate; 0: no rate
+  Nanoseconds burst_tolerance{};    // how far ahead of the rate a burst may run
+  std::uint32_t max_in_progress = kUnlimited;
+  Nanoseconds retry_after{};  // of requests that are rejected as too many are in progress
 };
 
 // A request under one limit.
 struct Charge {
-  Bound bound;
-  std::uint64_t key = 0;  // of the limit and its key's text together, spread over 64 bits
+  InstanceLimit limit;
+  std::uint64_t key = 0;  // hash of the limit and of the key's text together; not 0
 };
 
-// What an admitted request still counts for.
-struct Held {
-  std::uint64_t key = 0, limit = 0;
-  bool overflow = false;  // counted under the limit's one entry for keys that found no room
+// The counter of an admitted request, to be given back to CounterTable::release().
+struct ChargeHandle {
+  std::uint64_t key = 0, limit_id = 0;
+  bool is_overflow = false;  // counted under the limit's one entry for keys that the table has no entry for
 };
 
+// A set-associative hash table. Not synchronized: its RateLimiter uses it on one event loop.
 class CounterTable {
  public:
-  // Room for about `keys` keys at once, in 32 bytes each.
+  // Enough for about `keys` keys at once, in 32 bytes each.
   explicit CounterTable(std::size_t keys);
 
-  // Zero: admitted, and counted under all charges; `held` takes one for each. Else nothing is counted, and
-  // the request may come again after this.
-  Nanoseconds admit(std::span<const Charge> charges, Nanoseconds now, std::span<Held> held);
-  void release(const Held& held);  // an admitted request has come to its end
+  // Zero: the request is admitted and counted under all charges, and `handles`, as many, are filled in. Else
+  // nothing is counted, and the request may be retried after this time.
+  [[nodiscard]] Nanoseconds admit(std::span<const Charge> charges, Nanoseconds now,
+                                  std::span<ChargeHandle> handles);
+  // An admitted request has ended. Once for each handle.
+  void release(const ChargeHandle& handle);
 
-  // What is counted moves to a table of another size.
+  // Moves the counters to a table of another size. Where that is too small the least charged ones are lost.
   void resize(std::size_t keys, Nanoseconds now);
-  std::size_t bytes() const { return entries_.size() * sizeof(Entry); }
-  std::size_t used(Nanoseconds now) const;          // keys that hold anything
-  std::uint64_t shared() const { return shared_; }  // admissions asked of a full table, so far
+
+  [[nodiscard]] std::size_t bytes() const { return entries_.size() * sizeof(Entry); }
+  // Keys that have requests in progress or are ahead of their rate.
+  [[nodiscard]] std::size_t active_keys(Nanoseconds now) const;
+  // How often, so far, a key found no entry in a full table and shared its limit's overflow entry.
+  [[nodiscard]] std::uint64_t overflow_count() const { return overflow_count_; }
 
  private:
   struct Entry {
-    std::uint64_t key = 0;       // 0: free
-    std::int64_t arrival = 0;    // the theoretical arrival time, ns
-    std::int64_t tolerance = 0;  // as it was when last charged: past it the key is at its limit
-    std::uint32_t in_progress = 0, maximum = Bound::kAny;
-    [[nodiscard]] bool idle(std::int64_t now) const { return in_progress == 0 && arrival <= now; }
-    // Would its next request be refused, or is any still to come to its end?
-    [[nodiscard]] bool pinned(std::int64_t now) const { return in_progress > 0 || arrival - tolerance > now; }
+    std::uint64_t key = 0;                 // 0: free
+    std::int64_t theoretical_arrival = 0;  // GCRA's, ns
+    std::int64_t burst_tolerance = 0;      // as it was when last charged, ns
+    std::uint32_t in_progress = 0;
+    [[nodiscard]] bool is_idle(std::int64_t now) const {
+      return in_progress == 0 && theoretical_arrival <= now;
+    }
+    // Evicting it would admit a request beyond the limit, or lose the end of one.
+    [[nodiscard]] bool is_protected(std::int64_t now) const {
+      return in_progress > 0 || theoretical_arrival - burst_tolerance > now;
+    }
+    // How far it is ahead of its rate, ns; 0: it may be replaced at no loss.
+    [[nodiscard]] std::int64_t ahead(std::int64_t now) const {
+      return key == 0 || is_idle(now) ? 0 : theoretical_arrival - now;
+    }
+  };
+  static_assert(sizeof(Entry) == 32, "the memory that operators plan for by the number of keys");
+  static constexpr std::size_t kWays = 8;  // entries of a set
+
+  struct Victim {
+    Entry* entry = nullptr;  // none: all entries of the set are protected
+    std::size_t idle = 0;    // entries of its set that are free or idle
   };
-  static constexpr std::size_t kWays = 8;
 
-  std::span<Entry> set(std::uint64_t key);
-  std::span<Entry> other_set(std::uint64_t key);
+  std::span<Entry> primary_set(std::uint64_t key);
+  std::span<Entry> secondary_set(std::uint64_t key);
   Entry* find(std::uint64_t key);
-  Entry& entry(const Charge& charge, std::int64_t now);
-  static Nanoseconds wait(const Entry& e, const Bound& b, std::int64_t now);
+  Entry& find_or_insert(const Charge& charge, std::int64_t now);
+  Entry& overflow_entry(std::uint64_t limit_id, std::int64_t now);
+  static Victim choose_victim(std::span<Entry> set, std::int64_t now);
+  static Nanoseconds wait_time(const Entry& entry, const InstanceLimit& limit, std::int64_t now);
 
   std::vector<Entry> entries_;
-  // Where the table has no room for one more key: all such keys of a limit count as one.
   std::unordered_map<std::uint64_t, Entry> overflow_;  // by limit
-  std::uint64_t shared_ = 0;
+  std::uint64_t overflow_count_ = 0;
 };
 
 }  // namespace dispatcher::rate_limit
--- a/src/rate_limit/explain.cpp
+++ b/src/rate_limit/explain.cpp
@@ -26,11 +26,21 @@
 }
 )cue";
 
-bool same_name(std::string_view a, std::string_view b) {
-  return std::equal(a.begin(), a.end(), b.begin(), b.end(),
+// Names of headers are compared without regard to case (RFC 9110, 5.1).
+bool is_same_header(std::string_view left, std::string_view right) {
+  return std::equal(left.begin(), left.end(), right.begin(), right.end(),
                     [](unsigned char x, unsigned char y) { return std::tolower(x) == std::tolower(y); });
 }
 
+std::optional<std::string_view> find_header(const std::map<std::string, std::string>& headers,
+                                            const std::string& name) {
+  const auto it = std::find_if(headers.begin(), headers.end(),
+                               [&](const auto& header) { return is_same_header(header.first, name); });
+  if (it == headers.end()) return std::nullopt;
+  return it->second;
+}
+
+// Evaluates a part of a condition by itself.
 expression::Value evaluate(const expression::Node& node, const RuleSet& rules,
                            std::span<const expression::Value> values) {
   const auto program =
@@ -40,91 +50,99 @@
   return program.run(values, scratch);
 }
 
-std::string reason(const RuleSet& rules, std::size_t i, std::span<const expression::Value> values) {
-  std::string fault;
-  for (const expression::Node* part : expression::parts(rules.conditions().condition(i).tree())) {
-    const expression::Value v = evaluate(*part, rules, values);
-    if (v.is(false)) return expression::to_text(*part) + " is false";
-    if (v.failed() && fault.empty())
-      fault = expression::to_text(*part) + " has no value: " + expression::name(v.fault);
+// The first part of a rule's condition that is false; where none is, the first that has no value.
+std::string mismatch_reason(const RuleSet& rules, std::size_t rule,
+                            std::span<const expression::Value> values) {
+  std::string without_value;
+  for (const expression::Node* part : expression::parts(rules.conditions().condition(rule).tree())) {
+    const expression::Value value = evaluate(*part, rules, values);
+    if (value.is(false)) return expression::to_text(*part) + " is false";
+    if (value.failed() && without_value.empty())
+      without_value = expression::to_text(*part) + " has no value: " + expression::name(value.fault);
   }
-  return fault;
+  return without_value;
+}
+
+std::string explain_result(const char* what, const expression::Value& value, bool is_used) {
+  std::string text = std::string("      ") + what + " = " + expression::to_text(value);
+  if (!is_used) text += ": not known, its own stays";
+  return text;
+}
+
+std::string explain_limit(const Limit& limit, const expression::Value& key) {
+  std::string text = "      limit " + limit.name + ": key ";
+  if (key.failed()) {
+    text += "shared by all that lack it (" + std::string(expression::name(key.fault)) + ")";
+  } else {
+    text += expression::to_text(key);
+  }
+  if (limit.rate > 0) {
+    text += ", " + expression::to_text(expression::Value::of(limit.rate)) + " a second in bursts of " +
+            expression::to_text(expression::Value::of(limit.burst));
+  }
+  if (limit.max_in_progress) text += ", " + std::to_string(*limit.max_in_progress) + " in progress";
+  return text + ", over the whole fleet";
 }
 
 }  // namespace
 
-std::unique_ptr<Sample> read_sample(const cue::File& file, const RuleSet& rules) {
+std::unique_ptr<SampleRequest> read_sample(const cue::File& file, const RuleSet& rules) {
   static const cue::Schema schema(kSchema, "#Request");
   const cue::Data data = schema.read(file);
-  auto sample = std::make_unique<Sample>();
-  Sample& s = *sample;
-  s.request_class = data["class"].text();
-  s.account = data["account"].text();
-  s.has_model = data.has("model");
-  if (s.has_model) s.model = data["model"].text();
-  Facts& f = s.facts;
-  f.request_class = s.request_class;
-  f.account = s.account;
-  if (s.has_model) f.model = s.model;
+  auto sample = std::make_unique<SampleRequest>();
+  sample->request_class = data["class"].text();
+  sample->account = data["account"].text();
+  if (data.has("model")) sample->model = data["model"].text();
+  for (const auto& [name, value] : data["headers"].fields()) sample->headers[name] = value.text();
+
+  RequestAttributes& attributes = sample->attributes;
+  attributes.request_class = sample->request_class;
+  attributes.account = sample->account;
+  attributes.model = sample->model;
   const std::string& session = data["session"].text();
-  std::from_chars(session.data(), session.data() + session.size(), f.session, 16);
-  f.chat = data["front"].text() == "chat";
-  f.retry = data["retry"].flag();
-  f.prompt_tokens = data["prompt_tokens"].integer();
-  f.shared_tokens = data["shared_tokens"].integer();
-  f.max_tokens = data["most_tokens"].integer();
-  f.time_left_ms = data["time_left_ms"].integer();
-  for (const auto& [name, value] : data["headers"].fields()) s.headers[name] = value.text();
-  for (const Header& wanted : rules.headers()) {
-    const auto it = std::find_if(s.headers.begin(), s.headers.end(),
-                                 [&](const auto& h) { return same_name(h.first, wanted.name); });
-    f.headers.push_back(it == s.headers.end() ? std::nullopt : std::optional<std::string_view>(it->second));
-  }
+  std::from_chars(session.data(), session.data() + session.size(), attributes.session, 16);
+  attributes.is_openai_api = data["front"].text() == "chat";
+  attributes.is_retry = data["retry"].flag();
+  attributes.prompt_tokens = data["prompt_tokens"].integer();
+  attributes.shared_tokens = data["shared_tokens"].integer();
+  attributes.max_tokens = data["most_tokens"].integer();
+  attributes.time_left_ms = data["time_left_ms"].integer();
+  for (const Header& header : rules.headers())
+    attributes.headers.push_back(find_header(sample->headers, header.name));
   return sample;
 }
 
-std::vector<std::string> explain(const RuleSet& rules, const Facts& facts, std::size_t maximum) {
-  std::vector<std::string> lines;
-  std::array<char, 16> session{};
-  const auto values = rules.values(facts, session);
+std::vector<std::string> explain(const RuleSet& rules, const RequestAttributes& attributes,
+                                 std::size_t max_rules) {
+  std::vector<std::string> report;
+  SessionText session_text{};
+  const auto values = rules.values(attributes, session_text);
   expression::Scratch scratch;
   rules.reserve(scratch);
-  const Decision decision = rules.decide(facts, scratch);
-  const std::size_t before =
-      decision.rule < 0 ? rules.rules().size() : static_cast<std::size_t>(decision.rule);
-  const std::size_t from = before > maximum ? before - maximum : 0;
-  if (from > 0) lines.push_back(std::to_string(from) + " rules before these do not match either");
-  for (std::size_t i = from; i < before; ++i)
-    lines.push_back("no    " + rules.rules()[i].name + ": " + reason(rules, i, values));
-  if (decision.rule < 0) {
-    lines.emplace_back("no rule matches: the request passes as it is");
-    return lines;
+  const Decision decision = rules.decide(attributes, scratch);
+
+  const std::size_t mismatches = decision.rule.value_or(rules.rules().size());
+  const std::size_t first = mismatches > max_rules ? mismatches - max_rules : 0;
+  if (first > 0) report.push_back(std::to_string(first) + " rules before these do not match either");
+  for (std::size_t i = first; i < mismatches; ++i)
+    report.push_back("no    " + rules.rules()[i].name + ": " + mismatch_reason(rules, i, values));
+  if (!decision.rule) {
+    report.emplace_back("no rule matches: the request passes as it is");
+    return report;
   }
-  const Rule& rule = rules.rules()[before];
-  lines.push_back("yes   " + rule.name + ": " + rule.when);
-  const auto computed = [&](const char* what, const std::optional<expression::Program>& program, bool taken,
-                            const std::string& as) {
-    if (!program) return;
-    const expression::Value v = program->run(values, scratch);
-    lines.push_back(std::string("      ") + what + " = " + expression::to_text(v) +
-                    (taken ? as : ": not known, its own stays"));
+
+  const Rule& rule = rules.rules()[*decision.rule];
+  report.push_back("yes   " + rule.name + ": " + rule.when);
+  const auto add_result = [&](const char* what, const std::optional<expression::Program>& program,
+                              bool is_used) {
+    if (program) report.push_back(explain_result(what, program->run(values, scratch), is_used));
   };
-  computed("class", rule.request_class, decision.request_class != nullptr, "");
-  computed("account", rule.account, decision.account.has_value(), "");
-  computed("session", rule.session, decision.session.has_value(), "");
-  for (const Limit& l : rule.limits) {
-    const expression::Value key = l.key.run(values, scratch);
-    std::string line =
-        "      limit " + l.name + ": key " +
-        (key.failed() ? "shared by all that lack it (" + std::string(expression::name(key.fault)) + ")"
-                      : expression::to_text(key));
-    if (l.rate > 0)
-      line += ", " + expression::to_text(expression::Value::of(l.rate)) + " a second in bursts of " +
-              expression::to_text(expression::Value::of(l.burst));
-    if (l.in_progress) line += ", " + std::to_string(*l.in_progress) + " in progress";
-    lines.push_back(line + ", over the whole fleet");
-  }
-  return lines;
+  add_result("class", rule.request_class, decision.request_class != nullptr);
+  add_result("account", rule.account, decision.account.has_value());
+  add_result("session", rule.session, decision.session.has_value());
+  for (const Limit& limit : rule.limits)
+    report.push_back(explain_limit(limit, limit.key.run(values, scratch)));
+  return report;
 }
 
 }  // namespace dispatcher::rate_limit
--- a/src/rate_limit/explain.hpp
+++ b/src/rate_limit/explain.hpp
@@ -1,8 +1,9 @@
-// Why a request meets the rule that it meets: for operators who wonder about a file.
+// Why a request matches the rule that it matches: for operators who wonder about a file.
 #ifndef DISPATCHER_RATE_LIMIT_EXPLAIN_HPP_
 #define DISPATCHER_RATE_LIMIT_EXPLAIN_HPP_
 
 #include <map>
+#include <memory>
 #include <string>
 #include <vector>
 
@@ -10,20 +11,22 @@
 
 namespace dispatcher::rate_limit {
 
-// A request as a file describes it: a record with the names that expressions use.
-struct Sample {
-  std::string request_class, account, model, session;
-  bool has_model = false;
-  Facts facts;                                 // views into the texts above and below
+// A request as a file describes it: a record with the names that expressions use. Not to be moved, as the
+// attributes are views into its own texts.
+struct SampleRequest {
+  std::string request_class, account;
+  std::optional<std::string> model;
   std::map<std::string, std::string> headers;  // by their names on the wire
+  RequestAttributes attributes;
 };
 
 // Throws cue::Errors. `rules`: whose headers the sample may give.
-std::unique_ptr<Sample> read_sample(const cue::File& file, const RuleSet& rules);
+[[nodiscard]] std::unique_ptr<SampleRequest> read_sample(const cue::File& file, const RuleSet& rules);
 
-// A line for each rule up to the one that matches (of more than `most` only the last ones), then what that
-// one computes.
-std::vector<std::string> explain(const RuleSet& rules, const Facts& facts, std::size_t maximum = 50);
+// A line of text for each rule up to the one that matches (of more than `max_rules` only the last ones), then
+// what that one computes.
+[[nodiscard]] std::vector<std::string> explain(const RuleSet& rules, const RequestAttributes& attributes,
+                                               std::size_t max_rules = 50);
 
 }  // namespace dispatcher::rate_limit
 
--- a/src/rate_limit/rate_limiter.hpp
+++ b/src/rate_limit/rate_limiter.hpp
@@ -1,5 +1,5 @@
-// Where every request passes before anything is taken or sent: the rules decide, the table counts. One gate
-// serves all fronts of an instance. No I/O; the clock is passed in.
+// Rate limiting of requests before anything is reserved or sent for them: the rules decide, the counter table
+// counts. No I/O; the clock is passed in.
 #ifndef DISPATCHER_RATE_LIMIT_RATE_LIMITER_HPP_
 #define DISPATCHER_RATE_LIMIT_RATE_LIMITER_HPP_
 
@@ -7,9 +7,9 @@
 #include <functional>
 #include <memory>
 #include <optional>
+#include <span>
 #include <string>
 #include <string_view>
-#include <utility>
 
 #include "rate_limit/counter_table.hpp"
 #include "rate_limit/rules.hpp"
@@ -17,56 +17,71 @@
 
 namespace dispatcher::rate_limit {
 
-// What a request counts for until it comes to its end. Moved, never copied; dropped unreleased it stays
-// counted.
+// What an admitted request counts for until RateLimiter::release(). One that is dropped unreleased goes on
+// counting; a copy stands for the same request, and only one of them is to be released.
 class Ticket {
  public:
   [[nodiscard]] bool empty() const { return count_ == 0; }
+  [[nodiscard]] std::span<const ChargeHandle> handles() const { return {handles_.data(), count_}; }
+  void add(const ChargeHandle& handle) { handles_[count_++] = handle; }  // kMaxLimits at most
+  void clear() { count_ = 0; }
 
  private:
-  friend class RateLimiter;
-  std::array<Held, kMaxLimits> held_{};
+  std::array<ChargeHandle, kMaxLimits> handles_{};
   std::size_t count_ = 0;
 };
 
+// One for all front ends of a process, so that they share the counters. Owned by the daemon and used on its
+// event loop only; callbacks run within the call that takes them, the log within admit().
 class RateLimiter {
  public:
   using Log = std::function<void(std::string_view)>;
-  // `log` hears of refusals: of the first at once, then at most every ten seconds of how many there were.
+
+  // `seed`: secret, so that nobody outside can tell which keys share a set of the table. `log`: gets the
+  // first rejection at once, then at most every ten seconds how many there were.
   explicit RateLimiter(std::uint64_t seed, Log log = {}) : seed_(seed), log_(std::move(log)), table_(0) {}
 
-  // Other rules for the requests from now on; none: every request passes as it is. Counters of limits that
-  // stay the same go on.
-  void adopt(std::shared_ptr<const RuleSet> rules, routing::Time now);
-  // Whose part of the limits this is: `instance`, from 0, of `instances`.
-  void share(std::size_t instance, std::size_t instances) {
+  // Other rules for the requests from now on; null: every request is admitted as it is. Counters of limits
+  // that stay the same go on.
+  void replace_rules(std::shared_ptr<const RuleSet> rules, routing::Time now);
+  // Whose part of the limits this enforces: that of `instance`, from 0, of `instances`.
+  void set_instance(std::size_t instance, std::size_t instances) {
     instance_ = instance;
     instances_ = instances;
   }
-  const RuleSet* rules() const { return rules_.get(); }
+  [[nodiscard]] const RuleSet* rules() const { return rules_.get(); }
 
-  struct Passage {
-    std::optional<routing::Duration> rejected;  // and when to come back
-    const Rule* rule = nullptr;                 // that decided
+  struct Admission {
+    std::optional<routing::Duration> retry_after;  // set: the request is rejected
+    const Rule* rule = nullptr;                    // that matched, if any
     Ticket ticket;
+    [[nodiscard]] bool is_rejected() const { return retry_after.has_value(); }
   };
-  // Applies what the rules compute to the request: its class, account and session. A class that may be
-  // repeated is never put in place of one that may not. `stop` is asked in between, with the request as it is
-  // then: what it gives is a refusal that counts under no limit.
-  using Stop = std::function<std::optional<routing::Duration>(const routing::Request&)>;
-  Passage pass(routing::Request& request, const Facts& facts, const routing::Settings& settings,
-               routing::Time now, const Stop& stop = {});
+  // Whether a request is shed for reasons outside the rules: its Retry-After then, else nullopt.
+  using ShedCheck = std::function<std::optional<routing::Duration>(const routing::Request&)>;
+
+  // Applies what the rules compute to the request (its class, account and session), then checks its limits. A
+  // class whose requests may be retried never replaces one whose requests may not. `shed_check` gets the
+  // request as the rules left it; one that it sheds counts under no limit.
+  [[nodiscard]] Admission admit(routing::Request& request, const RequestAttributes& attributes,
+                                const routing::Settings& settings, routing::Time now,
+                                const ShedCheck& shed_check = {});
+  // The request has ended. The ticket is empty afterwards.
   void release(Ticket& ticket);
 
   struct Counts {
-    std::uint64_t passed = 0, rejected = 0, faults = 0, kept_class = 0;
+    std::uint64_t admitted = 0;
+    std::uint64_t rejected = 0;                // by a limit
+    std::uint64_t evaluation_faults = 0;       // Decision::evaluation_faults of all requests
+    std::uint64_t rejected_class_changes = 0;  // computed ones that would have made a request retryable
   };
-  const Counts& counts() const { return counts_; }
-  const CounterTable& table() const { return table_; }
+  [[nodiscard]] const Counts& counts() const { return counts_; }
+  [[nodiscard]] const CounterTable& table() const { return table_; }
 
  private:
   void apply(const Decision& decision, routing::Request& request, const routing::Settings& settings);
-  void tell(const std::string& rule, routing::Time now);
+  void check_limits(const Decision& decision, routing::Time now, Admission& admission);
+  void log_rejection(const std::string& rule, routing::Time now);
 
   std::shared_ptr<const RuleSet> rules_;
   std::uint64_t seed_;
@@ -75,8 +90,8 @@
   expression::Scratch scratch_;
   CounterTable table_;
   Counts counts_;
-  std::uint64_t untold_ = 0;  // refusals since the last line
-  routing::Time tell_next_{};
+  std::uint64_t unlogged_rejections_ = 0;
+  routing::Time next_log_{};
 };
 
 }  // namespace dispatcher::rate_limit
--- a/src/rate_limit/rules.hpp
+++ b/src/rate_limit/rules.hpp
@@ -1,70 +1,87 @@
-// The operators' rules: which requests each is for, and what it computes for them. Read, checked and compiled
-// once; deciding allocates nothing but the text of an account that the settings do not list.
+// The operators' rules: which requests each matches, and what it computes for them. Read, checked and
+// compiled once; a decision allocates nothing but the text of an account that the settings do not list.
 #ifndef DISPATCHER_RATE_LIMIT_RULES_HPP_
 #define DISPATCHER_RATE_LIMIT_RULES_HPP_
 
 #include <array>
+#include <chrono>
 #include <cstdint>
 #include <memory>
 #include <optional>
 #include <span>
 #include <string>
 #include <string_view>
+#include <utility>
 #include <vector>
 
 #include "cue/data.hpp"
 #include "expression/first_match.hpp"
 #include "rate_limit/counter_table.hpp"
-#include "rate_limit/facts.hpp"
+#include "rate_limit/request_attributes.hpp"
 
 namespace dispatcher::rate_limit {
 
-inline constexpr std::size_t kMaxLimits = 4;  // of one rule
+// Limits of one rule: a request is charged for all of them without an allocation.
+inline constexpr std::size_t kMaxLimits = 4;
 
-// A header that rules may ask for.
+// A header that rules may use.
 struct Header {
-  std::string field;  // in expressions: header.FIELD
-  std::string name;   // on the wire
-  std::size_t longest = 0;
+  std::string field;           // in expressions: header.FIELD
+  std::string name;            // on the wire
+  std::size_t max_length = 0;  // bytes; a longer one counts as absent
 };
 
+// A limit over the whole fleet, counted for each value of its key.
 struct Limit {
-  std::string name;  // of its rule, and its number there
-  std::uint64_t id = 0;
-  double rate = 0;                          // a second, over the whole fleet; 0: no rate
-  double burst = 1;                         // requests
-  std::optional<std::int64_t> in_progress;  // over the whole fleet
-  std::int64_t retry_ms = 0;
+  std::string name;                             // RULE/NUMBER
+  std::uint64_t id = 0;                         // a hash of its definition
+  double rate = 0;                              // requests a second; 0: no rate
+  double burst = 1;                             // requests
+  std::optional<std::int64_t> max_in_progress;  // requests
+  std::chrono::milliseconds retry_after{};      // where too many are in progress
   expression::Program key;
 };
 
-// The part of a limit that one of `instances` keeps. Of requests in progress the parts add up to the limit,
-// but none is below one; rates and bursts are divided evenly, a burst again not below one.
-Bound part_of(const Limit& limit, std::size_t instance, std::size_t instances);
+// The part of a limit that one of `instances` enforces. The parts of requests in progress add up to the
+// limit, but none is below one; rates and bursts are divided evenly, a burst again not below one.
+[[nodiscard]] InstanceLimit instance_limit(const Limit& limit, std::size_t instance, std::size_t instances);
 
+// One rule. Results that are not computed leave the request as it is.
 struct Rule {
-  std::string name, when;
+  std::string name;
+  std::string when;  // its condition, as the file has it
   std::optional<expression::Program> request_class, session, account;
   std::vector<Limit> limits;
-  cue::Position at;
+  cue::Position at;  // in the file
 };
 
+// A limit that a request falls under.
+struct MatchedLimit {
+  const Limit* limit = nullptr;
+  std::uint64_t key_hash = 0;  // of the limit and the key's text; not 0
+};
+
+// What the rules decide for one request. Pointers are into the RuleSet.
 struct Decision {
-  int rule = -1;                               // none matched
-  const std::string* request_class = nullptr;  // as the settings have it
+  std::optional<std::size_t> rule;             // the first that matches
+  const std::string* request_class = nullptr;  // a name of the settings
   std::optional<std::string> account;
   std::optional<std::uint64_t> session;
-  std::array<std::pair<const Limit*, std::uint64_t>, kMaxLimits> limits{};  // with the key's hash
+  std::array<MatchedLimit, kMaxLimits> limits{};
   std::size_t limit_count = 0;
-  int faults = 0;  // computed values that had none, or an unknown name: the request's own stays
+  // Results that had no value, or were a name that the settings don't know: the request keeps its own.
+  std::uint64_t evaluation_faults = 0;
 };
 
+// A file of rules, compiled. Immutable once read, so that it may be shared.
 class RuleSet {
  public:
-  // Throws cue::Errors with all that is wrong, also where the rules could take longer than their budget.
+  // Throws cue::Errors with all problems, also where a decision could take longer than the file's budget.
   static std::shared_ptr<const RuleSet> read(const cue::File& file, const Vocabulary& vocabulary);
 
-  Decision decide(const Facts& facts, expression::Scratch& scratch) const;
+  // `scratch`: of its caller, after reserve().
+  [[nodiscard]] Decision decide(const RequestAttributes& attributes, expression::Scratch& scratch) const;
+  // Makes the scratch large enough for all programs of the rules.
   void reserve(expression::Scratch& scratch) const;
 
   [[nodiscard]] const std::vector<Rule>& rules() const { return rules_; }
@@ -72,29 +89,37 @@
   [[nodiscard]] const std::vector<Header>& headers() const { return headers_; }
   [[nodiscard]] const expression::Environment& fields() const { return fields_; }
   [[nodiscard]] const Vocabulary& vocabulary() const { return vocabulary_; }
-  [[nodiscard]] std::size_t keys() const { return keys_; }
+  // Keys that the counter table is made for.
+  [[nodiscard]] std::size_t max_keys() const { return max_keys_; }
+  // The computed worst cost of a decision, and the bound that the file sets for it; ns.
   [[nodiscard]] double worst_ns() const { return worst_ns_; }
   [[nodiscard]] double budget_ns() const { return budget_ns_; }
-  [[nodiscard]] double worst_ns(std::size_t rule) const;  // of its condition and all that it computes
-  // The values that expressions see, in the order of fields().
-  [[nodiscard]] std::vector<expression::Value> values(const Facts& facts, std::span<char, 16> session) const;
+  // The same for one rule: of its condition and all that it computes.
+  [[nodiscard]] double worst_ns(std::size_t rule) const;
+  // The values that expressions see, in the order of fields(). `session_text` must outlive them.
+  [[nodiscard]] std::vector<expression::Value> values(const RequestAttributes& attributes,
+                                                      SessionText& session_text) const;
 
  private:
+  // Not more than the fields of a request and kMaxHeaders.
   using Values = std::array<expression::Value, 64>;
-  std::span<const expression::Value> fill(const Facts& facts, std::span<char, 16> session,
+  std::span<const expression::Value> fill(const RequestAttributes& attributes, SessionText& session_text,
                                           Values& values) const;
+  [[nodiscard]] double result_ns(std::size_t rule) const;
+  // Computes worst_ns_; a problem where it is above the budget.
+  [[nodiscard]] std::optional<cue::Problem> check_budget();
 
   std::vector<Rule> rules_;
-  expression::FirstMatch conditions_;
+  expression::FirstMatch conditions_;  // of the rules, in their order
   std::vector<Header> headers_;
   expression::Environment fields_;
   Vocabulary vocabulary_;
-  std::size_t keys_ = 0;
+  std::size_t max_keys_ = 0;
   double worst_ns_ = 0, budget_ns_ = 0;
 };
 
 // What is no error and yet hardly meant: rules that can never match.
-std::vector<cue::Problem> warnings(const RuleSet& rules);
+[[nodiscard]] std::vector<cue::Problem> warnings(const RuleSet& rules);
 
 }  // namespace dispatcher::rate_limit
 
--- /dev/null
+++ b/src/rate_limit/text_hash.hpp
@@ -0,0 +1,14 @@
+// The hash that limits and their keys are told apart by (XXH3, https://xxhash.com).
+#ifndef DISPATCHER_RATE_LIMIT_TEXT_HASH_HPP_
+#define DISPATCHER_RATE_LIMIT_TEXT_HASH_HPP_
+
+#include <cstdint>
+#include <string_view>
+
+namespace dispatcher::rate_limit {
+
+[[nodiscard]] std::uint64_t text_hash(std::string_view text, std::uint64_t seed);
+
+}  // namespace dispatcher::rate_limit
+
+#endif  // DISPATCHER_RATE_LIMIT_TEXT_HASH_HPP_
--- a/src/simulation/scenario.cpp
+++ b/src/simulation/scenario.cpp
@@ -48,13 +48,13 @@
   void endpoints() {
     const auto list = fleet_.list();
     engine_.endpoints(list);
-    control_.endpoints(list);
+    control_.update_endpoints(list);
   }
   void tick(Time now) { control_.tick(engine_.open(), now); }
   std::size_t changes() const { return control_.machine().history().size(); }
 
   void ask(const Job& job, routing::Request request, std::size_t number) {
-    rate_limit::Facts facts;
+    rate_limit::RequestAttributes facts;
     facts.prompt_tokens = request.prompt_tokens;
     facts.time_left_ms = (request.client_deadline - clock_()).count() / 1000;
     if (control_.shed(request, facts)) return void(outcomes_[number].end = RequestOutcome::End::kShed);
--- a/tests/dispatcher/degradation_fleet_test.cpp
+++ b/tests/dispatcher/degradation_fleet_test.cpp
@@ -1,4 +1,4 @@
-// Levels at work: signals, both fronts, the console, a reload and an upgrade.
+// Degradation levels at work: signals, both front ends, the admin interface, a reload and a hot restart.
 #include <algorithm>
 #include <catch2/catch.hpp>
 #include <fstream>
@@ -23,133 +23,144 @@
     "[\"ask\"], when: \"account.use > 1.5\"}]},\n{name: \"hard\", enter: \"ready.readers < 0.4\", leave: "
     "\"ready.readers > 0.6\", shed: [{classes: [\"ask\"], retry_ms: {least: 700, most: 900}}]}]";
 
-struct Steered {
-  explicit Steered(const std::string& text, engine::Clock clock = {})
-      : control(
+// A controller whose clock stands still unless the test moves it or passes another, and what it logs.
+struct ControllerFixture {
+  explicit ControllerFixture(const std::string& text, engine::Clock clock = {})
+      : controller(
             settings, DegradationController::read({"l.cue", text}, settings),
             clock ? clock : [this] { return now; },
-            [this](std::string_view line) { logs.emplace_back(line); }, [] { return 0.5; }) {}
+            [this](std::string_view entry) { logs.emplace_back(entry); }, [] { return 0.5; }) {}
   routing::Settings settings = make_settings();
   Time now = seconds(1'800'000'000);
   std::vector<std::string> logs;
-  DegradationController control;
+  DegradationController controller;
 };
 
-std::string signal(Signals& s, const std::string& name, std::optional<Time> heard, Time now) {
-  const auto settings = make_settings();
-  const auto fields = Signals::fields(settings);
-  return expression::to_text(s.values(3, heard, now)[static_cast<std::size_t>(fields.find(name))]);
+constexpr std::size_t kInProgress = 3;
+
+std::string signal_text(Signals& signals, const std::string& name, std::optional<Time> endpoints_updated_at,
+                        Time now) {
+  const auto fields = Signals::fields(make_settings());
+  const auto values = signals.values(kInProgress, endpoints_updated_at, now);
+  return expression::to_text(values[static_cast<std::size_t>(fields.find(name))]);
 }
 
-TEST_CASE("signals tell shares of what is known, and nothing of what is not", "[levels]") {
-  Signals s(make_settings());
+// Both front ends of a fixture behind one rate limiter without rules, and one controller.
+struct AttachedFrontEnds {
+  AttachedFrontEnds(Fixture& attached, DegradationController& controller) : fixture(attached) {
+    fixture.platform.attach(rate_limiter);
+    fixture.platform.attach(controller);
+    fixture.chat->attach(rate_limiter);
+    fixture.chat->attach(controller);
+  }
+  std::unique_ptr<StandInClient> post(bool through_chat, const std::string& id,
+                                      const std::string& request_class) const {
+    auto client = through_chat ? fixture.chat_client() : fixture.platform_client();
+    client->post(through_chat ? "Content-Type: application/json\r\n" : facts(id, request_class),
+                 chat_body(request_class, true));
+    return client;
+  }
+  Fixture& fixture;
+  rate_limit::RateLimiter rate_limiter{1};
+};
+
+TEST_CASE("signals are fractions of what is known, and absent where nothing is", "[levels]") {
+  Signals signals(make_settings());
   Time now = seconds(1'800'000'000);
   const std::string absent = "none: a field that the request lacks";
-  const auto is = [&](const char* name) { return signal(s, name, now, now); };
-  CHECK(is("late.ask") == absent);
-  CHECK(is("open") == "3");
-  for (int i = 0; i < 19; ++i) s.first_token("ask", i < 5, now);
-  CHECK(is("late.ask") == absent);  // too few
-  s.given_up("ask", true, now);
-  CHECK(is("late.ask") == "0.3");
-  CHECK(is("refused") == "0.05");
-  CHECK(is("late.command") == absent);
-  s.first_token("nothing", true, now);
-  CHECK(is("refused") == "0.05");
+  const auto text = [&](const char* name) { return signal_text(signals, name, now, now); };
+  CHECK(text("late.ask") == absent);
+  CHECK(text("open") == "3");
+  for (int i = 0; i < 19; ++i) signals.first_token("ask", i < 5, now);
+  CHECK(text("late.ask") == absent);  // too few
+  signals.given_up("ask", true, now);
+  CHECK(text("late.ask") == "0.3");
+  CHECK(text("refused") == "0.05");
+  CHECK(text("late.command") == absent);
+  signals.first_token("nothing", true, now);
+  CHECK(text("refused") == "0.05");
   now += seconds(11);
-  CHECK(is("late.ask") == absent);
+  CHECK(text("late.ask") == absent);
 
-  CHECK(is("ready.readers") == absent);
+  CHECK(text("ready.readers") == absent);
   routing::EndpointList list{routing::ListKind::kFull, {}};
   for (const auto& [name, zone] : std::vector<std::pair<std::string, std::string>>{
            {"r1", "a"}, {"r2", "a"}, {"r3", "b"}, {"r4", "b"}, {"r5", "b"}})
     list.entries.push_back({name, zone, "reader", 0, EndpointState::kReady, 1, {}});
-  s.endpoints(list, now);
-  CHECK(is("ready.readers") == "1");
-  CHECK(is("ready.writers") == absent);
+  signals.update_endpoints(list, now);
+  CHECK(text("ready.readers") == "1");
+  CHECK(text("ready.writers") == absent);
   routing::EndpointList lost{routing::ListKind::kDelta, {}};
   lost.entries = {{"r3", "b", "reader", 0, EndpointState::kRemoved, 1, {}},
                   {"r4", "b", "reader", 0, EndpointState::kDraining, 1, {}}};
-  s.endpoints(lost, now);
-  CHECK(is("ready.readers") == "0.6");
-  CHECK(is("ready.least_zone_readers") == expression::to_text(Value::of(1.0 / 3)));
-  CHECK(signal(s, "ready.readers", now - seconds(11), now) == absent);  // an old list says nothing
-  CHECK(signal(s, "ready.readers", std::nullopt, now) == absent);
+  signals.update_endpoints(lost, now);
+  CHECK(text("ready.readers") == "0.6");
+  CHECK(text("ready.least_zone_readers") == expression::to_text(Value::of(1.0 / 3)));
+  CHECK(signal_text(signals, "ready.readers", now - seconds(11), now) ==
+        absent);  // an old list is no evidence
+  CHECK(signal_text(signals, "ready.readers", std::nullopt, now) == absent);
   for (int i = 0; i < 40; ++i) {  // after half an hour what is left is what there is
     now += seconds(60);
-    is("ready.readers");
+    text("ready.readers");
   }
-  CHECK(is("ready.readers") == "1");
+  CHECK(text("ready.readers") == "1");
 
-  CHECK(expression::to_text(s.use("acme", now)) == "0");
-  for (int i = 0; i < 5000; ++i) s.asked("acme", now);
-  CHECK(expression::to_text(s.use("acme", now)) == "0.5");  // 500 a second of 1,000
-  CHECK(s.use("nobody", now).failed());
+  CHECK(expression::to_text(signals.quota_usage("acme", now)) == "0");
+  for (int i = 0; i < 5000; ++i) signals.request_arrived("acme", now);
+  CHECK(expression::to_text(signals.quota_usage("acme", now)) == "0.5");  // 500 a second of 1,000
+  CHECK(signals.quota_usage("nobody", now).failed());
 }
 
-TEST_CASE("both fronts shed what the level names, at once, and nothing that is taken",
+TEST_CASE("both front ends shed what the level names, at once, and no request in progress",
           "[levels][chat][platform]") {
   for (const bool through_chat : {true, false}) {
     Fixture fixture(
         read_well,
         [](StandInReplica& r, SlotId client, const StandInReplica::Seen&) { r.stream(client, {"a"}, false); },
         kChat);
-    Steered s(kSome, fixture.clock());
-    rate_limit::RateLimiter rate_limiter(1);
-    fixture.platform.attach(rate_limiter);
-    fixture.platform.attach(s.control);
-    fixture.chat->attach(rate_limiter);
-    fixture.chat->attach(s.control);
+    ControllerFixture levels(kSome, fixture.clock());
+    const AttachedFrontEnds front_ends(fixture, levels.controller);
     std::vector<std::unique_ptr<StandInClient>> clients;
-    const auto send = [&](const std::string& cls) -> StandInClient& {
-      clients.push_back(through_chat ? fixture.chat_client() : fixture.platform_client());
-      clients.back()->post(through_chat ? "Content-Type: application/json\r\n"
-                                        : facts("a" + std::to_string(clients.size()), cls),
-                           chat_body(cls, true));
+    const auto send = [&](const std::string& request_class) -> StandInClient& {
+      clients.push_back(
+          front_ends.post(through_chat, "a" + std::to_string(clients.size() + 1), request_class));
       fixture.settle();
       fixture.settle();
       return *clients.back();
     };
     StandInClient& running = send("ask");
     CHECK(running.status == 200);
-    REQUIRE(s.control.order("hard"));
+    REQUIRE(levels.controller.set_override("hard"));
     const int before = fixture.total("POST", false);
     StandInClient& ask = send("ask");
     CHECK(ask.status == 503);
-    CHECK(ask.headers["Retry-After"] == (through_chat ? "1" : "0.500"));  // the platform's most is 0.5 s
+    CHECK(ask.headers["Retry-After"] == (through_chat ? "1" : "0.500"));  // the platform's maximum is 0.5 s
     if (through_chat) CHECK(ask.headers["Retry-After-Ms"] == "800");
     CHECK(fixture.total("POST", false) == before);
     CHECK(send("command").status == 200);
     CHECK_FALSE(running.answered());
-    REQUIRE(s.control.order("mild"));  // sheds accounts beyond their share alone
+    REQUIRE(levels.controller.set_override("mild"));  // sheds only accounts beyond their quota
     CHECK(send("ask").status == 200);
-    REQUIRE(s.control.order("normal"));
+    REQUIRE(levels.controller.set_override("normal"));
     CHECK(send("ask").status == 200);
-    CHECK(s.control.level()["shed"] == 0);
+    CHECK(levels.controller.status()["shed"] == 0);
   }
 }
 
-TEST_CASE("an account beyond its share is shed when all others are quiet, and served once it asks for less",
+TEST_CASE("an account beyond its quota is shed though all others are quiet, and served once it sends less",
           "[levels][chat][platform]") {
   for (const bool through_chat : {true, false}) {
     Fixture fixture(read_well, write_well, kChat);
-    Steered s(kSome, fixture.clock());
+    ControllerFixture levels(kSome, fixture.clock());
     routing::Settings narrow = make_settings();
     narrow.tenants = {{"acme", 1.0}};  // one request a second
-    s.control.adopt(narrow, DegradationController::read({"l.cue", kSome}, narrow));
-    rate_limit::RateLimiter rate_limiter(1);
-    fixture.platform.attach(rate_limiter);
-    fixture.platform.attach(s.control);
-    fixture.chat->attach(rate_limiter);
-    fixture.chat->attach(s.control);
+    levels.controller.apply_settings(narrow, DegradationController::read({"l.cue", kSome}, narrow));
+    const AttachedFrontEnds front_ends(fixture, levels.controller);
     int id = 0;
-    const auto served = [&](const std::string& cls, int n) {
+    const auto served = [&](const std::string& request_class, int requests) {
       int count = 0;
-      for (int i = 0; i < n; ++i) {
-        auto client = through_chat ? fixture.chat_client() : fixture.platform_client();
-        client->post(
-            through_chat ? "Content-Type: application/json\r\n" : facts("c" + std::to_string(++id), cls),
-            chat_body(cls, true));
+      for (int i = 0; i < requests; ++i) {
+        const auto client = front_ends.post(through_chat, "c" + std::to_string(++id), request_class);
         REQUIRE(fixture.until([&] { return client->answered(); }));
         count += client->status == 200 ? 1 : 0;
         CHECK((client->status == 200 || client->status == 503));
@@ -158,7 +169,7 @@
     };
     CHECK(served("ask", 20) == 20);  // normal service sheds nothing
     fixture.now += seconds(11);
-    REQUIRE(s.control.order("mild"));
+    REQUIRE(levels.controller.set_override("mild"));
     CHECK(served("ask", 30) == 15);  // up to one and a half times its quota in the last ten seconds
     CHECK(served("command", 5) == 5);
     fixture.now += seconds(11);
@@ -166,14 +177,14 @@
   }
 }
 
-TEST_CASE("what the engine sees moves the level, and each change is a line with its cause",
+TEST_CASE("events of the engine change the level, and each change is logged with its cause",
           "[levels][core]") {
   Fixture fixture(read_well, write_well);
-  Steered s(kSome, fixture.clock());
-  fixture.engine.attach(&s.control);
+  ControllerFixture levels(kSome, fixture.clock());
+  fixture.engine.attach(&levels.controller);
   int id = 0;
-  const auto serve = [&](int n) {
-    for (int i = 0; i < n; ++i) {
+  const auto serve = [&](int requests) {
+    for (int i = 0; i < requests; ++i) {
       auto client = fixture.platform_client();
       client->post(facts("b" + std::to_string(++id), "command"), "{}");
       REQUIRE(fixture.until([&] { return client->answered(); }));
@@ -182,31 +193,32 @@
   for (int second = 0; second < 8; ++second) {
     serve(5);
     fixture.now += seconds(1);
-    s.control.tick(0, fixture.now);
+    levels.controller.tick(0, fixture.now);
   }
-  CHECK(s.control.level()["signals"]["late.command"] == 0.0);
-  CHECK(s.control.machine().level() == 0);
+  CHECK(levels.controller.status()["signals"]["late.command"] == 0.0);
+  CHECK(levels.controller.machine().level() == 0);
   for (int second = 0; second < 10; ++second) {
-    for (int i = 0; i < 10; ++i) s.control.first_token("command", true);
+    for (int i = 0; i < 10; ++i) levels.controller.first_token("command", true);
     fixture.now += seconds(1);
-    s.control.tick(0, fixture.now);
+    levels.controller.tick(0, fixture.now);
   }
-  CHECK(s.control.machine().level_name() == "mild");
-  REQUIRE(s.logs.size() == 1);
-  CHECK(s.logs[0].starts_with("level normal -> mild: entered by late.command > 0.3, "));
-  CHECK(s.logs[0].find("late.command 0.") != std::string::npos);
-  const Json changes = s.control.changes();
+  CHECK(levels.controller.machine().level_name() == "mild");
+  REQUIRE(levels.logs.size() == 1);
+  CHECK(levels.logs[0].starts_with("level normal -> mild: entered by late.command > 0.3, "));
+  CHECK(levels.logs[0].find("late.command 0.") != std::string::npos);
+  const Json changes = levels.controller.history();
   CHECK(changes["levels"] == Json::array({"normal", "mild", "hard"}));
   CHECK(changes["changes"][0]["condition"] == "late.command > 0.3");
 }
 
-TEST_CASE("the console shows levels, pins them and lets go", "[levels][console]") {
+TEST_CASE("the admin interface shows levels, and sets and clears an override", "[levels][console]") {
   Clockwork work;
-  Steered s(kSome, work.clock());
+  ControllerFixture levels(kSome, work.clock());
   admin::AdminServer console(
       work.io, loopback(), work.timers, work.clock(),
-      {[] { return true; }, [](const std::string&, bool) { return false; }, [&] { return s.control.level(); },
-       [&] { return s.control.changes(); }, [&](const std::string& name) { return s.control.order(name); }},
+      {[] { return true; }, [](const std::string&, bool) { return false; },
+       [&] { return levels.controller.status(); }, [&] { return levels.controller.history(); },
+       [&](const std::string& name) { return levels.controller.set_override(name); }},
       {});
   console.open();
   const auto call = [&](const std::string& method, const std::string& path) {
@@ -230,28 +242,28 @@
   CHECK(Json::parse(call("GET", "/control/levels").second)["changes"].size() == 1);
 }
 
-TEST_CASE("a pin and a level in force outlive a reload and the process", "[levels]") {
-  Steered s(kSome), next(kSome);
-  s.control.order("hard");
-  s.control.adopt(s.settings, DegradationController::read({"l.cue", kSome}, s.settings));
-  CHECK(s.control.level()["pinned"] == true);
-  next.control.resume(s.control.level());
-  CHECK(next.control.level()["level"] == "hard");
-  CHECK(next.control.level()["pinned"] == true);
-  s.control.order("auto");
-  Steered third(kSome);
-  third.control.resume(s.control.level());
-  CHECK(third.control.level()["level"] == "hard");
-  CHECK(third.control.level()["pinned"] == false);
+TEST_CASE("an override and a level in force survive a reload and a hot restart", "[levels]") {
+  ControllerFixture levels(kSome), next(kSome);
+  REQUIRE(levels.controller.set_override("hard"));
+  levels.controller.apply_settings(levels.settings,
+                                   DegradationController::read({"l.cue", kSome}, levels.settings));
+  CHECK(levels.controller.status()["pinned"] == true);
+  next.controller.restore(levels.controller.status());
+  CHECK(next.controller.status()["level"] == "hard");
+  CHECK(next.controller.status()["pinned"] == true);
+  REQUIRE(levels.controller.set_override("auto"));
+  ControllerFixture third(kSome);
+  third.controller.restore(levels.controller.status());
+  CHECK(third.controller.status()["level"] == "hard");
+  CHECK(third.controller.status()["pinned"] == false);
   for (const Json& bad : {Json(), Json(5), Json{{"level", 5}}, Json{{"level", "zz"}, {"pinned", true}}}) {
-    Steered fourth(kSome);
-    fourth.control.resume(bad);
-    CHECK(fourth.control.machine().level() == 0);
+    ControllerFixture fourth(kSome);
+    fourth.controller.restore(bad);
+    CHECK(fourth.controller.machine().level() == 0);
   }
 }
 
-TEST_CASE("a dispatcher hands its level on, and a bad file of levels changes nothing",
-          "[levels][app][upgrade]") {
+TEST_CASE("a reload with a bad file of levels changes nothing", "[levels][app][upgrade]") {
   daemon::Loop loop;
   daemon::Config config;
   config.name = "n1";
@@ -273,7 +285,7 @@
   CHECK(logs.back().starts_with("reloaded"));
 }
 
-TEST_CASE("the levels that are shipped are read", "[levels][deploy]") {
+TEST_CASE("the levels that are shipped can be read", "[levels][deploy]") {
   std::ifstream in(std::string(DISPATCHER_SOURCE) + "/deploy/levels.cue");
   std::ostringstream text;
   text << in.rdbuf();
--- a/tests/dispatcher/degradation_test.cpp
+++ b/tests/dispatcher/degradation_test.cpp
@@ -1,4 +1,4 @@
-// Levels of reduced service in virtual time: when they change, how seldom, why, and what they shed.
+// Degradation levels in virtual time: when they change, how seldom, why, and what they shed.
 #include <algorithm>
 #include <catch2/catch.hpp>
 #include <cmath>
@@ -18,19 +18,19 @@
 using std::chrono::milliseconds;
 using std::chrono::minutes;
 using std::chrono::seconds;
-using Told = std::vector<std::string>;
+using Strings = std::vector<std::string>;
 
 expression::Environment make_signals() {
-  expression::Environment e;
-  e.add({"ready.readers", Kind::kDouble, true, 0, {}});
-  e.add({"late.command", Kind::kDouble, true, 0, {}});
-  e.add({"open", Kind::kInt, true, 0, {}});
-  return e;
+  expression::Environment environment;
+  environment.add({"ready.readers", Kind::kDouble, true, 0, {}});
+  environment.add({"late.command", Kind::kDouble, true, 0, {}});
+  environment.add({"open", Kind::kInt, true, 0, {}});
+  return environment;
 }
 expression::Environment make_request() {
-  expression::Environment e = make_signals();
-  e.add({"request.account", Kind::kString, true, 64, {}});
-  return e;
+  expression::Environment environment = make_signals();
+  environment.add({"request.account", Kind::kString, true, 64, {}});
+  return environment;
 }
 const expression::Environment kSignals = make_signals(), kRequest = make_request();
 
@@ -53,49 +53,52 @@
   return LevelSet::read({"l.cue", text}, kSignals, kRequest, {"ask", "command", "report"});
 }
 
-Told problems(const std::string& text) {
+Strings problems(const std::string& text) {
   try {
     levels_of(text);
-  } catch (const cue::Errors& e) {
-    Told all;
-    for (const auto& p : e.problems) all.push_back(cue::to_text("l", p));
-    return all;
+  } catch (const cue::Errors& errors) {
+    Strings problems;
+    for (const auto& problem : errors.problems) problems.push_back(cue::to_text("l", problem));
+    return problems;
   }
   return {};
 }
 
-struct Run {
-  explicit Run(const std::string& text = kLevels) : machine(levels_of(text)) {}
+// A state machine that is stepped by a clock of its own, and the changes it made.
+struct MachineFixture {
+  explicit MachineFixture(const std::string& text = kLevels) : machine(levels_of(text)) {}
   // `late`, `ready`: negative: the signal is missing.
   void step(double late, double ready, Duration time = seconds(1)) {
-    const auto value = [](double v) { return v < 0 ? Value::of(expression::Fault::kAbsent) : Value::of(v); };
+    const auto value = [](double number) {
+      return number < 0 ? Value::of(expression::Fault::kAbsent) : Value::of(number);
+    };
     const std::vector<Value> signals = {value(ready), value(late), Value::of(std::int64_t{5})};
     now += time;
     if (machine.step(signals, now)) changes.push_back(machine.history().back());
   }
-  void steps(int n, double late, double ready) {
-    for (int i = 0; i < n; ++i) step(late, ready);
+  void steps(int count, double late, double ready) {
+    for (int i = 0; i < count; ++i) step(late, ready);
   }
-  [[nodiscard]] std::size_t max_within(Duration window) const {
+  [[nodiscard]] std::size_t max_changes_within(Duration window) const {
     std::size_t maximum = 0;
     for (std::size_t i = 0; i < changes.size(); ++i) {
-      std::size_t n = 0;
-      while (i + n < changes.size() && changes[i + n].at <= changes[i].at + window) ++n;
-      maximum = std::max(maximum, n);
+      std::size_t count = 0;
+      while (i + count < changes.size() && changes[i + count].at <= changes[i].at + window) ++count;
+      maximum = std::max(maximum, count);
     }
     return maximum;
   }
-  void check_bounds() const {
-    CHECK(max_within(minutes(1)) <= 4);
-    CHECK(max_within(minutes(10)) <= 6);
+  void check_change_limits() const {
+    CHECK(max_changes_within(minutes(1)) <= 4);
+    CHECK(max_changes_within(minutes(10)) <= 6);
   }
   Time now = seconds(1'800'000'000);
   StateMachine machine;
-  std::vector<Change> changes;
+  std::vector<LevelChange> changes;
 };
 
 TEST_CASE("a level is entered once its condition has held, and left one level at a time", "[levels]") {
-  Run run;
+  MachineFixture run;
   run.steps(60, 0.01, 1.0);
   CHECK(run.machine.level() == 0);
   run.step(0.3, 0.3);
@@ -103,20 +106,20 @@
   run.step(0.3, 0.3);
   CHECK(run.machine.level_name() == "commands-only");  // straight to the highest that holds
   run.steps(29, 0.01, 1.0);
-  CHECK(run.machine.level_name() == "commands-only");  // its least stay
+  CHECK(run.machine.level_name() == "commands-only");  // its minimum stay
   run.steps(2, 0.01, 1.0);
   CHECK(run.machine.level_name() == "reduced");
   run.steps(29, 0.01, 1.0);
   CHECK(run.machine.level_name() == "reduced");
   run.steps(600, 0.01, 1.0);
   CHECK(run.machine.level() == 0);
-  Told told;
-  for (const Change& c : run.machine.history())
-    told.push_back(c.from + " " + c.to + " " + name(c.cause) + ": " + c.condition);
-  CHECK(told == Told{"normal commands-only entered: ready.readers < 0.4",
-                     "commands-only reduced left: ready.readers > 0.55",
-                     "reduced spare left: late.command < 0.10 && ready.readers > 0.8",
-                     "spare normal left: late.command < 0.04"});
+  Strings changes;
+  for (const LevelChange& change : run.machine.history())
+    changes.push_back(change.from + " " + change.to + " " + name(change.cause) + ": " + change.condition);
+  CHECK(changes == Strings{"normal commands-only entered: ready.readers < 0.4",
+                           "commands-only reduced left: ready.readers > 0.55",
+                           "reduced spare left: late.command < 0.10 && ready.readers > 0.8",
+                           "spare normal left: late.command < 0.04"});
   CHECK(expression::to_text(run.machine.history().front().signals[0]) == "0.3");
 }
 
@@ -124,36 +127,37 @@
   std::mt19937 random(11);
   for (const double boundary : {0.04, 0.10, 0.25, 0.4, 0.55, 0.7, 0.8}) {
     for (const double part : {0.01, 0.03, 0.05, 0.10}) {
-      Run run;
+      MachineFixture run;
       std::uniform_real_distribution<double> noise(1 - part, 1 + part);
       for (int s = 0; s < 3600; ++s) {
         const double near = boundary * noise(random);
         boundary <= 0.25 ? run.step(near, 1.0) : run.step(0.02, near);
       }
       INFO(boundary << " by " << part << ": " << run.changes.size() << " changes");
-      run.check_bounds();
+      run.check_change_limits();
       CHECK(run.changes.size() <= 12);
-      for (const Change& c : run.changes) CHECK_FALSE(c.condition.empty());
+      for (const LevelChange& change : run.changes) CHECK_FALSE(change.condition.empty());
     }
   }
 }
 
-TEST_CASE("load that swings with the period of the least stay is met by longer and longer stays",
+TEST_CASE("load that swings with the period of the least stay makes the level stay longer and longer",
           "[levels]") {
   for (const int period : {30, 31, 35, 45, 60}) {
-    Run run;
+    MachineFixture run;
     for (int s = 0; s < 7200; ++s) run.step(s / period % 2 == 0 ? 0.4 : 0.01, 1.0);
-    run.check_bounds();
+    run.check_change_limits();
     INFO(period << ": " << run.changes.size());
     std::size_t entered = 0;
-    for (const Change& c : run.changes) entered += c.cause == Change::Cause::kEntered ? 1 : 0;
+    for (const LevelChange& change : run.changes)
+      entered += change.cause == LevelChange::Cause::kEntered ? 1 : 0;
     CHECK(entered >= 1);
     CHECK(run.changes.size() <= 30);  // two hours; the load swings up to 120 times
   }
 }
 
 TEST_CASE("overlapping failures: the highest level that holds, until the last of them ends", "[levels]") {
-  Run run;
+  MachineFixture run;
   run.steps(10, 0.15, 1.0);
   CHECK(run.machine.level_name() == "spare");
   run.steps(10, 0.15, 0.6);
@@ -164,11 +168,11 @@
   CHECK(run.machine.level_name() == "reduced");
   run.steps(3000, 0.01, 1.0);
   CHECK(run.machine.level() == 0);
-  run.check_bounds();
+  run.check_change_limits();
 }
 
 TEST_CASE("a signal that is missing enters no level and leaves none", "[levels]") {
-  Run run;
+  MachineFixture run;
   run.steps(600, -1, -1);
   CHECK(run.changes.empty());
   run.steps(10, -1, 0.3);  // what is known is enough
@@ -187,40 +191,40 @@
   CHECK(run.machine.level() == 0);
 }
 
-TEST_CASE("an operator's pin goes before the signals until it is taken back", "[levels]") {
-  Run run;
-  run.machine.pin(1, run.now);
+TEST_CASE("an operator's override holds whatever the signals are, until it is cleared", "[levels]") {
+  MachineFixture run;
+  run.machine.set_override(1, run.now);
   run.steps(600, 0.9, 0.1);
   CHECK(run.machine.level_name() == "spare");
-  run.machine.unpin();
+  run.machine.clear_override();
   run.step(0.9, 0.1);
   CHECK(run.machine.level_name() == "commands-only");
-  run.machine.pin(0, run.now);
+  run.machine.set_override(0, run.now);
   CHECK(run.machine.level() == 0);
-  CHECK(run.machine.history().back().cause == Change::Cause::kPinned);
-  run.machine.pin(0, run.now);  // no change, no record
+  CHECK(run.machine.history().back().cause == LevelChange::Cause::kOverridden);
+  run.machine.set_override(0, run.now);  // no change, so no entry in the history
   CHECK(run.machine.history().size() == 3);
 }
 
 TEST_CASE("a reload keeps the level by name, or takes the next milder one", "[levels]") {
-  Run run;
+  MachineFixture run;
   run.steps(10, 0.3, 0.6);
   REQUIRE(run.machine.level_name() == "reduced");
-  run.machine.adopt(levels_of(kLevels), run.now);
+  run.machine.replace_levels(levels_of(kLevels), run.now);
   CHECK(run.machine.level_name() == "reduced");
   CHECK(run.machine.history().size() == 1);
   const std::string spare = "{name: \"spare\", enter: \"late.command > 0.5\", leave: \"late.command < 0.1\"}";
-  run.machine.adopt(levels_of("levels: [" + spare + "]"), run.now);
+  run.machine.replace_levels(levels_of("levels: [" + spare + "]"), run.now);
   CHECK(run.machine.level_name() == "spare");
-  CHECK(run.machine.history().back().cause == Change::Cause::kReloaded);
-  run.machine.adopt(levels_of("levels: []"), run.now);
+  CHECK(run.machine.history().back().cause == LevelChange::Cause::kReloaded);
+  run.machine.replace_levels(levels_of("levels: []"), run.now);
   CHECK(run.machine.level() == 0);
   run.steps(100, 0.9, 0.1);
   CHECK(run.machine.level() == 0);
 }
 
-TEST_CASE("only classes that are named are shed, and told to come back apart from each other", "[levels]") {
-  Run run;
+TEST_CASE("only requests of the named classes are shed, and their retries are spread", "[levels]") {
+  MachineFixture run;
   const auto request = [](const char* account) {
     return std::vector<Value>{Value::of(0.3), Value::of(0.3), Value::of(std::int64_t{5}), Value::of(account)};
   };
@@ -238,16 +242,16 @@
   CHECK_FALSE(run.machine.shed("command", request("acme"), 0.5));
 }
 
-TEST_CASE("levels that would swing, and other bad files, are turned down", "[levels]") {
+TEST_CASE("a file with a level whose conditions overlap, or another problem, is rejected", "[levels]") {
   const auto one = [](const std::string& more) { return "levels: [{name: \"a\", " + more + "}]"; };
-  CHECK(problems("") == Told{"l: levels: missing: a file without levels says levels: []"});
-  CHECK(problems("levels: []") == Told{});
+  CHECK(problems("") == Strings{"l: levels: missing: a file without levels says levels: []"});
+  CHECK(problems("levels: []") == Strings{});
   CHECK(problems(one("enter: \"late.command > 0.2\", leave: \"late.command < 0.3\"")) ==
-        Told{"l:1:58: levels[0].leave: can hold while 'enter' does: the level would swing"});
+        Strings{"l:1:58: levels[0].leave: can hold while 'enter' does: the level would swing"});
   CHECK(problems(one("enter: \"late.command >= 0.2\", leave: \"late.command <= 0.2\"")).size() == 1);
   CHECK(problems(one("enter: \"late.command > 0.2 && open > 3\", leave: \"open < 5 && late.command > 0.1\""))
             .size() == 1);
-  CHECK(problems(one("enter: \"late.command > 0.2\", leave: \"late.command < 0.2\"")) == Told{});
+  CHECK(problems(one("enter: \"late.command > 0.2\", leave: \"late.command < 0.2\"")) == Strings{});
   CHECK(problems(one("enter: \"nothing > 0.2\", leave: \"open\"")).size() == 2);
   CHECK(problems(one("enter: \"open > 3\", leave: \"open < 2\", shed: [{classes: [\"zz\"]}]"))
             .front()
@@ -260,7 +264,7 @@
   CHECK(problems(four + "]").front().find("more than 3 levels") != std::string::npos);
 }
 
-TEST_CASE("whatever the signals do, the bound holds, the record is whole and no level lacks its condition",
+TEST_CASE("whatever the signals do, the change limits hold and the history is complete and justified",
           "[levels]") {
   std::mt19937 random(2026);
   const auto number = [&](double low, double high) {
@@ -277,7 +281,7 @@
               ", leave_for_ms: " + std::to_string(random() % 3000) +
               ", least_stay_ms: " + std::to_string(1000 + random() % 4000) + "}, ";
     }
-    Run run(text + "]");
+    MachineFixture run(text + "]");
     double late = 0.3, ready = 1;
     std::string level = "normal";
     for (int s = 0; s < 4000; ++s) {
@@ -286,22 +290,24 @@
       const std::size_t before = run.changes.size();
       run.step(random() % 15 == 0 ? -1 : late, ready, milliseconds(100 + random() % 900));
       if (run.changes.size() == before) continue;
-      const Change& c = run.changes.back();
+      const LevelChange& change = run.changes.back();
       CHECK(run.changes.size() == before + 1);
-      CHECK(c.from == level);
-      CHECK(c.to == run.machine.level_name());
-      CHECK(c.at == run.now);
-      CHECK_FALSE(c.condition.empty());
-      level = c.to;
+      CHECK(change.from == level);
+      CHECK(change.to == run.machine.level_name());
+      CHECK(change.at == run.now);
+      CHECK_FALSE(change.condition.empty());
+      level = change.to;
       // A step down is one level; the condition holds by the signals that are recorded.
-      const auto from = *run.machine.levels().find(c.from), to = *run.machine.levels().find(c.to);
-      if (c.cause == Change::Cause::kLeft) CHECK(to + 1 == from);
-      const Level& l = run.machine.levels().levels()[std::max(from, to) - 1];
+      const auto from = *run.machine.levels().find(change.from), to = *run.machine.levels().find(change.to);
+      if (change.cause == LevelChange::Cause::kLeft) CHECK(to + 1 == from);
+      const Level& level_definition = run.machine.levels().levels()[std::max(from, to) - 1];
       expression::Scratch scratch;
       run.machine.levels().reserve(scratch);
-      CHECK((c.cause == Change::Cause::kLeft ? l.leave : l.enter).run(c.signals, scratch).is(true));
+      CHECK((change.cause == LevelChange::Cause::kLeft ? level_definition.leave : level_definition.enter)
+                .run(change.signals, scratch)
+                .is(true));
     }
-    run.check_bounds();
+    run.check_change_limits();
     changes += run.changes.size();
   }
   CHECK(changes > 1000);
--- /dev/null
+++ b/tests/dispatcher/rate_limit_fixture.hpp
@@ -0,0 +1,77 @@
+// What the tests of rate limits share: rules from a text, their problems, and a limiter with a clock.
+#ifndef DISPATCHER_TESTS_DISPATCHER_RATE_LIMIT_FIXTURE_HPP_
+#define DISPATCHER_TESTS_DISPATCHER_RATE_LIMIT_FIXTURE_HPP_
+
+#include <memory>
+#include <optional>
+#include <string>
+#include <string_view>
+#include <vector>
+
+#include "fixture.hpp"
+#include "rate_limit/rate_limiter.hpp"
+
+namespace dispatcher::testing {
+
+using Strings = std::vector<std::string>;
+
+inline const rate_limit::Vocabulary kVocabulary{{"ask", "command"}, {"acme", "other"}};
+
+// Throws cue::Errors.
+inline std::shared_ptr<const rate_limit::RuleSet> make_rules(
+    const std::string& text, const rate_limit::Vocabulary& vocabulary = kVocabulary) {
+  return rate_limit::RuleSet::read({"r.cue", text}, vocabulary);
+}
+
+// What is wrong with a file of rules, as operators read it.
+inline Strings rule_problems(const std::string& text) {
+  try {
+    make_rules(text);
+  } catch (const cue::Errors& errors) {
+    Strings problems;
+    for (const auto& problem : errors.problems) problems.push_back(cue::to_text("r", problem));
+    return problems;
+  }
+  return {};
+}
+
+constexpr std::uint64_t kSession = 0x7f;
+
+inline routing::Request make_request(const std::string& request_class = "ask",
+                                     const std::string& account = "acme") {
+  routing::Request request;
+  request.id = "1";
+  request.request_class = request_class;
+  request.tenant = account;
+  request.session = kSession;
+  return request;
+}
+
+// A rate limiter with a clock of its own.
+struct RateLimiterFixture {
+  explicit RateLimiterFixture(const std::string& rules, std::uint64_t seed = 9) : rate_limiter(seed) {
+    rate_limiter.replace_rules(make_rules(rules), now);
+  }
+  rate_limit::RateLimiter::Admission admit(routing::Request& request,
+                                           std::vector<std::optional<std::string_view>> headers = {}) {
+    rate_limit::RequestAttributes attributes;
+    attributes.request_class = request.request_class;
+    attributes.account = request.tenant;
+    attributes.session = request.session;
+    attributes.prompt_tokens = request.prompt_tokens;
+    attributes.headers = std::move(headers);
+    return rate_limiter.admit(request, attributes, settings, now);
+  }
+  rate_limit::RateLimiter::Admission admit(const std::string& request_class = "ask",
+                                           const std::string& account = "acme") {
+    auto request = make_request(request_class, account);
+    return admit(request);
+  }
+  routing::Settings settings = make_settings();
+  routing::Time now = seconds(1'800'000'000);
+  rate_limit::RateLimiter rate_limiter;
+};
+
+}  // namespace dispatcher::testing
+
+#endif  // DISPATCHER_TESTS_DISPATCHER_RATE_LIMIT_FIXTURE_HPP_
--- /dev/null
+++ b/tests/dispatcher/rate_limit_front_ends_test.cpp
@@ -0,0 +1,193 @@
+// Rate limits at both front ends, which obey alike, and through a reload of the daemon.
+#include <catch2/catch.hpp>
+#include <cstdio>
+#include <memory>
+
+#include "daemon/dispatcher.hpp"
+#include "rate_limit_fixture.hpp"
+
+namespace dispatcher::testing {
+namespace {
+
+using namespace rate_limit;
+
+void attach(Fixture& fixture, RateLimiter& rate_limiter) {
+  fixture.chat->attach(rate_limiter);
+  fixture.platform.attach(rate_limiter);
+}
+
+// A client of one front end that has sent a request. `id`: of the platform's requests.
+std::unique_ptr<StandInClient> post(Fixture& fixture, bool through_chat, const std::string& id,
+                                    const std::string& request_class, const std::string& more_headers = {},
+                                    const std::string& prompt = {}) {
+  auto client = through_chat ? fixture.chat_client() : fixture.platform_client();
+  const std::string headers = through_chat ? "Content-Type: application/json\r\n" : facts(id, request_class);
+  client->post(headers + more_headers,
+               prompt.empty() ? chat_body(request_class, true) : chat_body(request_class, true, prompt));
+  return client;
+}
+
+TEST_CASE("the same requests have the same outcome at each front end", "[limits][chat][platform]") {
+  const std::string text =
+      "headers: tier: {name: \"X-Tier\", longest: 8}\nrules: [\n"
+      "{name: \"gold\", when: \"header.tier == 'gold'\"},\n"
+      "{name: \"commands\", when: \"request.class == 'command'\", limits: [{key: \"request.account\", "
+      "in_progress: 1, retry_ms: 300}]},\n"
+      "{name: \"asks\", limits: [{key: \"request.account\", rate: 2, burst: 2}]}]";
+  std::vector<std::vector<int>> statuses_by_front_end;
+  for (const bool through_chat : {true, false}) {
+    Fixture fixture(
+        read_well, [](StandInReplica&, SlotId, const StandInReplica::Seen&) {},
+        kChat);  // writers keep silent
+    RateLimiter rate_limiter(5);
+    rate_limiter.replace_rules(make_rules(text), fixture.now);
+    attach(fixture, rate_limiter);
+    std::vector<int> statuses;
+    std::vector<std::unique_ptr<StandInClient>> clients;
+    int count = 0;
+    const auto send = [&](const std::string& request_class,
+                          const std::string& more_headers) -> StandInClient& {
+      char id[17];
+      std::snprintf(id, sizeof id, "%016x", ++count);
+      clients.push_back(post(fixture, through_chat, id, request_class, more_headers));
+      fixture.settle();
+      fixture.settle();
+      return *clients.back();
+    };
+    const auto status = [&](const std::string& request_class, const std::string& more_headers = {}) {
+      StandInClient& client = send(request_class, more_headers);
+      statuses.push_back(client.answered() ? client.status : 0);
+      if (client.status == 429) CHECK_FALSE(client.headers["Retry-After"].empty());
+    };
+    status("command");
+    status("command");                                      // one in progress
+    status("command", "X-Tier: gold\r\n");                  // its own rule
+    status("command", "X-Tier: goldgoldgold\r\n");          // longer than declared
+    status("command", "X-Tier: gold\r\nX-Tier: gold\r\n");  // twice: absent
+    status("command", "X-Tier: " + std::string(8192, 'g') + "\r\n");
+    status("ask");
+    status("ask");
+    status("ask");
+    clients[0]->close();  // its place is free once it has gone
+    fixture.settle();
+    status("command");
+    const std::size_t sent = static_cast<std::size_t>(fixture.total("POST", false));
+    CHECK(sent == 5);  // what is rejected reaches no replica
+    statuses_by_front_end.push_back(statuses);
+  }
+  CHECK(statuses_by_front_end[0] == std::vector<int>{0, 429, 0, 429, 429, 429, 0, 0, 429, 0});
+  CHECK(statuses_by_front_end[0] == statuses_by_front_end[1]);
+}
+
+TEST_CASE("a class from the rules is the request's at each front end, with its deadline and its retries",
+          "[limits][chat][platform]") {
+  for (const bool through_chat : {true, false}) {
+    int attempts = 0;
+    Fixture fixture(
+        read_well,
+        [&](StandInReplica& replica, SlotId client, const StandInReplica::Seen&) {
+          ++attempts;
+          replica.server.cut(client);
+        },
+        kChat);
+    RateLimiter rate_limiter(5);
+    rate_limiter.replace_rules(make_rules("rules: [{name: \"careful\", class: \"'command'\"}]"), fixture.now);
+    attach(fixture, rate_limiter);
+    const auto client = post(fixture, through_chat, "aa", "ask");
+    for (int i = 0; i < 400 && !client->answered(); ++i) fixture.advance(milliseconds(20));
+    CHECK(client->status == 502);
+    CHECK(attempts == 1);  // an ask would have been retried
+    if (through_chat) CHECK(client->headers["X-Should-Retry"] == "false");
+  }
+}
+
+TEST_CASE("a request no longer counts once it has ended, however it ended", "[limits][chat][platform]") {
+  for (const bool through_chat : {true, false}) {
+    Fixture fixture(
+        read_well,
+        [](StandInReplica& replica, SlotId client, const StandInReplica::Seen& seen) {
+          if (seen.body.find("well") != std::string::npos) return write_well(replica, client, seen);
+          if (seen.body.find("cut") != std::string::npos) {
+            replica.stream(client, {"half"}, false);
+            return replica.server.cut(client);
+          }
+          if (seen.body.find("error") != std::string::npos) return replica.say(client, 500);
+        },
+        kChat);
+    RateLimiter rate_limiter(5);
+    rate_limiter.replace_rules(make_rules("rules: [{name: \"a\", limits: [{in_progress: 1}]}]"), fixture.now);
+    attach(fixture, rate_limiter);
+    int id = 0;
+    for (const char* fate : {"well", "cut", "error", "silent", "gone", "well"}) {
+      const auto client = post(fixture, through_chat, "a" + std::to_string(++id), "command", {}, fate);
+      if (std::string(fate) == "gone") {
+        fixture.settle();
+        client->close();
+        fixture.settle();
+        continue;
+      }
+      for (int i = 0; i < 400 && !client->answered(); ++i) fixture.advance(milliseconds(20));
+      INFO(fate);
+      CHECK(client->answered());
+      CHECK(client->status != 429);
+      fixture.now += seconds(25);
+      fixture.advance(milliseconds(100));
+    }
+    CHECK(rate_limiter.counts().rejected == 0);
+    CHECK(rate_limiter.counts().admitted == 6);
+  }
+}
+
+TEST_CASE("a request that is in progress while the rules change goes on counting under its limits",
+          "[limits][platform]") {
+  Fixture fixture(read_well, [](StandInReplica&, SlotId, const StandInReplica::Seen&) {});
+  RateLimiter rate_limiter(5);
+  const std::string one = "rules: [{name: \"a\", limits: [{in_progress: 1}]}]";
+  rate_limiter.replace_rules(make_rules(one), fixture.now);
+  fixture.platform.attach(rate_limiter);
+  auto open = fixture.platform_client(), second = fixture.platform_client(),
+       third = fixture.platform_client();
+  open->post(facts("a1", "command", 60000), "{}");
+  fixture.settle();
+  rate_limiter.replace_rules(make_rules("rules: []"), fixture.now);
+  rate_limiter.replace_rules(make_rules(one), fixture.now);
+  second->post(facts("a2", "command"), "{}");
+  fixture.settle();
+  CHECK(second->status == 429);  // the first one is counted still
+  open->close();
+  fixture.settle();
+  third->post(facts("a3", "command"), "{}");
+  fixture.settle();
+  CHECK_FALSE(third->answered());  // admitted
+}
+
+TEST_CASE("a reload replaces the rules with the rest of the configuration, or keeps the old ones",
+          "[limits][app]") {
+  daemon::Loop loop;
+  daemon::Config config;
+  config.listen = config.discovery = loopback();
+  config.discovery.port(1);
+  config.settings = make_settings();
+  Strings logs;
+  daemon::Files next{config, {{}, {}, cue::File{"rules.cue", "rules: [{name: \"a\", class: \"'zz'\"}]"}}};
+  daemon::Dispatcher dispatcher(
+      loop, config, {{}, {}, cue::File{"rules.cue", "rules: []"}},
+      [&](std::string_view line) { logs.emplace_back(line); }, [&] { return next; });
+  dispatcher.start();
+  dispatcher.reload();
+  CHECK(logs.back() ==
+        "reload failed, the old configuration stays: rules.cue:1:28: rules[0].class: no class 'zz' in the "
+        "settings");
+  next.texts.rules->text.clear();
+  dispatcher.reload();
+  CHECK(logs.back().find("rules.cue: rules: missing") != std::string::npos);
+  next.texts.rules->text = "rules: [{name: \"a\", class: \"'ask'\"}]";
+  dispatcher.reload();
+  CHECK(logs.back().starts_with("reloaded"));
+  daemon::Texts bad;
+  bad.rules = cue::File{"rules.cue", "rules: ["};
+  CHECK_THROWS_AS(daemon::Dispatcher(loop, config, bad, [](std::string_view) {}), cue::Errors);
+}
+
+}  // namespace
+}  // namespace dispatcher::testing
