--- /dev/null
+++ b/src/simulation/parameters.cpp
@@ -0,0 +1,166 @@
+#include "simulation/parameters.hpp"
+
+#include <map>
+
+#include "cue/schema.hpp"
+
+namespace dispatcher::simulation {
+
+namespace {
+
+using std::chrono::milliseconds;
+using std::chrono::seconds;
+
+constexpr std::string_view kSchema = R"cue(
+#Scenario: {
+	lasts_s:   *60 | (int & >0 & <=86_400)
+	instances: *1 | (int & >0 & <=1_000)
+	fleet: {
+		zones:   *2 | (int & >0 & <=16)
+		cells:   *1 | (int & >0 & <=64)
+		readers: *4 | (int & >0 & <=1_000)
+		writers: *4 | (int & >0 & <=1_000)
+		reader_slots: *1 | (int & >0 & <=1_000)
+		writer_slots: *16 | (int & >0 & <=10_000)
+		read_token_us:      *20 | (int & >0 & <=100_000)
+		write_token_us:     *8_000 | (int & >0 & <=10_000_000)
+		fetch_token_us:     *2 | (int & >=0 & <=100_000)
+		fetch_far_token_us: *8 | (int & >=0 & <=100_000)
+		network_us:         *500 | (int & >=0 & <=10_000_000)
+		list_delay_ms:      *2_000 | (int & >=0 & <=600_000)
+		report_every_ms:    *1_000 | (int & >=1 & <=600_000)
+		cached_openings:    *200 | (int & >=0 & <=1_000_000)
+	}
+	traffic: {
+		rate:     *20 | (number & >0 & <=1_000_000)
+		commands: *0.3 | (number & >=0 & <=1)
+		prompt:   *2_000 | (int & >0 & <=1_000_000)
+		opening:  *1_000 | (int & >=0 & <=1_000_000)
+		answer:   *100 | (int & >0 & <=1_000_000)
+		sessions: *500 | (int & >0 & <=10_000_000)
+		openings: *20 | (int & >0 & <=1_000_000)
+	}
+	troubles: *[] | [...#Trouble]
+}
+#Trouble: {
+	kind:   "zone-lost" | "readers-dead" | "slow-links" | "jump"
+	from_s: int & >=0
+	to_s:   int & >0
+	zone:   *0 | (int & >=0)
+	share:  *0.5 | (number & >0 & <=100)
+}
+)cue";
+
+// Questions, which may be asked twice, and commands, which may not.
+std::vector<routing::RequestClass> request_classes() {
+  routing::RequestClass ask;
+  ask.name = "ask";
+  ask.idempotency = routing::Idempotency::kIdempotent;
+  ask.latency_objective = milliseconds(1500);
+  ask.latency_objective_per_1000_tokens = milliseconds(100);
+  ask.deadline = milliseconds(6000);
+  ask.token_latency_objective = milliseconds(50);
+  ask.priority_weight = 1;
+  ask.late_weight = 0.3;
+  routing::RequestClass command = ask;
+  command.name = "command";
+  command.idempotency = routing::Idempotency::kNonIdempotent;
+  command.latency_objective = milliseconds(800);
+  command.deadline = milliseconds(2500);
+  command.priority_weight = 3;
+  command.late_weight = 0.2;
+  return {ask, command};
+}
+
+routing::Settings settings_of(const Parameters& parameters) {
+  routing::Settings settings;
+  settings.router_count = parameters.dispatchers;
+  settings.zone = "z0";
+  settings.classes = request_classes();
+  settings.tenants = {{"one", parameters.request_rate}, {"two", parameters.request_rate}};
+  settings.kinds = {{"reader", routing::Role::kReader, 400'000}, {"writer", routing::Role::kWriter, 400'000}};
+  settings.may_cancel = true;
+  settings.retry_advice = true;
+  settings.max_retry_after = milliseconds(2000);
+  settings.max_attempts = 4;
+  settings.tick = milliseconds(4);
+  settings.answer_slack = milliseconds(16);
+  settings.drain_grace = milliseconds(250);
+  settings.reservation_limit = milliseconds(1500);
+  settings.connect_timeout = milliseconds(250);
+  settings.idle_timeout = seconds(15);
+  settings.warmup_initial_share = 0.3;
+  settings.warmup_time = seconds(14);
+  settings.overload_multiple = 4;
+  settings.overload_window = seconds(2);
+  return settings;
+}
+
+int integer_of(const cue::Data& data) { return static_cast<int>(data.integer()); }
+Duration microseconds_of(const cue::Data& data) { return Duration(data.integer()); }
+Duration milliseconds_of(const cue::Data& data) { return milliseconds(data.integer()); }
+Duration seconds_of(const cue::Data& data) { return seconds(data.integer()); }
+
+void read_fleet(const cue::Data& data, Parameters& parameters) {
+  parameters.zones = integer_of(data["zones"]);
+  parameters.cells = integer_of(data["cells"]);
+  parameters.readers = integer_of(data["readers"]);
+  parameters.writers = integer_of(data["writers"]);
+  parameters.reader_slots = integer_of(data["reader_slots"]);
+  parameters.writer_slots = integer_of(data["writer_slots"]);
+  parameters.prefill_time = microseconds_of(data["read_token_us"]);
+  parameters.decode_time = microseconds_of(data["write_token_us"]);
+  parameters.transfer_time = microseconds_of(data["fetch_token_us"]);
+  parameters.remote_transfer_time = microseconds_of(data["fetch_far_token_us"]);
+  parameters.network_latency = microseconds_of(data["network_us"]);
+  parameters.discovery_delay = milliseconds_of(data["list_delay_ms"]);
+  parameters.report_interval = milliseconds_of(data["report_every_ms"]);
+  parameters.cached_prefixes = integer_of(data["cached_openings"]);
+}
+
+void read_traffic(const cue::Data& data, Parameters& parameters) {
+  parameters.request_rate = data["rate"].real();
+  parameters.command_fraction = data["commands"].real();
+  parameters.mean_prompt = integer_of(data["prompt"]);
+  parameters.shared_prefix = integer_of(data["opening"]);
+  parameters.mean_answer = integer_of(data["answer"]);
+  parameters.sessions = integer_of(data["sessions"]);
+  parameters.prefixes = integer_of(data["openings"]);
+}
+
+Fault read_fault(const cue::Data& data, int zones, std::vector<cue::Problem>& problems) {
+  static const std::map<std::string, Fault::Kind> kKinds = {{"zone-lost", Fault::Kind::kZoneLost},
+                                                            {"readers-dead", Fault::Kind::kReadersLost},
+                                                            {"slow-links", Fault::Kind::kSlowLinks},
+                                                            {"jump", Fault::Kind::kTrafficSurge}};
+  Fault fault;
+  fault.kind = kKinds.at(data["kind"].text());
+  fault.start = seconds_of(data["from_s"]);
+  fault.end = seconds_of(data["to_s"]);
+  fault.zone = integer_of(data["zone"]);
+  fault.magnitude = data["share"].real();
+  if (fault.end <= fault.start) problems.push_back(cue::problem(data["to_s"], "not after from_s"));
+  if (fault.kind == Fault::Kind::kZoneLost && fault.zone >= zones)
+    problems.push_back(cue::problem(data["zone"], "no such zone"));
+  return fault;
+}
+
+}  // namespace
+
+Parameters read_parameters(const cue::File& file) {
+  static const cue::Schema schema(kSchema, "#Scenario");
+  const cue::Data data = schema.read(file);
+  Parameters parameters;
+  parameters.duration = seconds_of(data["lasts_s"]);
+  parameters.dispatchers = integer_of(data["instances"]);
+  read_fleet(data["fleet"], parameters);
+  read_traffic(data["traffic"], parameters);
+  std::vector<cue::Problem> problems;
+  for (const cue::Data& item : data["troubles"].items())
+    parameters.faults.push_back(read_fault(item, parameters.zones, problems));
+  if (!problems.empty()) throw cue::Errors(file.name, std::move(problems));
+  parameters.settings = settings_of(parameters);
+  return parameters;
+}
+
+}  // namespace dispatcher::simulation
--- a/src/simulation/scenario.cpp
+++ b/src/simulation/scenario.cpp
@@ -2,40 +2,39 @@
 
 #include <algorithm>
 #include <array>
-#include <boost/random/exponential_distribution.hpp>
-#include <boost/random/mersenne_twister.hpp>
-#include <boost/random/uniform_int_distribution.hpp>
-#include <boost/random/uniform_real_distribution.hpp>
 #include <map>
 #include <memory>
+#include <utility>
 
 #include "degradation/degradation_controller.hpp"
 #include "simulation/simulated_fleet.hpp"
+#include "simulation/traffic.hpp"
 
 namespace dispatcher::simulation {
 
 namespace {
 
-using Random = boost::random::mt19937_64;  // and its distributions: the same numbers everywhere
 using engine::SlotId;
 
+// The virtual clock's start: a time of this century, as clients' deadlines are.
 constexpr Time kStart = std::chrono::seconds(1'800'000'000);
-constexpr Duration kEnding = std::chrono::seconds(60);  // for what is open when the traffic ends
+// How long requests that are open when the traffic ends may still take.
+constexpr Duration kDrainTime = std::chrono::seconds(60);
+// Keeps the seeds of dispatchers apart from each other, and from those of other simulations.
+constexpr std::uint64_t kSeedStride = 1'000'003;
 
-double uniform(Random& random) { return boost::random::uniform_real_distribution<double>(0, 1)(random); }
-int below(Random& random, int n) { return boost::random::uniform_int_distribution<int>(0, n - 1)(random); }
-
-// One dispatcher: the real engine between its clients and the model fleet.
+// One dispatcher: the real engine between its clients and the simulated fleet. Owned by the Simulation, whose
+// timers call it; the fleet, the timers and the outcomes outlive it.
 class Instance : public engine::UpstreamClient, public engine::ResponseSink {
  public:
-  Instance(const Statistics& figures, int number, std::uint64_t seed, SimulatedFleet& fleet,
+  Instance(const Parameters& parameters, int number, std::uint64_t seed, SimulatedFleet& fleet,
            engine::TimerQueue& timers, engine::Clock clock, std::vector<RequestOutcome>& outcomes,
            std::shared_ptr<const degradation::LevelSet> levels)
       : fleet_(fleet),
         clock_(clock),
         outcomes_(outcomes),
         random_(seed),
-        settings_(numbered(figures, number)),
+        settings_(settings_for(parameters, number)),
         engine_(std::make_shared<const routing::Settings>(settings_), seed, *this, timers, clock,
                 [](std::string_view) {}),
         control_(
@@ -51,13 +50,18 @@
     control_.update_endpoints(list);
   }
   void tick(Time now) { control_.tick(engine_.open(), now); }
-  std::size_t changes() const { return control_.machine().history().size(); }
+  [[nodiscard]] std::size_t level_changes() const { return control_.machine().history().size(); }
 
-  void ask(const Job& job, routing::Request request, std::size_t number) {
-    rate_limit::RequestAttributes facts;
-    facts.prompt_tokens = request.prompt_tokens;
-    facts.time_left_ms = (request.client_deadline - clock_()).count() / 1000;
-    if (control_.shed(request, facts)) return void(outcomes_[number].end = RequestOutcome::End::kShed);
+  // `number`: of the request's outcome.
+  void submit(const Job& job, const routing::Request& request, std::size_t number) {
+    rate_limit::RequestAttributes attributes;
+    attributes.prompt_tokens = request.prompt_tokens;
+    attributes.time_left_ms =
+        std::chrono::duration_cast<std::chrono::milliseconds>(request.client_deadline - clock_()).count();
+    if (control_.shed(request, attributes)) {
+      outcomes_[number].end = RequestOutcome::End::kShed;
+      return;
+    }
     const SlotId client{static_cast<std::uint32_t>(number), 1};
     auto message = std::make_shared<engine::UpstreamRequest>();
     message->id = request.id;
@@ -66,11 +70,11 @@
   }
 
  private:
-  static routing::Settings numbered(const Statistics& figures, int number) {
-    routing::Settings s = figures.settings;
-    s.router_number = number;
-    s.zone = "z" + std::to_string(number % figures.zones);
-    return s;
+  static routing::Settings settings_for(const Parameters& parameters, int number) {
+    routing::Settings settings = parameters.settings;
+    settings.router_number = number;
+    settings.zone = "z" + std::to_string(number % parameters.zones);
+    return settings;
   }
   RequestOutcome& outcome(SlotId client) { return outcomes_[client.index]; }
 
@@ -100,9 +104,9 @@
 
   // ---- to the clients ----
   void begin(SlotId client) override {
-    RequestOutcome& o = outcome(client);
-    o.first = clock_() - o.asked;
-    o.end = RequestOutcome::End::kCut;  // until it is whole
+    RequestOutcome& started = outcome(client);
+    started.time_to_first_token = clock_() - started.submitted_at;
+    started.end = RequestOutcome::End::kCut;  // until it is complete
   }
   bool pass(SlotId, std::string_view) override { return true; }
   void finish(SlotId client) override { outcome(client).end = RequestOutcome::End::kServed; }
@@ -123,48 +127,133 @@
   std::map<engine::AttemptId, SimulatedFleet::Work> works_;
 };
 
-// What the clients ask, one after another.
-class Traffic {
+// One run. Everything happens in timers of one queue, which sets the clock.
+class Simulation {
  public:
-  Traffic(const Statistics& figures, std::uint64_t seed) : f_(figures), random_(seed) {}
-
-  Duration pause(double times) {
-    const double s = boost::random::exponential_distribution<double>(f_.rate * times)(random_);
-    return Duration(1 + static_cast<std::int64_t>(s * 1e6));
+  Simulation(const Parameters& parameters, std::uint64_t seed,
+             const std::shared_ptr<const degradation::LevelSet>& levels)
+      : parameters_(parameters),
+        traffic_end_(kStart + parameters.duration),
+        fleet_(parameters, timers_, clock()),
+        traffic_(parameters, seed) {
+    for (int i = 0; i < parameters.dispatchers; ++i) {
+      const std::uint64_t own_seed = seed * kSeedStride + static_cast<std::uint64_t>(i);
+      instances_.push_back(std::make_unique<Instance>(parameters, i, own_seed, fleet_, timers_, clock(),
+                                                      result_.outcomes, levels));
+    }
+    fleet_.on_list_change([this] {
+      for (auto& instance : instances_) instance->endpoints();
+    });
   }
-  std::pair<Job, routing::Request> next(Time now) {
-    routing::Request r;
-    const auto number = ++made_;
-    r.id = std::to_string(number);
-    const bool command = uniform(random_) < f_.commands;
-    const auto& cls = f_.settings.classes[command ? 1 : 0];
-    r.request_class = cls.name;
-    r.tenant = f_.settings.tenants[static_cast<std::size_t>(below(random_, 2))].name;
-    r.session = 1 + static_cast<std::uint64_t>(below(random_, f_.sessions));
-    r.shared_prefix = (1ULL << 40U) + static_cast<std::uint64_t>(below(random_, f_.openings));
-    r.prefix_tokens = f_.opening;
-    r.prompt_tokens = f_.opening + spread(std::max(1, f_.prompt - f_.opening));
-    r.max_tokens = 4 * f_.answer;
-    r.client_deadline =
-        now + cls.deadline + 2 * cls.latency_objective_per_1000_tokens * r.prompt_tokens / 1000;
-    const Job job{r.id,
-                  r.session,
-                  r.shared_prefix,
-                  r.prompt_tokens,
-                  r.prefix_tokens,
-                  std::min(r.max_tokens, spread(f_.answer))};
-    return {job, r};
+
+  Result run() {
+    for (const Fault& fault : parameters_.faults) schedule(fault);
+    timers_.add(kStart + traffic_.next_gap(rate_factor_), [this] { submit_next(); });
+    tick();
+    while (const auto next = timers_.next()) {
+      if (*next > traffic_end_ + kDrainTime) break;
+      now_ = std::max(now_, *next);
+      timers_.run(now_);
+    }
+    evaluate();
+    return std::move(result_);
   }
-  int instance() { return below(random_, f_.instances); }
 
  private:
-  int spread(int mean) {
-    const double x = boost::random::exponential_distribution<double>(1.0 / mean)(random_);
-    return 1 + static_cast<int>(std::min(x, 8.0 * mean));
+  engine::Clock clock() {
+    return [this] { return now_; };
   }
-  const Statistics& f_;
-  Random random_;
-  std::uint64_t made_ = 0;
+
+  void schedule(const Fault& fault) {
+    timers_.add(kStart + fault.start, [this, fault] { begin(fault); });
+    timers_.add(kStart + fault.end, [this, fault] { end(fault); });
+  }
+
+  void begin(const Fault& fault) {
+    switch (fault.kind) {
+      case Fault::Kind::kZoneLost:
+        return fleet_.lose_endpoints([lost = "z" + std::to_string(fault.zone)](const std::string& zone, bool,
+                                                                               int) { return zone == lost; });
+      case Fault::Kind::kReadersLost:
+        return fleet_.lose_endpoints([&](const std::string&, bool is_reader, int number) {
+          return is_reader && number < fault.magnitude * parameters_.readers;
+        });
+      case Fault::Kind::kSlowLinks:
+        return fleet_.slow_links(fault.magnitude);
+      case Fault::Kind::kTrafficSurge:
+        rate_factor_ = fault.magnitude;
+        return;
+    }
+  }
+
+  void end(const Fault& fault) {
+    switch (fault.kind) {
+      case Fault::Kind::kZoneLost:
+      case Fault::Kind::kReadersLost:
+        return fleet_.restore_endpoints();
+      case Fault::Kind::kSlowLinks:
+        return fleet_.slow_links(1);
+      case Fault::Kind::kTrafficSurge:
+        rate_factor_ = 1;
+        return;
+    }
+  }
+
+  void submit_next() {
+    if (now_ >= traffic_end_) return;
+    const auto [job, request] = traffic_.next_arrival(now_);
+    const routing::RequestClass& request_class = class_of(request.request_class);
+    RequestOutcome outcome;
+    outcome.request_class = request.request_class;
+    outcome.submitted_at = now_;
+    outcome.latency_objective =
+        request_class.latency_objective +
+        request_class.latency_objective_per_1000_tokens * request.prompt_tokens / 1000;
+    result_.outcomes.push_back(outcome);
+    const auto dispatcher = static_cast<std::size_t>(traffic_.next_dispatcher());
+    instances_[dispatcher]->submit(job, request, result_.outcomes.size() - 1);
+    timers_.add(now_ + traffic_.next_gap(rate_factor_), [this] { submit_next(); });
+  }
+
+  void tick() {
+    for (auto& instance : instances_) instance->tick(now_);
+    if (now_ >= traffic_end_) return;
+    timers_.add(now_ + degradation::DegradationController::kTick, [this] { tick(); });
+  }
+
+  void evaluate() {
+    for (std::size_t i = 0; i < result_.outcomes.size(); ++i) {
+      RequestOutcome& outcome = result_.outcomes[i];
+      const routing::RequestClass& request_class = class_of(outcome.request_class);
+      outcome.is_in_time = outcome.time_to_first_token <= outcome.latency_objective;
+      result_.total_weight += request_class.priority_weight;
+      if (outcome.end == RequestOutcome::End::kServed) {
+        const double weight = outcome.is_in_time ? 1 : request_class.late_weight;
+        result_.served_weight += request_class.priority_weight * weight;
+      }
+      const bool may_execute_twice = request_class.idempotency != routing::Idempotency::kNonIdempotent;
+      const std::string id = std::to_string(i + 1);  // as the traffic numbers them
+      if (!may_execute_twice && fleet_.execution_count(id) > 1) ++result_.duplicate_executions;
+    }
+    for (const auto& instance : instances_) result_.level_changes += instance->level_changes();
+    result_.leaked_states = fleet_.retained_states();
+  }
+
+  [[nodiscard]] const routing::RequestClass& class_of(const std::string& name) const {
+    const auto& classes = parameters_.settings.classes;
+    return *std::find_if(classes.begin(), classes.end(),
+                         [&](const auto& request_class) { return request_class.name == name; });
+  }
+
+  const Parameters& parameters_;
+  const Time traffic_end_;
+  Result result_;
+  Time now_ = kStart;
+  double rate_factor_ = 1;
+  engine::TimerQueue timers_;
+  SimulatedFleet fleet_;
+  std::vector<std::unique_ptr<Instance>> instances_;
+  TrafficGenerator traffic_;
 };
 
 }  // namespace
@@ -174,105 +263,44 @@
   return kNames[static_cast<std::size_t>(end)];
 }
 
-double Result::in_time(const std::string& request_class) const {
-  std::size_t all = 0, good = 0;
-  for (const RequestOutcome& o : outcomes) {
-    if (o.request_class != request_class) continue;
-    ++all;
-    good += o.end == RequestOutcome::End::kServed && o.in_time ? 1 : 0;
+double Result::in_time_fraction(const std::string& request_class) const {
+  std::size_t total = 0, in_time = 0;
+  for (const RequestOutcome& outcome : outcomes) {
+    if (outcome.request_class != request_class) continue;
+    ++total;
+    if (outcome.end == RequestOutcome::End::kServed && outcome.is_in_time) ++in_time;
   }
-  return all == 0 ? 1 : static_cast<double>(good) / static_cast<double>(all);
+  return total == 0 ? 1 : static_cast<double>(in_time) / static_cast<double>(total);
 }
 
 std::string Result::csv() const {
-  std::map<std::pair<std::int64_t, std::string>, std::array<std::size_t, 8>> rows;
-  for (const RequestOutcome& o : outcomes) {
-    auto& row = rows[{(o.asked - kStart).count() / 1'000'000, o.request_class}];
-    ++row[0];
-    const bool served = o.end == RequestOutcome::End::kServed;
-    ++row[served && o.in_time ? 1 : served ? 2 : 2 + static_cast<std::size_t>(o.end)];
+  // The columns after the class: all requests, those served in time and late, and the other ends in the order
+  // of the enumeration.
+  constexpr std::size_t kAll = 0, kInTime = 1, kLate = 2, kColumns = 8;
+  const auto column_of = [](const RequestOutcome& outcome) {
+    if (outcome.end != RequestOutcome::End::kServed) return kLate + static_cast<std::size_t>(outcome.end);
+    return outcome.is_in_time ? kInTime : kLate;
+  };
+  std::map<std::pair<std::int64_t, std::string>, std::array<std::size_t, kColumns>> rows;
+  for (const RequestOutcome& outcome : outcomes) {
+    const auto second =
+        std::chrono::duration_cast<std::chrono::seconds>(outcome.submitted_at - kStart).count();
+    auto& row = rows[{second, outcome.request_class}];
+    ++row[kAll];
+    ++row[column_of(outcome)];
   }
   std::string text = "second,class,asked,in_time,late,cut,refused,shed,failed,open\n";
   for (const auto& [key, row] : rows) {
     text += std::to_string(key.first) + "," + key.second;
-    for (const std::size_t n : row) text += "," + std::to_string(n);
+    for (const std::size_t count : row) text += "," + std::to_string(count);
     text += "\n";
   }
   return text;
 }
 
-Result play(const Statistics& figures, std::uint64_t seed,
-            std::shared_ptr<const degradation::LevelSet> levels) {
-  Result result;
-  Time now = kStart;
-  engine::TimerQueue timers;
-  const engine::Clock clock = [&now] { return now; };
-  SimulatedFleet fleet(figures, timers, clock);
-  std::vector<std::unique_ptr<Instance>> instances;
-  for (int i = 0; i < figures.instances; ++i) {
-    const std::uint64_t own = seed * 1'000'003 + static_cast<std::uint64_t>(i);
-    instances.push_back(
-        std::make_unique<Instance>(figures, i, own, fleet, timers, clock, result.outcomes, levels));
-  }
-  fleet.on_list([&] {
-    for (auto& instance : instances) instance->endpoints();
-  });
-  Traffic traffic(figures, seed);
-  double times = 1;
-  for (const Fault& t : figures.troubles) {
-    timers.add(kStart + t.from, [&, t] {
-      if (t.kind == Fault::Kind::kZoneLost)
-        fleet.lose(
-            [zone = "z" + std::to_string(t.zone)](const std::string& z, bool, int) { return z == zone; });
-      if (t.kind == Fault::Kind::kReadersDead)
-        fleet.lose(
-            [&](const std::string&, bool reader, int n) { return reader && n < t.share * figures.readers; });
-      if (t.kind == Fault::Kind::kSlowLinks) fleet.slow_links(t.share);
-      if (t.kind == Fault::Kind::kJump) times = t.share;
-    });
-    timers.add(kStart + t.to, [&, t] {
-      if (t.kind == Fault::Kind::kSlowLinks) return fleet.slow_links(1);
-      if (t.kind == Fault::Kind::kJump) return void(times = 1);
-      fleet.bring_back();
-    });
-  }
-  const Time end = kStart + figures.lasts;
-  std::function<void()> ask = [&] {
-    if (now >= end) return;
-    const auto [job, request] = traffic.next(now);
-    const auto& cls = figures.settings.classes[request.request_class == "ask" ? 0 : 1];
-    const Duration aim =
-        cls.latency_objective + cls.latency_objective_per_1000_tokens * request.prompt_tokens / 1000;
-    result.outcomes.push_back({request.request_class, RequestOutcome::End::kOpen, now, aim, {}, false});
-    instances[static_cast<std::size_t>(traffic.instance())]->ask(job, request, result.outcomes.size() - 1);
-    timers.add(now + traffic.pause(times), ask);
-  };
-  timers.add(kStart + traffic.pause(times), ask);
-  std::function<void()> tick = [&] {
-    for (auto& instance : instances) instance->tick(now);
-    if (now < end) timers.add(now + degradation::DegradationController::kTick, tick);
-  };
-  tick();
-  while (const auto next = timers.next()) {
-    if (*next > end + kEnding) break;
-    now = std::max(now, *next);
-    timers.run(now);
-  }
-  for (std::size_t i = 0; i < result.outcomes.size(); ++i) {
-    RequestOutcome& o = result.outcomes[i];
-    const auto& classes = figures.settings.classes;
-    const auto& cls = *std::find_if(classes.begin(), classes.end(),
-                                    [&](const auto& c) { return c.name == o.request_class; });
-    o.in_time = o.first <= o.aim;
-    result.total_weight += cls.priority_weight;
-    if (o.end == RequestOutcome::End::kServed)
-      result.served_weight += cls.priority_weight * (o.in_time ? 1 : cls.late_weight);
-    if (cls.idempotency == routing::Idempotency::kNonIdempotent && fleet.begun(std::to_string(i + 1)) > 1)
-      ++result.twice;
-  }
-  for (const auto& instance : instances) result.changes += instance->changes();
-  result.pinned = fleet.states();
-  return result;
+Result simulate(const Parameters& parameters, std::uint64_t seed,
+                const std::shared_ptr<const degradation::LevelSet>& levels) {
+  return Simulation(parameters, seed, levels).run();
 }
 
 }  // namespace dispatcher::simulation
--- a/src/simulation/simulated_fleet.cpp
+++ b/src/simulation/simulated_fleet.cpp
@@ -10,144 +10,159 @@
 using routing::EndpointState;
 
 namespace {
+
+// Requests that wait at one endpoint; beyond them it answers that it is full.
 constexpr std::size_t kMaxQueue = 64;
-}
 
-SimulatedFleet::SimulatedFleet(const Statistics& figures, engine::TimerQueue& timers, engine::Clock clock)
-    : figures_(figures), timers_(timers), clock_(std::move(clock)) {
-  for (int zone = 0; zone < figures.zones; ++zone) {
-    for (int cell = 0; cell < figures.cells; ++cell) {
-      for (int i = 0; i < figures.readers + figures.writers; ++i) {
-        Endpoint h;
-        h.reader = i < figures.readers;
-        h.number = h.reader ? i : i - figures.readers;
-        h.zone = "z" + std::to_string(zone);
-        h.cell = zone * figures.cells + cell;
-        h.name = (h.reader ? "r" : "w") + std::to_string(h.cell) + "-" + std::to_string(h.number);
-        const std::string name = h.name;
-        endpoints_.emplace(name, std::move(h));
-      }
+// AttemptResult::note of kFull: the writer has no KV cache of the request.
+constexpr int kNoState = 1;
+
+}  // namespace
+
+SimulatedFleet::SimulatedFleet(const Parameters& parameters, engine::TimerQueue& timers, engine::Clock clock)
+    : parameters_(parameters), timers_(timers), clock_(std::move(clock)) {
+  for (int zone = 0; zone < parameters.zones; ++zone) {
+    for (int i = 0; i < parameters.cells; ++i) {
+      const int cell = zone * parameters.cells + i;
+      for (int number = 0; number < parameters.readers; ++number) add_endpoint(zone, cell, true, number);
+      for (int number = 0; number < parameters.writers; ++number) add_endpoint(zone, cell, false, number);
     }
   }
 }
 
+void SimulatedFleet::add_endpoint(int zone, int cell, bool is_reader, int number) {
+  Endpoint endpoint;
+  endpoint.is_reader = is_reader;
+  endpoint.number = number;
+  endpoint.zone = "z" + std::to_string(zone);
+  endpoint.cell = cell;
+  endpoint.name = (is_reader ? "r" : "w") + std::to_string(cell) + "-" + std::to_string(number);
+  const std::string name = endpoint.name;
+  endpoints_.emplace(name, std::move(endpoint));
+}
+
 double SimulatedFleet::speed(const Endpoint& endpoint) const {
-  const auto& s = figures_.settings;
-  if (endpoint.born == Time{} || clock_() >= endpoint.born + s.warmup_time) return 1;
-  const double age =
-      static_cast<double>((clock_() - endpoint.born).count()) / static_cast<double>(s.warmup_time.count());
-  return s.warmup_initial_share + (1 - s.warmup_initial_share) * age;
+  const auto& settings = parameters_.settings;
+  const bool is_warm =
+      endpoint.started_at == Time{} || clock_() >= endpoint.started_at + settings.warmup_time;
+  if (is_warm) return 1;
+  const double age = static_cast<double>((clock_() - endpoint.started_at).count()) /
+                     static_cast<double>(settings.warmup_time.count());
+  return settings.warmup_initial_share + (1 - settings.warmup_initial_share) * age;
 }
 
 SimulatedFleet::Work SimulatedFleet::send(const std::string& name, const Job& job, Callbacks callbacks) {
-  const Work work = ++last_;
+  const Work work = ++last_work_;
   const auto it = endpoints_.find(name);
   Endpoint& endpoint = it == endpoints_.end() ? endpoints_.begin()->second : it->second;
   Task& task = endpoint.tasks[work];
   task.work = work;
   task.job = job;
   task.callbacks = std::move(callbacks);
-  where_[work] = &endpoint;
-  const bool known = it != endpoints_.end() && endpoint.up;
-  // A host that is down refuses the connection; what is there gets the request after one way.
-  task.next = timers_.add(clock_() + (known ? 1 : 2) * figures_.network, [this, &endpoint, work, known] {
-    if (!known || !endpoint.up) return end(endpoint, work, {AttemptStatus::kConnectFailed, 0, {}});
-    arrive(endpoint, work);
-  });
+  endpoint_of_[work] = &endpoint;
+  const bool is_reachable = it != endpoints_.end() && endpoint.is_up;
+  // The request arrives after one way; a refused connection is known after both.
+  const int ways = is_reachable ? 1 : 2;
+  task.next_step =
+      timers_.add(clock_() + ways * parameters_.network_latency, [this, &endpoint, work, is_reachable] {
+        if (!is_reachable || !endpoint.is_up)
+          return end(endpoint, work, {AttemptStatus::kConnectFailed, 0, {}});
+        arrive(endpoint, work);
+      });
   return work;
 }
 
 void SimulatedFleet::arrive(Endpoint& endpoint, Work work) {
-  const std::size_t slots =
-      static_cast<std::size_t>(endpoint.reader ? figures_.reader_slots : figures_.writer_slots);
-  if (endpoint.busy < slots) return begin(endpoint, endpoint.tasks.at(work));
+  const auto slots =
+      static_cast<std::size_t>(endpoint.is_reader ? parameters_.reader_slots : parameters_.writer_slots);
+  if (endpoint.busy_slots < slots) return begin(endpoint, endpoint.tasks.at(work));
   if (endpoint.queue.size() >= kMaxQueue) return end(endpoint, work, {AttemptStatus::kFull, 0, {}});
   endpoint.queue.push_back(work);
-  refresh(endpoint);
+  update_report(endpoint);
 }
 
-int SimulatedFleet::cached(Endpoint& endpoint, const Job& job) {
-  int found = 0;
-  for (const auto& [key, maximum] :
-       {std::pair(job.opening, job.opening_tokens), std::pair(job.session, job.prompt)}) {
-    const auto it = key == 0 ? endpoint.cached.end() : endpoint.cached.find(key);
-    if (it != endpoint.cached.end()) found = std::max(found, std::min(maximum, it->second.first));
-  }
-  return found;
+int SimulatedFleet::cached_tokens(const Endpoint& endpoint, const Job& job) {
+  const int of_prefix = std::min(job.prefix_tokens, endpoint.cache.cached_tokens(job.prefix));
+  const int of_session = std::min(job.prompt_tokens, endpoint.cache.cached_tokens(job.session));
+  return std::max(of_prefix, of_session);
 }
 
-void SimulatedFleet::keep(Endpoint& endpoint, std::uint64_t key, int tokens) {
-  if (key == 0 || figures_.cached_openings == 0) return;
-  const auto it = endpoint.cached.find(key);
-  if (it != endpoint.cached.end()) endpoint.recent.erase(it->second.second);
-  endpoint.recent.push_front(key);
-  endpoint.cached[key] = {std::max(tokens, it != endpoint.cached.end() ? it->second.first : 0),
-                          endpoint.recent.begin()};
-  if (endpoint.cached.size() <= static_cast<std::size_t>(figures_.cached_openings)) return;
-  endpoint.cached.erase(endpoint.recent.back());
-  endpoint.recent.pop_back();
+void SimulatedFleet::schedule(Endpoint& endpoint, Task& task, double microseconds,
+                              std::function<void()> action) {
+  const Duration duration(static_cast<std::int64_t>(microseconds / speed(endpoint)));
+  task.next_step = timers_.add(clock_() + duration, std::move(action));
 }
 
 void SimulatedFleet::begin(Endpoint& endpoint, Task& task) {
-  ++endpoint.busy;
+  ++endpoint.busy_slots;
   task.running = true;
-  refresh(endpoint);
-  const Job& job = task.job;
-  const Work work = task.work;
-  const auto after = [&](double us, std::function<void()> action) {
-    task.next =
-        timers_.add(clock_() + Duration(static_cast<std::int64_t>(us / speed(endpoint))), std::move(action));
-  };
-  if (endpoint.reader) {
-    const int kept = cached(endpoint, job);
-    const double us = static_cast<double>(figures_.read_token.count()) * std::max(1, job.prompt - kept);
-    return after(us, [this, &endpoint, work, kept] {
-      const Job done = endpoint.tasks.at(work).job;
-      keep(endpoint, done.opening, done.opening_tokens);
-      keep(endpoint, done.session, done.prompt);
-      read_at_[done.id] = endpoint.cell;
-      AttemptResult ending{AttemptStatus::kRead, kept, {}};
-      end(endpoint, work, ending);
-    });
+  update_report(endpoint);
+  if (endpoint.is_reader) {
+    begin_prefill(endpoint, task);
+  } else {
+    begin_decode(endpoint, task);
   }
-  const auto state = read_at_.find(job.id);
-  if (state == read_at_.end()) return end(endpoint, work, {AttemptStatus::kFull, 1, {}});
-  const bool near = state->second == endpoint.cell;
-  read_at_.erase(state);
-  ++begun_[job.id];
-  const double fetch = static_cast<double>((near ? figures_.fetch_token : figures_.fetch_far_token).count()) *
-                       (near ? 1 : link_factor_) * job.prompt;
-  const auto token = static_cast<double>(figures_.write_token.count());
-  after(fetch + token, [this, &endpoint, work, token] {
-    Task& streams = endpoint.tasks.at(work);
-    streams.streaming = true;
-    const double rest = token * std::max(0, streams.job.answer - 1) / speed(endpoint);
-    streams.next = timers_.add(clock_() + Duration(static_cast<std::int64_t>(rest)), [this, &endpoint, work] {
-      end(endpoint, work, {AttemptStatus::kServed, 0, {}});
-    });
-    // Last: the client may go at its first word.
-    const auto first = streams.callbacks.first;
-    if (first) first();
+}
+
+void SimulatedFleet::begin_prefill(Endpoint& endpoint, Task& task) {
+  const int cached = cached_tokens(endpoint, task.job);
+  const double microseconds =
+      static_cast<double>(parameters_.prefill_time.count()) * std::max(1, task.job.prompt_tokens - cached);
+  schedule(endpoint, task, microseconds, [this, &endpoint, work = task.work, cached] {
+    const Job job = endpoint.tasks.at(work).job;
+    const auto capacity = static_cast<std::size_t>(parameters_.cached_prefixes);
+    endpoint.cache.insert(job.prefix, job.prefix_tokens, capacity);
+    endpoint.cache.insert(job.session, job.prompt_tokens, capacity);
+    retained_at_[job.id] = endpoint.cell;
+    end(endpoint, work, {AttemptStatus::kRead, cached, {}});
   });
 }
 
-void SimulatedFleet::end(Endpoint& endpoint, Work work, const AttemptResult& ending) {
+void SimulatedFleet::begin_decode(Endpoint& endpoint, Task& task) {
+  const auto state = retained_at_.find(task.job.id);
+  if (state == retained_at_.end()) return end(endpoint, task.work, {AttemptStatus::kFull, kNoState, {}});
+  const bool is_same_cell = state->second == endpoint.cell;
+  retained_at_.erase(state);
+  ++execution_counts_[task.job.id];
+  const Duration per_token = is_same_cell ? parameters_.transfer_time : parameters_.remote_transfer_time;
+  const double transfer =
+      static_cast<double>(per_token.count()) * (is_same_cell ? 1 : link_slowdown_) * task.job.prompt_tokens;
+  const auto first_token = static_cast<double>(parameters_.decode_time.count());
+  schedule(endpoint, task, transfer + first_token,
+           [this, &endpoint, work = task.work] { begin_stream(endpoint, work); });
+}
+
+void SimulatedFleet::begin_stream(Endpoint& endpoint, Work work) {
+  Task& task = endpoint.tasks.at(work);
+  task.streaming = true;
+  const auto token = static_cast<double>(parameters_.decode_time.count());
+  const double other_tokens = token * std::max(0, task.job.answer_tokens - 1);
+  schedule(endpoint, task, other_tokens, [this, &endpoint, work] {
+    end(endpoint, work, {AttemptStatus::kServed, 0, {}});
+  });
+  // Last, and of a copy: the client may close the stream at its first token, which removes the task.
+  const auto first = task.callbacks.first;
+  if (first) first();
+}
+
+void SimulatedFleet::end(Endpoint& endpoint, Work work, const AttemptResult& result) {
   const auto it = endpoint.tasks.find(work);
   if (it == endpoint.tasks.end()) return;
-  const bool running = it->second.running;
+  const bool was_running = it->second.running;
   const auto callbacks = std::move(it->second.callbacks);
-  timers_.drop(it->second.next);
+  timers_.drop(it->second.next_step);
   endpoint.tasks.erase(it);
-  where_.erase(work);
+  endpoint_of_.erase(work);
   std::erase(endpoint.queue, work);
-  if (running) --endpoint.busy;
-  refresh(endpoint);
-  AttemptResult told = ending;
-  told.report = endpoint.report;
-  if (running && endpoint.up) serve_next(endpoint);
+  if (was_running) --endpoint.busy_slots;
+  update_report(endpoint);
+  AttemptResult reported = result;
+  reported.report = endpoint.report;
+  if (was_running && endpoint.is_up) serve_next(endpoint);
+  if (!callbacks.ended) return;
   // The answer's way back.
-  if (callbacks.ended)
-    timers_.add(clock_() + figures_.network, [ended = callbacks.ended, told] { ended(told); });
+  timers_.add(clock_() + parameters_.network_latency,
+              [ended = callbacks.ended, reported] { ended(reported); });
 }
 
 void SimulatedFleet::serve_next(Endpoint& endpoint) {
@@ -157,65 +172,65 @@
   begin(endpoint, endpoint.tasks.at(work));
 }
 
-void SimulatedFleet::refresh(Endpoint& endpoint) {
-  if (clock_() - endpoint.reported < figures_.report_every) return;
-  endpoint.reported = clock_();
-  endpoint.report.in_hand = static_cast<double>(endpoint.busy + endpoint.queue.size());
+void SimulatedFleet::update_report(Endpoint& endpoint) {
+  if (clock_() - endpoint.reported_at < parameters_.report_interval) return;
+  endpoint.reported_at = clock_();
+  endpoint.report.in_hand = static_cast<double>(endpoint.busy_slots + endpoint.queue.size());
 }
 
 void SimulatedFleet::abandon(Work work) {
-  const auto it = where_.find(work);
-  if (it == where_.end()) return;
+  const auto it = endpoint_of_.find(work);
+  if (it == endpoint_of_.end()) return;
   Endpoint& endpoint = *it->second;
   endpoint.tasks.at(work).callbacks = {};
   end(endpoint, work, {AttemptStatus::kCancelled, 0, {}});
 }
 
-void SimulatedFleet::release(const std::string& id) { read_at_.erase(id); }
-std::size_t SimulatedFleet::states() const { return read_at_.size(); }
+void SimulatedFleet::release(const std::string& id) { retained_at_.erase(id); }
 
-std::size_t SimulatedFleet::begun(const std::string& id) const {
-  const auto it = begun_.find(id);
-  return it == begun_.end() ? 0 : it->second;
+std::size_t SimulatedFleet::execution_count(const std::string& id) const {
+  const auto it = execution_counts_.find(id);
+  return it == execution_counts_.end() ? 0 : it->second;
 }
 
-void SimulatedFleet::lose(
-    const std::function<bool(const std::string& zone, bool reader, int number)>& which) {
+void SimulatedFleet::lose_endpoints(
+    const std::function<bool(const std::string& zone, bool reader, int number)>& is_lost) {
   for (auto& [name, endpoint] : endpoints_) {
-    if (!endpoint.up || !which(endpoint.zone, endpoint.reader, endpoint.number)) continue;
-    endpoint.up = false;
+    if (!endpoint.is_up || !is_lost(endpoint.zone, endpoint.is_reader, endpoint.number)) continue;
+    endpoint.is_up = false;
     std::vector<Work> works;
     for (const auto& [work, task] : endpoint.tasks) works.push_back(work);
-    for (const Work work : works)
-      end(endpoint, work, {AttemptStatus::kReset, endpoint.tasks.at(work).streaming ? 1 : 0, {}});
-    endpoint.cached.clear();
-    endpoint.recent.clear();
+    for (const Work work : works) {
+      const int streamed = endpoint.tasks.at(work).streaming ? 1 : 0;
+      end(endpoint, work, {AttemptStatus::kReset, streamed, {}});
+    }
+    endpoint.cache.clear();
   }
-  tell_later();
+  schedule_list_change();
 }
 
-void SimulatedFleet::bring_back() {
+void SimulatedFleet::restore_endpoints() {
   for (auto& [name, endpoint] : endpoints_) {
-    if (endpoint.up) continue;
-    endpoint.up = true;
-    endpoint.born = clock_();
+    if (endpoint.is_up) continue;
+    endpoint.is_up = true;
+    endpoint.started_at = clock_();
   }
-  tell_later();
+  schedule_list_change();
 }
 
-void SimulatedFleet::tell_later() {
-  timers_.add(clock_() + figures_.list_delay, [this] {
-    for (auto& [name, endpoint] : endpoints_) endpoint.listed = endpoint.up;
-    if (told_) told_();
+void SimulatedFleet::schedule_list_change() {
+  timers_.add(clock_() + parameters_.discovery_delay, [this] {
+    for (auto& [name, endpoint] : endpoints_) endpoint.is_listed = endpoint.is_up;
+    if (list_changed_) list_changed_();
   });
 }
 
 routing::EndpointList SimulatedFleet::list() const {
   routing::EndpointList list{routing::ListKind::kFull, {}};
-  for (const auto& [name, h] : endpoints_) {
-    if (!h.listed) continue;
-    list.entries.push_back(
-        {h.name, h.zone, h.reader ? "reader" : "writer", h.cell, EndpointState::kReady, 1, h.born});
+  for (const auto& [name, endpoint] : endpoints_) {
+    if (!endpoint.is_listed) continue;
+    list.entries.push_back({endpoint.name, endpoint.zone, endpoint.is_reader ? "reader" : "writer",
+                            endpoint.cell, EndpointState::kReady, 1, endpoint.started_at});
   }
   return list;
 }
--- a/src/simulation/simulated_fleet.hpp
+++ b/src/simulation/simulated_fleet.hpp
@@ -1,56 +1,62 @@
-// Readers and writers in virtual time: slots, queues, caches of openings, links between cells, cold starts
-// and loss. Everything happens through one ordered structure of deadlines; nothing here knows a socket.
+// Readers and writers in virtual time: slots, queues, prefix caches, links between cells, slow starts and
+// lost endpoints. Everything happens through one timer queue; nothing here uses a socket.
 #ifndef DISPATCHER_SIMULATION_SIMULATED_FLEET_HPP_
 #define DISPATCHER_SIMULATION_SIMULATED_FLEET_HPP_
 
 #include <cstdint>
 #include <deque>
 #include <functional>
-#include <list>
 #include <map>
-#include <memory>
-#include <optional>
 #include <string>
 #include <unordered_map>
-#include <vector>
 
 #include "engine/engine.hpp"
-#include "simulation/statistics.hpp"
+#include "simulation/parameters.hpp"
+#include "simulation/prefix_cache.hpp"
 
 namespace dispatcher::simulation {
 
-// A request as a replica sees it.
+// A request as a replica sees it. Lengths are in tokens.
 struct Job {
   std::string id;
-  std::uint64_t session = 0, opening = 0;
-  int prompt = 0, opening_tokens = 0, answer = 0;
+  std::uint64_t session = 0, prefix = 0;  // keys of the prefix cache
+  int prompt_tokens = 0, prefix_tokens = 0, answer_tokens = 0;
 };
 
+// One fleet for all dispatchers of a simulation. Single-threaded; callbacks run from timers only, never
+// within the call that takes them. The parameters and the timer queue must outlive it.
 class SimulatedFleet {
  public:
-  // How an attempt fares. Either `first` and then one end, or one end alone.
+  // How an attempt goes: `first`, its first token, and then `ended`, or `ended` alone.
   struct Callbacks {
-    std::function<void()> first;                              // the first token
-    std::function<void(const engine::AttemptResult&)> ended;  // the last word
+    std::function<void()> first;
+    std::function<void(const engine::AttemptResult&)> ended;
   };
-  using Work = std::uint64_t;  // a handle; 0: none
+  using Work = std::uint64_t;  // an attempt's handle; 0: none
 
-  SimulatedFleet(const Statistics& figures, engine::TimerQueue& timers, engine::Clock clock);
+  SimulatedFleet(const Parameters& parameters, engine::TimerQueue& timers, engine::Clock clock);
 
+  // Starts an attempt at an endpoint; one that is unknown or lost refuses the connection.
   Work send(const std::string& endpoint, const Job& job, Callbacks callbacks);
-  void abandon(Work work);                         // its callbacks are not called any more
-  void release(const std::string& id);             // lets go of read states
-  std::size_t states() const;                      // that are held
-  std::size_t begun(const std::string& id) const;  // how often a writer began this request
+  // Cancels an attempt; its callbacks are not called any more.
+  void abandon(Work work);
+  // Releases the KV cache that a reader retains for a request.
+  void release(const std::string& id);
+  // Requests whose KV cache is retained.
+  [[nodiscard]] std::size_t retained_states() const { return retained_at_.size(); }
+  // How often a writer began to decode a request.
+  [[nodiscard]] std::size_t execution_count(const std::string& id) const;
 
-  // What the troubles do.
-  void lose(const std::function<bool(const std::string& zone, bool reader, int number)>& which);
-  void bring_back();
-  void slow_links(double times) { link_factor_ = times; }
+  // Faults: the endpoints for which `is_lost` returns true reset their connections and refuse new ones, until
+  // restore_endpoints() restarts all of them.
+  void lose_endpoints(const std::function<bool(const std::string& zone, bool reader, int number)>& is_lost);
+  void restore_endpoints();
+  // Transfers between cells take `factor` times as long.
+  void slow_links(double factor) { link_slowdown_ = factor; }
 
-  // The list as discovery tells it; told again after each change, when its time has come.
-  routing::EndpointList list() const;
-  void on_list(std::function<void()> action) { told_ = std::move(action); }
+  // The endpoint list as service discovery has it now. `action` runs when it has changed.
+  [[nodiscard]] routing::EndpointList list() const;
+  void on_list_change(std::function<void()> action) { list_changed_ = std::move(action); }
 
  private:
   struct Task {
@@ -58,41 +64,47 @@
     Job job;
     Callbacks callbacks;
     bool running = false, streaming = false;
-    engine::TimerQueue::Id next;
+    engine::TimerQueue::Id next_step;
   };
   struct Endpoint {
     std::string name, zone;
     int cell = 0, number = 0;
-    bool reader = false, up = true, listed = true;
-    Time born{};  // 0: long ago
+    bool is_reader = false;
+    bool is_up = true, is_listed = true;
+    Time started_at{};  // 0: long ago
     std::deque<Work> queue;
-    std::size_t busy = 0;
+    std::size_t busy_slots = 0;
     std::map<Work, Task> tasks;
-    std::list<std::uint64_t> recent;  // keys of what is cached, the latest first
-    std::unordered_map<std::uint64_t, std::pair<int, std::list<std::uint64_t>::iterator>> cached;
+    PrefixCache cache;
     routing::LoadReport report;
-    Time reported{};
+    Time reported_at{};
   };
+
+  void add_endpoint(int zone, int cell, bool is_reader, int number);
   void arrive(Endpoint& endpoint, Work work);
   void begin(Endpoint& endpoint, Task& task);
-  void end(Endpoint& endpoint, Work work, const engine::AttemptResult& ending);
+  void begin_prefill(Endpoint& endpoint, Task& task);
+  void begin_decode(Endpoint& endpoint, Task& task);
+  void begin_stream(Endpoint& endpoint, Work work);
+  void end(Endpoint& endpoint, Work work, const engine::AttemptResult& result);
   void serve_next(Endpoint& endpoint);
-  int cached(Endpoint& endpoint, const Job& job);
-  void keep(Endpoint& endpoint, std::uint64_t key, int tokens);
-  double speed(const Endpoint& endpoint) const;
-  void refresh(Endpoint& endpoint);
-  void tell_later();
+  void update_report(Endpoint& endpoint);
+  void schedule_list_change();
+  // The next step of a task, after a time that the endpoint takes at full speed.
+  void schedule(Endpoint& endpoint, Task& task, double microseconds, std::function<void()> action);
+  [[nodiscard]] double speed(const Endpoint& endpoint) const;  // over that of a warm replica
+  [[nodiscard]] static int cached_tokens(const Endpoint& endpoint, const Job& job);
 
-  const Statistics& figures_;
+  const Parameters& parameters_;
   engine::TimerQueue& timers_;
   engine::Clock clock_;
   std::map<std::string, Endpoint> endpoints_;
-  std::unordered_map<Work, Endpoint*> where_;
-  std::unordered_map<std::string, int> read_at_;  // by id: the cell whose reader holds its state
-  std::unordered_map<std::string, std::size_t> begun_;
-  std::function<void()> told_;
-  Work last_ = 0;
-  double link_factor_ = 1;
+  std::unordered_map<Work, Endpoint*> endpoint_of_;
+  std::unordered_map<std::string, int> retained_at_;  // by id: the cell whose reader retains its KV cache
+  std::unordered_map<std::string, std::size_t> execution_counts_;  // by id
+  std::function<void()> list_changed_;
+  Work last_work_ = 0;
+  double link_slowdown_ = 1;
 };
 
 }  // namespace dispatcher::simulation
--- /dev/null
+++ b/src/simulation/traffic.cpp
@@ -0,0 +1,74 @@
+#include "simulation/traffic.hpp"
+
+#include <algorithm>
+#include <boost/random/exponential_distribution.hpp>
+#include <boost/random/uniform_int_distribution.hpp>
+#include <boost/random/uniform_real_distribution.hpp>
+
+namespace dispatcher::simulation {
+
+namespace {
+
+// Keys of shared prefixes start above those of sessions, so that a cache tells them apart.
+constexpr std::uint64_t kFirstPrefixKey = 1ULL << 40U;
+// What clients allow an answer, over its mean length.
+constexpr int kMaxTokensFactor = 4;
+constexpr double kMaxLengthFactor = 8.0;
+constexpr double kMicrosecondsPerSecond = 1e6;
+
+// From 0 to `limit` - 1.
+int uniform_below(Random& random, int limit) {
+  return boost::random::uniform_int_distribution<int>(0, limit - 1)(random);
+}
+
+double exponential(Random& random, double rate) {
+  return boost::random::exponential_distribution<double>(rate)(random);
+}
+
+}  // namespace
+
+double uniform(Random& random) { return boost::random::uniform_real_distribution<double>(0, 1)(random); }
+
+Duration TrafficGenerator::next_gap(double rate_factor) {
+  const double gap_seconds = exponential(random_, parameters_.request_rate * rate_factor);
+  return Duration(1 + static_cast<std::int64_t>(gap_seconds * kMicrosecondsPerSecond));
+}
+
+int TrafficGenerator::next_dispatcher() { return uniform_below(random_, parameters_.dispatchers); }
+
+int TrafficGenerator::exponential_length(int mean) {
+  const double length = exponential(random_, 1.0 / mean);
+  return 1 + static_cast<int>(std::min(length, kMaxLengthFactor * mean));
+}
+
+// The order of the draws is part of a scenario's result.
+TrafficGenerator::Arrival TrafficGenerator::next_arrival(Time now) {
+  const routing::Settings& settings = parameters_.settings;
+  routing::Request request;
+  request.id = std::to_string(++request_count_);
+  const bool is_command = uniform(random_) < parameters_.command_fraction;
+  const routing::RequestClass& request_class = settings.classes[is_command ? 1 : 0];
+  request.request_class = request_class.name;
+  request.tenant = settings.tenants[static_cast<std::size_t>(uniform_below(random_, 2))].name;
+  request.session = 1 + static_cast<std::uint64_t>(uniform_below(random_, parameters_.sessions));
+  request.shared_prefix =
+      kFirstPrefixKey + static_cast<std::uint64_t>(uniform_below(random_, parameters_.prefixes));
+  request.prefix_tokens = parameters_.shared_prefix;
+  request.prompt_tokens =
+      parameters_.shared_prefix +
+      exponential_length(std::max(1, parameters_.mean_prompt - parameters_.shared_prefix));
+  request.max_tokens = kMaxTokensFactor * parameters_.mean_answer;
+  request.client_deadline =
+      now + request_class.deadline +
+      2 * request_class.latency_objective_per_1000_tokens * request.prompt_tokens / 1000;
+  Job job;
+  job.id = request.id;
+  job.session = request.session;
+  job.prefix = request.shared_prefix;
+  job.prompt_tokens = request.prompt_tokens;
+  job.prefix_tokens = request.prefix_tokens;
+  job.answer_tokens = std::min(request.max_tokens, exponential_length(parameters_.mean_answer));
+  return {job, request};
+}
+
+}  // namespace dispatcher::simulation
--- a/tests/dispatcher/fairness_test.cpp
+++ b/tests/dispatcher/fairness_test.cpp
@@ -1,4 +1,4 @@
-// Who is turned away: on a quiet day nobody throughout, in a jam no session, length, class or tenant alone.
+// Who is rejected: at low load nobody throughout, under overload no session, length, class or tenant alone.
 #include <algorithm>
 #include <array>
 #include <catch2/catch.hpp>
@@ -15,268 +15,294 @@
 using End = RouterFixture::End;
 
 constexpr std::size_t kProcesses = 150;
-constexpr double kCapacity = 10;  // requests of mean work a second that a replica can do
+constexpr double kCapacity = 10;  // requests of mean work a second that a replica can serve
 constexpr int kReplicas = 8;      // of each role
 constexpr int kTurns = 4;         // of a session
 
 struct Scenario {
   double load = 0.5;
   double seconds = 60;
-  bool slow = false;  // one reader and one writer work at 0.3 of their speed
+  bool has_slow_replicas = false;  // one reader and one writer work at 0.3 of their speed
 };
 
-routing::Settings settings() {
-  routing::Settings s = make_settings();
-  s.tick = std::chrono::milliseconds(20);
-  s.answer_slack = std::chrono::milliseconds(60);
-  s.classes.push_back(s.classes[0]);
-  s.classes[2].name = "rare";
-  for (auto& cls : s.classes) {
-    cls.priority_weight = 1;
-    cls.late_weight = 0.3;
-    cls.latency_objective_per_1000_tokens = std::chrono::milliseconds(150);
+routing::Settings fairness_settings() {
+  routing::Settings settings = make_settings();
+  settings.tick = std::chrono::milliseconds(20);
+  settings.answer_slack = std::chrono::milliseconds(60);
+  settings.classes.push_back(settings.classes[0]);
+  settings.classes[2].name = "rare";
+  for (auto& request_class : settings.classes) {
+    request_class.priority_weight = 1;
+    request_class.late_weight = 0.3;
+    request_class.latency_objective_per_1000_tokens = std::chrono::milliseconds(150);
   }
-  s.classes[2].priority_weight = 0.2;
-  // Inside its share, and over it: at a load of 1 it asks for 24 and 56 a second.
-  s.tenants = {{"modest", 40}, {"greedy", 30}};
-  return s;
+  settings.classes[2].priority_weight = 0.2;
+  // Within its quota, and over it: at a load of 1 they send 24 and 56 requests a second.
+  settings.tenants = {{"modest", 40}, {"greedy", 30}};
+  return settings;
 }
 
-simulation::Statistics figures() {
-  simulation::Statistics f;
-  f.zones = 2;
-  f.readers = f.writers = kReplicas / 2;
-  f.prompt = 1000;
-  f.answer = 50;
-  f.reader_slots = 1;
-  f.writer_slots = 8;
-  f.read_token = micros(1 / (kCapacity * f.prompt));
-  f.write_token = micros(f.writer_slots / (kCapacity * f.answer));
-  f.fetch_token = f.fetch_far_token = Duration(2);
-  f.network = Duration(500);
-  f.settings = settings();
-  f.settings.warmup_initial_share = 0.3;  // of the fleet alone: what is brought back stays slow
-  f.settings.warmup_time = std::chrono::hours(1000);
-  return f;
+simulation::Parameters fairness_parameters() {
+  simulation::Parameters parameters;
+  parameters.zones = 2;
+  parameters.readers = parameters.writers = kReplicas / 2;
+  parameters.mean_prompt = 1000;
+  parameters.mean_answer = 50;
+  parameters.reader_slots = 1;
+  parameters.writer_slots = 8;
+  parameters.prefill_time = micros(1 / (kCapacity * parameters.mean_prompt));
+  parameters.decode_time = micros(parameters.writer_slots / (kCapacity * parameters.mean_answer));
+  parameters.transfer_time = parameters.remote_transfer_time = Duration(2);
+  parameters.network_latency = Duration(500);
+  parameters.settings = fairness_settings();
+  parameters.settings.warmup_initial_share = 0.3;  // of the fleet alone: what is restored stays slow
+  parameters.settings.warmup_time = std::chrono::hours(1000);
+  return parameters;
 }
 
-struct Share {
-  double all = 0, answered = 0;
-  [[nodiscard]] double part() const { return all > 0 ? answered / all : 1; }
+struct Ratio {
+  double total = 0, served = 0;
+  [[nodiscard]] double value() const { return total > 0 ? served / total : 1; }
 };
 
-// Sessions of some turns each, which a client asks one after another on its connection to one process.
-class Day {
+// Sessions of some turns each, which a client submits one after another on its connection to one process.
+class Simulation {
  public:
-  Day(const Scenario& s, std::uint64_t seed)
-      : s_(s), chance_(seed), fixture_(figures(), settings(), kProcesses, seed) {
-    fixture_.tells_starts = false;
+  Simulation(const Scenario& scenario, std::uint64_t seed)
+      : scenario_(scenario),
+        random_(seed),
+        fixture_(fairness_parameters(), fairness_settings(), kProcesses, seed) {
+    fixture_.lists_start_times = false;
   }
 
   void run() {
     begin_ = fixture_.now();
-    if (s_.slow) {
-      fixture_.fleet().lose(
+    if (scenario_.has_slow_replicas) {
+      fixture_.fleet().lose_endpoints(
           [](const std::string& zone, bool, int number) { return zone == "z0" && number == 0; });
-      fixture_.fleet().bring_back();
+      fixture_.fleet().restore_endpoints();
     }
     fixture_.run_until(begin_ + Duration(1));
-    fixture_.tell_all();
+    fixture_.update_all_lists();
     begin_session();
-    fixture_.run_until(begin_ + micros(s_.seconds + 60));
+    fixture_.run_until(begin_ + micros(scenario_.seconds + 60));
   }
 
-  const std::vector<RouterFixture::Ask>& asks() const { return fixture_.asks(); }
+  [[nodiscard]] const std::vector<RouterFixture::Submission>& submissions() const {
+    return fixture_.submissions();
+  }
 
-  Share share(const std::function<bool(const RouterFixture::Ask&)>& of) const {
-    Share share;
-    for (const auto& ask : asks()) {
-      if (!of(ask)) continue;
-      share.all += 1;
-      share.answered += ask.end == End::kServed ? 1 : 0;
+  [[nodiscard]] Ratio served(const std::function<bool(const RouterFixture::Submission&)>& is_counted) const {
+    Ratio ratio;
+    for (const auto& submission : submissions()) {
+      if (!is_counted(submission)) continue;
+      ratio.total += 1;
+      ratio.served += submission.end == End::kServed ? 1 : 0;
     }
-    return share;
+    return ratio;
   }
 
   struct Sessions {
-    double all = 0, rejected = 0;       // of which every turn was refused
-    double at_once = 0, by_chance = 0;  // ... without a try; as many as if drawn by request
+    double total = 0;
+    double rejected = 0;   // of which every turn was rejected
+    double at_once = 0;    // of which every turn was rejected without an attempt
+    double by_chance = 0;  // rejected ones, as many as if rejections were drawn by request
   };
-  Sessions sessions() const {
-    std::map<std::pair<std::int64_t, std::string>, Share> then;  // of the class in these seconds
-    const auto share_then = [&](const RouterFixture::Ask& ask) -> Share& {
-      return then[{(ask.at - begin_) / std::chrono::seconds(2), ask.request.request_class}];
+  [[nodiscard]] Sessions sessions() const {
+    std::map<std::pair<std::int64_t, std::string>, Ratio> not_rejected;  // by time and class
+    const auto not_rejected_then = [&](const RouterFixture::Submission& submission) -> Ratio& {
+      return not_rejected[{(submission.submitted_at - begin_) / std::chrono::seconds(2),
+                           submission.request.request_class}];
     };
-    for (const auto& ask : asks()) {
-      share_then(ask).all += 1;
-      share_then(ask).answered += ask.end == End::kRejected ? 0 : 1;
+    for (const auto& submission : submissions()) {
+      not_rejected_then(submission).total += 1;
+      not_rejected_then(submission).served += submission.end == End::kRejected ? 0 : 1;
     }
-    std::map<std::uint64_t, std::array<double, 4>> of;  // turns, refused, at once, chance
-    for (const auto& ask : asks()) {
-      auto& [turns, rejected, at_once, chance] =
-          of.try_emplace(ask.request.session, std::array{0.0, 0.0, 0.0, 1.0}).first->second;
-      turns += 1;
-      rejected += ask.end == End::kRejected ? 1 : 0;
-      at_once += ask.end == End::kRejected && ask.ended == ask.at ? 1 : 0;
-      chance *= 1 - share_then(ask).part();
+    struct Session {
+      double turns = 0, rejected = 0, at_once = 0;
+      double chance = 1;  // that all of its turns are rejected
+    };
+    std::map<std::uint64_t, Session> by_session;
+    for (const auto& submission : submissions()) {
+      Session& session = by_session[submission.request.session];
+      const bool is_rejected = submission.end == End::kRejected;
+      const bool is_at_once = is_rejected && submission.ended_at == submission.submitted_at;
+      session.turns += 1;
+      session.rejected += is_rejected ? 1 : 0;
+      session.at_once += is_at_once ? 1 : 0;
+      session.chance *= 1 - not_rejected_then(submission).value();
     }
     Sessions sessions;
-    for (const auto& [number, session] : of) {
-      if (session[0] < kTurns) continue;
-      sessions.all += 1;
-      sessions.rejected += session[1] == session[0] ? 1 : 0;
-      sessions.at_once += session[2] == session[0] ? 1 : 0;
-      sessions.by_chance += session[3];
+    for (const auto& [number, session] : by_session) {
+      if (session.turns < kTurns) continue;
+      sessions.total += 1;
+      sessions.rejected += session.rejected == session.turns ? 1 : 0;
+      sessions.at_once += session.at_once == session.turns ? 1 : 0;
+      sessions.by_chance += session.chance;
     }
     return sessions;
   }
 
   // Of the tenth of a class's requests with the longest prompts, and of the next fifth.
-  std::array<Share, 2> longest(const std::string& cls) const {
-    std::vector<const RouterFixture::Ask*> of;
-    for (const auto& ask : asks()) {
-      if (ask.request.request_class == cls) of.push_back(&ask);
+  [[nodiscard]] std::array<Ratio, 2> longest(const std::string& request_class) const {
+    std::vector<const RouterFixture::Submission*> of_class;
+    for (const auto& submission : submissions()) {
+      if (submission.request.request_class == request_class) of_class.push_back(&submission);
     }
-    std::sort(of.begin(), of.end(),
-              [](auto* a, auto* b) { return a->request.prompt_tokens > b->request.prompt_tokens; });
-    std::array<Share, 2> shares;
-    for (std::size_t i = 0; i < of.size() * 3 / 10; ++i) {
-      Share& share = shares[i < of.size() / 10 ? 0 : 1];
-      share.all += 1;
-      share.answered += of[i]->end == End::kServed ? 1 : 0;
+    std::sort(of_class.begin(), of_class.end(), [](const auto* left, const auto* right) {
+      return left->request.prompt_tokens > right->request.prompt_tokens;
+    });
+    std::array<Ratio, 2> ratios;
+    for (std::size_t i = 0; i < of_class.size() * 3 / 10; ++i) {
+      Ratio& ratio = ratios[i < of_class.size() / 10 ? 0 : 1];
+      ratio.total += 1;
+      ratio.served += of_class[i]->end == End::kServed ? 1 : 0;
     }
-    return shares;
+    return ratios;
   }
 
  private:
-  int length(int mean) { return 1 + static_cast<int>(mean * std::min(chance_.exponential(1), 8.0)); }
+  int length(int mean) { return 1 + static_cast<int>(mean * std::min(random_.exponential(1), 8.0)); }
 
   void begin_session() {
-    const double rate = s_.load * kCapacity * kReplicas / kTurns;
-    fixture_.at(fixture_.now() + micros(chance_.exponential(1 / rate)), [this] {
-      if (fixture_.now() > begin_ + micros(s_.seconds)) return;
-      RouterFixture::Ask ask;
-      ask.process = chance_.below(kProcesses);
-      const double pick = chance_.unit();
-      ask.request.request_class = pick < 0.05 ? "rare" : pick < 0.35 ? "command" : "ask";
-      ask.request.tenant = chance_.unit() < 0.3 ? "modest" : "greedy";
-      ask.request.session = ++sessions_;
-      turn(ask, kTurns);
+    const double rate = scenario_.load * kCapacity * kReplicas / kTurns;
+    fixture_.at(fixture_.now() + micros(random_.exponential(1 / rate)), [this] {
+      if (fixture_.now() > begin_ + micros(scenario_.seconds)) return;
+      RouterFixture::Submission submission;
+      submission.process = random_.below(kProcesses);
+      const double pick = random_.unit();
+      submission.request.request_class = pick < 0.05 ? "rare" : pick < 0.35 ? "command" : "ask";
+      submission.request.tenant = random_.unit() < 0.3 ? "modest" : "greedy";
+      submission.request.session = ++session_count_;
+      submit_turn(submission, kTurns);
       begin_session();
     });
   }
-  void turn(RouterFixture::Ask ask, int left) {
-    ask.request.prompt_tokens = length(1000);
-    ask.answer = length(50);
-    fixture_.ask(ask);
-    if (left == 1) return;
-    fixture_.at(fixture_.now() + micros(1 + chance_.exponential(3)),
-                [this, ask, left] { turn(ask, left - 1); });
+  void submit_turn(RouterFixture::Submission submission, int turns_left) {
+    submission.request.prompt_tokens = length(1000);
+    submission.answer_tokens = length(50);
+    fixture_.submit(submission);
+    if (turns_left == 1) return;
+    fixture_.at(fixture_.now() + micros(1 + random_.exponential(3)),
+                [this, submission, turns_left] { submit_turn(submission, turns_left - 1); });
   }
 
-  Scenario s_;
-  Chance chance_;
+  Scenario scenario_;
+  RandomSource random_;
   RouterFixture fixture_;
   Time begin_{};
-  std::uint64_t sessions_ = 0;
+  std::uint64_t session_count_ = 0;
 };
 
-bool any(const RouterFixture::Ask&) { return true; }
+bool any(const RouterFixture::Submission&) { return true; }
+
+auto of_class(const std::string& name) {
+  return [name](const RouterFixture::Submission& submission) {
+    return submission.request.request_class == name;
+  };
+}
+
+auto of_tenant(const std::string& name) {
+  return [name](const RouterFixture::Submission& submission) { return submission.request.tenant == name; };
+}
 
-void print(const char* name, const Day& day) {
+void print(const char* name, const Simulation& simulation) {
   if (std::getenv("FAIRNESS_FIGURES") == nullptr) return;
-  std::printf("%s: answered %.3f;", name, day.share(any).part());
-  for (const char* cls : {"ask", "command", "rare"}) {
-    const auto [tenth, fifth] = day.longest(cls);
-    std::printf(" %s %.3f (longest %.3f, %.3f)", cls,
-                day.share([&](const auto& a) { return a.request.request_class == cls; }).part(), tenth.part(),
-                fifth.part());
+  std::printf("%s: answered %.3f;", name, simulation.served(any).value());
+  for (const char* request_class : {"ask", "command", "rare"}) {
+    const auto [tenth, fifth] = simulation.longest(request_class);
+    std::printf(" %s %.3f (longest %.3f, %.3f)", request_class,
+                simulation.served(of_class(request_class)).value(), tenth.value(), fifth.value());
   }
   for (const char* tenant : {"modest", "greedy"})
-    std::printf(" %s %.3f", tenant,
-                day.share([&](const auto& a) { return a.request.tenant == tenant; }).part());
-  const auto s = day.sessions();
+    std::printf(" %s %.3f", tenant, simulation.served(of_tenant(tenant)).value());
+  const auto sessions = simulation.sessions();
   int at_once = 0, later = 0;
-  for (const auto& a : day.asks())
-    if (a.end == End::kRejected) ++(a.ended == a.at ? at_once : later);
+  for (const auto& submission : simulation.submissions()) {
+    if (submission.end != End::kRejected) continue;
+    ++(submission.ended_at == submission.submitted_at ? at_once : later);
+  }
   std::printf("; refused at once %d, later %d", at_once, later);
-  std::printf("; sessions %.0f, all turns refused %.0f, by chance %.1f\n", s.all, s.rejected, s.by_chance);
+  std::printf("; sessions %.0f, all turns refused %.0f, by chance %.1f\n", sessions.total, sessions.rejected,
+              sessions.by_chance);
 }
 
-void check_lengths(const Day& day, double minimum) {
-  for (const char* cls : {"ask", "command", "rare"}) {
-    const double all = day.share([&](const auto& a) { return a.request.request_class == cls; }).part();
-    const auto [tenth, fifth] = day.longest(cls);
-    INFO(cls << ": answered " << all << ", of the longest tenth " << tenth.part() << ", of the next fifth "
-             << fifth.part());
-    CHECK(tenth.part() >= minimum * all);
-    CHECK(fifth.part() >= minimum * all);
+void check_lengths(const Simulation& simulation, double minimum) {
+  for (const char* request_class : {"ask", "command", "rare"}) {
+    const double all = simulation.served(of_class(request_class)).value();
+    const auto [tenth, fifth] = simulation.longest(request_class);
+    INFO(request_class << ": answered " << all << ", of the longest tenth " << tenth.value()
+                       << ", of the next fifth " << fifth.value());
+    CHECK(tenth.value() >= minimum * all);
+    CHECK(fifth.value() >= minimum * all);
   }
 }
 
-TEST_CASE("on a quiet day with a slow replica nobody is refused throughout, however long the prompt",
+TEST_CASE("at low load with a slow replica no session is rejected throughout, however long the prompt",
           "[fairness]") {
   for (const std::uint64_t seed : {21U, 22U, 23U}) {
-    Day day({0.5, 40, true}, seed);
-    day.run();
-    print("quiet", day);
-    const auto sessions = day.sessions();
-    INFO(sessions.rejected << " of " << sessions.all << " sessions, " << sessions.at_once << " at once");
-    CHECK(sessions.all > 200);
+    Simulation simulation({0.5, 40, true}, seed);
+    simulation.run();
+    print("quiet", simulation);
+    const auto sessions = simulation.sessions();
+    INFO(sessions.rejected << " of " << sessions.total << " sessions, " << sessions.at_once << " at once");
+    CHECK(sessions.total > 200);
     CHECK(sessions.at_once == 0);
-    CHECK(sessions.rejected <= 0.005 * sessions.all);
-    CHECK(day.share(any).part() > 0.95);
-    check_lengths(day, 2.0 / 3);
+    CHECK(sessions.rejected <= 0.005 * sessions.total);
+    CHECK(simulation.served(any).value() > 0.95);
+    check_lengths(simulation, 2.0 / 3);
   }
 }
 
 // Thin processes settle by chance what is a fraction of a request each, so that this chance shows.
-TEST_CASE("in a jam refusals are drawn by request: no session is refused throughout beyond chance",
+TEST_CASE("under overload rejections are drawn by request: no session is rejected throughout beyond chance",
           "[fairness]") {
-  Day::Sessions sum;
+  Simulation::Sessions sum;
   for (const std::uint64_t seed : {22U, 32U, 42U, 52U}) {
-    Day day({2, 30, true}, seed);
-    day.run();
-    print("jam", day);
-    const auto sessions = day.sessions();
-    sum.all += sessions.all;
+    Simulation simulation({2, 30, true}, seed);
+    simulation.run();
+    print("jam", simulation);
+    const auto sessions = simulation.sessions();
+    sum.total += sessions.total;
     sum.rejected += sessions.rejected;
     sum.by_chance += sessions.by_chance;
   }
-  INFO(sum.rejected << " of " << sum.all << ", " << sum.by_chance << " by chance");
-  CHECK(sum.rejected > 0.02 * sum.all);  // a jam
-  CHECK(sum.rejected <= sum.by_chance + 0.05 * sum.all);
+  INFO(sum.rejected << " of " << sum.total << ", " << sum.by_chance << " by chance");
+  CHECK(sum.rejected > 0.02 * sum.total);  // an overload
+  CHECK(sum.rejected <= sum.by_chance + 0.05 * sum.total);
 }
 
-TEST_CASE("in a jam long prompts are answered too", "[fairness]") {
-  Day day({1.5, 40, true}, 23);
-  day.run();
-  print("jam", day);
-  check_lengths(day, 0.5);
+TEST_CASE("under overload long prompts are answered too", "[fairness]") {
+  Simulation simulation({1.5, 40, true}, 23);
+  simulation.run();
+  print("jam", simulation);
+  check_lengths(simulation, 0.5);
 }
 
-// The wait in line is the same for all, so that it takes less of a long prompt's time than of a short one's.
-TEST_CASE("a long prompt in time by its own deadline is not hopeless because short ones are late",
-          "[fairness]") {
-  const routing::Settings rules = settings();
-  routing::Router router(rules, 1);
+// The wait in the queue is the same for all, so that it takes less of a long prompt's time than of a short
+// one's.
+TEST_CASE("a long prompt in time by its own deadline is not shed because short ones are late", "[fairness]") {
+  const routing::Settings settings = fairness_settings();
+  routing::Router router(settings, 1);
   Time now = std::chrono::seconds(1000);
   routing::EndpointList list{routing::ListKind::kFull, {}};
   for (const char* kind : {"reader", "writer"})
     list.entries.push_back({kind, "z0", kind, 0, routing::EndpointState::kReady, 1, {}});
   router.handle(now, list);
-  const auto ask = [&](const std::string& id, int tokens) {
-    const auto& cls = rules.classes[1];
-    routing::Request r;
-    r.id = id;
-    r.request_class = cls.name;
-    r.tenant = "modest";
-    r.session = std::hash<std::string>{}(id);
-    r.prompt_tokens = tokens;
-    r.client_deadline = now + cls.deadline + 2 * cls.latency_objective_per_1000_tokens * tokens / 1000;
-    const auto actions = router.handle(now, r);
-    return std::any_of(actions.begin(), actions.end(),
-                       [](const auto& a) { return std::holds_alternative<routing::StartAttempt>(a); });
+  const auto is_attempted = [&](const std::string& id, int tokens) {
+    const auto& request_class = settings.classes[1];
+    routing::Request request;
+    request.id = id;
+    request.request_class = request_class.name;
+    request.tenant = "modest";
+    request.session = std::hash<std::string>{}(id);
+    request.prompt_tokens = tokens;
+    request.client_deadline =
+        now + request_class.deadline + 2 * request_class.latency_objective_per_1000_tokens * tokens / 1000;
+    const auto actions = router.handle(now, request);
+    return std::any_of(actions.begin(), actions.end(), [](const auto& action) {
+      return std::holds_alternative<routing::StartAttempt>(action);
+    });
   };
   const auto serve = [&](const std::string& id) {  // late by an eighth, of which little was reading
     const Duration read = std::chrono::milliseconds(50), write = std::chrono::milliseconds(1330);
@@ -288,29 +314,27 @@
   };
   for (int i = 0; i < 200; ++i) {
     const std::string id = "s" + std::to_string(i);
-    REQUIRE(ask(id, 10));
+    REQUIRE(is_attempted(id, 10));
     serve(id);
     now += std::chrono::milliseconds(20);
   }
-  CHECK(ask("short", 10));
+  CHECK(is_attempted("short", 10));
   serve("short");
-  CHECK(ask("long", 20'000));
+  CHECK(is_attempted("long", 20'000));
 }
 
-TEST_CASE("under overload each class and each tenant inside its share is answered", "[fairness]") {
-  Day day({1.3, 60}, 24);
-  day.run();
-  print("overload", day);
-  const double all = day.share(any).part();
-  for (const char* cls : {"ask", "command", "rare"}) {
-    INFO(cls);
-    CHECK(day.share([&](const auto& a) { return a.request.request_class == cls; }).part() >= all / 2);
+TEST_CASE("under overload each class and each tenant within its quota is answered", "[fairness]") {
+  Simulation simulation({1.3, 60}, 24);
+  simulation.run();
+  print("overload", simulation);
+  const double overall = simulation.served(any).value();
+  for (const char* request_class : {"ask", "command", "rare"}) {
+    INFO(request_class);
+    CHECK(simulation.served(of_class(request_class)).value() >= overall / 2);
   }
-  const auto tenant = [&](const char* name) {
-    return day.share([&](const auto& a) { return a.request.tenant == name; }).part();
-  };
-  CHECK(tenant("modest") >= all / 2);
-  CHECK(tenant("modest") >= tenant("greedy"));  // what is over its share gives way first
+  const auto tenant = [&](const char* name) { return simulation.served(of_tenant(name)).value(); };
+  CHECK(tenant("modest") >= overall / 2);
+  CHECK(tenant("modest") >= tenant("greedy"));  // what is over its quota is rejected first
 }
 
 }  // namespace
--- a/tests/dispatcher/router_fixture.cpp
+++ b/tests/dispatcher/router_fixture.cpp
@@ -9,78 +9,77 @@
 using routing::AttemptStatus;
 
 Duration micros(double seconds) { return Duration(std::llround(seconds * 1e6)); }
-double seconds_of(Duration time) { return static_cast<double>(time.count()) / 1e6; }
+double to_seconds(Duration duration) { return static_cast<double>(duration.count()) / 1e6; }
 
-RouterFixture::RouterFixture(const simulation::Statistics& figures, std::size_t processes, std::uint64_t seed)
-    : RouterFixture(figures, figures.settings, processes, seed) {}
+RouterFixture::RouterFixture(const simulation::Parameters& parameters, std::size_t processes,
+                             std::uint64_t seed)
+    : RouterFixture(parameters, parameters.settings, processes, seed) {}
 
-RouterFixture::RouterFixture(const simulation::Statistics& figures, const routing::Settings& told,
+RouterFixture::RouterFixture(const simulation::Parameters& parameters, const routing::Settings& settings,
                              std::size_t processes, std::uint64_t seed)
-    : figures_(figures),
-      told_(told),
+    : parameters_(parameters),
+      settings_(settings),
       seed_(seed),
-      fleet_(figures_, timers_, [this] { return now_; }),
+      fleet_(parameters_, timers_, [this] { return now_; }),
       processes_(processes) {
-  told_.router_count = static_cast<int>(processes);
-  fleet_.on_list([this] {
-    for (const auto& entry : fleet_.list().entries) starts_[entry.endpoint] = entry.started;
-  });
-  for (std::size_t i = 0; i < processes; ++i) make(i);
+  settings_.router_count = static_cast<int>(processes);
+  for (std::size_t i = 0; i < processes; ++i) start(i);
 }
 
-void RouterFixture::make(std::size_t process) {
-  Process& p = processes_[process];
-  routing::Settings settings = told_;
-  settings.router_number = static_cast<int>(process);
-  const auto life = static_cast<std::uint64_t>(p.life++);
-  p.router = std::make_unique<routing::Router>(settings, seed_ * 1'000'003 + process * 977 + life * 7'919);
+void RouterFixture::start(std::size_t number) {
+  Process& process = processes_[number];
+  routing::Settings settings = settings_;
+  settings.router_number = static_cast<int>(number);
+  const auto incarnation = static_cast<std::uint64_t>(process.incarnation++);
+  const std::uint64_t seed = seed_ * 1'000'003 + number * 977 + incarnation * 7'919;
+  process.router = std::make_unique<routing::Router>(settings, seed);
 }
 
 routing::EndpointList RouterFixture::list() const {
   routing::EndpointList list = fleet_.list();
-  for (auto& entry : list.entries) entry.started = tells_starts ? entry.started : Time{};
-  if (listed) std::erase_if(list.entries, [this](const auto& entry) { return !listed(entry); });
+  if (!lists_start_times) {
+    for (auto& entry : list.entries) entry.started = Time{};
+  }
+  if (is_listed) std::erase_if(list.entries, [this](const auto& entry) { return !is_listed(entry); });
   return list;
 }
 
-void RouterFixture::tell(std::size_t process) {
-  Process& p = processes_[process];
-  p.list = list();
-  p.told.clear();
-  for (const routing::EndpointInfo& entry : p.list.entries) p.told[entry.endpoint] = entry.started;
-  pass(process, p.list);
+void RouterFixture::update_list(std::size_t process) {
+  processes_[process].list = list();
+  handle(process, processes_[process].list);
 }
 
-void RouterFixture::tell_all() {
-  for (std::size_t i = 0; i < processes_.size(); ++i) tell(i);
+void RouterFixture::update_all_lists() {
+  for (std::size_t i = 0; i < processes_.size(); ++i) update_list(i);
 }
 
-void RouterFixture::restart(std::size_t process) {
-  Process& p = processes_[process];
-  for (auto& [id, a] : std::exchange(p.attempts, {})) {
-    if (!a.out) continue;
-    timers_.drop(a.times_out);
-    fleet_.abandon(a.work);
+void RouterFixture::restart(std::size_t number) {
+  Process& process = processes_[number];
+  for (auto& [id, attempt] : std::exchange(process.attempts, {})) {
+    if (!attempt.in_flight) continue;
+    timers_.drop(attempt.timeout);
+    fleet_.abandon(attempt.work);
     fleet_.release(id);
     end(id, End::kFailed);
   }
-  make(process);
-  pass(process, p.list);
+  start(number);
+  handle(number, process.list);
 }
 
-std::size_t RouterFixture::ask(Ask ask) {
-  const std::size_t number = asks_.size();
-  const auto& classes = told_.classes;
-  const auto cls = std::find_if(classes.begin(), classes.end(),
-                                [&](const auto& c) { return c.name == ask.request.request_class; });
-  ask.request.id = std::to_string(number);
-  ask.request.max_tokens = 4 * ask.answer;
-  ask.request.client_deadline =
-      now_ + cls->deadline + 2 * cls->latency_objective_per_1000_tokens * ask.request.prompt_tokens / 1000;
-  ask.at = now_;
-  asks_.push_back(ask);
-  pass(ask.process, ask.request);
-  return number;
+void RouterFixture::submit(Submission submission) {
+  const auto& classes = settings_.classes;
+  routing::Request& request = submission.request;
+  const auto request_class = std::find_if(classes.begin(), classes.end(), [&](const auto& candidate) {
+    return candidate.name == request.request_class;
+  });
+  request.id = std::to_string(submissions_.size());
+  request.max_tokens = 4 * submission.answer_tokens;
+  request.client_deadline =
+      now_ + request_class->deadline +
+      2 * request_class->latency_objective_per_1000_tokens * request.prompt_tokens / 1000;
+  submission.submitted_at = now_;
+  submissions_.push_back(submission);
+  handle(submission.process, request);
 }
 
 void RouterFixture::run_until(Time time) {
@@ -91,89 +90,108 @@
   now_ = time;
 }
 
-void RouterFixture::pass(std::size_t process, const routing::Event& event) {
-  for (const auto& action : processes_[process].router->handle(now_, event)) carry_out(process, action);
+void RouterFixture::handle(std::size_t process, const routing::Event& event) {
+  for (const auto& action : processes_[process].router->handle(now_, event)) execute(process, action);
 }
 
-void RouterFixture::carry_out(std::size_t process, const routing::Action& action) {
-  Process& p = processes_[process];
-  if (const auto* s = std::get_if<routing::StartAttempt>(&action)) return send(process, *s);
-  if (const auto* r = std::get_if<routing::Reject>(&action)) return end(r->request, End::kRejected);
-  if (const auto* f = std::get_if<routing::Fail>(&action)) return end(f->request, End::kFailed);
-  if (const auto* l = std::get_if<routing::ReleaseReservation>(&action)) return fleet_.release(l->request);
-  if (const auto* t = std::get_if<routing::SetTimer>(&action)) {
-    at(now_ + t->after, [this, process, tag = t->tag, life = p.life] {
-      if (processes_[process].life == life) pass(process, routing::TimerExpired{tag});
-    });
-  }
-  if (const auto* c = std::get_if<routing::CancelAttempt>(&action)) {
-    const Attempt& a = p.attempts[c->request];
-    if (!a.out || a.begun || a.number != c->attempt) return;
-    fleet_.abandon(a.work);
-    at(now_, [this, process, id = c->request, life = p.life] {
-      if (processes_[process].life == life) end_attempt(process, id, {AttemptStatus::kCancelled, 0, {}});
+bool RouterFixture::is_running(std::size_t process, int incarnation) const {
+  return processes_[process].incarnation == incarnation;
+}
+
+void RouterFixture::handle_if_running(std::size_t process, int incarnation, const routing::Event& event) {
+  if (is_running(process, incarnation)) handle(process, event);
+}
+
+void RouterFixture::execute(std::size_t process, const routing::Action& action) {
+  if (const auto* start = std::get_if<routing::StartAttempt>(&action)) {
+    start_attempt(process, *start);
+  } else if (const auto* cancel = std::get_if<routing::CancelAttempt>(&action)) {
+    cancel_attempt(process, *cancel);
+  } else if (const auto* reject = std::get_if<routing::Reject>(&action)) {
+    end(reject->request, End::kRejected);
+  } else if (const auto* fail = std::get_if<routing::Fail>(&action)) {
+    end(fail->request, End::kFailed);
+  } else if (const auto* release = std::get_if<routing::ReleaseReservation>(&action)) {
+    fleet_.release(release->request);
+  } else if (const auto* timer = std::get_if<routing::SetTimer>(&action)) {
+    at(now_ + timer->after, [this, process, tag = timer->tag, incarnation = processes_[process].incarnation] {
+      handle_if_running(process, incarnation, routing::TimerExpired{tag});
     });
   }
 }
 
-void RouterFixture::send(std::size_t process, const routing::StartAttempt& send) {
-  Process& p = processes_[process];
-  Ask& ask = of(send.request);
-  const routing::Request& r = ask.request;
-  Attempt& a = p.attempts[r.id];
-  a.number += a.sent == Time{} ? 0 : 1;
-  a.endpoint = send.endpoint;
-  a.sent = now_;
-  a.out = true;
-  const bool reads = send.endpoint.starts_with("r");
-  const double work =
-      reads ? double(r.prompt_tokens) / figures_.prompt : double(ask.answer) / figures_.answer;
-  const auto told = p.told.find(send.endpoint);
-  sent_.push_back(
-      {now_, process, send.endpoint, work, told != p.told.end() && told->second == starts_[send.endpoint]});
-  const int life = p.life;
+simulation::SimulatedFleet::Callbacks RouterFixture::callbacks(std::size_t process, const std::string& id) {
+  const int incarnation = processes_[process].incarnation;
   simulation::SimulatedFleet::Callbacks callbacks;
-  callbacks.first = [this, process, id = r.id, life] {
-    Process& then = processes_[process];
-    if (then.life != life) return;
-    Attempt& began = then.attempts[id];
-    began.begun = true;
-    timers_.drop(began.times_out);
-    of(id).first = now_ - of(id).at;
-    pass(process, routing::FirstToken{id, began.endpoint, began.number, now_ - began.sent});
+  callbacks.first = [this, process, id, incarnation] {
+    if (!is_running(process, incarnation)) return;
+    Attempt& attempt = processes_[process].attempts[id];
+    attempt.streaming = true;
+    timers_.drop(attempt.timeout);
+    const Duration elapsed = now_ - attempt.sent_at;
+    handle(process, routing::FirstToken{id, attempt.endpoint, attempt.number, elapsed});
   };
-  callbacks.ended = [this, process, id = r.id, life](const engine::AttemptResult& ending) {
-    if (processes_[process].life == life) end_attempt(process, id, ending);
+  callbacks.ended = [this, process, id, incarnation](const engine::AttemptResult& result) {
+    if (is_running(process, incarnation)) end_attempt(process, id, result);
   };
-  a.work = fleet_.send(send.endpoint,
-                       {r.id, r.session, r.shared_prefix, r.prompt_tokens, r.prefix_tokens, ask.answer},
-                       std::move(callbacks));
-  a.times_out = timers_.add(std::max(send.deadline, now_), [this, process, id = r.id, life] {
-    if (processes_[process].life != life) return;
-    fleet_.abandon(processes_[process].attempts[id].work);
-    end_attempt(process, id, {AttemptStatus::kTimeout, 0, {}});
+  return callbacks;
+}
+
+void RouterFixture::start_attempt(std::size_t process, const routing::StartAttempt& start) {
+  const Submission& submitted = submission(start.request);
+  const routing::Request& request = submitted.request;
+  Attempt& attempt = processes_[process].attempts[request.id];
+  if (attempt.sent_at != Time{}) ++attempt.number;
+  attempt.endpoint = start.endpoint;
+  attempt.sent_at = now_;
+  attempt.in_flight = true;
+  const bool is_reader = start.endpoint.starts_with("r");
+  const double work = is_reader ? double(request.prompt_tokens) / parameters_.mean_prompt
+                                : double(submitted.answer_tokens) / parameters_.mean_answer;
+  sent_attempts_.push_back({now_, process, start.endpoint, work});
+  attempt.work = fleet_.send(start.endpoint,
+                             {request.id, request.session, request.shared_prefix, request.prompt_tokens,
+                              request.prefix_tokens, submitted.answer_tokens},
+                             callbacks(process, request.id));
+  const int incarnation = processes_[process].incarnation;
+  attempt.timeout =
+      timers_.add(std::max(start.deadline, now_), [this, process, id = request.id, incarnation] {
+        if (!is_running(process, incarnation)) return;
+        fleet_.abandon(processes_[process].attempts[id].work);
+        end_attempt(process, id, {AttemptStatus::kTimeout, 0, {}});
+      });
+}
+
+void RouterFixture::cancel_attempt(std::size_t process, const routing::CancelAttempt& cancel) {
+  const Attempt& attempt = processes_[process].attempts[cancel.request];
+  if (!attempt.in_flight || attempt.streaming || attempt.number != cancel.attempt) return;
+  fleet_.abandon(attempt.work);
+  at(now_, [this, process, id = cancel.request, incarnation = processes_[process].incarnation] {
+    if (is_running(process, incarnation)) end_attempt(process, id, {AttemptStatus::kCancelled, 0, {}});
   });
 }
 
 void RouterFixture::end_attempt(std::size_t process, const std::string& id,
-                                const engine::AttemptResult& ending) {
-  Attempt& a = processes_[process].attempts[id];
-  if (!a.out) return;
-  a.out = false;
-  timers_.drop(a.times_out);
-  const bool served = ending.status == AttemptStatus::kServed;
-  if (served || a.begun) end(id, served ? End::kServed : End::kFailed);
-  const routing::AttemptCompleted outcome{
-      id, a.endpoint, a.number, ending.status, now_ - a.sent, served || a.begun, ending.note, ending.report};
-  if (served || a.begun) processes_[process].attempts.erase(id);
-  pass(process, outcome);
-}
-
-void RouterFixture::end(const std::string& id, End how) {
-  Ask& ask = of(id);
-  if (ask.end != End::kOpen) return;
-  ask.end = how;
-  ask.ended = now_;
+                                const engine::AttemptResult& result) {
+  Attempt& attempt = processes_[process].attempts[id];
+  if (!attempt.in_flight) return;
+  attempt.in_flight = false;
+  timers_.drop(attempt.timeout);
+  const bool is_served = result.status == AttemptStatus::kServed;
+  const bool has_ended = is_served || attempt.streaming;  // what has begun to stream is not retried
+  if (has_ended) end(id, is_served ? End::kServed : End::kFailed);
+  const routing::AttemptCompleted completed{
+      id,        attempt.endpoint, attempt.number, result.status, now_ - attempt.sent_at,
+      has_ended, result.note,      result.report};
+  if (has_ended) processes_[process].attempts.erase(id);
+  handle(process, completed);
+}
+
+void RouterFixture::end(const std::string& id, End end) {
+  Submission& ended = submission(id);
+  if (ended.end != End::kOpen) return;
+  ended.end = end;
+  ended.ended_at = now_;
 }
 
 }  // namespace dispatcher::testing
--- a/tests/dispatcher/router_fixture.hpp
+++ b/tests/dispatcher/router_fixture.hpp
@@ -1,5 +1,5 @@
-// Many routers, driven by events alone, before the model fleet in virtual time: each process sees its own
-// traffic only, loses all when it restarts, and hears of changes when the test has it told.
+// Many routers, driven by events alone, before a simulated fleet in virtual time: each process sees its own
+// traffic only, loses its state when it restarts, and gets the endpoint list when the test says so.
 #ifndef DISPATCHER_TESTS_DISPATCHER_ROUTER_FIXTURE_HPP_
 #define DISPATCHER_TESTS_DISPATCHER_ROUTER_FIXTURE_HPP_
 
@@ -20,96 +20,105 @@
 using routing::Duration;
 using routing::Time;
 
-// The same numbers on every platform, unlike the library's distributions.
-class Chance {
+// The same numbers on every platform, unlike the standard library's distributions.
+class RandomSource {
  public:
-  explicit Chance(std::uint64_t seed) : bits_(seed) {}
-  double unit() { return (static_cast<double>(bits_() >> 11U) + 0.5) / 9007199254740992.0; }
+  explicit RandomSource(std::uint64_t seed) : generator_(seed) {}
+  double unit() {  // evenly distributed between 0 and 1
+    return (static_cast<double>(generator_() >> 11U) + 0.5) / 9007199254740992.0;
+  }
   double exponential(double mean) { return -mean * std::log(unit()); }
-  std::size_t below(std::size_t n) { return static_cast<std::size_t>(unit() * static_cast<double>(n)); }
+  std::size_t below(std::size_t limit) {
+    return static_cast<std::size_t>(unit() * static_cast<double>(limit));
+  }
 
  private:
-  std::mt19937_64 bits_;
+  std::mt19937_64 generator_;
 };
 
 Duration micros(double seconds);
-double seconds_of(Duration time);
+double to_seconds(Duration duration);
 
+// Single-threaded: all routers run in the timers of one queue.
 class RouterFixture {
  public:
-  struct Sent {
+  struct SentAttempt {
     Time at{};
     std::size_t process = 0;
     std::string endpoint;
-    double work = 0;    // over the mean of its stage
-    bool told = false;  // the process knew of the host's latest start
+    double work = 0;  // over the mean of its stage
   };
   enum class End { kOpen, kServed, kRejected, kFailed };
-  struct Ask {
+  struct Submission {
     std::size_t process = 0;
     routing::Request request;  // its deadline is filled in, by class and length
-    int answer = 1;            // tokens
+    int answer_tokens = 1;
     End end = End::kOpen;
-    Time at{};
-    Duration first{};  // until its first token
-    Time ended{};
+    Time submitted_at{}, ended_at{};
   };
 
-  // Settings and fleet as in the figures; `mean_prompt` and `mean_answer` make requests of mean work.
-  RouterFixture(const simulation::Statistics& figures, std::size_t processes, std::uint64_t seed);
-  // ... while the routers are told other settings.
-  RouterFixture(const simulation::Statistics& figures, const routing::Settings& told, std::size_t processes,
-                std::uint64_t seed);
+  // Settings and fleet as in the parameters, whose mean lengths are those of requests of mean work.
+  RouterFixture(const simulation::Parameters& parameters, std::size_t processes, std::uint64_t seed);
+  // The same with other settings for the routers than for the fleet.
+  RouterFixture(const simulation::Parameters& parameters, const routing::Settings& settings,
+                std::size_t processes, std::uint64_t seed);
 
-  void tell(std::size_t process);  // the list as it is now
-  void tell_all();
-  void restart(std::size_t process);  // what it has open is lost; it starts anew with the list it had
-  std::size_t ask(Ask ask);           // its number in asks()
+  // Hands the process the endpoint list as it is now.
+  void update_list(std::size_t process);
+  void update_all_lists();
+  // Its open requests fail; it starts with empty state and the list it had.
+  void restart(std::size_t process);
+  void submit(Submission submission);
   void at(Time time, std::function<void()> action) { timers_.add(time, std::move(action)); }
   void run_until(Time time);
 
-  Time now() const { return now_; }
+  [[nodiscard]] Time now() const { return now_; }
   simulation::SimulatedFleet& fleet() { return fleet_; }
-  const std::vector<Ask>& asks() const { return asks_; }
-  const std::vector<Sent>& sent() const { return sent_; }
-  std::function<bool(const routing::EndpointInfo&)> listed;  // what the list tells; empty: all
-  bool tells_starts = true;                                  // else all look as if started long ago
+  [[nodiscard]] const std::vector<Submission>& submissions() const { return submissions_; }
+  [[nodiscard]] const std::vector<SentAttempt>& sent_attempts() const { return sent_attempts_; }
+  // Which endpoints the list has; empty: all.
+  std::function<bool(const routing::EndpointInfo&)> is_listed;
+  // Whether the list has the endpoints' start times; else all look as if started long ago.
+  bool lists_start_times = true;
 
  private:
   struct Attempt {
     simulation::SimulatedFleet::Work work = 0;
     std::string endpoint;
     int number = 0;
-    Time sent{};
-    bool out = false, begun = false;
-    engine::TimerQueue::Id times_out;
+    Time sent_at{};
+    bool in_flight = false, streaming = false;
+    engine::TimerQueue::Id timeout;
   };
   struct Process {
     std::unique_ptr<routing::Router> router;
-    int life = 0;
+    int incarnation = 0;
     routing::EndpointList list;
-    std::map<std::string, Time> told;  // latest starts that it knows
     std::map<std::string, Attempt> attempts;
   };
-  void make(std::size_t process);
-  void pass(std::size_t process, const routing::Event& event);
-  void carry_out(std::size_t process, const routing::Action& action);
-  void send(std::size_t process, const routing::StartAttempt& send);
-  void end_attempt(std::size_t process, const std::string& id, const engine::AttemptResult& ending);
-  void end(const std::string& id, End how);
-  routing::EndpointList list() const;
-  Ask& of(const std::string& id) { return asks_[std::stoul(id)]; }
+  void start(std::size_t process);
+  void handle(std::size_t process, const routing::Event& event);
+  void execute(std::size_t process, const routing::Action& action);
+  void start_attempt(std::size_t process, const routing::StartAttempt& start);
+  void cancel_attempt(std::size_t process, const routing::CancelAttempt& cancel);
+  void end_attempt(std::size_t process, const std::string& id, const engine::AttemptResult& result);
+  void end(const std::string& id, End end);
+  // An event of a process, unless it has restarted since.
+  void handle_if_running(std::size_t process, int incarnation, const routing::Event& event);
+  [[nodiscard]] bool is_running(std::size_t process, int incarnation) const;
+  simulation::SimulatedFleet::Callbacks callbacks(std::size_t process, const std::string& id);
+  [[nodiscard]] routing::EndpointList list() const;
+  Submission& submission(const std::string& id) { return submissions_[std::stoul(id)]; }
 
-  simulation::Statistics figures_;
-  routing::Settings told_;
+  simulation::Parameters parameters_;
+  routing::Settings settings_;
   std::uint64_t seed_;
   Time now_ = std::chrono::seconds(1'000'000);
   engine::TimerQueue timers_;
   simulation::SimulatedFleet fleet_;
-  std::map<std::string, Time> starts_;  // latest starts, told or not
   std::vector<Process> processes_;
-  std::vector<Ask> asks_;
-  std::vector<Sent> sent_;
+  std::vector<Submission> submissions_;
+  std::vector<SentAttempt> sent_attempts_;
 };
 
 }  // namespace dispatcher::testing
--- a/tests/dispatcher/slow_start_test.cpp
+++ b/tests/dispatcher/slow_start_test.cpp
@@ -1,6 +1,7 @@
-// What a replica that has just started gets from all processes together, of which each sees its own traffic
-// only: never more than N + 2 sqrt(N) + 2 requests of mean work in any window of the settings, N being what
-// they allow it at its capacity of the moment; and enough to take its part of the traffic once it is warm.
+// Slow start: what a replica that has just started gets from all processes together, of which each sees its
+// own traffic only. Never more than N + 2 sqrt(N) + 2 requests of mean work in any window of the settings, N
+// being what they allow it at its capacity of the moment; and enough to take its part of the traffic once it
+// is warm.
 #include <algorithm>
 #include <catch2/catch.hpp>
 #include <cstdio>
@@ -14,172 +15,199 @@
 
 struct Traffic {
   const char* name;
-  double capacity;           // requests of mean work a second that a warm replica can do
-  bool uneven = false;       // each fifth process gets five times what the others get
-  double burst = 1;          // for three seconds of the ramp
-  bool exponential = false;  // lengths; else between half and one and a half times the mean
+  double capacity;                       // requests of mean work a second that a warm replica can serve
+  bool is_uneven = false;                // each fifth process gets five times what the others get
+  double burst_factor = 1;               // for three seconds of the ramp
+  bool has_exponential_lengths = false;  // else between half and one and a half times the mean
 };
 
 struct Scenario {
   std::size_t processes = 1;
   Traffic traffic{};
-  double load = 0.5;      // of the warm fleet's capacity
-  bool restarts = false;  // each process restarts once during the ramp
-  double multiple = 4, share = 0.3, window = 2;
-  int lost_writers = 0;     // of the first zone, for good
-  int cold = 1;             // of the four readers and the four writers of each zone
-  double delay = 4;         // until a process is told, at most
-  double burst_from = 1.5;  // after the start
+  double load = 0.5;          // of the warm fleet's capacity
+  bool has_restarts = false;  // each process restarts once during the ramp
+  double overload_multiple = 4, initial_share = 0.3, overload_window = 2;  // seconds
+  int lost_writers = 0;                                                    // of the first zone, for good
+  int restarted = 1;          // of the four readers and the four writers of each zone
+  double max_list_delay = 4;  // seconds until a process has the list with the restarted replicas
+  double burst_start = 1.5;   // seconds after the restart
 };
 
-struct Measured {
-  double allowed = 0, greatest = 0, bound = 0;  // of the window that comes nearest to its bound
-  double early = 0, late = 0,
-         warm = 0;  // sent to a cold host over a warm peer's: halves of the ramp, after it
+struct Measurement {
+  // Requests of mean work, of the window that comes nearest to its bound.
+  double allowed = 0, sent = 0, bound = 0;
+  // Requests sent to a restarted replica over those of its peers: in the halves of the ramp, and after it.
+  double early = 0, late = 0, warm = 0;
 };
 
-constexpr double kBefore = 6, kAway = 1, kRamp = 8, kAfter = 5;
+// Phases, in seconds.
+constexpr double kBefore = 6, kDown = 1, kRamp = 8, kAfter = 5;
 
-simulation::Statistics figures(const Scenario& s) {
-  simulation::Statistics f;
-  f.zones = 2;
-  f.readers = f.writers = 4;
-  f.prompt = 1000;
-  f.answer = 50;
-  f.reader_slots = 1;
-  f.writer_slots = 8;
-  f.read_token = micros(1 / (s.traffic.capacity * f.prompt));
-  f.write_token = micros(f.writer_slots / (s.traffic.capacity * f.answer));
-  f.fetch_token = f.fetch_far_token = Duration(2);
-  f.network = Duration(500);
-  f.report_every = Duration(0);
-  f.settings = make_settings();
-  f.settings.tenants.push_back({"other", 1000});
-  f.settings.tick = std::chrono::milliseconds(20);
-  f.settings.answer_slack = std::chrono::milliseconds(60);
-  f.settings.warmup_time = micros(kRamp);
-  f.settings.overload_multiple = s.multiple;
-  f.settings.warmup_initial_share = s.share;
-  f.settings.overload_window = micros(s.window);
-  return f;
+// The replica's number within its cell and role.
+int number_of(const std::string& endpoint) { return endpoint.back() - '0'; }
+
+simulation::Parameters parameters_of(const Scenario& scenario) {
+  simulation::Parameters parameters;
+  parameters.zones = 2;
+  parameters.readers = parameters.writers = 4;
+  parameters.mean_prompt = 1000;
+  parameters.mean_answer = 50;
+  parameters.reader_slots = 1;
+  parameters.writer_slots = 8;
+  parameters.prefill_time = micros(1 / (scenario.traffic.capacity * parameters.mean_prompt));
+  parameters.decode_time =
+      micros(parameters.writer_slots / (scenario.traffic.capacity * parameters.mean_answer));
+  parameters.transfer_time = parameters.remote_transfer_time = Duration(2);
+  parameters.network_latency = Duration(500);
+  parameters.report_interval = Duration(0);
+  parameters.settings = make_settings();
+  parameters.settings.tenants.push_back({"other", 1000});
+  parameters.settings.tick = std::chrono::milliseconds(20);
+  parameters.settings.answer_slack = std::chrono::milliseconds(60);
+  parameters.settings.warmup_time = micros(kRamp);
+  parameters.settings.overload_multiple = scenario.overload_multiple;
+  parameters.settings.warmup_initial_share = scenario.initial_share;
+  parameters.settings.overload_window = micros(scenario.overload_window);
+  return parameters;
 }
 
-class Play {
+// One run of a scenario.
+class Simulation {
  public:
-  Play(const Scenario& s, std::uint64_t seed)
-      : s_(s), figures_(figures(s)), chance_(seed), fixture_(figures_, s.processes, seed) {
-    fixture_.listed = [lost = s.lost_writers](const routing::EndpointInfo& e) {
-      return e.zone != "z0" || e.endpoint[0] != 'w' || e.endpoint.back() - '0' < 4 - lost;
+  Simulation(const Scenario& scenario, std::uint64_t seed)
+      : scenario_(scenario),
+        parameters_(parameters_of(scenario)),
+        random_(seed),
+        fixture_(parameters_, scenario.processes, seed) {
+    fixture_.is_listed = [lost = scenario.lost_writers](const routing::EndpointInfo& entry) {
+      return entry.zone != "z0" || entry.endpoint[0] != 'w' || number_of(entry.endpoint) < 4 - lost;
     };
-    for (std::size_t i = 0; i < s.processes; ++i)
-      shares_.push_back((shares_.empty() ? 0 : shares_.back()) + (s.traffic.uneven && i % 5 == 0 ? 5 : 1));
+    for (std::size_t i = 0; i < scenario.processes; ++i) {
+      const double weight = scenario.traffic.is_uneven && i % 5 == 0 ? 5 : 1;
+      cumulative_weights_.push_back((i == 0 ? 0 : cumulative_weights_.back()) + weight);
+    }
   }
 
-  Measured run() {
-    const Time begin = fixture_.now(), away = begin + micros(kBefore);
-    start_ = away + micros(kAway);
-    const Time end = start_ + micros(kRamp + kAfter);
-    fixture_.tell_all();
-    fixture_.at(away, [this] {
-      fixture_.fleet().lose([this](const std::string&, bool, int number) { return number < s_.cold; });
-      fixture_.at(fixture_.now() + Duration(1), [this] { fixture_.tell_all(); });
+  Measurement run() {
+    const Time loss = fixture_.now() + micros(kBefore);
+    restart_ = loss + micros(kDown);
+    const Time end = restart_ + micros(kRamp + kAfter);
+    fixture_.update_all_lists();
+    fixture_.at(loss, [this] {
+      fixture_.fleet().lose_endpoints(
+          [this](const std::string&, bool, int number) { return number < scenario_.restarted; });
+      fixture_.at(fixture_.now() + Duration(1), [this] { fixture_.update_all_lists(); });
     });
-    fixture_.at(start_, [this] { fixture_.fleet().bring_back(); });
-    for (std::size_t i = 0; i < s_.processes; ++i) {
-      fixture_.at(start_ + Duration(1) + micros(s_.delay * chance_.unit()), [this, i] { fixture_.tell(i); });
-      if (s_.restarts)
-        fixture_.at(start_ + micros(kRamp * chance_.unit()), [this, i] { fixture_.restart(i); });
+    fixture_.at(restart_, [this] { fixture_.fleet().restore_endpoints(); });
+    for (std::size_t i = 0; i < scenario_.processes; ++i) {
+      fixture_.at(restart_ + Duration(1) + micros(scenario_.max_list_delay * random_.unit()),
+                  [this, i] { fixture_.update_list(i); });
+      if (scenario_.has_restarts)
+        fixture_.at(restart_ + micros(kRamp * random_.unit()), [this, i] { fixture_.restart(i); });
     }
-    next(end);
+    submit_next(end);
     fixture_.run_until(end);
     return measure();
   }
 
  private:
   double rate() const {
-    const bool bursts = fixture_.now() > start_ + micros(s_.burst_from) &&
-                        fixture_.now() < start_ + micros(s_.burst_from + 3);
-    const double endpoints = 8 - s_.lost_writers;
-    return s_.load * s_.traffic.capacity * endpoints * (bursts ? s_.traffic.burst : 1);
+    const bool is_burst = fixture_.now() > restart_ + micros(scenario_.burst_start) &&
+                          fixture_.now() < restart_ + micros(scenario_.burst_start + 3);
+    const double endpoints = 8 - scenario_.lost_writers;
+    return scenario_.load * scenario_.traffic.capacity * endpoints *
+           (is_burst ? scenario_.traffic.burst_factor : 1);
   }
   double length() {
-    return s_.traffic.exponential ? std::min(chance_.exponential(1), 8.0) : 0.5 + chance_.unit();
+    return scenario_.traffic.has_exponential_lengths ? std::min(random_.exponential(1), 8.0)
+                                                     : 0.5 + random_.unit();
   }
-  void next(Time end) {
-    fixture_.at(fixture_.now() + micros(chance_.exponential(1 / rate())), [this, end] {
+  void submit_next(Time end) {
+    fixture_.at(fixture_.now() + micros(random_.exponential(1 / rate())), [this, end] {
       if (fixture_.now() >= end) return;
-      RouterFixture::Ask ask;
-      const double pick = shares_.back() * chance_.unit();
-      ask.process =
-          static_cast<std::size_t>(std::upper_bound(shares_.begin(), shares_.end(), pick) - shares_.begin());
-      ask.request.request_class = chance_.unit() < 0.3 ? "command" : "ask";
-      ask.request.tenant = chance_.unit() < 0.3 ? "other" : "acme";
-      ask.request.session = 1 + fixture_.asks().size();
-      ask.request.prompt_tokens = 1 + static_cast<int>(figures_.prompt * length());
-      ask.answer = 1 + static_cast<int>(figures_.answer * length());
-      fixture_.ask(ask);
-      next(end);
+      RouterFixture::Submission submission;
+      const double pick = cumulative_weights_.back() * random_.unit();
+      submission.process = static_cast<std::size_t>(
+          std::upper_bound(cumulative_weights_.begin(), cumulative_weights_.end(), pick) -
+          cumulative_weights_.begin());
+      submission.request.request_class = random_.unit() < 0.3 ? "command" : "ask";
+      submission.request.tenant = random_.unit() < 0.3 ? "other" : "acme";
+      submission.request.session = 1 + fixture_.submissions().size();
+      submission.request.prompt_tokens = 1 + static_cast<int>(parameters_.mean_prompt * length());
+      submission.answer_tokens = 1 + static_cast<int>(parameters_.mean_answer * length());
+      fixture_.submit(submission);
+      submit_next(end);
     });
   }
 
-  double allowed(Time time) const {
-    const double age = std::min(1.0, seconds_of(time - start_) / kRamp);
-    return s_.multiple * s_.traffic.capacity * std::lerp(s_.share, 1.0, age) * s_.window;
+  [[nodiscard]] double allowed(Time time) const {
+    const double age = std::min(1.0, to_seconds(time - restart_) / kRamp);
+    return scenario_.overload_multiple * scenario_.traffic.capacity *
+           std::lerp(scenario_.initial_share, 1.0, age) * scenario_.overload_window;
+  }
+  [[nodiscard]] bool is_restarted(const std::string& endpoint) const {
+    return number_of(endpoint) < scenario_.restarted;
   }
-  bool cold(const RouterFixture::Sent& sent) const { return sent.endpoint.back() - '0' < s_.cold; }
 
-  Measured measure() const {
-    Measured m;
-    std::map<std::string, std::vector<const RouterFixture::Sent*>> by_endpoint;
-    for (const auto& sent : fixture_.sent()) {
-      if (cold(sent) && sent.at >= start_) by_endpoint[sent.endpoint].push_back(&sent);
+  [[nodiscard]] Measurement measure() const {
+    Measurement measurement;
+    std::map<std::string, std::vector<const RouterFixture::SentAttempt*>> by_endpoint;
+    for (const auto& sent : fixture_.sent_attempts()) {
+      if (is_restarted(sent.endpoint) && sent.at >= restart_) by_endpoint[sent.endpoint].push_back(&sent);
     }
     for (const auto& [endpoint, sends] : by_endpoint) {
       double sum = 0;
       for (std::size_t first = 0, i = 0; i < sends.size(); ++i) {
         const Time at = sends[i]->at;
         sum += sends[i]->work;
-        while (sends[first]->at <= at - micros(s_.window)) sum -= sends[first++]->work;
-        if (at > start_ + micros(kRamp)) break;
-        const double n = allowed(at), bound = n + 2 * std::sqrt(n) + 2;
-        if (m.bound == 0 || sum / bound > m.greatest / m.bound) m = {n, sum, bound};
+        while (sends[first]->at <= at - micros(scenario_.overload_window)) sum -= sends[first++]->work;
+        if (at > restart_ + micros(kRamp)) break;
+        const double limit = allowed(at);
+        const double bound = limit + 2 * std::sqrt(limit) + 2;
+        if (measurement.bound == 0 || sum / bound > measurement.sent / measurement.bound)
+          measurement = {limit, sum, bound};
       }
     }
-    m.early = part(start_ + micros(1), start_ + micros(kRamp / 2));
-    m.late = part(start_ + micros(kRamp / 2), start_ + micros(kRamp));
-    m.warm = part(start_ + micros(kRamp + 1), start_ + micros(kRamp + kAfter));
-    return m;
+    measurement.early = relative_share(restart_ + micros(1), restart_ + micros(kRamp / 2));
+    measurement.late = relative_share(restart_ + micros(kRamp / 2), restart_ + micros(kRamp));
+    measurement.warm = relative_share(restart_ + micros(kRamp + 1), restart_ + micros(kRamp + kAfter));
+    return measurement;
   }
-  double part(Time from, Time to) const {
-    double to_cold = 0, to_warm = 0;
-    for (const auto& sent : fixture_.sent()) {
-      if (sent.at >= from && sent.at < to) (cold(sent) ? to_cold : to_warm) += 1;
+  // Requests that a restarted replica got, over those of a warm one.
+  [[nodiscard]] double relative_share(Time from, Time to) const {
+    double to_restarted = 0, to_warm = 0;
+    for (const auto& sent : fixture_.sent_attempts()) {
+      if (sent.at < from || sent.at >= to) continue;
+      (is_restarted(sent.endpoint) ? to_restarted : to_warm) += 1;
     }
-    return to_cold / (4 * s_.cold) / std::max(1.0, to_warm / (16 - 4 * s_.cold - s_.lost_writers));
+    return to_restarted / (4 * scenario_.restarted) /
+           std::max(1.0, to_warm / (16 - 4 * scenario_.restarted - scenario_.lost_writers));
   }
 
-  Scenario s_;
-  simulation::Statistics figures_;
-  Chance chance_;
+  Scenario scenario_;
+  simulation::Parameters parameters_;
+  RandomSource random_;
   RouterFixture fixture_;
-  std::vector<double> shares_;
-  Time start_{};
+  std::vector<double> cumulative_weights_;
+  Time restart_{};
 };
 
-Measured check(const Scenario& s, std::uint64_t seed) {
-  const Measured m = Play(s, seed).run();
-  INFO(s.processes << " processes, " << s.traffic.name << ", load " << s.load << ", seed " << seed
-                   << (s.restarts ? ", restarts" : "") << ": " << m.greatest << " in a window of at most "
-                   << m.bound << " (N " << m.allowed << "), part of a warm peer's " << m.early << ", "
-                   << m.late << ", then " << m.warm);
+Measurement check(const Scenario& scenario, std::uint64_t seed) {
+  const Measurement measurement = Simulation(scenario, seed).run();
+  INFO(scenario.processes << " processes, " << scenario.traffic.name << ", load " << scenario.load
+                          << ", seed " << seed << (scenario.has_restarts ? ", restarts" : "") << ": "
+                          << measurement.sent << " in a window of at most " << measurement.bound << " (N "
+                          << measurement.allowed << "), part of a warm peer's " << measurement.early << ", "
+                          << measurement.late << ", then " << measurement.warm);
   if (std::getenv("COLD_FIGURES") != nullptr) {
-    std::printf("| %zu | %s%s | %.1f | %.1f | %.1f | %.1f | %.2f | %.2f | %.2f |\n", s.processes,
-                s.traffic.name, s.restarts ? ", restarts" : "", s.load, m.allowed, m.greatest, m.bound,
-                m.early, m.late, m.warm);
+    std::printf("| %zu | %s%s | %.1f | %.1f | %.1f | %.1f | %.2f | %.2f | %.2f |\n", scenario.processes,
+                scenario.traffic.name, scenario.has_restarts ? ", restarts" : "", scenario.load,
+                measurement.allowed, measurement.sent, measurement.bound, measurement.early, measurement.late,
+                measurement.warm);
   }
-  CHECK(m.greatest <= m.bound);
-  CHECK(m.warm >= 0.5);
-  return m;
+  CHECK(measurement.sent <= measurement.bound);
+  CHECK(measurement.warm >= 0.5);
+  return measurement;
 }
 
 const Traffic kThin{"thin", 10}, kDense{"dense", 50}, kUneven{"uneven", 25, true},
@@ -190,32 +218,34 @@
 constexpr auto kSizes = {1U, 3U, 20U, 30U, 100U, 300U};
 
 Scenario small_multiple(std::size_t processes, const Traffic& traffic, double load) {
-  Scenario s{processes, traffic, load};
-  s.multiple = 2.5, s.share = 0.29, s.window = 1.5;
-  return s;
+  Scenario scenario{processes, traffic, load};
+  scenario.overload_multiple = 2.5;
+  scenario.initial_share = 0.29;
+  scenario.overload_window = 1.5;
+  return scenario;
 }
 
-TEST_CASE("no window of a cold replica is overfull at half load, whatever the number of processes",
+TEST_CASE("no window of a replica in slow start is overfull at half load, whatever the number of processes",
           "[cold]") {
   for (const std::size_t processes : kSizes)
     for (const Traffic& traffic : {kThin, kUneven, kBursty, kSpread}) check({processes, traffic, 0.5}, 11);
 }
 
-TEST_CASE("no window of a cold replica is overfull at high load", "[cold]") {
+TEST_CASE("no window of a replica in slow start is overfull at high load", "[cold]") {
   for (const std::size_t processes : kSizes)
     for (const Traffic& traffic : {kThin, kBoth, kSpreadBursts}) check({processes, traffic, 0.8}, 12);
 }
 
-TEST_CASE("processes with much to send keep a cold replica's windows too", "[cold]") {
+TEST_CASE("processes with much to send keep within a starting replica's windows too", "[cold]") {
   for (const std::size_t processes : {1U, 3U, 20U, 30U}) check({processes, kDense, 0.8}, 13);
 }
 
-TEST_CASE("processes that restart during the ramp don't overfill a cold replica", "[cold]") {
+TEST_CASE("processes that restart during the ramp don't overload a replica in slow start", "[cold]") {
   for (const std::size_t processes : kSizes) {
     for (const Traffic& traffic : {kThin, kBoth}) {
-      Scenario s = small_multiple(processes, traffic, 0.8);
-      s.restarts = true;
-      check(s, 14);
+      Scenario scenario = small_multiple(processes, traffic, 0.8);
+      scenario.has_restarts = true;
+      check(scenario, 14);
     }
   }
 }
@@ -223,39 +253,45 @@
 TEST_CASE("a small multiple over a short window holds in a burst right after the start", "[cold]") {
   for (const std::size_t processes : {3U, 100U, 300U}) {
     for (const std::uint64_t seed : {101U, 102U, 103U}) {
-      Scenario s = small_multiple(processes, kSpreadBursts, 0.8);
-      s.delay = 0.1, s.burst_from = 0.2;
-      check(s, seed);
+      Scenario scenario = small_multiple(processes, kSpreadBursts, 0.8);
+      scenario.max_list_delay = 0.1;
+      scenario.burst_start = 0.2;
+      check(scenario, seed);
     }
   }
 }
 
-TEST_CASE("what many cold replicas serve raises nobody's budget at one of them", "[cold]") {
+TEST_CASE("what many starting replicas serve raises nobody's budget at one of them", "[cold]") {
   for (const std::size_t processes : {1U, 3U, 20U}) {
-    Scenario s = small_multiple(processes, {"uneven bursts", 50, true, 2.5}, 0.8);
-    s.cold = 3, s.delay = 0.1, s.burst_from = 0.2;
-    const Measured m = Play(s, 102).run();
-    INFO(processes << " processes: " << m.greatest << " in a window of at most " << m.bound);
-    CHECK(m.greatest <= m.bound);
+    Scenario scenario = small_multiple(processes, {"uneven bursts", 50, true, 2.5}, 0.8);
+    scenario.restarted = 3;
+    scenario.max_list_delay = 0.1;
+    scenario.burst_start = 0.2;
+    const Measurement measurement = Simulation(scenario, 102).run();
+    INFO(processes << " processes: " << measurement.sent << " in a window of at most " << measurement.bound);
+    CHECK(measurement.sent <= measurement.bound);
   }
 }
 
-TEST_CASE("a cell with few writers does not pour all that it reads into a cold one", "[cold]") {
+TEST_CASE("a cell with few writers does not send all that it reads to a starting one", "[cold]") {
   for (const std::size_t processes : {3U, 30U, 300U}) {
-    Scenario s = small_multiple(processes, kBursty, 0.5);
-    s.lost_writers = 3, s.delay = 0.1, s.burst_from = 0.2;
-    check(s, 15);
+    Scenario scenario = small_multiple(processes, kBursty, 0.5);
+    scenario.lost_writers = 3;
+    scenario.max_list_delay = 0.1;
+    scenario.burst_start = 0.2;
+    check(scenario, 15);
   }
 }
 
-TEST_CASE("what a cold replica gets rises with what it can do", "[cold]") {
+TEST_CASE("what a replica in slow start gets rises with its capacity", "[cold]") {
   for (const std::size_t processes : {1U, 3U, 20U, 300U}) {
-    Scenario s = small_multiple(processes, {"steady", 50}, 0.5);
-    s.delay = 0.1;
-    const Measured m = check(s, 16);
-    INFO(processes << " processes: part of a warm peer's " << m.early << ", then " << m.late);
-    CHECK(m.early > 0);
-    CHECK(m.late > 1.25 * m.early);
+    Scenario scenario = small_multiple(processes, {"steady", 50}, 0.5);
+    scenario.max_list_delay = 0.1;
+    const Measurement measurement = check(scenario, 16);
+    INFO(processes << " processes: part of a warm peer's " << measurement.early << ", then "
+                   << measurement.late);
+    CHECK(measurement.early > 0);
+    CHECK(measurement.late > 1.25 * measurement.early);
   }
 }
 
