--- a/src/degradation/signals.cpp
+++ b/src/degradation/signals.cpp
@@ -101,7 +101,8 @@
 }
 
 std::size_t Signals::count_ready(const ZoneRole& group) const {
-  const auto& [zone, role] = group;
+  const std::string& zone = group.first;
+  const Role role = group.second;
   const auto count = std::count_if(endpoints_.begin(), endpoints_.end(), [&](const auto& entry) {
     const Endpoint& endpoint = entry.second;
     return endpoint.ready && serves_role(endpoint.role, role) && (zone == kAllZones || endpoint.zone == zone);
--- a/src/rate_limit/counter_table.cpp
+++ b/src/rate_limit/counter_table.cpp
@@ -129,7 +129,7 @@
   });
   for (const Entry& entry : active) {
     for (const auto set : {resized.primary_set(entry.key), resized.secondary_set(entry.key)}) {
-      const auto free = std::find_if(set.begin(), set.end(), [](const Entry& it) { return it.key == 0; });
+      const auto free = std::find_if(set.begin(), set.end(), [](const Entry& slot) { return slot.key == 0; });
       if (free == set.end()) continue;
       *free = entry;
       break;
--- a/src/rate_limit/request_attributes.cpp
+++ b/src/rate_limit/request_attributes.cpp
@@ -60,17 +60,17 @@
   const Value session = attributes.session == 0
                             ? Value::of(expression::Fault::kAbsent)
                             : Value::of(std::string_view(session_text.data(), session_text.size()));
-  std::size_t i = 0;
-  values[i++] = text_value(attributes.request_class, kMaxNameLength);
-  values[i++] = text_value(attributes.account, kMaxNameLength);
-  values[i++] = text_value(attributes.model, kMaxNameLength);
-  values[i++] = session;
-  values[i++] = Value::of(attributes.is_openai_api ? kOpenAiFrontend : kPlatformFrontend);
-  values[i++] = Value::of(attributes.is_retry);
-  values[i++] = Value::of(attributes.prompt_tokens);
-  values[i++] = Value::of(attributes.shared_tokens);
-  values[i++] = Value::of(attributes.max_tokens);
-  values[i++] = Value::of(attributes.time_left_ms);
+  std::size_t index = 0;
+  values[index++] = text_value(attributes.request_class, kMaxNameLength);
+  values[index++] = text_value(attributes.account, kMaxNameLength);
+  values[index++] = text_value(attributes.model, kMaxNameLength);
+  values[index++] = session;
+  values[index++] = Value::of(attributes.is_openai_api ? kOpenAiFrontend : kPlatformFrontend);
+  values[index++] = Value::of(attributes.is_retry);
+  values[index++] = Value::of(attributes.prompt_tokens);
+  values[index++] = Value::of(attributes.shared_tokens);
+  values[index++] = Value::of(attributes.max_tokens);
+  values[index++] = Value::of(attributes.time_left_ms);
 }
 
 }  // namespace dispatcher::rate_limit
--- a/src/rate_limit/rules.cpp
+++ b/src/rate_limit/rules.cpp
@@ -17,8 +17,9 @@
 // Keeps emission intervals, and sums of them with the clock, within 64 bits.
 constexpr Nanoseconds kMaxInterval = std::chrono::hours(240);
 
-Nanoseconds bounded_interval(double ns) {
-  return Nanoseconds(static_cast<std::int64_t>(std::min(ns, static_cast<double>(kMaxInterval.count()))));
+Nanoseconds bounded_interval(double nanoseconds) {
+  return Nanoseconds(
+      static_cast<std::int64_t>(std::min(nanoseconds, static_cast<double>(kMaxInterval.count()))));
 }
 
 std::uint32_t share_of(std::int64_t total, std::int64_t instance, std::int64_t instances) {
@@ -85,17 +86,19 @@
   return part;
 }
 
-double RuleSet::result_ns(std::size_t i) const { return worst_ns(i) - conditions_.condition(i).worst_ns(); }
+double RuleSet::result_ns(std::size_t index) const {
+  return worst_ns(index) - conditions_.condition(index).worst_ns();
+}
 
-double RuleSet::worst_ns(std::size_t i) const {
-  const Rule& rule = rules_[i];
-  double ns = conditions_.condition(i).worst_ns();
+double RuleSet::worst_ns(std::size_t index) const {
+  const Rule& rule = rules_[index];
+  double cost = conditions_.condition(index).worst_ns();
   for (const auto* program : {&rule.request_class, &rule.account, &rule.session}) {
-    if (*program) ns += (*program)->worst_ns() + kKeyNs;
+    if (*program) cost += (*program)->worst_ns() + kKeyNs;
   }
   for (const Limit& limit : rule.limits)
-    ns += limit.key.worst_ns() + kKeyNs + kKeyByteNs * static_cast<double>(limit.key.longest());
-  return ns;
+    cost += limit.key.worst_ns() + kKeyNs + kKeyByteNs * static_cast<double>(limit.key.longest());
+  return cost;
 }
 
 std::optional<cue::Problem> RuleSet::check_budget() {
