--- a/src/degradation/signals.cpp
+++ b/src/degradation/signals.cpp
@@ -135,6 +135,7 @@
 std::vector<Value> Signals::values(std::size_t in_progress, std::optional<Time> endpoints_updated_at,
                                    Time now) {
   std::vector<Value> values;
+  values.reserve(2 * kRoles.size() + 2 + classes_.size());
   const bool is_list_fresh = endpoints_updated_at && now - *endpoints_updated_at <= kMaxListAge;
   for (const Role role : kRoles)
     values.push_back(is_list_fresh ? ready_fraction({kAllZones, role}, now) : absent());
