--- a/src/daemon/components.cpp
+++ b/src/daemon/components.cpp
@@ -52,7 +52,7 @@
       peer(loop.io(), shared_path(config, ".sock"), loop.timers(), loop.clock(), log,
            callbacks.hot_restart_owner) {
   pool.attach(engine);
-  rate_limiter.adopt(std::exchange(initial_rules, nullptr), loop.now());
+  rate_limiter.replace_rules(std::exchange(initial_rules, nullptr), loop.now());
   platform.attach(rate_limiter);
   platform.attach(levels);
   engine.set_request_observer(&levels);
@@ -73,9 +73,9 @@
   admin::AdminCallbacks calls;
   calls.ready = callbacks.is_ready;
   calls.maintain = callbacks.drain_endpoint;
-  calls.level = [this] { return levels.level(); };
-  calls.levels = [this] { return levels.changes(); };
-  calls.pin = [this](const std::string& name) { return levels.order(name); };
+  calls.level = [this] { return levels.status(); };
+  calls.levels = [this] { return levels.history(); };
+  calls.pin = [this](const std::string& name) { return levels.set_override(name); };
   admin.emplace(loop.io(), *config.console, loop.timers(), loop.clock(), std::move(calls),
                 [this] { return pool.evict_idle(); });
 }
@@ -100,14 +100,14 @@
   const std::size_t each = processes() == ProcessCount::kTwo ? 2 : 1;
   const auto number = static_cast<std::size_t>(std::max(0, config.settings.router_number));
   const auto count = static_cast<std::size_t>(std::max(1, config.settings.router_count));
-  rate_limiter.share(each * number + (peer.has_elder() ? 1 : 0), each * count);
+  rate_limiter.set_instance(each * number + (peer.has_elder() ? 1 : 0), each * count);
 }
 
 void Components::update_endpoints(const service_discovery::EndpointSnapshot& snapshot) {
   service_discovery::merge(endpoints, snapshot);
   pool.update_endpoints(snapshot.addresses, snapshot.whole);
   engine.update_endpoints(snapshot.list);
-  levels.endpoints(snapshot.list);
+  levels.update_endpoints(snapshot.list);
 }
 
 }  // namespace dispatcher::daemon
--- a/src/daemon/configuration_reloader.cpp
+++ b/src/daemon/configuration_reloader.cpp
@@ -53,8 +53,8 @@
   parts_.engine.apply_settings(settings);
   parts_.platform.adopt(settings);
   if (parts_.chat) parts_.chat->adopt(*chat);
-  parts_.rate_limiter.adopt(rules, parts_.loop.now());
-  parts_.levels.adopt(*settings, levels);
+  parts_.rate_limiter.replace_rules(rules, parts_.loop.now());
+  parts_.levels.apply_settings(*settings, levels);
   parts_.config.settings = next.settings;
   parts_.config.source = next.source;
   parts_.config.sockets = next.sockets;
--- a/src/daemon/dispatcher.cpp
+++ b/src/daemon/dispatcher.cpp
@@ -64,7 +64,7 @@
   restore_drained_endpoints();  // before any list
   restore_endpoint_list(handover.list);
   parts_.engine.restore_learned_state(handover.learned_state);
-  parts_.levels.resume(handover.level);
+  parts_.levels.restore(handover.level);
   for (const std::string& id : handover.ids)
     parts_.engine.on_peer_request_progress(id, engine::RequestProgress::kInProgress);
   parts_.watch.start(parts_.endpoints.seq);
--- a/src/daemon/dispatcher.hpp
+++ b/src/daemon/dispatcher.hpp
@@ -41,7 +41,7 @@
   std::map<std::string, int> listening() override;
   std::vector<std::string> open_ids() override { return parts_.engine.open_request_ids(); }
   routing::LearnedState learned_state() override { return parts_.engine.learned_state(); }
-  hot_restart::Json level() override { return parts_.levels.level(); }
+  hot_restart::Json level() override { return parts_.levels.status(); }
   void inherit(hot_restart::HandoverState handover) override;
   void on_ban(const std::string& endpoint, bool offline) override { change_drain(endpoint, offline); }
   void on_request(const std::string& id, bool open) override {
