--- /dev/null
+++ b/tests/dispatcher/hot_restart_compatibility_test.cpp
@@ -0,0 +1,402 @@
+// Hand-over between this release and the one before it, in both directions. The literals are what the
+// previous release wrote to its socket and its file, recorded from its library; they must never be edited to
+// follow the code, since a process of that release may be the other end.
+#include <sys/socket.h>
+#include <sys/un.h>
+#include <unistd.h>
+
+#include <array>
+#include <cstring>
+#include <filesystem>
+#include <fstream>
+#include <iterator>
+
+#include "daemon/dispatcher.hpp"
+#include "fixture.hpp"
+#include "hot_restart/drained_endpoint_store.hpp"
+#include "hot_restart/hot_restart_peer.hpp"
+
+namespace dispatcher::testing {
+namespace {
+
+namespace fs = std::filesystem;
+using hot_restart::Json;
+
+constexpr std::string_view kHandover =
+    R"({"estate":true,"ids":["a1","b\"2",")"
+    "\xef\xbf\xbd"  // an id that was not UTF-8 has its bad bytes replaced
+    R"("],"knowledge":{"far":[3.0,0.5,9],"hosts":[{"back":79000000,"host":"r1",)"
+    R"("sends":[80000000,81000000]},{"back":0,"host":"w1","sends":[]}],"served":[5,6,0],"since":77000000,)"
+    R"("starts":[[0.1,0.3333333333333333,7],[12.5,0.25,40],[0.0,0.5,0]]},"level":{"level":"less",)"
+    R"("pinned":true,"shed":3,"signals":{"open":12}},"list":{"hosts":[{"block":2,"born_ms":0.0,)"
+    R"("class":"reader","dial":"127.0.0.1:3000","health":"up","host":"r1","share":1.0,"site":"here"},)"
+    R"({"block":0,"born_ms":1799999999123.5,"class":"writer","dial":"[::1]:3001","health":"draining",)"
+    R"("host":"w1","share":0.5,"site":"there"}],"seq":41,"whole":true},"listening":["chat","platform"]})";
+// Of a list that is too long for one message.
+constexpr std::string_view kHandoverWithoutList =
+    R"({"estate":true,"knowledge":{"far":[3.0,0.5,9],"hosts":[{"back":79000000,"host":"r1",)"
+    R"("sends":[80000000,81000000]},{"back":0,"host":"w1","sends":[]}],"served":[5,6,0],"since":77000000,)"
+    R"("starts":[[0.1,0.3333333333333333,7],[12.5,0.25,40],[0.0,0.5,0]]},"level":{"level":"less",)"
+    R"("pinned":true,"shed":3,"signals":{"open":12}},"listening":["chat","platform"]})";
+constexpr std::string_view kServing = R"({"serving":true})";
+constexpr std::string_view kOffline = R"({"ban":"r1","offline":true})";
+constexpr std::string_view kOnline = R"({"ban":"r1","offline":false})";
+constexpr std::string_view kRequestOpened = R"({"open":true,"request":"a1"})";
+constexpr std::string_view kRequestClosed = R"({"open":false,"request":"a1"})";
+constexpr std::string_view kSent = R"({"sent":"r1"})";
+constexpr std::string_view kVrrpActive = R"({"vrrp":true})";
+constexpr std::string_view kVrrpBackup = R"({"vrrp":false})";
+constexpr std::string_view kStream =
+    R"({"stream":{"chunk_left":17,"host":"w1","id":"a1","keep_alive":true,"unread":[100,97,10,255]}})";
+constexpr std::string_view kDrainedEndpointsFile = R"({"offline":["r\"1","w1"]})";
+
+struct Folder {
+  Folder() {
+    std::string name = (fs::temp_directory_path() / "bitternferry-XXXXXX").string();
+    if (::mkdtemp(name.data()) == nullptr) throw std::runtime_error("no folder");
+    path = name;
+  }
+  ~Folder() { fs::remove_all(path); }
+  std::string operator/(const std::string& file) const { return path + "/" + file; }
+  std::string path;
+};
+
+struct Packet {
+  std::string text;
+  std::size_t descriptors = 0;
+};
+
+// The other process's end as the kernel sees it, without any code of this release.
+class RawSocket {
+ public:
+  static RawSocket connect(const std::string& path) {
+    RawSocket socket(make());
+    const sockaddr_un address = address_of(path);
+    REQUIRE(::connect(socket.fd_.get(), reinterpret_cast<const sockaddr*>(&address), sizeof address) == 0);
+    return socket;
+  }
+  static RawSocket listen(const std::string& path) {
+    RawSocket socket(make());
+    const sockaddr_un address = address_of(path);
+    REQUIRE(::bind(socket.fd_.get(), reinterpret_cast<const sockaddr*>(&address), sizeof address) == 0);
+    REQUIRE(::listen(socket.fd_.get(), 1) == 0);
+    return socket;
+  }
+  [[nodiscard]] RawSocket accept() const {
+    RawSocket socket(net::UniqueFd(::accept(fd_.get(), nullptr, nullptr)));
+    REQUIRE(socket.fd_);
+    return socket;
+  }
+  void send(std::string_view text, const std::vector<int>& descriptors = {}) const {
+    iovec piece{const_cast<char*>(text.data()), text.size()};
+    msghdr head{};
+    head.msg_iov = &piece;
+    head.msg_iovlen = 1;
+    alignas(cmsghdr) std::array<char, CMSG_SPACE(sizeof(int) * 2)> ancillary{};
+    if (!descriptors.empty()) {
+      REQUIRE(descriptors.size() == 2);
+      head.msg_control = ancillary.data();
+      head.msg_controllen = ancillary.size();
+      cmsghdr* control = CMSG_FIRSTHDR(&head);
+      control->cmsg_level = SOL_SOCKET;
+      control->cmsg_type = SCM_RIGHTS;
+      control->cmsg_len = CMSG_LEN(sizeof(int) * 2);
+      std::memcpy(CMSG_DATA(control), descriptors.data(), sizeof(int) * 2);
+    }
+    REQUIRE(::sendmsg(fd_.get(), &head, MSG_NOSIGNAL) == static_cast<ssize_t>(text.size()));
+  }
+  // None: there is no packet yet.
+  [[nodiscard]] std::optional<Packet> receive() const {
+    std::string text(1024 * 1024, '\0');
+    iovec piece{text.data(), text.size()};
+    msghdr head{};
+    head.msg_iov = &piece;
+    head.msg_iovlen = 1;
+    alignas(cmsghdr) std::array<char, 256> ancillary{};
+    head.msg_control = ancillary.data();
+    head.msg_controllen = ancillary.size();
+    const auto size = ::recvmsg(fd_.get(), &head, MSG_DONTWAIT | MSG_CMSG_CLOEXEC);
+    if (size <= 0) return std::nullopt;
+    text.resize(static_cast<std::size_t>(size));
+    Packet packet{std::move(text)};
+    for (cmsghdr* control = CMSG_FIRSTHDR(&head); control != nullptr; control = CMSG_NXTHDR(&head, control)) {
+      const std::size_t count = (control->cmsg_len - CMSG_LEN(0)) / sizeof(int);
+      for (std::size_t i = 0; i < count; ++i) {
+        int fd = -1;
+        std::memcpy(&fd, CMSG_DATA(control) + i * sizeof(int), sizeof(int));
+        ::close(fd);
+      }
+      packet.descriptors += count;
+    }
+    return packet;
+  }
+
+ private:
+  explicit RawSocket(net::UniqueFd fd) : fd_(std::move(fd)) {}
+  static net::UniqueFd make() {
+    net::UniqueFd fd(::socket(AF_UNIX, SOCK_SEQPACKET | SOCK_CLOEXEC, 0));
+    REQUIRE(fd);
+    return fd;
+  }
+  static sockaddr_un address_of(const std::string& path) {
+    sockaddr_un address{};
+    address.sun_family = AF_UNIX;
+    REQUIRE(path.size() < sizeof address.sun_path);
+    std::memcpy(address.sun_path, path.c_str(), path.size());
+    return address;
+  }
+  net::UniqueFd fd_;
+};
+
+// An owner with the state that the previous release had when its messages were recorded.
+struct RecordedOwner : hot_restart::HotRestartPeer::Owner {
+  Json list() override {
+    if (long_list) return std::string(600UL * 1024, 'x');
+    return service_discovery::to_json(service_discovery::parse_servers(Json::parse(kHandover).at("list")));
+  }
+  std::map<std::string, int> listening() override { return {{"platform", 0}, {"chat", 1}}; }
+  std::vector<std::string> open_ids() override { return {"a1", "b\"2", "\xff"}; }
+  routing::LearnedState learned_state() override {
+    routing::LearnedState state;
+    state.starts[0] = {0.1, 1.0 / 3, 7};
+    state.starts[1] = {12.5, 0.25, 40};
+    state.far = {3, 0.5, 9};
+    state.served = {5, 6, 0};
+    state.since = seconds(77);
+    state.endpoints.push_back({"r1", {seconds(80), seconds(81)}, seconds(79)});
+    state.endpoints.push_back({"w1", {}, {}});
+    return state;
+  }
+  Json level() override {
+    return {{"level", "less"}, {"pinned", true}, {"shed", 3}, {"signals", {{"open", 12}}}};
+  }
+  void inherit(hot_restart::HandoverState handover) override { inherited.push_back(std::move(handover)); }
+  void on_ban(const std::string& endpoint, bool offline) override {
+    events.push_back("drained " + endpoint + (offline ? " yes" : " no"));
+  }
+  void on_request(const std::string& id, bool open) override {
+    events.push_back("request " + id + (open ? " open" : " closed"));
+  }
+  void on_sent(const std::string& endpoint) override { events.push_back("sent " + endpoint); }
+  void on_stream(const Json& facts, net::UniqueFd client, net::UniqueFd replica) override {
+    CHECK(client);
+    CHECK(replica);
+    CHECK(Json{{"stream", facts}}.dump() == kStream);
+    events.emplace_back("stream");
+  }
+  void on_vrrp(bool was_active) override { events.emplace_back(was_active ? "vrrp active" : "vrrp backup"); }
+  void on_partners() override { events.emplace_back("peers changed"); }
+
+  bool long_list = false;
+  std::vector<hot_restart::HandoverState> inherited;
+  std::vector<std::string> events;
+};
+
+// A peer of this release whose other end is a raw socket.
+struct PeerFixture {
+  PeerFixture() {
+    peer.emplace(
+        work.io, path, work.timers, work.clock(), [](std::string_view) {}, owner);
+  }
+  ~PeerFixture() { peer->close(); }
+  // This release serves, and a process of the previous one comes to take over.
+  RawSocket serve() {
+    peer->start();
+    peer->serving();
+    return RawSocket::connect(path);
+  }
+  // A process of the previous release serves, and this one comes to take over.
+  RawSocket take_over() {
+    const RawSocket listener = RawSocket::listen(path);
+    peer->start();
+    return listener.accept();
+  }
+  Packet next(const RawSocket& socket) {
+    std::optional<Packet> packet;
+    REQUIRE(work.until([&] {
+      packet = socket.receive();
+      return packet.has_value();
+    }));
+    return *packet;
+  }
+  void expect(const RawSocket& socket, std::string_view text, std::size_t descriptors = 0) {
+    const Packet packet = next(socket);
+    CHECK(packet.text == text);
+    CHECK(packet.descriptors == descriptors);
+  }
+  void wait_for(std::size_t events) {
+    REQUIRE(work.until([&] { return owner.events.size() >= events; }));
+  }
+  Folder folder;
+  std::string path = folder / "peer.sock";
+  Clockwork work;
+  RecordedOwner owner;
+  std::optional<hot_restart::HotRestartPeer> peer;
+};
+
+TEST_CASE("to a successor of the previous release each message is byte for byte as that release wrote it",
+          "[upgrade][compatibility]") {
+  PeerFixture fixture;
+  const RawSocket successor = fixture.serve();
+  fixture.expect(successor, kHandover, 2);
+  successor.send(kServing);
+  REQUIRE(fixture.work.until([&] { return fixture.peer->succeeded(); }));
+  fixture.peer->tell_ban("r1", true);
+  fixture.expect(successor, kOffline);
+  fixture.peer->tell_ban("r1", false);
+  fixture.expect(successor, kOnline);
+  fixture.peer->tell_request("a1", true);
+  fixture.expect(successor, kRequestOpened);
+  fixture.peer->tell_request("a1", false);
+  fixture.expect(successor, kRequestClosed);
+  fixture.peer->tell_sent("r1");
+  fixture.expect(successor, kSent);
+  fixture.peer->tell_vrrp(true);
+  fixture.expect(successor, kVrrpActive);
+  fixture.peer->tell_vrrp(false);
+  fixture.expect(successor, kVrrpBackup);
+  fixture.peer->give_stream(Json::parse(kStream).at("stream"), 0, 1);
+  fixture.expect(successor, kStream, 2);
+}
+
+TEST_CASE("to a predecessor of the previous release each message is byte for byte as that release wrote it",
+          "[upgrade][compatibility]") {
+  PeerFixture fixture;
+  const RawSocket predecessor = fixture.take_over();
+  fixture.peer->serving();
+  fixture.expect(predecessor, kServing);
+  fixture.peer->tell_ban("r1", true);
+  fixture.expect(predecessor, kOffline);
+  fixture.peer->tell_request("a1", true);
+  fixture.expect(predecessor, kRequestOpened);
+  fixture.peer->tell_sent("r1");
+  fixture.expect(predecessor, kSent);
+  fixture.peer->tell_vrrp(true);  // the predecessor has left the pair: it is not told
+  fixture.work.settle();
+  CHECK_FALSE(predecessor.receive());
+}
+
+TEST_CASE("a list that is too long is left out of the hand-over, as the previous release did",
+          "[upgrade][compatibility]") {
+  PeerFixture fixture;
+  fixture.owner.long_list = true;
+  const RawSocket successor = fixture.serve();
+  fixture.expect(successor, kHandoverWithoutList, 2);
+}
+
+TEST_CASE("the previous release's hand-over is read into the state that it was written from",
+          "[upgrade][compatibility]") {
+  PeerFixture fixture;
+  const RawSocket predecessor = fixture.take_over();
+  predecessor.send(kHandover, {0, 1});
+  REQUIRE(fixture.work.until([&] { return !fixture.owner.inherited.empty(); }));
+  const hot_restart::HandoverState& state = fixture.owner.inherited.front();
+  CHECK(state.list == Json::parse(kHandover).at("list"));
+  CHECK(state.level == Json::parse(kHandover).at("level"));
+  CHECK(state.ids == std::vector<std::string>{"a1", "b\"2", "\xef\xbf\xbd"});
+  REQUIRE(state.listening.size() == 2);
+  CHECK(state.listening.at("chat"));
+  CHECK(state.listening.at("platform"));
+  const routing::LearnedState expected = fixture.owner.learned_state();
+  const routing::LearnedState& learned = state.learned_state;
+  for (std::size_t role = 0; role < expected.starts.size(); ++role) {
+    CHECK(learned.starts[role].mean == expected.starts[role].mean);
+    CHECK(learned.starts[role].dev == expected.starts[role].dev);
+    CHECK(learned.starts[role].n == expected.starts[role].n);
+  }
+  CHECK(learned.far.mean == expected.far.mean);
+  CHECK(learned.far.dev == expected.far.dev);
+  CHECK(learned.far.n == expected.far.n);
+  CHECK(learned.served == expected.served);
+  CHECK(learned.since == expected.since);
+  REQUIRE(learned.endpoints.size() == expected.endpoints.size());
+  for (std::size_t i = 0; i < expected.endpoints.size(); ++i) {
+    CHECK(learned.endpoints[i].endpoint == expected.endpoints[i].endpoint);
+    CHECK(learned.endpoints[i].sends == expected.endpoints[i].sends);
+    CHECK(learned.endpoints[i].back == expected.endpoints[i].back);
+  }
+}
+
+TEST_CASE("the previous release's hand-over without a list is read, with neither list nor ids",
+          "[upgrade][compatibility]") {
+  PeerFixture fixture;
+  const RawSocket predecessor = fixture.take_over();
+  predecessor.send(kHandoverWithoutList, {0, 1});
+  REQUIRE(fixture.work.until([&] { return !fixture.owner.inherited.empty(); }));
+  const hot_restart::HandoverState& state = fixture.owner.inherited.front();
+  CHECK(state.list.is_null());
+  CHECK(state.ids.empty());
+  CHECK(state.listening.size() == 2);
+  CHECK(state.learned_state.served == std::array<int, 3>{5, 6, 0});
+}
+
+TEST_CASE("each message of a predecessor of the previous release reaches the owner",
+          "[upgrade][compatibility]") {
+  PeerFixture fixture;
+  const RawSocket predecessor = fixture.take_over();
+  predecessor.send(kHandover, {0, 1});
+  for (const std::string_view message :
+       {kOffline, kOnline, kRequestOpened, kRequestClosed, kSent, kVrrpActive, kVrrpBackup})
+    predecessor.send(message);
+  predecessor.send(kStream, {0, 1});
+  fixture.wait_for(9);
+  CHECK(fixture.owner.events == std::vector<std::string>{"peers changed", "drained r1 yes", "drained r1 no",
+                                                         "request a1 open", "request a1 closed", "sent r1",
+                                                         "vrrp active", "vrrp backup", "stream"});
+}
+
+TEST_CASE("each message of a successor of the previous release reaches the owner",
+          "[upgrade][compatibility]") {
+  PeerFixture fixture;
+  const RawSocket successor = fixture.serve();
+  fixture.expect(successor, kHandover, 2);
+  CHECK_FALSE(fixture.peer->succeeded());
+  for (const std::string_view message : {kServing, kOffline, kOnline, kRequestOpened, kRequestClosed, kSent})
+    successor.send(message);
+  fixture.wait_for(7);
+  CHECK(fixture.peer->succeeded());
+  CHECK(fixture.owner.events == std::vector<std::string>{"peers changed", "peers changed", "drained r1 yes",
+                                                         "drained r1 no", "request a1 open",
+                                                         "request a1 closed", "sent r1"});
+}
+
+TEST_CASE("the file of drained endpoints is read and written as the previous release had it",
+          "[upgrade][compatibility]") {
+  const Folder folder;
+  const std::string path = folder / "x.bans";
+  std::ofstream(path) << kDrainedEndpointsFile;
+  hot_restart::DrainedEndpointStore store(path, [](std::string_view) {});
+  store.load();
+  CHECK(store.endpoints() == std::set<std::string>{"r\"1", "w1"});
+  CHECK(store.set("a", true));  // written anew, twice
+  CHECK(store.set("a", false));
+  std::ifstream file(path);
+  const std::string text{std::istreambuf_iterator<char>(file), {}};
+  CHECK(text == kDrainedEndpointsFile);
+}
+
+TEST_CASE("the socket and the file of drained endpoints have the previous release's names",
+          "[upgrade][compatibility]") {
+  const Folder folder;
+  std::ofstream(folder / "bitternferry-n_1_x.bans") << kDrainedEndpointsFile;
+  daemon::Loop loop;
+  daemon::Config config;
+  config.name = "n-1.x";
+  config.listen = config.discovery = loopback();
+  config.discovery.port(1);  // nobody listens there
+  config.scratch = folder.path;
+  config.settings = make_settings();
+  std::vector<std::string> logs;
+  daemon::Dispatcher dispatcher(loop, config, {}, [&](std::string_view line) { logs.emplace_back(line); });
+  dispatcher.start();
+  CHECK(std::any_of(logs.begin(), logs.end(),
+                    [](const auto& line) { return line.find("w1 still offline") != std::string::npos; }));
+  const RawSocket successor = RawSocket::connect(folder / "bitternferry-n_1_x.sock");
+  std::optional<Packet> packet;
+  while (!(packet = successor.receive())) loop.io().run_one();
+  CHECK(packet->text.starts_with(R"({"estate":true,"ids":[],"knowledge":{)"));
+  CHECK(packet->descriptors == 1);
+}
+
+}  // namespace
+}  // namespace dispatcher::testing
