--- a/src/daemon/config.cpp
+++ b/src/daemon/config.cpp
@@ -115,8 +115,8 @@
 service_discovery::EndpointSnapshot read_known(const Json& source, std::vector<Finding>& findings) {
   service_discovery::EndpointSnapshot known;
   try {
-    known = service_discovery::parse_servers(source);
-    known.whole = true;
+    known = service_discovery::parse_endpoint_snapshot(source);
+    known.is_complete = true;
     known.list.kind = routing::ListKind::kCached;
   } catch (const std::exception& e) {
     findings.push_back({Severity::kRefuse, "known", e.what(), ""});
--- a/src/daemon/dispatcher.cpp
+++ b/src/daemon/dispatcher.cpp
@@ -100,12 +100,11 @@
       engine_(rules_, config.seed, pool_, loop.timers(), loop.clock(), log),
       platform_(loop.io(), config.listen, engine_, rules_, loop.timers(), loop.clock(),
                 server_options(config, chat_config_ ? 2 : 1), [this] { return pool_.shed(); }),
-      watch_(
-          loop.io(), config.discovery, loop.timers(), loop.clock(), log,
-          [this](const service_discovery::EndpointSnapshot& servers) { apply(servers); },
-          config.settings.router_count, config.seed ^ 0x5bd1e995,
-          config.settings.polls_endpoint_list ? service_discovery::Lists::kAskedFor
-                                              : service_discovery::Lists::kPushed),
+      watch_(loop.io(), config.discovery, loop.timers(), loop.clock(), log,
+             [this](const service_discovery::EndpointSnapshot& servers) { apply(servers); },
+             {config.settings.router_count, config.seed ^ 0x5bd1e995,
+              config.settings.polls_endpoint_list ? service_discovery::ListDelivery::kPoll
+                                                  : service_discovery::ListDelivery::kPush}),
       drained_endpoints_(shared_path(config, ".bans"), log),
       peer_(loop.io(), shared_path(config, ".sock"), loop.timers(), loop.clock(), log, *this),
       signals_(loop.io(), SIGTERM, SIGINT, SIGHUP) {
@@ -153,11 +152,11 @@
   peer_.start();
 }
 
-void Dispatcher::inherit(hot_restart::HandoverState handover) {
-  if (!draining_) serve(std::move(handover));  // else: told to end before it began
+void Dispatcher::on_handover(hot_restart::HandoverState state) {
+  if (!draining_) serve(std::move(state));  // else: told to end before it began
 }
 
-void Dispatcher::serve(hot_restart::HandoverState handover) {
+void Dispatcher::serve(hot_restart::HandoverState state) {
   // What operators left out goes before any list.
   drained_endpoints_.load();
   for (const std::string& endpoint : drained_endpoints_.endpoints()) {
@@ -166,21 +165,21 @@
   }
   // Discovery may be silent for long: the list that was last known serves until it speaks.
   apply(config_.known);
-  if (!handover.list.is_null()) {
+  if (!state.endpoint_list.is_null()) {
     try {
-      apply(service_discovery::parse_servers(handover.list));
+      apply(service_discovery::parse_endpoint_snapshot(state.endpoint_list));
     } catch (const std::exception& e) {
       log_(std::string("upgrade: the list can't be read: ") + e.what());
     }
   }
-  engine_.learn(handover.learned_state);
-  levels_.resume(handover.level);
-  for (const std::string& id : handover.ids) engine_.request_elsewhere(id, true);
-  watch_.start(servers_.seq);
-  platform_.server().open(std::move(handover.listening["platform"]));
-  chat_socket_ = std::move(handover.listening["chat"]);
+  engine_.learn(state.learned_state);
+  levels_.resume(state.degradation_level);
+  for (const std::string& id : state.open_request_ids) engine_.request_elsewhere(id, true);
+  watch_.start(servers_.version);
+  platform_.server().open(std::move(state.listening_sockets["platform"]));
+  chat_socket_ = std::move(state.listening_sockets["chat"]);
   if (pair_) {
-    if (!peer_.has_elder()) speak(false);
+    if (!peer_.has_predecessor()) speak(false);
   } else if (chat_) {
     chat_->server().open(std::move(chat_socket_));
   }
@@ -188,7 +187,7 @@
   if (chat_ && !pair_) log_("chat front on " + text(chat_->server().local()));
   serving_ = true;
   watch_levels();
-  peer_.serving();
+  peer_.on_serving();
 }
 
 // VRRP decides who of the pair listens at the chat address. Of two processes of one router only one speaks.
@@ -206,26 +205,26 @@
   vrrp_->start(succeeds);
 }
 
-void Dispatcher::on_vrrp(bool was_active) {
+void Dispatcher::on_vrrp_left(bool was_active) {
   if (serving_) speak(was_active);
 }
 
-std::map<std::string, int> Dispatcher::listening() {
+std::map<std::string, int> Dispatcher::listening_sockets() {
   std::map<std::string, int> sockets;
   if (platform_.server().is_open()) sockets["platform"] = platform_.server().listening();
   if (chat_ && chat_->server().is_open()) sockets["chat"] = chat_->server().listening();
   return sockets;
 }
 
-void Dispatcher::on_partners() {
+void Dispatcher::on_peers_changed() {
   bound();
-  if (!peer_.shared()) engine_.alone();
-  if (!peer_.has_elder() && serving_) speak(false);
-  if (draining_ && peer_.succeeded()) stop_taking();
+  if (!peer_.has_peer()) engine_.alone();
+  if (!peer_.has_predecessor() && serving_) speak(false);
+  if (draining_ && peer_.is_successor_serving()) stop_taking();
 }
 
 void Dispatcher::bound() {
-  const bool shared = peer_.shared();
+  const bool shared = peer_.has_peer();
   share_limits();
   pool_.adopt(pool_options(config_, shared));
   const http::ServerOptions options = server_options(config_, servers().size(), shared);
@@ -234,14 +233,14 @@
 
 // Two processes of one instance keep half of its part each.
 void Dispatcher::share_limits() {
-  const std::size_t each = peer_.shared() ? 2 : 1;
+  const std::size_t each = peer_.has_peer() ? 2 : 1;
   const auto number = static_cast<std::size_t>(std::max(0, config_.settings.router_number));
   const auto count = static_cast<std::size_t>(std::max(1, config_.settings.router_count));
-  rate_limiter_.share(each * number + (peer_.has_elder() ? 1 : 0), each * count);
+  rate_limiter_.share(each * number + (peer_.has_predecessor() ? 1 : 0), each * count);
 }
 
 void Dispatcher::watch_levels() {
-  levels_.tick(engine_.open(), watch_.heard());
+  levels_.tick(engine_.open(), watch_.last_response_at());
   loop_.timers().add(loop_.now() + degradation::DegradationController::kTick, [this] { watch_levels(); });
 }
 
@@ -309,7 +308,7 @@
   bound();
   // Kinds of replicas may be new: the list is read by the new ones.
   engine_.endpoints(servers_.list);
-  if (moved) watch_.move(config_.discovery);
+  if (moved) watch_.set_address(config_.discovery);
 }
 
 // The other of the pair may still be closing its listener at the shared address: tried until it is free.
@@ -342,10 +341,10 @@
 }
 
 void Dispatcher::order(const std::string& endpoint, bool offline) {
-  if (!drained_endpoints_.set(endpoint, offline)) return;
+  if (!drained_endpoints_.set_drained(endpoint, offline)) return;
   log_("operators: host " + endpoint + (offline ? " offline" : " online"));
   enforce(endpoint, offline);
-  peer_.tell_ban(endpoint, offline);
+  peer_.notify_endpoint_drained(endpoint, offline);
 }
 
 // The module hears of it first: what the pool gives back then goes elsewhere.
@@ -355,8 +354,8 @@
 }
 
 void Dispatcher::apply(const service_discovery::EndpointSnapshot& servers) {
-  service_discovery::merge(servers_, servers);
-  pool_.endpoints(servers.addresses, servers.whole);
+  service_discovery::apply_update(servers_, servers);
+  pool_.endpoints(servers.addresses, servers.is_complete);
   engine_.endpoints(servers.list);
   levels_.endpoints(servers.list);
 }
@@ -366,15 +365,15 @@
   draining_ = true;
   log_("draining: " + std::to_string(engine_.unanswered()) + " requests unanswered");
   for (http::Server* server : servers()) server->drain();
-  if (vrrp_ && peer_.succeeded()) {
+  if (vrrp_ && peer_.is_successor_serving()) {
     const bool active = vrrp_->state() == vrrp::State::kActive;
     vrrp_->leave();
     fronting_ = false;
-    peer_.tell_vrrp(active);
+    peer_.notify_vrrp_left(active);
   } else if (vrrp_) {
     vrrp_->stop();  // the other of the pair takes over at once
   }
-  if (peer_.succeeded()) {
+  if (peer_.is_successor_serving()) {
     stop_taking();
   } else {
     loop_.timers().add(loop_.now() + kKeepAccepting, [this] { stop_taking(); });
@@ -394,7 +393,7 @@
 // A stream may run for longer than this process does. The platform's pass to the process that takes over,
 // each where it stands between two events: both sockets, and what is left of the chunk being read.
 void Dispatcher::hand_over_streams() {
-  if (!peer_.succeeded()) return;
+  if (!peer_.is_successor_serving()) return;
   http::Server& server = platform_.server();
   for (const engine::Engine::Stream& s : engine_.streams(platform_.response_sink())) {
     const engine::AttemptId attempt{s.request, s.attempt};
@@ -404,12 +403,8 @@
       const auto [replica, given] = pool_.give(attempt);
       const net::UniqueFd client = server.give(s.client);
       platform_.forget_given(s.client);
-      peer_.give_stream({{"id", s.id},
-                         {"host", given.endpoint},
-                         {"unread", std::vector<unsigned char>(given.unread.begin(), given.unread.end())},
-                         {"chunk_left", given.chunk_left},
-                         {"keep_alive", given.keep_alive}},
-                        client.get(), replica.get());
+      peer_.transfer_stream({s.id, given.endpoint, given.unread, given.chunk_left, given.keep_alive},
+                            client.get(), replica.get());
       engine_.give_away(s.request);
     } else if (handover_tries_ % kWakeEvery == kWakeEvery - 1) {
       server.wake(s.client);
@@ -419,17 +414,15 @@
   ++handover_tries_;
 }
 
-void Dispatcher::on_stream(const Json& facts, net::UniqueFd client, net::UniqueFd replica) {
+void Dispatcher::on_stream(const hot_restart::StreamTransfer& stream, net::UniqueFd client_socket,
+                           net::UniqueFd upstream_socket) {
   try {
-    const auto unread = facts.at("unread").get<std::vector<unsigned char>>();
-    const upstream::ConnectionPool::Given given{facts.at("host").get<std::string>(),
-                                                {unread.begin(), unread.end()},
-                                                facts.at("chunk_left").get<std::uint64_t>(),
-                                                facts.at("keep_alive").get<bool>()};
-    const auto id = facts.at("id").get<std::string>();
-    engine_.request_elsewhere(id, false);
-    const net::SlotId request = platform_.take_over(std::move(client), id, given.endpoint);
-    pool_.adopt({request, 0}, std::move(replica), given);
+    const upstream::ConnectionPool::Given given{stream.endpoint, stream.unread, stream.chunk_left,
+                                                stream.keep_alive};
+    engine_.request_elsewhere(stream.request_id, false);
+    const net::SlotId request =
+        platform_.take_over(std::move(client_socket), stream.request_id, given.endpoint);
+    pool_.adopt({request, 0}, std::move(upstream_socket), given);
   } catch (const std::exception& e) {
     log_(std::string("upgrade: a stream can't go on here: ") + e.what());
   }
@@ -444,7 +437,7 @@
     clients += server->clients();
   }
   const bool owes = engine_.open() > 0 || clients > 0 || pool_.leases_pressing() > 0;
-  if (!took_last_ || !peer_.all_sent() || owes) {
+  if (!took_last_ || !peer_.is_all_sent() || owes) {
     loop_.timers().add(loop_.now() + kDrainLook, [this] { finish_draining(); });
     return;
   }
--- a/src/daemon/dispatcher.hpp
+++ b/src/daemon/dispatcher.hpp
@@ -54,21 +54,24 @@
   net::tcp::endpoint console() const { return console_->local(); }
 
  private:
-  Json list() override { return service_discovery::to_json(servers_); }
-  std::map<std::string, int> listening() override;
-  std::vector<std::string> open_ids() override { return engine_.open_ids(); }
+  Json endpoint_list() override { return service_discovery::to_json(servers_); }
+  std::map<std::string, int> listening_sockets() override;
+  std::vector<std::string> open_request_ids() override { return engine_.open_ids(); }
   routing::LearnedState learned_state() override { return engine_.learned_state(); }
-  Json level() override { return levels_.level(); }
-  void inherit(hot_restart::HandoverState handover) override;
-  void on_ban(const std::string& endpoint, bool offline) override { order(endpoint, offline); }
-  void on_request(const std::string& id, bool open) override { engine_.request_elsewhere(id, open); }
-  void on_sent(const std::string& endpoint) override { engine_.sent_elsewhere(endpoint); }
-  void on_stream(const Json& facts, net::UniqueFd client, net::UniqueFd replica) override;
-  void on_vrrp(bool was_active) override;
-  void on_partners() override;
+  Json degradation_level() override { return levels_.level(); }
+  void on_handover(hot_restart::HandoverState state) override;
+  void on_endpoint_drained(const std::string& endpoint, bool drained) override { order(endpoint, drained); }
+  void on_peer_request(const std::string& id, bool is_open) override {
+    engine_.request_elsewhere(id, is_open);
+  }
+  void on_peer_forwarded(const std::string& endpoint) override { engine_.sent_elsewhere(endpoint); }
+  void on_stream(const hot_restart::StreamTransfer& stream, net::UniqueFd client_socket,
+                 net::UniqueFd upstream_socket) override;
+  void on_vrrp_left(bool was_active) override;
+  void on_peers_changed() override;
 
   void apply(const service_discovery::EndpointSnapshot& servers);
-  void serve(hot_restart::HandoverState handover);
+  void serve(hot_restart::HandoverState state);
   void order(const std::string& endpoint, bool offline);
   void enforce(const std::string& endpoint, bool offline);
   void bound();
--- a/src/hot_restart/drained_endpoint_store.cpp
+++ b/src/hot_restart/drained_endpoint_store.cpp
@@ -3,11 +3,15 @@
 #include <fcntl.h>
 #include <unistd.h>
 
+#include <cstddef>
+#include <cstdint>
 #include <cstdio>
 #include <filesystem>
 #include <fstream>
 #include <iterator>
 #include <nlohmann/json.hpp>
+#include <string_view>
+#include <system_error>
 
 #include "net/unique_fd.hpp"
 
@@ -17,53 +21,67 @@
 
 namespace {
 
-constexpr std::uintmax_t kMaxBytes = 1024 * 1024;
+constexpr std::uintmax_t kMaxFileBytes = 1024UL * 1024;  // far more than any fleet's names take
+constexpr mode_t kFileMode = 0600;
+constexpr const char* kEndpointsKey = "offline";
 
 bool write_all(int fd, std::string_view text) {
   while (!text.empty()) {
-    const auto n = ::write(fd, text.data(), text.size());
-    if (n <= 0) return false;
-    text.remove_prefix(static_cast<std::size_t>(n));
+    const auto written = ::write(fd, text.data(), text.size());
+    if (written <= 0) return false;
+    text.remove_prefix(static_cast<std::size_t>(written));
   }
   return true;
 }
 
+// Empty where it can't be read.
+std::string read_file(const std::string& path) {
+  std::error_code error;
+  const bool is_readable = std::filesystem::is_regular_file(path, error) &&
+                           std::filesystem::file_size(path, error) <= kMaxFileBytes && !error;
+  if (!is_readable) return {};
+  std::ifstream file(path, std::ios::binary);
+  return {std::istreambuf_iterator<char>(file), {}};
+}
+
 }  // namespace
 
 void DrainedEndpointStore::load() {
   std::error_code error;
   if (path_.empty() || !std::filesystem::exists(path_, error)) return;
-  const bool readable = std::filesystem::is_regular_file(path_, error) &&
-                        std::filesystem::file_size(path_, error) <= kMaxBytes && !error;
-  std::ifstream file(readable ? path_ : std::string(), std::ios::binary);
-  const std::string source{std::istreambuf_iterator<char>(file), {}};
-  const Json object = Json::parse(source, nullptr, false);
-  const auto offline = object.is_object() ? object.find("offline") : object.end();
-  if (offline == object.end() || !offline->is_array()) {
-    return log_("bans: '" + path_ + "' can't be read: nobody is left out by it");
+  const Json object = Json::parse(read_file(path_), nullptr, false);
+  const auto endpoints = object.is_object() ? object.find(kEndpointsKey) : object.end();
+  if (endpoints == object.end() || !endpoints->is_array()) {
+    log_("drained endpoints: '" + path_ + "' can't be read: no endpoint is drained by it");
+    return;
   }
-  for (const Json& endpoint : *offline) {
+  for (const Json& endpoint : *endpoints) {
     if (endpoint.is_string()) endpoints_.insert(endpoint.get<std::string>());
   }
 }
 
-bool DrainedEndpointStore::set(const std::string& endpoint, bool offline) {
-  const bool news = offline ? endpoints_.insert(endpoint).second : endpoints_.erase(endpoint) > 0;
-  if (news) save();
-  return news;
+bool DrainedEndpointStore::set_drained(const std::string& endpoint, bool drained) {
+  const bool has_changed = drained ? endpoints_.insert(endpoint).second : endpoints_.erase(endpoint) > 0;
+  if (has_changed) save();
+  return has_changed;
 }
 
-// Written beside it and renamed: a reader finds the old file or the new one, whole, whenever this process
-// dies.
 void DrainedEndpointStore::save() const {
   if (path_.empty()) return;
-  const std::string fresh = path_ + "." + std::to_string(::getpid());
-  const net::UniqueFd file(::open(fresh.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0600));
-  const std::string text = Json{{"offline", endpoints_}}.dump(-1, ' ', false, Json::error_handler_t::replace);
-  const bool written = file && write_all(file.get(), text) && ::fsync(file.get()) == 0;
-  if (written && std::rename(fresh.c_str(), path_.c_str()) == 0) return;
-  log_("bans: '" + path_ + "' can't be written: an upgrade or a restart will not know of them");
-  ::unlink(fresh.c_str());
+  const Json object{{kEndpointsKey, endpoints_}};
+  if (replace_file(object.dump(-1, ' ', false, Json::error_handler_t::replace))) return;
+  log_("drained endpoints: '" + path_ + "' can't be written: a restarted process will not know of them");
+}
+
+// Written beside the file and renamed over it: a reader finds the old content or the new one, complete,
+// whenever this process dies.
+bool DrainedEndpointStore::replace_file(const std::string& text) const {
+  const std::string new_path = path_ + "." + std::to_string(::getpid());
+  const net::UniqueFd file(::open(new_path.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, kFileMode));
+  const bool is_written = file && write_all(file.get(), text) && ::fsync(file.get()) == 0;
+  if (is_written && std::rename(new_path.c_str(), path_.c_str()) == 0) return true;
+  ::unlink(new_path.c_str());
+  return false;
 }
 
 }  // namespace dispatcher::hot_restart
--- a/src/hot_restart/handover_channel.hpp
+++ b/src/hot_restart/handover_channel.hpp
@@ -1,5 +1,5 @@
-// The line between two processes of one dispatcher during an upgrade: JSON messages, and descriptors with
-// them, over a Unix socket in $TMPDIR.
+// The connection between two processes of one dispatcher during a hot restart: JSON messages, and descriptors
+// with them, over a Unix socket in $TMPDIR.
 #ifndef DISPATCHER_HOT_RESTART_HANDOVER_CHANNEL_HPP_
 #define DISPATCHER_HOT_RESTART_HANDOVER_CHANNEL_HPP_
 
@@ -12,63 +12,75 @@
 #include <string>
 #include <vector>
 
+#include "hot_restart/packet_socket.hpp"
 #include "net/unique_fd.hpp"
 
 namespace dispatcher::hot_restart {
 
 using Json = nlohmann::json;
-using Fds = std::vector<net::UniqueFd>;
 
-// One end. Both messages and the end come from the event loop, never from inside a call.
+// One end of the connection. Used on the event loop's thread only, and kept alive by its own pending reads
+// and writes besides its holder. The owner must call close() before it goes.
 class HandoverChannel : public std::enable_shared_from_this<HandoverChannel> {
  public:
-  struct Owner {
+  // Called from the event loop only, never from inside a call to the channel, and not after close().
+  class Owner {
+   public:
     virtual ~Owner() = default;
-    virtual void on_message(const Json& message, Fds fds) = 0;
-    virtual void on_link_ended() = 0;
+    virtual void on_message(const Json& message, Descriptors descriptors) = 0;
+    // The other side has closed, or does not read. Called once, as the last.
+    virtual void on_channel_closed() = 0;
   };
   HandoverChannel(boost::asio::io_context& io, net::UniqueFd socket, Owner& owner);
-  // Empty where nobody listens at the path.
-  static std::shared_ptr<HandoverChannel> connect(boost::asio::io_context& io, const std::string& path,
-                                                  Owner& owner);
-  void start() { read(); }
-  // The descriptors stay the caller's; the other side gets copies. Where the other side takes no more, the
-  // link ends. False: this message is too long to be sent.
-  bool send(const Json& message, const std::vector<int>& fds = {});
-  bool sent() const { return queue_.empty(); }  // nothing waits here for the other side to read
+  // Null where nobody listens at the path.
+  [[nodiscard]] static std::shared_ptr<HandoverChannel> connect(boost::asio::io_context& io,
+                                                                const std::string& path, Owner& owner);
+  // Begins to read.
+  void start() { wait_for_packet(); }
+  // Sends the message, now or once the other side has read what was sent before. The descriptors stay the
+  // caller's; the other side gets copies. A side that has too much left to read is given up, and the channel
+  // closes. False: this message is too long to be sent, and nothing is.
+  bool send(const Json& message, const std::vector<int>& descriptors = {});
+  // Nothing waits in this process for the other side to read.
+  [[nodiscard]] bool is_all_sent() const { return outgoing_.empty(); }
+  // The owner is not called any more.
   void close();
 
  private:
-  struct Outgoing {
+  struct OutgoingMessage {
     std::string text;
-    Fds fds;
+    Descriptors descriptors;
   };
-  enum class Sent { kYes, kLater, kTooLong, kBroken };
-  Sent put(const Outgoing& message);
-  void flush();
-  void read();
-  bool take();  // false: there is no more for now
-  void end();
+  [[nodiscard]] SendStatus send_now(const OutgoingMessage& message);
+  void wait_until_writable();
+  void send_queued();
+  void wait_for_packet();
+  void receive_all();
+  [[nodiscard]] bool receive_one();  // false: there is no more for now
+  void disconnect();
 
   boost::asio::posix::stream_descriptor socket_;
-  Owner* owner_;
-  std::deque<Outgoing> queue_;
-  std::vector<char> room_;  // for a message that comes, made once
-  bool waiting_ = false;
+  Owner* owner_;  // null once closed or lost
+  std::deque<OutgoingMessage> outgoing_;
+  std::vector<char> receive_buffer_;  // allocated once, since it is large
+  bool is_waiting_until_writable_ = false;
 };
 
-// Waits for the process that is to take over. Opening it takes the path over from whoever had it.
+// Waits for a process that is to take over. Owned by HotRestartPeer, on the event loop's thread.
 class HandoverListener {
  public:
-  using OnVisitor = std::function<void(net::UniqueFd)>;
-  HandoverListener(boost::asio::io_context& io, std::string path, OnVisitor on_visitor);
-  bool open();  // false: the path can't be had
+  // Called from the event loop for each process that connects.
+  using OnConnected = std::function<void(net::UniqueFd)>;
+  HandoverListener(boost::asio::io_context& io, std::string path, OnConnected on_connected);
+  // Takes the path over from whichever process listened there. False: it can't listen there.
+  [[nodiscard]] bool open();
   void close();
 
  private:
-  void wait();
+  void wait_for_connection();
+
   std::string path_;
-  OnVisitor on_visitor_;
+  OnConnected on_connected_;
   boost::asio::posix::stream_descriptor socket_;
 };
 
--- /dev/null
+++ b/src/hot_restart/handover_messages.cpp
@@ -0,0 +1,242 @@
+#include "hot_restart/handover_messages.hpp"
+
+#include <algorithm>
+#include <cstddef>
+#include <exception>
+#include <utility>
+
+namespace dispatcher::hot_restart {
+
+using routing::LearnedState;
+using routing::MovingAverage;
+
+namespace {
+
+// The names of JSON members. They are read and written by processes of other releases: never change one.
+namespace key {
+// The member by which each kind of message is recognized.
+constexpr const char* kHandover = "estate";
+constexpr const char* kServing = "serving";
+constexpr const char* kDrainedEndpoint = "ban";
+constexpr const char* kRequest = "request";
+constexpr const char* kForwardedTo = "sent";
+constexpr const char* kStream = "stream";
+constexpr const char* kVrrp = "vrrp";
+// Further members of Handover.
+constexpr const char* kListenerNames = "listening";
+constexpr const char* kEndpointList = "list";
+constexpr const char* kOpenRequestIds = "ids";
+constexpr const char* kLearnedState = "knowledge";
+constexpr const char* kDegradationLevel = "level";
+// ... of EndpointDrained and RequestStatusChanged.
+constexpr const char* kIsDrained = "offline";
+constexpr const char* kIsOpen = "open";
+// ... of StreamTransfer.
+constexpr const char* kRequestId = "id";
+constexpr const char* kEndpoint = "host";
+constexpr const char* kUnread = "unread";
+constexpr const char* kChunkLeft = "chunk_left";
+constexpr const char* kKeepAlive = "keep_alive";
+// ... of LearnedState and its endpoints, which have kEndpoint too.
+constexpr const char* kStartCosts = "starts";
+constexpr const char* kFarCost = "far";
+constexpr const char* kServedCounts = "served";
+constexpr const char* kCountedSince = "since";
+constexpr const char* kEndpoints = "hosts";
+constexpr const char* kSendTimes = "sends";
+constexpr const char* kBackSince = "back";
+}  // namespace key
+
+// Bounds of what is believed of another process.
+constexpr int kMaxServed = 20000;        // results in the few seconds that are counted
+constexpr double kMaxMean = 1e12;        // microseconds
+constexpr double kMaxDeviation = 1e6;    // of MovingAverage::dev
+constexpr double kMaxSampleCount = 1e9;  // fits into an int
+
+// Null where there is none.
+const Json& member(const Json& object, const char* name) {
+  static const Json kNone;
+  const auto it = object.find(name);
+  return object.is_object() && it != object.end() ? *it : kNone;
+}
+
+std::string text_member(const Json& object, const char* name) {
+  const Json& value = member(object, name);
+  return value.is_string() ? value.get<std::string>() : std::string();
+}
+
+bool flag_member(const Json& object, const char* name) {
+  const Json& value = member(object, name);
+  return value.is_boolean() && value.get<bool>();
+}
+
+std::vector<std::string> texts_member(const Json& object, const char* name) {
+  std::vector<std::string> texts;
+  const Json& values = member(object, name);
+  if (!values.is_array()) return texts;
+  for (const Json& value : values) {
+    if (value.is_string()) texts.push_back(value.get<std::string>());
+  }
+  return texts;
+}
+
+routing::Time decode_time(const Json& value) {
+  return routing::Time(value.is_number_integer() ? value.get<std::int64_t>() : 0);
+}
+
+Json encode_average(const MovingAverage& average) {
+  return Json::array({average.mean, average.dev, average.n});
+}
+
+MovingAverage decode_average(const Json& value) {
+  if (!value.is_array() || value.size() != 3) return {};
+  const bool all_numbers =
+      std::all_of(value.begin(), value.end(), [](const Json& part) { return part.is_number(); });
+  if (!all_numbers) return {};
+  const auto mean = value[0].get<double>();
+  const auto deviation = value[1].get<double>();
+  const auto count = value[2].get<double>();
+  const bool is_plausible = mean >= 0 && mean < kMaxMean && deviation >= 0 && deviation < kMaxDeviation &&
+                            count >= 0 && count < kMaxSampleCount;
+  if (!is_plausible) return {};
+  return {mean, deviation, static_cast<int>(count)};
+}
+
+Json encode_history(const LearnedState::EndpointHistory& history) {
+  Json send_times = Json::array();
+  for (const routing::Time sent_at : history.sends) send_times.push_back(sent_at.count());
+  return {{key::kEndpoint, history.endpoint},
+          {key::kSendTimes, send_times},
+          {key::kBackSince, history.back.count()}};
+}
+
+std::vector<LearnedState::EndpointHistory> decode_histories(const Json& values) {
+  std::vector<LearnedState::EndpointHistory> histories;
+  if (!values.is_array()) return histories;
+  for (const Json& value : values) {
+    LearnedState::EndpointHistory history{
+        text_member(value, key::kEndpoint), {}, decode_time(member(value, key::kBackSince))};
+    const Json& send_times = member(value, key::kSendTimes);
+    if (history.endpoint.empty() || !send_times.is_array()) continue;
+    for (const Json& sent_at : send_times) history.sends.push_back(decode_time(sent_at));
+    histories.push_back(std::move(history));
+  }
+  return histories;
+}
+
+Handover decode_handover(const Json& object) {
+  Handover handover;
+  handover.endpoint_list = member(object, key::kEndpointList);
+  handover.open_request_ids = texts_member(object, key::kOpenRequestIds);
+  handover.learned_state = decode_learned_state(member(object, key::kLearnedState));
+  handover.degradation_level = member(object, key::kDegradationLevel);
+  const Json& names = member(object, key::kListenerNames);
+  if (!names.is_array()) return handover;
+  // A name that can't be parsed keeps its place: the descriptors are in the same order.
+  for (const Json& name : names)
+    handover.listener_names.push_back(name.is_string() ? name.get<std::string>() : std::string());
+  return handover;
+}
+
+Message decode_stream(const Json& object) {
+  try {
+    StreamTransfer stream;
+    const auto unread = object.at(key::kUnread).get<std::vector<unsigned char>>();
+    stream.unread.assign(unread.begin(), unread.end());
+    stream.endpoint = object.at(key::kEndpoint).get<std::string>();
+    stream.chunk_left = object.at(key::kChunkLeft).get<std::uint64_t>();
+    stream.keep_alive = object.at(key::kKeepAlive).get<bool>();
+    stream.request_id = object.at(key::kRequestId).get<std::string>();
+    return stream;
+  } catch (const std::exception& e) {
+    return InvalidStreamTransfer{e.what()};
+  }
+}
+
+}  // namespace
+
+Json encode(const LearnedState& learned_state) {
+  Json endpoints = Json::array();
+  for (const LearnedState::EndpointHistory& history : learned_state.endpoints)
+    endpoints.push_back(encode_history(history));
+  Json start_costs = Json::array();
+  for (const MovingAverage& average : learned_state.starts) start_costs.push_back(encode_average(average));
+  return {{key::kStartCosts, start_costs},
+          {key::kFarCost, encode_average(learned_state.far)},
+          {key::kServedCounts, learned_state.served},
+          {key::kCountedSince, learned_state.since.count()},
+          {key::kEndpoints, endpoints}};
+}
+
+LearnedState decode_learned_state(const Json& object) {
+  LearnedState learned_state;
+  const Json& start_costs = member(object, key::kStartCosts);
+  const Json& served = member(object, key::kServedCounts);
+  for (std::size_t role = 0; role < learned_state.starts.size(); ++role) {
+    if (start_costs.is_array() && role < start_costs.size())
+      learned_state.starts[role] = decode_average(start_costs[role]);
+    if (served.is_array() && role < served.size() && served[role].is_number_integer())
+      learned_state.served[role] = std::clamp(served[role].get<int>(), 0, kMaxServed);
+  }
+  learned_state.far = decode_average(member(object, key::kFarCost));
+  learned_state.since = decode_time(member(object, key::kCountedSince));
+  learned_state.endpoints = decode_histories(member(object, key::kEndpoints));
+  return learned_state;
+}
+
+Json encode_without_lists(const Handover& message) {
+  return {{key::kHandover, true},
+          {key::kListenerNames, message.listener_names},
+          {key::kLearnedState, encode(message.learned_state)},
+          {key::kDegradationLevel, message.degradation_level}};
+}
+
+Json encode(const Handover& message) {
+  Json object = encode_without_lists(message);
+  object[key::kEndpointList] = message.endpoint_list;
+  object[key::kOpenRequestIds] = message.open_request_ids;
+  return object;
+}
+
+Json encode(const SuccessorServing& /*message*/) { return {{key::kServing, true}}; }
+
+Json encode(const EndpointDrained& message) {
+  return {{key::kDrainedEndpoint, message.endpoint}, {key::kIsDrained, message.drained}};
+}
+
+Json encode(const RequestStatusChanged& message) {
+  return {{key::kRequest, message.id}, {key::kIsOpen, message.is_open}};
+}
+
+Json encode(const RequestForwarded& message) { return {{key::kForwardedTo, message.endpoint}}; }
+
+Json encode(const StreamTransfer& message) {
+  const std::vector<unsigned char> unread(message.unread.begin(), message.unread.end());
+  return {{key::kStream,
+           {{key::kRequestId, message.request_id},
+            {key::kEndpoint, message.endpoint},
+            {key::kUnread, unread},
+            {key::kChunkLeft, message.chunk_left},
+            {key::kKeepAlive, message.keep_alive}}}};
+}
+
+Json encode(const VrrpLeft& message) { return {{key::kVrrp, message.was_active}}; }
+
+std::vector<Message> decode(const Json& object, PeerRole sender) {
+  if (sender == PeerRole::kPredecessor && object.contains(key::kHandover)) return {decode_handover(object)};
+  if (sender == PeerRole::kSuccessor && object.contains(key::kServing)) return {SuccessorServing{}};
+  std::vector<Message> messages;
+  if (object.contains(key::kDrainedEndpoint))
+    messages.emplace_back(
+        EndpointDrained{text_member(object, key::kDrainedEndpoint), flag_member(object, key::kIsDrained)});
+  if (object.contains(key::kRequest))
+    messages.emplace_back(
+        RequestStatusChanged{text_member(object, key::kRequest), flag_member(object, key::kIsOpen)});
+  if (object.contains(key::kForwardedTo))
+    messages.emplace_back(RequestForwarded{text_member(object, key::kForwardedTo)});
+  if (object.contains(key::kStream)) messages.push_back(decode_stream(object.at(key::kStream)));
+  if (object.contains(key::kVrrp)) messages.emplace_back(VrrpLeft{flag_member(object, key::kVrrp)});
+  return messages;
+}
+
+}  // namespace dispatcher::hot_restart
--- /dev/null
+++ b/src/hot_restart/handover_messages.hpp
@@ -0,0 +1,94 @@
+// The messages between two processes of one dispatcher during a hot restart, and their JSON form. Both
+// processes may be of different releases, so keys stay as they are and unknown ones are ignored.
+#ifndef DISPATCHER_HOT_RESTART_HANDOVER_MESSAGES_HPP_
+#define DISPATCHER_HOT_RESTART_HANDOVER_MESSAGES_HPP_
+
+#include <cstdint>
+#include <nlohmann/json.hpp>
+#include <string>
+#include <variant>
+#include <vector>
+
+#include "routing/router.hpp"
+
+namespace dispatcher::hot_restart {
+
+using Json = nlohmann::json;
+
+// Which of the two processes: the one that serves and is to end, or the one that takes over.
+enum class PeerRole { kPredecessor, kSuccessor };
+
+// From the predecessor, at first: all that the successor starts from. Descriptors of the listening sockets
+// come with it, in the order of `listener_names`.
+struct Handover {
+  Json endpoint_list;  // see service_discovery::to_json(); null: none
+  std::vector<std::string> open_request_ids;
+  routing::LearnedState learned_state;
+  Json degradation_level;  // see DegradationController::level()
+  std::vector<std::string> listener_names;
+};
+
+// From the successor: it accepts connections from now on.
+struct SuccessorServing {};
+
+// Operators drained an endpoint or put it back.
+struct EndpointDrained {
+  std::string endpoint;
+  bool drained = false;
+};
+
+// A request was accepted or completed.
+struct RequestStatusChanged {
+  std::string id;
+  bool is_open = false;
+};
+
+// A request was forwarded to an endpoint.
+struct RequestForwarded {
+  std::string endpoint;
+};
+
+// From the predecessor: a stream that goes on at the successor. The descriptors of the client's and the
+// replica's sockets come with it, in this order.
+struct StreamTransfer {
+  std::string request_id;
+  std::string endpoint;
+  std::string unread;            // bytes of the replica's response that were received but not parsed
+  std::uint64_t chunk_left = 0;  // bytes of the current chunk that are still to come
+  bool keep_alive = true;        // the replica's connection may be reused
+};
+
+// A StreamTransfer that can't be parsed, and why.
+struct InvalidStreamTransfer {
+  std::string problem;
+};
+
+// From the predecessor: it has left the VRRP group.
+struct VrrpLeft {
+  bool was_active = false;
+};
+
+using Message = std::variant<Handover, SuccessorServing, EndpointDrained, RequestStatusChanged,
+                             RequestForwarded, StreamTransfer, InvalidStreamTransfer, VrrpLeft>;
+
+[[nodiscard]] Json encode(const Handover& message);
+[[nodiscard]] Json encode(const SuccessorServing& message);
+[[nodiscard]] Json encode(const EndpointDrained& message);
+[[nodiscard]] Json encode(const RequestStatusChanged& message);
+[[nodiscard]] Json encode(const RequestForwarded& message);
+[[nodiscard]] Json encode(const StreamTransfer& message);
+[[nodiscard]] Json encode(const VrrpLeft& message);
+[[nodiscard]] Json encode(const routing::LearnedState& learned_state);
+
+// A hand-over that was too long to be sent, without what the successor gets elsewhere: it reads the list from
+// service discovery, and learns of requests as they complete.
+[[nodiscard]] Json encode_without_lists(const Handover& message);
+
+// What a JSON object of the other process says; nothing where no key is known. Does not throw: members that
+// can't be parsed are left at their defaults.
+[[nodiscard]] std::vector<Message> decode(const Json& object, PeerRole sender);
+[[nodiscard]] routing::LearnedState decode_learned_state(const Json& object);
+
+}  // namespace dispatcher::hot_restart
+
+#endif  // DISPATCHER_HOT_RESTART_HANDOVER_MESSAGES_HPP_
--- a/src/hot_restart/hot_restart_peer.hpp
+++ b/src/hot_restart/hot_restart_peer.hpp
@@ -1,8 +1,12 @@
-// The other process of this dispatcher while one takes over from the other: what each tells the other, in
-// typed form. Which of it binds whom is said in docs/architecture.md, "Upgrade".
+// The other process of this dispatcher during a hot restart: finds it, exchanges messages with it and follows
+// whether it is there. What binds which of the two is in docs/architecture.md, "Upgrade".
+//
+// The life of a process: it looks for a predecessor and gets a HandoverState from it, or starts without one;
+// it serves, and tells the predecessor so; it listens for a successor, hands over to it and ends.
 #ifndef DISPATCHER_HOT_RESTART_HOT_RESTART_PEER_HPP_
 #define DISPATCHER_HOT_RESTART_HOT_RESTART_PEER_HPP_
 
+#include <boost/asio/io_context.hpp>
 #include <map>
 #include <memory>
 #include <string>
@@ -10,72 +14,101 @@
 
 #include "engine/engine.hpp"
 #include "hot_restart/handover_channel.hpp"
+#include "hot_restart/handover_messages.hpp"
+#include "net/unique_fd.hpp"
 
 namespace dispatcher::hot_restart {
 
-// What the process that serves hands to the one that takes over.
+// What the predecessor handed over; all empty where there is none.
 struct HandoverState {
-  Json list;  // in discovery's form; null: none
-  std::vector<std::string> ids;
+  Json endpoint_list;  // see service_discovery::to_json(); null: none
+  std::vector<std::string> open_request_ids;
   routing::LearnedState learned_state;
-  Json level;                                      // of reduced service, as the elder tells it
-  std::map<std::string, net::UniqueFd> listening;  // sockets, by the front that they are for
+  Json degradation_level;                                  // see DegradationController::resume(); null: none
+  std::map<std::string, net::UniqueFd> listening_sockets;  // by the name that the predecessor gave them
 };
 
-Json to_json(const routing::LearnedState& learned_state);
-routing::LearnedState parse_knowledge(const Json& object);  // what can't be read is left at its default
-
+// Owned by the daemon, used on its event loop's thread only.
 class HotRestartPeer : public engine::Engine::HotRestartObserver {
  public:
+  // The daemon. The getters are called when a successor connects; the rest from the event loop, but for
+  // on_handover(), which start() may call before it returns.
   class Owner {
    public:
     virtual ~Owner() = default;
-    // The listening sockets in the estate are the owner's still: copies are sent.
-    virtual Json list() = 0;
-    virtual std::map<std::string, int> listening() = 0;
-    virtual std::vector<std::string> open_ids() = 0;
-    virtual routing::LearnedState learned_state() = 0;
-    virtual Json level() = 0;
-    virtual void inherit(
-        HandoverState handover) = 0;  // once, also where there is nobody: with an empty estate then
-    virtual void on_ban(const std::string& endpoint, bool offline) = 0;
-    virtual void on_request(const std::string& id, bool open) = 0;
-    virtual void on_sent(const std::string& endpoint) = 0;
-    virtual void on_stream(const Json& facts, net::UniqueFd client, net::UniqueFd replica) = 0;
-    virtual void on_vrrp(bool was_active) = 0;  // the elder left the pair, whose active one it was or not
-    virtual void on_partners() = 0;             // there is one now, or none any more, or it serves
+    [[nodiscard]] virtual Json endpoint_list() = 0;
+    // The sockets stay the owner's: copies are sent.
+    [[nodiscard]] virtual std::map<std::string, int> listening_sockets() = 0;
+    [[nodiscard]] virtual std::vector<std::string> open_request_ids() = 0;
+    [[nodiscard]] virtual routing::LearnedState learned_state() = 0;
+    [[nodiscard]] virtual Json degradation_level() = 0;
+
+    // Called once, also where there is no predecessor or it hands nothing over: with an empty state then.
+    virtual void on_handover(HandoverState state) = 0;
+    virtual void on_endpoint_drained(const std::string& endpoint, bool drained) = 0;
+    virtual void on_peer_request(const std::string& id, bool is_open) = 0;
+    virtual void on_peer_forwarded(const std::string& endpoint) = 0;
+    virtual void on_stream(const StreamTransfer& stream, net::UniqueFd client_socket,
+                           net::UniqueFd upstream_socket) = 0;
+    // The predecessor has left the VRRP group, where it was the active router or not.
+    virtual void on_vrrp_left(bool was_active) = 0;
+    // A predecessor or successor has connected, is serving, or is gone.
+    virtual void on_peers_changed() = 0;
   };
-  // `path` empty: there never is another.
+
+  // `path`: of the socket by which processes find each other; empty: there never is another process.
   HotRestartPeer(boost::asio::io_context& io, const std::string& path, engine::TimerQueue& timers,
                  engine::Clock clock, engine::Log log, Owner& owner);
-  void start();    // looks for the process to take over from
-  void serving();  // from now on another may take over from this one
+  // Looks for a predecessor.
+  void start();
+  // To be called once this process serves: tells the predecessor, and listens for a successor.
+  void on_serving();
+  // The owner is not called any more.
   void close();
 
-  [[nodiscard]] bool shared() const { return elder_.link != nullptr || younger_.link != nullptr; }
-  [[nodiscard]] bool all_sent() const;  // a process that ends before takes with it what it handed over
-  [[nodiscard]] bool has_elder() const { return elder_.link != nullptr; }
-  [[nodiscard]] bool succeeded() const { return younger_.link != nullptr && younger_serves_; }
-  void tell_ban(const std::string& endpoint, bool offline);
-  void tell_vrrp(bool was_active);
-  void give_stream(const Json& facts, int client, int replica);  // goes on at the younger process
+  [[nodiscard]] bool has_peer() const { return has_predecessor() || successor_.channel != nullptr; }
+  [[nodiscard]] bool has_predecessor() const { return predecessor_.channel != nullptr; }
+  [[nodiscard]] bool is_successor_serving() const {
+    return successor_.channel != nullptr && is_successor_serving_;
+  }
+  // The successor has read all. A process that ends before takes with it what it was handing over.
+  [[nodiscard]] bool is_all_sent() const;
+
+  void notify_endpoint_drained(const std::string& endpoint, bool drained);
+  // To the successor only.
+  void notify_vrrp_left(bool was_active);
+  // The stream goes on at the successor, which must be serving. The sockets stay the caller's.
+  void transfer_stream(const StreamTransfer& stream, int client, int upstream);
   void tell_request(const std::string& id, bool open) override;
   void tell_sent(const std::string& endpoint) override;
 
  private:
-  struct End : HandoverChannel::Owner {
-    explicit End(HotRestartPeer& p) : peer(p) {}
-    void on_message(const Json& message, Fds fds) override { peer.take(*this, message, std::move(fds)); }
-    void on_link_ended() override { peer.ended(*this); }
+  // The connection to the predecessor or to the successor.
+  struct Connection : HandoverChannel::Owner {
+    Connection(HotRestartPeer& owning_peer, PeerRole other_role) : peer(owning_peer), role(other_role) {}
+    void on_message(const Json& message, Descriptors descriptors) override {
+      peer.on_message(role, message, std::move(descriptors));
+    }
+    void on_channel_closed() override { peer.on_channel_closed(*this); }
     HotRestartPeer& peer;
-    std::shared_ptr<HandoverChannel> link;
+    PeerRole role;                             // of the other process
+    std::shared_ptr<HandoverChannel> channel;  // null: there is no such process
   };
-  void welcome(net::UniqueFd visitor);
-  void take(End& end, const Json& message, Fds fds);
-  void inherit(const Json& message, Fds fds);
-  void ended(End& end);
-  void go_on_alone();
-  void tell(const Json& message);
+
+  void start_without_handover();
+  void on_successor_connected(net::UniqueFd socket);
+  void send_handover();
+  void on_message(PeerRole sender, const Json& object, Descriptors descriptors);
+  void handle(Handover& message, Descriptors& descriptors);
+  void handle(const SuccessorServing& message, Descriptors& descriptors);
+  void handle(const EndpointDrained& message, Descriptors& descriptors);
+  void handle(const RequestStatusChanged& message, Descriptors& descriptors);
+  void handle(const RequestForwarded& message, Descriptors& descriptors);
+  void handle(const StreamTransfer& message, Descriptors& descriptors);
+  void handle(const InvalidStreamTransfer& message, Descriptors& descriptors);
+  void handle(const VrrpLeft& message, Descriptors& descriptors);
+  void on_channel_closed(Connection& connection);
+  void broadcast(const Json& message);
 
   boost::asio::io_context& io_;
   std::string path_;
@@ -83,11 +116,12 @@
   engine::Clock clock_;
   engine::Log log_;
   Owner& owner_;
-  HandoverListener door_;
-  End elder_{*this}, younger_{*this};
-  bool begun_ = false;  // the owner has its estate
-  bool younger_serves_ = false;
-  engine::TimerQueue::Id patience_;
+  HandoverListener listener_;
+  Connection predecessor_{*this, PeerRole::kPredecessor};
+  Connection successor_{*this, PeerRole::kSuccessor};
+  bool has_state_ = false;  // on_handover() was called
+  bool is_successor_serving_ = false;
+  engine::TimerQueue::Id handover_timer_;
 };
 
 }  // namespace dispatcher::hot_restart
--- /dev/null
+++ b/src/hot_restart/packet_socket.cpp
@@ -0,0 +1,133 @@
+#include "hot_restart/packet_socket.hpp"
+
+#include <sys/socket.h>
+#include <sys/un.h>
+#include <unistd.h>
+
+#include <array>
+#include <cerrno>
+#include <cstdio>
+#include <cstring>
+#include <optional>
+
+namespace dispatcher::hot_restart {
+
+namespace {
+
+constexpr int kSendBufferBytes = 1024 * 1024;  // asked of the kernel; twice the longest packet
+constexpr int kBacklog = 4;                    // one process connects at a time
+
+struct AncillaryData {
+  alignas(cmsghdr) std::array<char, CMSG_SPACE(sizeof(int) * kMaxPacketDescriptors)> bytes{};
+};
+
+void set_send_buffer(const net::UniqueFd& socket) {
+  ::setsockopt(socket.get(), SOL_SOCKET, SO_SNDBUF, &kSendBufferBytes, sizeof kSendBufferBytes);
+}
+
+net::UniqueFd create_socket() {
+  net::UniqueFd socket(::socket(AF_UNIX, SOCK_SEQPACKET | SOCK_CLOEXEC | SOCK_NONBLOCK, 0));
+  if (socket) set_send_buffer(socket);
+  return socket;
+}
+
+// Empty where the path is too long for an address.
+std::optional<sockaddr_un> address_of(const std::string& path) {
+  sockaddr_un address{};
+  address.sun_family = AF_UNIX;
+  if (path.empty() || path.size() >= sizeof address.sun_path) return std::nullopt;
+  std::memcpy(address.sun_path, path.c_str(), path.size());
+  return address;
+}
+
+const sockaddr* generic(const sockaddr_un& address) { return reinterpret_cast<const sockaddr*>(&address); }
+
+void attach_descriptors(msghdr& header, AncillaryData& ancillary, const Descriptors& descriptors) {
+  const std::size_t bytes = sizeof(int) * descriptors.size();
+  header.msg_control = ancillary.bytes.data();
+  header.msg_controllen = CMSG_SPACE(bytes);
+  cmsghdr* control = CMSG_FIRSTHDR(&header);
+  control->cmsg_level = SOL_SOCKET;
+  control->cmsg_type = SCM_RIGHTS;
+  control->cmsg_len = CMSG_LEN(bytes);
+  for (std::size_t i = 0; i < descriptors.size(); ++i) {
+    const int fd = descriptors[i].get();
+    std::memcpy(CMSG_DATA(control) + i * sizeof(int), &fd, sizeof(int));
+  }
+}
+
+Descriptors take_descriptors(msghdr& header) {
+  Descriptors descriptors;
+  for (cmsghdr* control = CMSG_FIRSTHDR(&header); control != nullptr;
+       control = CMSG_NXTHDR(&header, control)) {
+    if (control->cmsg_level != SOL_SOCKET || control->cmsg_type != SCM_RIGHTS) continue;
+    const std::size_t count = (control->cmsg_len - CMSG_LEN(0)) / sizeof(int);
+    for (std::size_t i = 0; i < count; ++i) {
+      int fd = -1;
+      std::memcpy(&fd, CMSG_DATA(control) + i * sizeof(int), sizeof(int));
+      descriptors.emplace_back(fd);
+    }
+  }
+  return descriptors;
+}
+
+bool would_block(int error) { return error == EAGAIN || error == EWOULDBLOCK; }
+
+}  // namespace
+
+net::UniqueFd connect_packet_socket(const std::string& path) {
+  net::UniqueFd socket = create_socket();
+  const auto address = address_of(path);
+  if (!socket || !address) return {};
+  if (::connect(socket.get(), generic(*address), sizeof *address) != 0) return {};
+  return socket;
+}
+
+net::UniqueFd listen_packet_socket(const std::string& path) {
+  const std::string new_path = path + "." + std::to_string(::getpid());
+  net::UniqueFd socket = create_socket();
+  const auto address = address_of(new_path);
+  if (!socket || !address) return {};
+  ::unlink(new_path.c_str());
+  if (::bind(socket.get(), generic(*address), sizeof *address) != 0) return {};
+  if (::listen(socket.get(), kBacklog) != 0 || std::rename(new_path.c_str(), path.c_str()) != 0) {
+    ::unlink(new_path.c_str());
+    return {};
+  }
+  return socket;
+}
+
+net::UniqueFd accept_packet_socket(int listener) {
+  net::UniqueFd socket(::accept4(listener, nullptr, nullptr, SOCK_CLOEXEC | SOCK_NONBLOCK));
+  if (socket) set_send_buffer(socket);
+  return socket;
+}
+
+SendStatus send_packet(int socket, std::string_view text, const Descriptors& descriptors) {
+  iovec piece{const_cast<char*>(text.data()), text.size()};
+  msghdr header{};
+  header.msg_iov = &piece;
+  header.msg_iovlen = 1;
+  AncillaryData ancillary;
+  if (!descriptors.empty()) attach_descriptors(header, ancillary, descriptors);
+  if (::sendmsg(socket, &header, MSG_DONTWAIT | MSG_NOSIGNAL) >= 0) return SendStatus::kSent;
+  if (would_block(errno)) return SendStatus::kWouldBlock;
+  return errno == EMSGSIZE ? SendStatus::kTooLong : SendStatus::kBroken;
+}
+
+ReceivedPacket receive_packet(int socket, std::vector<char>& buffer) {
+  buffer.resize(kMaxPacketBytes);
+  iovec piece{buffer.data(), buffer.size()};
+  AncillaryData ancillary;
+  msghdr header{};
+  header.msg_iov = &piece;
+  header.msg_iovlen = 1;
+  header.msg_control = ancillary.bytes.data();
+  header.msg_controllen = ancillary.bytes.size();
+  const auto size = ::recvmsg(socket, &header, MSG_DONTWAIT | MSG_CMSG_CLOEXEC);
+  if (size < 0 && (would_block(errno) || errno == EINTR)) return {ReceiveStatus::kWouldBlock, 0, {}};
+  if (size <= 0) return {ReceiveStatus::kClosed, 0, {}};
+  return {ReceiveStatus::kReceived, static_cast<std::size_t>(size), take_descriptors(header)};
+}
+
+}  // namespace dispatcher::hot_restart
--- a/src/service_discovery/endpoint_snapshot.cpp
+++ b/src/service_discovery/endpoint_snapshot.cpp
@@ -1,113 +1,167 @@
 #include "service_discovery/endpoint_snapshot.hpp"
 
 #include <algorithm>
+#include <array>
 #include <cmath>
+#include <cstddef>
 #include <stdexcept>
+#include <string>
+#include <utility>
 
 namespace dispatcher::service_discovery {
 
+using routing::EndpointInfo;
 using routing::EndpointState;
 using Json = nlohmann::json;
 
 namespace {
 
-[[noreturn]] void bad(const std::string& field, const char* what) {
-  throw std::invalid_argument("field '" + field + "': " + what);
+// The platform's names of the fields.
+namespace key {
+constexpr const char* kVersion = "seq";
+constexpr const char* kIsComplete = "whole";
+constexpr const char* kEndpoints = "hosts";
+constexpr const char* kEndpoint = "host";
+constexpr const char* kAddress = "dial";
+constexpr const char* kZone = "site";
+constexpr const char* kKind = "class";
+constexpr const char* kCell = "block";
+constexpr const char* kState = "health";
+constexpr const char* kWeight = "share";
+constexpr const char* kStartedMs = "born_ms";  // Unix time in milliseconds; 0: long ago
+}  // namespace key
+
+constexpr std::array kStateNames{
+    std::pair{"up", EndpointState::kReady},
+    std::pair{"draining", EndpointState::kDraining},
+    std::pair{"removed", EndpointState::kRemoved},
+};
+
+constexpr double kMaxMagnitude = 1e15;  // of a number: casts to 64-bit integers stay defined
+constexpr double kUsPerMs = 1000;
+constexpr int kCellMask = 0x7fffffff;  // cells are not negative
+
+[[noreturn]] void throw_invalid(const std::string& field, const char* problem) {
+  throw std::invalid_argument("field '" + field + "': " + problem);
 }
 
-std::string text(const Json& object, const char* field) {
+std::string parse_text(const Json& object, const char* field) {
   const auto it = object.find(field);
-  if (it == object.end() || !it->is_string()) bad(field, "text expected");
+  if (it == object.end() || !it->is_string()) throw_invalid(field, "text expected");
   return it->get<std::string>();
 }
 
-double number(const Json& object, const char* field, double absent) {
+double parse_number(const Json& object, const char* field, double default_value) {
   const auto it = object.find(field);
-  if (it == object.end() || it->is_null()) return absent;
-  if (!it->is_number()) bad(field, "number expected");
+  if (it == object.end() || it->is_null()) return default_value;
+  if (!it->is_number()) throw_invalid(field, "number expected");
   const double value = it->get<double>();
-  if (!(std::abs(value) < 1e15)) bad(field, "number out of range");
+  if (!(std::abs(value) < kMaxMagnitude)) throw_invalid(field, "number out of range");
   return value;
 }
 
-EndpointState state(const std::string& word) {
-  if (word == "up") return EndpointState::kReady;
-  if (word == "draining") return EndpointState::kDraining;
-  if (word == "removed") return EndpointState::kRemoved;
-  bad("health", "up, draining or removed expected");
+bool parse_flag(const Json& object, const char* field) {
+  const auto it = object.find(field);
+  if (it == object.end()) return false;
+  if (!it->is_boolean()) throw_invalid(field, "true or false expected");
+  return it->get<bool>();
+}
+
+EndpointState parse_state(const std::string& name) {
+  for (const auto& [state_name, state] : kStateNames) {
+    if (name == state_name) return state;
+  }
+  throw_invalid(key::kState, "up, draining or removed expected");
+}
+
+const char* name_of(EndpointState state) {
+  for (const auto& [state_name, named_state] : kStateNames) {
+    if (state == named_state) return state_name;
+  }
+  return "removed";
+}
+
+EndpointInfo parse_endpoint(const Json& object) {
+  EndpointInfo info;
+  info.endpoint = parse_text(object, key::kEndpoint);
+  info.state = parse_state(parse_text(object, key::kState));
+  info.zone = parse_text(object, key::kZone);
+  info.kind = parse_text(object, key::kKind);
+  info.cell = static_cast<int>(std::lround(parse_number(object, key::kCell, 0)) & kCellMask);
+  info.weight = parse_number(object, key::kWeight, 1);
+  // Unix time, as is the dispatcher's clock.
+  info.started = routing::Time(std::llround(parse_number(object, key::kStartedMs, 0) * kUsPerMs));
+  return info;
+}
+
+upstream::EndpointAddress parse_address(const Json& object, const EndpointInfo& info) {
+  const auto address = net::parse_endpoint(parse_text(object, key::kAddress));
+  if (!address) throw_invalid(key::kAddress, "address and port expected");
+  return {info.endpoint, *address, info.state == EndpointState::kReady, info.state == EndpointState::kRemoved,
+          info.zone,     info.cell};
+}
+
+std::string to_text(const net::tcp::endpoint& at) {
+  const std::string address = at.address().to_string();
+  const std::string port = std::to_string(at.port());
+  return (at.address().is_v6() ? "[" + address + "]" : address) + ":" + port;
 }
 
 }  // namespace
 
-EndpointSnapshot parse_servers(const Json& object) {
+EndpointSnapshot parse_endpoint_snapshot(const Json& object) {
   if (!object.is_object()) throw std::invalid_argument("an object expected");
-  EndpointSnapshot servers;
-  servers.seq = static_cast<std::uint64_t>(std::max(0.0, number(object, "seq", 0)));
-  const auto whole = object.find("whole");
-  if (whole != object.end() && !whole->is_boolean()) bad("whole", "true or false expected");
-  servers.whole = whole != object.end() && whole->get<bool>();
-  servers.list.kind = servers.whole ? routing::ListKind::kFull : routing::ListKind::kDelta;
-  const auto endpoints = object.find("hosts");
-  if (endpoints == object.end() || !endpoints->is_array()) bad("hosts", "array expected");
-  for (const Json& h : *endpoints) {
-    if (!h.is_object()) bad("hosts", "objects expected");
-    routing::EndpointInfo entry;
-    entry.endpoint = text(h, "host");
-    entry.state = state(text(h, "health"));
-    entry.zone = text(h, "site");
-    entry.kind = text(h, "class");
-    entry.cell = static_cast<int>(std::lround(number(h, "block", 0)) & 0x7fffffff);
-    entry.weight = number(h, "share", 1);
-    // Unix time, as is the dispatcher's clock; 0 (long ago) stays 0.
-    entry.started = routing::Time(std::llround(number(h, "born_ms", 0) * 1000));
-    const auto address = net::parse_endpoint(text(h, "dial"));
-    if (!address) bad("dial", "address and port expected");
-    servers.addresses.push_back({entry.endpoint, *address, entry.state == EndpointState::kReady,
-                                 entry.state == EndpointState::kRemoved, entry.zone, entry.cell});
-    servers.list.entries.push_back(std::move(entry));
+  EndpointSnapshot snapshot;
+  snapshot.version = static_cast<std::uint64_t>(std::max(0.0, parse_number(object, key::kVersion, 0)));
+  snapshot.is_complete = parse_flag(object, key::kIsComplete);
+  snapshot.list.kind = snapshot.is_complete ? routing::ListKind::kFull : routing::ListKind::kDelta;
+  const auto endpoints = object.find(key::kEndpoints);
+  if (endpoints == object.end() || !endpoints->is_array()) throw_invalid(key::kEndpoints, "array expected");
+  for (const Json& endpoint : *endpoints) {
+    if (!endpoint.is_object()) throw_invalid(key::kEndpoints, "objects expected");
+    EndpointInfo info = parse_endpoint(endpoint);
+    snapshot.addresses.push_back(parse_address(endpoint, info));
+    snapshot.list.entries.push_back(std::move(info));
   }
-  return servers;
+  return snapshot;
 }
 
-Json to_json(const EndpointSnapshot& servers) {
+Json to_json(const EndpointSnapshot& snapshot) {
   Json endpoints = Json::array();
-  for (std::size_t i = 0; i < servers.list.entries.size(); ++i) {
-    const routing::EndpointInfo& e = servers.list.entries[i];
-    const net::tcp::endpoint& at = servers.addresses[i].address;
-    const std::string address = at.address().to_string();
-    endpoints.push_back(
-        {{"host", e.endpoint},
-         {"dial", (at.address().is_v6() ? "[" + address + "]" : address) + ":" + std::to_string(at.port())},
-         {"site", e.zone},
-         {"class", e.kind},
-         {"block", e.cell},
-         {"health", e.state == EndpointState::kReady      ? "up"
-                    : e.state == EndpointState::kDraining ? "draining"
-                                                          : "removed"},
-         {"share", e.weight},
-         {"born_ms", static_cast<double>(e.started.count()) / 1000}});
+  for (std::size_t i = 0; i < snapshot.list.entries.size(); ++i) {
+    const EndpointInfo& info = snapshot.list.entries[i];
+    endpoints.push_back({{key::kEndpoint, info.endpoint},
+                         {key::kAddress, to_text(snapshot.addresses[i].address)},
+                         {key::kZone, info.zone},
+                         {key::kKind, info.kind},
+                         {key::kCell, info.cell},
+                         {key::kState, name_of(info.state)},
+                         {key::kWeight, info.weight},
+                         {key::kStartedMs, static_cast<double>(info.started.count()) / kUsPerMs}});
   }
-  return {{"seq", servers.seq}, {"whole", servers.whole}, {"hosts", endpoints}};
+  return {{key::kVersion, snapshot.version},
+          {key::kIsComplete, snapshot.is_complete},
+          {key::kEndpoints, endpoints}};
 }
 
-void merge(EndpointSnapshot& all, const EndpointSnapshot& news) {
-  if (news.whole) {
-    all = news;
+void apply_update(EndpointSnapshot& snapshot, const EndpointSnapshot& update) {
+  if (update.is_complete) {
+    snapshot = update;
     return;
   }
-  all.seq = news.seq;
-  for (std::size_t i = 0; i < news.list.entries.size(); ++i) {
-    const routing::EndpointInfo& entry = news.list.entries[i];
-    const auto same = [&](const routing::EndpointInfo& e) { return e.endpoint == entry.endpoint; };
-    const auto at = std::find_if(all.list.entries.begin(), all.list.entries.end(), same);
-    const auto index = at - all.list.entries.begin();
-    if (at != all.list.entries.end()) {
-      all.list.entries.erase(at);
-      all.addresses.erase(all.addresses.begin() + index);
+  snapshot.version = update.version;
+  for (std::size_t i = 0; i < update.list.entries.size(); ++i) {
+    const EndpointInfo& changed = update.list.entries[i];
+    auto& entries = snapshot.list.entries;
+    const auto it = std::find_if(entries.begin(), entries.end(),
+                                 [&](const EndpointInfo& info) { return info.endpoint == changed.endpoint; });
+    if (it != entries.end()) {
+      snapshot.addresses.erase(snapshot.addresses.begin() + (it - entries.begin()));
+      entries.erase(it);
     }
-    if (entry.state == EndpointState::kRemoved) continue;
-    all.list.entries.push_back(entry);
-    all.addresses.push_back(news.addresses[i]);
+    if (changed.state == EndpointState::kRemoved) continue;
+    entries.push_back(changed);
+    snapshot.addresses.push_back(update.addresses[i]);
   }
 }
 
--- a/src/service_discovery/endpoint_watcher.cpp
+++ b/src/service_discovery/endpoint_watcher.cpp
@@ -1,79 +1,113 @@
 #include "service_discovery/endpoint_watcher.hpp"
 
+#include <cstddef>
+#include <stdexcept>
 #include <utility>
 
 namespace dispatcher::service_discovery {
 
 namespace {
-constexpr std::size_t kMaxIn = 256 * 1024, kMaxOut = 4096;
 
-bool blank(std::string_view text) { return text.find_first_not_of(" \t\r\n") == std::string_view::npos; }
+constexpr std::size_t kMaxInputBytes =
+    256UL * 1024;                              // buffered of a response; the framer holds longer objects
+constexpr std::size_t kMaxOutputBytes = 4096;  // a request is far shorter
+constexpr unsigned kStatusOk = 200;
+
+bool is_blank(std::string_view text) { return text.find_first_not_of(" \t\r\n") == std::string_view::npos; }
+
 }  // namespace
 
-EndpointWatcher::EndpointWatcher(boost::asio::io_context& io, const net::tcp::endpoint& at,
+EndpointWatcher::EndpointWatcher(boost::asio::io_context& io, const net::tcp::endpoint& address,
                                  engine::TimerQueue& timers, engine::Clock clock, engine::Log log,
-                                 OnChange on_change, int fleet, std::uint64_t seed, Lists lists)
+                                 OnChange on_change, const EndpointWatcherOptions& options)
     : io_(io),
-      at_(at),
+      address_(address),
       timers_(timers),
       clock_(std::move(clock)),
       log_(std::move(log)),
       on_change_(std::move(on_change)),
-      plan_(lists, fleet),
-      random_(seed) {}
+      schedule_(options.delivery, options.dispatcher_count),
+      random_(options.seed) {}
 
 EndpointWatcher::~EndpointWatcher() {
-  timers_.drop(next_);
+  timers_.drop(timer_);
   for (const auto& [id, call] : calls_) call->connection->close();
 }
 
-void EndpointWatcher::start(std::uint64_t seq) {
-  seq_ = seq;
-  obey(plan_.restart(clock_()));
+void EndpointWatcher::start(std::uint64_t version) {
+  version_ = version;
+  execute(schedule_.restart(clock_()));
 }
 
-// Before start() the first lists, read from files, may lead here already: there is no watch yet.
+// The configured list may already have the router ask for a restart before start(): there is no watch yet.
 void EndpointWatcher::restart() {
-  if (plan_.started()) obey(plan_.restart(clock_()));
+  if (schedule_.is_started()) execute(schedule_.restart(clock_()));
 }
 
-void EndpointWatcher::move(const net::tcp::endpoint& at) {
-  at_ = at;
-  whole_ = true;
-  if (plan_.started()) obey(plan_.move(clock_()));
+void EndpointWatcher::set_address(const net::tcp::endpoint& address) {
+  address_ = address;
+  needs_complete_list_ = true;
+  if (schedule_.is_started()) execute(schedule_.restart_at_new_address(clock_()));
 }
 
-void EndpointWatcher::obey(const PollSchedule::Orders& orders) {
-  for (const CallId id : orders.close) {
-    const auto it = calls_.find(id);
-    if (it == calls_.end()) continue;
-    it->second->connection->close();
-    calls_.erase(it);
-  }
-  if (orders.unreadable) whole_ = true;
-  if (orders.open != 0) {
-    const auto call = std::make_shared<Call>();
-    calls_.emplace(orders.open, call);
-    call->connection = net::Connection::connect(io_, at_, *this, {0, orders.open}, kMaxIn, kMaxOut);
-  }
-  timers_.drop(next_);
-  if (const auto at = plan_.next()) {
-    next_ = timers_.add(*at, [this] {
-      next_ = {};
-      const PollSchedule::Orders due = plan_.tick(clock_(), draw());
-      if (due.unreadable) lost("an object did not end");
-      if (due.silent) lost("silent");
-      obey(due);
-    });
-  }
+void EndpointWatcher::execute(const PollSchedule::Actions& actions) {
+  for (const CallId id : actions.close) close_call(id);
+  if (actions.needs_complete_list) needs_complete_list_ = true;
+  if (actions.open != PollSchedule::kNoCall) open_call(actions.open);
+  set_timer();
+}
+
+void EndpointWatcher::close_call(CallId id) {
+  const auto it = calls_.find(id);
+  if (it == calls_.end()) return;
+  it->second->connection->close();
+  calls_.erase(it);
+}
+
+void EndpointWatcher::open_call(CallId id) {
+  const auto call = std::make_shared<Call>();
+  calls_.emplace(id, call);
+  call->connection = net::Connection::connect(io_, address_, *this, {0, id}, kMaxInputBytes, kMaxOutputBytes);
+}
+
+void EndpointWatcher::set_timer() {
+  timers_.drop(timer_);
+  if (const auto deadline = schedule_.next_deadline())
+    timer_ = timers_.add(*deadline, [this] { on_timer(); });
 }
 
-void EndpointWatcher::lost(std::string_view why) {
-  if (std::exchange(healthy_, false)) log_(std::string("discovery lost: ").append(why));
+void EndpointWatcher::on_timer() {
+  timer_ = {};
+  const PollSchedule::Actions actions = schedule_.on_timer(clock_(), draw_jitter());
+  if (actions.needs_complete_list) mark_unhealthy("an object did not end");
+  if (actions.has_timed_out) mark_unhealthy("silent");
+  execute(actions);
 }
 
-void EndpointWatcher::back() {
-  if (!std::exchange(healthy_, true)) log_("discovery back");
+void EndpointWatcher::mark_unhealthy(std::string_view reason) {
+  if (std::exchange(is_healthy_, false)) log_(std::string("discovery lost: ").append(reason));
+}
+
+void EndpointWatcher::mark_healthy() {
+  if (!std::exchange(is_healthy_, true)) log_("discovery back");
+}
+
+void EndpointWatcher::fail_call(CallId id, FailureKind kind) {
+  const engine::Time now = clock_();
+  const double jitter = draw_jitter();
+  switch (kind) {
+    case FailureKind::kRejected:
+      return execute(schedule_.on_rejected(id, now, jitter));
+    case FailureKind::kConnectionLost:
+      return execute(schedule_.on_failed(id, now, jitter));
+    case FailureKind::kUnreadable:
+      return execute(schedule_.on_unreadable(id, now, jitter));
+  }
+}
+
+void EndpointWatcher::fail_call(CallId id, FailureKind kind, std::string_view reason) {
+  mark_unhealthy(reason);
+  fail_call(id, kind);
 }
 
 std::shared_ptr<EndpointWatcher::Call> EndpointWatcher::find(CallId id) const {
@@ -81,27 +115,26 @@
   return it == calls_.end() ? nullptr : it->second;
 }
 
-void EndpointWatcher::on_connected(net::SlotId id, net::error_code error) {
-  const auto call = find(id.generation);
+void EndpointWatcher::on_connected(net::SlotId slot, net::error_code error) {
+  const auto call = find(slot.generation);
   if (!call) return;
-  if (error) return on_ended(id, error);
-  ask(*call);
+  if (error) return on_ended(slot, error);
+  send_request(*call);
   call->connection->read();
 }
 
-void EndpointWatcher::ask(Call& call) {
-  call.whole = whole_;
+void EndpointWatcher::send_request(Call& call) {
+  call.requested_complete_list = needs_complete_list_;
   call.reader.emplace(std::nullopt);
   call.framer = JsonFramer();
-  const std::string follow = call.whole ? "" : "?follow=1&since=" + std::to_string(seq_);
-  call.connection->write("GET /v1/servers" + follow +
+  const std::string query = call.requested_complete_list ? "" : "?follow=1&since=" + std::to_string(version_);
+  call.connection->write("GET /v1/servers" + query +
                          " HTTP/1.1\r\nHost: discovery\r\nAccept: application/json\r\n\r\n");
 }
 
-void EndpointWatcher::on_ended(net::SlotId id, net::error_code error) {
-  if (!find(id.generation)) return;
-  lost(error.message());
-  obey(plan_.failed(id.generation, clock_(), draw()));
+void EndpointWatcher::on_ended(net::SlotId slot, net::error_code error) {
+  const CallId id = slot.generation;
+  if (find(id)) fail_call(id, FailureKind::kConnectionLost, error.message());
 }
 
 void EndpointWatcher::on_data(net::SlotId slot) {
@@ -109,86 +142,86 @@
   const auto call = find(id);
   if (!call) return;
   const auto progress = call->reader->read(call->connection->input());
-  if (progress == http::Progress::kBad) {
-    lost("malformed answer");
-    return obey(plan_.unreadable(id, clock_(), draw()));
-  }
-  if (!call->reader->head_done() || !take_head(id, *call)) return;
-  take(id, *call, call->reader->take_body());
-  if (progress == http::Progress::kDone && find(id)) finish(id, *call);
+  if (progress == http::Progress::kBad) return fail_call(id, FailureKind::kUnreadable, "malformed response");
+  if (!call->reader->head_done() || !handle_head(id, *call)) return;
+  handle_body(id, *call, call->reader->take_body());
+  if (progress == http::Progress::kDone && find(id)) handle_end_of_response(id, *call);
 }
 
-bool EndpointWatcher::take_head(CallId id, Call& call) {
+bool EndpointWatcher::handle_head(CallId id, Call& call) {
   const auto status = call.reader->message().result_int();
-  if (status != 200) {
-    lost("status " + std::to_string(status));
-    obey(plan_.rejected(id, clock_(), draw()));
+  if (status != kStatusOk) {
+    fail_call(id, FailureKind::kRejected, "status " + std::to_string(status));
     return false;
   }
-  heard_ = clock_();
-  obey(plan_.answered(id, clock_()));
+  last_response_at_ = clock_();
+  execute(schedule_.on_answered(id, clock_()));
   return true;
 }
 
-// Hearing a list may lead to a restart or a move, which ends this call: what it has brought beyond is not
-// read.
-void EndpointWatcher::take(CallId id, Call& call, const std::string& text) {
-  const bool was_inside = call.framer.inside();
-  const auto objects = call.framer.feed(text);
+// Reporting a list may lead to restart() or set_address(), which end this call: what it has brought beyond
+// that list is not read.
+void EndpointWatcher::handle_body(CallId id, Call& call, const std::string& text) {
+  const bool was_inside_object = call.framer.is_inside_object();
+  const auto objects = call.framer.append(text);
   for (const std::string& object : objects) {
-    const bool valid = take_object(call, object);
+    const bool is_list = handle_object(call, object);
     if (!find(id)) return;
-    if (!valid) return obey(plan_.unreadable(id, clock_(), draw()));
+    if (!is_list) return fail_call(id, FailureKind::kUnreadable);
   }
-  if (call.framer.bad()) {
-    log_("discovery sent a bad line: no list of objects");
-    lost("unreadable");
-    return obey(plan_.unreadable(id, clock_(), draw()));
+  if (call.framer.is_malformed()) {
+    log_("discovery sent a malformed list: not JSON objects");
+    return fail_call(id, FailureKind::kUnreadable, "unreadable");
   }
-  if (!call.whole && !text.empty() && blank(text) && !was_inside) back();
-  const bool waits = call.framer.inside() || (call.whole && !call.has_list);
-  if (!waits) {
-    call.object_since.reset();
-  } else if (!call.object_since || !objects.empty()) {
-    call.object_since = clock_();
+  const bool is_keep_alive = !text.empty() && is_blank(text) && !was_inside_object;
+  if (!call.requested_complete_list && is_keep_alive) mark_healthy();
+  update_object_timeout(id, call, !objects.empty());
+}
+
+// An object that has begun must end in time, and so must the wait for a complete list.
+void EndpointWatcher::update_object_timeout(CallId id, Call& call, bool completed_objects) {
+  const bool awaits_complete_list = call.requested_complete_list && !call.has_complete_list;
+  if (!call.framer.is_inside_object() && !awaits_complete_list) {
+    call.object_started_at.reset();
+  } else if (!call.object_started_at || completed_objects) {
+    call.object_started_at = clock_();
   }
-  plan_.heard(id, clock_(), call.object_since);
-  obey({});
+  schedule_.on_data_received(id, clock_(), call.object_started_at);
+  set_timer();
 }
 
-bool EndpointWatcher::take_object(Call& call, const std::string& text) {
+bool EndpointWatcher::handle_object(Call& call, const std::string& text) {
   try {
-    const EndpointSnapshot servers = parse_servers(nlohmann::json::parse(text, nullptr, false));
-    if (call.whole && !call.has_list && !servers.whole) throw std::invalid_argument("no whole list");
-    back();
-    if (servers.whole) {
-      whole_ = false;
-      call.has_list = true;
-    } else if (servers.seq < seq_) {
-      return true;  // what it changes has been told already
-    }
-    seq_ = servers.seq;
-    on_change_(servers);
+    const auto snapshot = parse_endpoint_snapshot(nlohmann::json::parse(text, nullptr, false));
+    if (call.requested_complete_list && !call.has_complete_list && !snapshot.is_complete)
+      throw std::invalid_argument("complete list expected");
+    mark_healthy();
+    report(call, snapshot);
     return true;
   } catch (const std::invalid_argument& e) {
-    log_(std::string("discovery sent a bad line: ") + e.what());
-    lost("unreadable");
+    log_(std::string("discovery sent a malformed list: ") + e.what());
+    mark_unhealthy("unreadable");
     return false;
   }
 }
 
-void EndpointWatcher::finish(CallId id, Call& call) {
-  if (!call.whole) {
-    lost("the watch ended");
-    return obey(plan_.failed(id, clock_(), draw()));
+void EndpointWatcher::report(Call& call, const EndpointSnapshot& snapshot) {
+  if (snapshot.is_complete) {
+    needs_complete_list_ = false;
+    call.has_complete_list = true;
+  } else if (snapshot.version < version_) {
+    return;  // this change was reported already
   }
-  if (!call.has_list) {
-    lost("no list");
-    return obey(plan_.unreadable(id, clock_(), draw()));
-  }
-  // Not a loss: the connection was good for the list alone.
-  if (!call.reader->keep_alive()) return obey(plan_.failed(id, clock_(), draw()));
-  ask(call);
+  version_ = snapshot.version;
+  on_change_(snapshot);
+}
+
+void EndpointWatcher::handle_end_of_response(CallId id, Call& call) {
+  if (!call.requested_complete_list) return fail_call(id, FailureKind::kConnectionLost, "the watch ended");
+  if (!call.has_complete_list) return fail_call(id, FailureKind::kUnreadable, "no list");
+  // The server closes the connection after the list: service discovery is not lost by that.
+  if (!call.reader->keep_alive()) return fail_call(id, FailureKind::kConnectionLost);
+  send_request(call);
 }
 
 }  // namespace dispatcher::service_discovery
--- a/src/service_discovery/json_framer.hpp
+++ b/src/service_discovery/json_framer.hpp
@@ -1,4 +1,4 @@
-// Cuts a stream of JSON objects into whole objects as it comes, however they are indented or cut.
+// Splits a byte stream of JSON objects (RFC 8259), separated by any white space or none, into single objects.
 #ifndef DISPATCHER_SERVICE_DISCOVERY_JSON_FRAMER_HPP_
 #define DISPATCHER_SERVICE_DISCOVERY_JSON_FRAMER_HPP_
 
@@ -9,24 +9,30 @@
 
 namespace dispatcher::service_discovery {
 
+// Finds where each object ends by counting braces outside of strings, however the objects are indented and
+// the stream is cut. A value type, used by one thread.
 class JsonFramer {
  public:
-  static constexpr std::size_t kMaxObject = 16 * 1024 * 1024;
-  explicit JsonFramer(std::size_t maximum = kMaxObject) : max_(maximum) {}
+  static constexpr std::size_t kMaxObjectBytes = 16UL * 1024 * 1024;
+  explicit JsonFramer(std::size_t max_object_bytes = kMaxObjectBytes) : max_object_bytes_(max_object_bytes) {}
 
-  // Takes the next bytes and returns the objects that they complete. Whether an object is valid inside its
-  // braces is the parser's to tell.
-  std::vector<std::string> feed(std::string_view bytes);
-  [[nodiscard]] bool inside() const { return depth_ > 0; }  // an object has begun and not ended
-  // Something stood between objects that is no white space, or an object is too long. Nothing more is read.
-  [[nodiscard]] bool bad() const { return bad_; }
+  // Adds the next bytes and returns the objects that they complete. Whether an object is valid JSON inside
+  // its braces is for the parser to find out. Returns nothing more once is_malformed().
+  [[nodiscard]] std::vector<std::string> append(std::string_view bytes);
+  // An object has begun and not ended.
+  [[nodiscard]] bool is_inside_object() const { return depth_ > 0; }
+  // Something other than white space stood between two objects, or an object was too long.
+  [[nodiscard]] bool is_malformed() const { return is_malformed_; }
 
  private:
-  void step(char c);
-  std::size_t max_;
-  std::string held_;
-  std::size_t depth_ = 0;
-  bool in_string_ = false, escaped_ = false, bad_ = false;
+  void advance(char byte);
+
+  std::size_t max_object_bytes_;
+  std::string partial_object_;
+  std::size_t depth_ = 0;  // of open braces
+  bool is_in_string_ = false;
+  bool is_escaped_ = false;  // the byte before was a backslash in a string
+  bool is_malformed_ = false;
 };
 
 }  // namespace dispatcher::service_discovery
--- a/src/service_discovery/poll_schedule.cpp
+++ b/src/service_discovery/poll_schedule.cpp
@@ -3,153 +3,171 @@
 #include <algorithm>
 #include <utility>
 
+#include "service_discovery/poll_timing.hpp"
+
 namespace dispatcher::service_discovery {
 
 using std::chrono::milliseconds;
 
 namespace {
-constexpr std::size_t kMaxCalls = 2;
-// A call that lived for less has failed at once; several of these in a row would spin.
-constexpr service_discovery::Duration kShortLife = milliseconds(1000);
-// What dispatchers that lost their watch in one moment part by where calls cost nothing.
-constexpr service_discovery::Duration kJitter = milliseconds(5);
+
+constexpr std::size_t kMaxCalls = 2;  // a pushed watch and the call that is to replace it
+// A call that lived for less counts as failed at once: several of these in a row would spin.
+constexpr Duration kRapidFailureLifetime = milliseconds(1000);
+// Spreads out the dispatchers that lost their watch at the same moment, where calls cost nothing.
+constexpr Duration kReconnectJitter = milliseconds(5);
+
 }  // namespace
 
-PollSchedule::PollSchedule(Lists lists, int fleet)
-    : lists_(lists),
-      refusals_(service_discovery::list_calls(fleet)),
-      resets_(service_discovery::after_reset(fleet)),
-      silences_(service_discovery::after_silence(fleet)),
-      spinning_(service_discovery::against_spinning()) {}
-
-PollSchedule::Orders PollSchedule::restart(Time now) {
-  Orders orders;
-  started_ = true;
-  close_all(orders);
+PollSchedule::Time PollSchedule::Call::deadline() const {
+  return last_activity + (is_answered ? kWatchTimeout : kCallTimeout);
+}
+
+bool PollSchedule::Call::has_object_timed_out(Time now) const {
+  return object_started_at && *object_started_at + kObjectTimeout <= now;
+}
+
+PollSchedule::PollSchedule(ListDelivery delivery, int dispatcher_count)
+    : delivery_(delivery),
+      rejection_backoff_(rejection_backoff(dispatcher_count)),
+      reset_backoff_(reset_backoff(dispatcher_count)),
+      silence_backoff_(silence_backoff(dispatcher_count)),
+      rapid_failure_backoff_(rapid_failure_backoff()) {}
+
+PollSchedule::Actions PollSchedule::restart(Time now) {
+  Actions actions;
+  is_started_ = true;
+  close_all(actions);
   not_before_ = now;
-  open(now, orders);
-  return orders;
+  open(now, actions);
+  return actions;
 }
 
-PollSchedule::Orders PollSchedule::move(Time now) {
-  refusals_.succeeded();
-  spinning_.succeeded();
+PollSchedule::Actions PollSchedule::restart_at_new_address(Time now) {
+  rejection_backoff_.on_success();
+  rapid_failure_backoff_.on_success();
   return restart(now);
 }
 
-PollSchedule::Orders PollSchedule::tick(Time now, double draw) {
-  Orders orders;
+PollSchedule::Actions PollSchedule::on_timer(Time now, double jitter) {
   for (const Call& call : calls_) {
-    if (call.object_since && *call.object_since + service_discovery::kObject <= now)
-      return unreadable(call.id, now, draw);
+    if (call.has_object_timed_out(now)) return on_unreadable(call.id, now, jitter);
   }
-  if (lists_ == Lists::kAskedFor && !calls_.empty() && calls_.front().limit() <= now) {
-    orders.silent = true;
-    close_all(orders);
-    rest(silences_.failed(draw), now);
+  Actions actions;
+  if (delivery_ == ListDelivery::kPoll && !calls_.empty() && calls_.front().deadline() <= now) {
+    actions.has_timed_out = true;
+    close_all(actions);
+    pause(silence_backoff_.on_failure(jitter), now);
   }
-  if (!started_ || now < open_at()) return orders;
-  orders.silent = orders.silent || !calls_.empty();
-  open(now, orders);
-  return orders;
+  if (!is_started_ || now < next_open_time()) return actions;
+  actions.has_timed_out = actions.has_timed_out || !calls_.empty();
+  open(now, actions);
+  return actions;
 }
 
-PollSchedule::Orders PollSchedule::rejected(CallId id, Time now, double draw) {
-  Orders orders;
-  if (drop(id, orders)) rest(refusals_.failed(draw), now);
-  return orders;
+PollSchedule::Actions PollSchedule::on_rejected(CallId id, Time now, double jitter) {
+  Actions actions;
+  if (close(id, actions)) pause(rejection_backoff_.on_failure(jitter), now);
+  return actions;
 }
 
-PollSchedule::Orders PollSchedule::failed(CallId id, Time now, double draw) {
-  Orders orders;
+PollSchedule::Actions PollSchedule::on_failed(CallId id, Time now, double jitter) {
+  Actions actions;
   const Call* call = find(id);
-  if (call == nullptr) return orders;
-  rest(pause_after_failure(*call, now, draw), now);
-  drop(id, orders);
-  return orders;
+  if (call == nullptr) return actions;
+  pause(pause_after_failure(*call, now, jitter), now);
+  close(id, actions);
+  return actions;
 }
 
-PollSchedule::Orders PollSchedule::unreadable(CallId id, Time now, double draw) {
-  Orders orders;
+PollSchedule::Actions PollSchedule::on_unreadable(CallId id, Time now, double jitter) {
+  Actions actions;
   const Call* call = find(id);
-  if (call == nullptr) return orders;
-  orders.unreadable = true;
-  rest(lists_ == Lists::kPushed ? pause_after_failure(*call, now, draw) : silences_.failed(draw), now);
-  close_all(orders);
-  return orders;
+  if (call == nullptr) return actions;
+  actions.needs_complete_list = true;
+  const bool is_pushed = delivery_ == ListDelivery::kPush;
+  pause(is_pushed ? pause_after_failure(*call, now, jitter) : silence_backoff_.on_failure(jitter), now);
+  close_all(actions);
+  return actions;
 }
 
-PollSchedule::Orders PollSchedule::answered(CallId id, Time now) {
-  Orders orders;
+PollSchedule::Actions PollSchedule::on_answered(CallId id, Time now) {
+  Actions actions;
   Call* call = find(id);
-  if (call == nullptr) return orders;
-  call->last = now;
-  // A watch that was silent and speaks again may have missed something: the call that joined it stays.
-  if (std::exchange(call->answered, true)) return orders;
-  refusals_.succeeded();
-  const std::vector<Call> all = calls_;
-  for (const Call& other : all) {
-    if (other.id != id) drop(other.id, orders);
+  if (call == nullptr) return actions;
+  call->last_activity = now;
+  // A watch that was silent and resumes may have missed something: the call that joined it stays.
+  if (std::exchange(call->is_answered, true)) return actions;
+  rejection_backoff_.on_success();
+  const std::vector<Call> all_calls = calls_;
+  for (const Call& other : all_calls) {
+    if (other.id != id) close(other.id, actions);
   }
-  return orders;
+  return actions;
 }
 
-void PollSchedule::heard(CallId id, Time now, std::optional<Time> object_since) {
+void PollSchedule::on_data_received(CallId id, Time now, std::optional<Time> object_started_at) {
   Call* call = find(id);
   if (call == nullptr) return;
-  call->last = now;
-  call->object_since = object_since;
+  call->last_activity = now;
+  call->object_started_at = object_started_at;
 }
 
-std::optional<PollSchedule::Time> PollSchedule::next() const {
-  if (!started_) return std::nullopt;
-  Time next = open_at();
-  if (lists_ == Lists::kAskedFor && !calls_.empty()) next = calls_.front().limit();
+std::optional<PollSchedule::Time> PollSchedule::next_deadline() const {
+  if (!is_started_) return std::nullopt;
+  Time deadline = next_open_time();
+  if (delivery_ == ListDelivery::kPoll && !calls_.empty()) deadline = calls_.front().deadline();
   for (const Call& call : calls_) {
-    if (call.object_since) next = std::min(next, *call.object_since + service_discovery::kObject);
+    if (call.object_started_at) deadline = std::min(deadline, *call.object_started_at + kObjectTimeout);
   }
-  return next;
+  return deadline;
 }
 
 PollSchedule::Call* PollSchedule::find(CallId id) {
-  const auto it = std::find_if(calls_.begin(), calls_.end(), [&](const Call& c) { return c.id == id; });
+  const auto it = std::find_if(calls_.begin(), calls_.end(), [&](const Call& call) { return call.id == id; });
   return it == calls_.end() ? nullptr : &*it;
 }
 
-bool PollSchedule::drop(CallId id, Orders& orders) {
-  const bool known = std::erase_if(calls_, [&](const Call& c) { return c.id == id; }) > 0;
-  if (known) orders.close.push_back(id);
-  return known;
+bool PollSchedule::close(CallId id, Actions& actions) {
+  const bool is_open = std::erase_if(calls_, [&](const Call& call) { return call.id == id; }) > 0;
+  if (is_open) actions.close.push_back(id);
+  return is_open;
 }
 
-void PollSchedule::close_all(Orders& orders) {
-  for (const Call& call : calls_) orders.close.push_back(call.id);
+void PollSchedule::close_all(Actions& actions) {
+  for (const Call& call : calls_) actions.close.push_back(call.id);
   calls_.clear();
 }
 
-void PollSchedule::open(Time now, Orders& orders) {
-  if (calls_.size() >= kMaxCalls) {  // the one that has said nothing for longest goes
-    const auto oldest = std::min_element(calls_.begin(), calls_.end(),
-                                         [](const Call& a, const Call& b) { return a.last < b.last; });
-    drop(oldest->id, orders);
-  }
-  if (++newest_ == 0) ++newest_;
-  orders.open = newest_;
-  calls_.push_back({newest_, now, now, false, std::nullopt});
+void PollSchedule::close_longest_idle(Actions& actions) {
+  const auto longest_idle = std::min_element(
+      calls_.begin(), calls_.end(),
+      [](const Call& left, const Call& right) { return left.last_activity < right.last_activity; });
+  close(longest_idle->id, actions);
 }
 
-service_discovery::Duration PollSchedule::pause_after_failure(const Call& call, Time now, double draw) {
-  if (lists_ == Lists::kAskedFor) return resets_.failed(draw);
-  if (now - call.opened >= kShortLife) spinning_.succeeded();
-  const bool first = spinning_.failures() == 0;
-  const service_discovery::Duration pause = spinning_.failed(draw);
-  return first ? std::chrono::duration_cast<service_discovery::Duration>(kJitter * std::clamp(draw, 0.0, 1.0))
-               : pause;
+void PollSchedule::open(Time now, Actions& actions) {
+  if (calls_.size() >= kMaxCalls) close_longest_idle(actions);
+  ++last_id_;
+  if (last_id_ == kNoCall) ++last_id_;
+  actions.open = last_id_;
+  calls_.push_back({last_id_, now, now, false, std::nullopt});
+}
+
+void PollSchedule::pause(Duration pause, Time now) { not_before_ = std::max(not_before_, now + pause); }
+
+Duration PollSchedule::pause_after_failure(const Call& call, Time now, double jitter) {
+  if (delivery_ == ListDelivery::kPoll) return reset_backoff_.on_failure(jitter);
+  if (now - call.opened_at >= kRapidFailureLifetime) rapid_failure_backoff_.on_success();
+  const bool is_first_failure = rapid_failure_backoff_.failures() == 0;
+  const Duration pause = rapid_failure_backoff_.on_failure(jitter);
+  if (!is_first_failure) return pause;
+  return std::chrono::duration_cast<Duration>(kReconnectJitter * std::clamp(jitter, 0.0, 1.0));
 }
 
-PollSchedule::Time PollSchedule::open_at() const {
+PollSchedule::Time PollSchedule::next_open_time() const {
   Time at = not_before_;
-  for (const Call& call : calls_) at = std::max(at, call.limit());
+  for (const Call& call : calls_) at = std::max(at, call.deadline());
   return at;
 }
 
--- a/tests/dispatcher/daemon_test.cpp
+++ b/tests/dispatcher/daemon_test.cpp
@@ -42,13 +42,13 @@
       [&](const service_discovery::EndpointSnapshot& servers) { told.push_back(servers); });
   watch.start(40);
   REQUIRE(work.until([&] { return told.size() == 1; }));
-  CHECK(told[0].whole);
+  CHECK(told[0].is_complete);
   work.settle();
   work.advance(milliseconds(300));
   REQUIRE(work.until([&] { return told.size() == 3; }));
-  CHECK(told[1].whole);
+  CHECK(told[1].is_complete);
   CHECK(told[1].list.entries[0].state == routing::EndpointState::kDraining);
-  CHECK(told[2].seq == 44);
+  CHECK(told[2].version == 44);
   CHECK(agent.seen[0].target == "/v1/servers?follow=1&since=40");
   CHECK(agent.seen[1].target == "/v1/servers");
   CHECK(agent.seen[2].target == "/v1/servers?follow=1&since=43");
@@ -76,9 +76,9 @@
       [&](const service_discovery::EndpointSnapshot& servers) { told.push_back(servers); });
   watch.start(40);
   REQUIRE(work.until([&] { return told.size() == 1; }));
-  watch.move(agent.server.local());
+  watch.set_address(agent.server.local());
   REQUIRE(work.until([&] { return told.size() == 3; }));
-  CHECK(told[1].whole);
+  CHECK(told[1].is_complete);
   CHECK(told[1].list.entries[0].endpoint == "b");
   CHECK(told[2].list.entries[0].state == routing::EndpointState::kDraining);
   CHECK(agent.seen[1].target == "/v1/servers?follow=1&since=7");
--- a/tests/dispatcher/drain_test.cpp
+++ b/tests/dispatcher/drain_test.cpp
@@ -15,7 +15,7 @@
     config.listen = config.discovery = loopback();
     config.discovery.port(1);  // nobody listens there
     config.settings = make_settings();
-    config.known.whole = true;
+    config.known.is_complete = true;
     config.known.list.kind = routing::ListKind::kFull;
     add("r", "reader", reader.server.local());
     add("w", "writer", writer.server.local());
--- a/tests/dispatcher/endpoint_watcher_test.cpp
+++ b/tests/dispatcher/endpoint_watcher_test.cpp
@@ -1,4 +1,4 @@
-// Discovery's watch over loopback, against an agent that is silent, refuses, resets and repeats itself.
+// EndpointWatcher over loopback, against an agent that is silent, rejects, resets and repeats itself.
 #include "service_discovery/endpoint_watcher.hpp"
 
 #include <algorithm>
@@ -6,7 +6,7 @@
 #include <optional>
 
 #include "fixture.hpp"
-#include "service_discovery/backoff.hpp"
+#include "service_discovery/poll_timing.hpp"
 
 namespace dispatcher::testing {
 namespace {
@@ -113,15 +113,15 @@
 
 struct Follower {
   explicit Follower(Clockwork& work, Agent& agent, int fleet = 300,
-                    service_discovery::Lists lists = service_discovery::Lists::kPushed)
-      : watch(
+                    service_discovery::ListDelivery lists = service_discovery::ListDelivery::kPush)
+      : watcher(
             work.io, agent.address(), work.timers, work.clock(),
             [this](std::string_view line) { logs.emplace_back(line); },
-            [this](const service_discovery::EndpointSnapshot& servers) { told.push_back(servers); }, fleet, 3,
-            lists) {}
+            [this](const service_discovery::EndpointSnapshot& snapshot) { told.push_back(snapshot); },
+            {fleet, 3, lists}) {}
   std::vector<std::string> logs;
   std::vector<service_discovery::EndpointSnapshot> told;
-  service_discovery::EndpointWatcher watch;
+  service_discovery::EndpointWatcher watcher;
   [[nodiscard]] long logged(std::string_view start) const {
     return std::count_if(logs.begin(), logs.end(), [&](auto& line) { return line.starts_with(start); });
   }
@@ -129,9 +129,10 @@
 
 // A watch that has its first list, after which the agent says nothing by itself.
 struct Established {
-  explicit Established(int fleet = 300, service_discovery::Lists lists = service_discovery::Lists::kPushed)
+  explicit Established(int fleet = 300,
+                       service_discovery::ListDelivery lists = service_discovery::ListDelivery::kPush)
       : agent(work), follower(work, agent, fleet, lists) {
-    follower.watch.start(40);
+    follower.watcher.start(40);
     REQUIRE(work.until([&] { return agent.asked() == 1; }));
     Agent::say(*agent.calls[0], list(41, true));
     REQUIRE(work.until([&] { return follower.told.size() == 1; }));
@@ -150,148 +151,149 @@
 TEST_CASE("pushed: a call is out whenever discovery comes back, and brings the change in that moment",
           "[discovery][watch]") {
   for (const int silent : {300, 2500, 4600, 5900, 8200}) {
-    Established e;
+    Established established;
     for (int t = 0; t < silent; t += 100) {
-      e.work.advance(milliseconds(100));
-      e.work.settle();
-      REQUIRE(e.agent.open() >= 1);
-      REQUIRE(e.agent.open() <= 2);
+      established.work.advance(milliseconds(100));
+      established.work.settle();
+      REQUIRE(established.agent.open() >= 1);
+      REQUIRE(established.agent.open() <= 2);
     }
-    const engine::Time back = e.work.now;
-    for (const auto& call : e.agent.calls) {
+    const engine::Time back = established.work.now;
+    for (const auto& call : established.agent.calls) {
       if (!call->gone) Agent::say(*call, list(42, false, "draining"));
     }
-    REQUIRE(e.tells(2));
-    CHECK(e.work.now == back);  // not a moment later
-    CHECK(e.follower.told.back().list.entries[0].state == routing::EndpointState::kDraining);
-    e.work.settle();
-    CHECK(e.agent.open() == 1);
-    CHECK(e.follower.logged("discovery lost") == (silent > 2400 ? 1 : 0));
-    CHECK(e.follower.logged("discovery back") == (silent > 2400 ? 1 : 0));
+    REQUIRE(established.tells(2));
+    CHECK(established.work.now == back);  // not a moment later
+    CHECK(established.follower.told.back().list.entries[0].state == routing::EndpointState::kDraining);
+    established.work.settle();
+    CHECK(established.agent.open() == 1);
+    CHECK(established.follower.logged("discovery lost") == (silent > 2400 ? 1 : 0));
+    CHECK(established.follower.logged("discovery back") == (silent > 2400 ? 1 : 0));
   }
 }
 
 TEST_CASE("pushed: a change on the older of two calls is taken, and the newer call stays until it answers",
           "[discovery][watch]") {
-  Established e;
-  e.work.advance(milliseconds(2500));
-  REQUIRE(e.asks(2));
-  CHECK(e.agent.calls[1]->asked[0] == "/v1/servers?follow=1&since=41");
-  Agent::say(*e.agent.calls[0], list(42, false, "draining"));
-  REQUIRE(e.tells(2));
-  CHECK(e.follower.watch.seq() == 42);
-  CHECK(e.agent.open() == 2);
-  Agent::say(*e.agent.calls[1], list(42, false, "draining"));  // what came after 41
-  REQUIRE(e.work.until([&] { return e.agent.open() == 1; }));
-  CHECK(e.agent.calls[0]->gone);
+  Established established;
+  established.work.advance(milliseconds(2500));
+  REQUIRE(established.asks(2));
+  CHECK(established.agent.calls[1]->asked[0] == "/v1/servers?follow=1&since=41");
+  Agent::say(*established.agent.calls[0], list(42, false, "draining"));
+  REQUIRE(established.tells(2));
+  CHECK(established.follower.watcher.version() == 42);
+  CHECK(established.agent.open() == 2);
+  Agent::say(*established.agent.calls[1], list(42, false, "draining"));  // what came after 41
+  REQUIRE(established.work.until([&] { return established.agent.open() == 1; }));
+  CHECK(established.agent.calls[0]->gone);
 }
 
 TEST_CASE("pushed: after a reset, a cut in the middle of a line or an end, the next call goes out at once",
           "[discovery][watch]") {
   for (const int how : {0, 1, 2}) {
-    Established e;
-    e.work.advance(milliseconds(1500));
-    if (how == 1) Agent::say(*e.agent.calls[0], list(42, false).substr(0, 30));
-    e.work.settle();
+    Established established;
+    established.work.advance(milliseconds(1500));
+    if (how == 1) Agent::say(*established.agent.calls[0], list(42, false).substr(0, 30));
+    established.work.settle();
     if (how == 2) {
-      Agent::write(*e.agent.calls[0], std::string(http::kLastChunk));
+      Agent::write(*established.agent.calls[0], std::string(http::kLastChunk));
     } else {
-      Agent::reset(*e.agent.calls[0]);
+      Agent::reset(*established.agent.calls[0]);
     }
-    e.work.settle();
-    e.work.advance(milliseconds(20));
-    REQUIRE(e.asks(2));
-    CHECK(e.agent.last_asked() == "/v1/servers?follow=1&since=41");
-    Agent::say(*e.agent.calls[1], list(42, false, "draining"));
-    REQUIRE(e.tells(2));
-    CHECK(e.follower.logged("discovery lost") == 1);
-    CHECK(e.follower.logged("discovery back") == 1);
+    established.work.settle();
+    established.work.advance(milliseconds(20));
+    REQUIRE(established.asks(2));
+    CHECK(established.agent.last_asked() == "/v1/servers?follow=1&since=41");
+    Agent::say(*established.agent.calls[1], list(42, false, "draining"));
+    REQUIRE(established.tells(2));
+    CHECK(established.follower.logged("discovery lost") == 1);
+    CHECK(established.follower.logged("discovery back") == 1);
   }
 }
 
 TEST_CASE("pushed: connections that are refused or reset at once don't spin, and the return is heard",
           "[discovery][watch]") {
-  Established e;
-  e.work.advance(milliseconds(1500));
-  e.agent.on_asked = [](Agent::Call& call) { Agent::reset(call); };
-  Agent::reset(*e.agent.calls[0]);
-  e.work.advance(seconds(5));
-  const auto resets = e.agent.calls.size();
+  Established established;
+  established.work.advance(milliseconds(1500));
+  established.agent.on_asked = [](Agent::Call& call) { Agent::reset(call); };
+  Agent::reset(*established.agent.calls[0]);
+  established.work.advance(seconds(5));
+  const auto resets = established.agent.calls.size();
   CHECK(resets >= 15);  // at 250 ms at most
   CHECK(resets <= 50);
-  e.agent.reject();
-  e.work.advance(seconds(5));
-  CHECK(e.follower.logged("discovery lost") == 1);
-  e.agent.on_asked = [](Agent::Call& call) { Agent::say(call, list(42, false, "draining")); };
-  e.agent.listen();
-  e.work.advance(milliseconds(300));
-  REQUIRE(e.tells(2));
-  CHECK(e.follower.logged("discovery back") == 1);
+  established.agent.reject();
+  established.work.advance(seconds(5));
+  CHECK(established.follower.logged("discovery lost") == 1);
+  established.agent.on_asked = [](Agent::Call& call) { Agent::say(call, list(42, false, "draining")); };
+  established.agent.listen();
+  established.work.advance(milliseconds(300));
+  REQUIRE(established.tells(2));
+  CHECK(established.follower.logged("discovery back") == 1);
 }
 
 TEST_CASE("pushed: refusals in a row keep their pause, and discovery is heard just after each of them",
           "[discovery][watch]") {
-  Established e;
-  e.work.advance(milliseconds(100));
+  Established established;
+  established.work.advance(milliseconds(100));
   int rejected = 0;
-  e.agent.on_asked = [&](Agent::Call& call) {
+  established.agent.on_asked = [&](Agent::Call& call) {
     ++rejected;
     Agent::answer(call, 503, "{}");
     call.socket.shutdown(net::tcp::socket::shutdown_send);
   };
-  Agent::reset(*e.agent.calls[0]);
+  Agent::reset(*established.agent.calls[0]);
   for (int pause = 1; pause <= 4; ++pause) {
-    for (int waited = 0; rejected < pause && waited < 4000; waited += 20) e.work.advance(milliseconds(20));
+    for (int waited = 0; rejected < pause && waited < 4000; waited += 20)
+      established.work.advance(milliseconds(20));
     REQUIRE(rejected == pause);
-    e.work.settle();
-    e.work.advance(milliseconds(900));  // the shortest pause that a fleet of 300 draws is 1 s
+    established.work.settle();
+    established.work.advance(milliseconds(900));  // the shortest pause that a fleet of 300 draws is 1 s
     REQUIRE(rejected == pause);
   }
-  e.agent.on_asked = [](Agent::Call& call) { Agent::say(call, list(42, false, "draining")); };
-  e.work.advance(service_discovery::kLongestPause);
-  REQUIRE(e.tells(2));
+  established.agent.on_asked = [](Agent::Call& call) { Agent::say(call, list(42, false, "draining")); };
+  established.work.advance(service_discovery::kMaxRejectionPause);
+  REQUIRE(established.tells(2));
 }
 
 TEST_CASE("asked for: there is one call at a time, with a pause after silence, a reset and a refusal",
           "[discovery][watch]") {
   for (const int how : {0, 1, 2}) {
-    Established e(300, service_discovery::Lists::kAskedFor);
+    Established established(300, service_discovery::ListDelivery::kPoll);
     if (how == 0) {
-      e.work.advance(service_discovery::kSilence + milliseconds(40));
-      CHECK(e.work.until([&] { return e.agent.open() == 0; }));
-      e.work.advance(milliseconds(400));
-      CHECK(e.agent.calls.size() == 1);
-      e.work.advance(milliseconds(600));
+      established.work.advance(service_discovery::kWatchTimeout + milliseconds(40));
+      CHECK(established.work.until([&] { return established.agent.open() == 0; }));
+      established.work.advance(milliseconds(400));
+      CHECK(established.agent.calls.size() == 1);
+      established.work.advance(milliseconds(600));
     } else {
-      e.agent.on_asked = [](Agent::Call& call) { Agent::answer(call, 503, "{}"); };
-      Agent::reset(*e.agent.calls[0]);
-      e.work.settle();
-      e.work.advance(milliseconds(900));
-      CHECK(e.agent.calls.size() == 1);
-      e.work.advance(milliseconds(1200));
+      established.agent.on_asked = [](Agent::Call& call) { Agent::answer(call, 503, "{}"); };
+      Agent::reset(*established.agent.calls[0]);
+      established.work.settle();
+      established.work.advance(milliseconds(900));
+      CHECK(established.agent.calls.size() == 1);
+      established.work.advance(milliseconds(1200));
     }
-    REQUIRE(e.asks(2));
-    e.agent.on_asked = {};
+    REQUIRE(established.asks(2));
+    established.agent.on_asked = {};
     if (how == 2) {  // refused at that second call
-      e.work.settle();
-      e.work.advance(milliseconds(900));
-      CHECK(e.agent.calls.size() == 2);
-      e.work.advance(milliseconds(2200));
-      REQUIRE(e.asks(3));
+      established.work.settle();
+      established.work.advance(milliseconds(900));
+      CHECK(established.agent.calls.size() == 2);
+      established.work.advance(milliseconds(2200));
+      REQUIRE(established.asks(3));
     }
     if (how == 1) continue;
-    Agent::say(*e.agent.calls.back(), list(42, false, "draining"));
-    REQUIRE(e.tells(2));
-    CHECK(e.agent.open() == 1);
+    Agent::say(*established.agent.calls.back(), list(42, false, "draining"));
+    REQUIRE(established.tells(2));
+    CHECK(established.agent.open() == 1);
   }
 }
 
 TEST_CASE("an overbooked discovery's 503 after 2 s is read, not cut off", "[discovery][watch]") {
-  for (const auto lists : {service_discovery::Lists::kPushed, service_discovery::Lists::kAskedFor}) {
+  for (const auto lists : {service_discovery::ListDelivery::kPush, service_discovery::ListDelivery::kPoll}) {
     Clockwork work;
     Agent agent(work);
     Follower follower(work, agent, 300, lists);
-    follower.watch.start(40);
+    follower.watcher.start(40);
     REQUIRE(work.until([&] { return agent.asked() == 1; }));
     work.advance(milliseconds(2020));
     Agent::answer(*agent.calls[0], 503, "{}");
@@ -303,32 +305,33 @@
 }
 
 TEST_CASE("lists come indented, cut anywhere, and several in one piece", "[discovery][watch]") {
-  Established e;
+  Established established;
   std::size_t seq = 42;
   for (const int width : {0, 1, 2, 4, 8}) {
     const std::string text = indented(static_cast<int>(seq), false, width);
-    for (std::size_t at = 0; at < text.size(); at += 17) Agent::say(*e.agent.calls[0], text.substr(at, 17));
-    REQUIRE(e.tells(seq - 40));
+    for (std::size_t at = 0; at < text.size(); at += 17)
+      Agent::say(*established.agent.calls[0], text.substr(at, 17));
+    REQUIRE(established.tells(seq - 40));
     ++seq;
   }
-  Agent::say(*e.agent.calls[0],
+  Agent::say(*established.agent.calls[0],
              "\r\n" + list(47, false) + "\r\n \n" + indented(48, false, 2) + list(49, false));
-  REQUIRE(e.tells(9));
-  CHECK(e.follower.watch.seq() == 49);
-  CHECK(e.agent.calls.size() == 1);
-  CHECK(e.follower.logs.empty());
+  REQUIRE(established.tells(9));
+  CHECK(established.follower.watcher.version() == 49);
+  CHECK(established.agent.calls.size() == 1);
+  CHECK(established.follower.logs.empty());
 }
 
 TEST_CASE("an indented whole list is taken as well, after a move", "[discovery][watch]") {
-  Established e;
-  Agent next(e.work);
-  e.follower.watch.move(next.address());
-  REQUIRE(e.work.until([&] { return next.asked() == 1; }));
+  Established established;
+  Agent next(established.work);
+  established.follower.watcher.set_address(next.address());
+  REQUIRE(established.work.until([&] { return next.asked() == 1; }));
   CHECK(next.last_asked() == "/v1/servers");
   Agent::answer(*next.calls[0], 200, indented(7, true, 2));
-  REQUIRE(e.tells(2));
-  CHECK(e.follower.watch.seq() == 7);
-  REQUIRE(e.work.until([&] { return next.asked() == 2; }));
+  REQUIRE(established.tells(2));
+  CHECK(established.follower.watcher.version() == 7);
+  REQUIRE(established.work.until([&] { return next.asked() == 2; }));
   CHECK(next.last_asked() == "/v1/servers?follow=1&since=7");
 }
 
@@ -337,68 +340,69 @@
   const std::vector<std::string> bad{"not JSON\n", "[]\n", "{\"seq\":1}\n", "{]}\n",
                                      list(42, false, "unheard of")};
   for (const std::string& text : bad) {
-    Established e;
-    e.work.advance(milliseconds(1500));
-    Agent::say(*e.agent.calls[0], text);
-    e.work.settle();
-    e.work.advance(milliseconds(20));
-    REQUIRE(e.asks(2));
-    CHECK(e.agent.last_asked() == "/v1/servers");
-    e.agent.on_asked = [&](Agent::Call& call) { Agent::answer(call, 200, text); };
-    Agent::answer(*e.agent.calls[1], 200, text);
-    e.work.settle();
-    const auto before = e.agent.calls.size();
-    e.work.advance(seconds(5));
-    CHECK(e.agent.calls.size() <= before + 30);
-    CHECK(e.agent.calls.size() >= before + 15);
-    CHECK(e.agent.last_asked() == "/v1/servers");  // still owed
-    CHECK(e.follower.logged("discovery lost") == 1);
-    e.agent.on_asked = [&](Agent::Call& call) {
+    Established established;
+    established.work.advance(milliseconds(1500));
+    Agent::say(*established.agent.calls[0], text);
+    established.work.settle();
+    established.work.advance(milliseconds(20));
+    REQUIRE(established.asks(2));
+    CHECK(established.agent.last_asked() == "/v1/servers");
+    established.agent.on_asked = [&](Agent::Call& call) { Agent::answer(call, 200, text); };
+    Agent::answer(*established.agent.calls[1], 200, text);
+    established.work.settle();
+    const auto before = established.agent.calls.size();
+    established.work.advance(seconds(5));
+    CHECK(established.agent.calls.size() <= before + 30);
+    CHECK(established.agent.calls.size() >= before + 15);
+    CHECK(established.agent.last_asked() == "/v1/servers");  // still owed
+    CHECK(established.follower.logged("discovery lost") == 1);
+    established.agent.on_asked = [&](Agent::Call& call) {
       if (call.asked.back() == "/v1/servers") Agent::answer(call, 200, list(43, true));
     };
-    e.work.advance(milliseconds(300));
-    REQUIRE(e.tells(2));
-    REQUIRE(e.work.until([&] { return e.agent.last_asked() == "/v1/servers?follow=1&since=43"; }));
-    CHECK(e.follower.logged("discovery back") == 1);
+    established.work.advance(milliseconds(300));
+    REQUIRE(established.tells(2));
+    REQUIRE(established.work.until(
+        [&] { return established.agent.last_asked() == "/v1/servers?follow=1&since=43"; }));
+    CHECK(established.follower.logged("discovery back") == 1);
   }
 }
 
 TEST_CASE("a line that trickles keeps the watch alive, but not for longer than an object may take",
           "[discovery][watch]") {
-  Established e;
+  Established established;
   const std::string text = list(42, false);
   std::size_t at = 0;
   for (; at < 22; ++at) {  // 2.2 s
-    Agent::say(*e.agent.calls[0], text.substr(at, 1));
-    e.work.advance(milliseconds(100));
+    Agent::say(*established.agent.calls[0], text.substr(at, 1));
+    established.work.advance(milliseconds(100));
   }
-  CHECK(e.agent.calls.size() == 1);
+  CHECK(established.agent.calls.size() == 1);
   for (; at < 27; ++at) {
-    Agent::say(*e.agent.calls[0], text.substr(at, 1));
-    e.work.advance(milliseconds(100));
+    Agent::say(*established.agent.calls[0], text.substr(at, 1));
+    established.work.advance(milliseconds(100));
   }
-  REQUIRE(e.asks(2));
-  CHECK(e.agent.last_asked() == "/v1/servers");
-  CHECK(e.agent.calls[0]->gone);
+  REQUIRE(established.asks(2));
+  CHECK(established.agent.last_asked() == "/v1/servers");
+  CHECK(established.agent.calls[0]->gone);
 }
 
 TEST_CASE("empty lines alone keep a watch alive", "[discovery][watch]") {
-  Established e;
+  Established established;
   for (int i = 0; i < 10; ++i) {
-    e.work.advance(seconds(2));
-    Agent::say(*e.agent.calls[0], i % 2 == 0 ? "\n" : "\r\n");
-    e.work.settle();
+    established.work.advance(seconds(2));
+    Agent::say(*established.agent.calls[0], i % 2 == 0 ? "\n" : "\r\n");
+    established.work.settle();
   }
-  CHECK(e.agent.calls.size() == 1);
-  CHECK(e.follower.logs.empty());
-  CHECK(e.follower.watch.heard() == e.work.now);
+  CHECK(established.agent.calls.size() == 1);
+  CHECK(established.follower.logs.empty());
+  CHECK(established.follower.watcher.last_response_at() == established.work.now);
 }
 
 TEST_CASE("a watch that opens and then says nothing is joined like any silent one", "[discovery][watch]") {
   Clockwork work;
   Agent agent(work);
   Follower follower(work, agent);
-  follower.watch.start(40);
+  follower.watcher.start(40);
   REQUIRE(work.until([&] { return agent.asked() == 1; }));
   Agent::say(*agent.calls[0], "");
   work.settle();
@@ -413,50 +417,51 @@
 }
 
 TEST_CASE("an older change is passed over; a whole list is always taken", "[discovery][watch]") {
-  Established e;
-  Agent::Call& call = *e.agent.calls[0];
+  Established established;
+  Agent::Call& call = *established.agent.calls[0];
   Agent::say(call, list(45, false, "draining") + list(44, false, "up") + list(46, false, "draining"));
-  REQUIRE(e.tells(3));
-  CHECK(e.follower.told[1].seq == 45);
-  CHECK(e.follower.told[2].seq == 46);
+  REQUIRE(established.tells(3));
+  CHECK(established.follower.told[1].version == 45);
+  CHECK(established.follower.told[2].version == 46);
   Agent::say(call, list(5, true));
-  REQUIRE(e.tells(4));
-  CHECK(e.follower.watch.seq() == 5);
+  REQUIRE(established.tells(4));
+  CHECK(established.follower.watcher.version() == 5);
   Agent::say(call, list(6, false, "draining"));
-  REQUIRE(e.tells(5));
+  REQUIRE(established.tells(5));
 }
 
 TEST_CASE(
     "a move closes both old calls and asks the new address at once, also where its first call is silent",
     "[discovery][watch]") {
-  for (const auto lists : {service_discovery::Lists::kPushed, service_discovery::Lists::kAskedFor}) {
-    Established e(300, lists);
-    e.work.advance(milliseconds(3000));  // pushed: two calls are out; asked for: in the pause
-    Agent next(e.work);
-    const engine::Time moved = e.work.now;
-    e.follower.watch.move(next.address());
-    REQUIRE(e.work.until([&] { return next.asked() == 1 && e.agent.open() == 0; }));
-    CHECK(e.work.now == moved);
+  for (const auto lists : {service_discovery::ListDelivery::kPush, service_discovery::ListDelivery::kPoll}) {
+    Established established(300, lists);
+    established.work.advance(milliseconds(3000));  // pushed: two calls are out; asked for: in the pause
+    Agent next(established.work);
+    const engine::Time moved = established.work.now;
+    established.follower.watcher.set_address(next.address());
+    REQUIRE(established.work.until([&] { return next.asked() == 1 && established.agent.open() == 0; }));
+    CHECK(established.work.now == moved);
     CHECK(next.last_asked() == "/v1/servers");
     next.on_asked = [](Agent::Call& call) {
       if (call.asked.back() == "/v1/servers") Agent::answer(call, 200, list(7, true, "draining"));
     };
-    while (e.follower.told.size() == 1 && e.work.now < moved + seconds(6)) e.work.advance(milliseconds(20));
-    REQUIRE(e.tells(2));
-    CHECK(e.work.now - moved < seconds(4));
-    CHECK(e.follower.watch.seq() == 7);
-    const auto before = e.agent.calls.size();
-    e.work.advance(seconds(1));
-    CHECK(e.agent.calls.size() == before);
+    while (established.follower.told.size() == 1 && established.work.now < moved + seconds(6))
+      established.work.advance(milliseconds(20));
+    REQUIRE(established.tells(2));
+    CHECK(established.work.now - moved < seconds(4));
+    CHECK(established.follower.watcher.version() == 7);
+    const auto before = established.agent.calls.size();
+    established.work.advance(seconds(1));
+    CHECK(established.agent.calls.size() == before);
   }
 }
 
 TEST_CASE("a restart before the start makes no call of its own", "[discovery][watch]") {
   Clockwork work;
   Agent agent(work);
-  Follower follower(work, agent, 300, service_discovery::Lists::kAskedFor);
-  follower.watch.restart();  // as when the list that the configuration knows has the module subscribe
-  follower.watch.start(40);
+  Follower follower(work, agent, 300, service_discovery::ListDelivery::kPoll);
+  follower.watcher.restart();  // as when the list that the configuration knows has the module subscribe
+  follower.watcher.start(40);
   REQUIRE(work.until([&] { return agent.asked() == 1; }));
   work.settle();
   CHECK(agent.calls.size() == 1);
@@ -468,8 +473,8 @@
   Clockwork work;
   Agent old(work), agent(work);
   Follower follower(work, old);
-  follower.watch.move(agent.address());
-  follower.watch.start(40);
+  follower.watcher.set_address(agent.address());
+  follower.watcher.start(40);
   REQUIRE(work.until([&] { return agent.asked() == 1; }));
   work.settle();
   CHECK(agent.calls.size() == 1);
@@ -482,20 +487,20 @@
   Clockwork work;
   Agent agent(work);
   std::vector<std::uint64_t> told;
-  std::optional<service_discovery::EndpointWatcher> watch;
-  watch.emplace(
+  std::optional<service_discovery::EndpointWatcher> watcher;
+  watcher.emplace(
       work.io, agent.address(), work.timers, work.clock(), [](std::string_view) {},
-      [&](const service_discovery::EndpointSnapshot& servers) {
-        told.push_back(servers.seq);
-        if (told.size() == 1) watch->restart();
+      [&](const service_discovery::EndpointSnapshot& snapshot) {
+        told.push_back(snapshot.version);
+        if (told.size() == 1) watcher->restart();
       });
-  watch->start(40);
+  watcher->start(40);
   REQUIRE(work.until([&] { return agent.asked() == 1; }));
   Agent::say(*agent.calls[0], list(41, true) + list(42, false));
   REQUIRE(work.until([&] { return agent.asked() == 2; }));
   CHECK(told == std::vector<std::uint64_t>{41});
   CHECK(agent.last_asked() == "/v1/servers?follow=1&since=41");
-  watch.reset();  // with a call out and a deadline set
+  watcher.reset();  // with a call out and a deadline set
   work.advance(seconds(5));
   CHECK(agent.open() == 0);
 }
--- a/tests/dispatcher/fleet_test.cpp
+++ b/tests/dispatcher/fleet_test.cpp
@@ -7,12 +7,13 @@
 #include "fixture.hpp"
 #include "service_discovery/backoff.hpp"
 #include "service_discovery/endpoint_watcher.hpp"
+#include "service_discovery/poll_timing.hpp"
 
 namespace dispatcher::testing {
 namespace {
 
 using service_discovery::Backoff;
-using service_discovery::BackoffShape;
+using service_discovery::BackoffPolicy;
 
 // A discovery of fixed capacity: calls wait in turn, each costs it the same, and one that waited for 2 s by
 // then is refused. All of the fleet lose their watch in one moment and ask again after their pauses. Returns
@@ -20,15 +21,15 @@
 struct Outage {
   int back = 0, calls = 0;
 };
-Outage outage(int dispatchers, const BackoffShape& shape, engine::Duration after,
+Outage outage(int dispatchers, const BackoffPolicy& shape, engine::Duration after,
               engine::Duration cost = milliseconds(50)) {
-  const engine::Duration patience = service_discovery::kOverbookedWait;
+  const engine::Duration patience = service_discovery::kOverloadedResponseDelay;
   std::mt19937_64 chance(7);
   std::uniform_real_distribution<double> draw(0, 1);
   std::vector<Backoff> fleet(static_cast<std::size_t>(dispatchers), Backoff(shape));
   using Call = std::pair<engine::Time, std::size_t>;
   std::priority_queue<Call, std::vector<Call>, std::greater<>> calls;
-  for (std::size_t i = 0; i < fleet.size(); ++i) calls.emplace(fleet[i].failed(draw(chance)), i);
+  for (std::size_t i = 0; i < fleet.size(); ++i) calls.emplace(fleet[i].on_failure(draw(chance)), i);
   Outage result;
   engine::Time free{};  // when it has done with the calls before
   while (!calls.empty() && calls.top().first < after) {
@@ -38,50 +39,51 @@
     free = std::max(free, at) + cost;
     const bool rejected = free - at > patience;
     if (!rejected && free < after) ++result.back;
-    if (rejected) calls.emplace(at + patience + fleet[who].failed(draw(chance)), who);
+    if (rejected) calls.emplace(at + patience + fleet[who].on_failure(draw(chance)), who);
   }
   return result;
 }
 
 TEST_CASE("an overbooked discovery is relieved by the fleet's own pauses", "[fleet]") {
-  const BackoffShape fixed{milliseconds(200), milliseconds(200), 1, 1};  // as it was
+  const BackoffPolicy fixed{milliseconds(200), milliseconds(200), 1, 1};  // as it was
   CHECK(outage(100, fixed, seconds(120)).back < 50);
-  // A change must be known 6 s after it could be, so no pause is longer than kLongestPause, and a fleet that
-  // is refused comes again within 5 s: 300 dispatchers can only be relieved where they can be served so fast.
+  // A change must be known 6 s after it could be, so no pause is longer than kMaxRejectionPause, and a fleet
+  // that is refused comes again within 5 s: 300 dispatchers can only be relieved where they can be served so
+  // fast.
   const engine::Duration cost = milliseconds(50), less = milliseconds(20);
   CHECK(outage(300, fixed, seconds(120), less).back < 150);
   for (const auto& [dispatchers, each] : {std::pair{1, cost}, {3, cost}, {100, cost}, {300, less}}) {
     const Outage relieved =
-        outage(dispatchers, service_discovery::list_calls(dispatchers), seconds(120), each);
+        outage(dispatchers, service_discovery::rejection_backoff(dispatchers), seconds(120), each);
     CHECK(relieved.back == dispatchers);
     CHECK(relieved.calls <= 6 * dispatchers);
   }
-  CHECK(outage(3, service_discovery::list_calls(3), milliseconds(400)).back ==
+  CHECK(outage(3, service_discovery::rejection_backoff(3), milliseconds(400)).back ==
         3);  // few have no reason to wait
 }
 
 TEST_CASE("the pause of a fleet is bounded, whatever size the configuration tells", "[fleet]") {
   for (const int dispatchers : {-5, 0, 1, 3, 10})
-    CHECK(service_discovery::list_calls(dispatchers).first == milliseconds(200));
+    CHECK(service_discovery::rejection_backoff(dispatchers).initial == milliseconds(200));
   for (const int dispatchers : {100, 300, 2'000'000'000}) {
-    CHECK(service_discovery::list_calls(dispatchers).first == seconds(2));
-    CHECK(service_discovery::list_calls(dispatchers).maximum == service_discovery::kLongestPause);
+    CHECK(service_discovery::rejection_backoff(dispatchers).initial == seconds(2));
+    CHECK(service_discovery::rejection_backoff(dispatchers).maximum == service_discovery::kMaxRejectionPause);
   }
 }
 
 TEST_CASE("back-off starts again after a success, and long outages neither overflow nor pass the cap",
           "[fleet]") {
   Backoff b({milliseconds(200), milliseconds(800), 2, 1.0});
-  CHECK(b.failed(0.3) == milliseconds(200));
-  CHECK(b.failed(0.3) == milliseconds(400));
-  CHECK(b.failed(0.3) == milliseconds(800));
-  for (int i = 0; i < 100000; ++i) REQUIRE(b.failed(0.9) == milliseconds(800));
+  CHECK(b.on_failure(0.3) == milliseconds(200));
+  CHECK(b.on_failure(0.3) == milliseconds(400));
+  CHECK(b.on_failure(0.3) == milliseconds(800));
+  for (int i = 0; i < 100000; ++i) REQUIRE(b.on_failure(0.9) == milliseconds(800));
   CHECK(b.failures() <= 3);
-  b.succeeded();
-  CHECK(b.failed(0.0) == milliseconds(200));
+  b.on_success();
+  CHECK(b.on_failure(0.0) == milliseconds(200));
   Backoff odd({milliseconds(0), milliseconds(0), -3, 7});  // nonsense is clamped to something that works
-  CHECK(odd.failed(-1) >= engine::Duration(1));
-  CHECK(odd.failed(5) >= engine::Duration(1));
+  CHECK(odd.on_failure(-1) >= engine::Duration(1));
+  CHECK(odd.on_failure(5) >= engine::Duration(1));
 }
 
 TEST_CASE("a watch whose discovery drops every connection asks ever less often, up to its cap",
@@ -102,7 +104,7 @@
   accept();
   service_discovery::EndpointWatcher watch(
       work.io, agent.local_endpoint(), work.timers, work.clock(), [](std::string_view) {},
-      [](const service_discovery::EndpointSnapshot&) {}, 100, 3);
+      [](const service_discovery::EndpointSnapshot&) {}, {100, 3});
   watch.start(1);
   work.settle();
   work.advance(seconds(10));
--- a/tests/dispatcher/hot_restart_compatibility_test.cpp
+++ b/tests/dispatcher/hot_restart_compatibility_test.cpp
@@ -150,12 +150,13 @@
 
 // An owner with the state that the previous release had when its messages were recorded.
 struct RecordedOwner : hot_restart::HotRestartPeer::Owner {
-  Json list() override {
+  Json endpoint_list() override {
     if (long_list) return std::string(600UL * 1024, 'x');
-    return service_discovery::to_json(service_discovery::parse_servers(Json::parse(kHandover).at("list")));
+    return service_discovery::to_json(
+        service_discovery::parse_endpoint_snapshot(Json::parse(kHandover).at("list")));
   }
-  std::map<std::string, int> listening() override { return {{"platform", 0}, {"chat", 1}}; }
-  std::vector<std::string> open_ids() override { return {"a1", "b\"2", "\xff"}; }
+  std::map<std::string, int> listening_sockets() override { return {{"platform", 0}, {"chat", 1}}; }
+  std::vector<std::string> open_request_ids() override { return {"a1", "b\"2", "\xff"}; }
   routing::LearnedState learned_state() override {
     routing::LearnedState state;
     state.starts[0] = {0.1, 1.0 / 3, 7};
@@ -167,28 +168,35 @@
     state.endpoints.push_back({"w1", {}, {}});
     return state;
   }
-  Json level() override {
+  Json degradation_level() override {
     return {{"level", "less"}, {"pinned", true}, {"shed", 3}, {"signals", {{"open", 12}}}};
   }
-  void inherit(hot_restart::HandoverState handover) override { inherited.push_back(std::move(handover)); }
-  void on_ban(const std::string& endpoint, bool offline) override {
-    events.push_back("drained " + endpoint + (offline ? " yes" : " no"));
+  void on_handover(hot_restart::HandoverState state) override { states.push_back(std::move(state)); }
+  void on_endpoint_drained(const std::string& endpoint, bool drained) override {
+    events.push_back("drained " + endpoint + (drained ? " yes" : " no"));
   }
-  void on_request(const std::string& id, bool open) override {
-    events.push_back("request " + id + (open ? " open" : " closed"));
+  void on_peer_request(const std::string& id, bool is_open) override {
+    events.push_back("request " + id + (is_open ? " open" : " closed"));
   }
-  void on_sent(const std::string& endpoint) override { events.push_back("sent " + endpoint); }
-  void on_stream(const Json& facts, net::UniqueFd client, net::UniqueFd replica) override {
+  void on_peer_forwarded(const std::string& endpoint) override { events.push_back("sent " + endpoint); }
+  void on_stream(const hot_restart::StreamTransfer& stream, net::UniqueFd client,
+                 net::UniqueFd upstream) override {
     CHECK(client);
-    CHECK(replica);
-    CHECK(Json{{"stream", facts}}.dump() == kStream);
+    CHECK(upstream);
+    CHECK(stream.request_id == "a1");
+    CHECK(stream.endpoint == "w1");
+    CHECK(stream.unread == "da\n\xff");
+    CHECK(stream.chunk_left == 17);
+    CHECK(stream.keep_alive);
     events.emplace_back("stream");
   }
-  void on_vrrp(bool was_active) override { events.emplace_back(was_active ? "vrrp active" : "vrrp backup"); }
-  void on_partners() override { events.emplace_back("peers changed"); }
+  void on_vrrp_left(bool was_active) override {
+    events.emplace_back(was_active ? "vrrp active" : "vrrp backup");
+  }
+  void on_peers_changed() override { events.emplace_back("peers changed"); }
 
   bool long_list = false;
-  std::vector<hot_restart::HandoverState> inherited;
+  std::vector<hot_restart::HandoverState> states;
   std::vector<std::string> events;
 };
 
@@ -202,7 +210,7 @@
   // This release serves, and a process of the previous one comes to take over.
   RawSocket serve() {
     peer->start();
-    peer->serving();
+    peer->on_serving();
     return RawSocket::connect(path);
   }
   // A process of the previous release serves, and this one comes to take over.
@@ -240,10 +248,10 @@
   const RawSocket successor = fixture.serve();
   fixture.expect(successor, kHandover, 2);
   successor.send(kServing);
-  REQUIRE(fixture.work.until([&] { return fixture.peer->succeeded(); }));
-  fixture.peer->tell_ban("r1", true);
+  REQUIRE(fixture.work.until([&] { return fixture.peer->is_successor_serving(); }));
+  fixture.peer->notify_endpoint_drained("r1", true);
   fixture.expect(successor, kOffline);
-  fixture.peer->tell_ban("r1", false);
+  fixture.peer->notify_endpoint_drained("r1", false);
   fixture.expect(successor, kOnline);
   fixture.peer->tell_request("a1", true);
   fixture.expect(successor, kRequestOpened);
@@ -251,11 +259,11 @@
   fixture.expect(successor, kRequestClosed);
   fixture.peer->tell_sent("r1");
   fixture.expect(successor, kSent);
-  fixture.peer->tell_vrrp(true);
+  fixture.peer->notify_vrrp_left(true);
   fixture.expect(successor, kVrrpActive);
-  fixture.peer->tell_vrrp(false);
+  fixture.peer->notify_vrrp_left(false);
   fixture.expect(successor, kVrrpBackup);
-  fixture.peer->give_stream(Json::parse(kStream).at("stream"), 0, 1);
+  fixture.peer->transfer_stream({"a1", "w1", "da\n\xff", 17, true}, 0, 1);
   fixture.expect(successor, kStream, 2);
 }
 
@@ -263,15 +271,15 @@
           "[upgrade][compatibility]") {
   PeerFixture fixture;
   const RawSocket predecessor = fixture.take_over();
-  fixture.peer->serving();
+  fixture.peer->on_serving();
   fixture.expect(predecessor, kServing);
-  fixture.peer->tell_ban("r1", true);
+  fixture.peer->notify_endpoint_drained("r1", true);
   fixture.expect(predecessor, kOffline);
   fixture.peer->tell_request("a1", true);
   fixture.expect(predecessor, kRequestOpened);
   fixture.peer->tell_sent("r1");
   fixture.expect(predecessor, kSent);
-  fixture.peer->tell_vrrp(true);  // the predecessor has left the pair: it is not told
+  fixture.peer->notify_vrrp_left(true);  // the predecessor has left the pair: it is not told
   fixture.work.settle();
   CHECK_FALSE(predecessor.receive());
 }
@@ -289,14 +297,14 @@
   PeerFixture fixture;
   const RawSocket predecessor = fixture.take_over();
   predecessor.send(kHandover, {0, 1});
-  REQUIRE(fixture.work.until([&] { return !fixture.owner.inherited.empty(); }));
-  const hot_restart::HandoverState& state = fixture.owner.inherited.front();
-  CHECK(state.list == Json::parse(kHandover).at("list"));
-  CHECK(state.level == Json::parse(kHandover).at("level"));
-  CHECK(state.ids == std::vector<std::string>{"a1", "b\"2", "\xef\xbf\xbd"});
-  REQUIRE(state.listening.size() == 2);
-  CHECK(state.listening.at("chat"));
-  CHECK(state.listening.at("platform"));
+  REQUIRE(fixture.work.until([&] { return !fixture.owner.states.empty(); }));
+  const hot_restart::HandoverState& state = fixture.owner.states.front();
+  CHECK(state.endpoint_list == Json::parse(kHandover).at("list"));
+  CHECK(state.degradation_level == Json::parse(kHandover).at("level"));
+  CHECK(state.open_request_ids == std::vector<std::string>{"a1", "b\"2", "\xef\xbf\xbd"});
+  REQUIRE(state.listening_sockets.size() == 2);
+  CHECK(state.listening_sockets.at("chat"));
+  CHECK(state.listening_sockets.at("platform"));
   const routing::LearnedState expected = fixture.owner.learned_state();
   const routing::LearnedState& learned = state.learned_state;
   for (std::size_t role = 0; role < expected.starts.size(); ++role) {
@@ -322,11 +330,11 @@
   PeerFixture fixture;
   const RawSocket predecessor = fixture.take_over();
   predecessor.send(kHandoverWithoutList, {0, 1});
-  REQUIRE(fixture.work.until([&] { return !fixture.owner.inherited.empty(); }));
-  const hot_restart::HandoverState& state = fixture.owner.inherited.front();
-  CHECK(state.list.is_null());
-  CHECK(state.ids.empty());
-  CHECK(state.listening.size() == 2);
+  REQUIRE(fixture.work.until([&] { return !fixture.owner.states.empty(); }));
+  const hot_restart::HandoverState& state = fixture.owner.states.front();
+  CHECK(state.endpoint_list.is_null());
+  CHECK(state.open_request_ids.empty());
+  CHECK(state.listening_sockets.size() == 2);
   CHECK(state.learned_state.served == std::array<int, 3>{5, 6, 0});
 }
 
@@ -350,11 +358,11 @@
   PeerFixture fixture;
   const RawSocket successor = fixture.serve();
   fixture.expect(successor, kHandover, 2);
-  CHECK_FALSE(fixture.peer->succeeded());
+  CHECK_FALSE(fixture.peer->is_successor_serving());
   for (const std::string_view message : {kServing, kOffline, kOnline, kRequestOpened, kRequestClosed, kSent})
     successor.send(message);
   fixture.wait_for(7);
-  CHECK(fixture.peer->succeeded());
+  CHECK(fixture.peer->is_successor_serving());
   CHECK(fixture.owner.events == std::vector<std::string>{"peers changed", "peers changed", "drained r1 yes",
                                                          "drained r1 no", "request a1 open",
                                                          "request a1 closed", "sent r1"});
@@ -368,8 +376,8 @@
   hot_restart::DrainedEndpointStore store(path, [](std::string_view) {});
   store.load();
   CHECK(store.endpoints() == std::set<std::string>{"r\"1", "w1"});
-  CHECK(store.set("a", true));  // written anew, twice
-  CHECK(store.set("a", false));
+  CHECK(store.set_drained("a", true));  // written anew, twice
+  CHECK(store.set_drained("a", false));
   std::ifstream file(path);
   const std::string text{std::istreambuf_iterator<char>(file), {}};
   CHECK(text == kDrainedEndpointsFile);
--- a/tests/dispatcher/hot_restart_test.cpp
+++ b/tests/dispatcher/hot_restart_test.cpp
@@ -1,4 +1,5 @@
-// What two processes of one dispatcher share: bans, the link between them, and a whole upgrade.
+// What two processes of one dispatcher share: drained endpoints, the channel between them, and a complete hot
+// restart.
 #include <sys/socket.h>
 
 #include <algorithm>
@@ -34,10 +35,10 @@
   const std::string path = folder / "x.bans";
   hot_restart::DrainedEndpointStore first(path, quiet);
   first.load();
-  CHECK(first.set("a", true));
-  CHECK(first.set("b", true));
-  CHECK_FALSE(first.set("b", true));
-  CHECK(first.set("a", false));
+  CHECK(first.set_drained("a", true));
+  CHECK(first.set_drained("b", true));
+  CHECK_FALSE(first.set_drained("b", true));
+  CHECK(first.set_drained("a", false));
   hot_restart::DrainedEndpointStore second(path, quiet);
   second.load();
   CHECK(second.endpoints() == std::set<std::string>{"b"});
@@ -57,35 +58,35 @@
   fs::create_directory(path);
   hot_restart::DrainedEndpointStore hindered(path, quiet);
   hindered.load();
-  CHECK(hindered.set("c", true));  // binds, though it can't be kept
+  CHECK(hindered.set_drained("c", true));  // binds, though it can't be kept
 }
 
-struct Ear : hot_restart::HandoverChannel::Owner {
-  void on_message(const Json& message, hot_restart::Fds fds) override {
+struct RecordingOwner : hot_restart::HandoverChannel::Owner {
+  void on_message(const Json& message, hot_restart::Descriptors received) override {
     messages.push_back(message);
-    for (auto& fd : fds) descriptors.push_back(std::move(fd));
+    for (auto& fd : received) descriptors.push_back(std::move(fd));
   }
-  void on_link_ended() override { ended = true; }
+  void on_channel_closed() override { ended = true; }
   std::vector<Json> messages;
-  hot_restart::Fds descriptors;
+  hot_restart::Descriptors descriptors;
   bool ended = false;
 };
 
 TEST_CASE("a link carries messages and descriptors in order, and survives garbage", "[upgrade]") {
   Clockwork work;
   Folder folder;
-  Ear here, there;
+  RecordingOwner here, there;
   CHECK(hot_restart::HandoverChannel::connect(work.io, folder / "s", here) == nullptr);
   std::ofstream(folder / "s") << "stale";
   CHECK(hot_restart::HandoverChannel::connect(work.io, folder / "s", here) == nullptr);
   std::shared_ptr<hot_restart::HandoverChannel> far;
   int raw = -1;
-  hot_restart::HandoverListener door(work.io, folder / "s", [&](net::UniqueFd fd) {
+  hot_restart::HandoverListener listener(work.io, folder / "s", [&](net::UniqueFd fd) {
     raw = fd.get();
     far = std::make_shared<hot_restart::HandoverChannel>(work.io, std::move(fd), there);
     far->start();
   });
-  REQUIRE(door.open());
+  REQUIRE(listener.open());
   const auto near = hot_restart::HandoverChannel::connect(work.io, folder / "s", here);
   REQUIRE(near != nullptr);
   net::tcp::acceptor listening(work.io, loopback());
@@ -110,7 +111,7 @@
   CHECK(work.until([&] { return here.ended; }));
   CHECK_FALSE(there.ended);  // who closes hears nothing more
   near->close();
-  door.close();
+  listener.close();
 }
 
 TEST_CASE("what a router learned passes on whole; what can't be read is left out", "[upgrade]") {
@@ -120,9 +121,9 @@
   k.served = {5, 6, 0};
   k.since = seconds(77);
   k.endpoints.push_back({"r1", {seconds(80), seconds(81)}, seconds(79)});
-  const Json object = hot_restart::to_json(k);
-  const auto back = hot_restart::parse_knowledge(Json::parse(object.dump()));
-  CHECK(hot_restart::to_json(back) == object);
+  const Json object = hot_restart::encode(k);
+  const auto back = hot_restart::decode_learned_state(Json::parse(object.dump()));
+  CHECK(hot_restart::encode(back) == object);
   std::mt19937 random(5);
   for (int i = 0; i < 300; ++i) {  // any value replaced by any other kind
     Json bad = object.flatten();
@@ -130,7 +131,7 @@
     std::advance(it, static_cast<std::ptrdiff_t>(random() % bad.size()));
     const std::vector<Json> values = {nullptr, "x", -1e300, true, 1e300};
     it.value() = values[random() % values.size()];
-    const auto read = hot_restart::parse_knowledge(bad.unflatten());
+    const auto read = hot_restart::decode_learned_state(bad.unflatten());
     CHECK(read.served[0] >= 0);
     CHECK(read.starts[1].mean >= 0);
   }
@@ -186,7 +187,7 @@
     routing::EndpointInfo r1{"r1", "here", "reader", 0, routing::EndpointState::kReady, 1, {}};
     config.known.list.entries = {r1};
     config.known.addresses = {{"r1", loopback(), true}};
-    config.known.whole = true;
+    config.known.is_complete = true;
     daemon::Texts texts{{"chat.json", chat}, {"vrrp.json", vrrp}};
     if (!levels.empty()) texts.levels = cue::File{"levels.cue", levels};
     first.emplace(loop, config, texts, log("1 "));
--- a/tests/dispatcher/json_framer_test.cpp
+++ b/tests/dispatcher/json_framer_test.cpp
@@ -1,4 +1,4 @@
-// Objects cut out of a stream of bytes.
+// JsonFramer: JSON objects split out of a stream of bytes.
 #include "service_discovery/json_framer.hpp"
 
 #include <algorithm>
@@ -12,12 +12,13 @@
 using service_discovery::JsonFramer;
 using Json = nlohmann::json;
 
-std::vector<std::string> feed_in_cuts(JsonFramer& framer, const std::string& text, std::mt19937_64& random) {
+std::vector<std::string> append_in_cuts(JsonFramer& framer, const std::string& text,
+                                        std::mt19937_64& random) {
   std::vector<std::string> all;
   for (std::size_t at = 0; at < text.size();) {
     const std::size_t maximum = random() % 3 == 0 ? 1 : 40;
     const std::size_t n = std::min<std::size_t>(1 + random() % maximum, text.size() - at);
-    for (auto& object : framer.feed(std::string_view(text).substr(at, n))) all.push_back(std::move(object));
+    for (auto& object : framer.append(std::string_view(text).substr(at, n))) all.push_back(std::move(object));
     at += n;
   }
   return all;
@@ -51,10 +52,10 @@
       text += one + between[random() % between.size()];
     }
     std::vector<Json> got;
-    for (const std::string& object : feed_in_cuts(framer, text, random)) got.push_back(Json::parse(object));
+    for (const std::string& object : append_in_cuts(framer, text, random)) got.push_back(Json::parse(object));
     REQUIRE(got == sent);
-    REQUIRE_FALSE(framer.bad());
-    REQUIRE_FALSE(framer.inside());
+    REQUIRE_FALSE(framer.is_malformed());
+    REQUIRE_FALSE(framer.is_inside_object());
   }
 }
 
@@ -62,9 +63,9 @@
   for (const std::string& noise :
        std::vector<std::string>{"x", "}", "]", "[1]", "null", "\"{}\"", ",", std::string(1, '\0')}) {
     JsonFramer framer;
-    CHECK(framer.feed("{} \n{\"a\":{}}" + noise + "{}") == std::vector<std::string>{"{}", "{\"a\":{}}"});
-    CHECK(framer.bad());
-    CHECK(framer.feed("{}").empty());  // nobody knows where an object begins
+    CHECK(framer.append("{} \n{\"a\":{}}" + noise + "{}") == std::vector<std::string>{"{}", "{\"a\":{}}"});
+    CHECK(framer.is_malformed());
+    CHECK(framer.append("{}").empty());  // nobody knows where an object begins
   }
 }
 
@@ -72,15 +73,15 @@
   JsonFramer framer(32);
   for (int i = 0; i < 100; ++i)
     REQUIRE(framer
-                .feed(R"({"a":"0123456789012345678901"})"
-                      "\n")
+                .append(R"({"a":"0123456789012345678901"})"
+                        "\n")
                 .size() == 1);
-  CHECK_FALSE(framer.bad());
-  CHECK(framer.feed("{" + std::string(30, ' ')).empty());
-  CHECK_FALSE(framer.bad());
-  CHECK(framer.inside());
-  framer.feed("  ");
-  CHECK(framer.bad());
+  CHECK_FALSE(framer.is_malformed());
+  CHECK(framer.append("{" + std::string(30, ' ')).empty());
+  CHECK_FALSE(framer.is_malformed());
+  CHECK(framer.is_inside_object());
+  CHECK(framer.append("  ").empty());
+  CHECK(framer.is_malformed());
 }
 
 }  // namespace
--- a/tests/dispatcher/parsers_test.cpp
+++ b/tests/dispatcher/parsers_test.cpp
@@ -182,8 +182,8 @@
     R"("block":3,"health":"draining","share":1.5,"born_ms":1500}]})";
 
 TEST_CASE("the list of servers is read, and spoilt ones are refused by their field", "[parsers]") {
-  const auto servers = service_discovery::parse_servers(nlohmann::json::parse(kServers));
-  CHECK(servers.seq == 43);
+  const auto servers = service_discovery::parse_endpoint_snapshot(nlohmann::json::parse(kServers));
+  CHECK(servers.version == 43);
   CHECK(servers.list.kind == routing::ListKind::kDelta);
   CHECK(servers.list.entries[0].state == routing::EndpointState::kDraining);
   CHECK(servers.list.entries[0].started == milliseconds(1500));
@@ -192,7 +192,9 @@
   int rejected = 0;
   for (int i = 0; i < 2000; ++i) {
     try {
-      service_discovery::parse_servers(nlohmann::json::parse(spoil(kServers, random), nullptr, false));
+      const auto parsed = service_discovery::parse_endpoint_snapshot(
+          nlohmann::json::parse(spoil(kServers, random), nullptr, false));
+      CHECK(parsed.addresses.size() == parsed.list.entries.size());
     } catch (const std::invalid_argument&) {
       ++rejected;
     }
--- a/tests/dispatcher/poll_schedule_test.cpp
+++ b/tests/dispatcher/poll_schedule_test.cpp
@@ -1,4 +1,4 @@
-// When discovery is called, in virtual time.
+// PollSchedule in virtual time: when service discovery is called.
 #include "service_discovery/poll_schedule.hpp"
 
 #include <algorithm>
@@ -7,14 +7,15 @@
 #include <map>
 #include <queue>
 #include <random>
+#include <tuple>
 
 #include "fixture.hpp"
-#include "service_discovery/backoff.hpp"
+#include "service_discovery/poll_timing.hpp"
 
 namespace dispatcher::testing {
 namespace {
 
-using service_discovery::Lists;
+using service_discovery::ListDelivery;
 using service_discovery::PollSchedule;
 using CallId = PollSchedule::CallId;
 
@@ -33,14 +34,14 @@
 constexpr std::array kOutages{Fate::kSilent,    Fate::kRejectLate, Fate::kRejectNow,  Fate::kReset,
                               Fate::kResetLate, Fate::kNeverUp,    Fate::kUnreadable, Fate::kStall};
 
-// A discovery with an outage until `back`, and one dispatcher's plan that meets it. Outages follow one
+// A discovery with an outage until `back`, and one dispatcher's schedule that meets it. Outages follow one
 // another or come mixed. From `back` on all calls opened are answered, each after its own time, and what had
 // been left open from before is answered at once, never, or reset.
 class Outage {
  public:
   // `slowest` answer once discovery is back; so many calls opened after the return never come up.
-  Outage(Lists lists, int fleet, std::uint64_t seed, engine::Duration slowest, int lose)
-      : lists_(lists), slowest_(slowest), lose_(lose), random_(seed), plan_(lists, fleet) {}
+  Outage(ListDelivery lists, int fleet, std::uint64_t seed, engine::Duration slowest, int lose)
+      : lists_(lists), slowest_(slowest), lose_(lose), random_(seed), schedule_(lists, fleet) {}
 
   engine::Duration known_after{};  // the return, or the last refusal that came later
   std::vector<engine::Time> opened;
@@ -53,9 +54,9 @@
     mixed_ = random_() % 2 == 0;
     same_ = kOutages[random_() % kOutages.size()];
     watch_dies_ = random_() % 2 == 0;
-    old_answer_at_return_ = lists_ == Lists::kPushed && random_() % 2 == 0;
+    old_answer_at_return_ = lists_ == ListDelivery::kPush && random_() % 2 == 0;
     outage_ = outage;
-    obey(plan_.restart(start), start);
+    execute(schedule_.restart(start), start);
     for (engine::Time now = start; !known_;) {
       REQUIRE(now < back_ + seconds(30));
       now = step(now);
@@ -70,11 +71,11 @@
     What what;
     bool operator>(const Event& other) const { return at > other.at; }
   };
-  Lists lists_;
+  ListDelivery lists_;
   engine::Duration slowest_;
   int lose_;
   std::mt19937_64 random_;
-  PollSchedule plan_;
+  PollSchedule schedule_;
   std::priority_queue<Event, std::vector<Event>, std::greater<>> events_;
   std::map<CallId, Fate> calls_;
   engine::Time back_{}, outage_{}, empty_since_{};
@@ -84,7 +85,7 @@
 
   double draw() { return std::uniform_real_distribution<double>(0, 1)(random_); }
   engine::Time step(engine::Time now) {
-    const auto next = plan_.next();
+    const auto next = schedule_.next_deadline();
     REQUIRE(next);
     if (!events_.empty() && events_.top().at <= *next) {
       const Event event = events_.top();
@@ -94,45 +95,45 @@
     } else {
       REQUIRE(*next >= now);
       now = *next;
-      obey(plan_.tick(now, draw()), now);
+      execute(schedule_.on_timer(now, draw()), now);
     }
     return now;
   }
   void happen(const Event& event, engine::Time now) {
     switch (event.what) {
       case What::kHead:
-        obey(plan_.answered(event.id, now), now);
+        execute(schedule_.on_answered(event.id, now), now);
         if (calls_[event.id] == Fate::kAnswer && now >= back_) return know(now);
-        return plan_.heard(event.id, now, std::nullopt);
+        return schedule_.on_data_received(event.id, now, std::nullopt);
       case What::kByte:
         return byte(event.id, now);
       case What::kHalf:
-        return plan_.heard(event.id, now, now);
+        return schedule_.on_data_received(event.id, now, now);
       case What::kRejected:
         back_ = std::max(back_, now);
         after_refusal_ = true;
-        return obey(plan_.rejected(event.id, now, draw()), now);
+        return execute(schedule_.on_rejected(event.id, now, draw()), now);
       case What::kFailed:
-        return obey(plan_.failed(event.id, now, draw()), now);
+        return execute(schedule_.on_failed(event.id, now, draw()), now);
       case What::kUnreadable:
-        return obey(plan_.unreadable(event.id, now, draw()), now);
+        return execute(schedule_.on_unreadable(event.id, now, draw()), now);
     }
   }
   // The watch from before the outage: an empty line every 2 s, then nothing or a reset.
   void byte(CallId id, engine::Time now) {
-    if (now >= outage_) return watch_dies_ ? void() : obey(plan_.failed(id, now, draw()), now);
-    plan_.heard(id, now, std::nullopt);
+    if (now >= outage_) return watch_dies_ ? void() : execute(schedule_.on_failed(id, now, draw()), now);
+    schedule_.on_data_received(id, now, std::nullopt);
     events_.push({now + seconds(2), id, What::kByte});
   }
   void know(engine::Time now) {
     known_ = true;
     known_after = now - back_;
   }
-  void obey(const PollSchedule::Orders& orders, engine::Time now) {
-    for (const CallId id : orders.close) calls_.erase(id);
-    if (orders.open != 0) open(orders.open, now);
+  void execute(const PollSchedule::Actions& actions, engine::Time now) {
+    for (const CallId id : actions.close) calls_.erase(id);
+    if (actions.open != 0) open(actions.open, now);
     if (calls_.empty()) {
-      if (orders.close.empty()) return;
+      if (actions.close.empty()) return;
       empty_since_ = now;
     }
     max_calls = std::max(max_calls, calls_.size());
@@ -183,7 +184,7 @@
 };
 
 template <class Check>
-void over_outages(Lists lists, engine::Duration slowest, int lose, Check check) {
+void over_outages(ListDelivery lists, engine::Duration slowest, int lose, Check check) {
   for (const int fleet : {1, 3, 100, 300}) {
     for (std::uint64_t seed = 1; seed <= 400; ++seed) {
       Outage outage{lists, fleet, seed, slowest, lose};
@@ -196,50 +197,51 @@
 
 TEST_CASE("pushed: whatever the calls met before, a change is known within 6 s", "[discovery][plan]") {
   engine::Duration worst{};
-  over_outages(Lists::kPushed, milliseconds(2100), 0, [&](const Outage& o, int) {
-    worst = std::max(worst, o.known_after);
-    REQUIRE(o.known_after < seconds(6) - service_discovery::kMargin);
-    REQUIRE(o.max_calls <= 2);
-    REQUIRE(o.longest_gap <= milliseconds(250));
+  over_outages(ListDelivery::kPush, milliseconds(2100), 0, [&](const Outage& outage, int) {
+    worst = std::max(worst, outage.known_after);
+    REQUIRE(outage.known_after < seconds(6) - service_discovery::kSchedulingMargin);
+    REQUIRE(outage.max_calls <= 2);
+    REQUIRE(outage.longest_gap <= milliseconds(250));
   });
   CHECK(worst > milliseconds(3000));  // the outages drawn do reach the edges
 }
 
 TEST_CASE("pushed: nor does it matter that the first call after the return is lost", "[discovery][plan]") {
-  over_outages(Lists::kPushed, milliseconds(50), 1, [&](const Outage& o, int) {
-    REQUIRE(o.known_after < seconds(6) - service_discovery::kMargin);
+  over_outages(ListDelivery::kPush, milliseconds(50), 1, [&](const Outage& outage, int) {
+    REQUIRE(outage.known_after < seconds(6) - service_discovery::kSchedulingMargin);
   });
 }
 
 TEST_CASE("asked for: whatever the calls met before, a change is known within 6 s", "[discovery][plan]") {
   engine::Duration worst{};
-  over_outages(Lists::kAskedFor, milliseconds(2100), 0, [&](const Outage& o, int fleet) {
-    worst = std::max(worst, o.known_after);
-    REQUIRE(o.known_after < seconds(6) - service_discovery::kMargin);
-    REQUIRE(o.max_calls <= 1);
+  over_outages(ListDelivery::kPoll, milliseconds(2100), 0, [&](const Outage& outage, int fleet) {
+    worst = std::max(worst, outage.known_after);
+    REQUIRE(outage.known_after < seconds(6) - service_discovery::kSchedulingMargin);
+    REQUIRE(outage.max_calls <= 1);
     // Each further call comes after a pause by the fleet's size.
-    for (std::size_t i = 1; i < o.opened.size(); ++i)
-      REQUIRE(o.opened[i] - o.opened[i - 1] >= service_discovery::after_silence(fleet).first / 2);
+    for (std::size_t i = 1; i < outage.opened.size(); ++i)
+      REQUIRE(outage.opened[i] - outage.opened[i - 1] >=
+              service_discovery::silence_backoff(fleet).initial / 2);
   });
   CHECK(worst > milliseconds(4000));
 }
 
 TEST_CASE("pushed: calls that fail at once come ever later, up to 250 ms", "[discovery][plan]") {
   for (const bool unreadable : {false, true}) {
-    PollSchedule plan(Lists::kPushed, 300);
+    PollSchedule schedule(ListDelivery::kPush, 300);
     std::mt19937_64 random(5);
     std::uniform_real_distribution<double> draw(0, 1);
     engine::Time now = seconds(50);
-    CallId id = plan.restart(now).open;
+    CallId id = schedule.restart(now).open;
     std::vector<engine::Duration> pauses;
     while (pauses.size() < 50) {
       const auto failed = now;
-      if (unreadable) plan.answered(id, now);
-      const auto orders =
-          unreadable ? plan.unreadable(id, now, draw(random)) : plan.failed(id, now, draw(random));
-      CHECK(orders.unreadable == unreadable);
-      now = *plan.next();
-      id = plan.tick(now, draw(random)).open;
+      if (unreadable) std::ignore = schedule.on_answered(id, now);
+      const auto actions = unreadable ? schedule.on_unreadable(id, now, draw(random))
+                                      : schedule.on_failed(id, now, draw(random));
+      CHECK(actions.needs_complete_list == unreadable);
+      now = *schedule.next_deadline();
+      id = schedule.on_timer(now, draw(random)).open;
       REQUIRE(id != 0);
       pauses.push_back(now - failed);
     }
@@ -251,142 +253,142 @@
       REQUIRE(pauses[i] <= milliseconds(250));
     }
     // One that lived starts again from nearly nothing.
-    plan.answered(id, now);
+    std::ignore = schedule.on_answered(id, now);
     now += milliseconds(1500);
-    plan.failed(id, now, 0.5);
-    CHECK(*plan.next() - now <= milliseconds(5));
+    std::ignore = schedule.on_failed(id, now, 0.5);
+    CHECK(*schedule.next_deadline() - now <= milliseconds(5));
   }
 }
 
 TEST_CASE("pushed: an unanswered call is joined, not dropped, and the older of two goes for a third",
           "[discovery][plan]") {
-  PollSchedule plan(Lists::kPushed, 300);
+  PollSchedule schedule(ListDelivery::kPush, 300);
   const engine::Time start = seconds(50);
-  const CallId first = plan.restart(start).open;
-  REQUIRE(plan.next() == start + service_discovery::kCallLimit);
-  CHECK(plan.tick(start + service_discovery::kCallLimit - milliseconds(1), 0.5).open == 0);
-  auto orders = plan.tick(*plan.next(), 0.5);
-  const CallId second = orders.open;
+  const CallId first = schedule.restart(start).open;
+  REQUIRE(schedule.next_deadline() == start + service_discovery::kCallTimeout);
+  CHECK(schedule.on_timer(start + service_discovery::kCallTimeout - milliseconds(1), 0.5).open == 0);
+  auto actions = schedule.on_timer(*schedule.next_deadline(), 0.5);
+  const CallId second = actions.open;
   CHECK(second != 0);
-  CHECK(orders.close.empty());
-  CHECK(orders.silent);
-  REQUIRE(plan.next() == start + 2 * service_discovery::kCallLimit);
-  orders = plan.tick(*plan.next(), 0.5);
-  CHECK(orders.close == std::vector<CallId>{first});
-  const CallId third = orders.open;
-  orders = plan.answered(second, start + seconds(5));
-  CHECK(orders.close == std::vector<CallId>{third});
-  CHECK(plan.calls() == 1);
-  CHECK(plan.next() == start + seconds(5) + service_discovery::kSilence);
+  CHECK(actions.close.empty());
+  CHECK(actions.has_timed_out);
+  REQUIRE(schedule.next_deadline() == start + 2 * service_discovery::kCallTimeout);
+  actions = schedule.on_timer(*schedule.next_deadline(), 0.5);
+  CHECK(actions.close == std::vector<CallId>{first});
+  const CallId third = actions.open;
+  actions = schedule.on_answered(second, start + seconds(5));
+  CHECK(actions.close == std::vector<CallId>{third});
+  CHECK(schedule.open_calls() == 1);
+  CHECK(schedule.next_deadline() == start + seconds(5) + service_discovery::kWatchTimeout);
 }
 
 TEST_CASE("pushed: a silent watch is joined at once and may still speak; the call that answers replaces it",
           "[discovery][plan]") {
-  PollSchedule plan(Lists::kPushed, 300);
+  PollSchedule schedule(ListDelivery::kPush, 300);
   const engine::Time start = seconds(50);
-  const CallId watch = plan.restart(start).open;
-  plan.answered(watch, start);
-  REQUIRE(plan.next() == start + service_discovery::kSilence);
-  const auto joined = plan.tick(*plan.next(), 0.9);
+  const CallId watch = schedule.restart(start).open;
+  std::ignore = schedule.on_answered(watch, start);
+  REQUIRE(schedule.next_deadline() == start + service_discovery::kWatchTimeout);
+  const auto joined = schedule.on_timer(*schedule.next_deadline(), 0.9);
   CHECK(joined.close.empty());
   REQUIRE(joined.open != 0);
   const engine::Time later = start + seconds(3);
-  CHECK(plan.answered(watch, later).close.empty());  // as with any byte of it
-  plan.heard(watch, later, std::nullopt);
-  CHECK(plan.calls() == 2);
-  CHECK(plan.answered(joined.open, later).close == std::vector<CallId>{watch});
+  CHECK(schedule.on_answered(watch, later).close.empty());  // as with any byte of it
+  schedule.on_data_received(watch, later, std::nullopt);
+  CHECK(schedule.open_calls() == 2);
+  CHECK(schedule.on_answered(joined.open, later).close == std::vector<CallId>{watch});
 }
 
 TEST_CASE("pushed: after a refusal there is a pause by the fleet's size, whatever happens in it",
           "[discovery][plan]") {
   for (const int fleet : {1, 300}) {
-    PollSchedule plan(Lists::kPushed, fleet);
+    PollSchedule schedule(ListDelivery::kPush, fleet);
     engine::Time now = seconds(50);
-    const CallId first = plan.restart(now).open;
-    now += service_discovery::kCallLimit;
-    const CallId second = plan.tick(now, 0).open;
-    CHECK(plan.rejected(second, now, 1).open == 0);
-    CHECK(plan.failed(first, now, 0).open == 0);
-    CHECK(plan.next() == now + service_discovery::list_calls(fleet).first);
-    CHECK(plan.tick(now + milliseconds(100), 0).open == 0);
-    CHECK(plan.tick(*plan.next(), 0).open != 0);
+    const CallId first = schedule.restart(now).open;
+    now += service_discovery::kCallTimeout;
+    const CallId second = schedule.on_timer(now, 0).open;
+    CHECK(schedule.on_rejected(second, now, 1).open == 0);
+    CHECK(schedule.on_failed(first, now, 0).open == 0);
+    CHECK(schedule.next_deadline() == now + service_discovery::rejection_backoff(fleet).initial);
+    CHECK(schedule.on_timer(now + milliseconds(100), 0).open == 0);
+    CHECK(schedule.on_timer(*schedule.next_deadline(), 0).open != 0);
   }
 }
 
 // An outage of refusals, each after 2 s, that ends round the end of one of our pauses.
 TEST_CASE("discovery back just before, at and just after the end of a pause is heard in time",
           "[discovery][plan]") {
-  for (const Lists lists : {Lists::kPushed, Lists::kAskedFor}) {
+  for (const ListDelivery lists : {ListDelivery::kPush, ListDelivery::kPoll}) {
     for (const int refusals : {1, 2, 3, 8}) {
       for (const engine::Duration off : {milliseconds(-1), milliseconds(0), milliseconds(1)}) {
-        PollSchedule plan(lists, 300);
+        PollSchedule schedule(lists, 300);
         engine::Time now = seconds(50), pause{};
-        CallId id = plan.restart(now).open;
+        CallId id = schedule.restart(now).open;
         for (int i = 0; i < refusals; ++i) {
-          now += service_discovery::kOverbookedWait;
-          plan.rejected(id, now, 1.0);
-          pause = *plan.next() - now;
-          now = *plan.next();
-          id = plan.tick(now, 1.0).open;
+          now += service_discovery::kOverloadedResponseDelay;
+          std::ignore = schedule.on_rejected(id, now, 1.0);
+          pause = *schedule.next_deadline() - now;
+          now = *schedule.next_deadline();
+          id = schedule.on_timer(now, 1.0).open;
           REQUIRE(id != 0);
         }
-        CHECK(pause <= service_discovery::kLongestPause);
+        CHECK(pause <= service_discovery::kMaxRejectionPause);
         // Back after the pause's end, discovery knows nothing of the call, which stays silent.
         const engine::Time back = now + off;
         if (off > engine::Duration(0)) {
           for (id = 0; id == 0;) {
-            REQUIRE(plan.next());
-            now = *plan.next();
-            id = plan.tick(now, 1.0).open;
+            REQUIRE(schedule.next_deadline());
+            now = *schedule.next_deadline();
+            id = schedule.on_timer(now, 1.0).open;
           }
         }
-        CHECK(now + milliseconds(2100) - back < seconds(6) - service_discovery::kMargin);
+        CHECK(now + milliseconds(2100) - back < seconds(6) - service_discovery::kSchedulingMargin);
       }
     }
   }
 }
 
 TEST_CASE("an object that stalls ends its call, and the whole list is owed", "[discovery][plan]") {
-  for (const Lists lists : {Lists::kPushed, Lists::kAskedFor}) {
-    PollSchedule plan(lists, 3);
+  for (const ListDelivery lists : {ListDelivery::kPush, ListDelivery::kPoll}) {
+    PollSchedule schedule(lists, 3);
     const engine::Time start = seconds(50);
     engine::Time now = start;
-    const CallId watch = plan.restart(now).open;
-    plan.answered(watch, now);
-    for (; now < start + service_discovery::kObject; now += milliseconds(100)) {  // it trickles
-      REQUIRE(*plan.next() > now);
-      plan.heard(watch, now, start);
+    const CallId watch = schedule.restart(now).open;
+    std::ignore = schedule.on_answered(watch, now);
+    for (; now < start + service_discovery::kObjectTimeout; now += milliseconds(100)) {  // it trickles
+      REQUIRE(*schedule.next_deadline() > now);
+      schedule.on_data_received(watch, now, start);
     }
-    REQUIRE(plan.next() == start + service_discovery::kObject);
-    const auto orders = plan.tick(*plan.next(), 0.5);
-    CHECK(orders.unreadable);
-    CHECK(orders.close == std::vector<CallId>{watch});
-    REQUIRE(plan.next());
-    CHECK(plan.tick(*plan.next(), 0.5).open != 0);
+    REQUIRE(schedule.next_deadline() == start + service_discovery::kObjectTimeout);
+    const auto actions = schedule.on_timer(*schedule.next_deadline(), 0.5);
+    CHECK(actions.needs_complete_list);
+    CHECK(actions.close == std::vector<CallId>{watch});
+    REQUIRE(schedule.next_deadline());
+    CHECK(schedule.on_timer(*schedule.next_deadline(), 0.5).open != 0);
   }
 }
 
 TEST_CASE("a move opens at once, whatever pause runs, and survives a silent first call within 4 s",
           "[discovery][plan]") {
-  for (const Lists lists : {Lists::kPushed, Lists::kAskedFor}) {
-    PollSchedule plan(lists, 300);
+  for (const ListDelivery lists : {ListDelivery::kPush, ListDelivery::kPoll}) {
+    PollSchedule schedule(lists, 300);
     engine::Time now = seconds(50);
-    CallId id = plan.restart(now).open;
+    CallId id = schedule.restart(now).open;
     for (int i = 0; i < 5; ++i) {
-      plan.rejected(id, now, 0.99);
-      now = *plan.next();
-      id = plan.tick(now, 0.99).open;
+      std::ignore = schedule.on_rejected(id, now, 0.99);
+      now = *schedule.next_deadline();
+      id = schedule.on_timer(now, 0.99).open;
     }
-    plan.rejected(id, now, 0.99);
+    std::ignore = schedule.on_rejected(id, now, 0.99);
     const engine::Time moved = now + milliseconds(1);
-    REQUIRE(plan.move(moved).open != 0);  // this one stays silent
+    REQUIRE(schedule.restart_at_new_address(moved).open != 0);  // this one stays silent
     CallId next = 0;
     while (next == 0) {
-      REQUIRE(plan.next());
-      now = *plan.next();
-      next = plan.tick(now, 0.999).open;
+      REQUIRE(schedule.next_deadline());
+      now = *schedule.next_deadline();
+      next = schedule.on_timer(now, 0.999).open;
     }
-    CHECK(now - moved + service_discovery::kMargin < seconds(4));
+    CHECK(now - moved + service_discovery::kSchedulingMargin < seconds(4));
   }
 }
 
