--- a/src/hot_restart/handover_messages.cpp
+++ b/src/hot_restart/handover_messages.cpp
@@ -55,9 +55,9 @@
 
 // Null where there is none.
 const Json& member(const Json& object, const char* name) {
-  static const Json kNone;
+  static const Json none;
   const auto it = object.find(name);
-  return object.is_object() && it != object.end() ? *it : kNone;
+  return object.is_object() && it != object.end() ? *it : none;
 }
 
 std::string text_member(const Json& object, const char* name) {
