--- a/src/daemon/chat_address.cpp
+++ b/src/daemon/chat_address.cpp
@@ -29,7 +29,7 @@
 void ChatAddress::serve(net::UniqueFd listening) {
   listening_ = std::move(listening);
   if (pair_) {
-    if (!parts_.peer.has_elder()) join_pair(false);
+    if (!parts_.peer.has_predecessor()) join_pair(false);
   } else if (parts_.chat) {
     parts_.chat->server().open(std::move(listening_));
   }
@@ -58,11 +58,11 @@
 void ChatAddress::leave_pair() {
   has_left_ = true;
   if (!vrrp_) return;
-  if (!parts_.peer.succeeded()) return vrrp_->stop();
+  if (!parts_.peer.is_successor_serving()) return vrrp_->stop();
   const bool was_active = vrrp_->state() == vrrp::State::kActive;
   vrrp_->leave();
   is_active_ = false;
-  parts_.peer.tell_vrrp(was_active);
+  parts_.peer.notify_vrrp_left(was_active);
 }
 
 // The other of the pair may still be closing its listener at the shared address: tried until it is free.
--- a/src/daemon/components.cpp
+++ b/src/daemon/components.cpp
@@ -22,9 +22,9 @@
   return config.scratch + "/bitternferry-" + name + suffix;
 }
 
-service_discovery::Lists list_delivery(const routing::Settings& settings) {
-  return settings.polls_endpoint_list ? service_discovery::Lists::kAskedFor
-                                      : service_discovery::Lists::kPushed;
+service_discovery::ListDelivery list_delivery(const routing::Settings& settings) {
+  return settings.polls_endpoint_list ? service_discovery::ListDelivery::kPoll
+                                      : service_discovery::ListDelivery::kPush;
 }
 
 }  // namespace
@@ -47,7 +47,7 @@
                server_options(config, chat_config ? 2 : 1, ProcessCount::kOne),
                [this] { return pool.evict_idle(); }),
       watch(loop.io(), config.discovery, loop.timers(), loop.clock(), log, callbacks.on_endpoints,
-            config.settings.router_count, config.seed ^ kWatchSeedMask, list_delivery(config.settings)),
+            {config.settings.router_count, config.seed ^ kWatchSeedMask, list_delivery(config.settings)}),
       drained_endpoints(shared_path(config, ".bans"), log),
       peer(loop.io(), shared_path(config, ".sock"), loop.timers(), loop.clock(), log,
            callbacks.hot_restart_owner) {
@@ -86,7 +86,9 @@
   return servers;
 }
 
-ProcessCount Components::processes() const { return peer.shared() ? ProcessCount::kTwo : ProcessCount::kOne; }
+ProcessCount Components::processes() const {
+  return peer.has_peer() ? ProcessCount::kTwo : ProcessCount::kOne;
+}
 
 void Components::apply_resource_limits() {
   share_rate_limits();
@@ -100,12 +102,12 @@
   const std::size_t each = processes() == ProcessCount::kTwo ? 2 : 1;
   const auto number = static_cast<std::size_t>(std::max(0, config.settings.router_number));
   const auto count = static_cast<std::size_t>(std::max(1, config.settings.router_count));
-  rate_limiter.set_instance(each * number + (peer.has_elder() ? 1 : 0), each * count);
+  rate_limiter.set_instance(each * number + (peer.has_predecessor() ? 1 : 0), each * count);
 }
 
 void Components::update_endpoints(const service_discovery::EndpointSnapshot& snapshot) {
-  service_discovery::merge(endpoints, snapshot);
-  pool.update_endpoints(snapshot.addresses, snapshot.whole);
+  service_discovery::apply_update(endpoints, snapshot);
+  pool.update_endpoints(snapshot.addresses, snapshot.is_complete);
   engine.update_endpoints(snapshot.list);
   levels.update_endpoints(snapshot.list);
 }
--- a/src/daemon/configuration_reloader.cpp
+++ b/src/daemon/configuration_reloader.cpp
@@ -63,7 +63,7 @@
   parts_.apply_resource_limits();
   // Kinds of endpoints may be new: the list is read by the new ones.
   parts_.engine.update_endpoints(parts_.endpoints.list);
-  if (discovery_moved) parts_.watch.move(parts_.config.discovery);
+  if (discovery_moved) parts_.watch.set_address(parts_.config.discovery);
 }
 
 void ConfigurationReloader::log_deferred_changes(const Config& next,
--- a/src/daemon/dispatcher.cpp
+++ b/src/daemon/dispatcher.cpp
@@ -55,27 +55,27 @@
 
 // ---- taking over and serving ----
 
-void Dispatcher::inherit(hot_restart::HandoverState handover) {
+void Dispatcher::on_handover(hot_restart::HandoverState handover) {
   if (is_draining_) return;  // told to end before it began
   serve(std::move(handover));
 }
 
 void Dispatcher::serve(hot_restart::HandoverState handover) {
   restore_drained_endpoints();  // before any list
-  restore_endpoint_list(handover.list);
+  restore_endpoint_list(handover.endpoint_list);
   parts_.engine.restore_learned_state(handover.learned_state);
-  parts_.levels.restore(handover.level);
-  for (const std::string& id : handover.ids)
+  parts_.levels.restore(handover.degradation_level);
+  for (const std::string& id : handover.open_request_ids)
     parts_.engine.on_peer_request_progress(id, engine::RequestProgress::kInProgress);
-  parts_.watch.start(parts_.endpoints.seq);
-  parts_.platform.server().open(std::move(handover.listening["platform"]));
-  chat_address_.serve(std::move(handover.listening["chat"]));
+  parts_.watch.start(parts_.endpoints.version);
+  parts_.platform.server().open(std::move(handover.listening_sockets["platform"]));
+  chat_address_.serve(std::move(handover.listening_sockets["chat"]));
   parts_.log("serving on " + to_text(parts_.config.listen) + " as " + parts_.config.name);
   if (parts_.chat && !chat_address_.is_paired())
     parts_.log("chat front on " + to_text(parts_.chat->server().local()));
   is_serving_ = true;
   tick_levels();
-  parts_.peer.serving();
+  parts_.peer.on_serving();
 }
 
 void Dispatcher::restore_drained_endpoints() {
@@ -91,21 +91,21 @@
   parts_.update_endpoints(parts_.config.known);
   if (handed_over.is_null()) return;
   try {
-    parts_.update_endpoints(service_discovery::parse_servers(handed_over));
+    parts_.update_endpoints(service_discovery::parse_endpoint_snapshot(handed_over));
   } catch (const std::exception& error) {
     parts_.log(std::string("upgrade: the list can't be read: ") + error.what());
   }
 }
 
 void Dispatcher::tick_levels() {
-  parts_.levels.tick(parts_.engine.open_request_count(), parts_.watch.heard());
+  parts_.levels.tick(parts_.engine.open_request_count(), parts_.watch.last_response_at());
   parts_.loop.timers().add(parts_.loop.now() + degradation::DegradationController::kTick,
                            [this] { tick_levels(); });
 }
 
 // ---- the other process of a hot restart ----
 
-std::map<std::string, int> Dispatcher::listening() {
+std::map<std::string, int> Dispatcher::listening_sockets() {
   std::map<std::string, int> sockets;
   http::Server& platform = parts_.platform.server();
   if (platform.is_open()) sockets["platform"] = platform.listening();
@@ -113,19 +113,20 @@
   return sockets;
 }
 
-void Dispatcher::on_stream(const hot_restart::Json& facts, net::UniqueFd client, net::UniqueFd replica) {
-  stream_handover_.adopt(facts, std::move(client), std::move(replica));
+void Dispatcher::on_stream(const hot_restart::StreamTransfer& stream, net::UniqueFd client_socket,
+                           net::UniqueFd upstream_socket) {
+  stream_handover_.adopt(stream, std::move(client_socket), std::move(upstream_socket));
 }
 
-void Dispatcher::on_vrrp(bool was_active) {
+void Dispatcher::on_vrrp_left(bool was_active) {
   if (is_serving_) chat_address_.join_pair(was_active);
 }
 
-void Dispatcher::on_partners() {
+void Dispatcher::on_peers_changed() {
   parts_.apply_resource_limits();
-  if (!parts_.peer.shared()) parts_.engine.on_peer_disconnected();
-  if (!parts_.peer.has_elder() && is_serving_) chat_address_.join_pair(false);
-  if (is_draining_ && parts_.peer.succeeded()) stop_accepting();
+  if (!parts_.peer.has_peer()) parts_.engine.on_peer_disconnected();
+  if (!parts_.peer.has_predecessor() && is_serving_) chat_address_.join_pair(false);
+  if (is_draining_ && parts_.peer.is_successor_serving()) stop_accepting();
 }
 
 // ---- operators ----
@@ -142,10 +143,10 @@
 }
 
 void Dispatcher::change_drain(const std::string& endpoint, bool offline) {
-  if (!parts_.drained_endpoints.set(endpoint, offline)) return;
+  if (!parts_.drained_endpoints.set_drained(endpoint, offline)) return;
   parts_.log("operators: host " + endpoint + (offline ? " offline" : " online"));
   apply_drain(endpoint, offline);
-  parts_.peer.tell_ban(endpoint, offline);
+  parts_.peer.notify_endpoint_drained(endpoint, offline);
 }
 
 // The router hears of it first: what the pool gives back then goes elsewhere.
@@ -162,7 +163,7 @@
   parts_.log("draining: " + std::to_string(parts_.engine.unanswered_count()) + " requests unanswered");
   for (http::Server* server : parts_.client_servers()) server->drain();
   chat_address_.leave_pair();
-  if (parts_.peer.succeeded()) {
+  if (parts_.peer.is_successor_serving()) {
     stop_accepting();
   } else {
     parts_.loop.timers().add(parts_.loop.now() + kAcceptAfterTerm, [this] { stop_accepting(); });
@@ -200,7 +201,7 @@
   for (const http::Server* server : parts_.client_servers()) clients += server->clients();
   const bool is_owed =
       parts_.engine.open_request_count() > 0 || clients > 0 || parts_.pool.releases_blocking_shutdown() > 0;
-  return !has_stopped_accepting_ || !parts_.peer.all_sent() || is_owed;
+  return !has_stopped_accepting_ || !parts_.peer.is_all_sent() || is_owed;
 }
 
 }  // namespace dispatcher::daemon
--- a/src/daemon/dispatcher.hpp
+++ b/src/daemon/dispatcher.hpp
@@ -37,21 +37,26 @@
 
  private:
   // hot_restart::HotRestartPeer::Owner
-  hot_restart::Json list() override { return service_discovery::to_json(parts_.endpoints); }
-  std::map<std::string, int> listening() override;
-  std::vector<std::string> open_ids() override { return parts_.engine.open_request_ids(); }
+  hot_restart::Json endpoint_list() override { return service_discovery::to_json(parts_.endpoints); }
+  std::map<std::string, int> listening_sockets() override;
+  std::vector<std::string> open_request_ids() override { return parts_.engine.open_request_ids(); }
   routing::LearnedState learned_state() override { return parts_.engine.learned_state(); }
-  hot_restart::Json level() override { return parts_.levels.status(); }
-  void inherit(hot_restart::HandoverState handover) override;
-  void on_ban(const std::string& endpoint, bool offline) override { change_drain(endpoint, offline); }
-  void on_request(const std::string& id, bool open) override {
+  hot_restart::Json degradation_level() override { return parts_.levels.status(); }
+  void on_handover(hot_restart::HandoverState handover) override;
+  void on_endpoint_drained(const std::string& endpoint, bool offline) override {
+    change_drain(endpoint, offline);
+  }
+  void on_peer_request(const std::string& id, bool open) override {
     parts_.engine.on_peer_request_progress(
         id, open ? engine::RequestProgress::kInProgress : engine::RequestProgress::kCompleted);
   }
-  void on_sent(const std::string& endpoint) override { parts_.engine.on_peer_attempt_started(endpoint); }
-  void on_stream(const hot_restart::Json& facts, net::UniqueFd client, net::UniqueFd replica) override;
-  void on_vrrp(bool was_active) override;
-  void on_partners() override;
+  void on_peer_forwarded(const std::string& endpoint) override {
+    parts_.engine.on_peer_attempt_started(endpoint);
+  }
+  void on_stream(const hot_restart::StreamTransfer& stream, net::UniqueFd client_socket,
+                 net::UniqueFd upstream_socket) override;
+  void on_vrrp_left(bool was_active) override;
+  void on_peers_changed() override;
 
   ComponentCallbacks callbacks();
   void await_signal();
--- a/src/daemon/stream_handover.cpp
+++ b/src/daemon/stream_handover.cpp
@@ -16,7 +16,7 @@
 }  // namespace
 
 void StreamHandover::hand_over() {
-  if (!parts_.peer.succeeded()) return;
+  if (!parts_.peer.is_successor_serving()) return;
   for (const engine::RunningStream& stream : parts_.engine.running_streams(parts_.platform.response_sink()))
     hand_over(stream);
   ++passes_;
@@ -32,12 +32,9 @@
     const upstream::DetachedStream state = parts_.pool.detach_stream(attempt);
     const net::UniqueFd client_socket = server.give(stream.client);
     parts_.platform.forget_given(stream.client);
-    parts_.peer.give_stream({{"id", stream.id},
-                             {"host", state.endpoint},
-                             {"unread", std::vector<unsigned char>(state.unread.begin(), state.unread.end())},
-                             {"chunk_left", state.position.chunk_left},
-                             {"keep_alive", state.position.keep_alive}},
-                            client_socket.get(), state.socket.get());
+    parts_.peer.transfer_stream(
+        {stream.id, state.endpoint, state.unread, state.position.chunk_left, state.position.keep_alive},
+        client_socket.get(), state.socket.get());
     parts_.engine.release_stream(stream.request);
   } else if (passes_ % kPassesPerResume == kPassesPerResume - 1) {
     server.wake(stream.client);
@@ -45,17 +42,14 @@
   }
 }
 
-void StreamHandover::adopt(const hot_restart::Json& message, net::UniqueFd client, net::UniqueFd endpoint) {
+void StreamHandover::adopt(const hot_restart::StreamTransfer& transfer, net::UniqueFd client,
+                           net::UniqueFd endpoint) {
   try {
-    const auto unread = message.at("unread").get<std::vector<unsigned char>>();
     upstream::DetachedStream state{
-        std::move(endpoint),
-        message.at("host").get<std::string>(),
-        {unread.begin(), unread.end()},
-        {message.at("chunk_left").get<std::uint64_t>(), message.at("keep_alive").get<bool>()}};
-    const auto id = message.at("id").get<std::string>();
-    parts_.engine.on_peer_request_progress(id, engine::RequestProgress::kCompleted);
-    const net::SlotId request = parts_.platform.take_over(std::move(client), id, state.endpoint);
+        std::move(endpoint), transfer.endpoint, transfer.unread, {transfer.chunk_left, transfer.keep_alive}};
+    parts_.engine.on_peer_request_progress(transfer.request_id, engine::RequestProgress::kCompleted);
+    const net::SlotId request =
+        parts_.platform.take_over(std::move(client), transfer.request_id, state.endpoint);
     parts_.pool.adopt_stream({request, 0}, std::move(state));
   } catch (const std::exception& error) {
     parts_.log(std::string("upgrade: a stream can't go on here: ") + error.what());
--- a/src/daemon/stream_handover.hpp
+++ b/src/daemon/stream_handover.hpp
@@ -18,7 +18,7 @@
   void hand_over();
   // A stream that began at the process before this one goes on here. One that can't is logged and its
   // client's connection ended.
-  void adopt(const hot_restart::Json& message, net::UniqueFd client, net::UniqueFd endpoint);
+  void adopt(const hot_restart::StreamTransfer& transfer, net::UniqueFd client, net::UniqueFd endpoint);
 
  private:
   void hand_over(const engine::RunningStream& stream);
