--- a/src/daemon/components.cpp
+++ b/src/daemon/components.cpp
@@ -43,9 +43,10 @@
              [this] { return std::uniform_real_distribution<double>(0, 1)(random); }),
       pool(loop.io(), loop.timers(), loop.clock(), log, upstream_options(config, ProcessCount::kOne)),
       engine(settings, config.seed, pool, loop.timers(), loop.clock(), log),
-      platform(loop.io(), config.listen, engine, settings, loop.timers(), loop.clock(),
-               server_options(config, chat_config ? 2 : 1, ProcessCount::kOne),
-               [this] { return pool.evict_idle(); }),
+      platform(http::FrontendContext{loop.io(), engine, loop.timers(), loop.clock(),
+                                     server_options(config, chat_config ? 2 : 1, ProcessCount::kOne),
+                                     [this] { return pool.evict_idle(); }},
+               config.listen, settings),
       watch(loop.io(), config.discovery, loop.timers(), loop.clock(), log, callbacks.on_endpoints,
             {config.settings.router_count, config.seed ^ kWatchSeedMask, list_delivery(config.settings)}),
       drained_endpoints(shared_path(config, ".bans"), log),
@@ -63,19 +64,21 @@
 }
 
 void Components::build_chat() {
-  chat.emplace(loop.io(), *chat_config, engine, loop.timers(), loop.clock(), config.seed,
-               server_options(config, 2, ProcessCount::kOne), [this] { return pool.evict_idle(); });
+  chat.emplace(http::FrontendContext{loop.io(), engine, loop.timers(), loop.clock(),
+                                     server_options(config, 2, ProcessCount::kOne),
+                                     [this] { return pool.evict_idle(); }},
+               *chat_config, config.seed);
   chat->attach(rate_limiter);
   chat->attach(levels);
 }
 
 void Components::build_admin(const ComponentCallbacks& callbacks) {
   admin::AdminCallbacks calls;
-  calls.ready = callbacks.is_ready;
-  calls.maintain = callbacks.drain_endpoint;
-  calls.level = [this] { return levels.status(); };
-  calls.levels = [this] { return levels.history(); };
-  calls.pin = [this](const std::string& name) { return levels.set_override(name); };
+  calls.is_ready = callbacks.is_ready;
+  calls.set_endpoint_drained = callbacks.drain_endpoint;
+  calls.current_level = [this] { return levels.status(); };
+  calls.level_changes = [this] { return levels.history(); };
+  calls.pin_level = [this](const std::string& name) { return levels.set_override(name); };
   admin.emplace(loop.io(), *config.console, loop.timers(), loop.clock(), std::move(calls),
                 [this] { return pool.evict_idle(); });
 }
@@ -94,7 +97,8 @@
   share_rate_limits();
   pool.apply_options(upstream_options(config, processes()));
   const http::ServerOptions options = server_options(config, client_servers().size(), processes());
-  for (http::Server* server : client_servers()) server->bound(options.max_clients, options.max_held);
+  for (http::Server* server : client_servers())
+    server->set_limits(options.max_clients, options.max_body_bytes);
 }
 
 // Two processes of one instance keep half of its part each.
--- a/src/daemon/dispatcher.cpp
+++ b/src/daemon/dispatcher.cpp
@@ -108,8 +108,9 @@
 std::map<std::string, int> Dispatcher::listening_sockets() {
   std::map<std::string, int> sockets;
   http::Server& platform = parts_.platform.server();
-  if (platform.is_open()) sockets["platform"] = platform.listening();
-  if (parts_.chat && parts_.chat->server().is_open()) sockets["chat"] = parts_.chat->server().listening();
+  if (platform.is_open()) sockets["platform"] = platform.listening_socket();
+  if (parts_.chat && parts_.chat->server().is_open())
+    sockets["chat"] = parts_.chat->server().listening_socket();
   return sockets;
 }
 
@@ -198,7 +199,7 @@
 
 bool Dispatcher::is_work_left() {
   std::size_t clients = 0;
-  for (const http::Server* server : parts_.client_servers()) clients += server->clients();
+  for (const http::Server* server : parts_.client_servers()) clients += server->client_count();
   const bool is_owed =
       parts_.engine.open_request_count() > 0 || clients > 0 || parts_.pool.releases_blocking_shutdown() > 0;
   return !has_stopped_accepting_ || !parts_.peer.is_all_sent() || is_owed;
--- a/src/daemon/resource_limits.cpp
+++ b/src/daemon/resource_limits.cpp
@@ -23,7 +23,7 @@
 constexpr std::size_t kBodyMemoryDivisor = 8;
 // Descriptors for all that is neither a client nor an endpoint: the operators' callers have theirs however
 // many of the others there are.
-constexpr std::size_t kSpareDescriptors = 32 + admin::kMaxCallers;
+constexpr std::size_t kSpareDescriptors = 32 + admin::kMaxConnections;
 
 std::size_t connection_descriptors(const Config& config, ProcessCount processes) {
   const std::size_t spare = std::min(kSpareDescriptors, config.sockets / 2);
@@ -52,7 +52,7 @@
   http::ServerOptions options;
   const std::size_t descriptors = connection_descriptors(config, processes) * kClientPercent / 100;
   options.max_clients = std::min<std::size_t>(options.max_clients, descriptors) / frontends;
-  options.max_held = config.memory_mb * kBytesPerMegabyte / kBodyMemoryDivisor / frontends;
+  options.max_body_bytes = config.memory_mb * kBytesPerMegabyte / kBodyMemoryDivisor / frontends;
   return options;
 }
 
--- a/src/daemon/stream_handover.cpp
+++ b/src/daemon/stream_handover.cpp
@@ -26,18 +26,18 @@
 void StreamHandover::hand_over(const engine::RunningStream& stream) {
   http::Server& server = parts_.platform.server();
   const engine::AttemptId attempt{stream.request, stream.attempt};
-  const bool is_client_still = server.hush(stream.client);
+  const bool is_client_still = server.suspend_reading(stream.client);
   const bool is_endpoint_still = parts_.pool.suspend_stream(attempt);
   if (is_client_still && is_endpoint_still) {
     const upstream::DetachedStream state = parts_.pool.detach_stream(attempt);
-    const net::UniqueFd client_socket = server.give(stream.client);
-    parts_.platform.forget_given(stream.client);
+    const net::UniqueFd client_socket = server.detach(stream.client);
+    parts_.platform.forget_detached_stream(stream.client);
     parts_.peer.transfer_stream(
         {stream.id, state.endpoint, state.unread, state.position.chunk_left, state.position.keep_alive},
         client_socket.get(), state.socket.get());
     parts_.engine.release_stream(stream.request);
   } else if (passes_ % kPassesPerResume == kPassesPerResume - 1) {
-    server.wake(stream.client);
+    server.resume_reading(stream.client);
     parts_.pool.resume_stream(attempt);
   }
 }
@@ -49,7 +49,7 @@
         std::move(endpoint), transfer.endpoint, transfer.unread, {transfer.chunk_left, transfer.keep_alive}};
     parts_.engine.on_peer_request_progress(transfer.request_id, engine::RequestProgress::kCompleted);
     const net::SlotId request =
-        parts_.platform.take_over(std::move(client), transfer.request_id, state.endpoint);
+        parts_.platform.adopt_stream(std::move(client), transfer.request_id, state.endpoint);
     parts_.pool.adopt_stream({request, 0}, std::move(state));
   } catch (const std::exception& error) {
     parts_.log(std::string("upgrade: a stream can't go on here: ") + error.what());
--- a/src/service_discovery/endpoint_watcher.cpp
+++ b/src/service_discovery/endpoint_watcher.cpp
@@ -142,10 +142,11 @@
   const auto call = find(id);
   if (!call) return;
   const auto progress = call->reader->read(call->connection->input());
-  if (progress == http::Progress::kBad) return fail_call(id, FailureKind::kUnreadable, "malformed response");
-  if (!call->reader->head_done() || !handle_head(id, *call)) return;
+  if (progress == http::ReadStatus::kMalformed)
+    return fail_call(id, FailureKind::kUnreadable, "malformed response");
+  if (!call->reader->is_head_complete() || !handle_head(id, *call)) return;
   handle_body(id, *call, call->reader->take_body());
-  if (progress == http::Progress::kDone && find(id)) handle_end_of_response(id, *call);
+  if (progress == http::ReadStatus::kComplete && find(id)) handle_end_of_response(id, *call);
 }
 
 bool EndpointWatcher::handle_head(CallId id, Call& call) {
--- a/src/upstream/attempt_runner.cpp
+++ b/src/upstream/attempt_runner.cpp
@@ -49,7 +49,7 @@
 }
 
 void AttemptRunner::pause(AttemptId attempt) {
-  if (PooledConnection* connection = connection_of(attempt)) connection->transport->pause();
+  if (PooledConnection* connection = connection_of(attempt)) connection->transport->pause_reading();
 }
 
 void AttemptRunner::resume(AttemptId attempt) {
--- a/src/upstream/connection_pool.cpp
+++ b/src/upstream/connection_pool.cpp
@@ -13,7 +13,7 @@
 // Bytes that one connection buffers: a response is read as fast as its client takes it ...
 constexpr std::size_t kMaxInputBytes = std::size_t{64} * 1024;
 // ... and a request is written whole.
-constexpr std::size_t kMaxOutputBytes = http::kMaxBody + 2 * http::kMaxHead;
+constexpr std::size_t kMaxOutputBytes = http::kMaxBodyBytes + 2 * http::kMaxHeadBytes;
 
 // The part of the replica's idle timeout after which a connection is not used any more, so that no request
 // crosses the replica's close on its way.
@@ -142,7 +142,7 @@
     const SlotId id = endpoint.idle[i];
     if (!has_settled(id)) continue;
     PooledConnection& connection = *connections_.find(id);
-    if (connection.transport->stale()) {
+    if (connection.transport->is_stale()) {
       close(id);
       continue;
     }
@@ -185,7 +185,7 @@
   connection.is_connected = true;
   connection.is_reused = true;
   connection.transport = std::move(transport);
-  connection.transport->own(*handler_, id);
+  connection.transport->set_owner(*handler_, id);
   return id;
 }
 
--- a/src/upstream/exchange.hpp
+++ b/src/upstream/exchange.hpp
@@ -8,7 +8,7 @@
 
 #include "engine/engine.hpp"
 #include "http/event_framer.hpp"
-#include "http/message.hpp"
+#include "http/message_reader.hpp"
 #include "net/slot_table.hpp"
 
 namespace dispatcher::upstream {
--- a/src/upstream/exchange_runner.cpp
+++ b/src/upstream/exchange_runner.cpp
@@ -94,9 +94,9 @@
   exchange.handler = &handler;
   exchange.is_request_sent = true;
   exchange.has_response_started = true;
-  exchange.reader.resume_chunks(position.chunk_left, position.keep_alive);
+  exchange.reader.resume_chunked(position.chunk_left, position.keep_alive);
   ++pool_.endpoint_of(connection).running_attempts;
-  connection.transport->take_in(unread);
+  connection.transport->append_input(unread);
   // The unread bytes may be all that is left of the response. The handler must not be called from in here.
   timers_.add(clock_(), [this, id] {
     if (pool_.find(id) == nullptr) return;
@@ -118,31 +118,32 @@
     log_("endpoint " + connection.endpoint + " answered before it was asked");
     return on_connection_broken(id);
   }
-  const http::Progress progress = parse_response(id, connection);
-  if (progress == http::Progress::kBad) return on_malformed_response(id, exchange.reader.error().message());
-  if (exchange.reader.head_done() && is_event_stream(exchange)) {
+  const http::ReadStatus progress = parse_response(id, connection);
+  if (progress == http::ReadStatus::kMalformed)
+    return on_malformed_response(id, exchange.reader.error().message());
+  if (exchange.reader.is_head_complete() && is_event_stream(exchange)) {
     forward_events(id, exchange.reader.take_body());
   }
   // The events' receiver may have ended the exchange.
   PooledConnection* remaining = pool_.find(id);
   if (remaining == nullptr || !remaining->exchange.is_active()) return;
   Exchange& unfinished = remaining->exchange;
-  if (unfinished.reader.message().body().size() > http::kMaxBody || unfinished.framer.too_long()) {
+  if (unfinished.reader.message().body().size() > http::kMaxBodyBytes || unfinished.framer.is_too_long()) {
     return on_malformed_response(id, "no end of an event or a body");
   }
-  if (progress == http::Progress::kDone) complete_exchange(id);
+  if (progress == http::ReadStatus::kComplete) complete_exchange(id);
 }
 
 // Skips informational responses, which may come ahead of the one that counts (RFC 9110, section 15.2).
-http::Progress ExchangeRunner::parse_response(SlotId id, PooledConnection& connection) {
+http::ReadStatus ExchangeRunner::parse_response(SlotId id, PooledConnection& connection) {
   Exchange& exchange = connection.exchange;
   net::RingBuffer& input = connection.transport->input();
-  http::Progress progress = exchange.reader.read(input);
-  while (progress == http::Progress::kDone && is_informational(exchange)) {
+  http::ReadStatus progress = exchange.reader.read(input);
+  while (progress == http::ReadStatus::kComplete && is_informational(exchange)) {
     exchange.reader.reset();
     progress = exchange.reader.read(input);
   }
-  if (!exchange.reader.started() || exchange.has_response_started) return progress;
+  if (!exchange.reader.has_started() || exchange.has_response_started) return progress;
   exchange.has_response_started = true;
   if (exchange.request.kind == ExchangeKind::kAttempt) {
     connection.timer =
@@ -156,7 +157,7 @@
   PooledConnection& connection = *pool_.find(id);
   Exchange& exchange = connection.exchange;
   std::string complete_events;
-  for (const std::string& event : exchange.framer.feed(bytes)) {
+  for (const std::string& event : exchange.framer.append(bytes)) {
     note_event(event, exchange.result);
     complete_events += event;
   }
@@ -183,7 +184,8 @@
   const int status = static_cast<int>(http_status(exchange));
   outcome.http_status = status;
   if (outcome.kind == ExchangeKind::kAttempt) {
-    outcome.result = interpret_response(exchange.reader.message(), exchange.framer.rest(), exchange.result);
+    outcome.result =
+        interpret_response(exchange.reader.message(), exchange.framer.incomplete_event(), exchange.result);
     if (!is_expected_status(status)) {
       log_("endpoint " + outcome.endpoint + " answered " + std::to_string(status));
     }
@@ -207,7 +209,8 @@
   Exchange& exchange = connection->exchange;
   // The connection's end is that of a body with neither length nor chunks (RFC 9112, section 6.3).
   const bool is_response_end = exchange.is_active() && error == boost::asio::error::eof &&
-                               exchange.reader.started() && exchange.reader.end() == http::Progress::kDone;
+                               exchange.reader.has_started() &&
+                               exchange.reader.end() == http::ReadStatus::kComplete;
   if (!is_response_end) return on_connection_broken(id);
   if (is_event_stream(exchange)) forward_events(id, exchange.reader.take_body());
   connection = pool_.find(id);
--- a/src/upstream/exchange_runner.hpp
+++ b/src/upstream/exchange_runner.hpp
@@ -48,7 +48,7 @@
 
   void write_request(SlotId id, PooledConnection& connection);
   void read_response(SlotId id, PooledConnection& connection);
-  [[nodiscard]] http::Progress parse_response(SlotId id, PooledConnection& connection);
+  [[nodiscard]] http::ReadStatus parse_response(SlotId id, PooledConnection& connection);
   void forward_events(SlotId id, std::string_view bytes);
   void complete_exchange(SlotId id);
   void finish_complete_exchange(SlotId id, PooledConnection& connection);
--- a/src/upstream/stream_handover.cpp
+++ b/src/upstream/stream_handover.cpp
@@ -15,15 +15,15 @@
   PooledConnection* connection = attempts_.connection_of(attempt);
   if (connection == nullptr) return false;
   Exchange& exchange = connection->exchange;
-  if (!exchange.is_request_sent || !exchange.reader.head_done()) return false;
-  const bool is_between_events = exchange.framer.rest().empty();
+  if (!exchange.is_request_sent || !exchange.reader.is_head_complete()) return false;
+  const bool is_between_events = exchange.framer.incomplete_event().empty();
   if (!exchange.reader.message().chunked() || !is_between_events) return false;
   if (connection->transport->input().size() > kMaxUnreadBytes) return false;
   if (!connection->is_reading_suspended) {
     connection->is_reading_suspended = true;
-    connection->transport->hush();
+    connection->transport->cancel_reading();
   }
-  return connection->transport->still();
+  return connection->transport->is_quiescent();
 }
 
 void StreamHandover::resume_stream(AttemptId attempt) {
@@ -39,8 +39,8 @@
   DetachedStream stream;
   stream.endpoint = connection.endpoint;
   stream.unread = connection.transport->input().text();
-  stream.position = {reader.chunk_left(), reader.keep_alive()};
-  stream.socket = connection.transport->copy();
+  stream.position = {reader.chunk_bytes_left(), reader.keep_alive()};
+  stream.socket = connection.transport->duplicate_socket();
   pool_.close(attempts_.remove(attempt));
   return stream;
 }
--- a/tests/dispatcher/attempt_chaos_test.cpp
+++ b/tests/dispatcher/attempt_chaos_test.cpp
@@ -17,36 +17,37 @@
   void hold(const std::string& id) {
     if (!started.contains(id)) held_since[id] = now();
   }
-  void read(StandInReplica& replica, SlotId client, const Seen& seen) {
+  void read(FakeReplica& replica, SlotId client, const ReceivedRequest& seen) {
     const int percent = draw_percent();
     if (percent < 40) {
-      replica.say(client, 202, "{}");
+      replica.respond(client, 202, "{}");
       hold(seen.id);
     } else if (percent < 65) {
-      replica.server.cut(client);
+      replica.server.abort(client);
       if (percent < 55)
-        delayed_states.emplace_back(now() + std::min<engine::Duration>(draw_wait(1500), seen.left), seen.id);
+        delayed_states.emplace_back(now() + std::min<engine::Duration>(draw_wait(1500), seen.time_left),
+                                    seen.id);
     } else if (percent < 75) {
-      replica.say(client, 503, {}, true);
+      replica.respond(client, 503, {}, true);
     } else {
       unanswered_reads[{&replica, client}] = seen.id;
       if (percent < 90) delayed_answers.push_back({now() + draw_wait(400), &replica, client});
     }
   }
-  void write(StandInReplica& replica, SlotId client, const Seen& seen) {
+  void write(FakeReplica& replica, SlotId client, const ReceivedRequest& seen) {
     const int percent = draw_percent();
-    if (!held_since.contains(seen.id)) return replica.say(client, 410, {}, true);
-    if (percent < 20) return replica.say(client, 503, {}, true);
+    if (!held_since.contains(seen.id)) return replica.respond(client, 410, {}, true);
+    if (percent < 20) return replica.respond(client, 503, {}, true);
     ++runs_by_id[seen.id];
     if (percent < 50) {
       started.insert(seen.id);
       held_since.erase(seen.id);
-      replica.stream(client, {"a"});
+      replica.stream_words(client, {"a"});
     } else if (percent < 70) {
       if (percent < 60) held_since.erase(seen.id);  // fetched
-      replica.server.cut(client);
+      replica.server.abort(client);
     } else if (percent < 85) {
-      replica.say(client, 500);
+      replica.respond(client, 500);
     } else {
       unanswered_reads[{&replica, client}] = seen.id;
     }
@@ -55,11 +56,11 @@
     fixture.advance(milliseconds(20));
     for (auto& replica : fixture.replicas) {
       std::size_t& processed = processed_count[replica.get()];
-      for (; processed < replica->seen.size(); ++processed) {
-        const Seen& seen = replica->seen[processed];
+      for (; processed < replica->received.size(); ++processed) {
+        const ReceivedRequest& seen = replica->received[processed];
         if (seen.method == "DELETE") held_since.erase(seen.target.substr(seen.target.rfind('/') + 1));
       }
-      for (const SlotId gone : replica->gone) unanswered_reads.erase({replica.get(), gone});
+      for (const SlotId gone : replica->disconnected_clients) unanswered_reads.erase({replica.get(), gone});
     }
     std::erase_if(delayed_states, [&](const auto& entry) {
       if (entry.first <= now()) hold(entry.second);
@@ -69,7 +70,7 @@
       if (delayed.at > now()) return false;
       if (const auto it = unanswered_reads.find({delayed.replica, delayed.client});
           it != unanswered_reads.end()) {
-        delayed.replica->say(delayed.client, 202, "{}");
+        delayed.replica->respond(delayed.client, 202, "{}");
         hold(it->second);
         unanswered_reads.erase(it);
       }
@@ -84,20 +85,23 @@
   }
   struct DelayedAnswer {
     engine::Time at;
-    StandInReplica* replica;
+    FakeReplica* replica;
     SlotId client;
   };
   std::mt19937 random;
   std::map<std::string, engine::Time> held_since;  // since when, with no attempt out
-  std::map<std::pair<StandInReplica*, SlotId>, std::string> unanswered_reads;
+  std::map<std::pair<FakeReplica*, SlotId>, std::string> unanswered_reads;
   std::map<std::string, int> runs_by_id;
   std::set<std::string> started, overdue;
   std::vector<std::pair<engine::Time, std::string>> delayed_states;
   std::vector<DelayedAnswer> delayed_answers;
-  std::map<StandInReplica*, std::size_t> processed_count;
-  DirectFixture fixture{
-      [this](StandInReplica& replica, SlotId client, const Seen& seen) { read(replica, client, seen); },
-      [this](StandInReplica& replica, SlotId client, const Seen& seen) { write(replica, client, seen); }};
+  std::map<FakeReplica*, std::size_t> processed_count;
+  DirectFixture fixture{[this](FakeReplica& replica, SlotId client, const ReceivedRequest& seen) {
+                          read(replica, client, seen);
+                        },
+                        [this](FakeReplica& replica, SlotId client, const ReceivedRequest& seen) {
+                          write(replica, client, seen);
+                        }};
 };
 
 TEST_CASE("whatever crosses, no command runs twice and nothing stays held", "[endings]") {
--- a/tests/dispatcher/attempt_endings_fixture.hpp
+++ b/tests/dispatcher/attempt_endings_fixture.hpp
@@ -19,22 +19,24 @@
 
 namespace dispatcher::testing {
 
-using Seen = StandInReplica::Seen;
+using ReceivedRequest = FakeReplica::ReceivedRequest;
 
 inline const std::string kBody = R"({"model":"x","stream":true,"messages":[]})";
 inline const std::string kAnswerHead =
     "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n";
 
 // Takes a request and never answers.
-inline void silent(StandInReplica&, SlotId, const Seen&) {}
+inline void silent(FakeReplica&, SlotId, const ReceivedRequest&) {}
 // Rejects a request that it has no capacity for; nothing of it has run.
-inline void full(StandInReplica& replica, SlotId client, const Seen&) { replica.say(client, 503, {}, true); }
+inline void full(FakeReplica& replica, SlotId client, const ReceivedRequest&) {
+  replica.respond(client, 503, {}, true);
+}
 
 class RawSocketPeer;
 
 // A dispatcher whose requests come from the test itself, so that nothing runs between two steps.
 struct DirectFixture : Fixture, private engine::ResponseSink {
-  DirectFixture(Script reader, Script writer) : Fixture(std::move(reader), std::move(writer)) {}
+  DirectFixture(Behavior reader, Behavior writer) : Fixture(std::move(reader), std::move(writer)) {}
   SlotId submit(const std::string& id, const std::string& request_class = "ask", std::size_t size = 40) {
     auto message = std::make_shared<engine::UpstreamRequest>();
     *message = {id, "POST", "/v1/chat/completions", "Content-Type: application/json\r\n",
@@ -50,8 +52,10 @@
     engine.apply_settings(std::make_shared<const routing::Settings>(changed));
   }
   void send_writes_to(const RawSocketPeer& peer);  // both writers are the peer
-  int posts() const { return total("POST", false) + total("POST", true); }
-  int releases() const { return total("DELETE", false) + total("DELETE", true); }
+  int posts() const { return request_count("POST", Role::kReader) + request_count("POST", Role::kWriter); }
+  int releases() const {
+    return request_count("DELETE", Role::kReader) + request_count("DELETE", Role::kWriter);
+  }
   int count(const std::string& word) const {
     return static_cast<int>(std::count(calls.begin(), calls.end(), word));
   }
@@ -74,7 +78,7 @@
 // short, so that a long request does not fit into the kernel's buffers.
 class RawSocketPeer {
  public:
-  explicit RawSocketPeer(Clockwork& work) : work_(work), acceptor_(work.io) {
+  explicit RawSocketPeer(TestEventLoop& work) : work_(work), acceptor_(work.io) {
     acceptor_.open(net::tcp::v4());
     const int minimum = 536, receive_buffer = 4096;
     ::setsockopt(acceptor_.native_handle(), IPPROTO_TCP, TCP_MAXSEG, &minimum, sizeof minimum);
@@ -117,7 +121,7 @@
   }
 
  private:
-  Clockwork& work_;
+  TestEventLoop& work_;
   net::tcp::acceptor acceptor_;
   std::vector<net::tcp::socket> sockets_;
 };
--- a/tests/dispatcher/attempt_endings_test.cpp
+++ b/tests/dispatcher/attempt_endings_test.cpp
@@ -9,7 +9,7 @@
 
 // Without the right to cancel, the router cancels nothing; the request was written after its client had gone.
 TEST_CASE("a client that leaves while its connection comes up has nothing written for it", "[endings]") {
-  DirectFixture fixture(read_well, write_well);
+  DirectFixture fixture(healthy_reader, healthy_writer);
   auto settings = make_settings();
   settings.may_cancel = GENERATE(false, true);
   fixture.adopt(settings);
@@ -22,7 +22,7 @@
 }
 
 TEST_CASE("a client that has gone untold has nothing written on a connection that comes up", "[endings]") {
-  DirectFixture fixture(read_well, write_well);
+  DirectFixture fixture(healthy_reader, healthy_writer);
   fixture.submit("a1");
   fixture.client_connected = false;
   fixture.advance(milliseconds(400));
@@ -32,7 +32,7 @@
 }
 
 TEST_CASE("a client that has gone untold has nothing written on a kept connection", "[endings]") {
-  DirectFixture fixture(read_well, write_well);
+  DirectFixture fixture(healthy_reader, healthy_writer);
   for (const std::string id : {"a1", "a2", "a3", "a4"}) {
     fixture.submit(id);
     REQUIRE(fixture.until([&] { return fixture.engine.open_request_count() == 0; }));
@@ -49,14 +49,15 @@
 
 TEST_CASE("a client that leaves between read and write gets no writer, and its state is let go of",
           "[endings]") {
-  DirectFixture fixture(silent, write_well);
+  DirectFixture fixture(silent, healthy_writer);
   fixture.submit("a1");
   REQUIRE(fixture.until([&] { return fixture.posts() == 1; }));
   fixture.client_connected = false;
   for (std::size_t i : {0U, 1U})
-    for (const SlotId client : fixture.reader(i).waiting) fixture.reader(i).say(client, 202, "{}");
+    for (const SlotId client : fixture.reader(i).pending_clients)
+      fixture.reader(i).respond(client, 202, "{}");
   fixture.advance(milliseconds(400));
-  CHECK(fixture.total("POST", true) == 0);
+  CHECK(fixture.request_count("POST", Role::kWriter) == 0);
   CHECK(fixture.releases() >= 1);  // two calls at once, where no connection is kept
   CHECK(fixture.pool.pending_releases() == 0);
   CHECK(fixture.engine.open_request_count() == 0);
@@ -64,53 +65,55 @@
 
 // The state was left though its read was given up: the answer crossed the close.
 TEST_CASE("a 202 that crosses the close of its read has its state let go of", "[endings]") {
-  DirectFixture fixture(silent, write_well);
+  DirectFixture fixture(silent, healthy_writer);
   const SlotId id = fixture.submit("a1");
   REQUIRE(fixture.until([&] { return fixture.posts() == 1; }));
   for (std::size_t i : {0U, 1U})
-    for (const SlotId client : fixture.reader(i).waiting) fixture.reader(i).say(client, 202, "{}");
+    for (const SlotId client : fixture.reader(i).pending_clients)
+      fixture.reader(i).respond(client, 202, "{}");
   fixture.engine.on_client_disconnected(id);  // the answer is written, and not read
   fixture.advance(milliseconds(400));
   CHECK(fixture.releases() >= 1);  // two calls at once, where no connection is kept
   CHECK(fixture.pool.pending_releases() == 0);
-  CHECK(fixture.total("POST", true) == 0);
+  CHECK(fixture.request_count("POST", Role::kWriter) == 0);
   CHECK(fixture.engine.open_request_count() == 0);
 }
 
 // ---- connections ----
 
 TEST_CASE("a connection that comes up after it was given up carries nothing", "[endings]") {
-  DirectFixture fixture(read_well, write_well);
+  DirectFixture fixture(healthy_reader, healthy_writer);
   fixture.submit("a1", "command");
   fixture.now += milliseconds(300);
   fixture.timers.run(fixture.now);  // the connect timeout; the connection is up, which nobody has read yet
   fixture.advance(milliseconds(400));
-  CHECK(fixture.total("POST", false) == 1);
-  CHECK(fixture.total("POST", true) == 1);
+  CHECK(fixture.request_count("POST", Role::kReader) == 1);
+  CHECK(fixture.request_count("POST", Role::kWriter) == 1);
   CHECK(fixture.calls == std::vector<std::string>{"begin", "finish"});
 }
 
 TEST_CASE("a host that came back under another address gets nothing at the old one", "[endings]") {
-  DirectFixture fixture(read_well, write_well);
-  StandInReplica new_address(fixture, read_well);
+  DirectFixture fixture(healthy_reader, healthy_writer);
+  FakeReplica new_address(fixture, healthy_reader);
   fixture.submit("a1");
   fixture.pool.update_endpoints(
       {{"r1", new_address.server.local(), true}, {"r2", new_address.server.local(), true}}, false);
   fixture.advance(milliseconds(400));
-  CHECK(fixture.total("POST", false) == 0);
+  CHECK(fixture.request_count("POST", Role::kReader) == 0);
   CHECK(new_address.count("POST") == 1);
   CHECK(fixture.count("finish") == 1);
 }
 
 TEST_CASE("a connection to where a host listened before is not kept for it", "[endings]") {
-  DirectFixture fixture(silent, write_well);
-  StandInReplica new_address(fixture, read_well);
+  DirectFixture fixture(silent, healthy_writer);
+  FakeReplica new_address(fixture, healthy_reader);
   fixture.submit("a1");
   REQUIRE(fixture.until([&] { return fixture.posts() == 1; }));
   fixture.pool.update_endpoints(
       {{"r1", new_address.server.local(), true}, {"r2", new_address.server.local(), true}}, false);
   for (std::size_t i : {0U, 1U})
-    for (const SlotId client : fixture.reader(i).waiting) fixture.reader(i).say(client, 202, "{}");
+    for (const SlotId client : fixture.reader(i).pending_clients)
+      fixture.reader(i).respond(client, 202, "{}");
   REQUIRE(fixture.until([&] { return fixture.count("finish") == 1; }));
   fixture.advance(milliseconds(60));
   CHECK(fixture.pool.open_connections() == 1);  // the writer's
@@ -120,7 +123,7 @@
           "[endings]") {
   const auto grace = GENERATE(milliseconds(100), milliseconds(250), milliseconds(1000));
   const bool late = GENERATE(false, true);
-  DirectFixture fixture(read_well, write_well);
+  DirectFixture fixture(healthy_reader, healthy_writer);
   upstream::Options options{milliseconds(250), seconds(15), milliseconds(50)};
   options.drain_grace = grace;
   fixture.pool.apply_options(options);
@@ -131,13 +134,13 @@
   fixture.now += grace * 3 / 5 + milliseconds(late ? 1 : 0);
   fixture.settle();
   fixture.settle();
-  CHECK(fixture.total("POST", false) == (late ? 0 : 1));
+  CHECK(fixture.request_count("POST", Role::kReader) == (late ? 0 : 1));
 }
 
 // ---- breaks ----
 
 TEST_CASE("a connection that breaks before the request's last byte is written has run nothing", "[endings]") {
-  DirectFixture fixture(read_well, write_well);
+  DirectFixture fixture(healthy_reader, healthy_writer);
   RawSocketPeer peer(fixture);
   fixture.send_writes_to(peer);
   fixture.submit("a1", "command", 200000);
@@ -152,7 +155,7 @@
 }
 
 TEST_CASE("an answer that comes before the request's last byte is written is no answer", "[endings]") {
-  DirectFixture fixture(read_well, write_well);
+  DirectFixture fixture(healthy_reader, healthy_writer);
   RawSocketPeer peer(fixture);
   fixture.send_writes_to(peer);
   fixture.submit("a1", "command", 200000);
@@ -166,15 +169,15 @@
 }
 
 TEST_CASE("a connection that breaks after the request's last byte may have run it", "[endings]") {
-  DirectFixture fixture(read_well, silent);
+  DirectFixture fixture(healthy_reader, silent);
   fixture.submit("a1", "command");
-  REQUIRE(fixture.until([&] { return fixture.total("POST", true) == 1; }));
+  REQUIRE(fixture.until([&] { return fixture.request_count("POST", Role::kWriter) == 1; }));
   const bool at_once = GENERATE(true, false);
   if (!at_once) fixture.advance(seconds(2));
   for (std::size_t i : {0U, 1U})
-    for (const SlotId client : fixture.writer(i).waiting) fixture.writer(i).server.cut(client);
+    for (const SlotId client : fixture.writer(i).pending_clients) fixture.writer(i).server.abort(client);
   fixture.advance(seconds(3));
-  CHECK(fixture.total("POST", true) == 1);
+  CHECK(fixture.request_count("POST", Role::kWriter) == 1);
   CHECK(fixture.calls == std::vector<std::string>{"fail"});
 }
 
@@ -189,7 +192,7 @@
       std::pair(kAnswerHead + http::chunk(event) + http::chunk("data: {\"b\""), true),
       std::pair(kAnswerHead + http::chunk(event) + http::chunk("data: {\"b\"") + "0\r\n\r\n", true),
       std::pair(kAnswerHead + http::chunk(event) + "0\r", true));
-  DirectFixture fixture(read_well, write_well);
+  DirectFixture fixture(healthy_reader, healthy_writer);
   RawSocketPeer peer(fixture);
   fixture.send_writes_to(peer);
   fixture.submit("a1", "command");
@@ -201,27 +204,27 @@
   CHECK(fixture.calls ==
         (begins ? std::vector<std::string>{"begin", "cut"} : std::vector<std::string>{"fail"}));
   CHECK(fixture.body == (begins ? event : ""));
-  CHECK(fixture.total("POST", true) == 0);
+  CHECK(fixture.request_count("POST", Role::kWriter) == 0);
 }
 
 // ---- kept connections ----
 
 // A second answer some milliseconds after the first would be passed off as the answer to the next request.
 TEST_CASE("a connection rests after an answer, and what comes meanwhile closes it", "[endings]") {
-  Fixture fixture(read_well, write_well);
+  Fixture fixture(healthy_reader, healthy_writer);
   const std::string answer =
       kAnswerHead + http::chunk("data: {\"a\":1}\n\n") + http::chunk("data: [DONE]\n\n") + "0\r\n\r\n";
-  RawReplica writer(fixture, answer, kAnswerHead + http::chunk("data: {\"late\":1}\n\n") + "0\r\n\r\n");
+  RawBytesReplica writer(fixture, answer, kAnswerHead + http::chunk("data: {\"late\":1}\n\n") + "0\r\n\r\n");
   fixture.pool.update_endpoints({{"w1", writer.address(), true}, {"w2", writer.address(), true}}, false);
   auto first = fixture.platform_client(), second = fixture.platform_client();
-  first->post(facts("a1", "command"), kBody);
-  REQUIRE(fixture.until([&] { return first->answered(); }));
+  first->post(platform_headers("a1", "command"), kBody);
+  REQUIRE(fixture.until([&] { return first->is_finished(); }));
   CHECK(fixture.pool.open_connections() == 2);
   fixture.advance(milliseconds(20));
-  second->post(facts("a2", "command"), kBody);
-  REQUIRE(fixture.until([&] { return second->answered(); }));
+  second->post(platform_headers("a2", "command"), kBody);
+  REQUIRE(fixture.until([&] { return second->is_finished(); }));
   CHECK(fixture.pool.open_connections() == 4);  // new ones: the others rest
-  writer.go_on();
+  writer.send_more();
   fixture.settle();
   CHECK(fixture.pool.open_connections() == 2);  // the readers' alone
   CHECK(second->body.find("late") == std::string::npos);
@@ -229,10 +232,10 @@
 
 TEST_CASE("of the connections that have rested the one used last is used again", "[endings]") {
   std::vector<SlotId> used;
-  Fixture fixture(read_well, write_well);
-  StandInReplica one(fixture, [&](StandInReplica& replica, SlotId client, const Seen& seen) {
+  Fixture fixture(healthy_reader, healthy_writer);
+  FakeReplica one(fixture, [&](FakeReplica& replica, SlotId client, const ReceivedRequest& seen) {
     used.push_back(client);
-    if (seen.target.ends_with("now")) replica.say(client, 409);
+    if (seen.target.ends_with("now")) replica.respond(client, 409);
   });
   fixture.pool.update_endpoints({{"w1", one.server.local(), true}}, false);
   const auto call = [&](int attempt, const std::string& id) {
@@ -244,7 +247,7 @@
   call(1, "x");    // A, out
   call(2, "now");  // B, parked at 0 ms
   fixture.advance(milliseconds(40));
-  one.say(used[0], 409);  // A, parked at 40 ms
+  one.respond(used[0], 409);  // A, parked at 40 ms
   fixture.settle();
   fixture.advance(milliseconds(20));  // B alone has rested
   call(3, "now");
@@ -265,21 +268,21 @@
 TEST_CASE("an answer in the tick of the deadline ends the request once", "[endings]") {
   const int status = GENERATE(200, 503, 500);
   const bool timer_first = GENERATE(false, true);
-  DirectFixture fixture(read_well, silent);
+  DirectFixture fixture(healthy_reader, silent);
   fixture.submit("a1", "command");
-  REQUIRE(fixture.until([&] { return fixture.total("POST", true) == 1; }));
+  REQUIRE(fixture.until([&] { return fixture.request_count("POST", Role::kWriter) == 1; }));
   fixture.advance(seconds(3) - milliseconds(20));
   REQUIRE(fixture.calls.empty());
   for (std::size_t i : {0U, 1U}) {
-    for (const SlotId client : fixture.writer(i).waiting) {
-      status == 200 ? fixture.writer(i).stream(client, {"a"})
-                    : fixture.writer(i).say(client, status, {}, status == 503);
+    for (const SlotId client : fixture.writer(i).pending_clients) {
+      status == 200 ? fixture.writer(i).stream_words(client, {"a"})
+                    : fixture.writer(i).respond(client, status, {}, status == 503);
     }
   }
   fixture.now += milliseconds(20);
   if (timer_first) fixture.timers.run(fixture.now);
   fixture.advance(milliseconds(400));
-  CHECK(fixture.total("POST", true) == 1);
+  CHECK(fixture.request_count("POST", Role::kWriter) == 1);
   CHECK(fixture.engine.open_request_count() == 0);
   CHECK(fixture.count("refuse") + fixture.count("fail") + fixture.count("finish") == 1);
   if (timer_first) CHECK(fixture.count("begin") == 0);
--- a/tests/dispatcher/connection_pool_test.cpp
+++ b/tests/dispatcher/connection_pool_test.cpp
@@ -12,18 +12,21 @@
 // Longer than an idle connection must stand before it is used again.
 constexpr auto kSettleTime = milliseconds(60);
 
-bool is_reservation_call(const StandInReplica::Seen& seen) { return seen.target.starts_with("/kv/leases/"); }
+bool is_reservation_call(const FakeReplica::ReceivedRequest& seen) {
+  return seen.target.starts_with("/kv/leases/");
+}
 
 // A connection that has been idle stays named in the order of idle ones after it is acquired. Parked again
 // while the pool holds its maximum of idle connections, it must not be evicted by that entry: it would be
 // parked although it no longer exists, and be acquired for the next exchange.
 TEST_CASE("a connection parked again is not the one evicted to make room for it", "[upstream]") {
   std::vector<SlotId> unanswered;  // clients of the writer whose responses are delayed
-  Fixture fixture(read_well, [&](StandInReplica& replica, SlotId client, const StandInReplica::Seen& seen) {
-    if (!is_reservation_call(seen)) return write_well(replica, client, seen);
-    if (seen.target.ends_with("/slow")) return unanswered.push_back(client);
-    replica.say(client, 200);
-  });
+  Fixture fixture(healthy_reader,
+                  [&](FakeReplica& replica, SlotId client, const FakeReplica::ReceivedRequest& seen) {
+                    if (!is_reservation_call(seen)) return healthy_writer(replica, client, seen);
+                    if (seen.target.ends_with("/slow")) return unanswered.push_back(client);
+                    replica.respond(client, 200);
+                  });
   upstream::Options options;
   options.connect_timeout = fixture.settings.connect_timeout;
   options.idle_timeout = fixture.settings.idle_timeout;
@@ -46,7 +49,7 @@
   reserve(3, "third");  // opens B, which is parked while A is in use
   REQUIRE(has_calls(3));
   fixture.advance(kSettleTime);
-  fixture.writer().say(unanswered[0], 200);  // A is parked again while B is the one idle connection
+  fixture.writer().respond(unanswered[0], 200);  // A is parked again while B is the one idle connection
   fixture.advance(kSettleTime);
   reserve(4, "fourth");  // acquires whichever connection is idle
   REQUIRE(has_calls(4));
@@ -58,7 +61,7 @@
 // nobody is full.
 class UnreachableListener {
  public:
-  explicit UnreachableListener(Clockwork& clockwork) : acceptor_(clockwork.io) {
+  explicit UnreachableListener(TestEventLoop& clockwork) : acceptor_(clockwork.io) {
     acceptor_.open(net::tcp::v4());
     acceptor_.bind(loopback());
     acceptor_.listen(0);
@@ -84,7 +87,7 @@
 }
 
 // A client of replicas without an engine, a replica that takes releases, and a zone whose replicas vanished.
-struct ReleaseFixture : Clockwork {
+struct ReleaseFixture : TestEventLoop {
   ReleaseFixture() {
     for (int i = 0; i < 8; ++i) unreachable.push_back(std::make_unique<UnreachableListener>(*this));
   }
@@ -97,16 +100,16 @@
     return addresses;
   }
   [[nodiscard]] int calls() const { return replica.count("DELETE"); }
-  void answer(StandInReplica& called, SlotId client) const {
-    if (!is_silent) called.say(client, 204);
+  void answer(FakeReplica& called, SlotId client) const {
+    if (!is_silent) called.respond(client, 204);
   }
 
   std::vector<std::unique_ptr<UnreachableListener>> unreachable;
   std::vector<std::string> logs;
   bool is_silent = false;  // the replica answers nothing
-  StandInReplica replica{*this, [this](StandInReplica& called, SlotId client, const StandInReplica::Seen&) {
-                           answer(called, client);
-                         }};
+  FakeReplica replica{*this, [this](FakeReplica& called, SlotId client, const FakeReplica::ReceivedRequest&) {
+                        answer(called, client);
+                      }};
   upstream::ReplicaClient upstream_client{io,
                                           timers,
                                           clock(),
@@ -120,7 +123,7 @@
   auto addresses = fixture.unreachable_zone();
   addresses.push_back(ready_endpoint("reachable", fixture.replica.server.local(), "y"));
   fixture.upstream_client.update_endpoints(addresses, true);
-  fixture.upstream_client.release("5", {});
+  fixture.upstream_client.release_reservation("5", {});
   fixture.advance(milliseconds(200));
   CHECK(fixture.calls() == 1);
   CHECK(fixture.upstream_client.pending_releases() == 0);
@@ -129,18 +132,18 @@
 
 TEST_CASE("a release is not delayed by an idle connection to a replica that fell silent", "[upstream]") {
   ReleaseFixture fixture;
-  StandInReplica other(fixture, [](StandInReplica& called, SlotId client, const StandInReplica::Seen&) {
-    called.say(client, 204);
+  FakeReplica other(fixture, [](FakeReplica& called, SlotId client, const FakeReplica::ReceivedRequest&) {
+    called.respond(client, 204);
   });
   fixture.upstream_client.update_endpoints({ready_endpoint("silent", fixture.replica.server.local(), "x"),
                                             ready_endpoint("other", other.server.local(), "x")},
                                            true);
-  fixture.upstream_client.release("1", {});
+  fixture.upstream_client.release_reservation("1", {});
   fixture.advance(milliseconds(100));
   REQUIRE(fixture.calls() + other.count("DELETE") >= 1);  // there are idle connections now
   fixture.is_silent = true;
-  fixture.upstream_client.release("2", {});
-  fixture.upstream_client.release("3", {});
+  fixture.upstream_client.release_reservation("2", {});
+  fixture.upstream_client.release_reservation("3", {});
   fixture.advance(milliseconds(150));
   CHECK(other.count("DELETE", "2") + fixture.replica.count("DELETE", "2") >= 1);
   CHECK(other.count("DELETE", "3") >= 1);
@@ -150,7 +153,7 @@
 TEST_CASE("with no replica reachable, a release is retried, and given up in the end", "[upstream]") {
   ReleaseFixture fixture;
   fixture.upstream_client.update_endpoints(fixture.unreachable_zone(), true);
-  fixture.upstream_client.release("1", {});
+  fixture.upstream_client.release_reservation("1", {});
   fixture.advance(milliseconds(400));
   CHECK(fixture.upstream_client.pending_releases() == 1);
   SECTION("a replica listed meanwhile is called") {
--- a/tests/dispatcher/degradation_fleet_test.cpp
+++ b/tests/dispatcher/degradation_fleet_test.cpp
@@ -53,10 +53,10 @@
     fixture.chat->attach(rate_limiter);
     fixture.chat->attach(controller);
   }
-  std::unique_ptr<StandInClient> post(bool through_chat, const std::string& id,
-                                      const std::string& request_class) const {
+  std::unique_ptr<FakeClient> post(bool through_chat, const std::string& id,
+                                   const std::string& request_class) const {
     auto client = through_chat ? fixture.chat_client() : fixture.platform_client();
-    client->post(through_chat ? "Content-Type: application/json\r\n" : facts(id, request_class),
+    client->post(through_chat ? "Content-Type: application/json\r\n" : platform_headers(id, request_class),
                  chat_body(request_class, true));
     return client;
   }
@@ -115,30 +115,32 @@
           "[levels][chat][platform]") {
   for (const bool through_chat : {true, false}) {
     Fixture fixture(
-        read_well,
-        [](StandInReplica& r, SlotId client, const StandInReplica::Seen&) { r.stream(client, {"a"}, false); },
-        kChat);
+        healthy_reader,
+        [](FakeReplica& r, SlotId client, const FakeReplica::ReceivedRequest&) {
+          r.stream_words(client, {"a"}, false);
+        },
+        kChatConfig);
     ControllerFixture levels(kSome, fixture.clock());
     const AttachedFrontEnds front_ends(fixture, levels.controller);
-    std::vector<std::unique_ptr<StandInClient>> clients;
-    const auto send = [&](const std::string& request_class) -> StandInClient& {
+    std::vector<std::unique_ptr<FakeClient>> clients;
+    const auto send = [&](const std::string& request_class) -> FakeClient& {
       clients.push_back(
           front_ends.post(through_chat, "a" + std::to_string(clients.size() + 1), request_class));
       fixture.settle();
       fixture.settle();
       return *clients.back();
     };
-    StandInClient& running = send("ask");
+    FakeClient& running = send("ask");
     CHECK(running.status == 200);
     REQUIRE(levels.controller.set_override("hard"));
-    const int before = fixture.total("POST", false);
-    StandInClient& ask = send("ask");
+    const int before = fixture.request_count("POST", Role::kReader);
+    FakeClient& ask = send("ask");
     CHECK(ask.status == 503);
     CHECK(ask.headers["Retry-After"] == (through_chat ? "1" : "0.500"));  // the platform's maximum is 0.5 s
     if (through_chat) CHECK(ask.headers["Retry-After-Ms"] == "800");
-    CHECK(fixture.total("POST", false) == before);
+    CHECK(fixture.request_count("POST", Role::kReader) == before);
     CHECK(send("command").status == 200);
-    CHECK_FALSE(running.answered());
+    CHECK_FALSE(running.is_finished());
     REQUIRE(levels.controller.set_override("mild"));  // sheds only accounts beyond their quota
     CHECK(send("ask").status == 200);
     REQUIRE(levels.controller.set_override("normal"));
@@ -150,7 +152,7 @@
 TEST_CASE("an account beyond its quota is shed though all others are quiet, and served once it sends less",
           "[levels][chat][platform]") {
   for (const bool through_chat : {true, false}) {
-    Fixture fixture(read_well, write_well, kChat);
+    Fixture fixture(healthy_reader, healthy_writer, kChatConfig);
     ControllerFixture levels(kSome, fixture.clock());
     routing::Settings narrow = make_settings();
     narrow.tenants = {{"acme", 1.0}};  // one request a second
@@ -161,7 +163,7 @@
       int count = 0;
       for (int i = 0; i < requests; ++i) {
         const auto client = front_ends.post(through_chat, "c" + std::to_string(++id), request_class);
-        REQUIRE(fixture.until([&] { return client->answered(); }));
+        REQUIRE(fixture.until([&] { return client->is_finished(); }));
         count += client->status == 200 ? 1 : 0;
         CHECK((client->status == 200 || client->status == 503));
       }
@@ -179,15 +181,15 @@
 
 TEST_CASE("events of the engine change the level, and each change is logged with its cause",
           "[levels][core]") {
-  Fixture fixture(read_well, write_well);
+  Fixture fixture(healthy_reader, healthy_writer);
   ControllerFixture levels(kSome, fixture.clock());
   fixture.engine.set_request_observer(&levels.controller);
   int id = 0;
   const auto serve = [&](int requests) {
     for (int i = 0; i < requests; ++i) {
       auto client = fixture.platform_client();
-      client->post(facts("b" + std::to_string(++id), "command"), "{}");
-      REQUIRE(fixture.until([&] { return client->answered(); }));
+      client->post(platform_headers("b" + std::to_string(++id), "command"), "{}");
+      REQUIRE(fixture.until([&] { return client->is_finished(); }));
     }
   };
   for (int second = 0; second < 8; ++second) {
@@ -212,7 +214,7 @@
 }
 
 TEST_CASE("the admin interface shows levels, and sets and clears an override", "[levels][console]") {
-  Clockwork work;
+  TestEventLoop work;
   ControllerFixture levels(kSome, work.clock());
   admin::AdminServer console(
       work.io, loopback(), work.timers, work.clock(),
@@ -222,9 +224,9 @@
       {});
   console.open();
   const auto call = [&](const std::string& method, const std::string& path) {
-    StandInClient client(work, console.local());
+    FakeClient client(work, console.local());
     client.send(method + " " + path + " HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n");
-    REQUIRE(work.until([&] { return client.answered(); }));
+    REQUIRE(work.until([&] { return client.is_finished(); }));
     return std::pair(client.status, client.body);
   };
   CHECK(Json::parse(call("GET", "/control/level").second)["level"] == "normal");
--- a/tests/dispatcher/drain_test.cpp
+++ b/tests/dispatcher/drain_test.cpp
@@ -11,7 +11,7 @@
 
 // A dispatcher on its own event loop and clock, with stand-in replicas on the test's.
 struct DrainFixture {
-  DrainFixture(StandInReplica::Script reads, StandInReplica::Script writes)
+  DrainFixture(FakeReplica::Behavior reads, FakeReplica::Behavior writes)
       : reader(work, std::move(reads)), writer(work, std::move(writes)) {
     config.listen = config.discovery = loopback();
     config.discovery.port(1);  // nobody listens there
@@ -46,51 +46,49 @@
   bool drained() {
     return until([&] { return loop.io().stopped(); }) && logs.back() == "drained";
   }
-  std::unique_ptr<StandInClient> client() {
-    return std::make_unique<StandInClient>(work, dispatcher->address());
-  }
-  Clockwork work;
+  std::unique_ptr<FakeClient> client() { return std::make_unique<FakeClient>(work, dispatcher->address()); }
+  TestEventLoop work;
   daemon::Loop loop;
   daemon::Config config;
   std::vector<std::string> logs;
-  StandInReplica reader;
-  StandInReplica writer;
+  FakeReplica reader;
+  FakeReplica writer;
   std::optional<daemon::Dispatcher> dispatcher;
 };
 
-void never_answer(StandInReplica&, SlotId, const StandInReplica::Seen&) {}  // the test answers by itself
+void never_answer(FakeReplica&, SlotId, const FakeReplica::ReceivedRequest&) {}  // the test answers by itself
 
 TEST_CASE("a draining dispatcher finishes a request in each of its phases", "[drain]") {
   DrainFixture fixture(never_answer, never_answer);
   auto client = fixture.client();
-  client->post(facts("a1", "command"), "{}");
-  REQUIRE(fixture.until([&] { return fixture.reader.waiting.size() == 1; }));
+  client->post(platform_headers("a1", "command"), "{}");
+  REQUIRE(fixture.until([&] { return fixture.reader.pending_clients.size() == 1; }));
   const auto answer_read = [&] {
-    fixture.reader.say(fixture.reader.waiting[0], 202, R"({"cached_tokens":0})");
+    fixture.reader.respond(fixture.reader.pending_clients[0], 202, R"({"cached_tokens":0})");
   };
-  const auto at_writer = [&] { return fixture.writer.waiting.size() == 1; };
+  const auto at_writer = [&] { return fixture.writer.pending_clients.size() == 1; };
   SECTION("while it is read") {
     fixture.dispatcher->drain();
     answer_read();
     REQUIRE(fixture.until(at_writer));
-    fixture.writer.stream(fixture.writer.waiting[0], {"yes"});
+    fixture.writer.stream_words(fixture.writer.pending_clients[0], {"yes"});
   }
   SECTION("between read and write") {
     answer_read();
     fixture.dispatcher->drain();
     REQUIRE(fixture.until(at_writer));
-    fixture.writer.stream(fixture.writer.waiting[0], {"yes"});
+    fixture.writer.stream_words(fixture.writer.pending_clients[0], {"yes"});
   }
   SECTION("while it streams") {
     answer_read();
     REQUIRE(fixture.until(at_writer));
-    fixture.writer.stream(fixture.writer.waiting[0], {"yes"}, false);
+    fixture.writer.stream_words(fixture.writer.pending_clients[0], {"yes"}, false);
     REQUIRE(fixture.until([&] { return client->body.find("yes") != std::string::npos; }));
     fixture.dispatcher->drain();
-    fixture.writer.server.pass(fixture.writer.waiting[0], "data: [DONE]\n\n");
-    fixture.writer.server.end(fixture.writer.waiting[0]);
+    fixture.writer.server.write_events(fixture.writer.pending_clients[0], "data: [DONE]\n\n");
+    fixture.writer.server.end_response(fixture.writer.pending_clients[0]);
   }
-  REQUIRE(fixture.until([&] { return client->whole; }));
+  REQUIRE(fixture.until([&] { return client->is_complete; }));
   CHECK(client->status == 200);
   CHECK(client->body.find("[DONE]") != std::string::npos);
   CHECK(fixture.drained());
@@ -98,56 +96,56 @@
 }
 
 TEST_CASE("a draining dispatcher rejects a request that no replica takes before it ends", "[drain]") {
-  DrainFixture fixture([](StandInReplica& replica, SlotId client,
-                          const StandInReplica::Seen&) { replica.say(client, 503, {}, true); },
+  DrainFixture fixture([](FakeReplica& replica, SlotId client,
+                          const FakeReplica::ReceivedRequest&) { replica.respond(client, 503, {}, true); },
                        never_answer);
   auto client = fixture.client();
-  client->post(facts("a1", "ask", 1000), "{}");
+  client->post(platform_headers("a1", "ask", 1000), "{}");
   REQUIRE(fixture.until([&] { return fixture.reader.count("POST", "a1") > 0; }));
   fixture.dispatcher->drain();
-  REQUIRE(fixture.until([&] { return client->answered(); }));
+  REQUIRE(fixture.until([&] { return client->is_finished(); }));
   CHECK(client->status == 503);
   CHECK(fixture.drained());
 }
 
 TEST_CASE("a draining dispatcher answers what still comes, and closes idle connections gracefully",
           "[drain]") {
-  DrainFixture fixture(read_well, write_well);
+  DrainFixture fixture(healthy_reader, healthy_writer);
   auto idle = fixture.client();
   auto partial = fixture.client();  // has sent a part of its request
-  idle->post(facts("a1", "ask"), "{}");
-  REQUIRE(fixture.until([&] { return idle->whole; }));
-  partial->send("POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\n" + facts("a2", "ask") +
+  idle->post(platform_headers("a1", "ask"), "{}");
+  REQUIRE(fixture.until([&] { return idle->is_complete; }));
+  partial->send("POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\n" + platform_headers("a2", "ask") +
                 "Content-Length: 2\r\n\r\n{");
   fixture.until([&] { return fixture.work.io.poll() == 0; });
   fixture.dispatcher->drain();
   auto late = fixture.client();  // connections still come for 0.4 s
-  late->post(facts("a3", "command"), "{}");
-  REQUIRE(fixture.until([&] { return late->whole; }));
+  late->post(platform_headers("a3", "command"), "{}");
+  REQUIRE(fixture.until([&] { return late->is_complete; }));
   CHECK(late->status == 200);
   CHECK(late->headers["Connection"] == "close");
-  REQUIRE(fixture.until([&] { return idle->ended; }));  // accepting is over
-  CHECK(idle->end == boost::asio::error::eof);
+  REQUIRE(fixture.until([&] { return idle->is_closed; }));  // accepting is over
+  CHECK(idle->close_error == boost::asio::error::eof);
   partial->send("}");
-  REQUIRE(fixture.until([&] { return partial->whole; }));
+  REQUIRE(fixture.until([&] { return partial->is_complete; }));
   CHECK(partial->status == 200);
   CHECK(partial->headers["Connection"] == "close");
-  const std::size_t requests_before = fixture.reader.seen.size();
-  idle->post(facts("a4", "command"), "{}");  // after the half-close
+  const std::size_t requests_before = fixture.reader.received.size();
+  idle->post(platform_headers("a4", "command"), "{}");  // after the half-close
   partial->close();
   late->close();
   fixture.until([&] { return fixture.work.io.poll() == 0; });
   idle->close();
   CHECK(fixture.drained());
-  CHECK(fixture.reader.seen.size() == requests_before);
+  CHECK(fixture.reader.received.size() == requests_before);
 }
 
 // A request whose client has gone leaves nothing to do but the release of what a reader reserved for it.
 TEST_CASE("a draining dispatcher ends only once the reservations of its requests are released", "[drain]") {
-  DrainFixture fixture(read_well, never_answer);
+  DrainFixture fixture(healthy_reader, never_answer);
   auto client = fixture.client();
-  client->post(facts("a1", "command"), "{}");
-  REQUIRE(fixture.until([&] { return fixture.writer.waiting.size() == 1; }));
+  client->post(platform_headers("a1", "command"), "{}");
+  REQUIRE(fixture.until([&] { return fixture.writer.pending_clients.size() == 1; }));
   fixture.dispatcher->drain();
   client->close();
   CHECK(fixture.drained());
--- a/tests/dispatcher/endings_test.cpp
+++ b/tests/dispatcher/endings_test.cpp
@@ -14,7 +14,7 @@
 
 // A server that keeps its requests until the test answers them.
 struct HoldingServer : private http::Server::Handler {
-  explicit HoldingServer(Clockwork& work, const http::ServerOptions& options = {})
+  explicit HoldingServer(TestEventLoop& work, const http::ServerOptions& options = {})
       : server(work.io, loopback(), *this, work.timers, work.clock(), options, {}) {
     server.open();
   }
@@ -27,10 +27,10 @@
  private:
   void on_request(SlotId client, http::Server::Request& request, engine::Time) override {
     received.emplace_back(client, std::string(request.target()));
-    if (answers_at_once) server.answer(client, 200, "text/plain", "ok");
+    if (answers_at_once) server.respond(client, 200, "text/plain", "ok");
   }
-  void on_gone(SlotId client) override { disconnected.push_back(client); }
-  void on_room(SlotId) override { has_capacity = true; }
+  void on_disconnected(SlotId client) override { disconnected.push_back(client); }
+  void on_writable(SlotId) override { has_capacity = true; }
   std::string error_body(int, std::string_view) override { return "{}"; }
 };
 
@@ -83,11 +83,11 @@
 // A client had sent several requests at once. The second was taken from the event loop while the next read
 // was under way into the buffer, which gave its memory back, or set its start anew.
 TEST_CASE("requests sent at once and one more behind them are each taken once, in order", "[endings]") {
-  Clockwork work;
+  TestEventLoop work;
   HoldingServer holder(work);
   holder.answers_at_once = true;
   const std::size_t padding = GENERATE(std::size_t{0}, std::size_t{5000});
-  StandInClient client(work, holder.server.local());
+  FakeClient client(work, holder.server.local());
   client.send(get("/a", padding) + get("/b", padding));
   REQUIRE(work.until([&] { return holder.received.size() == 2; }));
   work.settle();
@@ -101,34 +101,34 @@
 }
 
 TEST_CASE("a slow reader gets every byte of its stream as it was written", "[endings]") {
-  Clockwork work;
+  TestEventLoop work;
   http::ServerOptions options;
-  options.linger = milliseconds(100);
+  options.linger_timeout = milliseconds(100);
   HoldingServer holder(work, options);
-  StandInClient client(work, holder.server.local());
-  client.hold_back();
+  FakeClient client(work, holder.server.local());
+  client.pause_reading();
   client.send("GET /stream HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n");
   REQUIRE(work.until([&] { return !holder.received.empty(); }));
   const SlotId id = holder.received[0].first;
-  holder.server.begin(id);
+  holder.server.begin_stream(id);
   std::string all;
   for (holder.has_capacity = true;
        holder.has_capacity && all.size() < 60'000'000;) {  // until the machine's buffers are full
     const std::string event = "data: " + std::to_string(all.size()) + std::string(3000, 'e');
     all += event;
-    holder.has_capacity = holder.server.pass(id, event);
+    holder.has_capacity = holder.server.write_events(id, event);
     if (!holder.has_capacity) work.settle();
   }
   REQUIRE_FALSE(holder.has_capacity);
   for (int i = 0; i < 40; ++i) {
     all += std::string(3000, static_cast<char>('A' + i % 26));
-    holder.server.pass(id, std::string(3000, static_cast<char>('A' + i % 26)));
+    holder.server.write_events(id, std::string(3000, static_cast<char>('A' + i % 26)));
   }
-  holder.server.end(id);
+  holder.server.end_response(id);
   work.advance(milliseconds(400));  // longer than a lingering close takes once all is sent
-  client.go_on();
-  REQUIRE(work.until([&] { return client.answered(); }));
-  CHECK(client.whole);
+  client.resume_reading();
+  REQUIRE(work.until([&] { return client.is_finished(); }));
+  CHECK(client.is_complete);
   CHECK(client.body == all);
 }
 
@@ -140,7 +140,7 @@
   explicit BlockingClient(const net::tcp::endpoint& to) { socket.connect(to); }
   void send(const std::string& text) { boost::asio::write(socket, boost::asio::buffer(text)); }
   // All that comes until the end, and the error that the end came with.
-  std::string read_to_end(Clockwork& work, net::error_code& end) {
+  std::string read_to_end(TestEventLoop& work, net::error_code& end) {
     socket.non_blocking(true);
     std::string all;
     work.until([&] {
@@ -157,9 +157,9 @@
 
 TEST_CASE("a request that crosses the close of an idle connection is not taken, and resets nothing",
           "[endings]") {
-  Clockwork work;
+  TestEventLoop work;
   http::ServerOptions options;
-  options.idle = milliseconds(300);
+  options.idle_timeout = milliseconds(300);
   HoldingServer holder(work, options);
   holder.answers_at_once = true;
   BlockingClient client(holder.server.local());
@@ -175,11 +175,11 @@
   CHECK(answers.ends_with("ok"));
   CHECK(holder.received.size() == 1);
   client.socket.close();
-  CHECK(work.until([&] { return holder.server.clients() == 0; }));
+  CHECK(work.until([&] { return holder.server.client_count() == 0; }));
 }
 
 TEST_CASE("as the process ends, a request that is here is answered and the end follows", "[endings]") {
-  Clockwork work;
+  TestEventLoop work;
   HoldingServer holder(work);
   holder.answers_at_once = true;
   BlockingClient client(holder.server.local());
@@ -200,21 +200,21 @@
 }
 
 TEST_CASE("a connection that makes room is closed in good order while there is some left", "[endings]") {
-  Clockwork work;
+  TestEventLoop work;
   http::ServerOptions options;
   options.max_clients = 16;
   HoldingServer holder(work, options);
   holder.answers_at_once = true;
-  std::vector<std::unique_ptr<StandInClient>> clients;
+  std::vector<std::unique_ptr<FakeClient>> clients;
   for (int i = 0; i < 15; ++i) {
-    clients.push_back(std::make_unique<StandInClient>(work, holder.server.local()));
+    clients.push_back(std::make_unique<FakeClient>(work, holder.server.local()));
     clients.back()->send(get("/" + std::to_string(i)));
-    REQUIRE(work.until([&] { return clients.back()->whole; }));
+    REQUIRE(work.until([&] { return clients.back()->is_complete; }));
     work.advance(milliseconds(20));
   }
-  REQUIRE(work.until([&] { return clients[0]->ended; }));
-  CHECK(clients[0]->end == boost::asio::error::eof);
-  CHECK_FALSE(clients[14]->ended);
+  REQUIRE(work.until([&] { return clients[0]->is_closed; }));
+  CHECK(clients[0]->close_error == boost::asio::error::eof);
+  CHECK_FALSE(clients[14]->is_closed);
   const std::size_t received = holder.received.size();
   clients[0]->send(get("/late"));
   work.settle();
@@ -223,7 +223,7 @@
 
 // What the machine accepted has been taken: closing the listener over it would reset it.
 TEST_CASE("connections that wait to be accepted are served when accepting stops", "[endings]") {
-  Clockwork work;
+  TestEventLoop work;
   HoldingServer holder(work);
   BlockingClient first(holder.server.local()), second(holder.server.local());
   first.send(get("/a"));
@@ -235,13 +235,13 @@
 }
 
 TEST_CASE("an error is read whole by a client that is still sending", "[endings]") {
-  Clockwork work;
+  TestEventLoop work;
   HoldingServer holder(work);
-  StandInClient client(work, holder.server.local());
+  FakeClient client(work, holder.server.local());
   client.send("POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 9000000\r\n\r\n" + std::string(200000, 'x'));
-  REQUIRE(work.until([&] { return client.answered(); }));
+  REQUIRE(work.until([&] { return client.is_finished(); }));
   CHECK(client.status == 413);
-  CHECK(client.whole);
+  CHECK(client.is_complete);
   work.settle();
   CHECK(holder.received.empty());
 }
@@ -249,12 +249,12 @@
 // ---- the client's end ----
 
 TEST_CASE("the end of a client's connection is seen behind whatever it sent first", "[endings]") {
-  Clockwork work;
+  TestEventLoop work;
   HoldingServer holder(work);
-  StandInClient client(work, holder.server.local());
+  FakeClient client(work, holder.server.local());
   client.send(get("/a"));
   REQUIRE(work.until([&] { return holder.received.size() == 1; }));
-  REQUIRE(holder.server.present(holder.received[0].first));
+  REQUIRE(holder.server.is_connected(holder.received[0].first));
   const std::size_t more = GENERATE(std::size_t{0}, std::size_t{100}, std::size_t{150000});
   client.send(std::string(more, 'x'));
   SECTION("by an end in good order") { client.half_close(); }
@@ -263,27 +263,27 @@
     client.reset();
   }
   CHECK(work.until([&] { return holder.disconnected.size() == 1; }));
-  CHECK_FALSE(holder.server.present(holder.received[0].first));
+  CHECK_FALSE(holder.server.is_connected(holder.received[0].first));
 }
 
 TEST_CASE("a client that floods its connection while an answer is owed is let go of", "[endings]") {
-  Clockwork work;
+  TestEventLoop work;
   HoldingServer holder(work);
-  StandInClient client(work, holder.server.local());
+  FakeClient client(work, holder.server.local());
   client.send(get("/a") + std::string(900000, 'x'));
   CHECK(work.until([&] { return holder.disconnected.size() == 1; }));
-  CHECK(holder.server.clients() == 0);
+  CHECK(holder.server.client_count() == 0);
 }
 
 TEST_CASE("bytes behind a request leave its answer whole, which is the connection's last", "[endings]") {
-  Clockwork work;
+  TestEventLoop work;
   HoldingServer holder(work);
-  StandInClient client(work, holder.server.local());
+  FakeClient client(work, holder.server.local());
   client.send(get("/a") + std::string(100000, 'x'));
   REQUIRE(work.until([&] { return holder.received.size() == 1; }));
   work.settle();
-  holder.server.answer(holder.received[0].first, 200, "text/plain", "ok");
-  REQUIRE(work.until([&] { return client.answered(); }));
+  holder.server.respond(holder.received[0].first, 200, "text/plain", "ok");
+  REQUIRE(work.until([&] { return client.is_finished(); }));
   CHECK(client.body == "ok");
   CHECK(client.headers["Connection"] == "close");
   CHECK(holder.received.size() == 1);
--- a/tests/dispatcher/hot_restart_compatibility_test.cpp
+++ b/tests/dispatcher/hot_restart_compatibility_test.cpp
@@ -237,7 +237,7 @@
   }
   Folder folder;
   std::string path = folder / "peer.sock";
-  Clockwork work;
+  TestEventLoop work;
   RecordedOwner owner;
   std::optional<hot_restart::HotRestartPeer> peer;
 };
@@ -253,11 +253,11 @@
   fixture.expect(successor, kOffline);
   fixture.peer->notify_endpoint_drained("r1", false);
   fixture.expect(successor, kOnline);
-  fixture.peer->tell_request("a1", true);
+  fixture.peer->on_request_progress("a1", engine::RequestProgress::kInProgress);
   fixture.expect(successor, kRequestOpened);
-  fixture.peer->tell_request("a1", false);
+  fixture.peer->on_request_progress("a1", engine::RequestProgress::kCompleted);
   fixture.expect(successor, kRequestClosed);
-  fixture.peer->tell_sent("r1");
+  fixture.peer->on_attempt_started("r1");
   fixture.expect(successor, kSent);
   fixture.peer->notify_vrrp_left(true);
   fixture.expect(successor, kVrrpActive);
@@ -275,9 +275,9 @@
   fixture.expect(predecessor, kServing);
   fixture.peer->notify_endpoint_drained("r1", true);
   fixture.expect(predecessor, kOffline);
-  fixture.peer->tell_request("a1", true);
+  fixture.peer->on_request_progress("a1", engine::RequestProgress::kInProgress);
   fixture.expect(predecessor, kRequestOpened);
-  fixture.peer->tell_sent("r1");
+  fixture.peer->on_attempt_started("r1");
   fixture.expect(predecessor, kSent);
   fixture.peer->notify_vrrp_left(true);  // the predecessor has left the pair: it is not told
   fixture.work.settle();
--- a/tests/dispatcher/hot_restart_test.cpp
+++ b/tests/dispatcher/hot_restart_test.cpp
@@ -73,7 +73,7 @@
 };
 
 TEST_CASE("a link carries messages and descriptors in order, and survives garbage", "[upgrade]") {
-  Clockwork work;
+  TestEventLoop work;
   Folder folder;
   RecordingOwner here, there;
   CHECK(hot_restart::HandoverChannel::connect(work.io, folder / "s", here) == nullptr);
@@ -188,7 +188,7 @@
     config.known.list.entries = {r1};
     config.known.addresses = {{"r1", loopback(), true}};
     config.known.is_complete = true;
-    daemon::Texts texts{{"chat.json", chat}, {"vrrp.json", vrrp}};
+    daemon::FeatureFiles texts{{"chat.json", chat}, {"vrrp.json", vrrp}};
     if (!levels.empty()) texts.levels = cue::File{"levels.cue", levels};
     first.emplace(loop, config, texts, log("1 "));
     first->start();
@@ -218,7 +218,9 @@
         connection->write(bytes);
         connection->read();
       }
-      void on_data(SlotId) override { done = reader.read(connection->input()) == http::Progress::kDone; }
+      void on_data(SlotId) override {
+        done = reader.read(connection->input()) == http::ReadStatus::kComplete;
+      }
       void on_sent(SlotId) override {}
       void on_ended(SlotId, net::error_code) override { done = true; }
       std::shared_ptr<net::Connection> connection;
@@ -275,10 +277,10 @@
 
 TEST_CASE("of a pair's router the next process goes on as the active one, without a word",
           "[upgrade][vrrp]") {
-  Clockwork peer;
+  TestEventLoop peer;
   boost::asio::ip::udp::socket ear(peer.io, {boost::asio::ip::address_v4::loopback(), 0});
   Pair pair(
-      kChat,
+      kChatConfig,
       R"({"listen":"127.0.0.1:0","addresses":["127.0.0.1"],"interval_cs":1,"priority":200,"peers":["127.0.0.1:)" +
           std::to_string(ear.local_endpoint().port()) + "\"]}");
   pair.run_until("1 vrrp: active");
@@ -317,18 +319,18 @@
 }
 
 TEST_CASE("a stream that began before the drain is its connection's last answer", "[upgrade][platform]") {
-  Fixture fixture(read_well, [](StandInReplica& r, SlotId client, const StandInReplica::Seen&) {
-    r.stream(client, {"half"}, false);
+  Fixture fixture(healthy_reader, [](FakeReplica& r, SlotId client, const FakeReplica::ReceivedRequest&) {
+    r.stream_words(client, {"half"}, false);
   });
   auto client = fixture.platform_client();
-  client->post(facts("a1", "ask"), R"({"model":"chat","messages":[]})");
+  client->post(platform_headers("a1", "ask"), R"({"model":"chat","messages":[]})");
   REQUIRE(fixture.until([&] { return !client->body.empty(); }));
   fixture.platform.server().drain();
-  auto& writer = fixture.writer(0).waiting.empty() ? fixture.writer(1) : fixture.writer(0);
-  writer.server.pass(writer.waiting.back(), "data: [DONE]\n\n");
-  writer.server.end(writer.waiting.back());
-  REQUIRE(fixture.until([&] { return client->ended; }));
-  CHECK(client->whole);
+  auto& writer = fixture.writer(0).pending_clients.empty() ? fixture.writer(1) : fixture.writer(0);
+  writer.server.write_events(writer.pending_clients.back(), "data: [DONE]\n\n");
+  writer.server.end_response(writer.pending_clients.back());
+  REQUIRE(fixture.until([&] { return client->is_closed; }));
+  CHECK(client->is_complete);
 }
 
 // At whatever byte one reader stops, the next goes on.
@@ -354,12 +356,12 @@
       if (random() % 2 == 0) got += one.take_body();
     }
     got += one.take_body();
-    if (one.read(first) == http::Progress::kDone) break;
-    two.resume_chunks(one.chunk_left(), true);
+    if (one.read(first) == http::ReadStatus::kComplete) break;
+    two.resume_chunked(one.chunk_bytes_left(), true);
     second.append(first.text());
     second.append(std::string_view(bytes).substr(cut));
     INFO(cut);
-    CHECK(two.read(second) == http::Progress::kDone);
+    CHECK(two.read(second) == http::ReadStatus::kComplete);
     CHECK(got + two.take_body() == body);
     CHECK(two.keep_alive());
   }
@@ -367,83 +369,83 @@
 
 // Are both ends of the stream ready to be handed over?
 bool hush(Fixture& fixture, const engine::RunningStream& stream) {
-  const bool still = fixture.platform.server().hush(stream.client);
+  const bool still = fixture.platform.server().suspend_reading(stream.client);
   return fixture.pool.suspend_stream({stream.request, stream.attempt}) && still;
 }
 
 // The world hands a stream to itself, as it would to another process: sockets, and what is left of a chunk.
 TEST_CASE("a running stream changes hands, and neither its client nor its replica notices", "[upgrade]") {
-  Fixture fixture(read_well, [](StandInReplica& r, SlotId client, const StandInReplica::Seen&) {
-    r.stream(client, {"one"}, false);
+  Fixture fixture(healthy_reader, [](FakeReplica& r, SlotId client, const FakeReplica::ReceivedRequest&) {
+    r.stream_words(client, {"one"}, false);
   });
   auto client = fixture.platform_client();
-  client->post(facts("a1", "command"), "{}");
+  client->post(platform_headers("a1", "command"), "{}");
   REQUIRE(fixture.until([&] { return client->body.find("one") != std::string::npos; }));
   fixture.settle();
   const auto streams = fixture.engine.running_streams(fixture.platform.response_sink());
   REQUIRE(streams.size() == 1);
   const engine::AttemptId attempt{streams[0].request, streams[0].attempt};
   REQUIRE(fixture.until([&] { return hush(fixture, streams[0]); }));
-  auto& writer = fixture.writer(0).waiting.empty() ? fixture.writer(1) : fixture.writer(0);
+  auto& writer = fixture.writer(0).pending_clients.empty() ? fixture.writer(1) : fixture.writer(0);
   // One that could not be handed over yet is woken, also while its reads are being taken back.
   for (int twice = 0; twice < 2; ++twice) {
-    fixture.platform.server().wake(streams[0].client);
+    fixture.platform.server().resume_reading(streams[0].client);
     fixture.pool.resume_stream(attempt);
     hush(fixture, streams[0]);
   }
-  fixture.platform.server().wake(streams[0].client);
+  fixture.platform.server().resume_reading(streams[0].client);
   fixture.pool.resume_stream(attempt);
   fixture.settle();
   REQUIRE(fixture.engine.open_request_count() == 1);
   REQUIRE(fixture.until([&] { return hush(fixture, streams[0]); }));
-  writer.server.pass(writer.waiting.back(), "data: two\n\n");  // while nobody reads
+  writer.server.write_events(writer.pending_clients.back(), "data: two\n\n");  // while nobody reads
   upstream::DetachedStream replica = fixture.pool.detach_stream(attempt);
-  net::UniqueFd socket = fixture.platform.server().give(streams[0].client);
-  fixture.platform.forget_given(streams[0].client);
+  net::UniqueFd socket = fixture.platform.server().detach(streams[0].client);
+  fixture.platform.forget_detached_stream(streams[0].client);
   fixture.engine.release_stream(streams[0].request);
   CHECK(fixture.engine.open_request_count() == 0);
-  CHECK(fixture.platform.server().clients() == 0);
+  CHECK(fixture.platform.server().client_count() == 0);
   CHECK(fixture.pool.open_connections() == 1);  // the reader's, idle
-  const SlotId request = fixture.platform.take_over(std::move(socket), "a1", replica.endpoint);
+  const SlotId request = fixture.platform.adopt_stream(std::move(socket), "a1", replica.endpoint);
   fixture.pool.adopt_stream({request, 0}, std::move(replica));
   REQUIRE(fixture.until([&] { return client->body.find("two") != std::string::npos; }));
   CHECK(fixture.engine.is_in_progress("a1"));
-  writer.server.pass(writer.waiting.back(), "data: [DONE]\n\n");
-  writer.server.end(writer.waiting.back());
-  REQUIRE(fixture.until([&] { return client->answered(); }));
-  CHECK(client->whole);
-  CHECK(writer.gone.empty());
+  writer.server.write_events(writer.pending_clients.back(), "data: [DONE]\n\n");
+  writer.server.end_response(writer.pending_clients.back());
+  REQUIRE(fixture.until([&] { return client->is_finished(); }));
+  CHECK(client->is_complete);
+  CHECK(writer.disconnected_clients.empty());
   CHECK(fixture.engine.open_request_count() == 0);
   // The client's connection lives on, and the replica's is kept for the next request.
-  client->whole = false;
+  client->is_complete = false;
   client->get("/healthz");
-  CHECK(fixture.until([&] { return client->whole; }));
+  CHECK(fixture.until([&] { return client->is_complete; }));
   CHECK(fixture.pool.open_connections() == 2);
 }
 
 TEST_CASE("a stream that changed hands and breaks ends without the last chunk", "[upgrade]") {
-  Fixture fixture(read_well, [](StandInReplica& r, SlotId client, const StandInReplica::Seen&) {
-    r.stream(client, {"one"}, false);
+  Fixture fixture(healthy_reader, [](FakeReplica& r, SlotId client, const FakeReplica::ReceivedRequest&) {
+    r.stream_words(client, {"one"}, false);
   });
   auto client = fixture.platform_client();
-  client->post(facts("a1", "ask"), "{}");
+  client->post(platform_headers("a1", "ask"), "{}");
   REQUIRE(fixture.until([&] { return client->body.find("one") != std::string::npos; }));
   fixture.settle();
   const auto stream = fixture.engine.running_streams(fixture.platform.response_sink()).at(0);
   const engine::AttemptId attempt{stream.request, stream.attempt};
   REQUIRE(fixture.until([&] { return hush(fixture, stream); }));
   upstream::DetachedStream replica = fixture.pool.detach_stream(attempt);
-  net::UniqueFd socket = fixture.platform.server().give(stream.client);
-  fixture.platform.forget_given(stream.client);
+  net::UniqueFd socket = fixture.platform.server().detach(stream.client);
+  fixture.platform.forget_detached_stream(stream.client);
   fixture.engine.release_stream(stream.request);
-  const SlotId request = fixture.platform.take_over(std::move(socket), "a1", replica.endpoint);
+  const SlotId request = fixture.platform.adopt_stream(std::move(socket), "a1", replica.endpoint);
   fixture.pool.adopt_stream({request, 0}, std::move(replica));
-  auto& writer = fixture.writer(0).waiting.empty() ? fixture.writer(1) : fixture.writer(0);
-  writer.server.cut(writer.waiting.back());
-  REQUIRE(fixture.until([&] { return client->answered(); }));
-  CHECK(client->ended);
-  CHECK_FALSE(client->whole);
-  CHECK(fixture.total("POST", true) == 1);
+  auto& writer = fixture.writer(0).pending_clients.empty() ? fixture.writer(1) : fixture.writer(0);
+  writer.server.abort(writer.pending_clients.back());
+  REQUIRE(fixture.until([&] { return client->is_finished(); }));
+  CHECK(client->is_closed);
+  CHECK_FALSE(client->is_complete);
+  CHECK(fixture.request_count("POST", Role::kWriter) == 1);
 }
 
 }  // namespace
--- a/tests/dispatcher/parsers_test.cpp
+++ b/tests/dispatcher/parsers_test.cpp
@@ -5,6 +5,7 @@
 
 #include "daemon/config.hpp"
 #include "fixture.hpp"
+#include "platform_api/request.hpp"
 
 namespace dispatcher::testing {
 namespace {
@@ -24,14 +25,14 @@
 // What a reader parses from a connection's bytes, as text.
 template <bool kRequest>
 std::string transcript_of(const std::vector<std::string>& pieces) {
-  http::Reader<kRequest> reader(http::kMaxBody);
+  http::MessageReader<kRequest> reader(http::kMaxBodyBytes);
   net::RingBuffer input(std::size_t{64} * 1024);
   std::string transcript;
   for (const std::string& piece : pieces) {
     REQUIRE(input.append(piece));
-    for (auto progress = reader.read(input); progress != http::Progress::kMore;
+    for (auto progress = reader.read(input); progress != http::ReadStatus::kNeedMore;
          progress = reader.read(input)) {
-      if (progress == http::Progress::kBad) return transcript + "bad: " + reader.error().message();
+      if (progress == http::ReadStatus::kMalformed) return transcript + "bad: " + reader.error().message();
       auto& message = reader.message();
       if constexpr (kRequest) {
         transcript += std::string(message.method_string()) + " " + std::string(message.target());
@@ -46,7 +47,7 @@
       if (input.empty()) break;
     }
   }
-  return transcript + (reader.started() || !input.empty() ? "more" : "end");
+  return transcript + (reader.has_started() || !input.empty() ? "more" : "end");
 }
 
 std::string random_bytes(Random& random, std::size_t length) {
@@ -123,7 +124,7 @@
 TEST_CASE("a head or body past its limit is rejected", "[parsers]") {
   const std::string head = "POST / HTTP/1.1\r\n";
   CHECK(transcript_of<true>({head + "Content-Length: 262145\r\n\r\n"}) == "bad: body limit exceeded");
-  CHECK(transcript_of<true>({head + "X: " + std::string(http::kMaxHead, 'y') + "\r\n\r\n"}) ==
+  CHECK(transcript_of<true>({head + "X: " + std::string(http::kMaxHeadBytes, 'y') + "\r\n\r\n"}) ==
         "bad: header limit exceeded");
 }
 
@@ -143,10 +144,10 @@
     http::EventFramer framer;
     std::vector<std::string> out;
     for (const std::string& piece : split_randomly(stream + "data: cut", random)) {
-      for (auto& event : framer.feed(piece)) out.push_back(std::move(event));
+      for (auto& event : framer.append(piece)) out.push_back(std::move(event));
     }
     REQUIRE(out == events);
-    REQUIRE(framer.rest() == "data: cut");
+    REQUIRE(framer.incomplete_event() == "data: cut");
   }
   CHECK(http::event_field(events[1], "data") == "a\nb");
   CHECK(http::event_field(events[1], "event") == "x");
@@ -154,9 +155,9 @@
 
 TEST_CASE("an event that ends in a lone CR is complete at the stream's end", "[parsers]") {
   http::EventFramer framer;
-  CHECK(framer.feed("data: x\r\r").empty());
+  CHECK(framer.append("data: x\r\r").empty());
   CHECK(framer.finish() == "data: x\r\r");
-  CHECK(framer.rest().empty());
+  CHECK(framer.incomplete_event().empty());
 }
 
 TEST_CASE("the framer passes garbage on unchanged", "[parsers]") {
@@ -168,9 +169,9 @@
       http::EventFramer framer;
       std::string all;
       for (const auto& piece : pieces) {
-        for (const auto& event : framer.feed(piece)) all += event + "#";
+        for (const auto& event : framer.append(piece)) all += event + "#";
       }
-      return all + framer.finish() + "#" + framer.rest();
+      return all + framer.finish() + "#" + framer.incomplete_event();
     };
     const std::string unsplit = frame({noise});
     REQUIRE(frame(split_randomly(noise, random)) == unsplit);
@@ -209,13 +210,13 @@
 TEST_CASE("a request's headers are parsed, and malformed ones are named", "[parsers]") {
   const auto settings = make_settings();
   const auto parse = [&](const std::string& headers) {
-    http::RequestReader reader(http::kMaxBody);
+    http::RequestReader reader(http::kMaxBodyBytes);
     net::RingBuffer input(std::size_t{64} * 1024);
     REQUIRE(input.append("POST / HTTP/1.1\r\n" + headers + "\r\n"));
-    REQUIRE(reader.read(input) == http::Progress::kDone);
+    REQUIRE(reader.read(input) == http::ReadStatus::kComplete);
     return platform_api::parse_request(reader.message(), settings, seconds(100));
   };
-  const auto request = parse(facts("9b1f03aa5c7e2d41", "ask", 4800) + "X-Repeat: 1\r\n");
+  const auto request = parse(platform_headers("9b1f03aa5c7e2d41", "ask", 4800) + "X-Repeat: 1\r\n");
   CHECK(request.id == "9b1f03aa5c7e2d41");
   CHECK(request.session == 0x7f);
   CHECK(request.shared_prefix == 0x5c);
--- a/tests/dispatcher/rate_limit_front_ends_test.cpp
+++ b/tests/dispatcher/rate_limit_front_ends_test.cpp
@@ -17,11 +17,12 @@
 }
 
 // A client of one front end that has sent a request. `id`: of the platform's requests.
-std::unique_ptr<StandInClient> post(Fixture& fixture, bool through_chat, const std::string& id,
-                                    const std::string& request_class, const std::string& more_headers = {},
-                                    const std::string& prompt = {}) {
+std::unique_ptr<FakeClient> post(Fixture& fixture, bool through_chat, const std::string& id,
+                                 const std::string& request_class, const std::string& more_headers = {},
+                                 const std::string& prompt = {}) {
   auto client = through_chat ? fixture.chat_client() : fixture.platform_client();
-  const std::string headers = through_chat ? "Content-Type: application/json\r\n" : facts(id, request_class);
+  const std::string headers =
+      through_chat ? "Content-Type: application/json\r\n" : platform_headers(id, request_class);
   client->post(headers + more_headers,
                prompt.empty() ? chat_body(request_class, true) : chat_body(request_class, true, prompt));
   return client;
@@ -37,16 +38,15 @@
   std::vector<std::vector<int>> statuses_by_front_end;
   for (const bool through_chat : {true, false}) {
     Fixture fixture(
-        read_well, [](StandInReplica&, SlotId, const StandInReplica::Seen&) {},
-        kChat);  // writers keep silent
+        healthy_reader, [](FakeReplica&, SlotId, const FakeReplica::ReceivedRequest&) {},
+        kChatConfig);  // writers keep silent
     RateLimiter rate_limiter(5);
     rate_limiter.replace_rules(make_rules(text), fixture.now);
     attach(fixture, rate_limiter);
     std::vector<int> statuses;
-    std::vector<std::unique_ptr<StandInClient>> clients;
+    std::vector<std::unique_ptr<FakeClient>> clients;
     int count = 0;
-    const auto send = [&](const std::string& request_class,
-                          const std::string& more_headers) -> StandInClient& {
+    const auto send = [&](const std::string& request_class, const std::string& more_headers) -> FakeClient& {
       char id[17];
       std::snprintf(id, sizeof id, "%016x", ++count);
       clients.push_back(post(fixture, through_chat, id, request_class, more_headers));
@@ -55,8 +55,8 @@
       return *clients.back();
     };
     const auto status = [&](const std::string& request_class, const std::string& more_headers = {}) {
-      StandInClient& client = send(request_class, more_headers);
-      statuses.push_back(client.answered() ? client.status : 0);
+      FakeClient& client = send(request_class, more_headers);
+      statuses.push_back(client.is_finished() ? client.status : 0);
       if (client.status == 429) CHECK_FALSE(client.headers["Retry-After"].empty());
     };
     status("command");
@@ -71,7 +71,7 @@
     clients[0]->close();  // its place is free once it has gone
     fixture.settle();
     status("command");
-    const std::size_t sent = static_cast<std::size_t>(fixture.total("POST", false));
+    const std::size_t sent = static_cast<std::size_t>(fixture.request_count("POST", Role::kReader));
     CHECK(sent == 5);  // what is rejected reaches no replica
     statuses_by_front_end.push_back(statuses);
   }
@@ -84,17 +84,17 @@
   for (const bool through_chat : {true, false}) {
     int attempts = 0;
     Fixture fixture(
-        read_well,
-        [&](StandInReplica& replica, SlotId client, const StandInReplica::Seen&) {
+        healthy_reader,
+        [&](FakeReplica& replica, SlotId client, const FakeReplica::ReceivedRequest&) {
           ++attempts;
-          replica.server.cut(client);
+          replica.server.abort(client);
         },
-        kChat);
+        kChatConfig);
     RateLimiter rate_limiter(5);
     rate_limiter.replace_rules(make_rules("rules: [{name: \"careful\", class: \"'command'\"}]"), fixture.now);
     attach(fixture, rate_limiter);
     const auto client = post(fixture, through_chat, "aa", "ask");
-    for (int i = 0; i < 400 && !client->answered(); ++i) fixture.advance(milliseconds(20));
+    for (int i = 0; i < 400 && !client->is_finished(); ++i) fixture.advance(milliseconds(20));
     CHECK(client->status == 502);
     CHECK(attempts == 1);  // an ask would have been retried
     if (through_chat) CHECK(client->headers["X-Should-Retry"] == "false");
@@ -104,16 +104,16 @@
 TEST_CASE("a request no longer counts once it has ended, however it ended", "[limits][chat][platform]") {
   for (const bool through_chat : {true, false}) {
     Fixture fixture(
-        read_well,
-        [](StandInReplica& replica, SlotId client, const StandInReplica::Seen& seen) {
-          if (seen.body.find("well") != std::string::npos) return write_well(replica, client, seen);
+        healthy_reader,
+        [](FakeReplica& replica, SlotId client, const FakeReplica::ReceivedRequest& seen) {
+          if (seen.body.find("well") != std::string::npos) return healthy_writer(replica, client, seen);
           if (seen.body.find("cut") != std::string::npos) {
-            replica.stream(client, {"half"}, false);
-            return replica.server.cut(client);
+            replica.stream_words(client, {"half"}, false);
+            return replica.server.abort(client);
           }
-          if (seen.body.find("error") != std::string::npos) return replica.say(client, 500);
+          if (seen.body.find("error") != std::string::npos) return replica.respond(client, 500);
         },
-        kChat);
+        kChatConfig);
     RateLimiter rate_limiter(5);
     rate_limiter.replace_rules(make_rules("rules: [{name: \"a\", limits: [{in_progress: 1}]}]"), fixture.now);
     attach(fixture, rate_limiter);
@@ -126,9 +126,9 @@
         fixture.settle();
         continue;
       }
-      for (int i = 0; i < 400 && !client->answered(); ++i) fixture.advance(milliseconds(20));
+      for (int i = 0; i < 400 && !client->is_finished(); ++i) fixture.advance(milliseconds(20));
       INFO(fate);
-      CHECK(client->answered());
+      CHECK(client->is_finished());
       CHECK(client->status != 429);
       fixture.now += seconds(25);
       fixture.advance(milliseconds(100));
@@ -140,25 +140,25 @@
 
 TEST_CASE("a request that is in progress while the rules change goes on counting under its limits",
           "[limits][platform]") {
-  Fixture fixture(read_well, [](StandInReplica&, SlotId, const StandInReplica::Seen&) {});
+  Fixture fixture(healthy_reader, [](FakeReplica&, SlotId, const FakeReplica::ReceivedRequest&) {});
   RateLimiter rate_limiter(5);
   const std::string one = "rules: [{name: \"a\", limits: [{in_progress: 1}]}]";
   rate_limiter.replace_rules(make_rules(one), fixture.now);
   fixture.platform.attach(rate_limiter);
   auto open = fixture.platform_client(), second = fixture.platform_client(),
        third = fixture.platform_client();
-  open->post(facts("a1", "command", 60000), "{}");
+  open->post(platform_headers("a1", "command", 60000), "{}");
   fixture.settle();
   rate_limiter.replace_rules(make_rules("rules: []"), fixture.now);
   rate_limiter.replace_rules(make_rules(one), fixture.now);
-  second->post(facts("a2", "command"), "{}");
+  second->post(platform_headers("a2", "command"), "{}");
   fixture.settle();
   CHECK(second->status == 429);  // the first one is counted still
   open->close();
   fixture.settle();
-  third->post(facts("a3", "command"), "{}");
+  third->post(platform_headers("a3", "command"), "{}");
   fixture.settle();
-  CHECK_FALSE(third->answered());  // admitted
+  CHECK_FALSE(third->is_finished());  // admitted
 }
 
 TEST_CASE("a reload replaces the rules with the rest of the configuration, or keeps the old ones",
@@ -169,7 +169,8 @@
   config.discovery.port(1);
   config.settings = make_settings();
   Strings logs;
-  daemon::ConfigurationFiles next{config, {{}, {}, cue::File{"rules.cue", "rules: [{name: \"a\", class: \"'zz'\"}]"}}};
+  daemon::ConfigurationFiles next{
+      config, {{}, {}, cue::File{"rules.cue", "rules: [{name: \"a\", class: \"'zz'\"}]"}}};
   daemon::Dispatcher dispatcher(
       loop, config, {{}, {}, cue::File{"rules.cue", "rules: []"}},
       [&](std::string_view line) { logs.emplace_back(line); }, [&] { return next; });
--- a/tests/dispatcher/reservation_release_test.cpp
+++ b/tests/dispatcher/reservation_release_test.cpp
@@ -8,10 +8,10 @@
 TEST_CASE("what a broken read may have left is let go of after reads that were turned away", "[endings]") {
   int reads = 0;
   DirectFixture fixture(
-      [&](StandInReplica& replica, SlotId client, const Seen&) {
-        ++reads == 1 ? replica.server.cut(client) : full(replica, client, {});
+      [&](FakeReplica& replica, SlotId client, const ReceivedRequest&) {
+        ++reads == 1 ? replica.server.abort(client) : full(replica, client, {});
       },
-      write_well);
+      healthy_writer);
   fixture.submit("a1");
   for (int i = 0; i < 400 && fixture.engine.open_request_count() > 0; ++i) fixture.advance(milliseconds(20));
   REQUIRE(reads > 1);
@@ -20,7 +20,7 @@
 }
 
 TEST_CASE("a release that is out ends as an attempt of its request is written", "[endings]") {
-  DirectFixture fixture(read_well, silent);
+  DirectFixture fixture(healthy_reader, silent);
   // Nobody accepts the calls: they stay out.
   RawSocketPeer peer(fixture);
   fixture.pool.update_endpoints({{"r1", peer.address(), true},
@@ -40,7 +40,8 @@
 // A read whose connection broke may run on at its replica, and leave a state as late as it was told to run.
 TEST_CASE("what a broken read may leave is asked for until its time is over", "[endings]") {
   DirectFixture fixture(
-      [](StandInReplica& replica, SlotId client, const Seen&) { replica.server.cut(client); }, write_well);
+      [](FakeReplica& replica, SlotId client, const ReceivedRequest&) { replica.server.abort(client); },
+      healthy_writer);
   upstream::Options options{milliseconds(250), seconds(15), milliseconds(50)};
   fixture.pool.apply_options(options);
   const engine::Time begun = fixture.now;
@@ -62,10 +63,10 @@
 TEST_CASE("with a first token, nothing is asked for any more", "[endings]") {
   int reads = 0;
   DirectFixture fixture(
-      [&](StandInReplica& replica, SlotId client, const Seen& seen) {
-        ++reads == 1 ? replica.server.cut(client) : read_well(replica, client, seen);
+      [&](FakeReplica& replica, SlotId client, const ReceivedRequest& seen) {
+        ++reads == 1 ? replica.server.abort(client) : healthy_reader(replica, client, seen);
       },
-      write_well);
+      healthy_writer);
   fixture.submit("a1");
   fixture.advance(seconds(8));
   CHECK(fixture.count("finish") == 1);
@@ -77,11 +78,11 @@
 TEST_CASE("the state that the router knows of is not taken by calls for a broken read", "[endings]") {
   int reads = 0, writes = 0;
   DirectFixture fixture(
-      [&](StandInReplica& replica, SlotId client, const Seen& seen) {
-        ++reads == 1 ? replica.server.cut(client) : read_well(replica, client, seen);
+      [&](FakeReplica& replica, SlotId client, const ReceivedRequest& seen) {
+        ++reads == 1 ? replica.server.abort(client) : healthy_reader(replica, client, seen);
       },
-      [&](StandInReplica& replica, SlotId client, const Seen& seen) {
-        ++writes == 1 ? full(replica, client, seen) : write_well(replica, client, seen);
+      [&](FakeReplica& replica, SlotId client, const ReceivedRequest& seen) {
+        ++writes == 1 ? full(replica, client, seen) : healthy_writer(replica, client, seen);
       });
   fixture.submit("a1");
   for (int i = 0; i < 100 && fixture.count("begin") == 0; ++i) fixture.advance(milliseconds(5));
@@ -92,16 +93,16 @@
 
 // The call to hold a place waits for its connection: written after the release, it would hold one for ever.
 TEST_CASE("a hold that still waits for its connection ends with the release", "[endings]") {
-  DirectFixture fixture(read_well, write_well);
+  DirectFixture fixture(healthy_reader, healthy_writer);
   fixture.pool.reserve_slot({SlotId{}, 0}, "w1", "a1");
   fixture.pool.release_reservation("a1", {});
   fixture.advance(milliseconds(200));
-  CHECK(fixture.total("POST", true, "a1") == 0);
+  CHECK(fixture.request_count("POST", Role::kWriter, "a1") == 0);
   CHECK(fixture.releases() >= 1);
 }
 
 // Both endpoints of a zone that accepts connections and says nothing.
-struct PartitionFixture : Clockwork {
+struct PartitionFixture : TestEventLoop {
   PartitionFixture() {
     pool.update_endpoints(
         {{"h1", peer.address(), true, false, "z"}, {"h2", peer.address(), true, false, "z"}}, true);
--- a/tests/dispatcher/udp_transport_test.cpp
+++ b/tests/dispatcher/udp_transport_test.cpp
@@ -34,7 +34,7 @@
 // sender's address here.
 class Relay {
  public:
-  Relay(Clockwork& clockwork, MemberIndex count)
+  Relay(TestEventLoop& clockwork, MemberIndex count)
       : clockwork_(clockwork), broadcast_(clockwork.io, loopback_port(0)) {
     for (MemberIndex member = 0; member < count; ++member)
       addresses_.emplace_back(clockwork.io, loopback_port(0));
@@ -80,7 +80,7 @@
           addresses_[from].send_to(boost::asio::buffer(bytes), members_[to]);
         });
   }
-  Clockwork& clockwork_;
+  TestEventLoop& clockwork_;
   std::vector<udp::socket> addresses_;
   udp::socket broadcast_;
   std::vector<udp::endpoint> members_;
@@ -90,7 +90,7 @@
 };
 
 struct Process {
-  Process(Clockwork& clockwork, const replicated_state::EntryKinds& kinds, const PeerConfig& config,
+  Process(TestEventLoop& clockwork, const replicated_state::EntryKinds& kinds, const PeerConfig& config,
           MemberIndex self, MemberIndex count)
       : node(options(self, count), kinds, kIncarnation + self, 40 + self, clockwork.now),
         transport(clockwork.io, config, node, clockwork.timers, clockwork.clock()) {}
@@ -116,7 +116,7 @@
 }
 
 TEST_CASE("two processes over UDP: evidence that one writes, the other reads with its age", "[gossip]") {
-  Clockwork clockwork;
+  TestEventLoop clockwork;
   replicated_state::EntryKinds kinds;
   kinds.add(replicated_state::failure_evidence_kind());
   Relay relay(clockwork, 2);
@@ -157,7 +157,7 @@
 }
 
 TEST_CASE("a transport ignores datagrams from unknown addresses", "[gossip]") {
-  Clockwork clockwork;
+  TestEventLoop clockwork;
   replicated_state::EntryKinds kinds;
   kinds.add(replicated_state::failure_evidence_kind());
   PeerConfig config;
