--- a/src/settings/consistency_checks.hpp
+++ b/src/settings/consistency_checks.hpp
@@ -3,7 +3,7 @@
 #ifndef DISPATCHER_SETTINGS_CONSISTENCY_CHECKS_HPP_
 #define DISPATCHER_SETTINGS_CONSISTENCY_CHECKS_HPP_
 
-#include "routing/router.hpp"
+#include "routing/settings.hpp"
 #include "settings/finding_collector.hpp"
 
 namespace dispatcher::settings {
--- a/src/settings/finding_collector.hpp
+++ b/src/settings/finding_collector.hpp
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-#include "routing/router.hpp"
+#include "routing/settings.hpp"
 #include "settings/finding.hpp"
 
 namespace dispatcher::settings {
--- a/src/settings/object_reader.hpp
+++ b/src/settings/object_reader.hpp
@@ -9,7 +9,7 @@
 #include <vector>
 
 #include "json/typed_value.hpp"
-#include "routing/router.hpp"
+#include "routing/settings.hpp"
 #include "settings/finding.hpp"
 
 namespace dispatcher::settings {
--- a/src/settings/parse.hpp
+++ b/src/settings/parse.hpp
@@ -6,7 +6,7 @@
 #include <vector>
 
 #include "json/members.hpp"
-#include "routing/router.hpp"
+#include "routing/settings.hpp"
 #include "settings/finding.hpp"
 
 namespace dispatcher::settings {
