--- a/src/admin/admin_server.cpp
+++ b/src/admin/admin_server.cpp
@@ -22,7 +22,8 @@
   constexpr milliseconds kCallerTimeout{1000};
   http::ServerOptions options;
   options.max_clients = kMaxConnections;
-  options.max_body_bytes = 64 * 1024;  // no request has a body; one sent all the same must cost little
+  options.max_body_bytes =
+      std::size_t{64} * 1024;  // no request has a body; one sent all the same must cost little
   options.first_byte_timeout = kCallerTimeout;
   options.request_timeout = kCallerTimeout;
   options.write_timeout = kCallerTimeout;
--- a/src/cue/data.hpp
+++ b/src/cue/data.hpp
@@ -43,9 +43,9 @@
 
  private:
   template <class T>
-  [[nodiscard]] [[nodiscard]] [[nodiscard]] [[nodiscard]] [[nodiscard]] const T* scalar() const {
-    const auto* s = std::get_if<Scalar>(&content_);
-    return s == nullptr ? nullptr : std::get_if<T>(s);
+  [[nodiscard]] const T* scalar() const {
+    const auto* value = std::get_if<Scalar>(&content_);
+    return value == nullptr ? nullptr : std::get_if<T>(value);
   }
   Position at_;
   std::string path_;
--- a/src/cue/nearest.hpp
+++ b/src/cue/nearest.hpp
@@ -11,13 +11,13 @@
 namespace dispatcher::cue {
 
 // How many letters differ.
-inline std::size_t edit_distance(std::string_view a, std::string_view b) {
-  std::vector<std::size_t> row(b.size() + 1);
-  for (std::size_t j = 0; j <= b.size(); ++j) row[j] = j;
-  for (std::size_t i = 1; i <= a.size(); ++i) {
+inline std::size_t edit_distance(std::string_view left, std::string_view right) {
+  std::vector<std::size_t> row(right.size() + 1);
+  for (std::size_t j = 0; j <= right.size(); ++j) row[j] = j;
+  for (std::size_t i = 1; i <= left.size(); ++i) {
     std::size_t diagonal = std::exchange(row[0], i);
-    for (std::size_t j = 1; j <= b.size(); ++j) {
-      const std::size_t change = diagonal + (a[i - 1] == b[j - 1] ? 0 : 1);
+    for (std::size_t j = 1; j <= right.size(); ++j) {
+      const std::size_t change = diagonal + (left[i - 1] == right[j - 1] ? 0 : 1);
       diagonal = std::exchange(row[j], std::min({row[j] + 1, row[j - 1] + 1, change}));
     }
   }
--- a/src/cue/unify.hpp
+++ b/src/cue/unify.hpp
@@ -75,15 +75,15 @@
  private:
   class Step;
   ValuePtr unify(const ValuePtr& expected, const ValuePtr& found);
-  ValuePtr value(const Expr& e, bool closed);
-  ValuePtr structure(const Expr& e, bool closed);
-  ValuePtr reference(const Expr& e);
-  ValuePtr bound(const Expr& e);
+  ValuePtr value(const Expr& expression, bool closed);
+  ValuePtr structure(const Expr& expression, bool closed);
+  ValuePtr reference(const Expr& expression);
+  ValuePtr bound(const Expr& expression);
   ValuePtr choice(const ValuePtr& expected, const ValuePtr& found);
-  ValuePtr structs(const ValuePtr& a, const ValuePtr& b);
-  ValuePtr lists(const ValuePtr& a, const ValuePtr& b);
-  ValuePtr scalars(const ValuePtr& a, const ValuePtr& b);
-  ValuePtr quietly(const ValuePtr& a, const ValuePtr& b);
+  ValuePtr structs(const ValuePtr& left, const ValuePtr& right);
+  ValuePtr lists(const ValuePtr& left, const ValuePtr& right);
+  ValuePtr scalars(const ValuePtr& left, const ValuePtr& right);
+  ValuePtr quietly(const ValuePtr& left, const ValuePtr& right);
   ValuePtr conflict(const ValuePtr& expected, const ValuePtr& found);
   Data decided(const ValuePtr& value, Position within);
   void report(Position at, std::string what);
--- a/src/expression/automaton.hpp
+++ b/src/expression/automaton.hpp
@@ -27,8 +27,8 @@
   // Is there a match anywhere in the text, which is UTF-8?
   [[nodiscard]] bool matches(std::string_view text) const noexcept {
     std::uint32_t at = start_;
-    for (const char c : text) {
-      at = next_[at + classes_[static_cast<unsigned char>(c)]];
+    for (const char letter : text) {
+      at = next_[at + classes_[static_cast<unsigned char>(letter)]];
       if (at < kDecided * width_) return at == kYes * width_;
     }
     return at == kYes * width_ || (at != kNo * width_ && at_end_[at / width_] != 0);
--- a/src/expression/first_match.hpp
+++ b/src/expression/first_match.hpp
@@ -36,7 +36,7 @@
   // What the search costs at most, and the condition that has the largest part in that (-1: none).
   [[nodiscard]] double worst_ns() const { return worst_ns_; }
   [[nodiscard]] int costliest() const { return costliest_; }
-  [[nodiscard]] const Program& condition(std::size_t i) const { return conditions_[i]; }
+  [[nodiscard]] const Program& condition(std::size_t index) const { return conditions_[index]; }
   [[nodiscard]] std::size_t size() const { return conditions_.size(); }
   void reserve(Scratch& scratch) const;
   [[nodiscard]] std::size_t bytes() const;
@@ -51,9 +51,9 @@
   // Fields that conditions are found by; more than these would cost more to look up than they save.
   static constexpr std::size_t kMaxFields = 8;
 
-  Numbers& group(ByField& by, const Value& value);
+  Numbers& group(ByField& index, const Value& value);
   ByField* by_field(int field);
-  [[nodiscard]] const Numbers* found(const ByField& by, const Value& value) const noexcept;
+  [[nodiscard]] const Numbers* found(const ByField& index, const Value& value) const noexcept;
   double cost(const Numbers& numbers);
 
   std::vector<Program> conditions_;
--- a/src/expression/program.hpp
+++ b/src/expression/program.hpp
@@ -16,7 +16,7 @@
 
 namespace dispatcher::expression {
 
-inline constexpr std::size_t kMaxMade = 64 * 1024;  // bytes of text that one evaluation may make
+inline constexpr std::size_t kMaxMade = std::size_t{64} * 1024;  // bytes of text that one evaluation may make
 
 // Where an evaluation works. One serves any number of programs, one after another; what a program made in it
 // holds until the next one runs.
@@ -94,12 +94,12 @@
   struct Table {  // a list, or a map's keys in order with their values
     std::vector<Value> keys, values;
   };
-  static Value calculate(Do what, const Value& a, const Value& b) noexcept;
-  static Value whole(Do what, std::int64_t a, std::int64_t b) noexcept;
-  static Value real(Do what, double a, double b) noexcept;
-  static Value compared(Do what, const Value& a, const Value& b) noexcept;
+  static Value calculate(Do what, const Value& left, const Value& right) noexcept;
+  static Value whole(Do what, std::int64_t left, std::int64_t right) noexcept;
+  static Value real(Do what, double left, double right) noexcept;
+  static Value compared(Do what, const Value& left, const Value& right) noexcept;
   static Value searched(Do what, std::string_view text, std::string_view part) noexcept;
-  static Value converted(Do what, const Value& v, char*& free) noexcept;
+  static Value converted(Do what, const Value& value, char*& free) noexcept;
   [[nodiscard]] Value looked_up(const Step& step, const Value& key) const noexcept;
 
   Node tree_;
--- a/src/expression/syntax.hpp
+++ b/src/expression/syntax.hpp
@@ -12,8 +12,8 @@
 
 namespace dispatcher::expression {
 
-inline constexpr std::size_t kMaxText = 16 * 1024;  // bytes of one expression
-inline constexpr int kMaxDepth = 64;                // of its tree
+inline constexpr std::size_t kMaxText = std::size_t{16} * 1024;  // bytes of one expression
+inline constexpr int kMaxDepth = 64;                             // of its tree
 
 // What is wrong with an expression; `at`: the byte of its text, from 0.
 struct Problem {
--- a/src/expression/value.hpp
+++ b/src/expression/value.hpp
@@ -38,43 +38,45 @@
     const char* bytes;
   };
   Value() : integer(0) {}
-  static Value of(bool b) {
-    Value v;
-    v.kind = Kind::kBool;
-    v.truth = b;
-    return v;
+  static Value of(bool given) {
+    Value value;
+    value.kind = Kind::kBool;
+    value.truth = given;
+    return value;
   }
-  static Value of(std::int64_t i) {
-    Value v;
-    v.kind = Kind::kInt;
-    v.integer = i;
-    return v;
+  static Value of(std::int64_t given) {
+    Value value;
+    value.kind = Kind::kInt;
+    value.integer = given;
+    return value;
   }
-  static Value of(double d) {
-    Value v;
-    v.kind = Kind::kDouble;
-    v.real = d;
-    return v;
+  static Value of(double given) {
+    Value value;
+    value.kind = Kind::kDouble;
+    value.real = given;
+    return value;
   }
-  static Value of(std::string_view s) {  // of less than 4 GiB
-    Value v;
-    v.kind = Kind::kString;
-    v.size = static_cast<std::uint32_t>(s.size());
-    v.bytes = s.data();
-    return v;
+  static Value of(std::string_view given) {  // of less than 4 GiB
+    Value value;
+    value.kind = Kind::kString;
+    value.size = static_cast<std::uint32_t>(given.size());
+    value.bytes = given.data();
+    return value;
   }
-  static Value of(const char* s) { return of(std::string_view(s)); }  // which would be taken for a bool
-  static Value of(Fault f) {
-    Value v;
-    v.fault = f;
-    return v;
+  static Value of(const char* given) {
+    return of(std::string_view(given));
+  }  // which would be taken for a bool
+  static Value of(Fault given) {
+    Value value;
+    value.fault = given;
+    return value;
   }
   [[nodiscard]] std::string_view text() const { return {bytes, size}; }
-  [[nodiscard]] bool is(bool b) const { return kind == Kind::kBool && truth == b; }
+  [[nodiscard]] bool is(bool given) const { return kind == Kind::kBool && truth == given; }
   [[nodiscard]] bool failed() const { return kind == Kind::kError; }
 };
 // Equal as the language has it; values of different kinds never are.
-bool same(const Value& a, const Value& b);
+bool same(const Value& left, const Value& right);
 std::string to_text(const Value& value);
 
 struct Field {
--- a/src/http/event_framer.hpp
+++ b/src/http/event_framer.hpp
@@ -14,7 +14,7 @@
 class EventFramer {
  public:
   /// An event longer than this is malformed.
-  static constexpr std::size_t kMaxEventBytes = 256 * 1024;
+  static constexpr std::size_t kMaxEventBytes = std::size_t{256} * 1024;
 
   /// Appends the next bytes of the stream. Returns the events that they complete, each with the blank line
   /// that ends it.
--- a/src/http/message_reader.hpp
+++ b/src/http/message_reader.hpp
@@ -17,11 +17,11 @@
 namespace beast_http = boost::beast::http;
 
 /// The largest request body in bytes, and the largest answer that a replica gives outside a stream.
-inline constexpr std::size_t kMaxBodyBytes = 256 * 1024;
+inline constexpr std::size_t kMaxBodyBytes = std::size_t{256} * 1024;
 /// The largest head (start line and fields) of a message in bytes.
-inline constexpr std::size_t kMaxHeadBytes = 16 * 1024;
+inline constexpr std::size_t kMaxHeadBytes = std::size_t{16} * 1024;
 /// The largest chunk in bytes: one that claims more is malformed, so that it need not be read to its end.
-inline constexpr std::uint64_t kMaxChunkBytes = 16 * 1024 * 1024;
+inline constexpr std::uint64_t kMaxChunkBytes = std::size_t{16} * 1024 * 1024;
 
 /// How far a message has been read.
 enum class ReadStatus { kNeedMore, kComplete, kMalformed };
--- a/src/http/server.cpp
+++ b/src/http/server.cpp
@@ -9,11 +9,11 @@
 
 namespace {
 
-constexpr std::size_t kMaxInputBytes = 64 * 1024;
-constexpr std::size_t kMaxOutputBytes = 1024 * 1024;
+constexpr std::size_t kMaxInputBytes = std::size_t{64} * 1024;
+constexpr std::size_t kMaxOutputBytes = std::size_t{1024} * 1024;
 // Queued output above which a stream has to wait, and below which it may continue.
-constexpr std::size_t kHighWatermarkBytes = 64 * 1024;
-constexpr std::size_t kLowWatermarkBytes = 16 * 1024;
+constexpr std::size_t kHighWatermarkBytes = std::size_t{64} * 1024;
+constexpr std::size_t kLowWatermarkBytes = std::size_t{16} * 1024;
 // Pause after accepting failed: descriptors that are short now may be free again by then.
 constexpr Duration kAcceptRetryDelay = std::chrono::milliseconds(20);
 // What a client may send after its last request, to be thrown away; TCP flow control holds back the rest.
--- a/src/openai_api/response_translator.hpp
+++ b/src/openai_api/response_translator.hpp
@@ -39,7 +39,7 @@
   [[nodiscard]] bool is_too_long() const { return collected_bytes_ > kMaxCollectedBytes; }
 
  private:
-  static constexpr std::size_t kMaxCollectedBytes = 4 * 1024 * 1024;
+  static constexpr std::size_t kMaxCollectedBytes = std::size_t{4} * 1024 * 1024;
 
   std::string translate_event(std::string_view event);
   void collect(const nlohmann::json& chunk);
--- a/tests/digest.hpp
+++ b/tests/digest.hpp
@@ -41,7 +41,7 @@
     add(second);
     (add(rest), ...);
   }
-  [[nodiscard]] [[nodiscard]] std::uint64_t value() const { return hash_; }
+  [[nodiscard]] std::uint64_t value() const { return hash_; }
 
  private:
   void add_byte(std::uint64_t byte) { hash_ = (hash_ ^ byte) * 0x100000001B3U; }
