--- a/tests/dispatcher/lending_fixture.cpp
+++ b/tests/dispatcher/lending_fixture.cpp
@@ -115,6 +115,10 @@
   return members[member].consume(clock(member), budget.id, amount);
 }
 
+TwoMembers::TwoMembers()
+    : fleet(2, Budget{{1, 7}, BudgetType::kRate, 1000, seconds(10)}, LendingPolicy{},
+            std::vector<double>(2, 1.0)) {}
+
 void TwoMembers::deliver_all() {
   while (!fleet.in_flight.empty()) fleet.arrive(0, LendingFleet::Arrival::kOnce);
 }
--- a/tests/dispatcher/lending_fixture.hpp
+++ b/tests/dispatcher/lending_fixture.hpp
@@ -71,7 +71,9 @@
 
 // Two members, one that has demand and one that does not; messages arrive at once.
 struct TwoMembers {
-  LendingFleet fleet{2, {{1, 7}, BudgetType::kRate, 1000, seconds(10)}, LendingPolicy{}, {1.0, 1.0}};
+  LendingFleet fleet;
+
+  TwoMembers();
   void deliver_all();
   void run(Time time);
 };
