--- a/adapter/event_decoder.cpp
+++ b/adapter/event_decoder.cpp
@@ -15,6 +15,7 @@
 using json::required_duration;
 using json::required_member;
 using routing::AttemptCompleted;
+using routing::AttemptEvidence;
 using routing::AttemptStatus;
 using routing::EndpointInfo;
 using routing::EndpointList;
@@ -123,6 +124,22 @@
   return request;
 }
 
+// The wire's note is a number whose meaning depends on how the attempt ended.
+void decode_note(int note, AttemptCompleted& completed) {
+  constexpr int kEvidenceNote = 1;
+  switch (completed.status) {
+    case AttemptStatus::kRead:
+    case AttemptStatus::kServed:
+      completed.cached_prompt_tokens = note;
+      return;
+    case AttemptStatus::kFull:
+      if (note == kEvidenceNote) completed.evidence = AttemptEvidence::kStateNotFound;
+      return;
+    default:
+      if (note == kEvidenceNote) completed.evidence = AttemptEvidence::kEndpointRunning;
+  }
+}
+
 AttemptCompleted decode_attempt_completed(const Json& message) {
   AttemptCompleted result;
   result.request = required_member<std::string>(message, fields::kRequest);
@@ -131,7 +148,7 @@
   result.status = decode_attempt_status(required_member<std::string>(message, fields::kStatus));
   result.elapsed = optional_duration(message, fields::kElapsed);
   result.finished = optional_member<bool>(message, fields::kFinished);
-  result.note = optional_member<int>(message, fields::kNote);
+  decode_note(optional_member<int>(message, fields::kNote), result);
   result.report = decode_load_report(message);
   return result;
 }
--- a/include/routing/events.hpp
+++ b/include/routing/events.hpp
@@ -34,6 +34,14 @@
   kRead
 };
 
+// What the end of an attempt shows beyond its status.
+enum class AttemptEvidence {
+  kNone,
+  kStateNotFound,    // kFull: the writer found no prompt state to fetch
+  kEndpointRunning,  // kError, kReset: a response had begun, so the state was fetched and the endpoint runs.
+                     // kConnectFailed: the connection had been made, or its failure is not the endpoint's
+};
+
 // One endpoint as service discovery describes it.
 struct EndpointInfo {
   std::string endpoint, zone, kind;
@@ -73,9 +81,8 @@
   AttemptStatus status{};
   Duration elapsed{};  // since the attempt was sent
   bool finished{};
-  int note{};  // kRead, kServed: prompt tokens found cached. kFull: 1 if there was no state to fetch. kError,
-               // kReset: 1 if an answer had begun, so that its state was fetched and the endpoint does run.
-               // kConnectFailed: 1 if the connection had been made
+  int cached_prompt_tokens{};  // kRead, kServed: how much of the prompt the endpoint had cached
+  AttemptEvidence evidence{};
   LoadReport report;
 };
 
--- a/src/engine/attempt_manager.cpp
+++ b/src/engine/attempt_manager.cpp
@@ -5,10 +5,9 @@
 
 namespace dispatcher::engine {
 
-namespace {
+using routing::AttemptEvidence;
 
-// AttemptCompleted::note of a connect failure: the connection had been established, and then broke.
-constexpr int kNoteConnectionWasEstablished = 1;
+namespace {
 
 // A time-out or cancel of a request that the replica can't have received in full has no effect there.
 AttemptStatus status_if_undelivered(AttemptStatus status, bool is_answered) {
@@ -40,6 +39,7 @@
                                              {},
                                              request->is_answered,
                                              0,
+                                             {},
                                              {}});
     return;
   }
@@ -71,7 +71,9 @@
   const bool was_delivered = context_.upstream.cancel_attempt(id);
   if (!was_delivered) status = status_if_undelivered(status, active.request->is_answered);
   const bool broke_connection = had_connection && status == AttemptStatus::kConnectFailed;
-  complete(id, {status, broke_connection ? kNoteConnectionWasEstablished : 0, {}});
+  const AttemptEvidence evidence =
+      broke_connection ? AttemptEvidence::kEndpointRunning : AttemptEvidence::kNone;
+  complete(id, {status, 0, evidence, {}});
 }
 
 void AttemptManager::terminate_unconnected(SlotId slot) {
@@ -98,12 +100,18 @@
 
   const Time may_run_until = deadline + ReservationCleanup::release_delay(request);
   const bool may_have_left_state = request.reservations.on_attempt_ended(
-      {status, result.note, attempt.at_reader, may_run_until}, context_.clock());
+      {status, result.evidence, attempt.at_reader, may_run_until}, context_.clock());
   if (result.invalid_request) fail_invalid_request(request);
 
-  routing::AttemptCompleted outcome{
-      request.id,          attempt.endpoint, id.number,    status, context_.clock() - attempt.started,
-      request.is_answered, result.note,      result.report};
+  routing::AttemptCompleted outcome{request.id,
+                                    attempt.endpoint,
+                                    id.number,
+                                    status,
+                                    context_.clock() - attempt.started,
+                                    request.is_answered,
+                                    result.cached_prompt_tokens,
+                                    result.evidence,
+                                    result.report};
   context_.request_log.log_attempt_completed(outcome);
   using ScheduledRelease = ReservationCleanup::ScheduledRelease;
   cleanup_.schedule_if_needed(id.request,
--- a/src/engine/interfaces.hpp
+++ b/src/engine/interfaces.hpp
@@ -46,7 +46,8 @@
 /// How an attempt ended, as the upstream client saw it.
 struct AttemptResult {
   AttemptStatus status{};
-  int note = 0;  ///< as in routing::AttemptCompleted
+  int cached_prompt_tokens = 0;         ///< as in routing::AttemptCompleted
+  routing::AttemptEvidence evidence{};  ///< likewise
   routing::LoadReport report;
   bool invalid_request = false;  ///< the replica can't process the request as it is, nor could another
 };
--- a/src/engine/request_log.cpp
+++ b/src/engine/request_log.cpp
@@ -20,6 +20,14 @@
   return " attempt=" + std::to_string(attempt) + " host=" + endpoint;
 }
 
+// The log's field `note` has one number: the cached tokens of a success, else whether there was evidence.
+int logged_note(const routing::AttemptCompleted& outcome) {
+  const bool succeeded =
+      outcome.status == routing::AttemptStatus::kServed || outcome.status == routing::AttemptStatus::kRead;
+  if (succeeded) return outcome.cached_prompt_tokens;
+  return outcome.evidence == routing::AttemptEvidence::kNone ? 0 : 1;
+}
+
 }  // namespace
 
 void RequestLog::log_received(const routing::Request& request, routing::Time now) const {
@@ -47,7 +55,7 @@
   const std::string_view status = kAttemptStatusNames.at(static_cast<std::size_t>(outcome.status));
   std::string text = "ended" + attempt_fields(outcome.endpoint, outcome.attempt) +
                      " verdict=" + std::string(status) + " ms=" + milliseconds_text(outcome.elapsed) +
-                     " note=" + std::to_string(outcome.note);
+                     " note=" + std::to_string(logged_note(outcome));
   const routing::LoadReport& report = outcome.report;
   if (report.memory_share) text += " memory=" + std::to_string(*report.memory_share);
   if (report.prompt_kilotokens) text += " waiting=" + std::to_string(*report.prompt_kilotokens);
--- a/src/engine/reservation_tracker.cpp
+++ b/src/engine/reservation_tracker.cpp
@@ -4,17 +4,11 @@
 
 namespace dispatcher::engine {
 
+using routing::AttemptEvidence;
 using routing::AttemptStatus;
 
 namespace {
 
-// AttemptCompleted::note of kError and kReset: a response had begun, so the state was fetched.
-constexpr int kNoteResponseHadBegun = 1;
-// AttemptCompleted::note of kFull: the writer found no state to fetch.
-constexpr int kNoteNoState = 1;
-// AttemptCompleted::note of kConnectFailed: there never was a connection.
-constexpr int kNoteNeverConnected = 0;
-
 bool has_ended_unanswered(AttemptStatus status) {
   return status == AttemptStatus::kCancelled || status == AttemptStatus::kTimeout ||
          status == AttemptStatus::kReset;
@@ -24,10 +18,12 @@
 
 bool ReservationTracker::on_attempt_ended(const AttemptEnd& end, Time now) {
   const bool is_reset = end.status == AttemptStatus::kReset;
-  const bool is_broken_response = end.status == AttemptStatus::kError && end.note == kNoteResponseHadBegun;
+  const bool had_response = end.evidence == AttemptEvidence::kEndpointRunning;
+  const bool is_broken_response = end.status == AttemptStatus::kError && had_response;
   // No state to fetch may also mean that its reader is partitioned from the writer, and still holds it.
-  const bool is_state_unreachable = end.status == AttemptStatus::kFull && end.note == kNoteNoState;
-  const bool was_fetched = is_reset && end.note == kNoteResponseHadBegun;
+  const bool is_state_unreachable =
+      end.status == AttemptStatus::kFull && end.evidence == AttemptEvidence::kStateNotFound;
+  const bool was_fetched = is_reset && had_response;
   if (is_broken_response || is_state_unreachable || was_fetched) is_known_to_router_ = false;
 
   // A replica notices the end of an attempt that is cancelled here; one whose connection broke may go on up
@@ -38,7 +34,8 @@
   const bool may_have_left_state =
       is_broken_response || is_state_unreachable || (end.at_reader && has_ended_unanswered(end.status));
   // A written attempt has ended the release calls for those that may still run.
-  const bool was_written = end.status != AttemptStatus::kConnectFailed || end.note != kNoteNeverConnected;
+  const bool was_written =
+      end.status != AttemptStatus::kConnectFailed || end.evidence != AttemptEvidence::kNone;
   if (may_have_left_state || (was_written && now < may_run_until_)) may_hold_ = true;
 
   if (end.status == AttemptStatus::kRead) {
--- a/src/engine/reservation_tracker.hpp
+++ b/src/engine/reservation_tracker.hpp
@@ -14,7 +14,7 @@
   /// How an attempt ended.
   struct AttemptEnd {
     routing::AttemptStatus status{};
-    int note = 0;            ///< as in routing::AttemptCompleted
+    routing::AttemptEvidence evidence{};
     bool at_reader = false;  ///< the attempt's endpoint is a reader
     Time may_run_until{};    ///< if its connection broke, the replica may work on it up to then
   };
--- a/src/engine/stream_handover.cpp
+++ b/src/engine/stream_handover.cpp
@@ -32,6 +32,7 @@
                                            context_.clock() - attempt.started,
                                            true,
                                            0,
+                                           {},
                                            {}});
   requests_.remove_if_complete(slot);
 }
--- a/src/routing/retry_policy.cpp
+++ b/src/routing/retry_policy.cpp
@@ -117,7 +117,7 @@
   const AttemptStatus status = completed.status;
   const bool is_lost =
       status == AttemptStatus::kFull || status == AttemptStatus::kError || status == AttemptStatus::kReset;
-  return is_lost && completed.note == 1;
+  return is_lost && completed.evidence != AttemptEvidence::kNone;
 }
 
 // Three writers in a row that never came up, 250 ms each, had states outlive their limit.
@@ -174,7 +174,7 @@
   switch (completed.status) {
     case AttemptStatus::kError:
     case AttemptStatus::kConnectFailed:
-      return Failure{completed.status, completed.note == 1};
+      return Failure{completed.status, completed.evidence == AttemptEvidence::kEndpointRunning};
     case AttemptStatus::kReset:
       return Failure{completed.status, true};
     case AttemptStatus::kTimeout:
--- a/src/routing/router.cpp
+++ b/src/routing/router.cpp
@@ -403,12 +403,13 @@
     if (completed.status == AttemptStatus::kRead) {
       record_start(endpoint, state, completed.elapsed);
       // Logged only: the index is not cleared, as the reader caches the prompt again from now on.
-      if (completed.note + kBlockTokens < state.predicted_cached_tokens)
+      if (completed.cached_prompt_tokens + kBlockTokens < state.predicted_cached_tokens)
         emit(LogMessage{"endpoint " + endpoint.endpoint + " lost cached prompts"});
     } else if (completed.status == AttemptStatus::kServed) {
       endpoint.last_response_at = context_.now;
       if (phase == Phase::kStreaming) outliers_.record_stream(context_, endpoint, state);
-    } else if (completed.status == AttemptStatus::kFull && completed.note != 1) {
+    } else if (completed.status == AttemptStatus::kFull &&
+               completed.evidence != AttemptEvidence::kStateNotFound) {
       record_rejection(context_.now, endpoint, state);
     } else if (const auto failure = retry_policy::failure_of(completed, phase, shedding_, endpoint, state)) {
       emit_if_present(outliers_.record_failure(context_, endpoints_, endpoint, *failure));
--- a/src/simulation/simulated_fleet.cpp
+++ b/src/simulation/simulated_fleet.cpp
@@ -7,6 +7,7 @@
 
 using engine::AttemptResult;
 using engine::AttemptStatus;
+using routing::AttemptEvidence;
 using routing::EndpointState;
 
 namespace {
@@ -14,9 +15,6 @@
 // Requests that wait at one endpoint; beyond them it answers that it is full.
 constexpr std::size_t kMaxQueue = 64;
 
-// AttemptResult::note of kFull: the writer has no KV cache of the request.
-constexpr int kNoState = 1;
-
 }  // namespace
 
 SimulatedFleet::SimulatedFleet(const Parameters& parameters, engine::TimerQueue& timers, engine::Clock clock)
@@ -66,7 +64,7 @@
   task.next_step =
       timers_.add(clock_() + ways * parameters_.network_latency, [this, &endpoint, work, is_reachable] {
         if (!is_reachable || !endpoint.is_up)
-          return end(endpoint, work, {AttemptStatus::kConnectFailed, 0, {}});
+          return end(endpoint, work, {AttemptStatus::kConnectFailed, 0, {}, {}});
         arrive(endpoint, work);
       });
   return work;
@@ -76,7 +74,7 @@
   const auto slots =
       static_cast<std::size_t>(endpoint.is_reader ? parameters_.reader_slots : parameters_.writer_slots);
   if (endpoint.busy_slots < slots) return begin(endpoint, endpoint.tasks.at(work));
-  if (endpoint.queue.size() >= kMaxQueue) return end(endpoint, work, {AttemptStatus::kFull, 0, {}});
+  if (endpoint.queue.size() >= kMaxQueue) return end(endpoint, work, {AttemptStatus::kFull, 0, {}, {}});
   endpoint.queue.push_back(work);
   update_report(endpoint);
 }
@@ -114,13 +112,14 @@
     endpoint.cache.insert(job.prefix, job.prefix_tokens, capacity);
     endpoint.cache.insert(job.session, job.prompt_tokens, capacity);
     retained_at_[job.id] = endpoint.cell;
-    end(endpoint, work, {AttemptStatus::kRead, cached, {}});
+    end(endpoint, work, {AttemptStatus::kRead, cached, {}, {}});
   });
 }
 
 void SimulatedFleet::begin_decode(Endpoint& endpoint, Task& task) {
   const auto state = retained_at_.find(task.job.id);
-  if (state == retained_at_.end()) return end(endpoint, task.work, {AttemptStatus::kFull, kNoState, {}});
+  if (state == retained_at_.end())
+    return end(endpoint, task.work, {AttemptStatus::kFull, 0, AttemptEvidence::kStateNotFound, {}});
   const bool is_same_cell = state->second == endpoint.cell;
   retained_at_.erase(state);
   ++execution_counts_[task.job.id];
@@ -138,7 +137,7 @@
   const auto token = static_cast<double>(parameters_.decode_time.count());
   const double other_tokens = token * std::max(0, task.job.answer_tokens - 1);
   schedule(endpoint, task, other_tokens, [this, &endpoint, work] {
-    end(endpoint, work, {AttemptStatus::kServed, 0, {}});
+    end(endpoint, work, {AttemptStatus::kServed, 0, {}, {}});
   });
   // Last, and of a copy: the client may close the stream at its first token, which removes the task.
   const auto first = task.callbacks.first;
@@ -183,7 +182,7 @@
   if (it == endpoint_of_.end()) return;
   Endpoint& endpoint = *it->second;
   endpoint.tasks.at(work).callbacks = {};
-  end(endpoint, work, {AttemptStatus::kCancelled, 0, {}});
+  end(endpoint, work, {AttemptStatus::kCancelled, 0, {}, {}});
 }
 
 void SimulatedFleet::release(const std::string& id) { retained_at_.erase(id); }
@@ -201,8 +200,9 @@
     std::vector<Work> works;
     for (const auto& [work, task] : endpoint.tasks) works.push_back(work);
     for (const Work work : works) {
-      const int streamed = endpoint.tasks.at(work).streaming ? 1 : 0;
-      end(endpoint, work, {AttemptStatus::kReset, streamed, {}});
+      const bool is_streaming = endpoint.tasks.at(work).streaming;
+      const auto evidence = is_streaming ? AttemptEvidence::kEndpointRunning : AttemptEvidence::kNone;
+      end(endpoint, work, {AttemptStatus::kReset, 0, evidence, {}});
     }
     endpoint.cache.clear();
   }
--- a/src/upstream/attempt_runner.cpp
+++ b/src/upstream/attempt_runner.cpp
@@ -33,7 +33,7 @@
 void AttemptRunner::fail_unsent(AttemptId attempt, AttemptStatus status) {
   connections_[attempt] = SlotId{};
   timers_.add(clock_(), [this, attempt, status] {
-    if (connections_.erase(attempt) > 0) engine_->on_attempt_completed(attempt, {status, 0, {}});
+    if (connections_.erase(attempt) > 0) engine_->on_attempt_completed(attempt, {status, 0, {}, {}});
   });
 }
 
--- a/src/upstream/exchange_runner.cpp
+++ b/src/upstream/exchange_runner.cpp
@@ -7,6 +7,7 @@
 
 namespace dispatcher::upstream {
 
+using routing::AttemptEvidence;
 using routing::AttemptStatus;
 
 namespace {
@@ -14,9 +15,6 @@
 // The head of a response comes with the first token: one that has begun and brings no event soon has failed.
 constexpr Duration kFirstEventTimeout = std::chrono::milliseconds(1000);
 
-// AttemptResult::note of a failure that leaves no doubt that the endpoint runs, or doesn't tell of it.
-constexpr int kNoteEndpointNotDown = 1;
-
 unsigned http_status(Exchange& exchange) { return exchange.reader.message().result_int(); }
 
 // Does the response carry the events of an attempt's stream?
@@ -244,7 +242,8 @@
   const bool failed_once_connected = status == AttemptStatus::kConnectFailed && connection->is_connected;
   const bool is_endpoint_running = exchange.has_response_started || failed_once_connected;
   const bool is_exempt = attribution == FailureAttribution::kNone;
-  outcome.result.note = is_endpoint_running || is_exempt ? kNoteEndpointNotDown : 0;
+  outcome.result.evidence =
+      is_endpoint_running || is_exempt ? AttemptEvidence::kEndpointRunning : AttemptEvidence::kNone;
   if (connection->is_reused && !exchange.has_response_started) pool_.quarantine_reuse();
   pool_.close(id);
   if (handler != nullptr) handler->on_exchange_ended(outcome);
--- a/src/upstream/protocol.cpp
+++ b/src/upstream/protocol.cpp
@@ -7,6 +7,7 @@
 
 namespace dispatcher::upstream {
 
+using routing::AttemptEvidence;
 using routing::AttemptStatus;
 using Json = nlohmann::json;
 
@@ -69,7 +70,7 @@
     return;
   }
   result.status = AttemptStatus::kReset;
-  result.note = 1;
+  result.evidence = AttemptEvidence::kEndpointRunning;
 }
 
 }  // namespace
@@ -95,7 +96,7 @@
   if (event.find("\"cached_tokens\"") == std::string::npos) return;
   const Json usage = Json::parse(http::event_field(event, "data"), nullptr, false);
   const auto path = Json::json_pointer("/usage/prompt_tokens_details");
-  if (usage.is_object() && usage.contains(path)) result.note = cached_tokens(usage.at(path));
+  if (usage.is_object() && usage.contains(path)) result.cached_prompt_tokens = cached_tokens(usage.at(path));
 }
 
 engine::AttemptResult interpret_response(const http::ResponseReader::Message& response,
@@ -110,11 +111,11 @@
       break;
     case kHttpAccepted:
       result.status = AttemptStatus::kRead;
-      result.note = cached_tokens(Json::parse(response.body(), nullptr, false));
+      result.cached_prompt_tokens = cached_tokens(Json::parse(response.body(), nullptr, false));
       break;
     case kHttpGone:
       result.status = is_unprocessed ? AttemptStatus::kFull : AttemptStatus::kError;
-      result.note = is_unprocessed ? 1 : 0;
+      if (is_unprocessed) result.evidence = AttemptEvidence::kStateNotFound;
       break;
     case kHttpServiceUnavailable:
     case kHttpGatewayTimeout:
--- a/tests/conformance/reference_scorer.cpp
+++ b/tests/conformance/reference_scorer.cpp
@@ -85,7 +85,8 @@
   open.at.clear();
   open.tokens = 0;
   if (o.status == AttemptStatus::kRead) open.state_at = o.endpoint;
-  if (o.note == 1 && (o.status == AttemptStatus::kFull || o.status == AttemptStatus::kReset))
+  if (o.evidence != AttemptEvidence::kNone &&
+      (o.status == AttemptStatus::kFull || o.status == AttemptStatus::kReset))
     open.state_at.clear();
   if (o.finished) open_.erase(at);
 }
--- a/tests/conformance/table_runner.cpp
+++ b/tests/conformance/table_runner.cpp
@@ -201,7 +201,15 @@
   Attempts& a = attempts_.at(id);
   if (a.at.empty()) fail(id + ": no attempt is out");
   const std::string at = std::exchange(a.at, "");
-  pass(AttemptCompleted{id, at, a.count - 1, status, time_to_read(a.request), finished, note, report});
+  AttemptCompleted completed{id, at, a.count - 1, status, time_to_read(a.request), finished, 0, {}, report};
+  // A table's note is a number: cached tokens of a success, else 1 for evidence.
+  if (status == AttemptStatus::kRead || status == AttemptStatus::kServed) {
+    completed.cached_prompt_tokens = note;
+  } else if (note == 1) {
+    completed.evidence =
+        status == AttemptStatus::kFull ? AttemptEvidence::kStateNotFound : AttemptEvidence::kEndpointRunning;
+  }
+  pass(completed);
   return a.at;
 }
 
--- a/tests/consumer/main.cpp
+++ b/tests/consumer/main.cpp
@@ -40,10 +40,10 @@
   const std::string reader = sent_to(router.handle(now, r));
   now += milliseconds(50);
   const std::string writer = sent_to(router.handle(
-      now, AttemptCompleted{"one", reader, 0, AttemptStatus::kRead, milliseconds(50), false, 0, {}}));
+      now, AttemptCompleted{"one", reader, 0, AttemptStatus::kRead, milliseconds(50), false, 0, {}, {}}));
   router.handle(now, FirstToken{"one", writer, 1, milliseconds(20)});
-  router.handle(now,
-                AttemptCompleted{"one", writer, 1, AttemptStatus::kServed, milliseconds(900), true, 0, {}});
+  router.handle(
+      now, AttemptCompleted{"one", writer, 1, AttemptStatus::kServed, milliseconds(900), true, 0, {}, {}});
   const bool ok = reader == "r1" && writer == "w1" && router.table_sizes().requests == 0;
   std::cout << (ok ? "served by " + reader + " and " + writer : "not served") << "\n";
   return ok ? 0 : 1;
--- a/tests/dispatcher/admin_test.cpp
+++ b/tests/dispatcher/admin_test.cpp
@@ -140,8 +140,8 @@
       if (const auto* attempt = std::get_if<routing::StartAttempt>(&action)) endpoint = attempt->endpoint;
     }
     if (!endpoint.empty()) {
-      routing::AttemptCompleted read{request.id,       endpoint, 0, routing::AttemptStatus::kRead,
-                                     milliseconds(50), false,    0, {}};
+      routing::AttemptCompleted read{
+          request.id, endpoint, 0, routing::AttemptStatus::kRead, milliseconds(50), false, 0, {}, {}};
       router.handle(now, read);
       router.handle(now, routing::ClientGone{request.id});
     }
--- a/tests/dispatcher/engine_digest_fixture.cpp
+++ b/tests/dispatcher/engine_digest_fixture.cpp
@@ -181,15 +181,16 @@
   active.is_delivered = !dice_.one_in(5);
   const bool wanted = process.engine.is_still_needed(attempt);
   record("wanted", attempt, wanted);
-  if (!wanted) end(process, attempt, {AttemptStatus::kNeverSent, 0, {}});
+  if (!wanted) end(process, attempt, {AttemptStatus::kNeverSent, 0, {}, {}});
 }
 
 engine::AttemptResult EngineScript::draw_result(AttemptStatus status) {
-  engine::AttemptResult result{status, 0, {}};
+  engine::AttemptResult result{status, 0, {}, {}};
   if (status == AttemptStatus::kRead || status == AttemptStatus::kServed)
-    result.note = dice_.below(3) * 100;
-  else
-    result.note = dice_.below(2);
+    result.cached_prompt_tokens = dice_.below(3) * 100;
+  else if (dice_.below(2) == 1)
+    result.evidence = status == AttemptStatus::kFull ? routing::AttemptEvidence::kStateNotFound
+                                                     : routing::AttemptEvidence::kEndpointRunning;
   if (dice_.one_in(3)) result.report.in_hand = dice_.below(40);
   if (dice_.one_in(3)) result.report.memory_share = dice_.below(100) / 128.0;
   if (dice_.one_in(3)) result.report.prompt_kilotokens = dice_.below(100) / 4.0;
@@ -360,7 +361,7 @@
   }
   for (const auto& process : processes_) {
     while (!process->attempts.empty())
-      end(*process, process->attempts.begin()->first, {AttemptStatus::kReset, 0, {}});
+      end(*process, process->attempts.begin()->first, {AttemptStatus::kReset, 0, {}, {}});
   }
   advance(seconds(60));
   record_counts();
--- a/tests/dispatcher/engine_test.cpp
+++ b/tests/dispatcher/engine_test.cpp
@@ -41,7 +41,8 @@
     }
   }
   void complete_read(int attempt) {
-    engine.on_attempt_completed(started[static_cast<std::size_t>(attempt)], {AttemptStatus::kRead, 0, {}});
+    engine.on_attempt_completed(started[static_cast<std::size_t>(attempt)],
+                                {AttemptStatus::kRead, 0, {}, {}});
   }
 
   void start_attempt(engine::AttemptId attempt, const std::string& endpoint,
@@ -92,7 +93,7 @@
     fixture.engine.apply_settings(std::make_shared<const routing::Settings>(settings));
     fixture.submit("a");
     for (std::size_t i = 0; i < fixture.started.size() && i < 8; ++i)
-      fixture.engine.on_attempt_completed(fixture.started[i], {AttemptStatus::kConnectFailed, 0, {}});
+      fixture.engine.on_attempt_completed(fixture.started[i], {AttemptStatus::kConnectFailed, 0, {}, {}});
     CHECK((fixture.started.size() > 4) == (free_connect_failures > 0));
     CHECK(fixture.started.size() <= 9);
   }
@@ -103,7 +104,7 @@
   fixture.submit("a");
   fixture.complete_read(0);
   fixture.engine.on_events(fixture.started[1], "data: x\n\n");
-  fixture.engine.on_attempt_completed(fixture.started[1], {AttemptStatus::kServed, 0, {}});
+  fixture.engine.on_attempt_completed(fixture.started[1], {AttemptStatus::kServed, 0, {}, {}});
   CHECK(fixture.calls == EngineFixture::Calls{"send r", "send w", "begin", "finish"});
   CHECK(fixture.engine.open_request_count() == 0);
 }
@@ -127,11 +128,11 @@
   settings.free_connect_failures = 16;
   fixture.engine.apply_settings(std::make_shared<const routing::Settings>(settings));
   fixture.submit("a");
-  fixture.engine.on_attempt_completed(fixture.started[0], {AttemptStatus::kReset, 0, {}});
+  fixture.engine.on_attempt_completed(fixture.started[0], {AttemptStatus::kReset, 0, {}, {}});
   fixture.connected = false;
   for (int i = 1; i <= 5; ++i) {
     fixture.advance(milliseconds(50));
-    fixture.engine.on_attempt_completed(fixture.started.back(), {AttemptStatus::kConnectFailed, 0, {}});
+    fixture.engine.on_attempt_completed(fixture.started.back(), {AttemptStatus::kConnectFailed, 0, {}, {}});
   }
   CHECK(std::count(fixture.calls.begin(), fixture.calls.end(), "release") == 1);
   const auto released =
@@ -145,8 +146,9 @@
   fixture.submit("a", "command");
   fixture.complete_read(0);
   fixture.advance(milliseconds(2900));
-  fixture.engine.on_attempt_completed(fixture.started[1], {AttemptStatus::kFull, 1, {}});
-  fixture.engine.on_attempt_completed(fixture.started.back(), {AttemptStatus::kFull, 0, {}});
+  fixture.engine.on_attempt_completed(
+      fixture.started[1], {AttemptStatus::kFull, 0, routing::AttemptEvidence::kStateNotFound, {}});
+  fixture.engine.on_attempt_completed(fixture.started.back(), {AttemptStatus::kFull, 0, {}, {}});
   fixture.advance(milliseconds(300));
   CHECK(std::count(fixture.calls.begin(), fixture.calls.end(), "release") == 1);
 }
@@ -155,7 +157,7 @@
 TEST_CASE("a release does not take the state of a newer attempt", "[core]") {
   EngineFixture fixture;
   fixture.submit("a");
-  fixture.engine.on_attempt_completed(fixture.started[0], {AttemptStatus::kReset, 0, {}});
+  fixture.engine.on_attempt_completed(fixture.started[0], {AttemptStatus::kReset, 0, {}, {}});
   CHECK(fixture.calls == EngineFixture::Calls{"send r", "send r"});
   fixture.advance(milliseconds(300));
   fixture.complete_read(1);
@@ -233,7 +235,7 @@
   fixture.submit("a");
   fixture.complete_read(0);
   fixture.engine.on_events(fixture.started[1], "data: x\n\n");
-  fixture.engine.on_attempt_completed(fixture.started[1], {AttemptStatus::kReset, 0, {}});
+  fixture.engine.on_attempt_completed(fixture.started[1], {AttemptStatus::kReset, 0, {}, {}});
   fixture.advance(seconds(4));
   CHECK(fixture.calls == EngineFixture::Calls{"send r", "send w", "begin", "cut"});
 }
@@ -242,7 +244,7 @@
   EngineFixture fixture;
   fixture.submit("a");
   fixture.complete_read(0);
-  fixture.engine.on_attempt_completed(fixture.started[1], {AttemptStatus::kServed, 0, {}});
+  fixture.engine.on_attempt_completed(fixture.started[1], {AttemptStatus::kServed, 0, {}, {}});
   fixture.advance(seconds(4));
   CHECK(fixture.calls == EngineFixture::Calls{"send r", "send w", "release", "fail"});
 }
@@ -253,7 +255,7 @@
   EngineFixture fixture;
   fixture.submit("a", "ask");
   for (int i = 0; i < 3; ++i)
-    fixture.engine.on_attempt_completed(fixture.started.back(), {AttemptStatus::kError, 0, {}});
+    fixture.engine.on_attempt_completed(fixture.started.back(), {AttemptStatus::kError, 0, {}, {}});
   CHECK(fixture.calls == EngineFixture::Calls{"send r", "send r", "send r", "refuse with advice"});
   CHECK(fixture.engine.open_request_count() == 0);
 }
@@ -265,7 +267,7 @@
   fixture.confirms_releases = false;
   fixture.submit("a", "ask");
   fixture.connected = false;
-  fixture.engine.on_attempt_completed(fixture.started[0], {AttemptStatus::kReset, 0, {}});
+  fixture.engine.on_attempt_completed(fixture.started[0], {AttemptStatus::kReset, 0, {}, {}});
   fixture.advance(milliseconds(100));
   const auto releases = [&] { return std::count(fixture.calls.begin(), fixture.calls.end(), "release"); };
   CHECK(releases() == 1);
@@ -274,7 +276,7 @@
     fixture.connected = true;
     fixture.advance(milliseconds(20));
     fixture.connected = false;
-    fixture.engine.on_attempt_completed(fixture.started[1], {AttemptStatus::kFull, 0, {}});
+    fixture.engine.on_attempt_completed(fixture.started[1], {AttemptStatus::kFull, 0, {}, {}});
     fixture.advance(milliseconds(100));
     CHECK(releases() == 2);
   }
@@ -282,7 +284,8 @@
     fixture.connected = true;
     fixture.complete_read(1);
     fixture.engine.on_events(fixture.started[2], "data: x\n\n");
-    fixture.engine.on_attempt_completed(fixture.started[2], {AttemptStatus::kReset, 1, {}});
+    fixture.engine.on_attempt_completed(
+        fixture.started[2], {AttemptStatus::kReset, 0, routing::AttemptEvidence::kEndpointRunning, {}});
     fixture.advance(seconds(4));
     CHECK(releases() == 1);
   }
@@ -300,15 +303,15 @@
 TEST_CASE("a state that the router knows of is not released for a read that broke", "[core]") {
   EngineFixture fixture;
   fixture.submit("a", "ask");
-  fixture.engine.on_attempt_completed(fixture.started[0], {AttemptStatus::kReset, 0, {}});
+  fixture.engine.on_attempt_completed(fixture.started[0], {AttemptStatus::kReset, 0, {}, {}});
   fixture.complete_read(1);
   fixture.connected = false;
-  fixture.engine.on_attempt_completed(fixture.started[2],
-                                      {AttemptStatus::kFull, 0, {}});  // the writer is full: the state waits
+  fixture.engine.on_attempt_completed(
+      fixture.started[2], {AttemptStatus::kFull, 0, {}, {}});  // the writer is full: the state waits
   fixture.advance(milliseconds(100));
   CHECK(std::count(fixture.calls.begin(), fixture.calls.end(), "release") == 0);
-  fixture.engine.on_attempt_completed(fixture.started[3],
-                                      {AttemptStatus::kFull, 0, {}});  // no attempt left: the router lets go
+  fixture.engine.on_attempt_completed(
+      fixture.started[3], {AttemptStatus::kFull, 0, {}, {}});  // no attempt left: the router lets go
   CHECK(std::count(fixture.calls.begin(), fixture.calls.end(), "release") == 1);
   CHECK(fixture.release_until > fixture.now);  // ... and what broke may still run
 }
@@ -347,7 +350,7 @@
   fixture.engine.apply_settings(std::make_shared<const routing::Settings>(settings));
   fixture.submit("a", "ask");
   fixture.connected = false;
-  fixture.engine.on_attempt_completed(fixture.started[0], {AttemptStatus::kReset, 0, {}});
+  fixture.engine.on_attempt_completed(fixture.started[0], {AttemptStatus::kReset, 0, {}, {}});
   fixture.advance(milliseconds(100));
   const auto releases = [&] { return std::count(fixture.calls.begin(), fixture.calls.end(), "release"); };
   REQUIRE(releases() == 1);
@@ -369,7 +372,7 @@
   fixture.client_connected = false;
   CHECK_FALSE(fixture.engine.is_still_needed(fixture.started[0]));
   fixture.connected = false;
-  fixture.engine.on_attempt_completed(fixture.started[0], {AttemptStatus::kNeverSent, 0, {}});
+  fixture.engine.on_attempt_completed(fixture.started[0], {AttemptStatus::kNeverSent, 0, {}, {}});
   CHECK(fixture.engine.open_request_count() == 0);
   CHECK(std::count(fixture.calls.begin(), fixture.calls.end(), "refuse") == 0);
   CHECK_FALSE(fixture.engine.is_still_needed(fixture.started[0]));
@@ -401,10 +404,11 @@
   fixture.complete_read(0);
   fixture.advance(seconds(3) - milliseconds(5));
   fixture.now += milliseconds(5);
-  if (rejection_first) fixture.engine.on_attempt_completed(fixture.started[1], {AttemptStatus::kFull, 0, {}});
+  if (rejection_first)
+    fixture.engine.on_attempt_completed(fixture.started[1], {AttemptStatus::kFull, 0, {}, {}});
   fixture.timers.run(fixture.now);
   if (!rejection_first)
-    fixture.engine.on_attempt_completed(fixture.started[1], {AttemptStatus::kFull, 0, {}});
+    fixture.engine.on_attempt_completed(fixture.started[1], {AttemptStatus::kFull, 0, {}, {}});
   fixture.advance(milliseconds(400));
   CHECK(fixture.started.size() == 2);
   CHECK(fixture.engine.open_request_count() == 0);
@@ -420,7 +424,7 @@
   fixture.complete_read(0);
   fixture.complete_read(0);
   fixture.engine.on_events({{9, 9}, 0}, "data: x\n\n");
-  fixture.engine.on_attempt_completed({fixture.started[0].request, 7}, {AttemptStatus::kServed, 0, {}});
+  fixture.engine.on_attempt_completed({fixture.started[0].request, 7}, {AttemptStatus::kServed, 0, {}, {}});
   CHECK(fixture.calls == EngineFixture::Calls{"send r", "send w"});
 }
 
--- a/tests/dispatcher/fairness_test.cpp
+++ b/tests/dispatcher/fairness_test.cpp
@@ -306,11 +306,11 @@
   };
   const auto serve = [&](const std::string& id) {  // late by an eighth, of which little was reading
     const Duration read = std::chrono::milliseconds(50), write = std::chrono::milliseconds(1330);
-    router.handle(
-        now, routing::AttemptCompleted{id, "reader", 0, routing::AttemptStatus::kRead, read, false, 0, {}});
+    router.handle(now, routing::AttemptCompleted{
+                           id, "reader", 0, routing::AttemptStatus::kRead, read, false, 0, {}, {}});
     router.handle(now, routing::FirstToken{id, "writer", 1, write});
-    router.handle(
-        now, routing::AttemptCompleted{id, "writer", 1, routing::AttemptStatus::kServed, write, true, 0, {}});
+    router.handle(now, routing::AttemptCompleted{
+                           id, "writer", 1, routing::AttemptStatus::kServed, write, true, 0, {}, {}});
   };
   for (int i = 0; i < 200; ++i) {
     const std::string id = "s" + std::to_string(i);
--- a/tests/dispatcher/reservation_tracker_test.cpp
+++ b/tests/dispatcher/reservation_tracker_test.cpp
@@ -8,6 +8,7 @@
 namespace dispatcher::engine {
 namespace {
 
+using routing::AttemptEvidence;
 using routing::AttemptStatus;
 
 constexpr Time kNow = std::chrono::seconds(100), kUntil = std::chrono::seconds(105);
@@ -15,24 +16,28 @@
 TEST_CASE("which ends of attempts may leave a state behind, and which may do so later", "[held]") {
   struct Row {
     AttemptStatus status;
-    int note;
+    AttemptEvidence evidence;
     bool at_reader, may_have_left_state, may_run_on;
   };
-  const Row row = GENERATE(
-      Row{AttemptStatus::kServed, 0, false, false, false}, Row{AttemptStatus::kError, 0, true, false, false},
-      Row{AttemptStatus::kError, 1, true, true, true}, Row{AttemptStatus::kError, 1, false, true, false},
-      Row{AttemptStatus::kFull, 0, true, false, false}, Row{AttemptStatus::kFull, 1, false, true, false},
-      Row{AttemptStatus::kTimeout, 0, true, true, false},
-      Row{AttemptStatus::kTimeout, 0, false, false, false},
-      Row{AttemptStatus::kConnectFailed, 0, true, false, false},
-      Row{AttemptStatus::kConnectFailed, 1, true, false, false},
-      Row{AttemptStatus::kReset, 0, true, true, true}, Row{AttemptStatus::kReset, 1, true, true, true},
-      Row{AttemptStatus::kReset, 0, false, false, false},
-      Row{AttemptStatus::kCancelled, 0, true, true, false},
-      Row{AttemptStatus::kCancelled, 0, false, false, false},
-      Row{AttemptStatus::kNeverSent, 0, true, false, false});
+  const Row row =
+      GENERATE(Row{AttemptStatus::kServed, AttemptEvidence::kNone, false, false, false},
+               Row{AttemptStatus::kError, AttemptEvidence::kNone, true, false, false},
+               Row{AttemptStatus::kError, AttemptEvidence::kEndpointRunning, true, true, true},
+               Row{AttemptStatus::kError, AttemptEvidence::kEndpointRunning, false, true, false},
+               Row{AttemptStatus::kFull, AttemptEvidence::kNone, true, false, false},
+               Row{AttemptStatus::kFull, AttemptEvidence::kStateNotFound, false, true, false},
+               Row{AttemptStatus::kTimeout, AttemptEvidence::kNone, true, true, false},
+               Row{AttemptStatus::kTimeout, AttemptEvidence::kNone, false, false, false},
+               Row{AttemptStatus::kConnectFailed, AttemptEvidence::kNone, true, false, false},
+               Row{AttemptStatus::kConnectFailed, AttemptEvidence::kEndpointRunning, true, false, false},
+               Row{AttemptStatus::kReset, AttemptEvidence::kNone, true, true, true},
+               Row{AttemptStatus::kReset, AttemptEvidence::kEndpointRunning, true, true, true},
+               Row{AttemptStatus::kReset, AttemptEvidence::kNone, false, false, false},
+               Row{AttemptStatus::kCancelled, AttemptEvidence::kNone, true, true, false},
+               Row{AttemptStatus::kCancelled, AttemptEvidence::kNone, false, false, false},
+               Row{AttemptStatus::kNeverSent, AttemptEvidence::kNone, true, false, false});
   ReservationTracker tracker;
-  CHECK(tracker.on_attempt_ended({row.status, row.note, row.at_reader, kUntil}, kNow) ==
+  CHECK(tracker.on_attempt_ended({row.status, row.evidence, row.at_reader, kUntil}, kNow) ==
         row.may_have_left_state);
   CHECK(tracker.may_hold() == row.may_have_left_state);
   CHECK(tracker.may_release() == row.may_have_left_state);
@@ -42,17 +47,17 @@
 TEST_CASE("what may still run is released after every written attempt, up to its deadline or a first token",
           "[held]") {
   ReservationTracker tracker;
-  tracker.on_attempt_ended({AttemptStatus::kReset, 0, true, kUntil}, kNow);
+  tracker.on_attempt_ended({AttemptStatus::kReset, AttemptEvidence::kNone, true, kUntil}, kNow);
   tracker.on_release_confirmed();
   CHECK_FALSE(tracker.may_hold());
-  tracker.on_attempt_ended({AttemptStatus::kConnectFailed, 0, true, kUntil}, kNow);
+  tracker.on_attempt_ended({AttemptStatus::kConnectFailed, AttemptEvidence::kNone, true, kUntil}, kNow);
   CHECK_FALSE(tracker.may_hold());  // nothing was written, so that the release calls go on
-  tracker.on_attempt_ended({AttemptStatus::kFull, 0, true, kUntil}, kNow);
+  tracker.on_attempt_ended({AttemptStatus::kFull, AttemptEvidence::kNone, true, kUntil}, kNow);
   CHECK(tracker.may_hold());
   tracker.on_release_confirmed();
-  tracker.on_attempt_ended({AttemptStatus::kFull, 0, true, kUntil}, kUntil);
+  tracker.on_attempt_ended({AttemptStatus::kFull, AttemptEvidence::kNone, true, kUntil}, kUntil);
   CHECK_FALSE(tracker.may_hold());
-  tracker.on_attempt_ended({AttemptStatus::kReset, 0, true, kUntil}, kNow);
+  tracker.on_attempt_ended({AttemptStatus::kReset, AttemptEvidence::kNone, true, kUntil}, kNow);
   tracker.on_first_token();
   CHECK_FALSE(tracker.may_hold());
   CHECK(tracker.may_run_until() == Time{});
@@ -61,15 +66,17 @@
 TEST_CASE("the state that the router knows of is not released until the router does so or it was fetched",
           "[held]") {
   ReservationTracker tracker;
-  tracker.on_attempt_ended({AttemptStatus::kReset, 0, true, kUntil}, kNow);
-  tracker.on_attempt_ended({AttemptStatus::kRead, 0, true, {}}, kNow);
+  tracker.on_attempt_ended({AttemptStatus::kReset, AttemptEvidence::kNone, true, kUntil}, kNow);
+  tracker.on_attempt_ended({AttemptStatus::kRead, AttemptEvidence::kNone, true, {}}, kNow);
   CHECK_FALSE(tracker.may_hold());
-  tracker.on_attempt_ended({AttemptStatus::kFull, 0, false, {}}, kNow);
+  tracker.on_attempt_ended({AttemptStatus::kFull, AttemptEvidence::kNone, false, {}}, kNow);
   CHECK_FALSE(tracker.may_release());
   SECTION("the router releases it") { tracker.on_released_by_router(); }
-  SECTION("a writer found it gone") { tracker.on_attempt_ended({AttemptStatus::kFull, 1, false, {}}, kNow); }
+  SECTION("a writer found it gone") {
+    tracker.on_attempt_ended({AttemptStatus::kFull, AttemptEvidence::kStateNotFound, false, {}}, kNow);
+  }
   SECTION("a writer's answer broke off") {
-    tracker.on_attempt_ended({AttemptStatus::kReset, 1, false, {}}, kNow);
+    tracker.on_attempt_ended({AttemptStatus::kReset, AttemptEvidence::kEndpointRunning, false, {}}, kNow);
   }
   CHECK(tracker.may_release());
   CHECK(tracker.may_run_until() == kUntil);
@@ -80,7 +87,8 @@
   http::ResponseReader::Message message;
   message.result(200);
   CHECK(upstream::interpret_response(message, "data: {\"a\"", {}).status == AttemptStatus::kReset);
-  CHECK(upstream::interpret_response(message, "data: {\"a\"", {}).note == 1);
+  CHECK(upstream::interpret_response(message, "data: {\"a\"", {}).evidence ==
+        AttemptEvidence::kEndpointRunning);
   CHECK(upstream::interpret_response(message, ": X-Backend-Load: {}", {}).status == AttemptStatus::kServed);
   CHECK(upstream::interpret_response(message, "", {}).status == AttemptStatus::kServed);
 }
--- a/tests/dispatcher/router_fixture.cpp
+++ b/tests/dispatcher/router_fixture.cpp
@@ -158,7 +158,7 @@
       timers_.add(std::max(start.deadline, now_), [this, process, id = request.id, incarnation] {
         if (!is_running(process, incarnation)) return;
         fleet_.abandon(processes_[process].attempts[id].work);
-        end_attempt(process, id, {AttemptStatus::kTimeout, 0, {}});
+        end_attempt(process, id, {AttemptStatus::kTimeout, 0, {}, {}});
       });
 }
 
@@ -167,7 +167,7 @@
   if (!attempt.in_flight || attempt.streaming || attempt.number != cancel.attempt) return;
   fleet_.abandon(attempt.work);
   at(now_, [this, process, id = cancel.request, incarnation = processes_[process].incarnation] {
-    if (is_running(process, incarnation)) end_attempt(process, id, {AttemptStatus::kCancelled, 0, {}});
+    if (is_running(process, incarnation)) end_attempt(process, id, {AttemptStatus::kCancelled, 0, {}, {}});
   });
 }
 
@@ -180,9 +180,15 @@
   const bool is_served = result.status == AttemptStatus::kServed;
   const bool has_ended = is_served || attempt.streaming;  // what has begun to stream is not retried
   if (has_ended) end(id, is_served ? End::kServed : End::kFailed);
-  const routing::AttemptCompleted completed{
-      id,        attempt.endpoint, attempt.number, result.status, now_ - attempt.sent_at,
-      has_ended, result.note,      result.report};
+  const routing::AttemptCompleted completed{id,
+                                            attempt.endpoint,
+                                            attempt.number,
+                                            result.status,
+                                            now_ - attempt.sent_at,
+                                            has_ended,
+                                            result.cached_prompt_tokens,
+                                            result.evidence,
+                                            result.report};
   if (has_ended) processes_[process].attempts.erase(id);
   handle(process, completed);
 }
--- a/tests/guards_test.cpp
+++ b/tests/guards_test.cpp
@@ -27,8 +27,9 @@
   h.list({endpoint("r1", "r"), endpoint("r2", "r"), endpoint("w1", "w")});
   const std::string at = h.ask("a");
   h.out["a"] = "";
-  EXPECT_TRUE(logged(h.pass(AttemptCompleted{"a", at, 0, AttemptStatus::kConnectFailed, {}, false, 0, {}}),
-                     "ejected: unreachable"));
+  EXPECT_TRUE(
+      logged(h.pass(AttemptCompleted{"a", at, 0, AttemptStatus::kConnectFailed, {}, false, 0, {}, {}}),
+             "ejected: unreachable"));
   for (int i = 0; i < 10; ++i) {
     const std::string id = "b" + std::to_string(i);
     EXPECT_NE(h.ask(id, "safe", i + 1), at);
@@ -44,9 +45,9 @@
   EXPECT_EQ(there.size(), 1U);
   ASSERT_FALSE(there.empty());
   h.out[there[0]] = "";
-  EXPECT_TRUE(
-      logged(h.pass(AttemptCompleted{there[0], at, 0, AttemptStatus::kRead, milliseconds(50), false, 0, {}}),
-             "returned"));
+  EXPECT_TRUE(logged(
+      h.pass(AttemptCompleted{there[0], at, 0, AttemptStatus::kRead, milliseconds(50), false, 0, {}, {}}),
+      "returned"));
 }
 
 // Single connections are reset now and then while their hosts are well: half of a fleet was left out for it.
@@ -57,7 +58,7 @@
   for (const std::string id : {"a", "b", "c"}) {
     const std::string at = h.ask(id, "safe", 1);
     h.out[id] = "";
-    ejected.push_back(logged(h.pass(AttemptCompleted{id, at, 0, AttemptStatus::kReset, {}, false, 0, {}}),
+    ejected.push_back(logged(h.pass(AttemptCompleted{id, at, 0, AttemptStatus::kReset, {}, false, 0, {}, {}}),
                              "endpoint " + at + " ejected"));
   }
   EXPECT_EQ(ejected, (std::vector<bool>{false, false, true}));
@@ -86,9 +87,16 @@
   h.end("a", AttemptStatus::kRead);
   const std::string at = h.out["a"];
   h.out["a"] = "";
-  EXPECT_FALSE(
-      logged(h.pass(AttemptCompleted{"a", at, 1, AttemptStatus::kError, milliseconds(50), false, 1, {}}),
-             "ejected"));
+  EXPECT_FALSE(logged(h.pass(AttemptCompleted{"a",
+                                              at,
+                                              1,
+                                              AttemptStatus::kError,
+                                              milliseconds(50),
+                                              false,
+                                              0,
+                                              AttemptEvidence::kEndpointRunning,
+                                              {}}),
+                      "ejected"));
   EXPECT_EQ(h.out["a"], "r1");
 }
 
@@ -112,8 +120,9 @@
     h.end(id, AttemptStatus::kRead);
     if (h.out[id] != "w1") continue;
     h.out[id] = "";
-    ejected = logged(h.pass(AttemptCompleted{id, "w1", 1, AttemptStatus::kConnectFailed, {}, false, 0, {}}),
-                     "w1 ejected");
+    ejected =
+        logged(h.pass(AttemptCompleted{id, "w1", 1, AttemptStatus::kConnectFailed, {}, false, 0, {}, {}}),
+               "w1 ejected");
   }
   ASSERT_TRUE(ejected);
   h.run(seconds(2));
@@ -138,8 +147,9 @@
     if (at.empty()) continue;
     h.out[id] = "";
     ejected +=
-        logged(h.pass(AttemptCompleted{id, at, h.attempts[id] - 1, AttemptStatus::kReset, {}, false, 0, {}}),
-               "ejected")
+        logged(
+            h.pass(AttemptCompleted{id, at, h.attempts[id] - 1, AttemptStatus::kReset, {}, false, 0, {}, {}}),
+            "ejected")
             ? 1
             : 0;
   }
@@ -206,14 +216,14 @@
     const std::string id = "q" + std::to_string(i);
     if (h.ask(id, "safe", 7000 + i).empty()) continue;
     h.run(milliseconds(300));
-    h.end(id, AttemptStatus::kRead, 0, milliseconds(1400));
+    h.end(id, AttemptStatus::kRead, {}, milliseconds(1400));
     h.first(id, milliseconds(200));
   }
   const std::string late = h.ask("last", "unsafe", 9001);
   ASSERT_NE(late, "");
   h.out["last"] = "";
-  const AttemptCompleted timed_out{"last", late, 0, AttemptStatus::kTimeout, milliseconds(2500),
-                                   false,  0,    {}};
+  const AttemptCompleted timed_out{"last", late, 0, AttemptStatus::kTimeout, milliseconds(2500), false,
+                                   0,      {},   {}};
   EXPECT_FALSE(logged(h.pass(timed_out), "ejected"));
 }
 
@@ -277,9 +287,9 @@
   warm_up(h);
   const std::string hung = h.ask("first", "safe", 9001);
   h.out["first"] = "";
-  EXPECT_TRUE(
-      logged(h.pass(AttemptCompleted{"first", hung, 0, AttemptStatus::kTimeout, seconds(2), false, 0, {}}),
-             "silent"));
+  EXPECT_TRUE(logged(
+      h.pass(AttemptCompleted{"first", hung, 0, AttemptStatus::kTimeout, seconds(2), false, 0, {}, {}}),
+      "silent"));
 }
 
 TEST(Admission, LateFirstTokensRejectWhatCannotStartInTimeAtOnce) {
@@ -292,7 +302,7 @@
     h.run(milliseconds(30));
     if (i >= 4) {
       const std::string done = "q" + std::to_string(i - 4);
-      h.end(done, AttemptStatus::kRead, 0, milliseconds(900));
+      h.end(done, AttemptStatus::kRead, {}, milliseconds(900));
       h.first(done, milliseconds(600));
       h.end(done, AttemptStatus::kServed);
     }
@@ -316,7 +326,7 @@
     const std::string id = "q" + std::to_string(i);
     h.ask(id, "safe", i + 1);
     h.run(milliseconds(100));
-    h.end(id, AttemptStatus::kRead, 0, milliseconds(450));
+    h.end(id, AttemptStatus::kRead, {}, milliseconds(450));
     h.first(id, milliseconds(100));
     h.end(id, AttemptStatus::kServed);
   }
--- a/tests/harness.hpp
+++ b/tests/harness.hpp
@@ -151,13 +151,21 @@
     pass(make(id, cls, session, shared, prompt, prefix));
     return out[id];
   }
-  void end(const std::string& id, AttemptStatus v, int note = 0, milliseconds elapsed = milliseconds(50),
-           LoadReport report = {}) {
+  void end(const std::string& id, AttemptStatus status, AttemptEvidence evidence = {},
+           milliseconds elapsed = milliseconds(50), LoadReport report = {}) {
+    complete(id, status, 0, evidence, elapsed, report);
+  }
+  void end_read(const std::string& id, int cached_tokens, milliseconds elapsed = milliseconds(50),
+                LoadReport report = {}) {
+    complete(id, AttemptStatus::kRead, cached_tokens, {}, elapsed, report);
+  }
+  void complete(const std::string& id, AttemptStatus v, int cached_tokens, AttemptEvidence evidence,
+                milliseconds elapsed, LoadReport report) {
     const std::string at = out[id];
     out[id] = "";
     if (v == AttemptStatus::kServed) ended[id] = true;
     if (v == AttemptStatus::kRead) held[id] = true;
-    pass(AttemptCompleted{id, at, attempts[id] - 1, v, elapsed, ended[id], note, report});
+    pass(AttemptCompleted{id, at, attempts[id] - 1, v, elapsed, ended[id], cached_tokens, evidence, report});
   }
   void first(const std::string& id, milliseconds elapsed = milliseconds(50)) {
     held[id] = false;
--- a/tests/router_test.cpp
+++ b/tests/router_test.cpp
@@ -31,7 +31,7 @@
       LoadReport load;
       load.memory_share = 0.1;
       load.prompt_kilotokens = at == kept ? 100 : std::exchange(jammed, true) ? 1 : worst;
-      h.pass(AttemptCompleted{"elsewhere", at, 0, AttemptStatus::kRead, {}, true, 0, load});
+      h.pass(AttemptCompleted{"elsewhere", at, 0, AttemptStatus::kRead, {}, true, 0, {}, load});
     }
     EXPECT_NE(h.ask("b", "safe", 7, 0, 8000), kept) << "beside " << worst;
   }
@@ -160,7 +160,7 @@
   full.memory_share = 0.95;
   full.prompt_kilotokens = 0;
   h.ask("a", "safe", 1);
-  h.end("a", AttemptStatus::kRead, 0, milliseconds(50), full);
+  h.end("a", AttemptStatus::kRead, {}, milliseconds(50), full);
   h.first("a");
   h.end("a", AttemptStatus::kServed);
   h.list({endpoint("r2", "r")}, ListKind::kDelta);
--- a/tests/routing/event_sequence_test.cpp
+++ b/tests/routing/event_sequence_test.cpp
@@ -96,11 +96,16 @@
       if (overdue || upto(3) == 0) {
         const bool proof = bad == AttemptStatus::kFull || bad == AttemptStatus::kConnectFailed;
         if (!reader && !proof) ran[id] = true;
-        const int note = bad == AttemptStatus::kFull && !reader && upto(2) == 0 ? 1 : 0;
-        if (note == 1 || (!reader && bad != AttemptStatus::kFull && upto(2) == 0)) h.held[id] = false;
-        h.end(id, bad, note);
+        const bool is_state_lost = bad == AttemptStatus::kFull && !reader && upto(2) == 0;
+        if (is_state_lost || (!reader && bad != AttemptStatus::kFull && upto(2) == 0)) h.held[id] = false;
+        h.end(id, bad, is_state_lost ? AttemptEvidence::kStateNotFound : AttemptEvidence::kNone);
       } else if (reader) {
-        h.end(id, cancelled ? AttemptStatus::kCancelled : AttemptStatus::kRead, upto(500));
+        const int cached_tokens = upto(500);
+        if (cancelled) {
+          h.end(id, AttemptStatus::kCancelled);
+        } else {
+          h.end_read(id, cached_tokens);
+        }
       } else if (upto(6) == 0 && !cancelled) {
         h.ended[id] = true;
         h.held[id] = false;
--- a/tests/routing/request_lifecycle_test.cpp
+++ b/tests/routing/request_lifecycle_test.cpp
@@ -71,8 +71,8 @@
   h.list(make_endpoints());
   h.ask("a");
   const std::size_t sent = h.sends.size();
-  h.pass(AttemptCompleted{"unknown", "r1", 0, AttemptStatus::kRead, {}, false, 0, {}});
-  h.pass(AttemptCompleted{"a", "r1", 7, AttemptStatus::kRead, {}, false, 0, {}});
+  h.pass(AttemptCompleted{"unknown", "r1", 0, AttemptStatus::kRead, {}, false, 0, {}, {}});
+  h.pass(AttemptCompleted{"a", "r1", 7, AttemptStatus::kRead, {}, false, 0, {}, {}});
   h.pass(FirstToken{"a", "nowhere", 3, {}});
   h.pass(ClientGone{"unknown"});
   h.pass(TimerExpired{12345});
--- a/tests/routing/retry_policy_test.cpp
+++ b/tests/routing/retry_policy_test.cpp
@@ -47,7 +47,7 @@
   h.list(make_endpoints());
   h.ask("a", "unsafe");
   h.end("a", AttemptStatus::kRead);
-  h.end("a", AttemptStatus::kFull, 1);
+  h.end("a", AttemptStatus::kFull, AttemptEvidence::kStateNotFound);
   EXPECT_TRUE(h.out["a"].starts_with("r"));
 }
 
@@ -136,11 +136,11 @@
     h.ask("a", "unsafe");
     int knocks = 0;
     for (; !h.ended["a"] && h.out["a"].starts_with("r") && (knocks < 5 || !one_lives); ++knocks)
-      h.end("a", AttemptStatus::kConnectFailed, 0, milliseconds(1));
+      h.end("a", AttemptStatus::kConnectFailed, {}, milliseconds(1));
     if (!one_lives) return knocks;
     EXPECT_FALSE(h.ended["a"]);
     h.end("a", AttemptStatus::kRead);
-    for (; !h.ended["a"] && h.attempts["a"] < 20; h.end("a", AttemptStatus::kConnectFailed, 0, writer_fails))
+    for (; !h.ended["a"] && h.attempts["a"] < 20; h.end("a", AttemptStatus::kConnectFailed, {}, writer_fails))
       h.now += writer_fails;
     EXPECT_EQ(h.released.size(), 1U) << "what was read is let go in time";
     return h.attempts["a"];
@@ -159,7 +159,7 @@
   h.ask("a");
   h.out["a"] = "";
   const auto actions =
-      h.pass(AttemptCompleted{"a", "m1", 0, AttemptStatus::kConnectFailed, {}, false, 0, {}});
+      h.pass(AttemptCompleted{"a", "m1", 0, AttemptStatus::kConnectFailed, {}, false, 0, {}, {}});
   bool found = false;
   for (const Action& a : actions) {
     if (const auto* r = std::get_if<Reject>(&a)) {
--- a/tests/settings_fixture.cpp
+++ b/tests/settings_fixture.cpp
@@ -48,7 +48,8 @@
         } else if constexpr (std::is_same_v<E, AttemptCompleted>) {
           return "outcome " + e.request + " attempt " + std::to_string(e.attempt) + " at " + e.endpoint +
                  ": " + name_of(e.status) + (e.finished ? ", finished" : "") +
-                 (e.note != 0 ? ", note " + std::to_string(e.note) : "");
+                 (e.cached_prompt_tokens != 0 ? ", cached " + std::to_string(e.cached_prompt_tokens) : "") +
+                 (e.evidence != AttemptEvidence::kNone ? ", with evidence" : "");
         } else if constexpr (std::is_same_v<E, FirstToken>) {
           return "first token " + e.request + " attempt " + std::to_string(e.attempt) + " at " + e.endpoint;
         } else if constexpr (std::is_same_v<E, ReservationResult>) {
@@ -357,11 +358,12 @@
   if (!chosen) return;
   const auto [q, number] = *chosen;
   const Attempt& a = q->attempts[static_cast<std::size_t>(number)];
-  if (a.reading) return end_attempt(*q, number, AttemptStatus::kRead, q->r.prompt_tokens / 3, step);
-  if (a.begun) return end_attempt(*q, number, AttemptStatus::kServed, 0, step);
-  if (a.needs_state && !state_there(*q)) return end_attempt(*q, number, AttemptStatus::kFull, 1, step);
+  if (a.reading) return end_attempt(*q, number, AttemptStatus::kRead, q->r.prompt_tokens / 3, {}, step);
+  if (a.begun) return end_attempt(*q, number, AttemptStatus::kServed, 0, {}, step);
+  if (a.needs_state && !state_there(*q))
+    return end_attempt(*q, number, AttemptStatus::kFull, 0, AttemptEvidence::kStateNotFound, step);
   // An answer may be so short that its end is all that is seen of it.
-  q->over() || step.how % 20 == 0 ? end_attempt(*q, number, AttemptStatus::kServed, 0, step)
+  q->over() || step.how % 20 == 0 ? end_attempt(*q, number, AttemptStatus::kServed, 0, {}, step)
                                   : begin_stream(*q, number);
 }
 
@@ -370,15 +372,19 @@
   if (!chosen) return;
   const auto [q, number] = *chosen;
   const Attempt& a = q->attempts[static_cast<std::size_t>(number)];
-  if (a.begun) return end_attempt(*q, number, AttemptStatus::kReset, 0, step);
+  if (a.begun) return end_attempt(*q, number, AttemptStatus::kReset, 0, {}, step);
   static const AttemptStatus verdicts[] = {AttemptStatus::kFull, AttemptStatus::kConnectFailed,
                                            AttemptStatus::kReset, AttemptStatus::kError};
   const AttemptStatus v = step.which % 50 == 9 ? AttemptStatus::kNeverSent : verdicts[step.much % 4];
   // An answer that had begun and was spoilt took the state along; a state may be lost at its reader.
   const bool with_state = !a.reading && state_there(*q);
-  const bool may_note = v == AttemptStatus::kFull || v == AttemptStatus::kReset || v == AttemptStatus::kError;
-  const int noted = may_note && with_state && step.much % 3 == 0 ? 1 : 0;
-  end_attempt(*q, number, v, noted, step);
+  AttemptEvidence evidence{};
+  if (with_state && step.much % 3 == 0) {
+    if (v == AttemptStatus::kFull) evidence = AttemptEvidence::kStateNotFound;
+    if (v == AttemptStatus::kReset || v == AttemptStatus::kError)
+      evidence = AttemptEvidence::kEndpointRunning;
+  }
+  end_attempt(*q, number, v, 0, evidence, step);
 }
 
 void Fixture::leave(const Step& step) {
@@ -401,20 +407,21 @@
   pass(FirstToken{q.r.id, a.endpoint, number, now_ - a.sent});
 }
 
-void Fixture::end_attempt(Open& q, int number, AttemptStatus status, int noted, const Step& step) {
+void Fixture::end_attempt(Open& q, int number, AttemptStatus status, int cached_tokens,
+                          AttemptEvidence evidence, const Step& step) {
   Attempt& a = q.attempts[static_cast<std::size_t>(number)];
   a.out = false;
   // One that came up is no failed connection: the host turns it away.
   if (status == AttemptStatus::kConnectFailed && a.connect_by != Time{} && now_ > a.connect_by)
-    status = AttemptStatus::kFull, noted = 0;
+    status = AttemptStatus::kFull, cached_tokens = 0, evidence = {};
   a.may_have_run = !a.reading && !proves_it_never_ran(status);
   a.free = status == AttemptStatus::kConnectFailed && number < q.rules->free_connect_failures;
   if (status == AttemptStatus::kRead) q.held_at = a.endpoint;
   if (status == AttemptStatus::kServed) q.held_at.reset();
-  if (noted == 1 && !a.reading && status != AttemptStatus::kServed) q.held_at.reset();
+  if (evidence != AttemptEvidence::kNone && !a.reading) q.held_at.reset();
   if (status != AttemptStatus::kConnectFailed || !q.rules->reservation_expires_while_connecting)
     q.idle_since = now_;
-  AttemptCompleted o{q.r.id, a.endpoint, number, status, now_ - a.sent, false, noted, {}};
+  AttemptCompleted o{q.r.id, a.endpoint, number, status, now_ - a.sent, false, cached_tokens, evidence, {}};
   // The first answer that is served ends a request, and so does the break of a stream that had begun.
   o.finished = q.answered || q.gone || status == AttemptStatus::kServed || a.begun;
   if (o.finished && !q.gone && !q.answered) q.answered = true;
@@ -522,7 +529,7 @@
       const Attempt& a = q.attempts[i];
       if (!a.out || ends(q, a) > now_) continue;
       end_attempt(q, static_cast<int>(i),
-                  a.cancelled != Time{} ? AttemptStatus::kCancelled : AttemptStatus::kTimeout, 0);
+                  a.cancelled != Time{} ? AttemptStatus::kCancelled : AttemptStatus::kTimeout, 0, {});
       return true;
     }
   }
@@ -563,7 +570,7 @@
   if (in_haste) {
     for (std::size_t i = 0; i < requests_.size(); ++i) leave({});
     while (const auto chosen = pick_out(0, true))
-      end_attempt(*chosen->first, chosen->second, AttemptStatus::kReset, 0);
+      end_attempt(*chosen->first, chosen->second, AttemptStatus::kReset, 0, {});
   }
   const auto open = [&] {
     return std::any_of(requests_.begin(), requests_.end(),
@@ -574,7 +581,7 @@
     for (auto& [id, q] : requests_) {
       for (std::size_t n = 0; n < q.attempts.size(); ++n) {
         if (q.attempts[n].out && q.attempts[n].begun)
-          end_attempt(q, static_cast<int>(n), AttemptStatus::kServed, 0);
+          end_attempt(q, static_cast<int>(n), AttemptStatus::kServed, 0, {});
       }
     }
     let_pass(milliseconds(100));
--- a/tests/settings_fixture.hpp
+++ b/tests/settings_fixture.hpp
@@ -93,7 +93,8 @@
   void leave(const Step& step);
   void list(const Step& step);
   void change_settings(const Step& step);
-  void end_attempt(Open& q, int number, AttemptStatus status, int note, const Step& step = {});
+  void end_attempt(Open& q, int number, AttemptStatus status, int cached_tokens, AttemptEvidence evidence,
+                   const Step& step = {});
   void begin_stream(Open& q, int number);
   void lose_states(const std::string& endpoint);
   void send_list(ListKind kind, std::vector<EndpointInfo> entries);
