--- /dev/null
+++ b/src/routing/dispatch.hpp
@@ -0,0 +1,32 @@
+// Dispatch: which stage an open request enters next, or with which answer the router ends it. Holds no
+// threshold: the selection modules and the retry policy choose.
+#ifndef DISPATCHER_ROUTING_DISPATCH_HPP_
+#define DISPATCHER_ROUTING_DISPATCH_HPP_
+
+#include "routing/actions.hpp"
+#include "routing/eligibility.hpp"
+#include "routing/role_balance.hpp"
+
+namespace dispatcher::routing {
+
+// What a request without an attempt in flight does next. kWait: it is dispatched again at the next timer.
+enum class NextStep { kStartAttempt, kWait, kGiveUp };
+
+// The next step of a request.
+struct DispatchDecision {
+  NextStep step = NextStep::kWait;
+  Endpoint* endpoint = nullptr;  // kStartAttempt: where; never null then
+  Phase phase{};                 // kStartAttempt: what the attempt does
+};
+
+// The next attempt, if there can be one now; giving up, if there never can be. May let the request return to
+// endpoints that have failed it: see choose_reader().
+[[nodiscard]] DispatchDecision decide_next_step(const SelectionContext& selection, const RoleBalance& balance,
+                                                RequestState& state);
+
+// The answer to a request that is given up: Reject if the client may send it again, else Fail.
+[[nodiscard]] Action final_answer(const RequestState& state);
+
+}  // namespace dispatcher::routing
+
+#endif  // DISPATCHER_ROUTING_DISPATCH_HPP_
--- a/src/routing/endpoint_table.cpp
+++ b/src/routing/endpoint_table.cpp
@@ -103,6 +103,13 @@
   return result;
 }
 
+std::array<RoleStatistics, kRoles> EndpointTable::statistics_by_role() const {
+  std::array<RoleStatistics, kRoles> result;
+  for (const Role role : {Role::kReader, Role::kWriter, Role::kMixed})
+    result[role_index(role)] = statistics(role);
+  return result;
+}
+
 bool EndpointTable::has_mixed_endpoint() const {
   return std::any_of(endpoints_.begin(), endpoints_.end(),
                      [](const auto& entry) { return entry.second.role == Role::kMixed; });
--- a/src/routing/endpoint_table.hpp
+++ b/src/routing/endpoint_table.hpp
@@ -2,12 +2,14 @@
 #ifndef DISPATCHER_ROUTING_ENDPOINT_TABLE_HPP_
 #define DISPATCHER_ROUTING_ENDPOINT_TABLE_HPP_
 
+#include <array>
 #include <map>
 #include <set>
 #include <string>
 #include <vector>
 
 #include "routing/endpoint.hpp"
+#include "routing/units.hpp"
 
 namespace dispatcher::routing {
 
@@ -36,6 +38,7 @@
   [[nodiscard]] Map& entries() { return endpoints_; }
   [[nodiscard]] const Map& entries() const { return endpoints_; }
   [[nodiscard]] RoleStatistics statistics(Role role) const;
+  [[nodiscard]] std::array<RoleStatistics, kRoles> statistics_by_role() const;
   // Ready endpoints that read prompts.
   [[nodiscard]] double reader_count() const { return reader_count_; }
   [[nodiscard]] bool has_mixed_endpoint() const;
--- a/src/routing/hashing.hpp
+++ b/src/routing/hashing.hpp
@@ -3,6 +3,7 @@
 #ifndef DISPATCHER_ROUTING_HASHING_HPP_
 #define DISPATCHER_ROUTING_HASHING_HPP_
 
+#include <cmath>
 #include <cstdint>
 #include <string>
 
@@ -30,6 +31,12 @@
   return hash;
 }
 
+// How strongly `key` is drawn to the node with this hash: of several nodes the highest has the key, each with
+// a probability in proportion to its weight (weighted rendezvous hashing: Schindelhauer, Schomaker, 2005).
+[[nodiscard]] inline double weighted_rendezvous(std::uint64_t key, std::uint64_t node_hash, double weight) {
+  return std::log(unit_interval(key ^ node_hash)) / weight;
+}
+
 }  // namespace dispatcher::routing
 
 #endif  // DISPATCHER_ROUTING_HASHING_HPP_
--- a/src/routing/outlier_detection.cpp
+++ b/src/routing/outlier_detection.cpp
@@ -25,6 +25,11 @@
 constexpr Duration kMaxEjectionTime = Milliseconds(8000);   // it must be tried again in time
 constexpr int kMaxEjectionDoublings = 4;                    // past these the maximum applies anyway
 
+// Of the start averages: that of the endpoint's role, or that of states from another cell.
+std::size_t average_index(const Endpoint& endpoint, const RequestState& state) {
+  return state.fetches_from_other_cell ? kRoles : role_index(endpoint.role);
+}
+
 // The latency ratio, less what has faded of its distance from 1.
 double faded_latency_ratio(const Context& context, const Endpoint& endpoint) {
   return 1 + (endpoint.latency_ratio - 1) * std::exp2(-to_seconds(context.now - endpoint.latency_ratio_at) /
@@ -70,21 +75,15 @@
          std::clamp(endpoint.queue_delay_ratio / kFreeQueueDelayRatio, 1.0, kMaxQueueDelayFactor);
 }
 
-const ExponentialMovingAverage& OutlierDetection::average(const Endpoint& endpoint,
-                                                          const RequestState& state) const {
-  return state.fetches_from_other_cell ? remote_start_average_ : start_averages_[role_index(endpoint.role)];
-}
-
 const MovingAverage* OutlierDetection::start_average(const Endpoint& endpoint,
                                                      const RequestState& state) const {
-  const ExponentialMovingAverage& found = average(endpoint, state);
-  return found.is_trusted(kSmoothing) ? &found : nullptr;
+  const ExponentialMovingAverage& average = start_averages_[average_index(endpoint, state)];
+  return average.is_trusted(kSmoothing) ? &average : nullptr;
 }
 
 double OutlierDetection::record_start(const Context& context, const Endpoint& endpoint,
                                       const RequestState& state, Duration elapsed) {
-  ExponentialMovingAverage& average =
-      state.fetches_from_other_cell ? remote_start_average_ : start_averages_[role_index(endpoint.role)];
+  ExponentialMovingAverage& average = start_averages_[average_index(endpoint, state)];
   const double per_token = static_cast<double>(elapsed.count()) / state.start_work_tokens;
   const double ratio = average.is_trusted(kSmoothing) ? per_token / average.mean : 1;
   const bool warming_up = is_warming_up(context, endpoint);
@@ -143,12 +142,12 @@
 }
 
 void OutlierDetection::save(LearnedState& learned_state) const {
-  learned_state.far = remote_start_average_;
+  learned_state.far = start_averages_[kRoles];
   for (std::size_t role = 0; role < kRoles; ++role) learned_state.starts[role] = start_averages_[role];
 }
 
 void OutlierDetection::restore(const LearnedState& learned_state) {
-  static_cast<MovingAverage&>(remote_start_average_) = learned_state.far;
+  static_cast<MovingAverage&>(start_averages_[kRoles]) = learned_state.far;
   for (std::size_t role = 0; role < kRoles; ++role)
     static_cast<MovingAverage&>(start_averages_[role]) = learned_state.starts[role];
 }
--- a/src/routing/outlier_detection.hpp
+++ b/src/routing/outlier_detection.hpp
@@ -51,12 +51,8 @@
   void restore(const LearnedState& learned_state);
 
  private:
-  [[nodiscard]] const ExponentialMovingAverage& average(const Endpoint& endpoint,
-                                                        const RequestState& state) const;
-
-  // By role; states fetched over a cell's link apart: a slow link must not look like a slow writer.
-  std::array<ExponentialMovingAverage, kRoles> start_averages_;
-  ExponentialMovingAverage remote_start_average_;
+  // By role, and last for states fetched over a cell's link: a slow link must not look like a slow writer.
+  std::array<ExponentialMovingAverage, kRoles + 1> start_averages_;
   std::map<std::string, ExponentialMovingAverage> stream_averages_;  // seconds a stream takes, by class
   std::array<double, kRoles> failure_rates_{};                       // moving average, by role
 };
--- a/src/routing/reader_selection.cpp
+++ b/src/routing/reader_selection.cpp
@@ -38,8 +38,7 @@
   double max_states = kMinFullStates;  // at the fullest reader
 };
 
-// Ties go to the highest of a weighted hash of key and endpoint (weighted rendezvous hashing), the same for
-// all routers.
+// Ties go to the highest of a weighted hash of key and endpoint, the same for all routers.
 double tie_break(const SelectionContext& selection, const RoleBalance& balance, const Endpoint& endpoint,
                  std::uint64_t key) {
   const double share = endpoint.role == Role::kMixed
@@ -48,7 +47,7 @@
   const double capacity = selection.slow_start.admits_by_draw(selection.context, endpoint)
                               ? 1
                               : effective_capacity(selection.context, endpoint);
-  return std::log(unit_interval(key ^ endpoint.name_hash)) / (endpoint.weight * capacity * share);
+  return weighted_rendezvous(key, endpoint.name_hash, endpoint.weight * capacity * share);
 }
 
 // The eligible endpoints with their loads. A reader is one only while an attempt at a writer is left too.
@@ -115,14 +114,10 @@
   return max_score;
 }
 
-}  // namespace
-
 // Normalized weighted sum of prefix match, min-max load and free memory; the highest wins.
-Endpoint* choose_reader(const SelectionContext& selection, const RoleBalance& balance,
-                        const RequestState& state) {
-  RoleLoads loads{{selection.endpoints.statistics(Role::kReader),
-                   selection.endpoints.statistics(Role::kWriter),
-                   selection.endpoints.statistics(Role::kMixed)}};
+Endpoint* choose_best(const SelectionContext& selection, const RoleBalance& balance,
+                      const RequestState& state) {
+  RoleLoads loads{selection.endpoints.statistics_by_role()};
   std::vector<Candidate> candidates = find_candidates(selection, state, loads);
   for (Candidate& candidate : candidates) normalize(selection, balance, loads, candidate);
   const double max_score = score(selection, state, candidates);
@@ -141,4 +136,13 @@
   return best;
 }
 
+}  // namespace
+
+Endpoint* choose_reader(const SelectionContext& selection, const RoleBalance& balance, RequestState& state) {
+  Endpoint* reader = choose_best(selection, balance, state);
+  if (reader != nullptr || state.failed_endpoints.empty()) return reader;
+  state.failed_endpoints.clear();  // a second attempt is better than none
+  return choose_best(selection, balance, state);
+}
+
 }  // namespace dispatcher::routing
--- a/src/routing/reader_selection.hpp
+++ b/src/routing/reader_selection.hpp
@@ -8,9 +8,10 @@
 namespace dispatcher::routing {
 
 // A reader, a mixed endpoint or, where Settings::writers_read allows it and there is no other, a writer.
-// Null: none is eligible now.
+// Endpoints that have failed the request are chosen only when there is no other; all of them are forgiven
+// then (RequestState::failed_endpoints is cleared). Null: none is eligible now.
 [[nodiscard]] Endpoint* choose_reader(const SelectionContext& selection, const RoleBalance& balance,
-                                      const RequestState& state);
+                                      RequestState& state);
 
 }  // namespace dispatcher::routing
 
--- /dev/null
+++ b/src/routing/request_admission.hpp
@@ -0,0 +1,32 @@
+// Admission: what is settled about a request when it arrives.
+#ifndef DISPATCHER_ROUTING_REQUEST_ADMISSION_HPP_
+#define DISPATCHER_ROUTING_REQUEST_ADMISSION_HPP_
+
+#include "routing/context.hpp"
+#include "routing/prefix_affinity.hpp"
+#include "routing/request_state.hpp"
+#include "routing/tenant_quota.hpp"
+
+namespace dispatcher::routing {
+
+// The request's class among those of the settings, which own it. Null: there is no such class.
+[[nodiscard]] const RequestClass* find_class(const Settings& settings, const std::string& name);
+
+// Counts what arrives, by tenant and by shared prefix. Owned by one Router and used on its thread.
+class RequestAdmission {
+ public:
+  void apply_settings(const Settings& settings, Time now) { quota_.apply_settings(settings, now); }
+
+  // The state of a request that has just arrived. Takes a token of its tenant's quota and counts its shared
+  // prefix. `request_class` is one of the context's settings; `reader_count`: see EndpointTable.
+  [[nodiscard]] RequestState admit(const Context& context, const Request& request,
+                                   const RequestClass& request_class, double reader_count);
+
+ private:
+  TenantQuota quota_;
+  PrefixAffinity affinity_;
+};
+
+}  // namespace dispatcher::routing
+
+#endif  // DISPATCHER_ROUTING_REQUEST_ADMISSION_HPP_
--- a/src/routing/request_state.hpp
+++ b/src/routing/request_state.hpp
@@ -49,6 +49,8 @@
   Duration read_time{};                  // that the reader took
   Time stream_started_at{};
 
+  // The number of the attempt in flight, or of the last one.
+  [[nodiscard]] int current_attempt() const { return attempt_count - 1; }
   // Time within which its first token is wanted.
   [[nodiscard]] Duration latency_objective() const {
     return request_class->latency_objective +
--- a/src/routing/retry_policy.cpp
+++ b/src/routing/retry_policy.cpp
@@ -78,6 +78,11 @@
          context.now + lead >= state.request.client_deadline || is_window_over;
 }
 
+bool can_wait_for_reader(const Context& context, const EndpointTable& endpoints, const RequestState& state) {
+  return has_attempts_for_both_stages(state) || context.settings->writers_read ||
+         endpoints.has_mixed_endpoint();
+}
+
 bool can_wait_for_writer(const Context& context, const RequestState& state) {
   const Duration tick = std::max(context.settings->tick, Duration(1));
   const Duration next_timer = (kTimerInterval + tick - Duration(1)) / tick * tick;
--- a/src/routing/retry_policy.hpp
+++ b/src/routing/retry_policy.hpp
@@ -28,6 +28,10 @@
                                            const Endpoint& endpoint, const RequestState& state);
 // Whether no further attempt can help: none is left, or there is no time.
 [[nodiscard]] bool is_exhausted(const Context& context, const RequestState& state);
+// Whether a reader can come up for a request that finds none now: not while its last attempt must both read
+// and write and no endpoint does both.
+[[nodiscard]] bool can_wait_for_reader(const Context& context, const EndpointTable& endpoints,
+                                       const RequestState& state);
 // Whether the state that waits at the reader can wait for the next timer.
 [[nodiscard]] bool can_wait_for_writer(const Context& context, const RequestState& state);
 // Whether there are attempts left for both reading and writing.
--- a/src/routing/router.cpp
+++ b/src/routing/router.cpp
@@ -1,21 +1,17 @@
-// The life of requests: takes events, keeps the state of each open request, and asks the other modules of
-// this folder for every decision. Holds no threshold.
+// Takes events one at a time, has the other modules of this folder decide, and collects the actions that
+// follow. Holds no threshold and no choice.
 #include "routing/router.hpp"
 
 #include <algorithm>
 #include <utility>
 
-#include "routing/hashing.hpp"
-#include "routing/load_estimate.hpp"
-#include "routing/load_shedding.hpp"
-#include "routing/outlier_detection.hpp"
-#include "routing/prefix_affinity.hpp"
-#include "routing/reader_selection.hpp"
+#include "routing/attempt_lifecycle.hpp"
+#include "routing/dispatch.hpp"
+#include "routing/learned_state.hpp"
+#include "routing/open_requests.hpp"
+#include "routing/request_admission.hpp"
+#include "routing/response_observer.hpp"
 #include "routing/retry_policy.hpp"
-#include "routing/role_balance.hpp"
-#include "routing/slow_start.hpp"
-#include "routing/tenant_quota.hpp"
-#include "routing/writer_selection.hpp"
 #include "settings/check.hpp"
 
 namespace dispatcher::routing {
@@ -29,7 +25,7 @@
 class Router::Impl {
  public:
   Impl(const Settings& settings, std::uint64_t seed)
-      : context_{std::make_shared<const Settings>(settings), {}}, shedding_(seed) {
+      : context_{std::make_shared<const Settings>(settings), {}}, observer_(seed) {
     settings::require_valid(*context_.settings);
   }
 
@@ -37,10 +33,7 @@
     context_.now = std::max(context_.now, now);
     if (!is_started_) start(now);
     std::visit([this](const auto& typed_event) { handle(typed_event); }, event);
-    if (!is_timer_set_ && (!requests_.empty() || needs_subscription_)) {
-      is_timer_set_ = true;
-      emit(SetTimer{retry_policy::timer_interval(*context_.settings), kTimerTag});
-    }
+    set_timer_if_needed();
     return std::exchange(actions_, {});
   }
 
@@ -52,30 +45,28 @@
   }
 
   [[nodiscard]] LearnedState learned_state() const {
-    LearnedState learned_state;
-    outliers_.save(learned_state);
-    slow_start_.save(learned_state);
-    for (const auto& [name, endpoint] : endpoints_.entries()) {
-      if (!is_warming_up(context_, endpoint)) continue;
-      const auto& sends = endpoint.sends_while_warming_up;
-      learned_state.endpoints.push_back({name, {sends.begin(), sends.end()}, endpoint.reinstated_at});
-    }
-    return learned_state;
+    return save_learned_state(context_, observer_, endpoints_);
   }
 
  private:
-  // ---- events ----
+  // ---- events that concern the router as a whole ----
 
   void start(Time now) {
     is_started_ = true;
-    slow_start_.start(now);
+    observer_.start(now);
     apply_settings();
     if (context_.settings->polls_endpoint_list) emit(Subscribe{});
   }
 
   void apply_settings() {
-    shedding_.apply_settings(*context_.settings);
-    quota_.apply_settings(*context_.settings, context_.now);
+    observer_.apply_settings(*context_.settings);
+    admission_.apply_settings(*context_.settings, context_.now);
+  }
+
+  void set_timer_if_needed() {
+    if (is_timer_set_ || (requests_.is_empty() && !needs_subscription_)) return;
+    is_timer_set_ = true;
+    emit(SetTimer{retry_policy::timer_interval(*context_.settings), kTimerTag});
   }
 
   void handle(const SettingsChanged& changed) {
@@ -88,138 +79,108 @@
     if (needs_subscription_) return;
     for (const std::string& name : endpoints_.apply(list, *context_.settings, context_.now))
       emit(LogMessage{"endpoint " + name + " restarted"});
-    slow_start_.update(context_, endpoints_);
+    observer_.update(context_, endpoints_);
   }
 
   void handle(const AdministrativeDrain& drain) {
-    if (endpoints_.apply(drain, context_.now)) slow_start_.update(context_, endpoints_);
+    if (endpoints_.apply(drain, context_.now)) observer_.update(context_, endpoints_);
   }
 
   void handle(const LearnedState& learned_state) {
-    outliers_.restore(learned_state);
-    slow_start_.restore(context_, learned_state);
-    for (const LearnedState::EndpointHistory& history : learned_state.endpoints) {
-      Endpoint* endpoint = endpoints_.find(history.endpoint);
-      if (endpoint == nullptr) continue;
-      endpoint->sends_while_warming_up.assign(history.sends.begin(), history.sends.end());
-      endpoint->reinstated_at = history.back;
-    }
-    slow_start_.update(context_, endpoints_);
+    restore_learned_state(learned_state, context_, observer_, endpoints_);
   }
 
   void handle(const PeerForwarded& forwarded) {
-    Endpoint* endpoint = endpoints_.find(forwarded.endpoint);
-    if (endpoint != nullptr && is_warming_up(context_, *endpoint))
-      endpoint->sends_while_warming_up.push_back(context_.now);
+    if (Endpoint* endpoint = endpoints_.find(forwarded.endpoint); endpoint != nullptr)
+      record_send(context_, *endpoint);
   }
 
+  void handle(const ReservationResult& /*result*/) {}  // the router makes no reservations at writers yet
+
+  void handle(const TimerExpired& timer) {
+    if (timer.tag != kTimerTag || !is_timer_set_) return;
+    is_timer_set_ = false;
+    if (needs_subscription_ && context_.settings->polls_endpoint_list) emit(Subscribe{});
+    needs_subscription_ = false;
+    observer_.update(context_, endpoints_);
+    requests_.for_each_unanswered([this](RequestState& state) { revisit(state); });
+  }
+
+  // ---- events of one request ----
+
   void handle(const Request& request) {
-    if (requests_.contains(request.id)) return;
-    const Settings& settings = *context_.settings;
-    const auto request_class =
-        std::find_if(settings.classes.begin(), settings.classes.end(),
-                     [&](const RequestClass& known) { return known.name == request.request_class; });
-    if (request_class == settings.classes.end()) return emit(Fail{request.id});
-    RequestState& state = requests_[request.id];
-    state.request = request;
-    state.settings = context_.settings;
-    state.request_class = &*request_class;
-    state.idle_since = context_.now;
-    state.is_over_quota = quota_.is_over_quota(request.tenant, context_.now);
-    affinity_.record(request.shared_prefix);
-    state.affinity_key = affinity_.affinity_key(request, settings.router_number, endpoints_.reader_count());
-    state.session_key = session_key(request);
-    if (shedding_.should_shed(context_.now, state, requests_)) {
+    if (requests_.find(request.id) != nullptr) return;
+    const RequestClass* request_class = find_class(*context_.settings, request.request_class);
+    if (request_class == nullptr) return emit(Fail{request.id});
+    RequestState& state =
+        requests_.insert(admission_.admit(context_, request, *request_class, endpoints_.reader_count()));
+    if (observer_.should_shed(context_, state, requests_)) {
       give_up(state);
     } else {
       dispatch(state);
     }
-    erase_if_settled(state);
+    requests_.erase_if_settled(state);
   }
 
   void handle(const FirstToken& first_token) {
-    RequestState* state = find_in_flight(first_token.request, first_token.attempt);
+    RequestState* state = requests_.find_in_flight(first_token.request, first_token.attempt);
     if (state == nullptr) return;
-    forget_waiting_state(*state);
-    state->phase = Phase::kStreaming;
-    state->stream_started_at = context_.now;
-    const double took = to_seconds(state->read_time + first_token.elapsed);  // lost attempts are no queue
-    const double objective_ratio = took / to_seconds(state->latency_objective());
-    shedding_.record_start(context_.now, objective_ratio);
-    balance_.record_start(*state, objective_ratio);
-    Endpoint* endpoint = endpoints_.find(state->endpoint);
-    if (endpoint == nullptr) return;
-    endpoint->pending_prompt_tokens = std::max(0.0, endpoint->pending_prompt_tokens - state->tokens_to_read);
-    state->tokens_to_read = 0;
-    ++endpoint->started_streams;
-    record_start(*endpoint, *state, first_token.elapsed);
+    Endpoint* endpoint = begin_stream(context_, endpoints_, *state);
+    emit_if_present(observer_.record_first_token(context_, requests_, endpoint, *state, first_token.elapsed));
   }
 
   void handle(const AttemptCompleted& completed) {
     Endpoint* endpoint = endpoints_.find(completed.endpoint);
     if (endpoint != nullptr) endpoint->record_report(completed.report, context_.now);
-    RequestState* state = find_in_flight(completed.request, completed.attempt);
+    RequestState* state = requests_.find_in_flight(completed.request, completed.attempt);
     if (state == nullptr) return;
     const Phase phase = state->phase;
-    detach(*state, completed.status);
+    end_attempt(context_, endpoints_, *state, completed.status);
     if (endpoint != nullptr) observe_completion(*endpoint, *state, completed, phase);
-    if (completed.status == AttemptStatus::kRead) keep_read_state(*state, endpoint, completed);
+    if (completed.status == AttemptStatus::kRead) hold_prompt_state(*state, endpoint, completed);
     if (completed.finished || state->is_ended) {  // no answer is owed any more
       state->is_ended = true;
-      release(*state);
+      emit_if_present(release_prompt_state(endpoints_, *state));
     } else {
-      continue_after(*state, endpoint, completed, phase);
+      record_unanswered(endpoints_, *state, endpoint, completed, phase);
+      continue_after(*state, completed.status);
     }
-    erase_if_settled(*state);
+    requests_.erase_if_settled(*state);
   }
 
-  void handle(const ReservationResult& /*result*/) {}  // the router makes no reservations at writers yet
-
   void handle(const ClientGone& gone) {
-    const auto it = requests_.find(gone.request);
-    if (it == requests_.end()) return;
-    RequestState& state = it->second;
-    state.is_ended = true;
-    if (!state.is_in_flight) {
-      release(state);
-    } else if (state.phase != Phase::kStreaming && context_.settings->may_cancel && !state.is_cancelled) {
-      cancel(state);
-    }
-    erase_if_settled(state);
-  }
-
-  void handle(const TimerExpired& timer) {
-    if (timer.tag != kTimerTag || !is_timer_set_) return;
-    is_timer_set_ = false;
-    if (needs_subscription_ && context_.settings->polls_endpoint_list) emit(Subscribe{});
-    needs_subscription_ = false;
-    slow_start_.update(context_, endpoints_);
-    for (auto it = requests_.begin(); it != requests_.end();) {
-      RequestState& state = it->second;
-      ++it;  // the request may be erased
-      if (!state.is_ended) revisit(state);
+    RequestState* state = requests_.find(gone.request);
+    if (state == nullptr) return;
+    state->is_ended = true;
+    if (!state->is_in_flight) {
+      emit_if_present(release_prompt_state(endpoints_, *state));
+    } else if (state->phase != Phase::kStreaming && context_.settings->may_cancel && !state->is_cancelled) {
+      emit(cancel_attempt(*state));
     }
+    requests_.erase_if_settled(*state);
   }
 
-  // ---- one request ----
+  // ---- steps of one request ----
 
-  [[nodiscard]] RequestState* find_in_flight(const std::string& id, int attempt) {
-    const auto it = requests_.find(id);
-    if (it == requests_.end()) return nullptr;
-    RequestState& state = it->second;
-    return state.is_in_flight && state.attempt_count - 1 == attempt ? &state : nullptr;
+  void observe_completion(Endpoint& endpoint, const RequestState& state, const AttemptCompleted& completed,
+                          Phase phase) {
+    for (LogMessage& log :
+         observer_.record_completion(context_, endpoints_, requests_, endpoint, state, completed, phase))
+      emit(std::move(log));
   }
 
-  void erase_if_settled(const RequestState& state) {
-    if (state.is_ended && !state.is_in_flight) requests_.erase(state.request.id);
+  // An attempt ended without a final answer: retries or gives up.
+  void continue_after(RequestState& state, AttemptStatus status) {
+    if (retry_policy::may_retry(context_, state, status)) {
+      dispatch(state);
+    } else {
+      give_up(state);
+    }
   }
 
   // Looks at an open request when the timer has expired.
   void revisit(RequestState& state) {
-    if (retry_policy::has_become_late(context_.now, state)) {
-      state.is_counted_late = true;
-      shedding_.record_late(context_.now);
-    }
+    observer_.record_if_late(context_, state);
     if (state.is_in_flight) {
       watch_attempt(state);
     } else if (retry_policy::is_reservation_expired(context_, state)) {
@@ -227,7 +188,7 @@
     } else {
       dispatch(state);
     }
-    erase_if_settled(state);
+    requests_.erase_if_settled(state);
   }
 
   void watch_attempt(RequestState& state) {
@@ -239,186 +200,41 @@
       emit(MigrateStream{state.request.id});
       return;
     }
-    outliers_.record_wait(*endpoint, state, context_.now - state.sent_at);
-    if (retry_policy::should_cancel(context_, outliers_, shedding_, endpoints_, *endpoint, state))
-      cancel(state);
+    observer_.record_wait(context_, *endpoint, state);
+    if (retry_policy::should_cancel(context_, observer_.outliers(), observer_.shedding(), endpoints_,
+                                    *endpoint, state))
+      emit(cancel_attempt(state));
   }
 
-  // Starts the request's next attempt, if there can be one now; gives up if there never can be.
   void dispatch(RequestState& state) {
-    if (retry_policy::is_exhausted(context_, state)) return give_up(state);
-    if (state.phase == Phase::kNeedsWriter) return dispatch_to_writer(state);
-    const SelectionContext selection{context_, endpoints_, slow_start_};
-    Endpoint* reader = choose_reader(selection, balance_, state);
-    if (reader == nullptr && !state.failed_endpoints.empty()) {  // a second attempt is better than none
-      state.failed_endpoints.clear();
-      reader = choose_reader(selection, balance_, state);
-    }
-    if (reader != nullptr) {
-      start_attempt(state, *reader, reader->role == Role::kReader ? Phase::kReading : Phase::kWriting);
-    } else if (!retry_policy::has_attempts_for_both_stages(state) && !has_single_stage_endpoint()) {
-      give_up(state);
-    }
-  }
-
-  void dispatch_to_writer(RequestState& state) {
-    const SelectionContext selection{context_, endpoints_, slow_start_};
-    Endpoint* writer = choose_writer(selection, state, Role::kWriter);
-    if (writer == nullptr) writer = choose_writer(selection, state, Role::kMixed);
-    if (writer != nullptr) {
-      start_attempt(state, *writer, Phase::kWriting);
-    } else if (!retry_policy::can_wait_for_writer(context_, state)) {
-      give_up(state);
-    }
-  }
-
-  // Whether there are endpoints that both read and write a request in one attempt.
-  [[nodiscard]] bool has_single_stage_endpoint() const {
-    return context_.settings->writers_read || endpoints_.has_mixed_endpoint();
-  }
-
-  void start_attempt(RequestState& state, Endpoint& endpoint, Phase phase) {
-    const bool reads = phase == Phase::kReading || !state.holds_state;
-    const bool fills_cache = reads && endpoint.role != Role::kWriter;
-    const Endpoint* source = state.holds_state ? endpoints_.find(state.reader) : nullptr;
-    state.phase = phase;
-    state.is_in_flight = true;
-    state.is_cancelled = false;
-    state.later_sends_answered = 0;
-    state.endpoint = endpoint.endpoint;
-    state.sent_at = context_.now;
-    state.predicted_cached_tokens = fills_cache ? cached_tokens(endpoint, state) : 0;
-    state.tokens_to_read =
-        reads ? std::max(0, state.request.prompt_tokens - state.predicted_cached_tokens) : 0;
-    state.fetches_from_other_cell = source != nullptr && !in_same_cell(*source, endpoint);
-    state.start_work_tokens = start_work(endpoint, state.tokens_to_read);
-    ++state.attempt_count;
-    ++state.charged_attempts;
-    const retry_policy::AttemptLimits limits =
-        retry_policy::attempt_limits(context_, outliers_, endpoint, state);
-    emit(StartAttempt{state.request.id, endpoint.endpoint, limits.deadline, limits.connect_by});
-    endpoint.pending_prompt_tokens += state.tokens_to_read;
-    endpoint.tokens_since_report += state.tokens_to_read;
-    ++active_attempts(endpoint, phase);
-    if (is_warming_up(context_, endpoint)) endpoint.sends_while_warming_up.push_back(context_.now);
-    endpoint.awaits_first_send = false;
-    if (fills_cache) record_cached_prompt(endpoint, state);
-  }
-
-  void cancel(RequestState& state) {
-    state.is_cancelled = true;
-    emit(CancelAttempt{state.request.id, state.attempt_count - 1});
-  }
-
-  // The attempt in flight is over: its endpoint's counters no longer include it.
-  void detach(RequestState& state, AttemptStatus status) {
-    if (Endpoint* endpoint = endpoints_.find(state.endpoint); endpoint != nullptr) {
-      int& active = active_attempts(*endpoint, state.phase);
-      active = std::max(0, active - 1);
-      if (state.phase == Phase::kStreaming)
-        endpoint->started_streams = std::max(0, endpoint->started_streams - 1);
-      endpoint->pending_prompt_tokens = std::max(0.0, endpoint->pending_prompt_tokens - state.tokens_to_read);
-      endpoint->queue_delay_ratio = 0;  // the timer finds the next oldest attempt
+    const SelectionContext selection{context_, endpoints_, observer_.slow_start()};
+    const DispatchDecision decision = decide_next_step(selection, observer_.balance(), state);
+    switch (decision.step) {
+      case NextStep::kStartAttempt:
+        emit(start_attempt(context_, observer_.outliers(), endpoints_, state, *decision.endpoint,
+                           decision.phase));
+        break;
+      case NextStep::kGiveUp:
+        give_up(state);
+        break;
+      case NextStep::kWait:
+        break;
     }
-    state.tokens_to_read = 0;
-    state.is_in_flight = false;
-    if (retry_policy::renews_reservation(state, status)) state.idle_since = context_.now;
-  }
-
-  static int& active_attempts(Endpoint& endpoint, Phase phase) {
-    return phase == Phase::kReading ? endpoint.active_reads : endpoint.active_streams;
-  }
-
-  static void keep_read_state(RequestState& state, Endpoint* reader, const AttemptCompleted& completed) {
-    state.holds_state = true;
-    state.reader = completed.endpoint;
-    state.read_time = completed.elapsed;
-    if (reader != nullptr) ++reader->waiting_states;
-  }
-
-  // An attempt ended without a final answer: retries or gives up.
-  void continue_after(RequestState& state, const Endpoint* endpoint, const AttemptCompleted& completed,
-                      Phase phase) {
-    const AttemptStatus status = completed.status;
-    if (!retry_policy::is_charged(state, status)) --state.charged_attempts;
-    if (!retry_policy::has_no_effect(status, phase) && !state.may_have_run) {
-      state.may_have_run = true;
-      state.first_run_sent_at = state.sent_at;
-      state.first_run_zone = endpoint != nullptr ? endpoint->zone : "";
-      state.first_run_cell = endpoint != nullptr ? endpoint->cell : -1;
-    }
-    if (retry_policy::excludes_endpoint(status)) state.failed_endpoints.push_back(completed.endpoint);
-    if (retry_policy::loses_state(completed)) forget_waiting_state(state);
-    state.phase = state.holds_state ? Phase::kNeedsWriter : Phase::kNeedsRead;
-    if (retry_policy::may_retry(context_, state, status)) {
-      dispatch(state);
-    } else {
-      give_up(state);
-    }
-  }
-
-  void forget_waiting_state(RequestState& state) {
-    if (!state.holds_state) return;
-    state.holds_state = false;
-    if (Endpoint* reader = endpoints_.find(state.reader); reader != nullptr)
-      reader->waiting_states = std::max(0, reader->waiting_states - 1);
-  }
-
-  void release(RequestState& state) {
-    if (state.holds_state) emit(ReleaseReservation{state.request.id});
-    forget_waiting_state(state);
   }
 
   void give_up(RequestState& state) {
-    release(state);
+    emit_if_present(release_prompt_state(endpoints_, state));
     state.is_ended = true;
-    if (retry_policy::is_retry_safe(state)) {
-      emit(Reject{state.request.id, retry_policy::retry_after(state)});
-    } else {
-      emit(Fail{state.request.id});
-    }
-  }
-
-  // ---- what endpoints show ----
-
-  void record_start(Endpoint& endpoint, const RequestState& state, Duration elapsed) {
-    count_later_send_answered(endpoint, state);
-    const double latency_ratio = outliers_.record_start(context_, endpoint, state, elapsed);
-    slow_start_.record_result(context_, endpoint);
-    emit_if_present(outliers_.record_success(context_, endpoint, latency_ratio));
-  }
-
-  // Endpoints answer in order: attempts that were sent earlier and are still waiting may be lost.
-  void count_later_send_answered(const Endpoint& endpoint, const RequestState& answered) {
-    for (auto& [id, other] : requests_) {
-      const bool is_waiting = other.is_in_flight && other.phase != Phase::kStreaming &&
-                              other.endpoint == endpoint.endpoint &&
-                              (answered.fetches_from_other_cell || !other.fetches_from_other_cell);
-      if (is_waiting && other.sent_at < answered.sent_at) ++other.later_sends_answered;
-    }
+    emit(final_answer(state));
   }
 
-  void observe_completion(Endpoint& endpoint, const RequestState& state, const AttemptCompleted& completed,
-                          Phase phase) {
-    if (completed.status == AttemptStatus::kRead) {
-      record_start(endpoint, state, completed.elapsed);
-      // Logged only: the index is not cleared, as the reader caches the prompt again from now on.
-      if (completed.cached_prompt_tokens + kBlockTokens < state.predicted_cached_tokens)
-        emit(LogMessage{"endpoint " + endpoint.endpoint + " lost cached prompts"});
-    } else if (completed.status == AttemptStatus::kServed) {
-      endpoint.last_response_at = context_.now;
-      if (phase == Phase::kStreaming) outliers_.record_stream(context_, endpoint, state);
-    } else if (completed.status == AttemptStatus::kFull &&
-               completed.evidence != AttemptEvidence::kStateNotFound) {
-      record_rejection(context_.now, endpoint, state);
-    } else if (const auto failure = retry_policy::failure_of(completed, phase, shedding_, endpoint, state)) {
-      emit_if_present(outliers_.record_failure(context_, endpoints_, endpoint, *failure));
-    }
-  }
+  // ---- actions ----
 
   void emit(Action action) { actions_.push_back(std::move(action)); }
-  void emit_if_present(std::optional<LogMessage> log) {
-    if (log) actions_.emplace_back(*std::move(log));
+
+  template <typename TypedAction>
+  void emit_if_present(std::optional<TypedAction> action) {
+    if (action) emit(*std::move(action));
   }
 
   Context context_;
@@ -426,13 +242,9 @@
   bool is_timer_set_ = false;
   bool needs_subscription_ = false;  // the endpoint list could not be had
   EndpointTable endpoints_;
-  RequestTable requests_;
-  OutlierDetection outliers_;
-  SlowStart slow_start_;
-  PrefixAffinity affinity_;
-  TenantQuota quota_;
-  LoadShedding shedding_;
-  RoleBalance balance_;
+  OpenRequests requests_;
+  RequestAdmission admission_;
+  ResponseObserver observer_;
   std::vector<Action> actions_;  // of the event that is being handled
 };
 
--- a/src/routing/writer_selection.cpp
+++ b/src/routing/writer_selection.cpp
@@ -1,7 +1,6 @@
 #include "routing/writer_selection.hpp"
 
 #include <algorithm>
-#include <cmath>
 #include <vector>
 
 #include "routing/hashing.hpp"
@@ -50,7 +49,7 @@
     const double share = share_for(*endpoint);
     if (share <= 0) continue;
     const double load = stream_load(context, *endpoint);
-    const double tie_break = std::log(unit_interval(salt ^ endpoint->name_hash)) / (endpoint->weight * share);
+    const double tie_break = weighted_rendezvous(salt, endpoint->name_hash, endpoint->weight * share);
     if (best != nullptr && (load > min_load || (load == min_load && tie_break <= best_tie_break))) continue;
     best = endpoint;
     min_load = load;
@@ -68,11 +67,9 @@
   return std::max(0.0, spare) * (endpoint.zone == reader.zone ? 1.0 : kOtherZoneWeight);
 }
 
-}  // namespace
-
 // Fewest streams, in the reader's cell unless its best stands well above the mean of all writers. What many
 // routers together bring a cell, none of them counts: only as much stays as its share of all writing takes.
-Endpoint* choose_writer(const SelectionContext& selection, const RequestState& state, Role role) {
+Endpoint* choose_in_role(const SelectionContext& selection, const RequestState& state, Role role) {
   const Context& context = selection.context;
   const Settings& settings = *context.settings;
   const Endpoint* reader = selection.endpoints.find(state.reader);
@@ -116,4 +113,11 @@
   return remote != nullptr ? remote : local;
 }
 
+}  // namespace
+
+Endpoint* choose_writer(const SelectionContext& selection, const RequestState& state) {
+  Endpoint* writer = choose_in_role(selection, state, Role::kWriter);
+  return writer != nullptr ? writer : choose_in_role(selection, state, Role::kMixed);
+}
+
 }  // namespace dispatcher::routing
--- a/src/routing/writer_selection.hpp
+++ b/src/routing/writer_selection.hpp
@@ -6,9 +6,9 @@
 
 namespace dispatcher::routing {
 
-// An endpoint of this role for the state that waits at the request's reader. Null: none is eligible now.
-[[nodiscard]] Endpoint* choose_writer(const SelectionContext& selection, const RequestState& state,
-                                      Role role);
+// A writer for the prompt state that waits at the request's reader or, where no writer is eligible, a mixed
+// endpoint. Null: none is eligible now.
+[[nodiscard]] Endpoint* choose_writer(const SelectionContext& selection, const RequestState& state);
 
 }  // namespace dispatcher::routing
 
