--- a/include/routing/settings.hpp
+++ b/include/routing/settings.hpp
@@ -77,7 +77,7 @@
 
 // Weights of the parts of the score.
 struct Goal {
-  double whole{}, worst_window{}, worst_class{}, worst_tenant{};
+  double total{}, worst_window{}, worst_class{}, worst_tenant{};
 };
 
 // All settings of one router. `router_number` and `router_count` tell the routers of a fleet apart.
--- a/src/settings/parse.cpp
+++ b/src/settings/parse.cpp
@@ -184,7 +184,7 @@
 
 Goal parse_goal(const ObjectReader& source) {
   Goal goal;
-  goal.whole = source.optional<double>(keys::kGoalTotal.name);
+  goal.total = source.optional<double>(keys::kGoalTotal.name);
   goal.worst_window = source.optional<double>(keys::kGoalWorstWindow.name);
   goal.worst_class = source.optional<double>(keys::kGoalWorstClass.name);
   goal.worst_tenant = source.optional<double>(keys::kGoalWorstTenant.name);
--- a/src/settings/value_checks.cpp
+++ b/src/settings/value_checks.cpp
@@ -67,7 +67,7 @@
                                            {keys::kProbePrice, settings.prices.probe},
                                            {keys::kEndpointListPrice, settings.prices.list_line},
                                            {keys::kWastePrice, settings.prices.waste},
-                                           {keys::kGoalTotal, settings.goal.whole},
+                                           {keys::kGoalTotal, settings.goal.total},
                                            {keys::kGoalWorstClass, settings.goal.worst_class},
                                            {keys::kGoalWorstTenant, settings.goal.worst_tenant},
                                            {keys::kGoalWorstWindow, settings.goal.worst_window}};
