--- a/include/routing/settings.hpp
+++ b/include/routing/settings.hpp
@@ -63,16 +63,16 @@
 
 // Costs that are subtracted from the score, each multiplied by a share or rate; 0: not priced.
 struct Prices {
-  double waste{};       // endpoint work that served no answer, as a share of the work asked for
-  double probe{};       // health checks and reservations, per first attempt
-  double cross_zone{};  // attempts that cross zones, per first attempt
-  double late_fail{};   // weight of requests that failed after their objective
-  double peer{};        // full messages (256 bytes) delivered to other routers, per first attempt
-  double far{};         // prompt tokens moved out of their cell, as a share of all
-  double move{};        // migrated streams, per first attempt
-  double connection{};  // mean number of open connections / (100 x endpoints)
-  double handshake{};   // new connections, per first attempt
-  double list_line{};   // lines of endpoint lists sent / (100 x first attempts)
+  double wasted_work{};          // endpoint work that served no answer, as a share of the work asked for
+  double probe{};                // health checks and reservations, per first attempt
+  double cross_zone{};           // attempts that cross zones, per first attempt
+  double late_failure{};         // weight of requests that failed after their objective
+  double peer_message{};         // full messages (256 bytes) delivered to other routers, per first attempt
+  double remote_transfer{};      // prompt tokens moved out of their cell, as a share of all
+  double migration{};            // migrated streams, per first attempt
+  double connection{};           // mean number of open connections / (100 x endpoints)
+  double handshake{};            // new connections, per first attempt
+  double endpoint_list_entry{};  // lines of endpoint lists sent / (100 x first attempts)
 };
 
 // Weights of the parts of the score.
--- a/src/settings/keys.hpp
+++ b/src/settings/keys.hpp
@@ -76,7 +76,7 @@
 inline constexpr Key kEarlyPairing{kServingGroup, "earlyPairing"};
 inline constexpr Key kResume{kServingGroup, "resume"};
 inline constexpr Key kReservationLimit{kServingGroup, "pinLimitMs"};
-inline constexpr Key kFarPrice{kServingGroup, "moveFee"};
+inline constexpr Key kRemoteTransferPrice{kServingGroup, "moveFee"};
 
 inline constexpr Key kReportSource{kLoadReports, "source"};
 inline constexpr Key kReportFields{kLoadReports, "fields"};
@@ -102,15 +102,15 @@
 inline constexpr Key kOverloadMultiple{kGuarantees, "tipMultiple"};
 inline constexpr Key kOverloadWindow{kGuarantees, "tipAfterMs"};
 
-inline constexpr Key kWastePrice{kPrices, "waste"};
+inline constexpr Key kWastedWorkPrice{kPrices, "waste"};
 inline constexpr Key kProbePrice{kPrices, "probe"};
 inline constexpr Key kCrossZonePrice{kPrices, "crossZone"};
-inline constexpr Key kLateFailPrice{kPrices, "lateFail"};
-inline constexpr Key kPeerPrice{kPrices, "peer"};
-inline constexpr Key kMovePrice{kPrices, "moves"};
+inline constexpr Key kLateFailurePrice{kPrices, "lateFail"};
+inline constexpr Key kPeerMessagePrice{kPrices, "peer"};
+inline constexpr Key kMigrationPrice{kPrices, "moves"};
 inline constexpr Key kConnectionPrice{kPrices, "connection"};
 inline constexpr Key kHandshakePrice{kPrices, "handshake"};
-inline constexpr Key kEndpointListPrice{kPrices, "registryMode"};
+inline constexpr Key kEndpointListEntryPrice{kPrices, "registryMode"};
 
 inline constexpr Key kGoalTotal{kGoal, "whole"};
 inline constexpr Key kGoalWorstWindow{kGoal, "worstWindow"};
--- a/src/settings/parse.cpp
+++ b/src/settings/parse.cpp
@@ -169,16 +169,16 @@
 
 Prices parse_prices(const ObjectReader& source, const ObjectReader& group) {
   Prices prices;
-  prices.waste = source.optional<double>(keys::kWastePrice.name);
+  prices.wasted_work = source.optional<double>(keys::kWastedWorkPrice.name);
   prices.probe = source.optional<double>(keys::kProbePrice.name);
   prices.cross_zone = source.optional<double>(keys::kCrossZonePrice.name);
-  prices.late_fail = source.optional<double>(keys::kLateFailPrice.name);
-  prices.peer = source.optional<double>(keys::kPeerPrice.name);
-  prices.far = group.optional<double>(keys::kFarPrice.name);
-  prices.move = source.optional<double>(keys::kMovePrice.name);
+  prices.late_failure = source.optional<double>(keys::kLateFailurePrice.name);
+  prices.peer_message = source.optional<double>(keys::kPeerMessagePrice.name);
+  prices.remote_transfer = group.optional<double>(keys::kRemoteTransferPrice.name);
+  prices.migration = source.optional<double>(keys::kMigrationPrice.name);
   prices.connection = source.optional<double>(keys::kConnectionPrice.name);
   prices.handshake = source.optional<double>(keys::kHandshakePrice.name);
-  prices.list_line = source.optional<double>(keys::kEndpointListPrice.name);
+  prices.endpoint_list_entry = source.optional<double>(keys::kEndpointListEntryPrice.name);
   return prices;
 }
 
--- a/src/settings/value_checks.cpp
+++ b/src/settings/value_checks.cpp
@@ -57,20 +57,21 @@
 }
 
 void check_prices_and_goal(const Settings& settings, FindingCollector& findings) {
-  const std::pair<Key, double> values[] = {{keys::kFarPrice, settings.prices.far},
-                                           {keys::kConnectionPrice, settings.prices.connection},
-                                           {keys::kCrossZonePrice, settings.prices.cross_zone},
-                                           {keys::kHandshakePrice, settings.prices.handshake},
-                                           {keys::kLateFailPrice, settings.prices.late_fail},
-                                           {keys::kMovePrice, settings.prices.move},
-                                           {keys::kPeerPrice, settings.prices.peer},
-                                           {keys::kProbePrice, settings.prices.probe},
-                                           {keys::kEndpointListPrice, settings.prices.list_line},
-                                           {keys::kWastePrice, settings.prices.waste},
-                                           {keys::kGoalTotal, settings.goal.total},
-                                           {keys::kGoalWorstClass, settings.goal.worst_class},
-                                           {keys::kGoalWorstTenant, settings.goal.worst_tenant},
-                                           {keys::kGoalWorstWindow, settings.goal.worst_window}};
+  const std::pair<Key, double> values[] = {
+      {keys::kRemoteTransferPrice, settings.prices.remote_transfer},
+      {keys::kConnectionPrice, settings.prices.connection},
+      {keys::kCrossZonePrice, settings.prices.cross_zone},
+      {keys::kHandshakePrice, settings.prices.handshake},
+      {keys::kLateFailurePrice, settings.prices.late_failure},
+      {keys::kMigrationPrice, settings.prices.migration},
+      {keys::kPeerMessagePrice, settings.prices.peer_message},
+      {keys::kProbePrice, settings.prices.probe},
+      {keys::kEndpointListEntryPrice, settings.prices.endpoint_list_entry},
+      {keys::kWastedWorkPrice, settings.prices.wasted_work},
+      {keys::kGoalTotal, settings.goal.total},
+      {keys::kGoalWorstClass, settings.goal.worst_class},
+      {keys::kGoalWorstTenant, settings.goal.worst_tenant},
+      {keys::kGoalWorstWindow, settings.goal.worst_window}};
   for (const auto& [key, value] : values) findings.warn_if_negative(path(key), value);
 }
 
--- a/tests/settings_check_test.cpp
+++ b/tests/settings_check_test.cpp
@@ -34,7 +34,7 @@
   s.report_fields = {LoadField::kMemoryShare};
   s.connect_timeout = milliseconds(250);
   s.idle_timeout = seconds(15);
-  s.prices.waste = 0.2;
+  s.prices.wasted_work = 0.2;
   s.goal = {0.3, 0.4, 0.2, 0.1};
   return s;
 }
@@ -106,8 +106,8 @@
 const std::vector<Case>& warned() {
   static const std::vector<Case> cases = {
       {"overShareWorth", [](Settings& s) { s.over_quota_weight = 1.5; }},
-      {"prices.waste", [](Settings& s) { s.prices.waste = -1; }},
-      {"familyInfo.moveFee", [](Settings& s) { s.prices.far = kNoNumber; }},
+      {"prices.wasted_work", [](Settings& s) { s.prices.wasted_work = -1; }},
+      {"familyInfo.moveFee", [](Settings& s) { s.prices.remote_transfer = kNoNumber; }},
       {"goal.worstWindow", [](Settings& s) { s.goal.worst_window = -1; }},
       {"familyInfo.memoryTokens[0]", [](Settings& s) { s.kinds[0].memory_tokens = -1; }},
       {"categories[0].worth", [](Settings& s) { s.classes[0].priority_weight = -1; }},
--- a/tests/settings_draw.cpp
+++ b/tests/settings_draw.cpp
@@ -104,7 +104,7 @@
   s.warmup_time = pick.time(milliseconds(0), milliseconds(30000));
   s.overload_multiple = pick.between(0, 6);
   s.overload_window = pick.time(milliseconds(0), milliseconds(5000));
-  s.prices.waste = pick.between(0, 0.3);
+  s.prices.wasted_work = pick.between(0, 0.3);
   return s;
 }
 
--- a/tests/settings_parse_test.cpp
+++ b/tests/settings_parse_test.cpp
@@ -40,10 +40,10 @@
   EXPECT_EQ(settings.max_open_requests, 27264);
   EXPECT_EQ(settings.classes[0].latency_objective_stretch, 1.5);
   const Prices& prices = settings.prices;
-  EXPECT_EQ(
-      (std::vector<double>{prices.waste, prices.probe, prices.cross_zone, prices.late_fail, prices.peer,
-                           prices.far, prices.move, prices.connection, prices.handshake, prices.list_line}),
-      (std::vector<double>{0.22, 0.5, 0.028, 0.08, 0.003, 0.04, 0.01, 0.02, 0.04, 1}));
+  EXPECT_EQ((std::vector<double>{prices.wasted_work, prices.probe, prices.cross_zone, prices.late_failure,
+                                 prices.peer_message, prices.remote_transfer, prices.migration,
+                                 prices.connection, prices.handshake, prices.endpoint_list_entry}),
+            (std::vector<double>{0.22, 0.5, 0.028, 0.08, 0.003, 0.04, 0.01, 0.02, 0.04, 1}));
   EXPECT_EQ((std::vector<double>{settings.goal.total, settings.goal.worst_window, settings.goal.worst_class,
                                  settings.goal.worst_tenant}),
             (std::vector<double>{0.3, 0.4, 0.2, 0.1}));
@@ -63,8 +63,8 @@
     EXPECT_EQ(settings.report_source, ReportSource::kNone);
     EXPECT_EQ(settings.weights, WeightMeaning::kNothing);
     EXPECT_TRUE(settings.report_fields.empty() && settings.zones.empty());
-    EXPECT_EQ(settings.prices.waste + settings.prices.probe + settings.prices.far + settings.goal.total +
-                  settings.max_open_requests,
+    EXPECT_EQ(settings.prices.wasted_work + settings.prices.probe + settings.prices.remote_transfer +
+                  settings.goal.total + settings.max_open_requests,
               0);
   }
 }
