--- a/include/routing/events.hpp
+++ b/include/routing/events.hpp
@@ -47,7 +47,7 @@
   std::string endpoint, zone, kind;
   int cell{};  // endpoints of one zone and cell share a fast network
   EndpointState state{};
-  double weight{};  // see Settings::weights
+  double weight{};  // see Settings::weight_meaning
   Time started{};   // start of its process; zero: long ago
 };
 
--- a/include/routing/settings.hpp
+++ b/include/routing/settings.hpp
@@ -91,7 +91,7 @@
   std::vector<EndpointKind> kinds;
   bool polls_endpoint_list{};  // endpoint lists come only after Subscribe
   Duration poll_interval{};    // of that poll; a list older than this counts as delivered
-  WeightMeaning weights{};
+  WeightMeaning weight_meaning{};
   ReportSource report_source{};
   std::vector<LoadField> report_fields;
   bool writers_read{};   // a writer that gets no state processes the prompt itself
--- a/src/settings/parse.cpp
+++ b/src/settings/parse.cpp
@@ -204,7 +204,8 @@
   settings.kinds = parse_kinds(top, group);
   settings.polls_endpoint_list =
       top.required_enum<bool>(keys::kEndpointListDelivery.name, kPollsEndpointListNames);
-  settings.weights = top.informative_enum<WeightMeaning>(keys::kWeightMeaning.name, kWeightMeaningNames);
+  settings.weight_meaning =
+      top.informative_enum<WeightMeaning>(keys::kWeightMeaning.name, kWeightMeaningNames);
   parse_load_reports(top.object(keys::kLoadReports, Presence::kOptional), settings);
   parse_serving_group(group, settings);
   const ObjectReader clients = top.object(keys::kClientBehavior, Presence::kOptional);
--- a/tests/settings_parse_test.cpp
+++ b/tests/settings_parse_test.cpp
@@ -34,7 +34,7 @@
   EXPECT_EQ(settings.report_source, ReportSource::kInAnswers);
   EXPECT_EQ(settings.report_fields,
             (std::vector<LoadField>{LoadField::kPromptKilotokens, LoadField::kInHand}));
-  EXPECT_EQ(settings.weights, WeightMeaning::kRough);
+  EXPECT_EQ(settings.weight_meaning, WeightMeaning::kRough);
   EXPECT_EQ(settings.zones, (std::vector<std::string>{"east", "west"}));
   EXPECT_EQ(settings.poll_interval, std::chrono::seconds(10));
   EXPECT_EQ(settings.max_open_requests, 27264);
@@ -61,7 +61,7 @@
     EXPECT_FALSE(settings.may_probe || settings.may_duplicate || settings.peers ||
                  settings.clients_mark_retries || settings.weight_by_work);
     EXPECT_EQ(settings.report_source, ReportSource::kNone);
-    EXPECT_EQ(settings.weights, WeightMeaning::kNothing);
+    EXPECT_EQ(settings.weight_meaning, WeightMeaning::kNothing);
     EXPECT_TRUE(settings.report_fields.empty() && settings.zones.empty());
     EXPECT_EQ(settings.prices.wasted_work + settings.prices.probe + settings.prices.remote_transfer +
                   settings.goal.total + settings.max_open_requests,
@@ -74,7 +74,7 @@
   source["weights"] = source["worthBy"] = "new";
   source["loadInfo"] = {{"source", "new"}};
   const Settings settings = parse_settings(source).settings;
-  EXPECT_EQ(settings.weights, WeightMeaning::kNothing);
+  EXPECT_EQ(settings.weight_meaning, WeightMeaning::kNothing);
   EXPECT_EQ(settings.report_source, ReportSource::kNone);
   EXPECT_FALSE(settings.weight_by_work);
 }
