--- a/include/routing/settings.hpp
+++ b/include/routing/settings.hpp
@@ -94,9 +94,9 @@
   WeightMeaning weight_meaning{};
   ReportSource report_source{};
   std::vector<LoadField> report_fields;
-  bool writers_read{};   // a writer that gets no state processes the prompt itself
-  bool early_pairing{};  // ReserveSlot is allowed
-  bool resume{};         // MigrateStream is allowed; the client of a broken stream returns
+  bool writers_can_prefill{};  // a writer that gets no state processes the prompt itself
+  bool early_pairing{};        // ReserveSlot is allowed
+  bool resume{};               // MigrateStream is allowed; the client of a broken stream returns
   bool may_cancel{};
   bool may_probe{};
   bool may_duplicate{};         // two attempts of one request may be in flight together (hedging)
--- a/src/routing/reader_selection.cpp
+++ b/src/routing/reader_selection.cpp
@@ -68,7 +68,7 @@
     if (is_eligible(selection, endpoint, state, executes ? Step::kExecute : Step::kRead))
       candidates.push_back({&endpoint, load, 0, 0});
   }
-  if (!selection.context.settings->writers_read || !candidates.empty()) return candidates;
+  if (!selection.context.settings->writers_can_prefill || !candidates.empty()) return candidates;
   for (auto& [name, endpoint] : selection.endpoints.entries()) {
     if (endpoint.role == Role::kWriter && is_eligible(selection, endpoint, state, Step::kExecute))
       candidates.push_back({&endpoint, 0, 0, 0});
--- a/src/routing/reader_selection.hpp
+++ b/src/routing/reader_selection.hpp
@@ -7,8 +7,8 @@
 
 namespace dispatcher::routing {
 
-// A reader, a mixed endpoint or, where Settings::writers_read allows it and there is no other, a writer.
-// Null: none is eligible now.
+// A reader, a mixed endpoint or, where Settings::writers_can_prefill allows it and there is no other, a
+// writer. Null: none is eligible now.
 [[nodiscard]] Endpoint* choose_reader(const SelectionContext& selection, const RoleBalance& balance,
                                       const RequestState& state);
 
--- a/src/routing/router.cpp
+++ b/src/routing/router.cpp
@@ -274,7 +274,7 @@
 
   // Whether there are endpoints that both read and write a request in one attempt.
   [[nodiscard]] bool has_single_stage_endpoint() const {
-    return context_.settings->writers_read || endpoints_.has_mixed_endpoint();
+    return context_.settings->writers_can_prefill || endpoints_.has_mixed_endpoint();
   }
 
   void start_attempt(RequestState& state, Endpoint& endpoint, Phase phase) {
--- a/src/settings/consistency_checks.cpp
+++ b/src/settings/consistency_checks.cpp
@@ -48,7 +48,8 @@
 
 // Whether one endpoint can both read a request's prompt and write its answer.
 bool has_complete_service(const Settings& settings) {
-  return has_kind(settings, Role::kMixed) || (settings.writers_read && has_kind(settings, Role::kWriter));
+  return has_kind(settings, Role::kMixed) ||
+         (settings.writers_can_prefill && has_kind(settings, Role::kWriter));
 }
 
 void check_roles(const Settings& settings, FindingCollector& findings) {
@@ -68,8 +69,8 @@
   const bool has_reader = has_kind(settings, Role::kReader);
   const bool has_writer = has_kind(settings, Role::kWriter);
   const bool has_mixed = has_kind(settings, Role::kMixed);
-  if (settings.writers_read && !has_writer)
-    findings.add_warning(path(keys::kWritersRead), "true, but no kind writes only: it changes nothing",
+  if (settings.writers_can_prefill && !has_writer)
+    findings.add_warning(path(keys::kWritersCanPrefill), "true, but no kind writes only: it changes nothing",
                          "false, or a kind of duty 'write'");
   if (settings.early_pairing && (!has_reader || !(has_writer || has_mixed)))
     findings.add_warning(path(keys::kEarlyPairing),
--- a/src/settings/keys.hpp
+++ b/src/settings/keys.hpp
@@ -72,7 +72,7 @@
 // The serving group; the first two are arrays with one element for each kind of endpoint.
 inline constexpr Key kRoles{kServingGroup, "dutyByKind"};
 inline constexpr Key kMemoryTokens{kServingGroup, "memoryTokens"};
-inline constexpr Key kWritersRead{kServingGroup, "writersRead"};
+inline constexpr Key kWritersCanPrefill{kServingGroup, "writersRead"};
 inline constexpr Key kEarlyPairing{kServingGroup, "earlyPairing"};
 inline constexpr Key kResume{kServingGroup, "resume"};
 inline constexpr Key kReservationLimit{kServingGroup, "pinLimitMs"};
--- a/src/settings/parse.cpp
+++ b/src/settings/parse.cpp
@@ -136,7 +136,7 @@
 }
 
 void parse_serving_group(const ObjectReader& group, Settings& settings) {
-  settings.writers_read = group.optional<bool>(keys::kWritersRead.name);
+  settings.writers_can_prefill = group.optional<bool>(keys::kWritersCanPrefill.name);
   settings.early_pairing = group.optional<bool>(keys::kEarlyPairing.name);
   settings.resume = group.optional<bool>(keys::kResume.name);
   settings.reservation_limit = group.required_duration(keys::kReservationLimit.name);
--- a/tests/routing/event_sequence_test.cpp
+++ b/tests/routing/event_sequence_test.cpp
@@ -15,7 +15,7 @@
   Settings s = make_settings();
   s.max_attempts = 2 + upto(5);
   s.may_cancel = upto(3) != 0;
-  s.writers_read = upto(4) == 0;
+  s.writers_can_prefill = upto(4) == 0;
   Harness h(s);
   const std::vector<std::string> names{"r1", "r2", "r3", "w1", "w2", "w3", "m1"};
   const std::vector<std::string> classes{"safe", "unsafe", "keyed", "keyed-all"};
--- a/tests/settings_check_test.cpp
+++ b/tests/settings_check_test.cpp
@@ -115,7 +115,7 @@
       {"familyInfo.writersRead",
        [](Settings& s) {
          s.kinds = {{"r", Role::kReader, 1}, {"m", Role::kMixed, 1}};
-         s.writers_read = true;
+         s.writers_can_prefill = true;
        }},
       {"familyInfo.earlyPairing",
        [](Settings& s) {
@@ -166,7 +166,7 @@
         s.may_duplicate = false;
       },
       [](Settings& s) {
-        s.kinds = {{"w", Role::kWriter, 0}}, s.writers_read = true, s.early_pairing = false;
+        s.kinds = {{"w", Role::kWriter, 0}}, s.writers_can_prefill = true, s.early_pairing = false;
       },
       [](Settings& s) { s.tenants.clear(), s.over_quota_weight = 1; },
       [](Settings& s) { s.tenants[0].quota_rps = 0; },
--- a/tests/settings_draw.cpp
+++ b/tests/settings_draw.cpp
@@ -58,12 +58,12 @@
 }
 
 // Kinds always have the same names, so that one list can be read by any of the settings.
-std::vector<EndpointKind> draw_kinds(Pick& pick, bool& writers_read) {
+std::vector<EndpointKind> draw_kinds(Pick& pick, bool& writers_can_prefill) {
   const auto r = Role::kReader, w = Role::kWriter, m = Role::kMixed;
   static const std::vector<std::vector<Role>> sets = {{r, w, w}, {r, w, m}, {m, m, m}, {r, r, w},
                                                       {r, m, m}, {w, w, w}, {w, m, m}};
   const auto& roles = sets[static_cast<std::size_t>(pick.gene()) % sets.size()];
-  writers_read = pick.maybe() || roles[0] == w;
+  writers_can_prefill = pick.maybe() || roles[0] == w;
   std::vector<EndpointKind> kinds;
   for (std::size_t i = 0; i < roles.size(); ++i)
     kinds.push_back({"k" + std::to_string(i), roles[i], pick.between(0, 400000)});
@@ -79,8 +79,8 @@
   for (int i = pick.whole(0, 3); i >= 0; --i) s.classes.push_back(draw_class(pick, i));
   for (int i = pick.whole(0, 4); i > 0; --i)
     s.tenants.push_back({"t" + std::to_string(i), pick.between(0, 30)});
-  s.kinds = draw_kinds(pick, s.writers_read);
-  const bool whole = s.writers_read || s.kinds[2].role == Role::kMixed;
+  s.kinds = draw_kinds(pick, s.writers_can_prefill);
+  const bool whole = s.writers_can_prefill || s.kinds[2].role == Role::kMixed;
   s.max_attempts = pick.whole(whole ? 1 : 2, 8);
   s.free_connect_failures = pick.maybe() ? 4 * s.max_attempts : 0;
   s.reservation_expires_while_connecting = s.free_connect_failures > 0;  // both on sockets alone
--- a/tests/settings_fixture.cpp
+++ b/tests/settings_fixture.cpp
@@ -196,7 +196,7 @@
   Attempt a;
   a.endpoint = send.endpoint;
   a.reading = to.role == Role::kReader;
-  a.needs_state = to.role == Role::kWriter && !settings_[current_]->writers_read;
+  a.needs_state = to.role == Role::kWriter && !settings_[current_]->writers_can_prefill;
   a.sent = now_;
   a.connect_by = send.connect_by;
   check(!q.held_at || !q.rules->reservation_expires_while_connecting ||
