--- a/include/routing/settings.hpp
+++ b/include/routing/settings.hpp
@@ -95,7 +95,7 @@
   ReportSource report_source{};
   std::vector<LoadField> report_fields;
   bool writers_can_prefill{};  // a writer that gets no state processes the prompt itself
-  bool early_pairing{};        // ReserveSlot is allowed
+  bool may_reserve_slots{};    // ReserveSlot is allowed
   bool resume{};               // MigrateStream is allowed; the client of a broken stream returns
   bool may_cancel{};
   bool may_probe{};
--- a/src/settings/consistency_checks.cpp
+++ b/src/settings/consistency_checks.cpp
@@ -72,8 +72,8 @@
   if (settings.writers_can_prefill && !has_writer)
     findings.add_warning(path(keys::kWritersCanPrefill), "true, but no kind writes only: it changes nothing",
                          "false, or a kind of duty 'write'");
-  if (settings.early_pairing && (!has_reader || !(has_writer || has_mixed)))
-    findings.add_warning(path(keys::kEarlyPairing),
+  if (settings.may_reserve_slots && (!has_reader || !(has_writer || has_mixed)))
+    findings.add_warning(path(keys::kMayReserveSlots),
                          "true, but without a kind that reads and one that writes no place is held ahead",
                          "false");
   if (settings.may_duplicate && settings.max_attempts == 1)
--- a/src/settings/keys.hpp
+++ b/src/settings/keys.hpp
@@ -73,7 +73,7 @@
 inline constexpr Key kRoles{kServingGroup, "dutyByKind"};
 inline constexpr Key kMemoryTokens{kServingGroup, "memoryTokens"};
 inline constexpr Key kWritersCanPrefill{kServingGroup, "writersRead"};
-inline constexpr Key kEarlyPairing{kServingGroup, "earlyPairing"};
+inline constexpr Key kMayReserveSlots{kServingGroup, "earlyPairing"};
 inline constexpr Key kResume{kServingGroup, "resume"};
 inline constexpr Key kReservationLimit{kServingGroup, "pinLimitMs"};
 inline constexpr Key kRemoteTransferPrice{kServingGroup, "moveFee"};
--- a/tests/settings_check_test.cpp
+++ b/tests/settings_check_test.cpp
@@ -28,7 +28,7 @@
   Settings s = routing::testing::make_settings();
   s.zones = {"east", "west"};
   s.tenants = {{"one", 12.5}, {"two", 7.5}};
-  s.early_pairing = true;
+  s.may_reserve_slots = true;
   s.may_duplicate = true;
   s.report_source = ReportSource::kInAnswers;
   s.report_fields = {LoadField::kMemoryShare};
@@ -48,7 +48,7 @@
 
 const std::vector<Case>& rejected() {
   static const std::vector<Case> cases = {
-      {"hostTypes", [](Settings& s) { s.kinds.clear(), s.early_pairing = false; }},
+      {"hostTypes", [](Settings& s) { s.kinds.clear(), s.may_reserve_slots = false; }},
       {"categories", [](Settings& s) { s.classes.clear(); }},
       {"balancers", [](Settings& s) { s.router_count = 0; }},
       {"myNumber", [](Settings& s) { s.router_number = -1; }},
@@ -91,11 +91,11 @@
       {"tenants[1].name", [](Settings& s) { s.tenants[1].name = "one"; }},
       {"familyInfo.dutyByKind",  // nobody reads
        [](Settings& s) {
-         s.kinds = {{"w", Role::kWriter, 1}}, s.early_pairing = false;
+         s.kinds = {{"w", Role::kWriter, 1}}, s.may_reserve_slots = false;
        }},
       {"familyInfo.dutyByKind",  // nobody writes
        [](Settings& s) {
-         s.kinds = {{"r", Role::kReader, 1}}, s.early_pairing = false;
+         s.kinds = {{"r", Role::kReader, 1}}, s.may_reserve_slots = false;
        }},
       {"limits.mostTries",
        [](Settings& s) { s.kinds.pop_back(), s.max_attempts = 1, s.may_duplicate = false; }},
@@ -162,11 +162,11 @@
       [](Settings& s) { s.may_probe = true, s.report_source = ReportSource::kInProbes; },
       [](Settings& s) { s.peers = true, s.router_count = 1; },
       [](Settings& s) {
-        s.kinds = {{"m", Role::kMixed, 0}}, s.early_pairing = false, s.max_attempts = 1,
+        s.kinds = {{"m", Role::kMixed, 0}}, s.may_reserve_slots = false, s.max_attempts = 1,
         s.may_duplicate = false;
       },
       [](Settings& s) {
-        s.kinds = {{"w", Role::kWriter, 0}}, s.writers_can_prefill = true, s.early_pairing = false;
+        s.kinds = {{"w", Role::kWriter, 0}}, s.writers_can_prefill = true, s.may_reserve_slots = false;
       },
       [](Settings& s) { s.tenants.clear(), s.over_quota_weight = 1; },
       [](Settings& s) { s.tenants[0].quota_rps = 0; },
--- a/tests/settings_fixture.cpp
+++ b/tests/settings_fixture.cpp
@@ -255,7 +255,7 @@
 
 void Fixture::carry_out(const ReserveSlot& hold) {
   owed(hold.request, "a hold");
-  check(settings_[current_]->early_pairing, "held where that is not allowed");
+  check(settings_[current_]->may_reserve_slots, "held where that is not allowed");
   check(endpoints_.contains(hold.endpoint), "held at a host that no list named");
 }
 
--- a/tests/settings_property_test.cpp
+++ b/tests/settings_property_test.cpp
@@ -29,7 +29,7 @@
       << s.overload_multiple << " in " << ms(s.overload_window) << (s.may_cancel ? ", may cancel" : "")
       << (s.resume ? ", resume" : "") << (s.writers_can_prefill ? ", writers read" : "")
       << (s.may_duplicate ? ", may duplicate" : "") << (s.polls_endpoint_list ? ", lists by asking" : "")
-      << (s.early_pairing ? ", early pairing" : "") << (s.retry_advice ? ", advice" : "") << "\n  kinds";
+      << (s.may_reserve_slots ? ", early pairing" : "") << (s.retry_advice ? ", advice" : "") << "\n  kinds";
   for (const EndpointKind& k : s.kinds)
     out << " " << k.name << " " << roles[static_cast<std::size_t>(k.role)];
   out << "\n";
