--- a/include/routing/settings.hpp
+++ b/include/routing/settings.hpp
@@ -96,7 +96,7 @@
   std::vector<LoadField> report_fields;
   bool writers_can_prefill{};  // a writer that gets no state processes the prompt itself
   bool may_reserve_slots{};    // ReserveSlot is allowed
-  bool resume{};               // MigrateStream is allowed; the client of a broken stream returns
+  bool may_migrate_streams{};  // MigrateStream is allowed; the client of a broken stream returns
   bool may_cancel{};
   bool may_probe{};
   bool may_duplicate{};         // two attempts of one request may be in flight together (hedging)
--- a/src/routing/retry_policy.cpp
+++ b/src/routing/retry_policy.cpp
@@ -160,7 +160,7 @@
 bool should_migrate(const Context& context, const Endpoint& endpoint, const RequestState& state) {
   const bool is_quiet =
       context.now - endpoint.last_response_at > scaled(state.latency_objective(), kMigrateQuietObjectives);
-  return endpoint.is_ejected && endpoint.is_unresponsive && is_quiet && context.settings->resume;
+  return endpoint.is_ejected && endpoint.is_unresponsive && is_quiet && context.settings->may_migrate_streams;
 }
 
 bool has_become_late(Time now, const RequestState& state) {
--- a/src/settings/consistency_checks.cpp
+++ b/src/settings/consistency_checks.cpp
@@ -92,8 +92,8 @@
       std::any_of(settings.classes.begin(), settings.classes.end(), [](const RequestClass& request_class) {
         return request_class.idempotency != Idempotency::kNonIdempotent;
       });
-  if (settings.resume && !settings.classes.empty() && !has_retryable_class)
-    findings.add_warning(path(keys::kResume), "true, but no class may be repeated",
+  if (settings.may_migrate_streams && !settings.classes.empty() && !has_retryable_class)
+    findings.add_warning(path(keys::kMayMigrateStreams), "true, but no class may be repeated",
                          "a class whose repeat is 'safe' or 'keyed'");
   for (std::size_t i = 0; i < settings.classes.size(); ++i) {
     const RequestClass& request_class = settings.classes[i];
--- a/src/settings/keys.hpp
+++ b/src/settings/keys.hpp
@@ -74,7 +74,7 @@
 inline constexpr Key kMemoryTokens{kServingGroup, "memoryTokens"};
 inline constexpr Key kWritersCanPrefill{kServingGroup, "writersRead"};
 inline constexpr Key kMayReserveSlots{kServingGroup, "earlyPairing"};
-inline constexpr Key kResume{kServingGroup, "resume"};
+inline constexpr Key kMayMigrateStreams{kServingGroup, "resume"};
 inline constexpr Key kReservationLimit{kServingGroup, "pinLimitMs"};
 inline constexpr Key kRemoteTransferPrice{kServingGroup, "moveFee"};
 
--- a/src/settings/parse.cpp
+++ b/src/settings/parse.cpp
@@ -138,7 +138,7 @@
 void parse_serving_group(const ObjectReader& group, Settings& settings) {
   settings.writers_can_prefill = group.optional<bool>(keys::kWritersCanPrefill.name);
   settings.may_reserve_slots = group.optional<bool>(keys::kMayReserveSlots.name);
-  settings.resume = group.optional<bool>(keys::kResume.name);
+  settings.may_migrate_streams = group.optional<bool>(keys::kMayMigrateStreams.name);
   settings.reservation_limit = group.required_duration(keys::kReservationLimit.name);
 }
 
--- a/tests/harness.hpp
+++ b/tests/harness.hpp
@@ -64,7 +64,7 @@
                 0}};
   s.kinds = {{"r", Role::kReader, 200000}, {"w", Role::kWriter, 150000}, {"m", Role::kMixed, 200000}};
   s.may_cancel = true;
-  s.resume = true;
+  s.may_migrate_streams = true;
   s.retry_advice = true;
   s.max_retry_after = milliseconds(500);
   s.max_attempts = 6;
--- a/tests/settings_draw.cpp
+++ b/tests/settings_draw.cpp
@@ -86,7 +86,7 @@
   s.reservation_expires_while_connecting = s.free_connect_failures > 0;  // both on sockets alone
   s.polls_endpoint_list = pick.maybe();
   s.may_reserve_slots = pick.maybe();
-  s.resume = pick.maybe();
+  s.may_migrate_streams = pick.maybe();
   s.may_cancel = !pick.maybe();
   s.may_duplicate = pick.maybe();
   s.may_probe = pick.maybe();
--- a/tests/settings_fixture.cpp
+++ b/tests/settings_fixture.cpp
@@ -245,7 +245,7 @@
 
 void Fixture::carry_out(const MigrateStream& move) {
   Open& q = owed(move.request, "a move");
-  check(settings_[current_]->resume, "moved where streams do not resume");
+  check(settings_[current_]->may_migrate_streams, "moved where streams do not resume");
   check(q.begun && !q.answered && !q.gone, "moved what is no running stream");
   q.answered = true;
   for (Attempt& a : q.attempts) {
@@ -331,7 +331,7 @@
       now_ + Duration(static_cast<std::int64_t>(static_cast<double>(q.cls.deadline.count()) *
                                                 (0.5 + 0.5 * (step.which % 10) / 9.0)));
   q.r.client_retry = step.how % 3 == 0;
-  q.r.resubmitted = rules->resume && step.how % 5 == 0;
+  q.r.resubmitted = rules->may_migrate_streams && step.how % 5 == 0;
   if (step.much % 50 == 3) q.r.request_class = "unknown";
   const Request r = q.r;
   const Open& here = requests_.emplace(r.id, std::move(q)).first->second;
--- a/tests/settings_property_test.cpp
+++ b/tests/settings_property_test.cpp
@@ -27,7 +27,7 @@
       << ms(s.reservation_limit) << ", slack " << ms(s.answer_slack) << ", grace " << ms(s.drain_grace)
       << ", cold " << s.warmup_initial_share << " for " << ms(s.warmup_time) << ", tip "
       << s.overload_multiple << " in " << ms(s.overload_window) << (s.may_cancel ? ", may cancel" : "")
-      << (s.resume ? ", resume" : "") << (s.writers_can_prefill ? ", writers read" : "")
+      << (s.may_migrate_streams ? ", resume" : "") << (s.writers_can_prefill ? ", writers read" : "")
       << (s.may_duplicate ? ", may duplicate" : "") << (s.polls_endpoint_list ? ", lists by asking" : "")
       << (s.may_reserve_slots ? ", early pairing" : "") << (s.retry_advice ? ", advice" : "") << "\n  kinds";
   for (const EndpointKind& k : s.kinds)
