--- a/include/routing/settings.hpp
+++ b/include/routing/settings.hpp
@@ -100,7 +100,7 @@
   bool may_cancel{};
   bool may_probe{};
   bool may_duplicate{};         // two attempts of one request may be in flight together (hedging)
-  bool peers{};                 // routers may send each other messages
+  bool may_message_peers{};     // routers may send each other messages
   bool clients_mark_retries{};  // clients mark their retries: see Request::client_retry
   bool retry_advice{};          // Reject may carry retry_after
   Duration max_retry_after{};
--- a/src/settings/keys.hpp
+++ b/src/settings/keys.hpp
@@ -88,7 +88,7 @@
 inline constexpr Key kMayCancel{kLimits, "mayCancel"};
 inline constexpr Key kMayProbe{kLimits, "mayProbe"};
 inline constexpr Key kMayDuplicate{kLimits, "mayDuplicate"};
-inline constexpr Key kPeers{kLimits, "peers"};
+inline constexpr Key kMayMessagePeers{kLimits, "peers"};
 inline constexpr Key kRetryAdvice{kLimits, "retryAfter"};
 inline constexpr Key kMaxRetryAfter{kLimits, "maxRetryAfterMs"};
 inline constexpr Key kMaxAttempts{kLimits, "mostTries"};
--- a/tests/settings_check_test.cpp
+++ b/tests/settings_check_test.cpp
@@ -160,7 +160,7 @@
       [](Settings& s) { s.prices.probe = 0.5; },  // priced, not allowed
       [](Settings& s) { s.may_probe = true, s.report_source = ReportSource::kNone, s.report_fields = {}; },
       [](Settings& s) { s.may_probe = true, s.report_source = ReportSource::kInProbes; },
-      [](Settings& s) { s.peers = true, s.router_count = 1; },
+      [](Settings& s) { s.may_message_peers = true, s.router_count = 1; },
       [](Settings& s) {
         s.kinds = {{"m", Role::kMixed, 0}}, s.may_reserve_slots = false, s.max_attempts = 1,
         s.may_duplicate = false;
--- a/tests/settings_draw.cpp
+++ b/tests/settings_draw.cpp
@@ -90,7 +90,7 @@
   s.may_cancel = !pick.maybe();
   s.may_duplicate = pick.maybe();
   s.may_probe = pick.maybe();
-  s.peers = pick.maybe();
+  s.may_message_peers = pick.maybe();
   s.retry_advice = pick.maybe();
   s.max_retry_after = pick.time(milliseconds(0), milliseconds(3000));
   s.report_source = pick.of({ReportSource::kInAnswers, ReportSource::kNone, ReportSource::kInProbes});
