--- a/include/routing/settings.hpp
+++ b/include/routing/settings.hpp
@@ -99,7 +99,7 @@
   bool may_migrate_streams{};  // MigrateStream is allowed; the client of a broken stream returns
   bool may_cancel{};
   bool may_probe{};
-  bool may_duplicate{};         // two attempts of one request may be in flight together (hedging)
+  bool may_hedge{};             // two attempts of one request may be in flight together (hedging)
   bool may_message_peers{};     // routers may send each other messages
   bool clients_mark_retries{};  // clients mark their retries: see Request::client_retry
   bool retry_advice{};          // Reject may carry retry_after
--- a/src/settings/consistency_checks.cpp
+++ b/src/settings/consistency_checks.cpp
@@ -76,8 +76,8 @@
     findings.add_warning(path(keys::kMayReserveSlots),
                          "true, but without a kind that reads and one that writes no place is held ahead",
                          "false");
-  if (settings.may_duplicate && settings.max_attempts == 1)
-    findings.add_warning(path(keys::kMayDuplicate), "true, but of one attempt there is no second copy",
+  if (settings.may_hedge && settings.max_attempts == 1)
+    findings.add_warning(path(keys::kMayHedge), "true, but of one attempt there is no second copy",
                          "mostTries above 1");
 }
 
--- a/src/settings/keys.hpp
+++ b/src/settings/keys.hpp
@@ -87,7 +87,7 @@
 inline constexpr Key kIdleTimeout{kLimits, "idleCloseMs"};
 inline constexpr Key kMayCancel{kLimits, "mayCancel"};
 inline constexpr Key kMayProbe{kLimits, "mayProbe"};
-inline constexpr Key kMayDuplicate{kLimits, "mayDuplicate"};
+inline constexpr Key kMayHedge{kLimits, "mayDuplicate"};
 inline constexpr Key kMayMessagePeers{kLimits, "peers"};
 inline constexpr Key kRetryAdvice{kLimits, "retryAfter"};
 inline constexpr Key kMaxRetryAfter{kLimits, "maxRetryAfterMs"};
--- a/src/settings/parse.cpp
+++ b/src/settings/parse.cpp
@@ -147,7 +147,7 @@
   settings.idle_timeout = limits.optional_duration(keys::kIdleTimeout.name);
   settings.may_cancel = limits.optional<bool>(keys::kMayCancel.name);
   settings.may_probe = limits.optional<bool>(keys::kMayProbe.name);
-  settings.may_duplicate = limits.optional<bool>(keys::kMayDuplicate.name);
+  settings.may_hedge = limits.optional<bool>(keys::kMayHedge.name);
   settings.may_message_peers = limits.optional<bool>(keys::kMayMessagePeers.name);
   settings.retry_advice = limits.optional<bool>(keys::kRetryAdvice.name);
   settings.max_retry_after = limits.optional_duration(keys::kMaxRetryAfter.name);
--- a/tests/settings_check_test.cpp
+++ b/tests/settings_check_test.cpp
@@ -29,7 +29,7 @@
   s.zones = {"east", "west"};
   s.tenants = {{"one", 12.5}, {"two", 7.5}};
   s.may_reserve_slots = true;
-  s.may_duplicate = true;
+  s.may_hedge = true;
   s.report_source = ReportSource::kInAnswers;
   s.report_fields = {LoadField::kMemoryShare};
   s.connect_timeout = milliseconds(250);
@@ -97,8 +97,7 @@
        [](Settings& s) {
          s.kinds = {{"r", Role::kReader, 1}}, s.may_reserve_slots = false;
        }},
-      {"limits.mostTries",
-       [](Settings& s) { s.kinds.pop_back(), s.max_attempts = 1, s.may_duplicate = false; }},
+      {"limits.mostTries", [](Settings& s) { s.kinds.pop_back(), s.max_attempts = 1, s.may_hedge = false; }},
   };
   return cases;
 }
@@ -163,7 +162,7 @@
       [](Settings& s) { s.may_message_peers = true, s.router_count = 1; },
       [](Settings& s) {
         s.kinds = {{"m", Role::kMixed, 0}}, s.may_reserve_slots = false, s.max_attempts = 1,
-        s.may_duplicate = false;
+        s.may_hedge = false;
       },
       [](Settings& s) {
         s.kinds = {{"w", Role::kWriter, 0}}, s.writers_can_prefill = true, s.may_reserve_slots = false;
--- a/tests/settings_draw.cpp
+++ b/tests/settings_draw.cpp
@@ -88,7 +88,7 @@
   s.may_reserve_slots = pick.maybe();
   s.may_migrate_streams = pick.maybe();
   s.may_cancel = !pick.maybe();
-  s.may_duplicate = pick.maybe();
+  s.may_hedge = pick.maybe();
   s.may_probe = pick.maybe();
   s.may_message_peers = pick.maybe();
   s.retry_advice = pick.maybe();
--- a/tests/settings_fixture.cpp
+++ b/tests/settings_fixture.cpp
@@ -182,7 +182,7 @@
   check(!q.answered, "sent after the end");
   check(!q.begun, "sent after the first token");
   check(!q.gone, "sent after its client was gone");
-  check(out(q) == 0 || q.rules->may_duplicate, "two attempts out where duplicates are barred");
+  check(out(q) == 0 || q.rules->may_hedge, "two attempts out where duplicates are barred");
   const auto it = endpoints_.find(send.endpoint);
   check(it != endpoints_.end(), "sent to a host that no list named");
   const Known& to = it->second;
--- a/tests/settings_parse_test.cpp
+++ b/tests/settings_parse_test.cpp
@@ -29,7 +29,7 @@
   source["guarantees"]["askEveryMs"] = 10000;
   source["limits"].update({{"mayProbe", true}, {"mayDuplicate", true}, {"peers", true}, {"openCap", 27264}});
   const Settings settings = parse_settings(source).settings;
-  EXPECT_TRUE(settings.may_probe && settings.may_duplicate && settings.may_message_peers &&
+  EXPECT_TRUE(settings.may_probe && settings.may_hedge && settings.may_message_peers &&
               settings.clients_mark_retries && settings.weight_by_work);
   EXPECT_EQ(settings.report_source, ReportSource::kInAnswers);
   EXPECT_EQ(settings.report_fields,
@@ -58,7 +58,7 @@
       source["prices"] = source["goal"] = source["loadInfo"] = source["clientHabits"] = absent;
     source["weights"] = source["worthBy"] = source["dcs"] = nullptr;
     const Settings settings = parse_settings(source).settings;
-    EXPECT_FALSE(settings.may_probe || settings.may_duplicate || settings.may_message_peers ||
+    EXPECT_FALSE(settings.may_probe || settings.may_hedge || settings.may_message_peers ||
                  settings.clients_mark_retries || settings.weight_by_work);
     EXPECT_EQ(settings.report_source, ReportSource::kNone);
     EXPECT_EQ(settings.weight_meaning, WeightMeaning::kNothing);
--- a/tests/settings_property_test.cpp
+++ b/tests/settings_property_test.cpp
@@ -28,7 +28,7 @@
       << ", cold " << s.warmup_initial_share << " for " << ms(s.warmup_time) << ", tip "
       << s.overload_multiple << " in " << ms(s.overload_window) << (s.may_cancel ? ", may cancel" : "")
       << (s.may_migrate_streams ? ", resume" : "") << (s.writers_can_prefill ? ", writers read" : "")
-      << (s.may_duplicate ? ", may duplicate" : "") << (s.polls_endpoint_list ? ", lists by asking" : "")
+      << (s.may_hedge ? ", may duplicate" : "") << (s.polls_endpoint_list ? ", lists by asking" : "")
       << (s.may_reserve_slots ? ", early pairing" : "") << (s.retry_advice ? ", advice" : "") << "\n  kinds";
   for (const EndpointKind& k : s.kinds)
     out << " " << k.name << " " << roles[static_cast<std::size_t>(k.role)];
