--- a/adapter/simulator_session.cpp
+++ b/adapter/simulator_session.cpp
@@ -1,12 +1,12 @@
 #include "adapter/simulator_session.hpp"
 
 #include <cstdint>
-#include <stdexcept>
 #include <utility>
 
 #include "adapter/action_encoder.hpp"
 #include "adapter/event_decoder.hpp"
 #include "adapter/protocol_names.hpp"
+#include "settings/check.hpp"
 #include "settings/parse.hpp"
 
 namespace dispatcher::simulator_adapter {
@@ -57,7 +57,7 @@
   const auto seed = required_member<std::uint64_t>(message, fields::kSeed);
   try {
     routers_.insert_or_assign(dispatcher, routing::Router(settings, seed));
-  } catch (const std::invalid_argument& error) {
+  } catch (const settings::InvalidSettingsError& error) {
     routers_.erase(dispatcher);
     replies_ += encode_start_failure(dispatcher, error.what()) + "\n";
   }
--- a/src/settings/check.cpp
+++ b/src/settings/check.cpp
@@ -1,6 +1,6 @@
 #include "settings/check.hpp"
 
-#include <stdexcept>
+#include <utility>
 
 #include "settings/consistency_checks.hpp"
 #include "settings/finding_collector.hpp"
@@ -21,9 +21,12 @@
   return findings.release();
 }
 
+InvalidSettingsError::InvalidSettingsError(std::vector<Finding> all)
+    : std::invalid_argument("routing: bad settings: " + describe_errors(all)), findings(std::move(all)) {}
+
 void require_valid(const Settings& settings) {
-  const std::string errors = describe_errors(check(settings));
-  if (!errors.empty()) throw std::invalid_argument("routing: bad settings: " + errors);
+  std::vector<Finding> findings = check(settings);
+  if (has_error(findings)) throw InvalidSettingsError(std::move(findings));
 }
 
 }  // namespace dispatcher::settings
--- a/src/settings/check.hpp
+++ b/src/settings/check.hpp
@@ -4,6 +4,7 @@
 #ifndef DISPATCHER_SETTINGS_CHECK_HPP_
 #define DISPATCHER_SETTINGS_CHECK_HPP_
 
+#include <stdexcept>
 #include <vector>
 
 #include "routing/settings.hpp"
@@ -19,7 +20,13 @@
 // What is wrong beside that for a dispatcher that serves on sockets; the simulator has none.
 [[nodiscard]] std::vector<Finding> check_socket_settings(const Settings& settings);
 
-// Throws std::invalid_argument that names all errors which check() finds.
+// Settings with at least one error. what() names the errors, as the log and the simulator show them.
+struct InvalidSettingsError : std::invalid_argument {
+  explicit InvalidSettingsError(std::vector<Finding> all);
+  std::vector<Finding> findings;  // all that check() found, warnings too, in its order
+};
+
+// Throws InvalidSettingsError where check() finds an error.
 void require_valid(const Settings& settings);
 
 }  // namespace dispatcher::settings
--- a/src/settings/consistency_checks.cpp
+++ b/src/settings/consistency_checks.cpp
@@ -47,13 +47,13 @@
 }
 
 // Whether one endpoint can both read a request's prompt and write its answer.
-bool has_complete_service(const Settings& settings) {
+bool has_single_stage_kind(const Settings& settings) {
   return has_kind(settings, Role::kMixed) ||
          (settings.writers_can_prefill && has_kind(settings, Role::kWriter));
 }
 
 void check_roles(const Settings& settings, FindingCollector& findings) {
-  if (has_complete_service(settings)) return;
+  if (has_single_stage_kind(settings)) return;
   if (!has_kind(settings, Role::kReader))
     findings.add_error(path(keys::kRoles), "no kind reads a prompt",
                        "one of duty 'read' or 'both', or writersRead with one that writes");
--- a/src/settings/finding.hpp
+++ b/src/settings/finding.hpp
@@ -21,6 +21,9 @@
   std::string expected;  // what would be right; may be empty
 };
 
+// Whether at least one finding is an error.
+[[nodiscard]] bool has_error(const std::vector<Finding>& findings);
+
 // "field 'limits.mostTries': 0; wanted: at least 1".
 [[nodiscard]] std::string describe(const Finding& finding);
 
--- a/src/settings/finding_collector.cpp
+++ b/src/settings/finding_collector.cpp
@@ -34,7 +34,7 @@
   if (time.count() < 0) {
     add_error(std::move(field), format_ms(time), "at least 0");
   } else {
-    require_at_most(std::move(field), time, kMaxTime);
+    require_no_longer_than(std::move(field), time, kMaxTime);
   }
 }
 
@@ -42,11 +42,11 @@
   if (time.count() <= 0) {
     add_error(std::move(field), format_ms(time), "above 0");
   } else {
-    require_at_most(std::move(field), time, kMaxTime);
+    require_no_longer_than(std::move(field), time, kMaxTime);
   }
 }
 
-void FindingCollector::require_at_most(std::string field, Duration time, Duration maximum) {
+void FindingCollector::require_no_longer_than(std::string field, Duration time, Duration maximum) {
   if (time > maximum) add_error(std::move(field), format_ms(time), "at most " + format_ms(maximum));
 }
 
--- a/src/settings/finding_collector.hpp
+++ b/src/settings/finding_collector.hpp
@@ -23,13 +23,14 @@
 // The findings of one check, in the order in which they were added. Lives for one call, on its stack.
 class FindingCollector {
  public:
+  // `field`: its path in the JSON form. `expected` may be empty.
   void add_error(std::string field, std::string problem, std::string expected);
   void add_warning(std::string field, std::string problem, std::string expected);
 
-  // Errors for times that are out of bounds; the first two also for those beyond kMaxTime.
+  // Errors for times that are out of bounds; the first two also for times beyond kMaxTime.
   void require_not_negative(std::string field, routing::Duration time);
   void require_positive(std::string field, routing::Duration time);
-  void require_at_most(std::string field, routing::Duration time, routing::Duration maximum);
+  void require_no_longer_than(std::string field, routing::Duration time, routing::Duration maximum);
 
   // The bounds of numbers are worded so that NaN is out of bounds too.
   void require_not_negative(std::string field, double value);
--- a/src/settings/keys.hpp
+++ b/src/settings/keys.hpp
@@ -15,7 +15,7 @@
   const char* name;
 };
 
-// "limits.mostTries".
+// The path of a setting: "limits.mostTries".
 [[nodiscard]] inline std::string path(const Key& key) {
   return *key.object == '\0' ? key.name : std::string(key.object) + "." + key.name;
 }
--- a/src/settings/object_reader.hpp
+++ b/src/settings/object_reader.hpp
@@ -16,15 +16,18 @@
 
 using json::Json;
 
-// The name of an enumerator in the JSON form. Of a table of them, the first is the default.
+// The name of an enumerator in the JSON form.
 template <class Enum>
 struct EnumName {
   const char* name;
   Enum value;
 };
+
+// The names of an enumeration, of which the first is the default; must not be empty.
 template <class Enum>
 using EnumNames = std::span<const EnumName<Enum>>;
 
+// Whether a member that is missing or null is an error.
 enum class Presence { kRequired, kOptional };
 
 // Reads one object of the settings. A value that is missing or wrong becomes a finding, and its type's
@@ -36,21 +39,24 @@
   ObjectReader(const Json* object, std::string path, std::vector<Finding>& findings)
       : object_(object), path_(std::move(path)), findings_(findings) {}
 
+  // The value of a member. Null counts as missing, which is an error and gives T's default.
   template <class T>
   [[nodiscard]] T required(const std::string& key) const {
     return read<T>(key, Presence::kRequired, {}, json::type_name<T>(), json::is_convertible<T>,
                    json::convert<T>);
   }
+  // The value of a member, or `fallback` where it is missing or null.
   template <class T>
   [[nodiscard]] T optional(const std::string& key, T fallback = {}) const {
     return read<T>(key, Presence::kOptional, std::move(fallback), json::type_name<T>(),
                    json::is_convertible<T>, json::convert<T>);
   }
-  // Numbers of milliseconds.
+
+  // Numbers of milliseconds; zero where the member is missing.
   [[nodiscard]] routing::Duration required_duration(const std::string& key) const;
   [[nodiscard]] routing::Duration optional_duration(const std::string& key) const;
 
-  // Elements of an array of numbers; zero where it is shorter. The unit is in microseconds.
+  // Elements of an array of numbers; zero where it is shorter. `unit_us`: the unit, in microseconds.
   [[nodiscard]] double number_at(const std::string& key, std::size_t index) const;
   [[nodiscard]] routing::Duration duration_at(const std::string& key, std::size_t index,
                                               double unit_us) const;
@@ -69,6 +75,7 @@
   [[nodiscard]] Enum informative_enum(const std::string& key, EnumNames<Enum> names) const {
     return parse_enum(key, optional<std::string>(key, names.front().name), names, Severity::kWarning);
   }
+  // The enumerator of a name that was read from `key`. Of an unknown name the default, and a finding.
   template <class Enum>
   [[nodiscard]] Enum parse_enum(const std::string& key, const std::string& given, EnumNames<Enum> names,
                                 Severity severity) const {
@@ -81,7 +88,10 @@
     return names.front().value;
   }
 
+  // A reader of a member that is an object.
   [[nodiscard]] ObjectReader object(const std::string& key, Presence presence) const;
+  // Readers of the elements of an array of objects, and the elements of an array of strings: as many as the
+  // array has, also where some are of a wrong type.
   [[nodiscard]] std::vector<ObjectReader> objects(const std::string& key, Presence presence) const;
   [[nodiscard]] std::vector<std::string> strings(const std::string& key, Presence presence) const;
 
--- a/src/settings/parse.cpp
+++ b/src/settings/parse.cpp
@@ -228,10 +228,7 @@
 ParsedSettings parse_settings(const json::Json& source) {
   std::vector<Finding> findings;
   Settings settings = read_settings(ObjectReader(&source, "", findings));
-  const bool has_error = std::any_of(findings.begin(), findings.end(), [](const Finding& finding) {
-    return finding.severity == Severity::kError;
-  });
-  if (has_error) throw SettingsError(std::move(findings));
+  if (has_error(findings)) throw SettingsError(std::move(findings));
   return {std::move(settings), std::move(findings)};
 }
 
--- a/src/settings/parse.hpp
+++ b/src/settings/parse.hpp
@@ -14,7 +14,7 @@
 // Settings that can't be parsed, with everything that is wrong with them; what() names the errors.
 struct SettingsError : json::ParseError {
   explicit SettingsError(std::vector<Finding> all);
-  std::vector<Finding> findings;
+  std::vector<Finding> findings;  // errors and warnings, in the order of the reads
 };
 
 // Settings of which all members could be parsed.
--- a/src/settings/value_checks.cpp
+++ b/src/settings/value_checks.cpp
@@ -37,7 +37,7 @@
 
 void check_times(const Settings& settings, FindingCollector& findings) {
   findings.require_not_negative(path(keys::kTick), settings.tick);
-  if (settings.tick <= kMaxTime) findings.require_at_most(path(keys::kTick), settings.tick, kMaxTick);
+  if (settings.tick <= kMaxTime) findings.require_no_longer_than(path(keys::kTick), settings.tick, kMaxTick);
   findings.require_not_negative(path(keys::kReservationLimit), settings.reservation_limit);
   findings.require_not_negative(path(keys::kAnswerSlack), settings.answer_slack);
   findings.require_not_negative(path(keys::kPollInterval), settings.poll_interval);
