--- a/tests/settings_check_test.cpp
+++ b/tests/settings_check_test.cpp
@@ -1,7 +1,9 @@
-// The check of settings: each finding alone, what it refuses and what it lets pass with a warning.
-#include <functional>
+// The check of settings: each finding alone, which settings are rejected and which only cause a warning.
+#include <iterator>
 #include <limits>
 #include <ostream>
+#include <stdexcept>
+#include <type_traits>
 
 #include "harness.hpp"
 #include "settings/check.hpp"
@@ -10,9 +12,12 @@
 
 using namespace routing;
 
-bool operator==(const Finding& a, const Finding& b) { return a.severity == b.severity && a.field == b.field; }
-std::ostream& operator<<(std::ostream& out, const Finding& f) {
-  return out << (f.severity == Severity::kError ? "refused: " : "warned of: ") << describe(f);
+// Compares what the cases below state: the texts of findings are documented in docs/settings.md.
+bool operator==(const Finding& left, const Finding& right) {
+  return left.severity == right.severity && left.field == right.field;
+}
+std::ostream& operator<<(std::ostream& out, const Finding& finding) {
+  return out << (finding.severity == Severity::kError ? "error: " : "warning: ") << describe(finding);
 }
 
 namespace {
@@ -23,268 +28,327 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-// As an operator has them who made no mistake.
-Settings sound() {
-  Settings s = routing::testing::make_settings();
-  s.zones = {"east", "west"};
-  s.tenants = {{"one", 12.5}, {"two", 7.5}};
-  s.may_reserve_slots = true;
-  s.may_hedge = true;
-  s.report_source = ReportSource::kInAnswers;
-  s.report_fields = {LoadField::kMemoryShare};
-  s.connect_timeout = milliseconds(250);
-  s.idle_timeout = seconds(15);
-  s.prices.wasted_work = 0.2;
-  s.goal = {0.3, 0.4, 0.2, 0.1};
-  return s;
+// Settings of an operator who made no mistake.
+Settings valid_settings() {
+  Settings settings = routing::testing::make_settings();
+  settings.zones = {"east", "west"};
+  settings.tenants = {{"one", 12.5}, {"two", 7.5}};
+  settings.may_reserve_slots = true;
+  settings.may_hedge = true;
+  settings.report_source = ReportSource::kInAnswers;
+  settings.report_fields = {LoadField::kMemoryShare};
+  settings.connect_timeout = milliseconds(250);
+  settings.idle_timeout = seconds(15);
+  settings.prices.wasted_work = 0.2;
+  settings.goal = {0.3, 0.4, 0.2, 0.1};
+  return settings;
 }
 
+// The public contract of Router names this type only.
+static_assert(std::is_base_of_v<std::invalid_argument, InvalidSettingsError>);
+
+// A change to valid settings, and the field of the one finding that it causes.
 struct Case {
   const char* field;
-  std::function<void(Settings&)> change;
+  void (*change)(Settings& settings);
 };
 
 constexpr double kNoNumber = std::numeric_limits<double>::quiet_NaN();
 
-const std::vector<Case>& rejected() {
-  static const std::vector<Case> cases = {
-      {"hostTypes", [](Settings& s) { s.kinds.clear(), s.may_reserve_slots = false; }},
-      {"categories", [](Settings& s) { s.classes.clear(); }},
-      {"balancers", [](Settings& s) { s.router_count = 0; }},
-      {"myNumber", [](Settings& s) { s.router_number = -1; }},
-      {"myNumber", [](Settings& s) { s.router_number = s.router_count; }},
-      {"limits.mostTries", [](Settings& s) { s.max_attempts = 0; }},
-      {"granularityMs", [](Settings& s) { s.tick = milliseconds(-1); }},
-      {"granularityMs",
-       [](Settings& s) {
-         s.tick = s.answer_slack = s.drain_grace = hours(2);
-         s.reservation_limit = hours(7);
-         for (RequestClass& c : s.classes) c.deadline = hours(24);
-       }},
-      {"guarantees.coldMs", [](Settings& s) { s.warmup_time = hours(25); }},
-      {"categories[1].deadlineMs", [](Settings& s) { s.classes[1].deadline = hours(25); }},
-      {"familyInfo.aimUsPer1000PromptTokens[1]",
-       [](Settings& s) { s.classes[1].latency_objective_per_1000_tokens = hours(25); }},
-      {"familyInfo.pinLimitMs", [](Settings& s) { s.reservation_limit = milliseconds(-1); }},
-      {"guarantees.answerSlackMs", [](Settings& s) { s.answer_slack = milliseconds(-1); }},
-      {"guarantees.askEveryMs", [](Settings& s) { s.poll_interval = milliseconds(-1); }},
-      {"guarantees.coldMs", [](Settings& s) { s.warmup_time = milliseconds(-1); }},
-      {"guarantees.drainGraceMs", [](Settings& s) { s.drain_grace = milliseconds(-1); }},
-      {"guarantees.tipAfterMs", [](Settings& s) { s.overload_window = milliseconds(-1); }},
-      {"limits.connectTimeoutMs", [](Settings& s) { s.connect_timeout = milliseconds(-1); }},
-      {"limits.idleCloseMs", [](Settings& s) { s.idle_timeout = milliseconds(-1); }},
-      {"limits.maxRetryAfterMs", [](Settings& s) { s.max_retry_after = milliseconds(-1); }},
-      {"guarantees.tipMultiple", [](Settings& s) { s.overload_multiple = -1; }},
-      {"guarantees.tipMultiple", [](Settings& s) { s.overload_multiple = kNoNumber; }},
-      {"guarantees.coldShare", [](Settings& s) { s.warmup_initial_share = -0.1; }},
-      {"guarantees.coldShare", [](Settings& s) { s.warmup_initial_share = 1.1; }},
-      {"tenants[1].quotaRps", [](Settings& s) { s.tenants[1].quota_rps = -1; }},
-      {"categories[1].objectiveMs", [](Settings& s) { s.classes[1].latency_objective = {}; }},
-      {"categories[1].deadlineMs", [](Settings& s) { s.classes[1].deadline = {}; }},
-      {"categories[2].windowMs", [](Settings& s) { s.classes[2].deduplication_window = seconds(-1); }},
-      {"familyInfo.aimUsPer1000PromptTokens[1]",
-       [](Settings& s) { s.classes[1].latency_objective_per_1000_tokens = seconds(-1); }},
-      {"familyInfo.tokenAimMs[1]", [](Settings& s) { s.classes[1].token_latency_objective = seconds(-1); }},
-      {"categories[0].aimStretch", [](Settings& s) { s.classes[0].latency_objective_stretch = -1; }},
-      {"categories[3].name", [](Settings& s) { s.classes[3].name = "unsafe"; }},
-      {"hostTypes[2]", [](Settings& s) { s.kinds[2].name = "r"; }},
-      {"tenants[1].name", [](Settings& s) { s.tenants[1].name = "one"; }},
-      {"familyInfo.dutyByKind",  // nobody reads
-       [](Settings& s) {
-         s.kinds = {{"w", Role::kWriter, 1}}, s.may_reserve_slots = false;
-       }},
-      {"familyInfo.dutyByKind",  // nobody writes
-       [](Settings& s) {
-         s.kinds = {{"r", Role::kReader, 1}}, s.may_reserve_slots = false;
-       }},
-      {"limits.mostTries", [](Settings& s) { s.kinds.pop_back(), s.max_attempts = 1, s.may_hedge = false; }},
-  };
-  return cases;
-}
+constexpr Case kRejectedCases[] = {
+    {"hostTypes",
+     [](Settings& settings) {
+       settings.kinds.clear();
+       settings.may_reserve_slots = false;
+     }},
+    {"categories", [](Settings& settings) { settings.classes.clear(); }},
+    {"balancers", [](Settings& settings) { settings.router_count = 0; }},
+    {"myNumber", [](Settings& settings) { settings.router_number = -1; }},
+    {"myNumber", [](Settings& settings) { settings.router_number = settings.router_count; }},
+    {"limits.mostTries", [](Settings& settings) { settings.max_attempts = 0; }},
+    {"granularityMs", [](Settings& settings) { settings.tick = milliseconds(-1); }},
+    {"granularityMs",
+     [](Settings& settings) {
+       settings.tick = settings.answer_slack = settings.drain_grace = hours(2);
+       settings.reservation_limit = hours(7);
+       for (RequestClass& request_class : settings.classes) request_class.deadline = hours(24);
+     }},
+    {"guarantees.coldMs", [](Settings& settings) { settings.warmup_time = hours(25); }},
+    {"categories[1].deadlineMs", [](Settings& settings) { settings.classes[1].deadline = hours(25); }},
+    {"familyInfo.aimUsPer1000PromptTokens[1]",
+     [](Settings& settings) { settings.classes[1].latency_objective_per_1000_tokens = hours(25); }},
+    {"familyInfo.pinLimitMs", [](Settings& settings) { settings.reservation_limit = milliseconds(-1); }},
+    {"guarantees.answerSlackMs", [](Settings& settings) { settings.answer_slack = milliseconds(-1); }},
+    {"guarantees.askEveryMs", [](Settings& settings) { settings.poll_interval = milliseconds(-1); }},
+    {"guarantees.coldMs", [](Settings& settings) { settings.warmup_time = milliseconds(-1); }},
+    {"guarantees.drainGraceMs", [](Settings& settings) { settings.drain_grace = milliseconds(-1); }},
+    {"guarantees.tipAfterMs", [](Settings& settings) { settings.overload_window = milliseconds(-1); }},
+    {"limits.connectTimeoutMs", [](Settings& settings) { settings.connect_timeout = milliseconds(-1); }},
+    {"limits.idleCloseMs", [](Settings& settings) { settings.idle_timeout = milliseconds(-1); }},
+    {"limits.maxRetryAfterMs", [](Settings& settings) { settings.max_retry_after = milliseconds(-1); }},
+    {"guarantees.tipMultiple", [](Settings& settings) { settings.overload_multiple = -1; }},
+    {"guarantees.tipMultiple", [](Settings& settings) { settings.overload_multiple = kNoNumber; }},
+    {"guarantees.coldShare", [](Settings& settings) { settings.warmup_initial_share = -0.1; }},
+    {"guarantees.coldShare", [](Settings& settings) { settings.warmup_initial_share = 1.1; }},
+    {"tenants[1].quotaRps", [](Settings& settings) { settings.tenants[1].quota_rps = -1; }},
+    {"categories[1].objectiveMs", [](Settings& settings) { settings.classes[1].latency_objective = {}; }},
+    {"categories[1].deadlineMs", [](Settings& settings) { settings.classes[1].deadline = {}; }},
+    {"categories[2].windowMs",
+     [](Settings& settings) { settings.classes[2].deduplication_window = seconds(-1); }},
+    {"familyInfo.aimUsPer1000PromptTokens[1]",
+     [](Settings& settings) { settings.classes[1].latency_objective_per_1000_tokens = seconds(-1); }},
+    {"familyInfo.tokenAimMs[1]",
+     [](Settings& settings) { settings.classes[1].token_latency_objective = seconds(-1); }},
+    {"categories[0].aimStretch",
+     [](Settings& settings) { settings.classes[0].latency_objective_stretch = -1; }},
+    {"categories[3].name", [](Settings& settings) { settings.classes[3].name = "unsafe"; }},
+    {"hostTypes[2]", [](Settings& settings) { settings.kinds[2].name = "r"; }},
+    {"tenants[1].name", [](Settings& settings) { settings.tenants[1].name = "one"; }},
+    {"familyInfo.dutyByKind",  // no kind reads
+     [](Settings& settings) {
+       settings.kinds = {{"w", Role::kWriter, 1}};
+       settings.may_reserve_slots = false;
+     }},
+    {"familyInfo.dutyByKind",  // no kind writes
+     [](Settings& settings) {
+       settings.kinds = {{"r", Role::kReader, 1}};
+       settings.may_reserve_slots = false;
+     }},
+    {"limits.mostTries",
+     [](Settings& settings) {
+       settings.kinds.pop_back();
+       settings.max_attempts = 1;
+       settings.may_hedge = false;
+     }},
+};
 
-const std::vector<Case>& warned() {
-  static const std::vector<Case> cases = {
-      {"overShareWorth", [](Settings& s) { s.over_quota_weight = 1.5; }},
-      {"prices.wasted_work", [](Settings& s) { s.prices.wasted_work = -1; }},
-      {"familyInfo.moveFee", [](Settings& s) { s.prices.remote_transfer = kNoNumber; }},
-      {"goal.worstWindow", [](Settings& s) { s.goal.worst_window = -1; }},
-      {"familyInfo.memoryTokens[0]", [](Settings& s) { s.kinds[0].memory_tokens = -1; }},
-      {"categories[0].worth", [](Settings& s) { s.classes[0].priority_weight = -1; }},
-      {"categories[0].lateValue", [](Settings& s) { s.classes[0].late_weight = 1.5; }},
-      {"familyInfo.writersRead",
-       [](Settings& s) {
-         s.kinds = {{"r", Role::kReader, 1}, {"m", Role::kMixed, 1}};
-         s.writers_can_prefill = true;
-       }},
-      {"familyInfo.earlyPairing",
-       [](Settings& s) {
-         s.kinds = {{"m", Role::kMixed, 1}};
-       }},
-      {"limits.mayDuplicate", [](Settings& s) { s.max_attempts = 1; }},
-      {"familyInfo.resume",
-       [](Settings& s) {
-         for (RequestClass& c : s.classes) c.idempotency = Idempotency::kNonIdempotent;
-       }},
-      {"categories[2].windowMs", [](Settings& s) { s.classes[2].deduplication_window = {}; }},
-      {"categories[1].deadlineMs", [](Settings& s) { s.classes[1].deadline = seconds(2); }},
-      {"guarantees.answerSlackMs", [](Settings& s) { s.answer_slack = seconds(6); }},
-      {"guarantees.answerSlackMs", [](Settings& s) { s.answer_slack = milliseconds(3); }},
-      {"familyInfo.pinLimitMs", [](Settings& s) { s.reservation_limit = seconds(7); }},
-      {"familyInfo.pinLimitMs", [](Settings& s) { s.reservation_limit = milliseconds(66); }},
-      {"familyInfo.pinLimitMs",
-       [](Settings& s) { s.tick = milliseconds(15), s.reservation_limit = milliseconds(99); }},
-      {"guarantees.drainGraceMs", [](Settings& s) { s.drain_grace = milliseconds(3); }},
-      {"guarantees.tipMultiple", [](Settings& s) { s.overload_multiple = 0; }},
-      {"guarantees.tipMultiple", [](Settings& s) { s.overload_multiple = 0.9; }},
-      {"guarantees.coldShare", [](Settings& s) { s.warmup_initial_share = 0; }},
-      {"guarantees.tipAfterMs", [](Settings& s) { s.overload_window = {}; }},
-      {"guarantees.tipAfterMs", [](Settings& s) { s.overload_window = milliseconds(50); }},
-      {"loadInfo.source", [](Settings& s) { s.report_source = ReportSource::kInProbes; }},
-      {"loadInfo.fields", [](Settings& s) { s.report_fields.clear(); }},
-      {"myZone", [](Settings& s) { s.zone = "north"; }},
-      {"tenants", [](Settings& s) { s.tenants[0].quota_rps = s.tenants[1].quota_rps = 0; }},
-      {"limits.maxRetryAfterMs", [](Settings& s) { s.max_retry_after = {}; }},
-  };
-  return cases;
-}
+constexpr Case kWarningCases[] = {
+    {"overShareWorth", [](Settings& settings) { settings.over_quota_weight = 1.5; }},
+    {"prices.wasted_work", [](Settings& settings) { settings.prices.wasted_work = -1; }},
+    {"familyInfo.moveFee", [](Settings& settings) { settings.prices.remote_transfer = kNoNumber; }},
+    {"goal.worstWindow", [](Settings& settings) { settings.goal.worst_window = -1; }},
+    {"familyInfo.memoryTokens[0]", [](Settings& settings) { settings.kinds[0].memory_tokens = -1; }},
+    {"categories[0].worth", [](Settings& settings) { settings.classes[0].priority_weight = -1; }},
+    {"categories[0].lateValue", [](Settings& settings) { settings.classes[0].late_weight = 1.5; }},
+    {"familyInfo.writersRead",
+     [](Settings& settings) {
+       settings.kinds = {{"r", Role::kReader, 1}, {"m", Role::kMixed, 1}};
+       settings.writers_can_prefill = true;
+     }},
+    {"familyInfo.earlyPairing",
+     [](Settings& settings) {
+       settings.kinds = {{"m", Role::kMixed, 1}};
+     }},
+    {"limits.mayDuplicate", [](Settings& settings) { settings.max_attempts = 1; }},
+    {"familyInfo.resume",
+     [](Settings& settings) {
+       for (RequestClass& request_class : settings.classes)
+         request_class.idempotency = Idempotency::kNonIdempotent;
+     }},
+    {"categories[2].windowMs", [](Settings& settings) { settings.classes[2].deduplication_window = {}; }},
+    {"categories[1].deadlineMs", [](Settings& settings) { settings.classes[1].deadline = seconds(2); }},
+    {"guarantees.answerSlackMs", [](Settings& settings) { settings.answer_slack = seconds(6); }},
+    {"guarantees.answerSlackMs", [](Settings& settings) { settings.answer_slack = milliseconds(3); }},
+    {"familyInfo.pinLimitMs", [](Settings& settings) { settings.reservation_limit = seconds(7); }},
+    {"familyInfo.pinLimitMs", [](Settings& settings) { settings.reservation_limit = milliseconds(66); }},
+    {"familyInfo.pinLimitMs",
+     [](Settings& settings) {
+       settings.tick = milliseconds(15);
+       settings.reservation_limit = milliseconds(99);
+     }},
+    {"guarantees.drainGraceMs", [](Settings& settings) { settings.drain_grace = milliseconds(3); }},
+    {"guarantees.tipMultiple", [](Settings& settings) { settings.overload_multiple = 0; }},
+    {"guarantees.tipMultiple", [](Settings& settings) { settings.overload_multiple = 0.9; }},
+    {"guarantees.coldShare", [](Settings& settings) { settings.warmup_initial_share = 0; }},
+    {"guarantees.tipAfterMs", [](Settings& settings) { settings.overload_window = {}; }},
+    {"guarantees.tipAfterMs", [](Settings& settings) { settings.overload_window = milliseconds(50); }},
+    {"loadInfo.source", [](Settings& settings) { settings.report_source = ReportSource::kInProbes; }},
+    {"loadInfo.fields", [](Settings& settings) { settings.report_fields.clear(); }},
+    {"myZone", [](Settings& settings) { settings.zone = "north"; }},
+    {"tenants",
+     [](Settings& settings) { settings.tenants[0].quota_rps = settings.tenants[1].quota_rps = 0; }},
+    {"limits.maxRetryAfterMs", [](Settings& settings) { settings.max_retry_after = {}; }},
+};
 
-TEST(Check, FindsNothingInSoundSettings) {
-  EXPECT_EQ(check(sound()), std::vector<Finding>{});
-  EXPECT_EQ(check_socket_settings(sound()), std::vector<Finding>{});
+TEST(Check, FindsNothingInValidSettings) {
+  EXPECT_EQ(check(valid_settings()), std::vector<Finding>{});
+  EXPECT_EQ(check_socket_settings(valid_settings()), std::vector<Finding>{});
 }
 
-// None of these contradicts itself, though each looks as if it lacked its other half.
-TEST(Check, LetsWhatIsOnlyUnusualPass) {
-  const std::vector<std::function<void(Settings&)>> changes = {
-      [](Settings& s) { s.prices.probe = 0.5; },  // priced, not allowed
-      [](Settings& s) { s.may_probe = true, s.report_source = ReportSource::kNone, s.report_fields = {}; },
-      [](Settings& s) { s.may_probe = true, s.report_source = ReportSource::kInProbes; },
-      [](Settings& s) { s.may_message_peers = true, s.router_count = 1; },
-      [](Settings& s) {
-        s.kinds = {{"m", Role::kMixed, 0}}, s.may_reserve_slots = false, s.max_attempts = 1,
-        s.may_hedge = false;
-      },
-      [](Settings& s) {
-        s.kinds = {{"w", Role::kWriter, 0}}, s.writers_can_prefill = true, s.may_reserve_slots = false;
-      },
-      [](Settings& s) { s.tenants.clear(), s.over_quota_weight = 1; },
-      [](Settings& s) { s.tenants[0].quota_rps = 0; },
-      [](Settings& s) { s.warmup_time = {}, s.overload_multiple = 0; },
-      [](Settings& s) { s.overload_multiple = 1e9, s.warmup_initial_share = 1; },
-      [](Settings& s) { s.zones.clear(), s.zone = ""; },
-      [](Settings& s) { s.goal = {}, s.prices = {}; },
-      [](Settings& s) { s.retry_advice = false, s.max_retry_after = {}; },
-      [](Settings& s) { s.tick = s.answer_slack = s.drain_grace = {}; },
-      [](Settings& s) { s.tick = milliseconds(15), s.reservation_limit = milliseconds(100); },
-      [](Settings& s) { s.connect_timeout = s.idle_timeout = {}; },  // a host of the module without sockets
-  };
-  for (std::size_t i = 0; i < changes.size(); ++i) {
-    Settings s = sound();
-    changes[i](s);
-    EXPECT_EQ(check(s), std::vector<Finding>{}) << "change " << i;
+// None of these is a contradiction, though each seems to lack a setting that belongs to it.
+constexpr void (*kUnusualChanges[])(Settings& settings) = {
+    [](Settings& settings) { settings.prices.probe = 0.5; },  // priced, not allowed
+    [](Settings& settings) {
+      settings.may_probe = true;
+      settings.report_source = ReportSource::kNone;
+      settings.report_fields = {};
+    },
+    [](Settings& settings) {
+      settings.may_probe = true;
+      settings.report_source = ReportSource::kInProbes;
+    },
+    [](Settings& settings) {
+      settings.may_message_peers = true;
+      settings.router_count = 1;
+    },
+    [](Settings& settings) {
+      settings.kinds = {{"m", Role::kMixed, 0}};
+      settings.may_reserve_slots = false;
+      settings.max_attempts = 1;
+      settings.may_hedge = false;
+    },
+    [](Settings& settings) {
+      settings.kinds = {{"w", Role::kWriter, 0}};
+      settings.writers_can_prefill = true;
+      settings.may_reserve_slots = false;
+    },
+    [](Settings& settings) {
+      settings.tenants.clear();
+      settings.over_quota_weight = 1;
+    },
+    [](Settings& settings) { settings.tenants[0].quota_rps = 0; },
+    [](Settings& settings) {
+      settings.warmup_time = {};
+      settings.overload_multiple = 0;
+    },
+    [](Settings& settings) {
+      settings.overload_multiple = 1e9;
+      settings.warmup_initial_share = 1;
+    },
+    [](Settings& settings) {
+      settings.zones.clear();
+      settings.zone = "";
+    },
+    [](Settings& settings) {
+      settings.goal = {};
+      settings.prices = {};
+    },
+    [](Settings& settings) {
+      settings.retry_advice = false;
+      settings.max_retry_after = {};
+    },
+    [](Settings& settings) { settings.tick = settings.answer_slack = settings.drain_grace = {}; },
+    [](Settings& settings) {
+      settings.tick = milliseconds(15);
+      settings.reservation_limit = milliseconds(100);
+    },
+    [](Settings& settings) {
+      settings.connect_timeout = settings.idle_timeout = {};
+    },  // a user of the module without sockets
+};
+
+TEST(Check, AcceptsUnusualSettingsWithoutAFinding) {
+  for (std::size_t i = 0; i < std::size(kUnusualChanges); ++i) {
+    Settings settings = valid_settings();
+    kUnusualChanges[i](settings);
+    EXPECT_EQ(check(settings), std::vector<Finding>{}) << "change " << i;
   }
 }
 
-TEST(Check, RefusesWhatMeansNothingContradictsItselfOrServesNobody) {
-  for (const Case& c : rejected()) {
-    Settings s = sound();
-    c.change(s);
-    EXPECT_EQ(check(s), (std::vector<Finding>{{Severity::kError, c.field, "", ""}}));
+TEST(Check, RejectsMeaninglessAndContradictorySettingsAndThoseThatServeNobody) {
+  for (const Case& test_case : kRejectedCases) {
+    Settings settings = valid_settings();
+    test_case.change(settings);
+    EXPECT_EQ(check(settings), (std::vector<Finding>{{Severity::kError, test_case.field, "", ""}}));
     try {
-      Router(s, 1);
-      ADD_FAILURE() << c.field << " was taken";
-    } catch (const std::invalid_argument& e) {
-      EXPECT_NE(std::string(e.what()).find(c.field), std::string::npos) << e.what();
+      const Router router(settings, 1);
+      ADD_FAILURE() << test_case.field << " was accepted";
+    } catch (const InvalidSettingsError& error) {
+      EXPECT_NE(std::string(error.what()).find(test_case.field), std::string::npos) << error.what();
     }
   }
 }
 
-// Each is served by: a request gets its one answer, in time, and nothing is left behind.
-TEST(Check, WarnsOfWhatIsAbsurdAndServesByItAllTheSame) {
-  for (const Case& c : warned()) {
-    Settings s = sound();
-    c.change(s);
-    EXPECT_EQ(check(s), (std::vector<Finding>{{Severity::kWarning, c.field, "", ""}}));
-    Harness h(s);
+// A router accepts each: a request gets its one answer, in time, and leaves no state.
+TEST(Check, WarnsOfAbsurdSettingsWhichARouterAccepts) {
+  for (const Case& test_case : kWarningCases) {
+    Settings settings = valid_settings();
+    test_case.change(settings);
+    EXPECT_EQ(check(settings), (std::vector<Finding>{{Severity::kWarning, test_case.field, "", ""}}));
+    Harness harness(settings);
     std::vector<EndpointInfo> endpoints;
-    for (const EndpointKind& kind : s.kinds) endpoints.push_back(endpoint(kind.name + "1", kind.name));
-    h.list(endpoints);
-    for (const RequestClass& k : s.classes) {
-      Request r = h.make(k.name, k.name);
-      r.client_deadline = h.now + k.deadline;
-      h.pass(r);
-      if (h.out[k.name] == "r1") h.end(k.name, AttemptStatus::kRead);
-      if (!h.out[k.name].empty()) h.first(k.name), h.end(k.name, AttemptStatus::kServed);
-      h.run(k.deadline);
-      EXPECT_TRUE(h.ended[k.name]) << c.field << ", class " << k.name;
+    for (const EndpointKind& kind : settings.kinds) endpoints.push_back(endpoint(kind.name + "1", kind.name));
+    harness.list(endpoints);
+    for (const RequestClass& request_class : settings.classes) {
+      Request request = harness.make(request_class.name, request_class.name);
+      request.client_deadline = harness.now + request_class.deadline;
+      harness.pass(request);
+      if (harness.out[request_class.name] == "r1") harness.end(request_class.name, AttemptStatus::kRead);
+      if (!harness.out[request_class.name].empty()) {
+        harness.first(request_class.name);
+        harness.end(request_class.name, AttemptStatus::kServed);
+      }
+      harness.run(request_class.deadline);
+      EXPECT_TRUE(harness.ended[request_class.name]) << test_case.field << ", class " << request_class.name;
     }
-    EXPECT_EQ(h.router.table_sizes().requests, 0U) << c.field;
+    EXPECT_EQ(harness.router.table_sizes().requests, 0U) << test_case.field;
   }
 }
 
-// Its deadline is too short for a state to wait as well.
+// The deadline is too short for a reserved state to wait, too, which is the second warning.
 TEST(Check, ADeadlineWithinTwoTicksHasEachOfItsRequestsRejectedAtOnce) {
-  Settings s = sound();
-  s.classes.resize(1);
-  s.classes[0].latency_objective = milliseconds(500);
-  s.classes[0].deadline = milliseconds(600);
-  s.tick = s.answer_slack = milliseconds(300);
-  s.drain_grace = s.reservation_limit = milliseconds(1000);
-  EXPECT_EQ(check(s), (std::vector<Finding>{{Severity::kWarning, "categories[0].deadlineMs", "", ""},
-                                            {Severity::kWarning, "familyInfo.pinLimitMs", "", ""}}));
-  Harness h(s);
-  h.list({endpoint("r1", "r"), endpoint("w1", "w")});
-  Request r = h.make("a");
-  r.client_deadline = h.now + s.classes[0].deadline;
-  h.pass(r);
-  EXPECT_EQ(h.rejected, std::vector<std::string>{"a"});
+  Settings settings = valid_settings();
+  settings.classes.resize(1);
+  settings.classes[0].latency_objective = milliseconds(500);
+  settings.classes[0].deadline = milliseconds(600);
+  settings.tick = settings.answer_slack = milliseconds(300);
+  settings.drain_grace = settings.reservation_limit = milliseconds(1000);
+  EXPECT_EQ(check(settings), (std::vector<Finding>{{Severity::kWarning, "categories[0].deadlineMs", "", ""},
+                                                   {Severity::kWarning, "familyInfo.pinLimitMs", "", ""}}));
+  Harness harness(settings);
+  harness.list({endpoint("r1", "r"), endpoint("w1", "w")});
+  Request request = harness.make("a");
+  request.client_deadline = harness.now + settings.classes[0].deadline;
+  harness.pass(request);
+  EXPECT_EQ(harness.rejected, std::vector<std::string>{"a"});
 }
 
-TEST(Check, TellsAllThatIsWrongAtOnce) {
-  Settings s = sound();
-  s.router_number = 7;
-  s.classes[1].name = "safe";
-  s.overload_multiple = 0;
-  s.max_attempts = 0;
-  EXPECT_EQ(check(s).size(), 4U);
+TEST(Check, ReportsAllErrorsAtOnce) {
+  Settings settings = valid_settings();
+  settings.router_number = 7;
+  settings.classes[1].name = "safe";
+  settings.overload_multiple = 0;
+  settings.max_attempts = 0;
+  EXPECT_EQ(check(settings).size(), 4U);
   try {
-    Router(s, 1);
+    const Router router(settings, 1);
     ADD_FAILURE();
-  } catch (const std::invalid_argument& e) {
+  } catch (const InvalidSettingsError& error) {
+    EXPECT_EQ(error.findings, check(settings));
     EXPECT_STREQ(
-        e.what(),
+        error.what(),
         "routing: bad settings: field 'myNumber': 7 among 2 dispatchers; wanted: 0 to 1; field "
         "'limits.mostTries': 0; wanted: at least 1; field 'categories[1].name': 'safe' a second time; "
         "wanted: another name");
   }
 }
 
-TEST(Check, OnSocketsConnectionsMustBeMadeAndKept) {
+TEST(Check, OnSocketsConnectionsMustBePossibleAndReusable) {
   const auto found = [](auto change) {
-    Settings s = sound();
-    change(s);
-    return check_socket_settings(s);
+    Settings settings = valid_settings();
+    change(settings);
+    return check_socket_settings(settings);
   };
   using All = std::vector<Finding>;
-  EXPECT_EQ(found([](Settings& s) { s.connect_timeout = {}; }),
+  EXPECT_EQ(found([](Settings& settings) { settings.connect_timeout = {}; }),
             (All{{Severity::kError, "limits.connectTimeoutMs", "", ""}}));
-  EXPECT_EQ(found([](Settings& s) { s.idle_timeout = {}; }),
+  EXPECT_EQ(found([](Settings& settings) { settings.idle_timeout = {}; }),
             (All{{Severity::kError, "limits.idleCloseMs", "", ""}}));
-  EXPECT_EQ(found([](Settings& s) { s.connect_timeout = milliseconds(1001); }),
+  EXPECT_EQ(found([](Settings& settings) { settings.connect_timeout = milliseconds(1001); }),
             (All{{Severity::kWarning, "limits.connectTimeoutMs", "", ""}}));
 }
 
-// Of the budget only what the whole fleet could bring is known: two requests of ten a second would not do.
-TEST(Check, ABudgetUnderOneRequestIsSeenByTheQuotas) {
-  Settings s = sound();
-  s.overload_multiple = 2;
-  s.warmup_initial_share = 0.5;
-  s.overload_window = milliseconds(100);
-  s.tenants = {{"one", 9.9}};
-  ASSERT_EQ(check(s).size(), 1U);
-  EXPECT_EQ(check(s)[0].expected, "at least 101.01 ms");
-  s.tenants[0].quota_rps = 10;
-  EXPECT_EQ(check(s), std::vector<Finding>{});
+// Of the budget only an upper bound is known: what it is if one replica did the work of all quotas.
+TEST(Check, AnOverloadBudgetBelowOneRequestIsFoundFromTheQuotas) {
+  Settings settings = valid_settings();
+  settings.overload_multiple = 2;
+  settings.warmup_initial_share = 0.5;
+  settings.overload_window = milliseconds(100);
+  settings.tenants = {{"one", 9.9}};
+  ASSERT_EQ(check(settings).size(), 1U);
+  EXPECT_EQ(check(settings)[0].expected, "at least 101.01 ms");
+  settings.tenants[0].quota_rps = 10;
+  EXPECT_EQ(check(settings), std::vector<Finding>{});
 }
 
 }  // namespace
