--- a/src/degradation/degradation_controller.hpp
+++ b/src/degradation/degradation_controller.hpp
@@ -29,15 +29,17 @@
                         engine::Clock clock, engine::Log log, std::function<double()> random);
 
   // Reads a file of levels for these settings. Throws cue::Errors with all problems.
-  static std::shared_ptr<const LevelSet> read(const cue::File& file, const routing::Settings& settings);
+  [[nodiscard]] static std::shared_ptr<const LevelSet> read(const cue::File& file,
+                                                            const routing::Settings& settings);
 
-  // False where the file names no level: nothing is shed and nothing counted.
+  // False where the file has no level: no request is shed and no signal collected.
   [[nodiscard]] bool active() const { return !machine_.levels().levels().empty(); }
   // The level in force stays where the new set has it (StateMachine::replace_levels).
   void apply_settings(const routing::Settings& settings, std::shared_ptr<const LevelSet> levels);
   // Evaluates the signals and changes the level where it is time. `in_progress`: requests.
   // `endpoints_updated_at`: when service discovery last confirmed the endpoint list, if it has.
   void tick(std::size_t in_progress, std::optional<Time> endpoints_updated_at);
+  // Takes a complete endpoint list or a change to the last one.
   void update_endpoints(const routing::EndpointList& list) { signals_.update_endpoints(list, clock_()); }
 
   // Whether the request is shed: the Retry-After then, else nullopt. Counts it, too. `request`: as the rate
@@ -56,7 +58,8 @@
 
   [[nodiscard]] const StateMachine& machine() const { return machine_; }
 
-  void on_first_token(const std::string& request_class, bool late) override;
+  // Events of the engine (RequestObserver).
+  void on_first_token(const std::string& request_class, bool is_late) override;
   void on_request_not_served(const std::string& request_class, engine::NotServedReason reason) override;
 
  private:
@@ -65,7 +68,7 @@
   engine::Clock clock_;
   engine::Log log_;
   std::function<double()> random_;
-  expression::Environment fields_;
+  expression::Environment signal_fields_;
   Signals signals_;
   StateMachine machine_;
   std::vector<expression::Value> last_signals_;  // as of the last tick
--- a/src/degradation/levels.cpp
+++ b/src/degradation/levels.cpp
@@ -71,6 +71,12 @@
   return combinations;
 }
 
+// A number as the value of a signal of the kind.
+Value value_of_kind(Kind kind, double number) {
+  if (kind == Kind::kInt) return Value::of(static_cast<std::int64_t>(number));
+  return Value::of(number);
+}
+
 // Whether both conditions of a level can hold at once. Tries every combination of the points at which either
 // changes; where there are too many, a random sample of them (the same each time).
 bool conditions_overlap(const Level& level, const expression::Environment& signals) {
@@ -93,10 +99,9 @@
     for (const auto& [field, candidates] : points) {
       const std::size_t which = is_exhaustive ? remaining % candidates.size() : random() % candidates.size();
       remaining /= candidates.size();
-      const double value = *std::next(candidates.begin(), static_cast<std::ptrdiff_t>(which));
+      const double point = *std::next(candidates.begin(), static_cast<std::ptrdiff_t>(which));
       const auto index = static_cast<std::size_t>(field);
-      const bool is_integer = signals.fields()[index].kind == Kind::kInt;
-      values[index] = is_integer ? Value::of(static_cast<std::int64_t>(value)) : Value::of(value);
+      values[index] = value_of_kind(signals.fields()[index].kind, point);
     }
     if (level.enter.run(values, scratch).is(true) && level.leave.run(values, scratch).is(true)) return true;
   }
--- a/src/degradation/levels.hpp
+++ b/src/degradation/levels.hpp
@@ -49,15 +49,17 @@
   // Reads and checks a file. `signals`: the fields that conditions may use. `request`: the fields that
   // `shed.when` may use, the signals first. `classes`: the names that the settings know; none: any name goes.
   // Throws cue::Errors with all problems.
-  static std::shared_ptr<const LevelSet> read(const cue::File& file, const expression::Environment& signals,
-                                              const expression::Environment& request,
-                                              const std::vector<std::string>& classes);
+  [[nodiscard]] static std::shared_ptr<const LevelSet> read(const cue::File& file,
+                                                            const expression::Environment& signals,
+                                                            const expression::Environment& request,
+                                                            const std::vector<std::string>& classes);
 
   [[nodiscard]] const std::vector<Level>& levels() const { return levels_; }
   // `number`: above kNormalLevel.
   [[nodiscard]] const Level& level(std::size_t number) const { return levels_[number - 1]; }
   // The level's number; nullopt: there is none of this name.
   [[nodiscard]] std::optional<std::size_t> find(const std::string& name) const;
+  // The name of any level, kNormalLevel too.
   [[nodiscard]] std::string name(std::size_t number) const {
     return number == kNormalLevel ? kNormalLevelName : level(number).name;
   }
--- a/src/degradation/signals.cpp
+++ b/src/degradation/signals.cpp
@@ -9,10 +9,11 @@
 using expression::Value;
 using routing::EndpointState;
 using routing::Role;
+using Event = WindowedRatio::Event;
 
 namespace {
 
-// Service discovery polls every second or so: past this the list says nothing about the present.
+// Service discovery polls every second or so: an older list says nothing about the present.
 constexpr Duration kMaxListAge = std::chrono::seconds(10);
 // Of fewer events a fraction would be chance.
 constexpr std::size_t kMinEvents = 20;
@@ -71,21 +72,23 @@
   }
 }
 
-void Signals::first_token(const std::string& request_class, bool late, Time now) {
+void Signals::first_token(const std::string& request_class, FirstTokenTiming timing, Time now) {
   if (!has_class(request_class)) return;
-  late_[request_class].record(late, now);
-  rejected_.record(false, now);
+  const bool is_late = timing == FirstTokenTiming::kLate;
+  late_[request_class].record(is_late ? Event::kMatching : Event::kOther, now);
+  rejected_.record(Event::kOther, now);
 }
 
-void Signals::given_up(const std::string& request_class, bool rejected, Time now) {
+void Signals::request_not_served(const std::string& request_class, engine::NotServedReason reason, Time now) {
   if (!has_class(request_class)) return;
   // A request that was rejected or failed had no first token in time either.
-  late_[request_class].record(true, now);
-  rejected_.record(rejected, now);
+  late_[request_class].record(Event::kMatching, now);
+  const bool is_rejected = reason == engine::NotServedReason::kRejected;
+  rejected_.record(is_rejected ? Event::kMatching : Event::kOther, now);
 }
 
 void Signals::request_arrived(const std::string& account, Time now) {
-  if (quotas_.contains(account)) arrivals_[account].record(true, now);
+  if (quotas_.contains(account)) arrivals_[account].record(Event::kMatching, now);
 }
 
 Value Signals::quota_usage(const std::string& account, Time now) const {
@@ -148,7 +151,7 @@
   values.push_back(Value::of(static_cast<std::int64_t>(in_progress)));
   for (const std::string& request_class : classes_)
     values.push_back(value_or_absent(late_[request_class].ratio(kMinEvents, now)));
-  // Zones that have had no ready endpoint for so long that none is missed.
+  // Zones without a ready endpoint in both periods: what they have lost is no longer a loss.
   std::erase_if(ready_maxima_, [](const auto& entry) { return entry.second.maximum() == 0; });
   return values;
 }
--- a/src/degradation/signals.hpp
+++ b/src/degradation/signals.hpp
@@ -1,6 +1,6 @@
-// The signals that conditions of degradation levels are evaluated on: how this dispatcher fared over the last
-// seconds, and how much of the fleet is ready. No I/O; the clock is passed in. A signal that is not known, or
-// no longer, is absent.
+// The signals that conditions of degradation levels are evaluated on: how this dispatcher served requests
+// over the last seconds, and how much of the fleet is ready. No I/O; the clock is passed in. A signal that is
+// not known, or no longer, is absent.
 #ifndef DISPATCHER_DEGRADATION_SIGNALS_HPP_
 #define DISPATCHER_DEGRADATION_SIGNALS_HPP_
 
@@ -11,11 +11,15 @@
 #include <vector>
 
 #include "degradation/sliding_window.hpp"
+#include "engine/interfaces.hpp"
 #include "expression/value.hpp"
 #include "routing/router.hpp"
 
 namespace dispatcher::degradation {
 
+// Whether a first token met the latency objective of its request's class.
+enum class FirstTokenTiming { kInTime, kLate };
+
 // Collects events of requests and endpoint lists, and computes the signals from them. Owned by the
 // DegradationController and used on its event loop only.
 class Signals {
@@ -26,24 +30,26 @@
   //   refused                          the fraction of requests that were rejected
   //   open                             requests in progress
   //   late.CLASS, for each class       the fraction of first tokens past the class's latency objective
-  static expression::Environment fields(const routing::Settings& settings);
+  [[nodiscard]] static expression::Environment fields(const routing::Settings& settings);
 
   explicit Signals(const routing::Settings& settings) { apply_settings(settings); }
 
   // Classes, accounts and endpoint kinds that the settings no longer name are dropped.
   void apply_settings(const routing::Settings& settings);
 
+  // Takes a complete endpoint list or a change to the last one.
   void update_endpoints(const routing::EndpointList& list, Time now);
-  void first_token(const std::string& request_class, bool late, Time now);
-  // A request that was rejected or failed without a first token.
-  void given_up(const std::string& request_class, bool rejected, Time now);
+  // A request got its first token. Classes that the settings don't have are ignored here and below.
+  void first_token(const std::string& request_class, FirstTokenTiming timing, Time now);
+  // A request ended without a first token.
+  void request_not_served(const std::string& request_class, engine::NotServedReason reason, Time now);
   // A request of the account arrived, whether it is served or not.
   void request_arrived(const std::string& account, Time now);
 
   // `in_progress`: requests. `endpoints_updated_at`: when service discovery last confirmed the endpoint list;
   // readiness is absent once that is too long ago.
-  std::vector<expression::Value> values(std::size_t in_progress, std::optional<Time> endpoints_updated_at,
-                                        Time now);
+  [[nodiscard]] std::vector<expression::Value> values(std::size_t in_progress,
+                                                      std::optional<Time> endpoints_updated_at, Time now);
   // The account's request rate over this dispatcher's part of its quota; absent where it has no quota.
   [[nodiscard]] expression::Value quota_usage(const std::string& account, Time now) const;
 
--- a/src/degradation/sliding_window.cpp
+++ b/src/degradation/sliding_window.cpp
@@ -10,11 +10,11 @@
 
 }  // namespace
 
-void WindowedRatio::record(bool matches, Time now) {
+void WindowedRatio::record(Event event, Time now) {
   const std::int64_t second = second_of(now);
   Bucket& bucket = buckets_[static_cast<std::size_t>(second % kBuckets)];
   if (bucket.second != second) bucket = {second, {}};
-  if (matches) ++bucket.counts.matching;
+  if (event == Event::kMatching) ++bucket.counts.matching;
   ++bucket.counts.total;
 }
 
--- a/src/degradation/sliding_window.hpp
+++ b/src/degradation/sliding_window.hpp
@@ -22,7 +22,11 @@
  public:
   static constexpr Duration kWindow = std::chrono::seconds(10);
 
-  void record(bool matches, Time now);
+  // Whether an event counts into the numerator of the ratio.
+  enum class Event { kMatching, kOther };
+
+  // Counts one event at `now`, which must not be before that of an earlier call.
+  void record(Event event, Time now);
 
   // All events of the window, per second.
   [[nodiscard]] double events_per_second(Time now) const;
@@ -48,7 +52,9 @@
 // synchronized.
 class RecentMaximum {
  public:
+  // `now` must not be before that of an earlier call.
   void observe(std::size_t value, Time now);
+  // 0 before the first observation.
   [[nodiscard]] std::size_t maximum() const { return std::max(current_, previous_); }
 
  private:
--- a/src/degradation/state_machine.hpp
+++ b/src/degradation/state_machine.hpp
@@ -24,6 +24,7 @@
 
 // A change of the level in force, as the history records it.
 struct LevelChange {
+  // kEntered, kLeft: a condition held. kOverridden: by an operator. kReloaded: the new file lacks the level.
   enum class Cause { kEntered, kLeft, kOverridden, kReloaded };
   Time at{};
   std::string from, to;
@@ -34,11 +35,13 @@
 };
 
 // The cause as the admin interface and the log write it.
-const char* name(LevelChange::Cause cause);
+[[nodiscard]] const char* name(LevelChange::Cause cause);
 
-// Not synchronized: the DegradationController owns it, on one event loop.
+// Decides on changes of the level, and which requests the level in force sheds. Not synchronized: the
+// DegradationController owns it, on one event loop.
 class StateMachine {
  public:
+  // At most `max_changes` steps up and down within any `window`.
   struct ChangeLimit {
     Duration window;
     std::size_t max_changes;
@@ -46,7 +49,7 @@
   // The longest window last.
   static constexpr std::array<ChangeLimit, 2> kChangeLimits = {
       {{std::chrono::minutes(1), 4}, {std::chrono::minutes(10), 6}}};
-  // Changes in the history: more than an operator looks back on, and bounded.
+  // Changes in the history: more than operators need to explain the present, and bounded.
   static constexpr std::size_t kMaxHistory = 64;
 
   explicit StateMachine(std::shared_ptr<const LevelSet> levels) { install(std::move(levels)); }
@@ -60,8 +63,8 @@
   [[nodiscard]] std::size_t level() const { return level_; }  // kNormalLevel: normal service
   [[nodiscard]] std::string level_name() const { return levels_->name(level_); }
 
-  // An operator's override holds whatever the signals are, until it is cleared; the level then goes on from
-  // there.
+  // An operator's override holds whatever the signals are, until it is cleared; the conditions then apply to
+  // the level that it set.
   void set_override(std::size_t level, Time now);
   void clear_override() { overridden_ = false; }
   [[nodiscard]] bool is_overridden() const { return overridden_; }
--- a/tests/dispatcher/degradation_fleet_test.cpp
+++ b/tests/dispatcher/degradation_fleet_test.cpp
@@ -17,7 +17,7 @@
 using routing::EndpointState;
 using Json = nlohmann::json;
 
-const std::string kSome =
+constexpr const char* kTwoLevels =
     "levels: [{name: \"mild\", enter: \"late.command > 0.3\", leave: \"late.command < 0.1\", shed: "
     "[{classes: "
     "[\"ask\"], when: \"account.use > 1.5\"}]},\n{name: \"hard\", enter: \"ready.readers < 0.4\", leave: "
@@ -71,13 +71,14 @@
   const auto text = [&](const char* name) { return signal_text(signals, name, now, now); };
   CHECK(text("late.ask") == absent);
   CHECK(text("open") == "3");
-  for (int i = 0; i < 19; ++i) signals.first_token("ask", i < 5, now);
+  for (int i = 0; i < 19; ++i)
+    signals.first_token("ask", i < 5 ? FirstTokenTiming::kLate : FirstTokenTiming::kInTime, now);
   CHECK(text("late.ask") == absent);  // too few
-  signals.given_up("ask", true, now);
+  signals.request_not_served("ask", engine::NotServedReason::kRejected, now);
   CHECK(text("late.ask") == "0.3");
   CHECK(text("refused") == "0.05");
   CHECK(text("late.command") == absent);
-  signals.first_token("nothing", true, now);
+  signals.first_token("nothing", FirstTokenTiming::kLate, now);
   CHECK(text("refused") == "0.05");
   now += seconds(11);
   CHECK(text("late.ask") == absent);
@@ -120,7 +121,7 @@
           r.stream_words(client, {"a"}, false);
         },
         kChatConfig);
-    ControllerFixture levels(kSome, fixture.clock());
+    ControllerFixture levels(kTwoLevels, fixture.clock());
     const AttachedFrontEnds front_ends(fixture, levels.controller);
     std::vector<std::unique_ptr<FakeClient>> clients;
     const auto send = [&](const std::string& request_class) -> FakeClient& {
@@ -153,10 +154,10 @@
           "[levels][chat][platform]") {
   for (const bool through_chat : {true, false}) {
     Fixture fixture(healthy_reader, healthy_writer, kChatConfig);
-    ControllerFixture levels(kSome, fixture.clock());
+    ControllerFixture levels(kTwoLevels, fixture.clock());
     routing::Settings narrow = make_settings();
     narrow.tenants = {{"acme", 1.0}};  // one request a second
-    levels.controller.apply_settings(narrow, DegradationController::read({"l.cue", kSome}, narrow));
+    levels.controller.apply_settings(narrow, DegradationController::read({"l.cue", kTwoLevels}, narrow));
     const AttachedFrontEnds front_ends(fixture, levels.controller);
     int id = 0;
     const auto served = [&](const std::string& request_class, int requests) {
@@ -182,7 +183,7 @@
 TEST_CASE("events of the engine change the level, and each change is logged with its cause",
           "[levels][core]") {
   Fixture fixture(healthy_reader, healthy_writer);
-  ControllerFixture levels(kSome, fixture.clock());
+  ControllerFixture levels(kTwoLevels, fixture.clock());
   fixture.engine.set_request_observer(&levels.controller);
   int id = 0;
   const auto serve = [&](int requests) {
@@ -215,7 +216,7 @@
 
 TEST_CASE("the admin interface shows levels, and sets and clears an override", "[levels][console]") {
   TestEventLoop work;
-  ControllerFixture levels(kSome, work.clock());
+  ControllerFixture levels(kTwoLevels, work.clock());
   admin::AdminServer console(
       work.io, loopback(), work.timers, work.clock(),
       {[] { return true; }, [](const std::string&, bool) { return false; },
@@ -245,21 +246,21 @@
 }
 
 TEST_CASE("an override and a level in force survive a reload and a hot restart", "[levels]") {
-  ControllerFixture levels(kSome), next(kSome);
+  ControllerFixture levels(kTwoLevels), next(kTwoLevels);
   REQUIRE(levels.controller.set_override("hard"));
   levels.controller.apply_settings(levels.settings,
-                                   DegradationController::read({"l.cue", kSome}, levels.settings));
+                                   DegradationController::read({"l.cue", kTwoLevels}, levels.settings));
   CHECK(levels.controller.status()["pinned"] == true);
   next.controller.restore(levels.controller.status());
   CHECK(next.controller.status()["level"] == "hard");
   CHECK(next.controller.status()["pinned"] == true);
   REQUIRE(levels.controller.set_override("auto"));
-  ControllerFixture third(kSome);
+  ControllerFixture third(kTwoLevels);
   third.controller.restore(levels.controller.status());
   CHECK(third.controller.status()["level"] == "hard");
   CHECK(third.controller.status()["pinned"] == false);
   for (const Json& bad : {Json(), Json(5), Json{{"level", 5}}, Json{{"level", "zz"}, {"pinned", true}}}) {
-    ControllerFixture fourth(kSome);
+    ControllerFixture fourth(kTwoLevels);
     fourth.controller.restore(bad);
     CHECK(fourth.controller.machine().level() == 0);
   }
@@ -274,7 +275,7 @@
   config.settings = make_settings();
   std::vector<std::string> logs;
   daemon::FeatureFiles texts;
-  texts.levels = cue::File{"levels.cue", kSome};
+  texts.levels = cue::File{"levels.cue", kTwoLevels};
   daemon::ConfigurationFiles next{config, texts};
   daemon::Dispatcher dispatcher(
       loop, config, texts, [&](std::string_view line) { logs.emplace_back(line); }, [&] { return next; });
@@ -282,7 +283,7 @@
   next.features.levels->text = "levels: [{name: \"a\", enter: \"open > 5\", leave: \"open > 3\"}]";
   dispatcher.reload();
   CHECK(logs.back().find("levels[0].leave: can hold while 'enter' does") != std::string::npos);
-  next.features.levels->text = kSome;
+  next.features.levels->text = kTwoLevels;
   dispatcher.reload();
   CHECK(logs.back().starts_with("reloaded"));
 }
