--- a/tests/dispatcher/degradation_fleet_test.cpp
+++ b/tests/dispatcher/degradation_fleet_test.cpp
@@ -1,4 +1,5 @@
-// Degradation levels at work: signals, both front ends, the admin interface, a reload and a hot restart.
+// Degradation levels in a dispatcher: signals, both front ends, the admin interface, a reload and a hot
+// restart.
 #include <algorithm>
 #include <catch2/catch.hpp>
 #include <fstream>
@@ -18,14 +19,12 @@
 using Json = nlohmann::json;
 
 constexpr const char* kTwoLevels =
-    "levels: [{name: \"mild\", enter: \"late.command > 0.3\", leave: \"late.command < 0.1\", shed: "
-    "[{classes: "
-    "[\"ask\"], when: \"account.use > 1.5\"}]},\n{name: \"hard\", enter: \"ready.readers < 0.4\", leave: "
-    "\"ready.readers > 0.6\", shed: [{classes: [\"ask\"], retry_ms: {least: 700, most: 900}}]}]";
+    R"(levels: [{name: "mild", enter: "late.command > 0.3", leave: "late.command < 0.1", shed: [{classes: ["ask"], when: "account.use > 1.5"}]},
+{name: "hard", enter: "ready.readers < 0.4", leave: "ready.readers > 0.6", shed: [{classes: ["ask"], retry_ms: {least: 700, most: 900}}]}])";
 
 // A controller whose clock stands still unless the test moves it or passes another, and what it logs.
 struct ControllerFixture {
-  explicit ControllerFixture(const std::string& text, engine::Clock clock = {})
+  explicit ControllerFixture(const std::string& text, const engine::Clock& clock = {})
       : controller(
             settings, DegradationController::read({"l.cue", text}, settings),
             clock ? clock : [this] { return now; },
@@ -117,8 +116,8 @@
   for (const bool through_chat : {true, false}) {
     Fixture fixture(
         healthy_reader,
-        [](FakeReplica& r, SlotId client, const FakeReplica::ReceivedRequest&) {
-          r.stream_words(client, {"a"}, false);
+        [](FakeReplica& replica, SlotId client, const FakeReplica::ReceivedRequest&) {
+          replica.stream_words(client, {"a"}, false);
         },
         kChatConfig);
     ControllerFixture levels(kTwoLevels, fixture.clock());
@@ -289,9 +288,9 @@
 }
 
 TEST_CASE("the levels that are shipped can be read", "[levels][deploy]") {
-  std::ifstream in(std::string(DISPATCHER_SOURCE) + "/deploy/levels.cue");
+  std::ifstream file(std::string(DISPATCHER_SOURCE) + "/deploy/levels.cue");
   std::ostringstream text;
-  text << in.rdbuf();
+  text << file.rdbuf();
   CHECK(DegradationController::read({"levels.cue", text.str()}, make_settings())->levels().size() == 3);
 }
 
--- a/tests/dispatcher/degradation_test.cpp
+++ b/tests/dispatcher/degradation_test.cpp
@@ -1,4 +1,4 @@
-// Degradation levels in virtual time: when they change, how seldom, why, and what they shed.
+// Degradation levels in virtual time: when they change, how often, why, and which requests they shed.
 #include <algorithm>
 #include <catch2/catch.hpp>
 #include <cmath>
@@ -32,9 +32,8 @@
   environment.add({"request.account", Kind::kString, true, 64, {}});
   return environment;
 }
-const expression::Environment kSignals = make_signals(), kRequest = make_request();
 
-const std::string kLevels = R"cue(levels: [
+constexpr const char* kLevels = R"cue(levels: [
 	{
 		name: "spare", enter: "late.command > 0.10", leave: "late.command < 0.04"
 		enter_for_ms: 2_000, leave_for_ms: 5_000
@@ -50,7 +49,7 @@
 	}])cue";
 
 std::shared_ptr<const LevelSet> levels_of(const std::string& text) {
-  return LevelSet::read({"l.cue", text}, kSignals, kRequest, {"ask", "command", "report"});
+  return LevelSet::read({"l.cue", text}, make_signals(), make_request(), {"ask", "command", "report"});
 }
 
 Strings problems(const std::string& text) {
@@ -123,15 +122,19 @@
   CHECK(expression::to_text(run.machine.history().front().signals[0]) == "0.3");
 }
 
-TEST_CASE("load that hovers at a boundary changes levels seldom", "[levels]") {
+TEST_CASE("load that hovers at a boundary rarely changes the level", "[levels]") {
   std::mt19937 random(11);
   for (const double boundary : {0.04, 0.10, 0.25, 0.4, 0.55, 0.7, 0.8}) {
     for (const double part : {0.01, 0.03, 0.05, 0.10}) {
       MachineFixture run;
       std::uniform_real_distribution<double> noise(1 - part, 1 + part);
-      for (int s = 0; s < 3600; ++s) {
-        const double near = boundary * noise(random);
-        boundary <= 0.25 ? run.step(near, 1.0) : run.step(0.02, near);
+      for (int second = 0; second < 3600; ++second) {
+        const double value = boundary * noise(random);
+        if (boundary <= 0.25) {
+          run.step(value, 1.0);
+        } else {
+          run.step(0.02, value);
+        }
       }
       INFO(boundary << " by " << part << ": " << run.changes.size() << " changes");
       run.check_change_limits();
@@ -141,11 +144,11 @@
   }
 }
 
-TEST_CASE("load that swings with the period of the least stay makes the level stay longer and longer",
+TEST_CASE("load that swings with the period of the minimum stay makes the level stay longer each time",
           "[levels]") {
   for (const int period : {30, 31, 35, 45, 60}) {
     MachineFixture run;
-    for (int s = 0; s < 7200; ++s) run.step(s / period % 2 == 0 ? 0.4 : 0.01, 1.0);
+    for (int second = 0; second < 7200; ++second) run.step(second / period % 2 == 0 ? 0.4 : 0.01, 1.0);
     run.check_change_limits();
     INFO(period << ": " << run.changes.size());
     std::size_t entered = 0;
@@ -164,7 +167,7 @@
   CHECK(run.machine.level_name() == "reduced");
   run.steps(10, 0.15, 0.3);
   CHECK(run.machine.level_name() == "commands-only");
-  run.steps(600, 0.01, 0.6);  // the first and the last one end; the zone's loss goes on
+  run.steps(600, 0.01, 0.6);  // the first and the last one end; the zone stays lost
   CHECK(run.machine.level_name() == "reduced");
   run.steps(3000, 0.01, 1.0);
   CHECK(run.machine.level() == 0);
@@ -180,7 +183,7 @@
   run.steps(3600, -1, -1);
   CHECK(run.machine.level_name() == "commands-only");
   run.steps(3600, -1, 1.0);
-  CHECK(run.machine.level_name() == "reduced");  // whose end asks for both
+  CHECK(run.machine.level_name() == "reduced");  // whose condition to leave needs both signals
   run.step(0.01, 1.0);
   for (int i = 0; i < 200; ++i) {  // known every other time: nothing holds for its time
     run.step(0.01, 1.0);
@@ -259,53 +262,75 @@
   CHECK(problems(one("enter: \"open > 3\", leave: \"open < 2\", shed: [{classes: []}]")).size() == 1);
   CHECK(problems("levels: [{name: \"normal\", enter: \"true\", leave: \"false\"}]").size() == 1);
   std::string four = "levels: [";
-  for (const char* n : {"a", "b", "c", "d"})
-    four += std::string("{name: \"") + n + "\", enter: \"open > 3\", leave: \"open < 2\"}, ";
+  for (const char* name : {"a", "b", "c", "d"})
+    four += std::string("{name: \"") + name + "\", enter: \"open > 3\", leave: \"open < 2\"}, ";
   CHECK(problems(four + "]").front().find("more than 3 levels") != std::string::npos);
 }
 
-TEST_CASE("whatever the signals do, the change limits hold and the history is complete and justified",
+// Numbers that tests draw, from a generator of fixed seed.
+class Draw {
+ public:
+  double between(double low, double high) {
+    return std::uniform_real_distribution<double>(low, high)(random_);
+  }
+  // From 0 to `limit` - 1.
+  unsigned below(unsigned limit) { return random_() % limit; }
+
+ private:
+  std::mt19937 random_{2026};
+};
+
+// A file of one to three levels, whose conditions to enter and to leave do not overlap.
+std::string draw_levels(Draw& draw) {
+  std::string text = "levels: [";
+  const unsigned count = 1 + draw.below(3);
+  for (unsigned i = 0; i < count; ++i) {
+    const double at = draw.between(0.05, 0.9);
+    text += "{name: \"l" + std::to_string(i) + "\", enter: \"late.command > " + std::to_string(at) +
+            "\", leave: \"late.command < " + std::to_string(at * draw.between(0.5, 1)) +
+            "\", enter_for_ms: " + std::to_string(draw.below(3000)) +
+            ", leave_for_ms: " + std::to_string(draw.below(3000)) +
+            ", least_stay_ms: " + std::to_string(1000 + draw.below(4000)) + "}, ";
+  }
+  return text + "]";
+}
+
+// Checks that a change is one step down or any step up, and that its condition holds by its signals.
+void check_is_justified(const LevelSet& levels, const LevelChange& change) {
+  CHECK_FALSE(change.condition.empty());
+  const bool is_step_down = change.cause == LevelChange::Cause::kLeft;
+  const std::size_t from = *levels.find(change.from);
+  const std::size_t to = *levels.find(change.to);
+  if (is_step_down) CHECK(to + 1 == from);
+  const Level& level = levels.level(std::max(from, to));
+  const expression::Program& condition = is_step_down ? level.leave : level.enter;
+  expression::Scratch scratch;
+  levels.reserve(scratch);
+  CHECK(condition.run(change.signals, scratch).is(true));
+}
+
+TEST_CASE("for any signals the change limits hold, and the history has each change and its cause",
           "[levels]") {
-  std::mt19937 random(2026);
-  const auto number = [&](double low, double high) {
-    return std::uniform_real_distribution<double>(low, high)(random);
-  };
+  Draw draw;
   std::size_t changes = 0;
   for (int round = 0; round < 150; ++round) {
-    std::string text = "levels: [";
-    for (unsigned i = 0, n = 1 + random() % 3; i < n; ++i) {
-      const double at = number(0.05, 0.9);
-      text += "{name: \"l" + std::to_string(i) + "\", enter: \"late.command > " + std::to_string(at) +
-              "\", leave: \"late.command < " + std::to_string(at * number(0.5, 1)) +
-              "\", enter_for_ms: " + std::to_string(random() % 3000) +
-              ", leave_for_ms: " + std::to_string(random() % 3000) +
-              ", least_stay_ms: " + std::to_string(1000 + random() % 4000) + "}, ";
-    }
-    MachineFixture run(text + "]");
-    double late = 0.3, ready = 1;
+    MachineFixture run(draw_levels(draw));
+    double late = 0.3;
     std::string level = "normal";
-    for (int s = 0; s < 4000; ++s) {
-      if (random() % 20 == 0) late = number(0, 1);
-      late = std::clamp(late + number(-0.05, 0.05), 0.0, 1.0);
+    for (int step = 0; step < 4000; ++step) {
+      if (draw.below(20) == 0) late = draw.between(0, 1);
+      late = std::clamp(late + draw.between(-0.05, 0.05), 0.0, 1.0);
       const std::size_t before = run.changes.size();
-      run.step(random() % 15 == 0 ? -1 : late, ready, milliseconds(100 + random() % 900));
+      const bool is_missing = draw.below(15) == 0;
+      run.step(is_missing ? -1 : late, 1, milliseconds(100 + draw.below(900)));
       if (run.changes.size() == before) continue;
       const LevelChange& change = run.changes.back();
       CHECK(run.changes.size() == before + 1);
       CHECK(change.from == level);
       CHECK(change.to == run.machine.level_name());
       CHECK(change.at == run.now);
-      CHECK_FALSE(change.condition.empty());
+      check_is_justified(run.machine.levels(), change);
       level = change.to;
-      // A step down is one level; the condition holds by the signals that are recorded.
-      const auto from = *run.machine.levels().find(change.from), to = *run.machine.levels().find(change.to);
-      if (change.cause == LevelChange::Cause::kLeft) CHECK(to + 1 == from);
-      const Level& level_definition = run.machine.levels().levels()[std::max(from, to) - 1];
-      expression::Scratch scratch;
-      run.machine.levels().reserve(scratch);
-      CHECK((change.cause == LevelChange::Cause::kLeft ? level_definition.leave : level_definition.enter)
-                .run(change.signals, scratch)
-                .is(true));
     }
     run.check_change_limits();
     changes += run.changes.size();
