--- a/include/routing/settings.hpp
+++ b/include/routing/settings.hpp
@@ -63,21 +63,21 @@
 
 // Costs that are subtracted from the score, each multiplied by a share or rate; 0: not priced.
 struct Prices {
-  double waste{};       // endpoint work that served no answer, as a share of the work asked for
-  double probe{};       // health checks and reservations, per first attempt
-  double cross_zone{};  // attempts that cross zones, per first attempt
-  double late_fail{};   // weight of requests that failed after their objective
-  double peer{};        // full messages (256 bytes) delivered to other routers, per first attempt
-  double far{};         // prompt tokens moved out of their cell, as a share of all
-  double move{};        // migrated streams, per first attempt
-  double connection{};  // mean number of open connections / (100 x endpoints)
-  double handshake{};   // new connections, per first attempt
-  double list_line{};   // lines of endpoint lists sent / (100 x first attempts)
+  double wasted_work{};          // endpoint work that served no answer, as a share of the work asked for
+  double probe{};                // health checks and reservations, per first attempt
+  double cross_zone{};           // attempts that cross zones, per first attempt
+  double late_failure{};         // weight of requests that failed after their objective
+  double peer_message{};         // full messages (256 bytes) delivered to other routers, per first attempt
+  double remote_transfer{};      // prompt tokens moved out of their cell, as a share of all
+  double migration{};            // migrated streams, per first attempt
+  double connection{};           // mean number of open connections / (100 x endpoints)
+  double handshake{};            // new connections, per first attempt
+  double endpoint_list_entry{};  // lines of endpoint lists sent / (100 x first attempts)
 };
 
 // Weights of the parts of the score.
 struct Goal {
-  double whole{}, worst_window{}, worst_class{}, worst_tenant{};
+  double total{}, worst_window{}, worst_class{}, worst_tenant{};
 };
 
 // All settings of one router. `router_number` and `router_count` tell the routers of a fleet apart.
@@ -91,16 +91,16 @@
   std::vector<EndpointKind> kinds;
   bool polls_endpoint_list{};  // endpoint lists come only after Subscribe
   Duration poll_interval{};    // of that poll; a list older than this counts as delivered
-  WeightMeaning weights{};
+  WeightMeaning weight_meaning{};
   ReportSource report_source{};
   std::vector<LoadField> report_fields;
-  bool writers_read{};   // a writer that gets no state processes the prompt itself
-  bool early_pairing{};  // ReserveSlot is allowed
-  bool resume{};         // MigrateStream is allowed; the client of a broken stream returns
+  bool writers_can_prefill{};  // a writer that gets no state processes the prompt itself
+  bool may_reserve_slots{};    // ReserveSlot is allowed
+  bool may_migrate_streams{};  // MigrateStream is allowed; the client of a broken stream returns
   bool may_cancel{};
   bool may_probe{};
-  bool may_duplicate{};         // two attempts of one request may be in flight together (hedging)
-  bool peers{};                 // routers may send each other messages
+  bool may_hedge{};             // two attempts of one request may be in flight together (hedging)
+  bool may_message_peers{};     // routers may send each other messages
   bool clients_mark_retries{};  // clients mark their retries: see Request::client_retry
   bool retry_advice{};          // Reject may carry retry_after
   Duration max_retry_after{};
--- a/src/daemon/main.cpp
+++ b/src/daemon/main.cpp
@@ -7,6 +7,7 @@
 #include <iostream>
 #include <optional>
 #include <string>
+#include <tuple>
 #include <vector>
 
 #include "daemon/config.hpp"
@@ -58,7 +59,8 @@
   const bool chats =
       !texts.chat.text.empty() && openai_api::parse_config(texts.chat, config.settings).has_value();
   if (texts.rules) rate_limit::RuleSet::read(*texts.rules, rate_limit::vocabulary_of(config.settings));
-  if (texts.levels) degradation::DegradationController::read(*texts.levels, config.settings);
+  if (texts.levels)
+    std::ignore = degradation::DegradationController::read(*texts.levels, config.settings);  // throws
   const bool paired = !texts.vrrp.text.empty() && vrrp::parse_config(texts.vrrp).has_value();
   for (const std::string& line : config.warnings) std::cout << line << "\n";
   std::cout << "ok: " << config.name << ", " << config.settings.classes.size() << " classes, "
--- a/src/routing/retry_policy.cpp
+++ b/src/routing/retry_policy.cpp
@@ -79,7 +79,7 @@
 }
 
 bool can_wait_for_reader(const Context& context, const EndpointTable& endpoints, const RequestState& state) {
-  return has_attempts_for_both_stages(state) || context.settings->writers_read ||
+  return has_attempts_for_both_stages(state) || context.settings->writers_can_prefill ||
          endpoints.has_mixed_endpoint();
 }
 
@@ -165,7 +165,7 @@
 bool should_migrate(const Context& context, const Endpoint& endpoint, const RequestState& state) {
   const bool is_quiet =
       context.now - endpoint.last_response_at > scaled(state.latency_objective(), kMigrateQuietObjectives);
-  return endpoint.is_ejected && endpoint.is_unresponsive && is_quiet && context.settings->resume;
+  return endpoint.is_ejected && endpoint.is_unresponsive && is_quiet && context.settings->may_migrate_streams;
 }
 
 bool has_become_late(Time now, const RequestState& state) {
--- a/src/settings/consistency_checks.cpp
+++ b/src/settings/consistency_checks.cpp
@@ -47,12 +47,13 @@
 }
 
 // Whether one endpoint can both read a request's prompt and write its answer.
-bool has_complete_service(const Settings& settings) {
-  return has_kind(settings, Role::kMixed) || (settings.writers_read && has_kind(settings, Role::kWriter));
+bool has_single_stage_kind(const Settings& settings) {
+  return has_kind(settings, Role::kMixed) ||
+         (settings.writers_can_prefill && has_kind(settings, Role::kWriter));
 }
 
 void check_roles(const Settings& settings, FindingCollector& findings) {
-  if (has_complete_service(settings)) return;
+  if (has_single_stage_kind(settings)) return;
   if (!has_kind(settings, Role::kReader))
     findings.add_error(path(keys::kRoles), "no kind reads a prompt",
                        "one of duty 'read' or 'both', or writersRead with one that writes");
@@ -68,15 +69,15 @@
   const bool has_reader = has_kind(settings, Role::kReader);
   const bool has_writer = has_kind(settings, Role::kWriter);
   const bool has_mixed = has_kind(settings, Role::kMixed);
-  if (settings.writers_read && !has_writer)
-    findings.add_warning(path(keys::kWritersRead), "true, but no kind writes only: it changes nothing",
+  if (settings.writers_can_prefill && !has_writer)
+    findings.add_warning(path(keys::kWritersCanPrefill), "true, but no kind writes only: it changes nothing",
                          "false, or a kind of duty 'write'");
-  if (settings.early_pairing && (!has_reader || !(has_writer || has_mixed)))
-    findings.add_warning(path(keys::kEarlyPairing),
+  if (settings.may_reserve_slots && (!has_reader || !(has_writer || has_mixed)))
+    findings.add_warning(path(keys::kMayReserveSlots),
                          "true, but without a kind that reads and one that writes no place is held ahead",
                          "false");
-  if (settings.may_duplicate && settings.max_attempts == 1)
-    findings.add_warning(path(keys::kMayDuplicate), "true, but of one attempt there is no second copy",
+  if (settings.may_hedge && settings.max_attempts == 1)
+    findings.add_warning(path(keys::kMayHedge), "true, but of one attempt there is no second copy",
                          "mostTries above 1");
 }
 
@@ -91,8 +92,8 @@
       std::any_of(settings.classes.begin(), settings.classes.end(), [](const RequestClass& request_class) {
         return request_class.idempotency != Idempotency::kNonIdempotent;
       });
-  if (settings.resume && !settings.classes.empty() && !has_retryable_class)
-    findings.add_warning(path(keys::kResume), "true, but no class may be repeated",
+  if (settings.may_migrate_streams && !settings.classes.empty() && !has_retryable_class)
+    findings.add_warning(path(keys::kMayMigrateStreams), "true, but no class may be repeated",
                          "a class whose repeat is 'safe' or 'keyed'");
   for (std::size_t i = 0; i < settings.classes.size(); ++i) {
     const RequestClass& request_class = settings.classes[i];
--- a/src/settings/keys.hpp
+++ b/src/settings/keys.hpp
@@ -15,7 +15,7 @@
   const char* name;
 };
 
-// "limits.mostTries".
+// The path of a setting: "limits.mostTries".
 [[nodiscard]] inline std::string path(const Key& key) {
   return *key.object == '\0' ? key.name : std::string(key.object) + "." + key.name;
 }
@@ -72,11 +72,11 @@
 // The serving group; the first two are arrays with one element for each kind of endpoint.
 inline constexpr Key kRoles{kServingGroup, "dutyByKind"};
 inline constexpr Key kMemoryTokens{kServingGroup, "memoryTokens"};
-inline constexpr Key kWritersRead{kServingGroup, "writersRead"};
-inline constexpr Key kEarlyPairing{kServingGroup, "earlyPairing"};
-inline constexpr Key kResume{kServingGroup, "resume"};
+inline constexpr Key kWritersCanPrefill{kServingGroup, "writersRead"};
+inline constexpr Key kMayReserveSlots{kServingGroup, "earlyPairing"};
+inline constexpr Key kMayMigrateStreams{kServingGroup, "resume"};
 inline constexpr Key kReservationLimit{kServingGroup, "pinLimitMs"};
-inline constexpr Key kFarPrice{kServingGroup, "moveFee"};
+inline constexpr Key kRemoteTransferPrice{kServingGroup, "moveFee"};
 
 inline constexpr Key kReportSource{kLoadReports, "source"};
 inline constexpr Key kReportFields{kLoadReports, "fields"};
@@ -87,8 +87,8 @@
 inline constexpr Key kIdleTimeout{kLimits, "idleCloseMs"};
 inline constexpr Key kMayCancel{kLimits, "mayCancel"};
 inline constexpr Key kMayProbe{kLimits, "mayProbe"};
-inline constexpr Key kMayDuplicate{kLimits, "mayDuplicate"};
-inline constexpr Key kPeers{kLimits, "peers"};
+inline constexpr Key kMayHedge{kLimits, "mayDuplicate"};
+inline constexpr Key kMayMessagePeers{kLimits, "peers"};
 inline constexpr Key kRetryAdvice{kLimits, "retryAfter"};
 inline constexpr Key kMaxRetryAfter{kLimits, "maxRetryAfterMs"};
 inline constexpr Key kMaxAttempts{kLimits, "mostTries"};
@@ -102,15 +102,15 @@
 inline constexpr Key kOverloadMultiple{kGuarantees, "tipMultiple"};
 inline constexpr Key kOverloadWindow{kGuarantees, "tipAfterMs"};
 
-inline constexpr Key kWastePrice{kPrices, "waste"};
+inline constexpr Key kWastedWorkPrice{kPrices, "waste"};
 inline constexpr Key kProbePrice{kPrices, "probe"};
 inline constexpr Key kCrossZonePrice{kPrices, "crossZone"};
-inline constexpr Key kLateFailPrice{kPrices, "lateFail"};
-inline constexpr Key kPeerPrice{kPrices, "peer"};
-inline constexpr Key kMovePrice{kPrices, "moves"};
+inline constexpr Key kLateFailurePrice{kPrices, "lateFail"};
+inline constexpr Key kPeerMessagePrice{kPrices, "peer"};
+inline constexpr Key kMigrationPrice{kPrices, "moves"};
 inline constexpr Key kConnectionPrice{kPrices, "connection"};
 inline constexpr Key kHandshakePrice{kPrices, "handshake"};
-inline constexpr Key kEndpointListPrice{kPrices, "registryMode"};
+inline constexpr Key kEndpointListEntryPrice{kPrices, "registryMode"};
 
 inline constexpr Key kGoalTotal{kGoal, "whole"};
 inline constexpr Key kGoalWorstWindow{kGoal, "worstWindow"};
--- a/src/settings/parse.cpp
+++ b/src/settings/parse.cpp
@@ -136,9 +136,9 @@
 }
 
 void parse_serving_group(const ObjectReader& group, Settings& settings) {
-  settings.writers_read = group.optional<bool>(keys::kWritersRead.name);
-  settings.early_pairing = group.optional<bool>(keys::kEarlyPairing.name);
-  settings.resume = group.optional<bool>(keys::kResume.name);
+  settings.writers_can_prefill = group.optional<bool>(keys::kWritersCanPrefill.name);
+  settings.may_reserve_slots = group.optional<bool>(keys::kMayReserveSlots.name);
+  settings.may_migrate_streams = group.optional<bool>(keys::kMayMigrateStreams.name);
   settings.reservation_limit = group.required_duration(keys::kReservationLimit.name);
 }
 
@@ -147,8 +147,8 @@
   settings.idle_timeout = limits.optional_duration(keys::kIdleTimeout.name);
   settings.may_cancel = limits.optional<bool>(keys::kMayCancel.name);
   settings.may_probe = limits.optional<bool>(keys::kMayProbe.name);
-  settings.may_duplicate = limits.optional<bool>(keys::kMayDuplicate.name);
-  settings.peers = limits.optional<bool>(keys::kPeers.name);
+  settings.may_hedge = limits.optional<bool>(keys::kMayHedge.name);
+  settings.may_message_peers = limits.optional<bool>(keys::kMayMessagePeers.name);
   settings.retry_advice = limits.optional<bool>(keys::kRetryAdvice.name);
   settings.max_retry_after = limits.optional_duration(keys::kMaxRetryAfter.name);
   settings.max_attempts = limits.required<int>(keys::kMaxAttempts.name);
@@ -169,22 +169,22 @@
 
 Prices parse_prices(const ObjectReader& source, const ObjectReader& group) {
   Prices prices;
-  prices.waste = source.optional<double>(keys::kWastePrice.name);
+  prices.wasted_work = source.optional<double>(keys::kWastedWorkPrice.name);
   prices.probe = source.optional<double>(keys::kProbePrice.name);
   prices.cross_zone = source.optional<double>(keys::kCrossZonePrice.name);
-  prices.late_fail = source.optional<double>(keys::kLateFailPrice.name);
-  prices.peer = source.optional<double>(keys::kPeerPrice.name);
-  prices.far = group.optional<double>(keys::kFarPrice.name);
-  prices.move = source.optional<double>(keys::kMovePrice.name);
+  prices.late_failure = source.optional<double>(keys::kLateFailurePrice.name);
+  prices.peer_message = source.optional<double>(keys::kPeerMessagePrice.name);
+  prices.remote_transfer = group.optional<double>(keys::kRemoteTransferPrice.name);
+  prices.migration = source.optional<double>(keys::kMigrationPrice.name);
   prices.connection = source.optional<double>(keys::kConnectionPrice.name);
   prices.handshake = source.optional<double>(keys::kHandshakePrice.name);
-  prices.list_line = source.optional<double>(keys::kEndpointListPrice.name);
+  prices.endpoint_list_entry = source.optional<double>(keys::kEndpointListEntryPrice.name);
   return prices;
 }
 
 Goal parse_goal(const ObjectReader& source) {
   Goal goal;
-  goal.whole = source.optional<double>(keys::kGoalTotal.name);
+  goal.total = source.optional<double>(keys::kGoalTotal.name);
   goal.worst_window = source.optional<double>(keys::kGoalWorstWindow.name);
   goal.worst_class = source.optional<double>(keys::kGoalWorstClass.name);
   goal.worst_tenant = source.optional<double>(keys::kGoalWorstTenant.name);
@@ -204,7 +204,8 @@
   settings.kinds = parse_kinds(top, group);
   settings.polls_endpoint_list =
       top.required_enum<bool>(keys::kEndpointListDelivery.name, kPollsEndpointListNames);
-  settings.weights = top.informative_enum<WeightMeaning>(keys::kWeightMeaning.name, kWeightMeaningNames);
+  settings.weight_meaning =
+      top.informative_enum<WeightMeaning>(keys::kWeightMeaning.name, kWeightMeaningNames);
   parse_load_reports(top.object(keys::kLoadReports, Presence::kOptional), settings);
   parse_serving_group(group, settings);
   const ObjectReader clients = top.object(keys::kClientBehavior, Presence::kOptional);
@@ -227,10 +228,7 @@
 ParsedSettings parse_settings(const json::Json& source) {
   std::vector<Finding> findings;
   Settings settings = read_settings(ObjectReader(&source, "", findings));
-  const bool has_error = std::any_of(findings.begin(), findings.end(), [](const Finding& finding) {
-    return finding.severity == Severity::kError;
-  });
-  if (has_error) throw SettingsError(std::move(findings));
+  if (has_error(findings)) throw SettingsError(std::move(findings));
   return {std::move(settings), std::move(findings)};
 }
 
--- a/tests/settings_draw.cpp
+++ b/tests/settings_draw.cpp
@@ -58,12 +58,12 @@
 }
 
 // Kinds always have the same names, so that one list can be read by any of the settings.
-std::vector<EndpointKind> draw_kinds(Pick& pick, bool& writers_read) {
+std::vector<EndpointKind> draw_kinds(Pick& pick, bool& writers_can_prefill) {
   const auto r = Role::kReader, w = Role::kWriter, m = Role::kMixed;
   static const std::vector<std::vector<Role>> sets = {{r, w, w}, {r, w, m}, {m, m, m}, {r, r, w},
                                                       {r, m, m}, {w, w, w}, {w, m, m}};
   const auto& roles = sets[static_cast<std::size_t>(pick.gene()) % sets.size()];
-  writers_read = pick.maybe() || roles[0] == w;
+  writers_can_prefill = pick.maybe() || roles[0] == w;
   std::vector<EndpointKind> kinds;
   for (std::size_t i = 0; i < roles.size(); ++i)
     kinds.push_back({"k" + std::to_string(i), roles[i], pick.between(0, 400000)});
@@ -79,18 +79,18 @@
   for (int i = pick.whole(0, 3); i >= 0; --i) s.classes.push_back(draw_class(pick, i));
   for (int i = pick.whole(0, 4); i > 0; --i)
     s.tenants.push_back({"t" + std::to_string(i), pick.between(0, 30)});
-  s.kinds = draw_kinds(pick, s.writers_read);
-  const bool whole = s.writers_read || s.kinds[2].role == Role::kMixed;
+  s.kinds = draw_kinds(pick, s.writers_can_prefill);
+  const bool whole = s.writers_can_prefill || s.kinds[2].role == Role::kMixed;
   s.max_attempts = pick.whole(whole ? 1 : 2, 8);
   s.free_connect_failures = pick.maybe() ? 4 * s.max_attempts : 0;
   s.reservation_expires_while_connecting = s.free_connect_failures > 0;  // both on sockets alone
   s.polls_endpoint_list = pick.maybe();
-  s.early_pairing = pick.maybe();
-  s.resume = pick.maybe();
+  s.may_reserve_slots = pick.maybe();
+  s.may_migrate_streams = pick.maybe();
   s.may_cancel = !pick.maybe();
-  s.may_duplicate = pick.maybe();
+  s.may_hedge = pick.maybe();
   s.may_probe = pick.maybe();
-  s.peers = pick.maybe();
+  s.may_message_peers = pick.maybe();
   s.retry_advice = pick.maybe();
   s.max_retry_after = pick.time(milliseconds(0), milliseconds(3000));
   s.report_source = pick.of({ReportSource::kInAnswers, ReportSource::kNone, ReportSource::kInProbes});
@@ -104,7 +104,7 @@
   s.warmup_time = pick.time(milliseconds(0), milliseconds(30000));
   s.overload_multiple = pick.between(0, 6);
   s.overload_window = pick.time(milliseconds(0), milliseconds(5000));
-  s.prices.waste = pick.between(0, 0.3);
+  s.prices.wasted_work = pick.between(0, 0.3);
   return s;
 }
 
