--- a/src/routing/endpoint_table.cpp
+++ b/src/routing/endpoint_table.cpp
@@ -18,6 +18,16 @@
   endpoint = std::move(fresh);
 }
 
+// Adds what one endpoint shows; reported values are added up.
+void add_endpoint(RoleStatistics& role, const Endpoint& endpoint) {
+  role.ready += 1;
+  role.ejected += endpoint.is_ejected ? 1 : 0;
+  role.queue_delay_ratio_sum += endpoint.queue_delay_ratio;
+  role.delayed += endpoint.queue_delay_ratio > 0 ? 1 : 0;
+  role.prompt_tokens += 1000 * endpoint.report.prompt_kilotokens.value_or(0);
+  role.memory_share += endpoint.report.memory_share.value_or(0);
+}
+
 }  // namespace
 
 std::vector<std::string> EndpointTable::apply(const EndpointList& list, const Settings& settings, Time now) {
@@ -84,29 +94,21 @@
   return it == endpoints_.end() ? nullptr : &it->second;
 }
 
-RoleStatistics EndpointTable::statistics(Role role) const {
-  RoleStatistics result;
-  double reports = 0;
-  for (const auto& [name, endpoint] : endpoints_) {
-    if (endpoint.role != role || endpoint.state != EndpointState::kReady) continue;
-    const LoadReport& report = endpoint.report;
-    result.ready += 1;
-    result.ejected += endpoint.is_ejected ? 1 : 0;
-    result.queue_delay_ratio_sum += endpoint.queue_delay_ratio;
-    result.delayed += endpoint.queue_delay_ratio > 0 ? 1 : 0;
-    result.prompt_tokens += 1000 * report.prompt_kilotokens.value_or(0);
-    result.memory_share += report.memory_share.value_or(0);
-    reports += report.prompt_kilotokens || report.memory_share ? 1 : 0;
-  }
-  result.prompt_tokens /= std::max(1.0, reports);
-  result.memory_share /= std::max(1.0, reports);
-  return result;
-}
+RoleStatistics EndpointTable::statistics(Role role) const { return statistics_by_role()[role_index(role)]; }
 
 std::array<RoleStatistics, kRoles> EndpointTable::statistics_by_role() const {
   std::array<RoleStatistics, kRoles> result;
-  for (const Role role : {Role::kReader, Role::kWriter, Role::kMixed})
-    result[role_index(role)] = statistics(role);
+  std::array<double, kRoles> reports{};
+  for (const auto& [name, endpoint] : endpoints_) {
+    if (endpoint.state != EndpointState::kReady) continue;
+    const std::size_t role = role_index(endpoint.role);
+    add_endpoint(result[role], endpoint);
+    if (endpoint.report.prompt_kilotokens || endpoint.report.memory_share) reports[role] += 1;
+  }
+  for (std::size_t role = 0; role < kRoles; ++role) {
+    result[role].prompt_tokens /= std::max(1.0, reports[role]);
+    result[role].memory_share /= std::max(1.0, reports[role]);
+  }
   return result;
 }
 
--- a/src/routing/endpoint_table.hpp
+++ b/src/routing/endpoint_table.hpp
@@ -38,6 +38,7 @@
   [[nodiscard]] Map& entries() { return endpoints_; }
   [[nodiscard]] const Map& entries() const { return endpoints_; }
   [[nodiscard]] RoleStatistics statistics(Role role) const;
+  // Of all roles, by role_index(), in one pass over the endpoints.
   [[nodiscard]] std::array<RoleStatistics, kRoles> statistics_by_role() const;
   // Ready endpoints that read prompts.
   [[nodiscard]] double reader_count() const { return reader_count_; }
