--- a/src/service_discovery/endpoint_snapshot.cpp
+++ b/src/service_discovery/endpoint_snapshot.cpp
@@ -4,7 +4,6 @@
 #include <array>
 #include <cmath>
 #include <cstddef>
-#include <stdexcept>
 #include <string>
 #include <utility>
 
@@ -41,29 +40,56 @@
 constexpr double kUsPerMs = 1000;
 constexpr int kCellMask = 0x7fffffff;  // cells are not negative
 
-[[noreturn]] void throw_invalid(const std::string& field, const char* problem) {
-  throw std::invalid_argument("field '" + field + "': " + problem);
+const char* describe(SnapshotProblem problem) {
+  switch (problem) {
+    case SnapshotProblem::kNotAnObject:
+      return "an object expected";
+    case SnapshotProblem::kNotComplete:
+      return "complete list expected";
+    case SnapshotProblem::kNotText:
+      return "text expected";
+    case SnapshotProblem::kNotANumber:
+      return "number expected";
+    case SnapshotProblem::kNumberOutOfRange:
+      return "number out of range";
+    case SnapshotProblem::kNotABoolean:
+      return "true or false expected";
+    case SnapshotProblem::kUnknownState:
+      return "up, draining or removed expected";
+    case SnapshotProblem::kNotAnAddress:
+      return "address and port expected";
+    case SnapshotProblem::kNotAnArray:
+      return "array expected";
+    case SnapshotProblem::kNotObjects:
+      return "objects expected";
+  }
+  return "invalid";
+}
+
+std::string describe(SnapshotProblem problem, const std::string& field) {
+  if (field.empty()) return describe(problem);
+  return "field '" + field + "': " + describe(problem);
 }
 
 std::string parse_text(const Json& object, const char* field) {
   const auto it = object.find(field);
-  if (it == object.end() || !it->is_string()) throw_invalid(field, "text expected");
+  if (it == object.end() || !it->is_string()) throw SnapshotError(SnapshotProblem::kNotText, field);
   return it->get<std::string>();
 }
 
 double parse_number(const Json& object, const char* field, double default_value) {
   const auto it = object.find(field);
   if (it == object.end() || it->is_null()) return default_value;
-  if (!it->is_number()) throw_invalid(field, "number expected");
+  if (!it->is_number()) throw SnapshotError(SnapshotProblem::kNotANumber, field);
   const double value = it->get<double>();
-  if (!(std::abs(value) < kMaxMagnitude)) throw_invalid(field, "number out of range");
+  if (!(std::abs(value) < kMaxMagnitude)) throw SnapshotError(SnapshotProblem::kNumberOutOfRange, field);
   return value;
 }
 
 bool parse_flag(const Json& object, const char* field) {
   const auto it = object.find(field);
   if (it == object.end()) return false;
-  if (!it->is_boolean()) throw_invalid(field, "true or false expected");
+  if (!it->is_boolean()) throw SnapshotError(SnapshotProblem::kNotABoolean, field);
   return it->get<bool>();
 }
 
@@ -71,7 +97,7 @@
   for (const auto& [state_name, state] : kStateNames) {
     if (name == state_name) return state;
   }
-  throw_invalid(key::kState, "up, draining or removed expected");
+  throw SnapshotError(SnapshotProblem::kUnknownState, key::kState);
 }
 
 const char* name_of(EndpointState state) {
@@ -96,7 +122,7 @@
 
 upstream::EndpointAddress parse_address(const Json& object, const EndpointInfo& info) {
   const auto address = net::parse_endpoint(parse_text(object, key::kAddress));
-  if (!address) throw_invalid(key::kAddress, "address and port expected");
+  if (!address) throw SnapshotError(SnapshotProblem::kNotAnAddress, key::kAddress);
   return {info.endpoint, *address, info.state == EndpointState::kReady, info.state == EndpointState::kRemoved,
           info.zone,     info.cell};
 }
@@ -109,16 +135,20 @@
 
 }  // namespace
 
+SnapshotError::SnapshotError(SnapshotProblem problem, std::string field)
+    : std::invalid_argument(describe(problem, field)), problem_(problem), field_(std::move(field)) {}
+
 EndpointSnapshot parse_endpoint_snapshot(const Json& object) {
-  if (!object.is_object()) throw std::invalid_argument("an object expected");
+  if (!object.is_object()) throw SnapshotError(SnapshotProblem::kNotAnObject);
   EndpointSnapshot snapshot;
   snapshot.version = static_cast<std::uint64_t>(std::max(0.0, parse_number(object, key::kVersion, 0)));
   snapshot.is_complete = parse_flag(object, key::kIsComplete);
   snapshot.list.kind = snapshot.is_complete ? routing::ListKind::kFull : routing::ListKind::kDelta;
   const auto endpoints = object.find(key::kEndpoints);
-  if (endpoints == object.end() || !endpoints->is_array()) throw_invalid(key::kEndpoints, "array expected");
+  if (endpoints == object.end() || !endpoints->is_array())
+    throw SnapshotError(SnapshotProblem::kNotAnArray, key::kEndpoints);
   for (const Json& endpoint : *endpoints) {
-    if (!endpoint.is_object()) throw_invalid(key::kEndpoints, "objects expected");
+    if (!endpoint.is_object()) throw SnapshotError(SnapshotProblem::kNotObjects, key::kEndpoints);
     EndpointInfo info = parse_endpoint(endpoint);
     snapshot.addresses.push_back(parse_address(endpoint, info));
     snapshot.list.entries.push_back(std::move(info));
--- a/src/service_discovery/endpoint_snapshot.hpp
+++ b/src/service_discovery/endpoint_snapshot.hpp
@@ -4,6 +4,8 @@
 
 #include <cstdint>
 #include <nlohmann/json.hpp>
+#include <stdexcept>
+#include <string>
 #include <vector>
 
 #include "routing/router.hpp"
@@ -19,7 +21,35 @@
   std::vector<upstream::EndpointAddress> addresses;  // one for each of list.entries, in the same order
 };
 
-// Throws std::invalid_argument that names the field. Unknown fields are ignored.
+// What is wrong with a list of endpoints.
+enum class SnapshotProblem {
+  kNotAnObject,  // the list as a whole
+  kNotComplete,  // the list as a whole: a complete one was requested
+  kNotText,      // ... and of one field:
+  kNotANumber,
+  kNumberOutOfRange,
+  kNotABoolean,
+  kUnknownState,
+  kNotAnAddress,
+  kNotAnArray,
+  kNotObjects,
+};
+
+// A list of endpoints that cannot be used. what() names the field and the problem, for the operators' log.
+class SnapshotError : public std::invalid_argument {
+ public:
+  // `field` is the platform's name of the field; empty: the list as a whole.
+  explicit SnapshotError(SnapshotProblem problem, std::string field = "");
+
+  [[nodiscard]] SnapshotProblem problem() const { return problem_; }
+  [[nodiscard]] const std::string& field() const { return field_; }
+
+ private:
+  SnapshotProblem problem_;
+  std::string field_;
+};
+
+// Throws SnapshotError. Unknown fields are ignored.
 [[nodiscard]] EndpointSnapshot parse_endpoint_snapshot(const nlohmann::json& object);
 [[nodiscard]] nlohmann::json to_json(const EndpointSnapshot& snapshot);
 // Replaces `snapshot` by an update that is complete, or applies the changes to it. `snapshot` stays complete.
--- a/src/service_discovery/endpoint_watcher.cpp
+++ b/src/service_discovery/endpoint_watcher.cpp
@@ -1,7 +1,6 @@
 #include "service_discovery/endpoint_watcher.hpp"
 
 #include <cstddef>
-#include <stdexcept>
 #include <utility>
 
 namespace dispatcher::service_discovery {
@@ -193,14 +192,14 @@
 
 bool EndpointWatcher::handle_object(Call& call, const std::string& text) {
   try {
-    const auto snapshot = parse_endpoint_snapshot(nlohmann::json::parse(text, nullptr, false));
+    const EndpointSnapshot snapshot = parse_endpoint_snapshot(nlohmann::json::parse(text, nullptr, false));
     if (call.requested_complete_list && !call.has_complete_list && !snapshot.is_complete)
-      throw std::invalid_argument("complete list expected");
+      throw SnapshotError(SnapshotProblem::kNotComplete);
     mark_healthy();
     report(call, snapshot);
     return true;
-  } catch (const std::invalid_argument& e) {
-    log_(std::string("discovery sent a malformed list: ") + e.what());
+  } catch (const SnapshotError& error) {
+    log_(std::string("discovery sent a malformed list: ") + error.what());
     mark_unhealthy("unreadable");
     return false;
   }
