--- a/src/routing/endpoint.hpp
+++ b/src/routing/endpoint.hpp
@@ -2,11 +2,11 @@
 #ifndef DISPATCHER_ROUTING_ENDPOINT_HPP_
 #define DISPATCHER_ROUTING_ENDPOINT_HPP_
 
+#include <compare>
 #include <cstdint>
 #include <deque>
 #include <map>
 #include <string>
-#include <utility>
 
 #include "routing/events.hpp"
 #include "routing/prefix_index.hpp"
@@ -28,6 +28,19 @@
   bool awaits_first_send = false;  // it was put back, and this router has sent nothing to it since
 };
 
+// A cell, whose number counts within its zone.
+struct CellId {
+  std::string zone;
+  int cell = 0;
+  auto operator<=>(const CellId&) const = default;
+};
+
+// Whose requests an endpoint rejects.
+struct RejectedGroup {
+  std::string request_class, tenant;
+  auto operator<=>(const RejectedGroup&) const = default;
+};
+
 // One endpoint: as listed, with its load and its health as this router sees them.
 struct Endpoint : EndpointInfo, RestartPersistentState {
   double local_write_share = 1;  // part of what is read here that can be written close to it
@@ -47,7 +60,7 @@
   Time ejected_until{};
   Time full_until{};
   Time last_response_at{};
-  std::map<std::pair<std::string, std::string>, Time> rejects_until;  // by class and tenant
+  std::map<RejectedGroup, Time> rejects_until;
 
   // Takes a load report over; one without any known field is ignored.
   void record_report(const LoadReport& received, Time now) {
--- a/src/routing/locality.hpp
+++ b/src/routing/locality.hpp
@@ -4,8 +4,8 @@
 
 #include <algorithm>
 #include <map>
-#include <string>
-#include <utility>
+
+#include "routing/endpoint.hpp"
 
 namespace dispatcher::routing {
 
@@ -20,7 +20,7 @@
   }
 };
 
-using CellCapacities = std::map<std::pair<std::string, int>, RegionCapacity>;  // by zone and cell
+using CellCapacities = std::map<CellId, RegionCapacity>;
 
 }  // namespace dispatcher::routing
 
--- a/src/routing/prefix_affinity.cpp
+++ b/src/routing/prefix_affinity.cpp
@@ -64,8 +64,8 @@
 int cached_tokens(const Endpoint& endpoint, const RequestState& state) {
   const Request& request = state.request;
   const PrefixIndex& index = endpoint.prefix_index;
-  const int session = request.session != 0 ? index.cached_tokens({false, state.session_key}) : 0;
-  const int shared = request.shared_prefix != 0 ? index.cached_tokens({true, state.affinity_key}) : 0;
+  const int session = request.session != 0 ? index.cached_tokens(session_prompt(state.session_key)) : 0;
+  const int shared = request.shared_prefix != 0 ? index.cached_tokens(shared_prompt(state.affinity_key)) : 0;
   return std::min(std::max(session, std::min(shared, request.prefix_tokens)), request.prompt_tokens);
 }
 
@@ -78,9 +78,9 @@
     max_blocks = static_cast<std::size_t>(endpoint.memory_tokens / kBlockTokens);
   PrefixIndex& index = endpoint.prefix_index;
   if (request.session != 0)
-    index.insert({false, state.session_key}, request.prompt_tokens, own_tokens, max_blocks);
+    index.insert(session_prompt(state.session_key), request.prompt_tokens, own_tokens, max_blocks);
   if (has_prefix)
-    index.insert({true, state.affinity_key}, request.prefix_tokens, request.prefix_tokens, max_blocks);
+    index.insert(shared_prompt(state.affinity_key), request.prefix_tokens, request.prefix_tokens, max_blocks);
 }
 
 }  // namespace dispatcher::routing
--- a/src/routing/slow_start.cpp
+++ b/src/routing/slow_start.cpp
@@ -48,7 +48,7 @@
 void SlowStart::record_result(const Context& context, const Endpoint& endpoint) {
   const std::size_t role = role_index(endpoint.role);
   if (!is_warming_up(context, endpoint))
-    results_[role].emplace_back(context.now, 1 / std::max(1.0, warm_count_[role]));
+    results_[role].push_back({context.now, 1 / std::max(1.0, warm_count_[role])});
 }
 
 // Each result counts over as many warm endpoints as there were then. While there is no warm endpoint, the
@@ -64,13 +64,14 @@
   ready_count_ = ready;
   for (std::size_t role = 0; role < kRoles; ++role) {
     auto& results = results_[role];
-    while (!results.empty() && results.front().first < context.now - kRateWindow) results.pop_front();
+    while (!results.empty() && results.front().at < context.now - kRateWindow) results.pop_front();
     if (warm[role] <= 0) continue;
     warm_count_[role] = warm[role];
     warm_rate_[role] = 0;
     const Duration span =
         std::max(context.settings->overload_window, std::min(kRateWindow, context.now - counting_since_));
-    for (const auto& [at, part] : results) warm_rate_[role] += part / std::max(to_seconds(span), 1.0);
+    for (const Result& result : results)
+      warm_rate_[role] += result.endpoint_share / std::max(to_seconds(span), 1.0);
   }
 }
 
@@ -121,7 +122,7 @@
     const int count = learned_state.served[role];
     for (int i = count; i > 0; --i) {
       const Time at = context.now - scaled(kRateWindow, double(count - i) / count);
-      results_[role].emplace_front(at, 1 / std::max(1.0, warm_count_[role]));
+      results_[role].push_front({at, 1 / std::max(1.0, warm_count_[role])});
     }
   }
   counting_since_ = std::min(counting_since_, learned_state.since);
--- a/src/routing/slow_start.hpp
+++ b/src/routing/slow_start.hpp
@@ -5,7 +5,6 @@
 
 #include <array>
 #include <deque>
-#include <utility>
 
 #include "routing/context.hpp"
 #include "routing/endpoint_table.hpp"
@@ -49,8 +48,13 @@
   [[nodiscard]] double draw_share(const Context& context, const EndpointTable& endpoints,
                                   const Endpoint& endpoint, const RequestState& state) const;
 
-  // By role: when a warm endpoint gave a result, and one over the number of warm endpoints then.
-  std::array<std::deque<std::pair<Time, double>>, kRoles> results_;
+  // A result of a warm endpoint.
+  struct Result {
+    Time at{};
+    double endpoint_share = 0;  // one over the number of warm endpoints then
+  };
+
+  std::array<std::deque<Result>, kRoles> results_;  // by role, the oldest first
   std::array<double, kRoles> warm_count_{};
   std::array<double, kRoles> warm_rate_{};  // results per second that one warm endpoint gives this router
   std::array<double, kRoles> ready_count_{};
