--- a/src/routing/prefix_index.hpp
+++ b/src/routing/prefix_index.hpp
@@ -23,10 +23,12 @@
   auto operator<=>(const PrefixKey&) const = default;
 };
 
+// The key of the prompts of a session: see prefix_affinity.hpp.
 [[nodiscard]] inline PrefixKey session_prompt(std::uint64_t session_key) {
   return {PrefixKind::kSession, session_key};
 }
 
+// The key of a shared prefix.
 [[nodiscard]] inline PrefixKey shared_prompt(std::uint64_t affinity_key) {
   return {PrefixKind::kShared, affinity_key};
 }
