--- a/src/simulation/parameters.cpp
+++ b/src/simulation/parameters.cpp
@@ -1,6 +1,9 @@
 #include "simulation/parameters.hpp"
 
-#include <map>
+#include <algorithm>
+#include <array>
+#include <iterator>
+#include <utility>
 
 #include "cue/schema.hpp"
 
@@ -40,9 +43,9 @@
 		sessions: *500 | (int & >0 & <=10_000_000)
 		openings: *20 | (int & >0 & <=1_000_000)
 	}
-	troubles: *[] | [...#Trouble]
+	troubles: *[] | [...#Fault]
 }
-#Trouble: {
+#Fault: {
 	kind:   "zone-lost" | "readers-dead" | "slow-links" | "jump"
 	from_s: int & >=0
 	to_s:   int & >0
@@ -51,7 +54,21 @@
 }
 )cue";
 
-// Questions, which may be asked twice, and commands, which may not.
+// The values of `kind` in a fault's record, which files keep.
+constexpr std::array<std::pair<std::string_view, Fault::Kind>, 4> kFaultKinds = {
+    {{"zone-lost", Fault::Kind::kZoneLost},
+     {"readers-dead", Fault::Kind::kReadersLost},
+     {"slow-links", Fault::Kind::kSlowLinks},
+     {"jump", Fault::Kind::kTrafficSurge}}};
+
+// Of the names that the schema permits.
+Fault::Kind fault_kind(std::string_view name) {
+  const auto it = std::find_if(kFaultKinds.begin(), kFaultKinds.end(),
+                               [&](const auto& entry) { return entry.first == name; });
+  return it->second;
+}
+
+// Idempotent questions and non-idempotent commands.
 std::vector<routing::RequestClass> request_classes() {
   routing::RequestClass ask;
   ask.name = "ask";
@@ -72,7 +89,8 @@
   return {ask, command};
 }
 
-routing::Settings settings_of(const Parameters& parameters) {
+// The settings of a deployment like the simulated one.
+routing::Settings dispatcher_settings(const Parameters& parameters) {
   routing::Settings settings;
   settings.router_count = parameters.dispatchers;
   settings.zone = "z0";
@@ -129,12 +147,8 @@
 }
 
 Fault read_fault(const cue::Data& data, int zones, std::vector<cue::Problem>& problems) {
-  static const std::map<std::string, Fault::Kind> kKinds = {{"zone-lost", Fault::Kind::kZoneLost},
-                                                            {"readers-dead", Fault::Kind::kReadersLost},
-                                                            {"slow-links", Fault::Kind::kSlowLinks},
-                                                            {"jump", Fault::Kind::kTrafficSurge}};
   Fault fault;
-  fault.kind = kKinds.at(data["kind"].text());
+  fault.kind = fault_kind(data["kind"].text());
   fault.start = seconds_of(data["from_s"]);
   fault.end = seconds_of(data["to_s"]);
   fault.zone = integer_of(data["zone"]);
@@ -159,7 +173,7 @@
   for (const cue::Data& item : data["troubles"].items())
     parameters.faults.push_back(read_fault(item, parameters.zones, problems));
   if (!problems.empty()) throw cue::Errors(file.name, std::move(problems));
-  parameters.settings = settings_of(parameters);
+  parameters.settings = dispatcher_settings(parameters);
   return parameters;
 }
 
--- a/src/simulation/parameters.hpp
+++ b/src/simulation/parameters.hpp
@@ -15,10 +15,11 @@
 
 // A fault of the fleet, or a surge of its traffic, for a part of the simulated time.
 struct Fault {
-  enum class Kind { kZoneLost, kReadersLost, kSlowLinks, kTrafficSurge } kind{};
-  Duration start{},
-      end{};     // since the start of the simulation; at the end what was lost restarts, warming up
-  int zone = 0;  // of kZoneLost
+  enum class Kind { kZoneLost, kReadersLost, kSlowLinks, kTrafficSurge };
+  Kind kind{};
+  Duration start{};  // since the start of the simulation
+  Duration end{};    // likewise; lost endpoints then restart, warming up
+  int zone = 0;      // of kZoneLost
   // Of kReadersLost: the fraction of each cell's readers. Of kSlowLinks and kTrafficSurge: the factor.
   double magnitude = 0;
 };
--- a/src/simulation/prefix_cache.hpp
+++ b/src/simulation/prefix_cache.hpp
@@ -13,10 +13,11 @@
  public:
   using Key = std::uint64_t;  // of a shared prefix or a session; 0: none, which is never cached
 
-  // 0: it is not cached.
+  // The cached tokens of a prefix; 0: it is not cached.
   [[nodiscard]] int cached_tokens(Key key) const;
   // Keeps the longer one of what is cached and `tokens`. `capacity`: prefixes.
   void insert(Key key, int tokens, std::size_t capacity);
+  // Forgets all prefixes, as a restart does.
   void clear();
 
  private:
--- a/src/simulation/scenario.cpp
+++ b/src/simulation/scenario.cpp
@@ -1,7 +1,6 @@
 #include "simulation/scenario.hpp"
 
 #include <algorithm>
-#include <array>
 #include <map>
 #include <memory>
 #include <utility>
@@ -16,35 +15,45 @@
 
 using engine::SlotId;
 
-// The virtual clock's start: a time of this century, as clients' deadlines are.
-constexpr Time kStart = std::chrono::seconds(1'800'000'000);
 // How long requests that are open when the traffic ends may still take.
 constexpr Duration kDrainTime = std::chrono::seconds(60);
 // Keeps the seeds of dispatchers apart from each other, and from those of other simulations.
 constexpr std::uint64_t kSeedStride = 1'000'003;
 
+using SharedLevels = std::shared_ptr<const degradation::LevelSet>;
+
+std::string zone_name(int zone) { return "z" + std::to_string(zone); }
+
+void discard_log(std::string_view) {}
+
+// What the dispatchers of a simulation share. The objects that it refers to outlive them.
+struct DispatcherContext {
+  const Parameters& parameters;
+  SimulatedFleet& fleet;
+  engine::TimerQueue& timers;
+  engine::Clock clock;
+  std::vector<RequestOutcome>& outcomes;
+  SharedLevels levels;
+};
+
 // One dispatcher: the real engine between its clients and the simulated fleet. Owned by the Simulation, whose
-// timers call it; the fleet, the timers and the outcomes outlive it.
-class Instance : public engine::UpstreamClient, public engine::ResponseSink {
+// timers call it.
+class SimulatedDispatcher : public engine::UpstreamClient, public engine::ResponseSink {
  public:
-  Instance(const Parameters& parameters, int number, std::uint64_t seed, SimulatedFleet& fleet,
-           engine::TimerQueue& timers, engine::Clock clock, std::vector<RequestOutcome>& outcomes,
-           std::shared_ptr<const degradation::LevelSet> levels)
-      : fleet_(fleet),
-        clock_(clock),
-        outcomes_(outcomes),
+  SimulatedDispatcher(const DispatcherContext& context, int number, std::uint64_t seed)
+      : fleet_(context.fleet),
+        clock_(context.clock),
+        outcomes_(context.outcomes),
         random_(seed),
-        settings_(settings_for(parameters, number)),
-        engine_(std::make_shared<const routing::Settings>(settings_), seed, *this, timers, clock,
-                [](std::string_view) {}),
-        control_(
-            settings_, levels ? levels : std::make_shared<const degradation::LevelSet>(), clock,
-            [](std::string_view) {}, [this] { return uniform(random_); }) {
+        settings_(settings_for(context.parameters, number)),
+        engine_(std::make_shared<const routing::Settings>(settings_), seed, *this, context.timers, clock_,
+                discard_log),
+        control_(settings_, context.levels, clock_, discard_log, [this] { return uniform(random_); }) {
     engine_.set_request_observer(&control_);
-    endpoints();
+    update_endpoints();
   }
 
-  void endpoints() {
+  void update_endpoints() {
     const auto list = fleet_.list();
     engine_.update_endpoints(list);
     control_.update_endpoints(list);
@@ -73,7 +82,7 @@
   static routing::Settings settings_for(const Parameters& parameters, int number) {
     routing::Settings settings = parameters.settings;
     settings.router_number = number;
-    settings.zone = "z" + std::to_string(number % parameters.zones);
+    settings.zone = zone_name(number % parameters.zones);
     return settings;
   }
   RequestOutcome& outcome(SlotId client) { return outcomes_[client.index]; }
@@ -82,16 +91,16 @@
   void start_attempt(engine::AttemptId attempt, const std::string& endpoint,
                      std::shared_ptr<const engine::UpstreamRequest> message, Time, Time) override {
     SimulatedFleet::Callbacks callbacks;
-    callbacks.first = [this, attempt] { engine_.on_events(attempt, "data: {}\n\n"); };
-    callbacks.ended = [this, attempt](const engine::AttemptResult& ending) {
+    callbacks.on_first_token = [this, attempt] { engine_.on_events(attempt, "data: {}\n\n"); };
+    callbacks.on_completed = [this, attempt](const engine::AttemptResult& result) {
       works_.erase(attempt);
-      engine_.on_attempt_completed(attempt, ending);
+      engine_.on_attempt_completed(attempt, result);
     };
     works_[attempt] = fleet_.send(endpoint, jobs_[message->id], std::move(callbacks));
   }
   bool cancel_attempt(engine::AttemptId attempt) override {
     if (const auto it = works_.find(attempt); it != works_.end()) {
-      fleet_.abandon(it->second);
+      fleet_.cancel(it->second);
       works_.erase(it);
     }
     return true;
@@ -130,25 +139,25 @@
 // One run. Everything happens in timers of one queue, which sets the clock.
 class Simulation {
  public:
-  Simulation(const Parameters& parameters, std::uint64_t seed,
-             const std::shared_ptr<const degradation::LevelSet>& levels)
+  // `levels` must not be null.
+  Simulation(const Parameters& parameters, std::uint64_t seed, const SharedLevels& levels)
       : parameters_(parameters),
-        traffic_end_(kStart + parameters.duration),
+        traffic_end_(kSimulationStart + parameters.duration),
         fleet_(parameters, timers_, clock()),
         traffic_(parameters, seed) {
+    const DispatcherContext context{parameters, fleet_, timers_, clock(), result_.outcomes, levels};
     for (int i = 0; i < parameters.dispatchers; ++i) {
       const std::uint64_t own_seed = seed * kSeedStride + static_cast<std::uint64_t>(i);
-      instances_.push_back(std::make_unique<Instance>(parameters, i, own_seed, fleet_, timers_, clock(),
-                                                      result_.outcomes, levels));
+      dispatchers_.push_back(std::make_unique<SimulatedDispatcher>(context, i, own_seed));
     }
     fleet_.on_list_change([this] {
-      for (auto& instance : instances_) instance->endpoints();
+      for (auto& dispatcher : dispatchers_) dispatcher->update_endpoints();
     });
   }
 
   Result run() {
     for (const Fault& fault : parameters_.faults) schedule(fault);
-    timers_.add(kStart + traffic_.next_gap(rate_factor_), [this] { submit_next(); });
+    timers_.add(kSimulationStart + traffic_.next_gap(rate_factor_), [this] { submit_next(); });
     tick();
     while (const auto next = timers_.next()) {
       if (*next > traffic_end_ + kDrainTime) break;
@@ -165,19 +174,16 @@
   }
 
   void schedule(const Fault& fault) {
-    timers_.add(kStart + fault.start, [this, fault] { begin(fault); });
-    timers_.add(kStart + fault.end, [this, fault] { end(fault); });
+    timers_.add(kSimulationStart + fault.start, [this, fault] { begin_fault(fault); });
+    timers_.add(kSimulationStart + fault.end, [this, fault] { end_fault(fault); });
   }
 
-  void begin(const Fault& fault) {
+  void begin_fault(const Fault& fault) {
     switch (fault.kind) {
       case Fault::Kind::kZoneLost:
-        return fleet_.lose_endpoints([lost = "z" + std::to_string(fault.zone)](const std::string& zone, bool,
-                                                                               int) { return zone == lost; });
+        return lose_zone(zone_name(fault.zone));
       case Fault::Kind::kReadersLost:
-        return fleet_.lose_endpoints([&](const std::string&, bool is_reader, int number) {
-          return is_reader && number < fault.magnitude * parameters_.readers;
-        });
+        return lose_readers(fault.magnitude);
       case Fault::Kind::kSlowLinks:
         return fleet_.slow_links(fault.magnitude);
       case Fault::Kind::kTrafficSurge:
@@ -186,7 +192,18 @@
     }
   }
 
-  void end(const Fault& fault) {
+  void lose_zone(const std::string& lost) {
+    fleet_.lose_endpoints([&](const std::string& zone, routing::Role, int) { return zone == lost; });
+  }
+
+  // `fraction`: of each cell's readers.
+  void lose_readers(double fraction) {
+    fleet_.lose_endpoints([&](const std::string&, routing::Role role, int number) {
+      return role == routing::Role::kReader && number < fraction * parameters_.readers;
+    });
+  }
+
+  void end_fault(const Fault& fault) {
     switch (fault.kind) {
       case Fault::Kind::kZoneLost:
       case Fault::Kind::kReadersLost:
@@ -210,13 +227,13 @@
         request_class.latency_objective +
         request_class.latency_objective_per_1000_tokens * request.prompt_tokens / 1000;
     result_.outcomes.push_back(outcome);
-    const auto dispatcher = static_cast<std::size_t>(traffic_.next_dispatcher());
-    instances_[dispatcher]->submit(job, request, result_.outcomes.size() - 1);
+    const auto number = static_cast<std::size_t>(traffic_.next_dispatcher());
+    dispatchers_[number]->submit(job, request, result_.outcomes.size() - 1);
     timers_.add(now_ + traffic_.next_gap(rate_factor_), [this] { submit_next(); });
   }
 
   void tick() {
-    for (auto& instance : instances_) instance->tick(now_);
+    for (auto& dispatcher : dispatchers_) dispatcher->tick(now_);
     if (now_ >= traffic_end_) return;
     timers_.add(now_ + degradation::DegradationController::kTick, [this] { tick(); });
   }
@@ -235,7 +252,7 @@
       const std::string id = std::to_string(i + 1);  // as the traffic numbers them
       if (!may_execute_twice && fleet_.execution_count(id) > 1) ++result_.duplicate_executions;
     }
-    for (const auto& instance : instances_) result_.level_changes += instance->level_changes();
+    for (const auto& dispatcher : dispatchers_) result_.level_changes += dispatcher->level_changes();
     result_.leaked_states = fleet_.retained_states();
   }
 
@@ -248,59 +265,20 @@
   const Parameters& parameters_;
   const Time traffic_end_;
   Result result_;
-  Time now_ = kStart;
+  Time now_ = kSimulationStart;
   double rate_factor_ = 1;
   engine::TimerQueue timers_;
   SimulatedFleet fleet_;
-  std::vector<std::unique_ptr<Instance>> instances_;
+  std::vector<std::unique_ptr<SimulatedDispatcher>> dispatchers_;
   TrafficGenerator traffic_;
 };
 
 }  // namespace
 
-const char* name(RequestOutcome::End end) {
-  constexpr std::array<const char*, 6> kNames = {"served", "cut", "refused", "shed", "failed", "open"};
-  return kNames[static_cast<std::size_t>(end)];
-}
-
-double Result::in_time_fraction(const std::string& request_class) const {
-  std::size_t total = 0, in_time = 0;
-  for (const RequestOutcome& outcome : outcomes) {
-    if (outcome.request_class != request_class) continue;
-    ++total;
-    if (outcome.end == RequestOutcome::End::kServed && outcome.is_in_time) ++in_time;
-  }
-  return total == 0 ? 1 : static_cast<double>(in_time) / static_cast<double>(total);
-}
-
-std::string Result::csv() const {
-  // The columns after the class: all requests, those served in time and late, and the other ends in the order
-  // of the enumeration.
-  constexpr std::size_t kAll = 0, kInTime = 1, kLate = 2, kColumns = 8;
-  const auto column_of = [](const RequestOutcome& outcome) {
-    if (outcome.end != RequestOutcome::End::kServed) return kLate + static_cast<std::size_t>(outcome.end);
-    return outcome.is_in_time ? kInTime : kLate;
-  };
-  std::map<std::pair<std::int64_t, std::string>, std::array<std::size_t, kColumns>> rows;
-  for (const RequestOutcome& outcome : outcomes) {
-    const auto second =
-        std::chrono::duration_cast<std::chrono::seconds>(outcome.submitted_at - kStart).count();
-    auto& row = rows[{second, outcome.request_class}];
-    ++row[kAll];
-    ++row[column_of(outcome)];
-  }
-  std::string text = "second,class,asked,in_time,late,cut,refused,shed,failed,open\n";
-  for (const auto& [key, row] : rows) {
-    text += std::to_string(key.first) + "," + key.second;
-    for (const std::size_t count : row) text += "," + std::to_string(count);
-    text += "\n";
-  }
-  return text;
-}
-
 Result simulate(const Parameters& parameters, std::uint64_t seed,
                 const std::shared_ptr<const degradation::LevelSet>& levels) {
-  return Simulation(parameters, seed, levels).run();
+  const auto no_levels = std::make_shared<const degradation::LevelSet>();
+  return Simulation(parameters, seed, levels ? levels : no_levels).run();
 }
 
 }  // namespace dispatcher::simulation
--- a/src/simulation/simulated_fleet.cpp
+++ b/src/simulation/simulated_fleet.cpp
@@ -9,6 +9,7 @@
 using engine::AttemptStatus;
 using routing::AttemptEvidence;
 using routing::EndpointState;
+using routing::Role;
 
 namespace {
 
@@ -22,15 +23,18 @@
   for (int zone = 0; zone < parameters.zones; ++zone) {
     for (int i = 0; i < parameters.cells; ++i) {
       const int cell = zone * parameters.cells + i;
-      for (int number = 0; number < parameters.readers; ++number) add_endpoint(zone, cell, true, number);
-      for (int number = 0; number < parameters.writers; ++number) add_endpoint(zone, cell, false, number);
+      for (int number = 0; number < parameters.readers; ++number)
+        add_endpoint(zone, cell, Role::kReader, number);
+      for (int number = 0; number < parameters.writers; ++number)
+        add_endpoint(zone, cell, Role::kWriter, number);
     }
   }
 }
 
-void SimulatedFleet::add_endpoint(int zone, int cell, bool is_reader, int number) {
+void SimulatedFleet::add_endpoint(int zone, int cell, Role role, int number) {
+  const bool is_reader = role == Role::kReader;
   Endpoint endpoint;
-  endpoint.is_reader = is_reader;
+  endpoint.role = role;
   endpoint.number = number;
   endpoint.zone = "z" + std::to_string(zone);
   endpoint.cell = cell;
@@ -71,9 +75,8 @@
 }
 
 void SimulatedFleet::arrive(Endpoint& endpoint, Work work) {
-  const auto slots =
-      static_cast<std::size_t>(endpoint.is_reader ? parameters_.reader_slots : parameters_.writer_slots);
-  if (endpoint.busy_slots < slots) return begin(endpoint, endpoint.tasks.at(work));
+  const int slots = endpoint.role == Role::kReader ? parameters_.reader_slots : parameters_.writer_slots;
+  if (endpoint.busy_slots < static_cast<std::size_t>(slots)) return begin(endpoint, endpoint.tasks.at(work));
   if (endpoint.queue.size() >= kMaxQueue) return end(endpoint, work, {AttemptStatus::kFull, 0, {}, {}});
   endpoint.queue.push_back(work);
   update_report(endpoint);
@@ -93,9 +96,9 @@
 
 void SimulatedFleet::begin(Endpoint& endpoint, Task& task) {
   ++endpoint.busy_slots;
-  task.running = true;
+  task.is_running = true;
   update_report(endpoint);
-  if (endpoint.is_reader) {
+  if (endpoint.role == Role::kReader) {
     begin_prefill(endpoint, task);
   } else {
     begin_decode(endpoint, task);
@@ -133,21 +136,21 @@
 
 void SimulatedFleet::begin_stream(Endpoint& endpoint, Work work) {
   Task& task = endpoint.tasks.at(work);
-  task.streaming = true;
+  task.is_streaming = true;
   const auto token = static_cast<double>(parameters_.decode_time.count());
   const double other_tokens = token * std::max(0, task.job.answer_tokens - 1);
   schedule(endpoint, task, other_tokens, [this, &endpoint, work] {
     end(endpoint, work, {AttemptStatus::kServed, 0, {}, {}});
   });
   // Last, and of a copy: the client may close the stream at its first token, which removes the task.
-  const auto first = task.callbacks.first;
-  if (first) first();
+  const auto on_first_token = task.callbacks.on_first_token;
+  if (on_first_token) on_first_token();
 }
 
 void SimulatedFleet::end(Endpoint& endpoint, Work work, const AttemptResult& result) {
   const auto it = endpoint.tasks.find(work);
   if (it == endpoint.tasks.end()) return;
-  const bool was_running = it->second.running;
+  const bool was_running = it->second.is_running;
   const auto callbacks = std::move(it->second.callbacks);
   timers_.drop(it->second.next_step);
   endpoint.tasks.erase(it);
@@ -158,10 +161,10 @@
   AttemptResult reported = result;
   reported.report = endpoint.report;
   if (was_running && endpoint.is_up) serve_next(endpoint);
-  if (!callbacks.ended) return;
+  if (!callbacks.on_completed) return;
   // The answer's way back.
   timers_.add(clock_() + parameters_.network_latency,
-              [ended = callbacks.ended, reported] { ended(reported); });
+              [on_completed = callbacks.on_completed, reported] { on_completed(reported); });
 }
 
 void SimulatedFleet::serve_next(Endpoint& endpoint) {
@@ -177,7 +180,7 @@
   endpoint.report.in_hand = static_cast<double>(endpoint.busy_slots + endpoint.queue.size());
 }
 
-void SimulatedFleet::abandon(Work work) {
+void SimulatedFleet::cancel(Work work) {
   const auto it = endpoint_of_.find(work);
   if (it == endpoint_of_.end()) return;
   Endpoint& endpoint = *it->second;
@@ -192,15 +195,14 @@
   return it == execution_counts_.end() ? 0 : it->second;
 }
 
-void SimulatedFleet::lose_endpoints(
-    const std::function<bool(const std::string& zone, bool reader, int number)>& is_lost) {
+void SimulatedFleet::lose_endpoints(const EndpointFilter& is_lost) {
   for (auto& [name, endpoint] : endpoints_) {
-    if (!endpoint.is_up || !is_lost(endpoint.zone, endpoint.is_reader, endpoint.number)) continue;
+    if (!endpoint.is_up || !is_lost(endpoint.zone, endpoint.role, endpoint.number)) continue;
     endpoint.is_up = false;
     std::vector<Work> works;
     for (const auto& [work, task] : endpoint.tasks) works.push_back(work);
     for (const Work work : works) {
-      const bool is_streaming = endpoint.tasks.at(work).streaming;
+      const bool is_streaming = endpoint.tasks.at(work).is_streaming;
       const auto evidence = is_streaming ? AttemptEvidence::kEndpointRunning : AttemptEvidence::kNone;
       end(endpoint, work, {AttemptStatus::kReset, 0, evidence, {}});
     }
@@ -229,8 +231,9 @@
   routing::EndpointList list{routing::ListKind::kFull, {}};
   for (const auto& [name, endpoint] : endpoints_) {
     if (!endpoint.is_listed) continue;
-    list.entries.push_back({endpoint.name, endpoint.zone, endpoint.is_reader ? "reader" : "writer",
-                            endpoint.cell, EndpointState::kReady, 1, endpoint.started_at});
+    const char* const kind = endpoint.role == Role::kReader ? "reader" : "writer";
+    list.entries.push_back(
+        {endpoint.name, endpoint.zone, kind, endpoint.cell, EndpointState::kReady, 1, endpoint.started_at});
   }
   return list;
 }
--- a/src/simulation/simulated_fleet.hpp
+++ b/src/simulation/simulated_fleet.hpp
@@ -27,19 +27,21 @@
 // within the call that takes them. The parameters and the timer queue must outlive it.
 class SimulatedFleet {
  public:
-  // How an attempt goes: `first`, its first token, and then `ended`, or `ended` alone.
+  // The course of an attempt: its first token, if it has one, and its end.
   struct Callbacks {
-    std::function<void()> first;
-    std::function<void(const engine::AttemptResult&)> ended;
+    std::function<void()> on_first_token;
+    std::function<void(const engine::AttemptResult&)> on_completed;
   };
+  // Selects endpoints by their zone, their role, and their number among those of their role in a cell.
+  using EndpointFilter = std::function<bool(const std::string& zone, routing::Role role, int number)>;
   using Work = std::uint64_t;  // an attempt's handle; 0: none
 
   SimulatedFleet(const Parameters& parameters, engine::TimerQueue& timers, engine::Clock clock);
 
-  // Starts an attempt at an endpoint; one that is unknown or lost refuses the connection.
+  // Starts an attempt at an endpoint; the connection to one that is unknown or lost fails.
   Work send(const std::string& endpoint, const Job& job, Callbacks callbacks);
   // Cancels an attempt; its callbacks are not called any more.
-  void abandon(Work work);
+  void cancel(Work work);
   // Releases the KV cache that a reader retains for a request.
   void release(const std::string& id);
   // Requests whose KV cache is retained.
@@ -49,7 +51,7 @@
 
   // Faults: the endpoints for which `is_lost` returns true reset their connections and refuse new ones, until
   // restore_endpoints() restarts all of them.
-  void lose_endpoints(const std::function<bool(const std::string& zone, bool reader, int number)>& is_lost);
+  void lose_endpoints(const EndpointFilter& is_lost);
   void restore_endpoints();
   // Transfers between cells take `factor` times as long.
   void slow_links(double factor) { link_slowdown_ = factor; }
@@ -59,33 +61,37 @@
   void on_list_change(std::function<void()> action) { list_changed_ = std::move(action); }
 
  private:
+  // An attempt at an endpoint.
   struct Task {
     Work work = 0;
     Job job;
     Callbacks callbacks;
-    bool running = false, streaming = false;
+    bool is_running = false;
+    bool is_streaming = false;
     engine::TimerQueue::Id next_step;
   };
   struct Endpoint {
     std::string name, zone;
     int cell = 0, number = 0;
-    bool is_reader = false;
+    routing::Role role{};
     bool is_up = true, is_listed = true;
-    Time started_at{};  // 0: long ago
-    std::deque<Work> queue;
+    Time started_at{};       // 0: long ago
+    std::deque<Work> queue;  // that wait for a slot
     std::size_t busy_slots = 0;
-    std::map<Work, Task> tasks;
+    std::map<Work, Task> tasks;  // waiting and running
     PrefixCache cache;
     routing::LoadReport report;
     Time reported_at{};
   };
 
-  void add_endpoint(int zone, int cell, bool is_reader, int number);
+  void add_endpoint(int zone, int cell, routing::Role role, int number);
+  // An attempt reaches its endpoint, and starts or waits there.
   void arrive(Endpoint& endpoint, Work work);
   void begin(Endpoint& endpoint, Task& task);
   void begin_prefill(Endpoint& endpoint, Task& task);
   void begin_decode(Endpoint& endpoint, Task& task);
   void begin_stream(Endpoint& endpoint, Work work);
+  // Removes an attempt, and reports its result after the network's latency.
   void end(Endpoint& endpoint, Work work, const engine::AttemptResult& result);
   void serve_next(Endpoint& endpoint);
   void update_report(Endpoint& endpoint);
--- a/src/simulation/traffic.hpp
+++ b/src/simulation/traffic.hpp
@@ -20,6 +20,7 @@
 // give the same requests.
 class TrafficGenerator {
  public:
+  // A request, and what it asks of the replicas.
   struct Arrival {
     Job job;
     routing::Request request;
@@ -30,13 +31,14 @@
 
   // Until the next request, at `rate_factor` times the rate of the parameters.
   [[nodiscard]] Duration next_gap(double rate_factor);
+  // A request that arrives at `now`.
   [[nodiscard]] Arrival next_arrival(Time now);
   // The dispatcher that the request goes to, from 0.
   [[nodiscard]] int next_dispatcher();
 
  private:
   // A length of at least one token, at most eight times the mean.
-  int exponential_length(int mean);
+  [[nodiscard]] int exponential_length(int mean);
 
   const Parameters& parameters_;
   Random random_;
