--- a/tests/dispatcher/config_test.cpp
+++ b/tests/dispatcher/config_test.cpp
@@ -1,5 +1,5 @@
-// What is wrong with the configuration is told whole, each with file, line and field; a reload takes none of
-// it.
+// All findings about a configuration are reported, each with its file, line number and field; a reload that
+// has errors applies nothing.
 #include <random>
 
 #include "daemon/dispatcher.hpp"
@@ -13,8 +13,8 @@
 using dispatcher::settings::JsonLineIndex;
 using Json = nlohmann::json;
 
-TEST_CASE("a field is found by the line of its key, an array's value by its own", "[config]") {
-  const JsonLineIndex at(
+TEST_CASE("a field has the line number of its key, an array's value its own", "[config]") {
+  const JsonLineIndex index(
       "{\n"
       " \"a\": 1,\n"
       " \"b\":\n"
@@ -26,17 +26,17 @@
       "     null, \"x\\ny\", -1.5e3\n"
       "     ]}, \"e\": 5\n"
       ", \"a\": 3}\n");
-  const std::pair<const char*, int> lines[] = {
+  const std::pair<const char*, int> expected[] = {
       {"a", 11},     {"b", 3},        {"b.c", 4},     {"b.c[0]", 5},   {"b.c[1]", 7},
       {"b.c[2]", 8}, {"b.c[2].d", 8}, {"b.c[3]", 9},  {"b.c[5]", 9},   {"e", 10},
       {"b.c[9]", 4}, {"b.f.g[3]", 3}, {"nothing", 1}, {"b.c[2].f", 8}, {"", 1}};
-  for (const auto& [path, line] : lines) {
+  for (const auto& [path, line_number] : expected) {
     INFO(path);
-    CHECK(at.line_number(path) == line);
+    CHECK(index.line_number(path) == line_number);
   }
 }
 
-// Objects and arrays at random; each path is then looked up in the text.
+// A random value, whose objects and arrays are nested at most `depth` deep.
 Json random_json(std::mt19937& random, int depth) {
   const auto kind = random() % (depth > 0 ? 7 : 5);
   if (kind == 0) return random() % 1000;
@@ -44,38 +44,42 @@
   if (kind == 2) return random() % 2 == 0;
   if (kind == 3) return nullptr;
   if (kind == 4) return "t\n\"{[" + std::to_string(random() % 100);
-  Json all = kind == 5 ? Json::object() : Json::array();
+  Json container = kind == 5 ? Json::object() : Json::array();
   for (auto i = random() % 5; i > 0; --i) {
     Json value = random_json(random, depth - 1);
-    if (kind == 5)
-      all["k" + std::to_string(random() % 20)] = std::move(value);
-    else
-      all.push_back(std::move(value));
+    if (kind == 5) {
+      container["k" + std::to_string(random() % 20)] = std::move(value);
+    } else {
+      container.push_back(std::move(value));
+    }
   }
-  return all;
+  return container;
 }
 
+// Checks that each path within `value` is found on the line of the text that has its key or its value.
 void check_lines(const Json& value, const std::string& path, const std::vector<std::string>& lines,
-                 const JsonLineIndex& at) {
-  const auto found = [&](const std::string& where) -> const std::string& {
-    return lines.at(static_cast<std::size_t>(at.line_number(where) - 1));
+                 const JsonLineIndex& index) {
+  const auto line_of = [&](const std::string& inner_path) -> const std::string& {
+    return lines.at(static_cast<std::size_t>(index.line_number(inner_path) - 1));
   };
   if (value.is_object()) {
     for (const auto& [key, inner] : value.items()) {
-      const std::string name = path.empty() ? key : path + "." + key;
-      CHECK(found(name).find("\"" + key + "\":") != std::string::npos);
-      check_lines(inner, name, lines, at);
+      std::string inner_path = path;
+      if (!path.empty()) inner_path += ".";
+      inner_path += key;
+      CHECK(line_of(inner_path).find(Json(key).dump() + ":") != std::string::npos);
+      check_lines(inner, inner_path, lines, index);
     }
   } else if (value.is_array()) {
     for (std::size_t i = 0; i < value.size(); ++i) {
-      const std::string name = path + "[" + std::to_string(i) + "]";
-      if (value[i].is_primitive()) CHECK(found(name).find(value[i].dump()) != std::string::npos);
-      check_lines(value[i], name, lines, at);
+      const std::string inner_path = path + "[" + std::to_string(i) + "]";
+      if (value[i].is_primitive()) CHECK(line_of(inner_path).find(value[i].dump()) != std::string::npos);
+      check_lines(value[i], inner_path, lines, index);
     }
   }
 }
 
-TEST_CASE("lines are right in random texts, and in any cut of them nothing breaks", "[config]") {
+TEST_CASE("line numbers are right in random texts, and in range for any part of them", "[config]") {
   std::mt19937 random(23);
   for (int i = 0; i < 200; ++i) {
     const Json value{{"top", random_json(random, 4)}, {"more", random_json(random, 3)}};
@@ -84,13 +88,14 @@
     std::istringstream stream(text);
     for (std::string line; std::getline(stream, line);) lines.push_back(line);
     check_lines(value, "", lines, JsonLineIndex(text));
-    const JsonLineIndex cut(text.substr(0, random() % text.size()));
-    CHECK(cut.line_number("top.k1[2].k3") >= 1);
-    CHECK(cut.line_number("top.k1[2].k3") <= static_cast<int>(lines.size()));
+    const JsonLineIndex of_part(text.substr(0, random() % text.size()));
+    CHECK(of_part.line_number("top.k1[2].k3") >= 1);
+    CHECK(of_part.line_number("top.k1[2].k3") <= static_cast<int>(lines.size()));
   }
 }
 
-TEST_CASE("what is nested deeper than settings are has the line of what is round it", "[config]") {
+TEST_CASE("a field that is nested too deep has the line number of an object or array that contains it",
+          "[config]") {
   const std::string deep = std::string(100'000, '[') + "\n1\n" + std::string(100'000, ']');
   CHECK(JsonLineIndex("{\"a\":\n" + deep + ",\n\"b\":1}").line_number("b") == 5);
   std::string path = "a";
@@ -98,7 +103,8 @@
   CHECK(JsonLineIndex("{\"a\":\n" + deep + "}").line_number(path) == 2);
 }
 
-const char* const kGood = R"({"name":"n1","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"7",
+constexpr const char* kValidConfig =
+    R"({"name":"n1","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"7",
  "settings":{
   "myNumber":0,
   "balancers":2,
@@ -113,105 +119,110 @@
   "guarantees":{"answerSlackMs":16.0,"drainGraceMs":250.0,"coldShare":0.3,"coldMs":14000.0,
    "tipMultiple":4.0,"tipAfterMs":2000.0}}})";
 
-std::string with(std::string text, const std::string& what, const std::string& instead) {
-  return text.replace(text.find(what), what.size(), instead);
+// The text with the first occurrence of `old_part` replaced.
+std::string replaced(std::string text, const std::string& old_part, const std::string& new_part) {
+  return text.replace(text.find(old_part), old_part.size(), new_part);
 }
 daemon::Config parse(const std::string& text) {
   return daemon::parse_config(text, {{"PROXY_CONFIG", "c.json"}});
 }
-std::vector<std::string> wrong(const std::string& text) {
+using Messages = std::vector<std::string>;
+
+// The error's messages, one for each finding; empty: the configuration is accepted.
+Messages error_messages(const std::string& text) {
   try {
     parse(text);
-  } catch (const daemon::ConfigError& e) {
-    return e.lines();
+  } catch (const daemon::ConfigError& error) {
+    return error.lines();
   }
   return {};
 }
-using Lines = std::vector<std::string>;
 
-TEST_CASE("a sound configuration has neither faults nor warnings", "[config]") {
-  CHECK(parse(kGood).warnings.empty());
+TEST_CASE("a valid configuration has neither errors nor warnings", "[config]") {
+  CHECK(parse(kValidConfig).warnings.empty());
 }
 
-TEST_CASE("all that is wrong of a configuration is told, by line", "[config]") {
-  std::string bad = with(kGood, "127.0.0.1:1", "nowhere");
-  bad = with(bad, "\"mostTries\":4", "\"mostTries\":1");
-  bad = with(bad, "\"myNumber\":0", "\"myNumber\":2");
-  bad = with(bad, "\"command\"", "\"ask\"");
-  bad = with(bad, "6000.0", "600");
-  bad = with(bad, "250.0,\"idle", "0,\"idle");
-  CHECK(wrong(bad) ==
-        Lines{"c.json:1: field 'discovery': 'nowhere'; wanted: address and port",
-              "c.json:3: field 'settings.myNumber': 2 among 2 dispatchers; wanted: 0 to 1",
-              "c.json:7: warning: field 'settings.categories[0].deadlineMs': 600 ms, before the objective of "
-              "1200 ms; wanted: at least the objective",
-              "c.json:8: field 'settings.categories[1].name': 'ask' a second time; wanted: another name",
-              "c.json:11: field 'settings.limits.mostTries': 1, but a request is read by one attempt and "
-              "written by another; wanted: at least 2, or a kind that does both",
-              "c.json:12: field 'settings.limits.connectTimeoutMs': 0 ms: no connection can be made; wanted: "
-              "above 0"});
+TEST_CASE("all findings about a configuration are reported in the order of its lines", "[config]") {
+  std::string bad = replaced(kValidConfig, "127.0.0.1:1", "nowhere");
+  bad = replaced(bad, "\"mostTries\":4", "\"mostTries\":1");
+  bad = replaced(bad, "\"myNumber\":0", "\"myNumber\":2");
+  bad = replaced(bad, "\"command\"", "\"ask\"");
+  bad = replaced(bad, "6000.0", "600");
+  bad = replaced(bad, "250.0,\"idle", "0,\"idle");
+  CHECK(
+      error_messages(bad) ==
+      Messages{"c.json:1: field 'discovery': 'nowhere'; wanted: address and port",
+               "c.json:3: field 'settings.myNumber': 2 among 2 dispatchers; wanted: 0 to 1",
+               std::string("c.json:7: warning: field 'settings.categories[0].deadlineMs': 600 ms, ") +
+                   "before the objective of 1200 ms; wanted: at least the objective",
+               "c.json:8: field 'settings.categories[1].name': 'ask' a second time; wanted: another name",
+               std::string("c.json:11: field 'settings.limits.mostTries': 1, but a request is read by one ") +
+                   "attempt and written by another; wanted: at least 2, or a kind that does both",
+               std::string("c.json:12: field 'settings.limits.connectTimeoutMs': 0 ms: ") +
+                   "no connection can be made; wanted: above 0"});
 }
 
-TEST_CASE("fields that are missing, of the wrong type or unknown words are told together", "[config]") {
-  std::string bad = with(kGood, "\"balancers\":2,", "");
-  bad = with(bad, "\"write\"", "\"wrote\"");
-  bad = with(bad, "\"mostTries\":4", "\"mostTries\":\"4\"");
-  bad = with(bad, "\"guarantees\"", "\"guarantee\"");
-  bad = with(bad, "\"repeat\":\"unsafe\"", "\"repeat\":false");
-  CHECK(wrong(bad) ==
-        Lines{"c.json:2: field 'settings.balancers': missing; wanted: number",
-              "c.json:2: field 'settings.guarantees': missing; wanted: object",
-              "c.json:8: field 'settings.categories[1].repeat': false; wanted: text",
-              "c.json:9: field 'settings.familyInfo.dutyByKind[1]': unknown word 'wrote'; wanted: 'read', "
-              "'write', 'both'",
-              "c.json:11: field 'settings.limits.mostTries': \"4\"; wanted: number"});
-  CHECK(wrong(with(kGood, "[\"read\",\"write\"]", "[\"read\"]")) ==
-        Lines{"c.json:9: field 'settings.familyInfo.dutyByKind': 1 duties for 2 hostTypes; wanted: one for "
-              "each"});
-  CHECK(wrong("{\n\"a\":1,\n\n}") == Lines{"c.json:4: the configuration is not JSON"});
+TEST_CASE("missing fields, wrong types and unknown words are reported together", "[config]") {
+  std::string bad = replaced(kValidConfig, "\"balancers\":2,", "");
+  bad = replaced(bad, "\"write\"", "\"wrote\"");
+  bad = replaced(bad, "\"mostTries\":4", "\"mostTries\":\"4\"");
+  bad = replaced(bad, "\"guarantees\"", "\"guarantee\"");
+  bad = replaced(bad, "\"repeat\":\"unsafe\"", "\"repeat\":false");
+  CHECK(error_messages(bad) ==
+        Messages{"c.json:2: field 'settings.balancers': missing; wanted: number",
+                 "c.json:2: field 'settings.guarantees': missing; wanted: object",
+                 "c.json:8: field 'settings.categories[1].repeat': false; wanted: text",
+                 std::string("c.json:9: field 'settings.familyInfo.dutyByKind[1]': unknown word 'wrote'; ") +
+                     "wanted: 'read', 'write', 'both'",
+                 "c.json:11: field 'settings.limits.mostTries': \"4\"; wanted: number"});
+  CHECK(
+      error_messages(replaced(kValidConfig, "[\"read\",\"write\"]", "[\"read\"]")) ==
+      Messages{"c.json:9: field 'settings.familyInfo.dutyByKind': 1 duties for 2 hostTypes; wanted: one for "
+               "each"});
+  CHECK(error_messages("{\n\"a\":1,\n\n}") == Messages{"c.json:4: the configuration is not JSON"});
 }
 
-TEST_CASE("what is only odd is served by, and told", "[config]") {
+TEST_CASE("absurd settings are accepted with a warning", "[config]") {
   const std::string odd =
-      with(kGood, "\"push\"", "\"push\",\"weights\":\"new\",\"tenants\":[{\"name\":\"a\"}]");
+      replaced(kValidConfig, "\"push\"", "\"push\",\"weights\":\"new\",\"tenants\":[{\"name\":\"a\"}]");
   CHECK(
       parse(odd).warnings ==
-      Lines{
+      Messages{
           "c.json:5: warning: field 'settings.weights': unknown word 'new'; wanted: 'silent', 'nominal', "
           "'rough', 'live'",
           "c.json:5: warning: field 'settings.tenants': the quotas add up to nothing: every request is over "
           "its tenant's share; wanted: a quotaRps above 0"});
 }
 
-TEST_CASE("a reload that contradicts itself is turned down whole, and told line by line", "[config][app]") {
+TEST_CASE("a reload of contradictory settings applies nothing, and logs each finding", "[config][app]") {
   daemon::Loop loop;
-  std::string next = kGood;
-  Lines logs;
+  std::string next = kValidConfig;
+  Messages log_lines;
   daemon::Dispatcher dispatcher(
-      loop, parse(kGood), {{"chat.json", kChatConfig}, {}},
-      [&](std::string_view line) { logs.emplace_back(line); },
+      loop, parse(kValidConfig), {{"chat.json", kChatConfig}, {}},
+      [&](std::string_view line) { log_lines.emplace_back(line); },
       [&] {
         return daemon::ConfigurationFiles{parse(next), {{"chat.json", kChatConfig}, {}}};
       });
-  // A new class, which would show in the line of a reload, beside a contradiction.
-  next =
-      with(kGood, "[\n",
-           "[{\"name\":\"new\",\"repeat\":\"safe\",\"objectiveMs\":900,\"deadlineMs\":2000,\"worth\":1},\n");
+  // A new class, which the log line of a successful reload would name, beside a contradiction.
+  next = replaced(
+      kValidConfig, "[\n",
+      "[{\"name\":\"new\",\"repeat\":\"safe\",\"objectiveMs\":900,\"deadlineMs\":2000,\"worth\":1},\n");
   const std::string good = next;
-  next = with(with(next, "\"mostTries\":4", "\"mostTries\":1"), "\"myNumber\":0", "\"myNumber\":2");
-  const Lines told = wrong(next);
-  REQUIRE(told.size() == 2);
+  next = replaced(replaced(next, "\"mostTries\":4", "\"mostTries\":1"), "\"myNumber\":0", "\"myNumber\":2");
+  const Messages expected = error_messages(next);
+  REQUIRE(expected.size() == 2);
   dispatcher.reload();
-  CHECK(Lines(logs.end() - 3, logs.end() - 1) == told);
-  CHECK(logs.back() == "reload failed, the old configuration stays: see the lines above");
-  next = kGood;
+  CHECK(Messages(log_lines.end() - 3, log_lines.end() - 1) == expected);
+  CHECK(log_lines.back() == "reload failed, the old configuration stays: see the lines above");
+  next = kValidConfig;
   dispatcher.reload();
-  CHECK(logs.back() == "reloaded: discovery at 127.0.0.1:1, classes ask command");
-  next = with(good, "\"push\"", "\"push\",\"worthBy\":\"new\"");
-  logs.clear();
+  CHECK(log_lines.back() == "reloaded: discovery at 127.0.0.1:1, classes ask command");
+  next = replaced(good, "\"push\"", "\"push\",\"worthBy\":\"new\"");
+  log_lines.clear();
   dispatcher.reload();
-  CHECK(logs ==
-        Lines{parse(next).warnings.at(0), "reloaded: discovery at 127.0.0.1:1, classes new ask command"});
+  CHECK(log_lines ==
+        Messages{parse(next).warnings.at(0), "reloaded: discovery at 127.0.0.1:1, classes new ask command"});
 }
 
 }  // namespace
--- a/tests/dispatcher/settings_test.cpp
+++ b/tests/dispatcher/settings_test.cpp
@@ -1,4 +1,4 @@
-// Settings that change under way: the check of a new file, and who works by which settings.
+// Settings that change at run time: the check of a new file, and which settings apply to which requests.
 #include <algorithm>
 #include <random>
 
@@ -10,7 +10,7 @@
 
 using Json = nlohmann::json;
 
-Json file() {
+Json valid_file() {
   return Json::parse(R"({"name":"n1","listen":"127.0.0.1:1","discovery":"127.0.0.1:3","seed":"7",
     "limits":{"cores":1.0,"memory_mb":64,"sockets":512},
     "settings":{"myNumber":0,"balancers":2,"granularityMs":4.0,"hostTypes":["reader","writer"],
@@ -23,116 +23,122 @@
         "tipMultiple":4.0,"tipAfterMs":2000.0}}})");
 }
 
-// What a reload would say of it; empty: it is taken.
-std::string problem(const std::string& text) {
+// The error with which a reload would reject the file; empty: it would accept it.
+std::string reload_error(const std::string& text) {
   try {
-    daemon::check_keys(file(), daemon::parse_config(text, {}).source);
-  } catch (const daemon::ConfigError& e) {
-    return e.what();
+    daemon::check_keys(valid_file(), daemon::parse_config(text, {}).source);
+  } catch (const daemon::ConfigError& error) {
+    return error.what();
   }
   return {};
 }
 
-TEST_CASE("a file that is empty, cut short or lacks any key is turned down", "[settings]") {
-  const std::string text = file().dump();
-  CHECK(problem(text).empty());
+TEST_CASE("a file that is empty, cut short or lacks any key is rejected", "[settings]") {
+  const std::string text = valid_file().dump();
+  CHECK(reload_error(text).empty());
   std::mt19937 random(17);
-  for (int i = 0; i < 200; ++i) CHECK_FALSE(problem(text.substr(0, random() % text.size())).empty());
-  const Json flat = file().flatten();
+  for (int i = 0; i < 200; ++i) CHECK_FALSE(reload_error(text.substr(0, random() % text.size())).empty());
+  const Json flat = valid_file().flatten();
   for (const auto& [path, value] : flat.items()) {
-    Json less = file();
+    Json less = valid_file();
     const Json::json_pointer at(path), parent = at.parent_pointer();
     if (!less[parent].is_object()) continue;
     less[parent].erase(at.back());
     INFO(path);
-    // A key that not all classes had is no promise that each has it.
-    CHECK(problem(less.dump()).empty() == (path == "/settings/categories/0/lateValue"));
+    // A key that only some classes had may be missing in any of them.
+    CHECK(reload_error(less.dump()).empty() == (path == "/settings/categories/0/lateValue"));
   }
 }
 
 TEST_CASE("deadlines and numbers of attempts are numbers above 0", "[settings]") {
   for (const char* path : {"/settings/categories/1/deadlineMs", "/settings/limits/mostTries"}) {
     for (const Json& value : {Json(0), Json(-1), Json("4"), Json(true), Json(nullptr), Json::array({4})}) {
-      Json bad = file();
+      Json bad = valid_file();
       bad[Json::json_pointer(path)] = value;
       INFO(path << " " << value);
-      CHECK_FALSE(problem(bad.dump()).empty());
+      CHECK_FALSE(reload_error(bad.dump()).empty());
     }
   }
 }
 
 TEST_CASE("classes may be added and dropped, and attempts get fewer", "[settings]") {
-  Json next = file();
+  Json next = valid_file();
   Json& classes = next["settings"]["categories"];
   classes.push_back(classes[0]);
   classes.back()["name"] = "more";
   classes.erase(1);
   next["settings"]["limits"]["mostTries"] = 2;
-  CHECK(problem(next.dump()).empty());
+  CHECK(reload_error(next.dump()).empty());
 }
 
-// Settings as in the tests' world, but fewer attempts, "command" safe now, "ask" gone and "more" new.
-engine::SettingsSnapshot other() {
-  auto s = make_settings();
-  s.max_attempts = 2;
-  s.classes[0].name = "more";
-  s.classes[1].idempotency = routing::Idempotency::kIdempotent;
-  return std::make_shared<const routing::Settings>(s);
+// The fixture's settings, but with fewer attempts, an idempotent "command", and "more" in place of "ask".
+engine::SettingsSnapshot changed_settings() {
+  routing::Settings settings = make_settings();
+  settings.max_attempts = 2;
+  settings.classes[0].name = "more";
+  settings.classes[1].idempotency = routing::Idempotency::kIdempotent;
+  return std::make_shared<const routing::Settings>(settings);
 }
 
-// Each writer resets what it is asked; readers read.
-TEST_CASE("an open request keeps the rules it came in under; the next has the new ones", "[settings]") {
+// Readers work, and each writer answers with an error.
+TEST_CASE("an open request keeps the settings under which it arrived; the next has the new ones",
+          "[settings]") {
   Fixture fixture(healthy_reader, [](FakeReplica&, SlotId, const FakeReplica::ReceivedRequest&) {});
-  auto before = fixture.platform_client(), after = fixture.platform_client(), old = fixture.platform_client();
+  const auto before = fixture.platform_client();
+  const auto after = fixture.platform_client();
+  const auto old = fixture.platform_client();
   const auto writes = [&](const std::string& id) { return fixture.request_count("POST", Role::kWriter, id); };
   before->post(platform_headers("a1", "command"), "{}");
   REQUIRE(fixture.until([&] { return writes("a1") == 1; }));
-  fixture.engine.apply_settings(other());
-  fixture.platform.adopt(other());
+  fixture.engine.apply_settings(changed_settings());
+  fixture.platform.adopt(changed_settings());
   after->post(platform_headers("a2", "more"), "{}");
   REQUIRE(fixture.until([&] { return writes("a2") == 1; }));
   old->post(platform_headers("a3", "ask"), "{}");
   REQUIRE(fixture.until([&] { return old->is_complete; }));
-  CHECK(old->status == 400);  // the class is gone
+  CHECK(old->status == 400);  // the class no longer exists
   for (std::size_t i = 0; i < 2; ++i) {
     for (const SlotId client : std::exchange(fixture.writer(i).pending_clients, {}))
       fixture.writer(i).respond(client, 500);
   }
   REQUIRE(fixture.until([&] { return before->is_complete && after->is_complete; }));
-  CHECK(before->status == 502);  // it was unsafe, and may have run
+  CHECK(before->status == 502);  // it was not idempotent, and may have been executed
   CHECK(writes("a1") == 1);
-  CHECK(after->status == 503);  // safe, but of two attempts none is left
+  CHECK(after->status == 503);  // idempotent, but neither of its two attempts is left
   CHECK(writes("a2") == 1);
 }
 
 TEST_CASE("a request of four attempts has four, also after two became the limit", "[settings]") {
-  const bool changed = GENERATE(false, true);
+  const bool is_changed_before = GENERATE(false, true);
   Fixture fixture([](FakeReplica&, SlotId, const FakeReplica::ReceivedRequest&) {}, healthy_writer);
-  auto client = fixture.platform_client();
-  if (changed) fixture.engine.apply_settings(other());
-  if (changed) fixture.platform.adopt(other());
+  const auto client = fixture.platform_client();
+  if (is_changed_before) {
+    fixture.engine.apply_settings(changed_settings());
+    fixture.platform.adopt(changed_settings());
+  }
   client->post(platform_headers("a1", "command"), "{}");
   REQUIRE(fixture.until([&] { return fixture.request_count("POST", Role::kReader, "a1") == 1; }));
-  if (!changed) fixture.engine.apply_settings(other());
+  if (!is_changed_before) fixture.engine.apply_settings(changed_settings());
   auto& reader = fixture.reader(0).pending_clients.empty() ? fixture.reader(1) : fixture.reader(0);
   reader.respond(reader.pending_clients.back(), 500);
-  if (changed) {
+  if (is_changed_before) {
     REQUIRE(fixture.until([&] { return client->is_complete; }));
-    CHECK(client->status == 503);  // one attempt is left: too few to read and to write
+    CHECK(client->status == 503);  // one attempt is left: too few for prefill and decode
   } else {
     CHECK(fixture.until([&] { return fixture.request_count("POST", Role::kReader, "a1") == 2; }));
   }
 }
 
-TEST_CASE("the chat front serves the models of the new settings' classes", "[settings][chat]") {
+TEST_CASE("the chat frontend serves the models of the new settings' classes", "[settings][chat]") {
   Fixture fixture(healthy_reader, healthy_writer, kChatConfig);
   const std::string next =
       R"({"listen":"127.0.0.1:0","account":"acme","models":[{"id":"more","class":"more"}]})";
   CHECK_THROWS(openai_api::parse_config({"chat.json", next}, make_settings()));
-  fixture.engine.apply_settings(other());
-  fixture.chat->adopt(
-      *openai_api::parse_config({"chat.json", next}, *other()));  // keeps what its models point into
-  auto client = fixture.chat_client(), old = fixture.chat_client();
+  fixture.engine.apply_settings(changed_settings());
+  fixture.chat->adopt(*openai_api::parse_config(
+      {"chat.json", next}, *changed_settings()));  // the frontend keeps the settings that its models refer to
+  const auto client = fixture.chat_client();
+  const auto old = fixture.chat_client();
   client->post("", chat_body("more", false));
   old->post("", chat_body("ask", false));
   REQUIRE(fixture.until([&] { return client->is_complete && old->is_complete; }));
--- a/tests/dispatcher/simulation_test.cpp
+++ b/tests/dispatcher/simulation_test.cpp
@@ -1,4 +1,4 @@
-// The simulation: the real engine and routing in virtual time, reproducible, and true to the rules.
+// The simulation: the real engine and routing in virtual time, reproducible, and by the rules of requests.
 #include <catch2/catch.hpp>
 #include <map>
 
--- a/tests/settings_draw.hpp
+++ b/tests/settings_draw.hpp
@@ -1,5 +1,6 @@
-// Settings and lists of hosts made from drawn numbers, from ranges wider than any site's. Knows no source of
-// the numbers: the property tests draw them with RapidCheck, the digest tests with a generator of their own.
+// Settings and endpoint lists made from drawn numbers, from ranges wider than any deployment's. Knows no
+// source of the numbers: the property tests draw them with RapidCheck, the digest tests with a generator of
+// their own.
 #ifndef DISPATCHER_TESTS_SETTINGS_DRAW_HPP_
 #define DISPATCHER_TESTS_SETTINGS_DRAW_HPP_
 
@@ -10,11 +11,11 @@
 
 namespace dispatcher::routing::testing {
 
-// What a property asks of the settings, beside what the check refuses.
+// Which valid but absurd settings may be drawn, too.
 struct Range {
-  bool short_pins = false;        // shorter than shortest_pin
-  bool slack_under_tick = false;  // an attempt's time-out at the deadline is heard up to a tick later
-  bool extreme = false;           // times at an end of what is taken, or beyond all use
+  bool short_pins = false;        // reservation limits that are shorter than a check of what waits
+  bool slack_under_tick = false;  // answer slacks within which an attempt's timeout is noticed too late
+  bool extreme = false;           // times at the bounds of the check, or beyond all use
 };
 
 // Numbers from which settings are made: each of 0 to 999, where 0 is the plainest. Shrinking lowers them.
@@ -23,14 +24,17 @@
   Range range;
 };
 
+// Genes of one site.
 constexpr std::size_t kGenes = 200;
 
+// A deployment: its settings, and those of a later reload, if any; and its endpoints.
 struct Site {
   std::vector<Settings> settings;
   std::vector<EndpointInfo> endpoints;
 };
 
-Site draw(const Genes& genes);
+// The same genes give the same site.
+[[nodiscard]] Site draw(const Genes& genes);
 
 }  // namespace dispatcher::routing::testing
 
--- a/tests/settings_parse_test.cpp
+++ b/tests/settings_parse_test.cpp
@@ -1,4 +1,4 @@
-// The parser of settings: every member, what is missing, and names that are unknown.
+// The parser of settings: every member, members that are missing, and names that are unknown.
 #include <gtest/gtest.h>
 
 #include <vector>
@@ -51,7 +51,7 @@
   EXPECT_EQ(parse_settings(source).settings.report_source, ReportSource::kInProbes);
 }
 
-TEST(SettingsParser, WhatIsMissingOrNullIsNotAllowedAndHasNoPrice) {
+TEST(SettingsParser, PermissionsAndPricesThatAreMissingOrNullAreFalseAndZero) {
   for (const Json& absent : {Json(), Json::object()}) {  // null, or without the keys; else missing
     Json source = settings_json();
     if (absent.is_object())
--- a/tests/simulator_adapter_test.cpp
+++ b/tests/simulator_adapter_test.cpp
@@ -20,7 +20,7 @@
 std::string start_message(const std::string& dispatcher) {
   return Json{{"boot", {{"dispatcher", dispatcher}, {"seed", 5}, {"env", settings_json()}}}}.dump();
 }
-const char* const kPageMessage =
+constexpr const char* kPageMessage =
     R"({"page":{"ref":0,"membersList":[{"host":"h.r","campus":"east","sku":"r","block":0,
   "condition":3,"heft":1},{"host":"h.w","campus":"east","sku":"w","block":0,"condition":3,"heft":1.5,"bornMs":100.5}]}})";
 std::string list_message(const std::string& dispatcher) {
@@ -30,10 +30,10 @@
   return R"({"workItem":{"dispatcher":")" + dispatcher + R"(","req":")" + id +
          R"(","service":"line","chat":5,"inputLen":900,"clientDeadlineMs":59000.25,"flags":1,"hintMs":12.5}})";
 }
-std::string time_message(double ms) { return Json{{"turn", {{"tMs", ms}}}}.dump(); }
+std::string time_message(double milliseconds) { return Json{{"turn", {{"tMs", milliseconds}}}}.dump(); }
 
-// The replies to all of the lines, which may be several batches.
-std::string play(SimulatorSession& session, const std::vector<std::string>& input) {
+// The replies to all messages, which may be several batches.
+std::string replies_to(SimulatorSession& session, const std::vector<std::string>& input) {
   std::string all;
   for (const std::string& message : input) {
     if (const auto replies = session.handle_line(message)) all += *replies;
@@ -41,39 +41,40 @@
   return all;
 }
 
-// What the first malformed line is rejected with; empty: none is.
+// The error of the first malformed line; empty: there is none.
 std::string error_of(const std::vector<std::string>& input) {
   SimulatorSession session;
   try {
-    play(session, input);
+    replies_to(session, input);
   } catch (const json::ParseError& error) {
     return error.what();
   }
   return "";
 }
 
-const std::string kEndOfBatch = R"({"flush":{}})";
+constexpr const char* kEndOfBatch = R"({"flush":{}})";
 
 TEST(SimulatorAdapter, AnEmptyBatchGetsAnEmptyReply) {
   SimulatorSession session;
-  EXPECT_EQ(play(session, {time_message(1), kEndOfBatch}), "{\"eor\":{}}\n");
+  EXPECT_EQ(replies_to(session, {time_message(1), kEndOfBatch}), "{\"eor\":{}}\n");
 }
 
 TEST(SimulatorAdapter, ARequestIsReadAndThenWritten) {
   SimulatorSession session;
   std::string reply =
-      play(session, {time_message(50000), start_message("dispatcher/0"), kPageMessage,
-                     list_message("dispatcher/0"), request_message("dispatcher/0", "a1"), kEndOfBatch});
+      replies_to(session, {time_message(50000), start_message("dispatcher/0"), kPageMessage,
+                           list_message("dispatcher/0"), request_message("dispatcher/0", "a1"), kEndOfBatch});
   EXPECT_NE(
       reply.find(R"({"attempt":{"dispatcher":"dispatcher/0","host":"h.r","notPastMs":59000.25,"req":"a1"}})"),
       std::string::npos)
       << reply;
-  reply = play(session, {time_message(50100),
-                         R"({"closedAttempt":{"dispatcher":"dispatcher/0","req":"a1","trial":0,"host":"h.r",
+  reply =
+      replies_to(session, {time_message(50100),
+                           R"({"closedAttempt":{"dispatcher":"dispatcher/0","req":"a1","trial":0,"host":"h.r",
     "verdict":"ready_to_answer","delaySeenMs":18.5,"note":100,"pressure":{"x0":0.5,"x1":2,"zz":1}}})",
-                         kEndOfBatch});
+                           kEndOfBatch});
   EXPECT_NE(reply.find(R"("host":"h.w")"), std::string::npos) << reply;
-  reply = play(
+  reply = replies_to(
       session,
       {time_message(50200),
        R"({"underWay":{"dispatcher":"dispatcher/0","req":"a1","trial":1,"host":"h.w","delaySeenMs":9}})",
@@ -149,9 +150,9 @@
   Json bad = settings_json();
   bad["limits"]["mostTries"] = 0;
   SimulatorSession session;
-  const std::string reply =
-      play(session, {time_message(1), Json{{"boot", {{"dispatcher", "d"}, {"seed", 1}, {"env", bad}}}}.dump(),
-                     kEndOfBatch});
+  const std::string reply = replies_to(
+      session, {time_message(1), Json{{"boot", {{"dispatcher", "d"}, {"seed", 1}, {"env", bad}}}}.dump(),
+                kEndOfBatch});
   EXPECT_NE(reply.find("exception"), std::string::npos);
   EXPECT_NE(reply.find("limits.mostTries"), std::string::npos);
 }
@@ -170,17 +171,17 @@
   two.insert(two.begin(), time_message(1));
   for (const std::string& message : traffic("d/1")) two.push_back(message);
   two.push_back(kEndOfBatch);
-  const std::string single = play(alone, one);
-  const std::string pair = play(both, two);
+  const std::string single = replies_to(alone, one);
+  const std::string pair = replies_to(both, two);
   EXPECT_NE(single, "{\"eor\":{}}\n");
   EXPECT_NE(pair.find(single), std::string::npos);
 }
 
-TEST(SimulatorAdapter, RestartInOneBatchAndLateEventsAreHarmless) {
+TEST(SimulatorAdapter, IgnoresEventsOfADispatcherThatHasRestartedOrStopped) {
   SimulatorSession session;
-  play(session, {time_message(1), start_message("d"), kPageMessage, list_message("d"),
-                 request_message("d", "a"), kEndOfBatch});
-  const std::string reply = play(
+  replies_to(session, {time_message(1), start_message("d"), kPageMessage, list_message("d"),
+                       request_message("d", "a"), kEndOfBatch});
+  const std::string reply = replies_to(
       session,
       {time_message(2), R"({"crashNow":{"dispatcher":"d"}})", start_message("d"), kPageMessage,
        list_message("d"),
