--- a/src/degradation/degradation_controller.cpp
+++ b/src/degradation/degradation_controller.cpp
@@ -47,14 +47,14 @@
     : clock_(std::move(clock)),
       log_(std::move(log)),
       random_(std::move(random)),
-      signal_fields_(Signals::fields(settings)),
+      fields_(Signals::fields(settings)),
       signals_(settings),
       machine_(std::move(levels)) {}
 
 void DegradationController::apply_settings(const routing::Settings& settings,
                                            std::shared_ptr<const LevelSet> levels) {
   signals_.apply_settings(settings);
-  signal_fields_ = Signals::fields(settings);
+  fields_ = Signals::fields(settings);
   last_signals_.clear();
   const std::string previous_name = machine_.level_name();
   machine_.replace_levels(std::move(levels), clock_());
@@ -70,7 +70,7 @@
 void DegradationController::log_change(const LevelChange& change) {
   std::string text = "level " + change.from + " -> " + change.to + ": " + name(change.cause);
   if (!change.condition.empty()) text += " by " + change.condition;
-  const Json signals = to_json(signal_fields_, change.signals);
+  const Json signals = to_json(fields_, change.signals);
   for (const auto& [field, value] : signals.items()) {
     if (!value.is_null()) text += ", " + field + " " + value.dump();
   }
@@ -93,7 +93,7 @@
 
   // In the order of the environment that read() makes.
   std::vector<expression::Value> values = last_signals_;
-  values.resize(signal_fields_.fields().size(), expression::Value::of(expression::Fault::kAbsent));
+  values.resize(fields_.fields().size(), expression::Value::of(expression::Fault::kAbsent));
   values.push_back(signals_.quota_usage(request.tenant, clock_()));
   values.insert(values.end(), request_values.begin(), request_values.end());
   const auto retry_after = machine_.shed(request.request_class, values, random_());
@@ -105,7 +105,7 @@
   return {{kLevelKey, machine_.level_name()},
           {kOverriddenKey, machine_.is_overridden()},
           {"shed", shed_count_},
-          {"signals", to_json(signal_fields_, last_signals_)}};
+          {"signals", to_json(fields_, last_signals_)}};
 }
 
 Json DegradationController::history() const {
@@ -117,7 +117,7 @@
                        {"to", change.to},
                        {"cause", name(change.cause)},
                        {"condition", change.condition},
-                       {"signals", to_json(signal_fields_, change.signals)}});
+                       {"signals", to_json(fields_, change.signals)}});
   }
   Json names = Json::array({kNormalLevelName});
   for (const Level& level : machine_.levels().levels()) names.push_back(level.name);
--- a/src/degradation/degradation_controller.hpp
+++ b/src/degradation/degradation_controller.hpp
@@ -56,6 +56,7 @@
   // Takes over the level of another process's status(); what is malformed is ignored.
   void restore(const nlohmann::json& status);
 
+  // The level in force, its history and the levels.
   [[nodiscard]] const StateMachine& machine() const { return machine_; }
 
   // Events of the engine (RequestObserver).
@@ -68,7 +69,7 @@
   engine::Clock clock_;
   engine::Log log_;
   std::function<double()> random_;
-  expression::Environment signal_fields_;
+  expression::Environment fields_;  // of the signals
   Signals signals_;
   StateMachine machine_;
   std::vector<expression::Value> last_signals_;  // as of the last tick
--- a/src/simulator/files.hpp
+++ b/src/simulator/files.hpp
@@ -20,7 +20,7 @@
   std::string path;
 };
 
-// The whole file. Throws FileError.
+// The contents of a file. Throws FileError.
 [[nodiscard]] cue::File read_file(const std::string& path);
 
 // A new or truncated file. Throws FileError.
