--- a/src/degradation/degradation_controller.hpp
+++ b/src/degradation/degradation_controller.hpp
@@ -28,9 +28,9 @@
   DegradationController(const routing::Settings& settings, std::shared_ptr<const LevelSet> levels,
                         engine::Clock clock, engine::Log log, std::function<double()> random);
 
-  // Reads a file of levels for these settings. Throws cue::Errors with all problems.
-  [[nodiscard]] static std::shared_ptr<const LevelSet> read(const cue::File& file,
-                                                            const routing::Settings& settings);
+  // Reads a file of levels for these settings. Throws cue::Errors with all problems, which is all that
+  // callers need who only check a file.
+  static std::shared_ptr<const LevelSet> read(const cue::File& file, const routing::Settings& settings);
 
   // False where the file has no level: no request is shed and no signal collected.
   [[nodiscard]] bool active() const { return !machine_.levels().levels().empty(); }
