--- a/src/daemon/chat_address.cpp
+++ b/src/daemon/chat_address.cpp
@@ -47,7 +47,7 @@
     parts_.loop.timers().add(parts_.loop.now() + kRetryPause, [this, succeeds] { join_pair(succeeds); });
     return;
   }
-  vrrp_->start(succeeds);
+  vrrp_->start(succeeds ? vrrp::StartMode::kResumeActive : vrrp::StartMode::kNormal);
 }
 
 void ChatAddress::start_vrrp() {
@@ -60,7 +60,7 @@
   if (!vrrp_) return;
   if (!parts_.peer.is_successor_serving()) return vrrp_->stop();
   const bool was_active = vrrp_->state() == vrrp::State::kActive;
-  vrrp_->leave();
+  vrrp_->hand_over();
   is_active_ = false;
   parts_.peer.notify_vrrp_left(was_active);
 }
--- a/src/vrrp/packet.hpp
+++ b/src/vrrp/packet.hpp
@@ -1,31 +1,52 @@
-// VRRPv3 advertisements (RFC 9568, section 5): what they say, and their bytes.
+// VRRPv3 advertisements (RFC 9568, section 5): their content and their bytes.
 #ifndef DISPATCHER_VRRP_PACKET_HPP_
 #define DISPATCHER_VRRP_PACKET_HPP_
 
 #include <array>
 #include <cstdint>
 #include <span>
-#include <string>
+#include <string_view>
 #include <variant>
 #include <vector>
 
 namespace dispatcher::vrrp {
 
-using Address = std::array<std::uint8_t, 4>;  // IPv4, in network order: compares as the standard asks
+/// An IPv4 address in network byte order, so that comparing two compares them as RFC 9568 asks.
+using Address = std::array<std::uint8_t, 4>;
 
+/// Priority of an active router that stops: the backups need not wait for its silence.
+inline constexpr std::uint8_t kShutdownPriority = 0;
+/// Priority of the router that owns the virtual addresses.
+inline constexpr std::uint8_t kOwnerPriority = 255;
+
+/// An advertisement of the active router (RFC 9568, section 5.2).
 struct Advertisement {
-  std::uint8_t vrid = 0;
-  std::uint8_t priority = 0;      // 0: leaves; 255: owns the addresses
-  std::uint16_t interval_cs = 0;  // centiseconds, 12 bits
-  std::vector<Address> addresses;
+  std::uint8_t vrid = 0;  // virtual router identifier, 1 to 255
+  std::uint8_t priority = 0;
+  std::uint16_t interval_cs = 0;   // Max Advertise Interval in centiseconds, 1 to 4095
+  std::vector<Address> addresses;  // the virtual addresses, at most 255
   bool operator==(const Advertisement&) const = default;
 };
 
-// Over UDP there is no IP header of ours to take a pseudo-header from; as RFC 9568 has it for IPv4, the
-// checksum covers the message alone.
-std::vector<std::uint8_t> encode(const Advertisement& advertisement);
-// The advertisement, or what is wrong with the packet.
-std::variant<Advertisement, std::string> decode(std::span<const std::uint8_t> packet);
+/// Why a packet is no valid advertisement.
+enum class DecodeError {
+  kTooShort,
+  kWrongVersionOrType,
+  kNoAddresses,
+  kLengthMismatch,
+  kWrongChecksum,
+  kZeroVrid,
+  kZeroInterval
+};
+/// The error in words, for the log.
+[[nodiscard]] std::string_view to_text(DecodeError error);
+
+/// The packet of an advertisement. It is carried over UDP, where no IP header is at hand for a pseudo-header;
+/// as RFC 9568 has it for IPv4, the checksum covers the message alone.
+[[nodiscard]] std::vector<std::uint8_t> encode(const Advertisement& advertisement);
+
+/// The advertisement in a packet, or why there is none.
+[[nodiscard]] std::variant<Advertisement, DecodeError> decode(std::span<const std::uint8_t> packet);
 
 }  // namespace dispatcher::vrrp
 
--- a/src/vrrp/state_machine.cpp
+++ b/src/vrrp/state_machine.cpp
@@ -3,68 +3,96 @@
 namespace dispatcher::vrrp {
 
 namespace {
-Duration centiseconds(std::int64_t n) { return std::chrono::milliseconds(10 * n); }
+
+// Advertisements that may be lost before the active router counts as failed.
+constexpr int kMissedAdvertisements = 3;
+// Skew_Time divides the interval by the number of priorities.
+constexpr int kPriorityCount = 256;
+
+Duration centiseconds(std::uint16_t count) { return std::chrono::milliseconds(10) * count; }
+
 }  // namespace
 
-Duration StateMachine::skew() const { return centiseconds(active_interval_cs_) * (256 - p_.priority) / 256; }
+Duration StateMachine::skew_time() const {
+  return centiseconds(active_interval_cs_) * (kPriorityCount - parameters_.priority) / kPriorityCount;
+}
 
-Duration StateMachine::active_down() const { return 3 * centiseconds(active_interval_cs_) + skew(); }
+Duration StateMachine::active_down_interval() const {
+  return kMissedAdvertisements * centiseconds(active_interval_cs_) + skew_time();
+}
 
-Advertisement StateMachine::own(std::uint8_t priority) const {
-  return {p_.vrid, priority, p_.interval_cs, p_.addresses};
+Advertisement StateMachine::advertisement_with(std::uint8_t priority) const {
+  return {parameters_.vrid, priority, parameters_.interval_cs, parameters_.addresses};
 }
 
-StateMachine::Sent StateMachine::become_active(Time now) {
+StateMachine::Advertisements StateMachine::become_active(Time now) {
   state_ = State::kActive;
-  timer_ = now + centiseconds(p_.interval_cs);
-  return {own(p_.priority)};
+  timer_ = now + centiseconds(parameters_.interval_cs);
+  return {advertisement_with(parameters_.priority)};
 }
 
 void StateMachine::become_backup(Time now) {
   state_ = State::kBackup;
-  timer_ = now + active_down();
+  timer_ = now + active_down_interval();
 }
 
-StateMachine::Sent StateMachine::startup(Time now, bool succeeds) {
+StateMachine::Advertisements StateMachine::startup(Time now, StartMode mode) {
   if (state_ != State::kInitialize) return {};
-  if (owner() || succeeds) return become_active(now);
-  active_interval_cs_ = p_.interval_cs;
+  if (is_owner() || mode == StartMode::kResumeActive) return become_active(now);
+  active_interval_cs_ = parameters_.interval_cs;
   become_backup(now);
   return {};
 }
 
-StateMachine::Sent StateMachine::shutdown() {
+StateMachine::Advertisements StateMachine::shutdown() {
   const bool was_active = state_ == State::kActive;
   state_ = State::kInitialize;
   timer_.reset();
   if (!was_active) return {};
-  return {own(0)};  // so that a backup need not wait for the silence
+  return {advertisement_with(kShutdownPriority)};
 }
 
-StateMachine::Sent StateMachine::timer(Time now) {
+StateMachine::Advertisements StateMachine::timer(Time now) {
   if (!timer_ || now < *timer_) return {};
   return become_active(now);  // a backup takes over; the active router advertises once more
 }
 
-StateMachine::Sent StateMachine::receive(Time now, const Advertisement& a, const Address& from) {
-  // The owner takes no one's word for its own addresses, and other groups are none of ours.
-  if (a.vrid != p_.vrid || owner() || state_ == State::kInitialize) return {};
-  if (state_ == State::kBackup) {
-    if (a.priority == 0) {
-      timer_ = now + skew();
-    } else if (!p_.preempt || a.priority >= p_.priority) {
-      active_interval_cs_ = a.interval_cs;
-      timer_ = now + active_down();
-    }
-    return {};
+StateMachine::Advertisements StateMachine::receive(Time now, const Advertisement& advertisement,
+                                                   const Address& sender) {
+  // The owner yields its own addresses to nobody.
+  if (advertisement.vrid != parameters_.vrid || is_owner()) return {};
+  switch (state_) {
+    case State::kInitialize:
+      return {};
+    case State::kBackup:
+      receive_as_backup(now, advertisement);
+      return {};
+    case State::kActive:
+      return receive_as_active(now, advertisement, sender);
   }
-  if (a.priority == 0) return become_active(now);  // the other leaves: say at once who stays
-  if (a.priority > p_.priority || (a.priority == p_.priority && from > p_.primary)) {
-    active_interval_cs_ = a.interval_cs;
-    become_backup(now);
-    return {};
+  return {};
+}
+
+void StateMachine::receive_as_backup(Time now, const Advertisement& advertisement) {
+  if (advertisement.priority == kShutdownPriority) {
+    timer_ = now + skew_time();
+    return;
   }
-  return become_active(now);  // a lower one claims the addresses: assert who is active
+  // A lower priority is ignored under preemption: Active_Down_Timer then runs out.
+  if (parameters_.preempt && advertisement.priority < parameters_.priority) return;
+  active_interval_cs_ = advertisement.interval_cs;
+  timer_ = now + active_down_interval();
+}
+
+StateMachine::Advertisements StateMachine::receive_as_active(Time now, const Advertisement& advertisement,
+                                                             const Address& sender) {
+  const bool is_higher = advertisement.priority > parameters_.priority ||
+                         (advertisement.priority == parameters_.priority && sender > parameters_.primary);
+  // Another active router that stops, or that must yield: advertise at once that this one is active.
+  if (advertisement.priority == kShutdownPriority || !is_higher) return become_active(now);
+  active_interval_cs_ = advertisement.interval_cs;
+  become_backup(now);
+  return {};
 }
 
 }  // namespace dispatcher::vrrp
--- a/src/vrrp/state_machine.hpp
+++ b/src/vrrp/state_machine.hpp
@@ -1,58 +1,78 @@
-// The VRRPv3 state machine (RFC 9568, section 6.4), pure: time, timers and packets are passed in, and what
-// is to be sent is handed back. It decides which instance of a pair fronts an address.
+// The VRRPv3 state machine (RFC 9568, section 6.4) without I/O: the time, timer expiries and packets are
+// passed in, and the advertisements to send are returned. It decides which instance of a pair serves the
+// virtual addresses.
 #ifndef DISPATCHER_VRRP_STATE_MACHINE_HPP_
 #define DISPATCHER_VRRP_STATE_MACHINE_HPP_
 
 #include <chrono>
 #include <cstdint>
 #include <optional>
-#include <string>
 #include <vector>
 
 #include "vrrp/packet.hpp"
 
 namespace dispatcher::vrrp {
 
+/// A point of the caller's monotonic clock, since that clock's epoch.
 using Time = std::chrono::microseconds;
 using Duration = std::chrono::microseconds;
 
+/// The states of RFC 9568, section 6.3.
 enum class State { kInitialize, kBackup, kActive };
 
+/// How a router enters the protocol.
+enum class StartMode {
+  kNormal,       // as RFC 9568 has it: the address owner as active, any other router as backup
+  kResumeActive  // as active: it replaces a process of this router that was active and stopped silently
+};
+
+/// The parameters of one virtual router (RFC 9568, section 6.1).
 struct Parameters {
-  std::uint8_t vrid = 1;
-  std::uint8_t priority = 100;      // 1 to 254; 255 owns the addresses
-  std::uint16_t interval_cs = 100;  // between advertisements, 1 to 4095
-  bool preempt = true;              // take over from an active router of lower priority
-  Address primary{};                // our own: the higher one wins among equals
-  std::vector<Address> addresses;   // that the pair shares
+  std::uint8_t vrid = 1;            // virtual router identifier, 1 to 255
+  std::uint8_t priority = 100;      // 1 to 254, or kOwnerPriority
+  std::uint16_t interval_cs = 100;  // Advertisement_Interval in centiseconds, 1 to 4095
+  bool preempt = true;              // Preempt_Mode: take over from an active router of lower priority
+  Address primary{};                // our own address; among equal priorities the higher address wins
+  std::vector<Address> addresses;   // the virtual addresses
 };
 
+/// One router's view of one virtual router. Not thread-safe.
 class StateMachine {
  public:
-  explicit StateMachine(const Parameters& parameters) : p_(parameters), active_interval_cs_(p_.interval_cs) {}
+  explicit StateMachine(const Parameters& parameters)
+      : parameters_(parameters), active_interval_cs_(parameters.interval_cs) {}
 
-  // Each returns the advertisements that are to be sent now, in order.
-  using Sent = std::vector<Advertisement>;
-  // `succeeds`: another process of this router was the active one, and has just left without a word.
-  Sent startup(Time now, bool succeeds = false);
-  Sent shutdown();
-  Sent timer(Time now);  // at or after next_timer()
-  Sent receive(Time now, const Advertisement& advertisement, const Address& from);
+  /// Advertisements to send now, in order.
+  using Advertisements = std::vector<Advertisement>;
+
+  /// Leaves kInitialize; does nothing in any other state.
+  Advertisements startup(Time now, StartMode mode = StartMode::kNormal);
+  /// Returns to kInitialize. An active router advertises kShutdownPriority.
+  Advertisements shutdown();
+  /// To be called at or after next_timer(); does nothing before.
+  Advertisements timer(Time now);
+  /// Handles the advertisement of another router, whose primary address is `sender`.
+  Advertisements receive(Time now, const Advertisement& advertisement, const Address& sender);
 
   [[nodiscard]] State state() const { return state_; }
+  /// When timer() is due; nullopt in kInitialize.
   [[nodiscard]] std::optional<Time> next_timer() const { return timer_; }
-  [[nodiscard]] Duration skew()
-      const;  // the higher the priority, the shorter: the best backup is the first to act
-  [[nodiscard]] Duration active_down() const;  // silence after which the active router is taken for gone
-  [[nodiscard]] bool owner() const { return p_.priority == 255; }
+  /// Skew_Time: shorter for a higher priority, so that the best backup acts first.
+  [[nodiscard]] Duration skew_time() const;
+  /// Active_Down_Interval: the silence after which a backup takes the active router for failed.
+  [[nodiscard]] Duration active_down_interval() const;
+  [[nodiscard]] bool is_owner() const { return parameters_.priority == kOwnerPriority; }
 
  private:
-  Sent become_active(Time now);
+  Advertisements become_active(Time now);
   void become_backup(Time now);
-  [[nodiscard]] Advertisement own(std::uint8_t priority) const;
-  Parameters p_;
+  void receive_as_backup(Time now, const Advertisement& advertisement);
+  Advertisements receive_as_active(Time now, const Advertisement& advertisement, const Address& sender);
+  [[nodiscard]] Advertisement advertisement_with(std::uint8_t priority) const;
+
+  Parameters parameters_;
   State state_ = State::kInitialize;
-  std::uint16_t active_interval_cs_;  // as the active router last advertised
+  std::uint16_t active_interval_cs_;  // Active_Adver_Interval, as the active router last advertised
   std::optional<Time> timer_;         // Active_Down_Timer of a backup, Adver_Timer of the active router
 };
 
--- a/src/vrrp/vrrp_instance.hpp
+++ b/src/vrrp/vrrp_instance.hpp
@@ -1,4 +1,4 @@
-// Carries the state machine's advertisements over UDP between the instances of a pair.
+// Runs the VRRP state machine over UDP between the two instances of a pair, and reads its configuration.
 #ifndef DISPATCHER_VRRP_VRRP_INSTANCE_HPP_
 #define DISPATCHER_VRRP_VRRP_INSTANCE_HPP_
 
@@ -7,7 +7,6 @@
 #include <boost/asio/ip/udp.hpp>
 #include <functional>
 #include <optional>
-#include <string>
 #include <vector>
 
 #include "cue/syntax.hpp"
@@ -19,30 +18,50 @@
 
 using boost::asio::ip::udp;
 
+/// Where an instance exchanges advertisements, and the virtual router that they are about.
 struct Config {
-  udp::endpoint listen;
-  std::vector<udp::endpoint> peers;
+  udp::endpoint listen;              // also the source of what is sent
+  std::vector<udp::endpoint> peers;  // packets of any other sender are ignored
   Parameters parameters;
 };
-// Empty where the file names no address: VRRP is off. Throws cue::Errors.
-std::optional<Config> parse_config(const cue::File& file);
 
+/// The configuration in `file`; nullopt where it names no address to listen on: VRRP is off.
+/// Throws cue::Errors with every problem of the file.
+[[nodiscard]] std::optional<Config> parse_config(const cue::File& file);
+
+/// This process's part in one virtual router. Used on the event loop's thread only. The event loop's context
+/// and the timer queue must outlive it, and it must outlive its pending operations: stop() or hand_over(),
+/// then run the loop until the cancelled receive has completed.
 class VrrpInstance {
  public:
+  /// Called after each change of state.
   using OnState = std::function<void(State)>;
+
+  /// Binds the socket; throws boost::system::system_error where that fails.
   VrrpInstance(boost::asio::io_context& io, const Config& config, engine::TimerQueue& timers,
                engine::Clock clock, engine::Log log, OnState on_state);
-  void start(bool succeeds = false);
-  void stop();   // tells the peers
-  void leave();  // without a word: another process of this router takes the address and its state over
+
+  /// Enters the protocol and begins to receive.
+  void start(StartMode mode = StartMode::kNormal);
+  /// Leaves the protocol. An active instance advertises that it stops; on_state is called.
+  void stop();
+  /// Leaves the protocol silently, without a call of on_state: another process of this router continues in
+  /// its state.
+  void hand_over();
+
   [[nodiscard]] State state() const { return machine_.state(); }
+  /// The bound endpoint, with the port that the system chose where the configured port is 0.
   [[nodiscard]] udp::endpoint local() const { return socket_.local_endpoint(); }
   void add_peer(const udp::endpoint& peer) { config_.peers.push_back(peer); }
 
  private:
   void receive();
-  void take(std::size_t size);
-  void carry_out(const StateMachine::Sent& sent);
+  void handle_packet(std::size_t size);
+  void apply(const StateMachine::Advertisements& advertisements);
+  void send(const StateMachine::Advertisements& advertisements);
+  void restart_timer();
+  void report_state();
+  void close_socket();
 
   Config config_;
   engine::TimerQueue& timers_;
@@ -50,10 +69,10 @@
   engine::Log log_;
   OnState on_state_;
   StateMachine machine_;
-  State told_ = State::kInitialize;
+  State reported_state_ = State::kInitialize;
   udp::socket socket_;
-  udp::endpoint from_;
-  std::array<std::uint8_t, 1500> packet_{};
+  udp::endpoint sender_;
+  std::array<std::uint8_t, 1500> packet_{};  // an Ethernet frame's payload; the largest packet has 1028 bytes
   engine::TimerQueue::Id timer_;
 };
 
--- a/tests/dispatcher/vrrp_test.cpp
+++ b/tests/dispatcher/vrrp_test.cpp
@@ -1,4 +1,4 @@
-// The VRRP state machine with a passed-in clock, its packets, and one election over loopback UDP.
+// The VRRP state machine under a passed-in clock, its packets, and one election over loopback UDP.
 #include <random>
 
 #include "fixture.hpp"
@@ -12,26 +12,29 @@
 using vrrp::State;
 using vrrp::StateMachine;
 
-const Address kLow{127, 0, 0, 1}, kMid{127, 0, 0, 2}, kHigh{127, 0, 0, 3}, kShared{127, 0, 0, 9};
+constexpr Address kLow{127, 0, 0, 1};
+constexpr Address kMid{127, 0, 0, 2};
+constexpr Address kHigh{127, 0, 0, 3};
+constexpr Address kShared{127, 0, 0, 9};
 
-vrrp::Parameters parameters(int priority, bool preempt = true) {
-  return {7, static_cast<std::uint8_t>(priority), 100, preempt, kMid, {kShared}};
+vrrp::Parameters parameters(int priority) {
+  return {7, static_cast<std::uint8_t>(priority), 100, true, kMid, {kShared}};
 }
 Advertisement from(int priority, int interval = 100) {
   return {7, static_cast<std::uint8_t>(priority), static_cast<std::uint16_t>(interval), {kShared}};
 }
 
-TEST_CASE("a backup takes over after three intervals and its skew", "[vrrp]") {
-  StateMachine m(parameters(100));
-  CHECK(m.startup(seconds(0)).empty());
-  CHECK(m.state() == State::kBackup);
-  CHECK(m.skew() == std::chrono::microseconds(609375));  // (256 - 100) / 256 s
-  CHECK(m.next_timer() == vrrp::Time(std::chrono::microseconds(3609375)));
-  CHECK(m.timer(seconds(3)).empty());
-  CHECK(m.timer(milliseconds(3610)) == StateMachine::Sent{from(100)});
-  CHECK(m.state() == State::kActive);
-  CHECK(m.next_timer() == vrrp::Time(milliseconds(4610)));
-  CHECK(m.timer(milliseconds(4610)) == StateMachine::Sent{from(100)});
+TEST_CASE("a backup takes over after three intervals and its skew time", "[vrrp]") {
+  StateMachine machine(parameters(100));
+  CHECK(machine.startup(seconds(0)).empty());
+  CHECK(machine.state() == State::kBackup);
+  CHECK(machine.skew_time() == std::chrono::microseconds(609375));  // (256 - 100) / 256 s
+  CHECK(machine.next_timer() == vrrp::Time(std::chrono::microseconds(3609375)));
+  CHECK(machine.timer(seconds(3)).empty());
+  CHECK(machine.timer(milliseconds(3610)) == StateMachine::Advertisements{from(100)});
+  CHECK(machine.state() == State::kActive);
+  CHECK(machine.next_timer() == vrrp::Time(milliseconds(4610)));
+  CHECK(machine.timer(milliseconds(4610)) == StateMachine::Advertisements{from(100)});
 }
 
 TEST_CASE("the better backup is the first to act", "[vrrp]") {
@@ -41,41 +44,44 @@
   CHECK(better.next_timer() < worse.next_timer());
 }
 
-TEST_CASE("the owner starts as active and takes no one's word", "[vrrp]") {
-  StateMachine m(parameters(255));
-  CHECK(m.startup(seconds(0)) == StateMachine::Sent{from(255)});
-  CHECK(m.receive(seconds(1), from(255), kHigh).empty());
-  CHECK(m.receive(seconds(1), from(0), kHigh).empty());
-  CHECK(m.state() == State::kActive);
+TEST_CASE("the address owner starts as active and yields to nobody", "[vrrp]") {
+  StateMachine machine(parameters(255));
+  CHECK(machine.startup(seconds(0)) == StateMachine::Advertisements{from(255)});
+  CHECK(machine.receive(seconds(1), from(255), kHigh).empty());
+  CHECK(machine.receive(seconds(1), from(0), kHigh).empty());
+  CHECK(machine.state() == State::kActive);
 }
 
-TEST_CASE("an advertisement of at least our priority keeps a backup quiet", "[vrrp]") {
-  StateMachine m(parameters(100));
-  m.startup(seconds(0));
-  m.receive(seconds(3), from(100, 200), kLow);
-  CHECK(m.state() == State::kBackup);
-  CHECK(m.active_down() ==
-        std::chrono::microseconds(7218750));  // by the interval that the active router uses
-  CHECK(m.next_timer() == vrrp::Time(std::chrono::microseconds(10218750)));
+TEST_CASE("an advertisement of at least its priority keeps a backup in its state", "[vrrp]") {
+  StateMachine machine(parameters(100));
+  machine.startup(seconds(0));
+  machine.receive(seconds(3), from(100, 200), kLow);
+  CHECK(machine.state() == State::kBackup);
+  CHECK(machine.active_down_interval() ==
+        std::chrono::microseconds(7218750));  // from the active router's interval
+  CHECK(machine.next_timer() == vrrp::Time(std::chrono::microseconds(10218750)));
 }
 
-TEST_CASE("preemption: a lower active router is let run out, or borne", "[vrrp]") {
+TEST_CASE("an active router of lower priority is preempted only under preempt mode", "[vrrp]") {
   const bool preempt = GENERATE(true, false);
-  StateMachine m(parameters(100, preempt));
-  m.startup(seconds(0));
-  const auto before = m.next_timer();
-  m.receive(seconds(3), from(50), kLow);
-  CHECK((m.next_timer() == before) == preempt);
+  vrrp::Parameters changed = parameters(100);
+  changed.preempt = preempt;
+  StateMachine machine(changed);
+  machine.startup(seconds(0));
+  const auto before = machine.next_timer();
+  machine.receive(seconds(3), from(50), kLow);
+  CHECK((machine.next_timer() == before) == preempt);
 }
 
-TEST_CASE("priority 0: a backup waits for its skew alone", "[vrrp]") {
-  StateMachine m(parameters(100));
-  m.startup(seconds(0));
-  m.receive(seconds(1), from(0), kHigh);
-  CHECK(m.next_timer() == vrrp::Time(seconds(1) + m.skew()));
-  m.timer(seconds(2));
-  CHECK(m.state() == State::kActive);
-  CHECK(m.receive(seconds(3), from(0), kHigh) == StateMachine::Sent{from(100)});  // active: says who stays
+TEST_CASE("after an advertisement of priority 0 a backup waits for its skew time only", "[vrrp]") {
+  StateMachine machine(parameters(100));
+  machine.startup(seconds(0));
+  machine.receive(seconds(1), from(0), kHigh);
+  CHECK(machine.next_timer() == vrrp::Time(seconds(1) + machine.skew_time()));
+  machine.timer(seconds(2));
+  CHECK(machine.state() == State::kActive);
+  CHECK(machine.receive(seconds(3), from(0), kHigh) ==
+        StateMachine::Advertisements{from(100)});  // as active: advertises at once
 }
 
 TEST_CASE("an active router yields to the higher priority, then the higher address", "[vrrp]") {
@@ -89,39 +95,39 @@
                                                                    {100, kLow, false},
                                                                    {100, kMid, false},
                                                                    {99, kHigh, false}}) {
-    StateMachine m(parameters(100));
-    m.startup(seconds(0));
-    m.timer(seconds(4));
-    REQUIRE(m.state() == State::kActive);
-    const auto sent = m.receive(seconds(5), from(priority), address);
-    CHECK((m.state() == State::kBackup) == yields);
-    CHECK(sent.empty() == yields);  // one that stays asserts itself at once
+    StateMachine machine(parameters(100));
+    machine.startup(seconds(0));
+    machine.timer(seconds(4));
+    REQUIRE(machine.state() == State::kActive);
+    const auto sent = machine.receive(seconds(5), from(priority), address);
+    CHECK((machine.state() == State::kBackup) == yields);
+    CHECK(sent.empty() == yields);  // one that stays active advertises at once
   }
 }
 
-TEST_CASE("a leaving active router says so; a backup just stops", "[vrrp]") {
-  StateMachine m(parameters(100));
-  m.startup(seconds(0));
-  CHECK(m.shutdown().empty());
-  m.startup(seconds(0));
-  m.timer(seconds(4));
-  CHECK(m.shutdown() == StateMachine::Sent{from(0)});
-  CHECK(m.state() == State::kInitialize);
-  CHECK_FALSE(m.next_timer());
-  CHECK(m.receive(seconds(5), from(0), kLow).empty());
+TEST_CASE("an active router advertises its shutdown; a backup stops silently", "[vrrp]") {
+  StateMachine machine(parameters(100));
+  machine.startup(seconds(0));
+  CHECK(machine.shutdown().empty());
+  machine.startup(seconds(0));
+  machine.timer(seconds(4));
+  CHECK(machine.shutdown() == StateMachine::Advertisements{from(0)});
+  CHECK(machine.state() == State::kInitialize);
+  CHECK_FALSE(machine.next_timer());
+  CHECK(machine.receive(seconds(5), from(0), kLow).empty());
 }
 
-TEST_CASE("another group's advertisements are none of ours", "[vrrp]") {
-  StateMachine m(parameters(100));
-  m.startup(seconds(0));
-  const auto before = m.next_timer();
+TEST_CASE("advertisements of another virtual router are ignored", "[vrrp]") {
+  StateMachine machine(parameters(100));
+  machine.startup(seconds(0));
+  const auto before = machine.next_timer();
   Advertisement other = from(200);
   other.vrid = 8;
-  m.receive(seconds(1), other, kHigh);
-  CHECK(m.next_timer() == before);
+  machine.receive(seconds(1), other, kHigh);
+  CHECK(machine.next_timer() == before);
 }
 
-TEST_CASE("packets have the standard's bytes, and bad ones are refused", "[vrrp]") {
+TEST_CASE("packets are encoded as RFC 9568 has it, and invalid ones are rejected", "[vrrp]") {
   const auto packet = vrrp::encode(from(100));
   CHECK(packet == std::vector<std::uint8_t>{0x31, 7, 100, 1, 0, 100, 0xeb, 0x89, 127, 0, 0, 9});
   CHECK(std::get<Advertisement>(vrrp::decode(packet)) == from(100));
@@ -129,25 +135,28 @@
     auto bad = packet;
     bad[at] = static_cast<std::uint8_t>(value);
     const auto result = vrrp::decode(bad);
-    return std::holds_alternative<std::string>(result) ? std::get<std::string>(result) : "none";
+    const auto* error = std::get_if<vrrp::DecodeError>(&result);
+    return std::string(error == nullptr ? "none" : vrrp::to_text(*error));
   };
   CHECK(problem(0, 0x21) == "not a VRRPv3 advertisement");
   CHECK(problem(0, 0x32) == "not a VRRPv3 advertisement");
   CHECK(problem(3, 0) == "no addresses");
   CHECK(problem(3, 2) == "length and count differ");
   CHECK(problem(2, 101) == "wrong checksum");
-  CHECK(std::get<std::string>(vrrp::decode(std::span(packet).first(7))) == "too short");
+  CHECK(std::get<vrrp::DecodeError>(vrrp::decode(std::span(packet).first(7))) ==
+        vrrp::DecodeError::kTooShort);
+  CHECK(vrrp::to_text(vrrp::DecodeError::kTooShort) == "too short");
   std::mt19937 random(8);
   int rejected = 0;
   for (int i = 0; i < 5000; ++i) {  // one changed byte never passes
     auto bad = packet;
     bad[random() % bad.size()] ^= static_cast<std::uint8_t>(1 + random() % 255);
-    rejected += std::holds_alternative<std::string>(vrrp::decode(bad)) ? 1 : 0;
+    rejected += std::holds_alternative<vrrp::DecodeError>(vrrp::decode(bad)) ? 1 : 0;
   }
   CHECK(rejected == 5000);
 }
 
-TEST_CASE("VRRP's file is checked by field", "[vrrp]") {
+TEST_CASE("each field of VRRP's file is checked", "[vrrp]") {
   const auto parse = [](const std::string& text) { return vrrp::parse_config({"vrrp.json", text}); };
   CHECK_FALSE(parse(R"({"listen":null})"));
   const std::string rest = R"("peers":["127.0.0.2:9"],"addresses":["127.0.0.9"])";
@@ -161,30 +170,31 @@
       "vrrp.json: peers: list of 1 to 255 expected\nvrrp.json: addresses: list of 1 to 255 expected");
 }
 
-TEST_CASE("a pair elects over UDP, and the backup follows when the active one stops", "[vrrp]") {
-  TestEventLoop work;
+TEST_CASE("a pair elects an active router over UDP, and the backup takes over when it stops", "[vrrp]") {
+  TestEventLoop loop;
   struct Instance {
     std::vector<State> states;
-    std::unique_ptr<vrrp::VrrpInstance> speaker;
+    std::unique_ptr<vrrp::VrrpInstance> vrrp;
   };
   std::array<Instance, 2> pair;
-  for (std::size_t i : {0U, 1U}) {
-    vrrp::Config config{{boost::asio::ip::address_v4::loopback(), 0}, {}, parameters(i == 0 ? 200 : 100)};
-    pair[i].speaker = std::make_unique<vrrp::VrrpInstance>(
-        work.io, config, work.timers, work.clock(), [](std::string_view) {},
-        [&states = pair[i].states](State s) { states.push_back(s); });
+  for (Instance& instance : pair) {
+    const bool is_first = &instance == pair.data();
+    vrrp::Config config{{boost::asio::ip::address_v4::loopback(), 0}, {}, parameters(is_first ? 200 : 100)};
+    instance.vrrp = std::make_unique<vrrp::VrrpInstance>(
+        loop.io, config, loop.timers, loop.clock(), [](std::string_view) {},
+        [&states = instance.states](State state) { states.push_back(state); });
   }
-  pair[0].speaker->add_peer(pair[1].speaker->local());
-  pair[1].speaker->add_peer(pair[0].speaker->local());
-  for (auto& instance : pair) instance.speaker->start();
-  work.advance(seconds(6));
+  pair[0].vrrp->add_peer(pair[1].vrrp->local());
+  pair[1].vrrp->add_peer(pair[0].vrrp->local());
+  for (auto& instance : pair) instance.vrrp->start();
+  loop.advance(seconds(6));
   CHECK(pair[0].states == std::vector{State::kBackup, State::kActive});
   CHECK(pair[1].states == std::vector{State::kBackup});
-  pair[0].speaker->stop();
-  work.settle();
-  work.advance(milliseconds(700));  // its skew, not three intervals
+  pair[0].vrrp->stop();
+  loop.settle();
+  loop.advance(milliseconds(700));  // its skew time, not three intervals
   CHECK(pair[1].states == std::vector{State::kBackup, State::kActive});
-  pair[1].speaker->stop();
+  pair[1].vrrp->stop();
 }
 
 }  // namespace
