--- a/fuzz/gossip_fuzz.cpp
+++ b/fuzz/gossip_fuzz.cpp
@@ -38,7 +38,7 @@
   gossip::GossipNode node(fleet.options, fleet.kinds, 1'800'000'000'000, 7, milliseconds(1000));
   const replicated_state::Budget budget{
       {1, 7}, replicated_state::BudgetType::kRate, 4000, std::chrono::seconds(5)};
-  node.quotas().open(milliseconds(1000), budget, true);
+  node.quotas().open(milliseconds(1000), budget, replicated_state::BudgetStart::kObserved);
   // The input names its sender, as the transport would by the address.
   for (const gossip::MemberIndex from : {1U, 2U}) check(node.on_received(milliseconds(1100), from, bytes));
   for (int i = 0; i < 4; ++i) check(node.tick(node.next_deadline()));
--- a/src/gossip/codec.cpp
+++ b/src/gossip/codec.cpp
@@ -127,7 +127,7 @@
   read_list(envelope.returns(), message.returns, message.invalid_entries);
   read_list(envelope.entries(), message.entries, message.invalid_entries, message.sender, member_count);
   read_list(envelope.digests(), message.digests, message.invalid_entries, member_count);
-  message.is_digest_reply = envelope.is_digest_reply();
+  if (envelope.is_digest_reply()) message.digest_role = DigestRole::kReply;
   if (envelope.group() != 0 && envelope.group() <= member_count) {
     message.group = envelope.group() - 1;
     message.group_hash = envelope.group_hash();
--- a/src/gossip/datagram_builder.cpp
+++ b/src/gossip/datagram_builder.cpp
@@ -183,8 +183,8 @@
                        [](auto& envelope) { return envelope.add_entries(); });
 }
 
-bool DatagramBuilder::add(const Digest& digest, bool is_digest_reply) {
-  const bool needs_flag = is_digest_reply && !content_->envelope.is_digest_reply();
+bool DatagramBuilder::add(const Digest& digest, DigestRole role) {
+  const bool needs_flag = role == DigestRole::kReply && !content_->envelope.is_digest_reply();
   const std::size_t flag_bytes = needs_flag ? kLongTagBytes + kBoolBytes : 0;
   if (!fits(flag_bytes)) return false;
   const bool is_added = content_->add(to_wire(digest), max_bytes_ - flag_bytes,
--- a/src/gossip/datagram_builder.hpp
+++ b/src/gossip/datagram_builder.hpp
@@ -29,7 +29,7 @@
   bool add(const QuotaGrant& grant);
   bool add(const QuotaReturn& returned);
   bool add(const Entry& entry);
-  bool add(const Digest& digest, bool is_digest_reply);
+  bool add(const Digest& digest, DigestRole role);
 
   // Bounds the size from here on; what is there already stays.
   void set_limit(std::size_t max_bytes);
--- a/src/gossip/drafts.hpp
+++ b/src/gossip/drafts.hpp
@@ -20,7 +20,7 @@
   std::vector<MemberUpdate> updates;  // that the receiver needs whatever was sent before
   ViewComparison view = ViewComparison::kUnknown;
   std::vector<Digest> digests;
-  bool is_digest_reply = false;
+  DigestRole digest_role = DigestRole::kOffer;
   std::vector<Entry> entries;  // that the receiver lacks
   // Must go out even where the byte budget is in debt.
   [[nodiscard]] bool is_urgent() const { return probe || !quota_messages.empty() || !updates.empty(); }
--- a/src/gossip/gossip_node.cpp
+++ b/src/gossip/gossip_node.cpp
@@ -71,7 +71,7 @@
 }
 
 void GossipNode::add_entries(Time now, DatagramBuilder& builder, const Draft& draft) {
-  for (const Digest& digest : draft.digests) builder.add(digest, draft.is_digest_reply);
+  for (const Digest& digest : draft.digests) builder.add(digest, draft.digest_role);
   for (const Entry& entry : draft.entries) builder.add(entry);
   for (const Entry& entry : entries_.send_queue(now, Delivery::kUnicast)) {
     if (entry.key.owner == draft.to) continue;
@@ -235,13 +235,13 @@
     drafts.to(from).digests = entries_.digests(now, *message.group, serial_);
   for (const Digest& theirs : message.digests) {
     const std::vector<Entry> missing = entries_.entries_missing_from(now, theirs);
-    const bool is_behind = !message.is_digest_reply && entries_.is_behind(now, theirs);
+    const bool is_behind = message.digest_role == DigestRole::kOffer && entries_.is_behind(now, theirs);
     if (missing.empty() && !is_behind) continue;
     Draft& draft = drafts.to(from);
     draft.entries.insert(draft.entries.end(), missing.begin(), missing.end());
     if (!is_behind) continue;
     draft.digests.push_back(entries_.digest(now, theirs.owner));
-    draft.is_digest_reply = true;
+    draft.digest_role = DigestRole::kReply;
   }
 }
 
@@ -249,7 +249,7 @@
   for (const membership::MemberChange& change : members_.take_changes()) {
     if (change.member == options_.self) {
       const std::uint64_t incarnation = members_.version().incarnation;
-      entries_.set_own_incarnation(now, incarnation);
+      entries_.set_own_incarnation(incarnation);
       quotas_.set_own_incarnation(incarnation);
     } else {
       apply_peer_change(now, change);
--- a/src/gossip/gossip_node.hpp
+++ b/src/gossip/gossip_node.hpp
@@ -15,9 +15,9 @@
 
 #include "gossip/byte_budget.hpp"
 #include "gossip/codec.hpp"
-#include "gossip/config.hpp"
 #include "gossip/datagram_builder.hpp"
 #include "gossip/drafts.hpp"
+#include "gossip/node_options.hpp"
 #include "gossip/replay_window.hpp"
 #include "membership/membership.hpp"
 #include "replicated_state/bounded_counter.hpp"
--- a/src/gossip/message.hpp
+++ b/src/gossip/message.hpp
@@ -28,6 +28,10 @@
 inline constexpr std::chrono::milliseconds kAgeUnit{10};           // of ages on the wire
 inline constexpr std::uint32_t kMaxAgeUnits = 24U * 3600U * 100U;  // a day
 
+// A step of the anti-entropy exchange: digests that are offered are answered with entries and with digests of
+// one's own; digests that reply are answered with entries only, so that the exchange ends.
+enum class DigestRole : std::uint8_t { kOffer, kReply };
+
 // The head of a datagram: the same on all of a process, but for the serial number.
 struct Sender {
   std::uint32_t tier = 0;
@@ -41,31 +45,31 @@
 struct Message {
   Sender sender;
   std::optional<Probe> probe;
-  std::optional<std::uint32_t> members_hash;
+  std::optional<std::uint32_t> members_hash;  // of the sender's view, see MemberTable::view_hash()
   std::vector<MemberUpdate> updates;
   std::vector<QuotaRequest> requests;
   std::vector<QuotaGrant> grants;
   std::vector<QuotaReturn> returns;
   std::vector<Entry> entries;
   std::vector<Digest> digests;
-  bool is_digest_reply = false;  // the digests answer ours: they are not answered with more of them
-  std::optional<MemberIndex> group;
+  DigestRole digest_role = DigestRole::kOffer;
+  std::optional<MemberIndex> group;  // a group of owners, whose hash of entries follows
   std::uint32_t group_hash = 0;
   unsigned invalid_entries = 0;  // that were skipped
 };
 
 // Why a datagram was dropped.
 enum class DropReason : std::uint8_t {
-  kTooLong,
-  kMalformed,
-  kUnsupportedVersion,
+  kTooLong,             // above kMaxDatagramBytes
+  kMalformed,           // no message of wire.proto
+  kUnsupportedVersion,  // not kProtocolVersion
   kWrongTier,
-  kWrongCount,
-  kWrongSender,
-  kUnknownAddress,
-  kInvalid,
+  kWrongCount,      // another count of members than this process's
+  kWrongSender,     // not the member whose address it came from
+  kUnknownAddress,  // of no member
+  kInvalid,         // its head or its probe is beyond its bounds
   kStaleIncarnation,
-  kReplay
+  kReplay,  // its serial number was seen, or is too old to tell
 };
 inline constexpr std::size_t kDropReasonCount = 10;
 
--- a/src/gossip/udp_transport.hpp
+++ b/src/gossip/udp_transport.hpp
@@ -10,6 +10,7 @@
 
 #include "engine/timer_queue.hpp"
 #include "gossip/gossip_node.hpp"
+#include "gossip/peer_config.hpp"
 
 namespace dispatcher::gossip {
 
--- a/src/membership/member.hpp
+++ b/src/membership/member.hpp
@@ -9,7 +9,7 @@
 #include <optional>
 #include <tuple>
 
-#include "routing/router.hpp"
+#include "routing/settings.hpp"
 
 namespace dispatcher::membership {
 
--- a/src/replicated_state/bounded_counter.hpp
+++ b/src/replicated_state/bounded_counter.hpp
@@ -9,8 +9,8 @@
 // - kConsumable: units that are used once. A unit moves by a grant that leaves the lender first and is
 // counted
 //   by the borrower once; one whose grant is lost is lost. A process has an initial quota only of a budget
-//   that it saw open: of any other an earlier process of this member may have spent it, so it starts with
-//   nothing until granted.
+//   whose start it observed: of any other an earlier process of this member may have spent it, so it starts
+//   with nothing until granted.
 // - kRate: units a second, refilled for ever, that accrue for `max_burst` at most. A part of the quota is
 //   reserved and never lent; the rest is lent for a lease. The borrower counts the lease from before its
 //   request, by its own clock, and looks at the clock at each use, so that a stopped process has lost the
@@ -25,7 +25,6 @@
 #ifndef DISPATCHER_REPLICATED_STATE_BOUNDED_COUNTER_HPP_
 #define DISPATCHER_REPLICATED_STATE_BOUNDED_COUNTER_HPP_
 
-#include <boost/random/taus88.hpp>
 #include <cstddef>
 #include <cstdint>
 #include <map>
@@ -33,10 +32,16 @@
 #include <vector>
 
 #include "replicated_state/quota_allocation.hpp"
+#include "replicated_state/quota_borrower.hpp"
+#include "replicated_state/quota_lender.hpp"
 
 namespace dispatcher::replicated_state {
 
-using Random = boost::random::taus88;  // small and reproducible; seeded by the owner
+// Whether a process knows that nobody can have used a budget before it: see kConsumable above.
+enum class BudgetStart : std::uint8_t {
+  kObserved,  // it was running, and knew that the budget did not exist, before it did
+  kUnknown,
+};
 
 // One member's quotas of all budgets, and its part of the lending protocol. Owned by a GossipNode; used on
 // one thread, with no callbacks.
@@ -46,11 +51,10 @@
   BoundedCounter(const LendingPolicy& policy, MemberIndex self, MemberIndex count, std::uint64_t incarnation,
                  Time now, Random random);
 
-  // Begins to hold a quota. `saw_start`: this process was running, and knew that the budget did not exist,
-  // before it did: see kConsumable. False: too many budgets, or bounds exceeded, or one of units that has
-  // been closed. A budget that is open already stays as it is.
-  bool open(Time now, const Budget& budget, bool saw_start);
-  // Ends the use of a budget. Loans of it are returned with the next tick().
+  // Begins to hold a quota. False: too many budgets, or bounds exceeded, or one of units that has been
+  // closed. A budget that is open already stays as it is.
+  bool open(Time now, const Budget& budget, BudgetStart start);
+  // Ends the use of a budget, if it is open. Loans of it are returned with the next tick().
   void close(Time now, const BudgetId& id);
 
   // What may be used now: units, or for kRate what has accrued, in units.
@@ -79,13 +83,13 @@
 
   // Totals since the start of the process.
   struct Counts {
-    std::uint64_t requests = 0;
-    std::uint64_t granted = 0;
-    std::uint64_t denied = 0;
-    std::uint64_t borrowed = 0;
-    std::uint64_t returned = 0;
-    std::uint64_t expired = 0;
-    std::uint64_t ignored = 0;  // grants that answer no pending request
+    std::uint64_t requests = 0;  // as a borrower, repetitions left out
+    std::uint64_t granted = 0;   // requests of others
+    std::uint64_t denied = 0;    // requests of others
+    std::uint64_t borrowed = 0;  // grants received
+    std::uint64_t returned = 0;  // loans that came back before their lease ended
+    std::uint64_t expired = 0;   // borrowed loans whose lease ended
+    std::uint64_t ignored = 0;   // grants that answer no pending request
   };
   [[nodiscard]] const Counts& counts() const { return counts_; }
   [[nodiscard]] std::size_t size() const { return allocations_.size(); }
@@ -96,23 +100,12 @@
   [[nodiscard]] std::uint64_t state_hash(Time now) const;
 
  private:
-  std::optional<QuotaGrant> answer_request(Time now, MemberIndex from, std::uint64_t incarnation,
-                                           const QuotaRequest& request);
-  static std::optional<std::uint64_t> grant_units(QuotaAllocation& allocation, MemberIndex borrower,
-                                                  std::uint64_t incarnation, const QuotaRequest& request);
-  std::optional<std::uint64_t> grant_rate(Time now, QuotaAllocation& allocation, MemberIndex borrower,
-                                          std::uint64_t incarnation, const QuotaRequest& request) const;
+  [[nodiscard]] std::optional<QuotaGrant> answer_request(Time now, const Borrower& borrower,
+                                                         const QuotaRequest& request);
   void accept_grant(Time now, MemberIndex from, const QuotaGrant& grant);
-  void accept_return(Time now, MemberIndex from, std::uint64_t incarnation, const QuotaReturn& returned);
-  void abandon_request(Time now, QuotaAllocation& allocation, std::vector<QuotaMessage>& out) const;
-  static void return_unneeded(Time now, QuotaAllocation& allocation, std::vector<QuotaMessage>& out);
-  void retry_request(Time now, PendingRequest& pending, std::vector<QuotaMessage>& out) const;
-  void send_request(Time now, QuotaAllocation& allocation, const std::vector<MemberIndex>& live_members,
-                    std::vector<QuotaMessage>& out);
-  [[nodiscard]] std::optional<MemberIndex> lender_to_renew(Time now, const QuotaAllocation& allocation) const;
-  std::optional<MemberIndex> draw_new_lender(const QuotaAllocation& allocation,
-                                             const std::vector<MemberIndex>& live_members);
+  void accept_return(Time now, const Borrower& borrower, const QuotaReturn& returned);
   void accrue(Time now, QuotaAllocation& allocation) { counts_.expired += allocation.accrue(now); }
+  [[nodiscard]] std::optional<Time> next_deadline(const QuotaAllocation& allocation) const;
   [[nodiscard]] const QuotaAllocation* find(const BudgetId& id) const;
   [[nodiscard]] QuotaAllocation* find(const BudgetId& id);
 
@@ -121,8 +114,7 @@
   MemberIndex count_;
   std::uint64_t incarnation_;
   Time lending_starts_at_;  // from here on an earlier process of this member has nothing lent
-  Random random_;
-  std::uint32_t sequence_ = 0;
+  QuotaBorrower borrower_;
   std::map<BudgetId, QuotaAllocation> allocations_;
   Counts counts_;
 };
--- a/src/replicated_state/entry_kinds.cpp
+++ b/src/replicated_state/entry_kinds.cpp
@@ -3,21 +3,50 @@
 #define XXH_INLINE_ALL
 #include <xxhash.h>
 
-#include <stdexcept>
+#include <optional>
 #include <utility>
 
 namespace dispatcher::replicated_state {
 
+namespace {
+
+// What is wrong with the kind's own bounds, if anything is.
+std::optional<EntryKindFault> check_bounds(const EntryKind& kind) {
+  if (kind.id == 0 || kind.id > kMaxKindId) return EntryKindFault::kInvalidId;
+  if (kind.max_payload_bytes > kMaxPayloadBytes) return EntryKindFault::kPayloadTooLong;
+  if (!kind.is_valid) return EntryKindFault::kNoValidator;
+  const bool has_positive_times = kind.max_age > Duration::zero() && kind.half_life > Duration::zero();
+  if (!has_positive_times || kind.max_transmissions == 0) return EntryKindFault::kInvalidSpread;
+  return std::nullopt;
+}
+
+std::string describe(const EntryKindProblem& problem) {
+  switch (problem.fault) {
+    case EntryKindFault::kInvalidId:
+      return "bad number";
+    case EntryKindFault::kPayloadTooLong:
+      return "payload too long";
+    case EntryKindFault::kNoValidator:
+      return "declares no bounds";
+    case EntryKindFault::kInvalidSpread:
+      return "bad age, half-life or spread";
+    case EntryKindFault::kIdTaken:
+      return "number taken by " + problem.registered_name;
+  }
+  return {};
+}
+
+}  // namespace
+
+std::string to_text(const EntryKindProblem& problem) {
+  return "kind " + std::to_string(problem.id) + " (" + problem.name + "): " + describe(problem);
+}
+
 const EntryKind& EntryKinds::add(EntryKind kind) {
-  const std::string name = "kind " + std::to_string(kind.id) + " (" + kind.name + "): ";
-  if (kind.id == 0 || kind.id > kMaxKindId) throw std::logic_error(name + "bad number");
-  if (kind.max_payload_bytes > kMaxPayloadBytes) throw std::logic_error(name + "payload too long");
-  if (!kind.is_valid) throw std::logic_error(name + "declares no bounds");
-  if (kind.max_age <= Duration::zero() || kind.half_life <= Duration::zero() || kind.max_transmissions == 0)
-    throw std::logic_error(name + "bad age, half-life or spread");
-  const auto [it, added] = kinds_.emplace(kind.id, std::move(kind));
-  if (!added) throw std::logic_error(name + "number taken by " + it->second.name);
-  return it->second;
+  if (const auto fault = check_bounds(kind)) throw EntryKindError({*fault, kind.id, kind.name, {}});
+  if (const EntryKind* registered = find(kind.id))
+    throw EntryKindError({EntryKindFault::kIdTaken, kind.id, kind.name, registered->name});
+  return kinds_.emplace(kind.id, std::move(kind)).first->second;
 }
 
 const EntryKind* EntryKinds::find(std::uint32_t id) const {
--- a/src/replicated_state/entry_kinds.hpp
+++ b/src/replicated_state/entry_kinds.hpp
@@ -8,10 +8,11 @@
 #include <functional>
 #include <map>
 #include <span>
+#include <stdexcept>
 #include <string>
 #include <string_view>
 
-#include "routing/router.hpp"
+#include "routing/settings.hpp"
 
 namespace dispatcher::replicated_state {
 
@@ -37,10 +38,34 @@
   std::function<bool(ByteView)> is_valid;  // checks a payload; others are rejected
 };
 
+// Why a kind can't be registered.
+enum class EntryKindFault : std::uint8_t {
+  kInvalidId,       // not from 1 to kMaxKindId
+  kPayloadTooLong,  // max_payload_bytes above kMaxPayloadBytes
+  kNoValidator,     // is_valid is empty
+  kInvalidSpread,   // max_age, half_life or max_transmissions not positive
+  kIdTaken,
+};
+
+// A kind that was not registered, and why.
+struct EntryKindProblem {
+  EntryKindFault fault{};
+  std::uint32_t id = 0;
+  std::string name;
+  std::string registered_name;  // kIdTaken: of the kind that has this id
+};
+[[nodiscard]] std::string to_text(const EntryKindProblem& problem);  // one line
+
+// A mistake of the program, which it finds at its start; what() is the problem's text.
+struct EntryKindError : std::logic_error {
+  explicit EntryKindError(const EntryKindProblem& cause) : std::logic_error(to_text(cause)), problem(cause) {}
+  EntryKindProblem problem;
+};
+
 // A registry of kinds. Filled at start-up, before any ReplicatedMap uses it, and constant from then on.
 class EntryKinds {
  public:
-  // Throws std::logic_error where the kind's bounds are bad or its id is taken.
+  // Throws EntryKindError where the kind's bounds are bad or its id is taken.
   const EntryKind& add(EntryKind kind);
   // Null where no kind has this id.
   [[nodiscard]] const EntryKind* find(std::uint32_t id) const;
--- a/tests/dispatcher/fleet_figures.cpp
+++ b/tests/dispatcher/fleet_figures.cpp
@@ -108,9 +108,8 @@
 }
 
 TEST_CASE("sizes of what datagrams hold", "[.figures]") {
-  using gossip::DatagramBuilder;
   const std::uint64_t incarnation = 1'800'000'000'000;
-  const gossip::Sender sender{0, 100, 42, {incarnation, 0}, 20'000};
+  const Sender sender{0, 100, 42, {incarnation, 0}, 20'000};
   const std::size_t head = DatagramBuilder(sender).size(),
                     head_by_hand = by_hand({1, 0, 100, 42, incarnation, 0, 20'000});
   std::printf("head %zu by hand %zu\n", head, head_by_hand);
@@ -122,7 +121,7 @@
   print(
       "probe",
       [](DatagramBuilder& builder) {
-        builder.add(membership::Probe{membership::Probe::Type::kPing, 20'000, 0});
+        builder.add(Probe{Probe::Type::kPing, 20'000, 0});
       },
       by_hand({0, 20'000}));
   print(
@@ -135,16 +134,16 @@
   print(
       "update",
       [&](DatagramBuilder& builder) {
-        builder.add(membership::MemberUpdate{77, {incarnation, 0}, MemberState::kAlive, 0});
+        builder.add(MemberUpdate{77, {incarnation, 0}, MemberState::kAlive, 0});
       },
       by_hand({77, incarnation, 0}));
   print(
       "suspicion",
       [&](DatagramBuilder& builder) {
-        builder.add(membership::MemberUpdate{77, {incarnation, 1}, MemberState::kSuspect, 5});
+        builder.add(MemberUpdate{77, {incarnation, 1}, MemberState::kSuspect, 5});
       },
       by_hand({77, incarnation, 1, 5}));
-  replicated_state::Entry entry;
+  Entry entry;
   entry.key = {1, replicated_state::entry_id("s-5be2a07c"), 42};
   entry.incarnation = incarnation;
   entry.version = 300;
@@ -161,19 +160,19 @@
   print(
       "digest",
       [](DatagramBuilder& builder) {
-        builder.add(replicated_state::Digest{77, 300, 1}, false);
+        builder.add(Digest{77, 300, 1}, DigestRole::kOffer);
       },
       by_hand({77, 300}) + 4);
   print(
       "request",
       [](DatagramBuilder& builder) {
-        builder.add(replicated_state::QuotaRequest{{1, 1000}, 300, 0, 500});
+        builder.add(QuotaRequest{{1, 1000}, 300, 0, 500});
       },
       by_hand({1, 1000, 300, 0, 500}));
   print(
       "grant",
       [&](DatagramBuilder& builder) {
-        builder.add(replicated_state::QuotaGrant{{1, 1000}, incarnation, 300, 500, seconds(10)});
+        builder.add(QuotaGrant{{1, 1000}, incarnation, 300, 500, seconds(10)});
       },
       by_hand({1, 1000, incarnation, 300, 500, 10000}));
 }
--- a/tests/dispatcher/fleet_fixture.cpp
+++ b/tests/dispatcher/fleet_fixture.cpp
@@ -4,6 +4,16 @@
 
 namespace dispatcher::testing {
 
+std::vector<std::uint8_t> bytes_of(const DatagramBuilder& builder) {
+  const auto datagram = builder.finish();
+  REQUIRE(datagram);
+  return bytes_of(*datagram);
+}
+
+std::vector<std::uint8_t> bytes_of(const gossip::Datagram& datagram) {
+  return {datagram.bytes().begin(), datagram.bytes().end()};
+}
+
 FleetFixture::FleetFixture(MemberIndex count, std::uint64_t seed, gossip::NodeOptions options)
     : skew(count), rate(count, 1.0), options_(options), seed_(seed), random_(seed), processes_(count) {
   options_.member_count = count;
@@ -48,6 +58,12 @@
     deliver(process.waiting.front().first, member, process.waiting.front().second);
 }
 
+void FleetFixture::resume_all() {
+  for (MemberIndex member = 0; member < count(); ++member) {
+    if (!is_running(member)) resume(member);
+  }
+}
+
 void FleetFixture::block(const std::set<MemberIndex>& from, const std::set<MemberIndex>& to) {
   for (const MemberIndex sender : from) {
     for (const MemberIndex receiver : to) blocked_.emplace(sender, receiver);
--- a/tests/dispatcher/fleet_fixture.hpp
+++ b/tests/dispatcher/fleet_fixture.hpp
@@ -17,14 +17,41 @@
 
 namespace dispatcher::testing {
 
+using gossip::DatagramBuilder;
+using gossip::DigestRole;
+using gossip::DropReason;
 using gossip::GossipNode;
+using gossip::Message;
+using gossip::NodeOptions;
+using gossip::Sender;
 using membership::MemberIndex;
+using membership::Membership;
 using membership::MemberState;
+using membership::MemberUpdate;
+using membership::MemberVersion;
+using membership::OutgoingMessage;
+using membership::Parameters;
+using membership::Probe;
+using replicated_state::Budget;
+using replicated_state::BudgetStart;
+using replicated_state::BudgetType;
+using replicated_state::Digest;
+using replicated_state::Entry;
+using replicated_state::FailureEvidence;
+using replicated_state::QuotaGrant;
+using replicated_state::QuotaRequest;
+using replicated_state::QuotaReturn;
 using std::chrono::microseconds;
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 using Time = routing::Time;
 
+inline constexpr std::uint64_t kIncarnation = 1'800'000'000'000;  // of a member whose start doesn't matter
+
+// The finished datagram's bytes.
+[[nodiscard]] std::vector<std::uint8_t> bytes_of(const DatagramBuilder& builder);
+[[nodiscard]] std::vector<std::uint8_t> bytes_of(const gossip::Datagram& datagram);
+
 // What the network does to each datagram. Probabilities from 0 to 1.
 struct NetworkConditions {
   double loss = 0;
@@ -42,6 +69,7 @@
   void kill(MemberIndex member);  // without any announcement
   void stop(MemberIndex member);  // as by SIGSTOP: its clock goes on, its socket fills
   void resume(MemberIndex member);
+  void resume_all();  // those that are stopped or killed
   void run(microseconds time);
   // Runs in steps of 100 ms until the condition holds; false after max_time.
   bool until(const std::function<bool()>& holds, microseconds max_time);
--- a/tests/dispatcher/gossip_codec_test.cpp
+++ b/tests/dispatcher/gossip_codec_test.cpp
@@ -8,33 +8,12 @@
 
 namespace dispatcher::testing {
 namespace {
-
-using gossip::DatagramBuilder;
 using gossip::decode;
-using gossip::DropReason;
-using gossip::Message;
-using gossip::NodeOptions;
-using gossip::Sender;
-using membership::MemberUpdate;
-using membership::Probe;
-using replicated_state::Digest;
-using replicated_state::Entry;
-using replicated_state::QuotaGrant;
-using replicated_state::QuotaRequest;
-using replicated_state::QuotaReturn;
-
-constexpr std::uint64_t kIncarnation = 1'800'000'000'000;
 
 Sender sender(MemberIndex member = 3, std::uint32_t serial = 1) {
   return {2, 40, member, {kIncarnation, 0}, serial};
 }
 
-std::vector<std::uint8_t> bytes_of(const DatagramBuilder& builder) {
-  const auto datagram = builder.finish();
-  REQUIRE(datagram);
-  return {datagram->bytes().begin(), datagram->bytes().end()};
-}
-
 Entry any_entry(std::mt19937_64& random) {
   Entry entry;
   entry.key = {static_cast<std::uint32_t>(random() % 20), random() >> (random() % 64),
@@ -101,7 +80,7 @@
             case 5:
               digests += builder.add(Digest{static_cast<MemberIndex>(random() % 40), random() % 1000,
                                             static_cast<std::uint32_t>(random())},
-                                     random() % 2 == 0);
+                                     random() % 2 == 0 ? DigestRole::kReply : DigestRole::kOffer);
               break;
           }
         }
--- a/tests/dispatcher/gossip_config_test.cpp
+++ b/tests/dispatcher/gossip_config_test.cpp
@@ -2,6 +2,9 @@
 #include <fstream>
 #include <iterator>
 #include <nlohmann/json.hpp>
+#include <stdexcept>
+#include <string>
+#include <utility>
 
 #include "fixture.hpp"
 #include "gossip/config.hpp"
@@ -40,9 +43,9 @@
   settings.router_count = 4;
   settings.router_number = 2;
   CHECK_FALSE(gossip::parse_config(shipped, settings, peers_for(4)));
-  cue::File on = shipped;
-  on.text.replace(on.text.find("share: false"), 12, "share: true");
-  const auto config = gossip::parse_config(on, settings, peers_for(4));
+  cue::File enabled = shipped;
+  enabled.text.replace(enabled.text.find("share: false"), 12, "share: true");
+  const auto config = gossip::parse_config(enabled, settings, peers_for(4));
   REQUIRE(config);
   CHECK(config->options.self == 2);
   CHECK(config->options.member_count == 4);
@@ -53,15 +56,16 @@
 
   PeerConfig forbidden = peers_for(4);
   forbidden.is_allowed = false;
-  CHECK_FALSE(gossip::parse_config(on, settings, forbidden));
-  CHECK_THROWS_WITH(gossip::parse_config(on, settings, peers_for(3)),
+  CHECK_FALSE(gossip::parse_config(enabled, settings, forbidden));
+  CHECK_THROWS_WITH(gossip::parse_config(enabled, settings, peers_for(3)),
                     Catch::Contains("'peers'") && Catch::Contains("4 addresses"));
   PeerConfig duplicate = peers_for(4);
   duplicate.peers[1] = duplicate.peers[0];
-  CHECK_THROWS_WITH(gossip::parse_config(on, settings, duplicate), Catch::Contains("twice"));
+  CHECK_THROWS_WITH(gossip::parse_config(enabled, settings, duplicate), Catch::Contains("twice"));
   PeerConfig without_listener = peers_for(4);
   without_listener.listen.reset();
-  CHECK_THROWS_WITH(gossip::parse_config(on, settings, without_listener), Catch::Contains("peer_listen"));
+  CHECK_THROWS_WITH(gossip::parse_config(enabled, settings, without_listener),
+                    Catch::Contains("peer_listen"));
 
   CHECK_THAT(parse_error("share: true\nbytes: per_second: 10"),
              Catch::Contains("fleet.cue:2:") && Catch::Contains("bytes.per_second"));
@@ -89,5 +93,45 @@
   CHECK_FALSE(gossip::parse_peer_config(nlohmann::json::object()).is_allowed);
 }
 
+TEST_CASE("each fault of the peers' configuration has its text", "[gossip]") {
+  using gossip::PeerConfigFault;
+  using gossip::to_text;
+  CHECK(to_text({PeerConfigFault::kInvalidPermission, "limits.peers", 0, 0}) ==
+        "settings: field 'limits.peers': true or false expected");
+  CHECK(to_text({PeerConfigFault::kInvalidTier, "tier", 0, 0}) == "settings: field 'tier': number expected");
+  CHECK(to_text({PeerConfigFault::kInvalidAddress, "peers[1]", 0, 0}) ==
+        "field 'peers[1]': address and port expected");
+  CHECK(to_text({PeerConfigFault::kPeersNotAList, "peers", 0, 0}) ==
+        "field 'peers': list of addresses expected");
+  CHECK(to_text({PeerConfigFault::kListenMissing, "peer_listen", 0, 0}) ==
+        "field 'peer_listen': missing, though talk is allowed");
+  CHECK(to_text({PeerConfigFault::kPeerCountMismatch, "peers", 4, 3}) ==
+        "field 'peers': 4 addresses expected, one a dispatcher, not 3");
+  CHECK(to_text({PeerConfigFault::kDuplicatePeer, "peers", 0, 0}) ==
+        "field 'peers': an address stands twice");
+}
+
+TEST_CASE("what is wrong with the peers is named by a fault and a field", "[gossip]") {
+  using gossip::PeerConfigFault;
+  const auto problem_of = [](const std::string& configuration) {
+    try {
+      static_cast<void>(gossip::parse_peer_config(nlohmann::json::parse(configuration)));
+    } catch (const gossip::PeerConfigError& error) {
+      return std::pair(error.problem.fault, error.problem.field);
+    }
+    throw std::logic_error("nothing is wrong");
+  };
+  CHECK(problem_of(R"({"settings": {"limits": {"peers": 1}}})") ==
+        std::pair(PeerConfigFault::kInvalidPermission, std::string("limits.peers")));
+  CHECK(problem_of(R"({"settings": {"tier": 1001, "limits": {"peers": true}}})") ==
+        std::pair(PeerConfigFault::kInvalidTier, std::string("tier")));
+  CHECK(problem_of(R"({"settings": {"limits": {"peers": true}}, "peer_listen": 7})") ==
+        std::pair(PeerConfigFault::kInvalidAddress, std::string("peer_listen")));
+  CHECK(problem_of(R"({"settings": {"limits": {"peers": true}}, "peers_all": "x"})") ==
+        std::pair(PeerConfigFault::kInvalidAddress, std::string("peers_all")));
+  CHECK(problem_of(R"({"settings": {"limits": {"peers": true}}, "peers": "127.0.0.1:1"})") ==
+        std::pair(PeerConfigFault::kPeersNotAList, std::string("peers")));
+}
+
 }  // namespace
 }  // namespace dispatcher::testing
--- a/tests/dispatcher/gossip_digest_test.cpp
+++ b/tests/dispatcher/gossip_digest_test.cpp
@@ -12,9 +12,6 @@
 namespace dispatcher::testing {
 namespace {
 
-using replicated_state::Budget;
-using replicated_state::BudgetType;
-
 constexpr std::uint64_t kRecorded = 0x69C9630FAD72E88AU;
 constexpr Budget kRateBudget{{1, 7}, BudgetType::kRate, 8000, seconds(5)};
 constexpr Budget kUnitsBudget{{2, 7}, BudgetType::kConsumable, 800, {}};
@@ -44,7 +41,7 @@
   }
 
   void run(int steps) {
-    for (MemberIndex member = 0; member < fixture_.count(); ++member) start(member, ProcessOrder::kFirst);
+    for (MemberIndex member = 0; member < fixture_.count(); ++member) start(member, BudgetStart::kObserved);
     fixture_.run(seconds(20));
     for (int i = 0; i < steps; ++i) {
       use_quotas(draw_member());
@@ -57,12 +54,10 @@
  private:
   MemberIndex draw_member() { return static_cast<MemberIndex>(random_() % fixture_.count()); }
 
-  enum class ProcessOrder { kFirst, kRestart };
-  void start(MemberIndex member, ProcessOrder order) {
-    const bool saw_start = order == ProcessOrder::kFirst;
+  void start(MemberIndex member, BudgetStart budget_start) {
     fixture_.start(member);
-    fixture_.node(member).quotas().open(fixture_.clock(member), kRateBudget, saw_start);
-    fixture_.node(member).quotas().open(fixture_.clock(member), kUnitsBudget, saw_start);
+    fixture_.node(member).quotas().open(fixture_.clock(member), kRateBudget, budget_start);
+    fixture_.node(member).quotas().open(fixture_.clock(member), kUnitsBudget, budget_start);
   }
 
   void use_quotas(MemberIndex member) {
@@ -82,10 +77,10 @@
         break;
       case 1:
       case 2:
-        resume_all();
+        fixture_.resume_all();
         break;
       case 3:
-        start(member, ProcessOrder::kRestart);
+        start(member, BudgetStart::kUnknown);
         break;
       case 4:
         fixture_.block({member}, {next});
@@ -108,18 +103,11 @@
     }
   }
 
-  void resume_all() {
-    for (MemberIndex member = 0; member < fixture_.count(); ++member) {
-      if (!fixture_.is_running(member)) fixture_.resume(member);
-    }
-  }
-
   void leave(MemberIndex member) {
     if (!fixture_.is_running(member)) return;
     for (const gossip::OutgoingDatagram& outgoing : fixture_.node(member).leave(fixture_.clock(member)))
-      fixture_.inject(member, outgoing.to.value(),
-                      {outgoing.datagram.bytes().begin(), outgoing.datagram.bytes().end()});
-    start(member, ProcessOrder::kRestart);
+      fixture_.inject(member, outgoing.to.value(), bytes_of(outgoing.datagram));
+    start(member, BudgetStart::kUnknown);
   }
 
   void add_counts(const GossipNode& node) {
@@ -129,7 +117,7 @@
     coverage_.deaths += members.deaths;
     coverage_.loans += node.quotas().counts().borrowed;
     coverage_.stale_datagrams +=
-        node.counts().dropped[static_cast<std::size_t>(gossip::DropReason::kStaleIncarnation)];
+        node.counts().dropped[static_cast<std::size_t>(DropReason::kStaleIncarnation)];
   }
 
   FleetFixture fixture_;
--- a/tests/dispatcher/gossip_test.cpp
+++ b/tests/dispatcher/gossip_test.cpp
@@ -1,18 +1,13 @@
 // Gossip nodes together, in virtual time: entries and quotas over a bad network, within the byte budget.
+#include <algorithm>
 #include <random>
 #include <set>
-#include <tuple>
 
 #include "fleet_fixture.hpp"
 
 namespace dispatcher::testing {
 namespace {
 
-using gossip::DatagramBuilder;
-using gossip::NodeOptions;
-using gossip::Sender;
-using membership::Probe;
-
 TEST_CASE("an urgent entry reaches all at once; what was lost is repaired, across blocked paths, too",
           "[gossip]") {
   FleetFixture fixture(20, 21);
@@ -72,9 +67,7 @@
       DatagramBuilder builder(
           Sender{0, 20, 19, fixture.node(19).members().version(), 1'000'000 + i * 20 + ping});
       builder.add(Probe{Probe::Type::kPing, ping, 0});
-      const auto datagram = builder.finish();
-      REQUIRE(datagram);
-      fixture.inject(19, 0, {datagram->bytes().begin(), datagram->bytes().end()});
+      fixture.inject(19, 0, bytes_of(builder));
     }
     fixture.run(milliseconds(200));
   }
@@ -83,80 +76,107 @@
   CHECK(bytes <= 60 * 300 + 1024 + 300);
 }
 
-TEST_CASE(
-    "rates lent between nodes: the sum holds at each moment through loss, stops, restarts and partitions",
-    "[gossip]") {
-  const MemberIndex count = 8;
-  FleetFixture fixture(count, 24);
-  fixture.network = {0.2, 0.2, milliseconds(1), milliseconds(500)};
-  for (MemberIndex member = 0; member < count; ++member)
-    fixture.rate[member] = 1 + 0.001 * (static_cast<int>(member % 3) - 1);
-  const replicated_state::Budget rate{{1, 7}, replicated_state::BudgetType::kRate, 8000, seconds(5)};
-  const replicated_state::Budget units{{2, 7}, replicated_state::BudgetType::kConsumable, 800, {}};
-  std::uint64_t spent = 0;
-  const auto start_process = [&](MemberIndex member, bool saw_start) {
-    fixture.start(member);
-    fixture.node(member).quotas().open(fixture.clock(member), rate, saw_start);
-    fixture.node(member).quotas().open(fixture.clock(member), units, saw_start);
-  };
-  for (MemberIndex member = 0; member < count; ++member) start_process(member, true);
-  fixture.run(seconds(25));
-  std::mt19937 random(9);
-  std::uint64_t borrowed = 0;
-  std::uint64_t max_rate = 0;
-  for (int i = 0; i < 4000; ++i) {
-    const MemberIndex member = random() % count;
-    if (fixture.is_running(member)) {
-      auto& quotas = fixture.node(member).quotas();
-      quotas.set_demand(rate.id, random() % 2 == 0 ? 3000 : 100);
-      quotas.set_demand(units.id, random() % 200);
-      if (random() % 3 == 0 && quotas.consume(fixture.clock(member), units.id, 1)) ++spent;
+// A fleet that lends two budgets while its members stop, restart and lose each other.
+class DisturbedLending {
+ public:
+  DisturbedLending() : fixture_(kCount, 24) {
+    fixture_.network = {0.2, 0.2, milliseconds(1), milliseconds(500)};
+    for (MemberIndex member = 0; member < kCount; ++member)
+      fixture_.rate[member] = 1 + 0.001 * (static_cast<int>(member % 3) - 1);
+    for (MemberIndex member = 0; member < kCount; ++member) start(member, BudgetStart::kObserved);
+    fixture_.run(seconds(25));
+  }
+
+  void step() {
+    const MemberIndex member = random_() % kCount;
+    if (fixture_.is_running(member)) use_quotas(member);
+    disturb(member);
+    fixture_.run(milliseconds(50));
+  }
+
+  void check_sums() {
+    std::uint64_t rates = 0;
+    std::uint64_t available = spent_;
+    for (MemberIndex member = 0; member < kCount; ++member) {
+      // A stopped one, too: it looks at its clock when it resumes.
+      const auto& quotas = fixture_.node(member).quotas();
+      rates += quotas.rate(fixture_.clock(member), kRate.id);
+      available += quotas.available(fixture_.clock(member), kUnits.id);
+      borrowed_ += quotas.counts().borrowed;
     }
-    switch (random() % 60) {
+    max_rate_ = std::max(max_rate_, rates);
+    if (rates > kRate.amount || available > kUnits.amount) FAIL("rates " << rates << ", units " << available);
+  }
+
+  [[nodiscard]] std::uint64_t borrowed() const { return borrowed_; }
+  [[nodiscard]] std::uint64_t max_rate() const { return max_rate_; }
+
+ private:
+  static constexpr MemberIndex kCount = 8;
+  static constexpr Budget kRate{{1, 7}, BudgetType::kRate, 8000, seconds(5)};
+  static constexpr Budget kUnits{{2, 7}, BudgetType::kConsumable, 800, {}};
+
+  void start(MemberIndex member, BudgetStart budget_start) {
+    fixture_.start(member);
+    fixture_.node(member).quotas().open(fixture_.clock(member), kRate, budget_start);
+    fixture_.node(member).quotas().open(fixture_.clock(member), kUnits, budget_start);
+  }
+
+  void use_quotas(MemberIndex member) {
+    auto& quotas = fixture_.node(member).quotas();
+    quotas.set_demand(kRate.id, random_() % 2 == 0 ? 3000 : 100);
+    quotas.set_demand(kUnits.id, random_() % 200);
+    if (random_() % 3 == 0 && quotas.consume(fixture_.clock(member), kUnits.id, 1)) ++spent_;
+  }
+
+  void disturb(MemberIndex member) {
+    switch (random_() % 60) {
       case 0:
-        if (fixture.is_running(member)) fixture.stop(member);
+        if (fixture_.is_running(member)) fixture_.stop(member);
         break;
       case 1:
       case 2:
-        for (MemberIndex other = 0; other < count; ++other) {
-          if (!fixture.is_running(other)) fixture.resume(other);
-        }
+        fixture_.resume_all();
         break;
       case 3:
-        start_process(member, false);
+        start(member, BudgetStart::kUnknown);
         break;
       case 4:
-        fixture.block({member}, {static_cast<MemberIndex>((member + 1) % count),
-                                 static_cast<MemberIndex>((member + 2) % count)});
+        fixture_.block({member}, {(member + 1) % kCount, (member + 2) % kCount});
         break;
       case 5:
-        fixture.unblock_all();
+        fixture_.unblock_all();
         break;
       default:
         break;
     }
-    fixture.run(milliseconds(50));
-    std::uint64_t rates = 0;
-    std::uint64_t available = spent;
-    for (MemberIndex other = 0; other < count; ++other) {
-      // A stopped one, too: it looks at its clock when it resumes.
-      rates += fixture.node(other).quotas().rate(fixture.clock(other), rate.id);
-      available += fixture.node(other).quotas().available(fixture.clock(other), units.id);
-      borrowed += fixture.node(other).quotas().counts().borrowed;
-    }
-    max_rate = std::max(max_rate, rates);
-    if (rates > 8000 || available > 800) FAIL("rates " << rates << ", units " << available);
   }
-  CHECK(borrowed > 1000);
-  CHECK(max_rate > 7000);
+
+  FleetFixture fixture_;
+  std::mt19937 random_{9};
+  std::uint64_t spent_ = 0;
+  std::uint64_t borrowed_ = 0;
+  std::uint64_t max_rate_ = 0;
+};
+
+TEST_CASE(
+    "rates lent between nodes: the sum holds at each moment through loss, stops, restarts and partitions",
+    "[gossip]") {
+  DisturbedLending lending;
+  for (int i = 0; i < 4000; ++i) {
+    lending.step();
+    lending.check_sums();
+  }
+  CHECK(lending.borrowed() > 1000);
+  CHECK(lending.max_rate() > 7000);
 }
 
 TEST_CASE("demand is met by members that have none, and the quota is returned when they have", "[gossip]") {
   FleetFixture fixture(5, 25);
   fixture.start_all();
-  const replicated_state::Budget rate{{1, 7}, replicated_state::BudgetType::kRate, 5000, seconds(5)};
+  const Budget rate{{1, 7}, BudgetType::kRate, 5000, seconds(5)};
   for (MemberIndex member = 0; member < 5; ++member)
-    fixture.node(member).quotas().open(fixture.clock(member), rate, true);
+    fixture.node(member).quotas().open(fixture.clock(member), rate, BudgetStart::kObserved);
   fixture.run(seconds(20));
   const auto rate_of = [&](MemberIndex member) {
     return fixture.node(member).quotas().rate(fixture.clock(member), rate.id);
@@ -172,39 +192,52 @@
   CHECK(rate_of(0) == 1000);
 }
 
+// A datagram as it was sent, or as somebody forged it.
+struct RecordedDatagram {
+  MemberIndex from = 0;
+  MemberIndex to = 0;
+  std::vector<std::uint8_t> bytes;
+};
+
+void corrupt(RecordedDatagram& datagram, std::mt19937& random) {
+  std::vector<std::uint8_t>& bytes = datagram.bytes;
+  switch (random() % 5) {
+    case 0:
+      bytes.resize(random() % 300);
+      for (auto& byte : bytes) byte = static_cast<std::uint8_t>(random());
+      break;
+    case 1:
+      bytes.resize(random() % (bytes.size() + 1));
+      break;
+    case 2:
+      datagram.from = random() % 6;  // from another's address
+      break;
+    case 3:
+      // As it was: repeated.
+      break;
+    case 4:
+      // The entries, not the head: a forged incarnation of its sender would be accepted, as from its
+      // address.
+      for (int change = 0; change < 3 && bytes.size() > 20; ++change)
+        bytes[20 + random() % (bytes.size() - 20)] ^= 1U << (random() % 8);
+      break;
+  }
+}
+
 TEST_CASE("random bytes, and real datagrams with some changed, do no harm to a running fleet", "[gossip]") {
   FleetFixture fixture(6, 20);
   fixture.network = {0.1, 0.1, milliseconds(1), milliseconds(100)};
-  std::vector<std::tuple<MemberIndex, MemberIndex, std::vector<std::uint8_t>>> recorded;
+  std::vector<RecordedDatagram> recorded;
   fixture.on_datagram = [&](MemberIndex from, MemberIndex to, std::span<const std::uint8_t> bytes) {
-    if (recorded.size() < 2000) recorded.emplace_back(from, to, std::vector(bytes.begin(), bytes.end()));
+    if (recorded.size() < 2000) recorded.push_back({from, to, {bytes.begin(), bytes.end()}});
   };
   fixture.start_all();
   REQUIRE(fixture.until([&] { return fixture.all_alive(); }, seconds(20)));
   std::mt19937 random(3);
   for (int i = 0; i < 20000; ++i) {
-    auto [from, to, bytes] = recorded[random() % recorded.size()];
-    switch (random() % 5) {
-      case 0:
-        bytes.resize(random() % 300);
-        for (auto& byte : bytes) byte = static_cast<std::uint8_t>(random());
-        break;
-      case 1:
-        bytes.resize(random() % (bytes.size() + 1));
-        break;
-      case 2:
-        from = random() % 6;  // from another's address
-        break;
-      case 3:
-        // As it was: repeated.
-        break;
-      case 4:
-        // The entries, not the head: a forged incarnation of its sender would be accepted, as from its
-        // address.
-        for (int change = 0; change < 3 && bytes.size() > 20; ++change)
-          bytes[20 + random() % (bytes.size() - 20)] ^= 1U << (random() % 8);
-    }
-    fixture.inject(from, to, bytes);
+    RecordedDatagram datagram = recorded[random() % recorded.size()];
+    corrupt(datagram, random);
+    fixture.inject(datagram.from, datagram.to, datagram.bytes);
     if (i % 50 == 0) fixture.run(milliseconds(100));
   }
   fixture.network = {};
--- a/tests/dispatcher/gossip_wire_test.cpp
+++ b/tests/dispatcher/gossip_wire_test.cpp
@@ -12,20 +12,8 @@
 namespace dispatcher::testing {
 namespace {
 
-using gossip::DatagramBuilder;
-using gossip::Message;
-using membership::MemberUpdate;
-using membership::Probe;
-using replicated_state::Digest;
-using replicated_state::Entry;
-using replicated_state::FailureEvidence;
-using replicated_state::QuotaGrant;
-using replicated_state::QuotaRequest;
-using replicated_state::QuotaReturn;
-
-constexpr std::uint64_t kIncarnation = 1'800'000'000'000;
 constexpr MemberIndex kMemberCount = 40;
-constexpr gossip::Sender kSender{2, kMemberCount, 3, {kIncarnation, 5}, 20'000};
+constexpr Sender kSender{2, kMemberCount, 3, {kIncarnation, 5}, 20'000};
 constexpr Digest kRecordedDigest{12, 300, 0xdeadbeef};
 constexpr std::string_view kHead = "08011002182820032880a0f1c2b134300538a09c01";
 
@@ -150,9 +138,9 @@
       {"members hash", [](DatagramBuilder& builder) { builder.add_members_hash(0x89abcdef); }, "4defcdab89"},
       {"group hash", [](DatagramBuilder& builder) { builder.add_group(3, 0x01234567); },
        "8001048d0167452301"},
-      {"digest", [](DatagramBuilder& builder) { builder.add(kRecordedDigest, false); },
+      {"digest", [](DatagramBuilder& builder) { builder.add(kRecordedDigest, DigestRole::kOffer); },
        "7a0a080c10ac021defbeadde"},
-      {"digest reply", [](DatagramBuilder& builder) { builder.add(kRecordedDigest, true); },
+      {"digest reply", [](DatagramBuilder& builder) { builder.add(kRecordedDigest, DigestRole::kReply); },
        "7a0a080c10ac021defbeadde900101"},
   };
 }
@@ -174,7 +162,7 @@
   for (const QuotaGrant& grant : message.grants) builder.add(grant);
   for (const QuotaReturn& returned : message.returns) builder.add(returned);
   for (const Entry& entry : message.entries) builder.add(entry);
-  for (const Digest& digest : message.digests) builder.add(digest, message.is_digest_reply);
+  for (const Digest& digest : message.digests) builder.add(digest, message.digest_role);
 }
 
 std::string hex_of(const DatagramBuilder& builder) {
--- a/tests/dispatcher/lending_fixture.cpp
+++ b/tests/dispatcher/lending_fixture.cpp
@@ -42,7 +42,7 @@
     : incarnations(count, 1), rates(std::move(clock_rates)), budget(shared_budget), policy(lending_policy) {
   for (MemberIndex member = 0; member < count; ++member) {
     members.emplace_back(policy, member, count, 1, clock(member), replicated_state::Random(member + 1));
-    members[member].open(clock(member), budget, true);
+    members[member].open(clock(member), budget, BudgetStart::kObserved);
   }
   real_time += seconds(20);  // past the time after a start in which nothing is lent
 }
@@ -72,7 +72,7 @@
   const std::uint64_t amount = demand(member);
   members[member] = BoundedCounter(policy, member, count(), ++incarnations[member], clock(member),
                                    replicated_state::Random(member + 1));
-  members[member].open(clock(member), budget, false);  // it did not see a budget of units start
+  members[member].open(clock(member), budget, BudgetStart::kUnknown);
   if (amount != 0) set_demand(member, amount);
 }
 
--- a/tests/dispatcher/lending_fixture.hpp
+++ b/tests/dispatcher/lending_fixture.hpp
@@ -13,14 +13,9 @@
 namespace dispatcher::testing {
 
 using replicated_state::BoundedCounter;
-using replicated_state::Budget;
-using replicated_state::BudgetType;
 using replicated_state::lease_with_drift;
 using replicated_state::LendingPolicy;
-using replicated_state::QuotaGrant;
 using replicated_state::QuotaMessage;
-using replicated_state::QuotaRequest;
-using replicated_state::QuotaReturn;
 
 // A budget of either type, small enough to explore all that may happen to it.
 inline constexpr Budget kRateBudget{{1, 7}, BudgetType::kRate, 6, seconds(10)};
--- a/tests/dispatcher/membership_fleet_test.cpp
+++ b/tests/dispatcher/membership_fleet_test.cpp
@@ -84,8 +84,7 @@
   CHECK(fixture.until(is_accepted, seconds(3)));  // its first ping is answered with its later incarnation
   fixture.run(seconds(10));
   CHECK(suspicions == 0);
-  CHECK(fixture.node(0).counts().dropped[static_cast<std::size_t>(gossip::DropReason::kStaleIncarnation)] >
-        0);
+  CHECK(fixture.node(0).counts().dropped[static_cast<std::size_t>(DropReason::kStaleIncarnation)] > 0);
 }
 
 TEST_CASE("clocks apart by hours and running at different rates make no difference", "[membership]") {
@@ -201,8 +200,7 @@
     suspicions += change.after == MemberState::kSuspect;
   };
   for (const gossip::OutgoingDatagram& outgoing : fixture.node(4).leave(fixture.clock(4)))
-    fixture.inject(4, outgoing.to.value(),
-                   {outgoing.datagram.bytes().begin(), outgoing.datagram.bytes().end()});
+    fixture.inject(4, outgoing.to.value(), bytes_of(outgoing.datagram));
   fixture.kill(4);
   CHECK(fixture.until([&] { return fixture.all_consider(4, MemberState::kDead); }, seconds(10)));
   CHECK(suspicions == 0);
--- a/tests/dispatcher/membership_protocol_test.cpp
+++ b/tests/dispatcher/membership_protocol_test.cpp
@@ -10,12 +10,6 @@
 namespace {
 
 using membership::LocalHealth;
-using membership::Membership;
-using membership::MemberUpdate;
-using membership::MemberVersion;
-using membership::OutgoingMessage;
-using membership::Parameters;
-using membership::Probe;
 using membership::Suspicion;
 
 TEST_CASE("a suspicion's timeout is longest for a lone accuser and shortest for many", "[membership]") {
--- a/tests/dispatcher/membership_test.cpp
+++ b/tests/dispatcher/membership_test.cpp
@@ -15,13 +15,6 @@
 namespace dispatcher::testing {
 namespace {
 
-using membership::Membership;
-using membership::MemberUpdate;
-using membership::MemberVersion;
-using membership::OutgoingMessage;
-using membership::Parameters;
-using membership::Probe;
-
 struct InFlightMessage {
   MemberIndex from;
   MemberIndex to;
--- a/tests/dispatcher/quota_lending_test.cpp
+++ b/tests/dispatcher/quota_lending_test.cpp
@@ -72,13 +72,14 @@
   for (const MemberIndex member : {0U, 1U}) {
     pair.fleet.members[member] = BoundedCounter(LendingPolicy{}, member, 2, 1, pair.fleet.clock(member),
                                                 replicated_state::Random(member + 1));
-    pair.fleet.members[member].open(pair.fleet.clock(member), pair.fleet.budget, true);
+    pair.fleet.members[member].open(pair.fleet.clock(member), pair.fleet.budget, BudgetStart::kObserved);
   }
   pair.fleet.real_time += seconds(20);
   for (const MemberIndex member : {0U, 1U}) pair.fleet.tick(member, {});
   pair.fleet.set_demand(0, 700);
   pair.run(milliseconds(100));
-  const std::uint64_t borrowed = pair.fleet.rate(0) - 500, before = pair.fleet.available(0);
+  const std::uint64_t borrowed = pair.fleet.rate(0) - 500;
+  const std::uint64_t before = pair.fleet.available(0);
   REQUIRE(borrowed > 0);
   pair.fleet.real_time += seconds(300);
   CHECK(pair.fleet.available(0) == before + 300UL * 500 + 10 * borrowed);
@@ -122,7 +123,7 @@
   REQUIRE(pair.fleet.rate(1) == 400);
   const auto& lent = lender.allocations().begin()->second.lent.at(0);
   const replicated_state::BudgetId id = pair.fleet.budget.id;
-  // The new process counts its asks from one, too.
+  // The new process counts its requests from one, too.
   const auto out = lender.on_received(pair.fleet.clock(1), 0, 2, {{id, lent.sequence, 0, 100}}, {}, {});
   REQUIRE(out.size() == 1);
   CHECK(std::get<QuotaGrant>(out[0].content).amount == 0);
@@ -137,7 +138,7 @@
   policy.lending_enabled = false;
   BoundedCounter alone(policy, 0, 4, 1, seconds(5), replicated_state::Random(1));
   const Budget budget{{1, 7}, BudgetType::kRate, 1000, seconds(10)};
-  REQUIRE(alone.open(seconds(5), budget, false));
+  REQUIRE(alone.open(seconds(5), budget, BudgetStart::kUnknown));
   CHECK(alone.rate(seconds(5), budget.id) == 250);
   alone.set_demand(budget.id, 1000);
   CHECK(alone.tick(seconds(6), {1, 2, 3}).empty());
@@ -216,14 +217,15 @@
   policy.max_budgets = 3;
   BoundedCounter counter(policy, 0, 2, 1, seconds(0), replicated_state::Random(1));
   for (std::uint64_t key = 0; key < 3; ++key)
-    CHECK(counter.open(seconds(1), {{2, key}, BudgetType::kConsumable, 10, {}}, true));
-  CHECK_FALSE(counter.open(seconds(1), {{2, 9}, BudgetType::kConsumable, 10, {}}, true));
+    CHECK(counter.open(seconds(1), {{2, key}, BudgetType::kConsumable, 10, {}}, BudgetStart::kObserved));
+  CHECK_FALSE(counter.open(seconds(1), {{2, 9}, BudgetType::kConsumable, 10, {}}, BudgetStart::kObserved));
   CHECK_FALSE(counter.open(seconds(1),
-                           {{2, 9}, BudgetType::kConsumable, replicated_state::kMaxAmount + 1, {}}, true));
+                           {{2, 9}, BudgetType::kConsumable, replicated_state::kMaxAmount + 1, {}},
+                           BudgetStart::kObserved));
   counter.close(seconds(2), {2, 1});
   CHECK(counter.available(seconds(2), {2, 1}) == 0);
   CHECK_FALSE(counter.consume(seconds(2), {2, 1}, 1));
-  CHECK_FALSE(counter.open(seconds(3), {{2, 1}, BudgetType::kConsumable, 10, {}}, true));
+  CHECK_FALSE(counter.open(seconds(3), {{2, 1}, BudgetType::kConsumable, 10, {}}, BudgetStart::kObserved));
   counter.tick(seconds(3), {});
   CHECK(counter.size() == 3);
   counter.tick(seconds(2) + std::chrono::minutes(10), {});
--- a/tests/dispatcher/replicated_map_test.cpp
+++ b/tests/dispatcher/replicated_map_test.cpp
@@ -226,6 +226,25 @@
   CHECK_THROWS(kinds.add(bad));
 }
 
+TEST_CASE("each fault of a kind has its text", "[replicated_state]") {
+  const auto text = [](EntryKindFault fault) { return to_text({fault, 7, "test", "other"}); };
+  CHECK(text(EntryKindFault::kInvalidId) == "kind 7 (test): bad number");
+  CHECK(text(EntryKindFault::kPayloadTooLong) == "kind 7 (test): payload too long");
+  CHECK(text(EntryKindFault::kNoValidator) == "kind 7 (test): declares no bounds");
+  CHECK(text(EntryKindFault::kInvalidSpread) == "kind 7 (test): bad age, half-life or spread");
+  CHECK(text(EntryKindFault::kIdTaken) == "kind 7 (test): number taken by other");
+  EntryKind never_sent = test_kind(7);
+  never_sent.max_transmissions = 0;
+  EntryKinds kinds;
+  try {
+    kinds.add(never_sent);
+    FAIL("accepted");
+  } catch (const EntryKindError& error) {
+    CHECK(error.problem.fault == EntryKindFault::kInvalidSpread);
+    CHECK(error.what() == text(EntryKindFault::kInvalidSpread));
+  }
+}
+
 std::vector<EntryView> visible(const ReplicatedMap& map, Time now) {
   std::vector<EntryView> found;
   map.for_each(now, 5, [&](const EntryView& view) { found.push_back(view); });
@@ -318,7 +337,7 @@
   Replica replica;
   replica.map.set(kNow, 5, 1, std::vector<std::uint8_t>{1});
   replica.map.set(kNow + seconds(3), 5, 1, std::vector<std::uint8_t>{2});
-  replica.map.set_own_incarnation(kNow + seconds(5), 9);
+  replica.map.set_own_incarnation(9);
   const auto queue = replica.map.send_queue(kNow + seconds(5), Delivery::kUnicast);
   REQUIRE(queue.size() == 1);
   CHECK(queue[0].incarnation == 9);
--- a/tests/dispatcher/udp_transport_test.cpp
+++ b/tests/dispatcher/udp_transport_test.cpp
@@ -9,27 +9,12 @@
 
 namespace dispatcher::testing {
 namespace {
-
-using gossip::DatagramBuilder;
-using gossip::DropReason;
-using gossip::NodeOptions;
 using gossip::PeerConfig;
-using gossip::Sender;
 using gossip::udp;
 using gossip::UdpTransport;
-using membership::Probe;
-using replicated_state::FailureEvidence;
-
-constexpr std::uint64_t kIncarnation = 1'800'000'000'000;
 
 udp::endpoint loopback_port(unsigned short port) { return {boost::asio::ip::address_v4::loopback(), port}; }
 
-std::vector<std::uint8_t> bytes_of(const DatagramBuilder& builder) {
-  const auto datagram = builder.finish();
-  REQUIRE(datagram);
-  return {datagram->bytes().begin(), datagram->bytes().end()};
-}
-
 // A relay between members: each has an address here; datagrams to it arrive late or not at all, and from the
 // sender's address here.
 class Relay {
