--- a/src/membership/member.hpp
+++ b/src/membership/member.hpp
@@ -1,5 +1,5 @@
 // What members of a fleet say about one another. Their indexes and their count come from the settings, so
-// nobody joins or leaves the set; what changes is who is alive, and in which incarnation.
+// that the set is fixed; what changes is who is alive, and in which incarnation.
 #ifndef DISPATCHER_MEMBERSHIP_MEMBER_HPP_
 #define DISPATCHER_MEMBERSHIP_MEMBER_HPP_
 
@@ -31,7 +31,7 @@
 inline constexpr std::uint64_t kMaxIncarnation = std::uint64_t{1} << 42U;  // the year 2109
 inline constexpr std::uint32_t kMaxRefutations = std::uint32_t{1} << 28U;  // four bytes on the wire
 
-// In the order of precedence.
+// In the order of precedence. kUnknown: nothing has been received about the member.
 enum class MemberState : std::uint8_t { kUnknown, kAlive, kSuspect, kDead };
 
 // What somebody believes about a member. Of two updates the one with the higher version holds, and within one
@@ -42,11 +42,12 @@
   MemberVersion version;
   MemberState state = MemberState::kUnknown;
   MemberIndex accuser = 0;  // kSuspect: who suspects the member
+  // Orders updates about one member.
   [[nodiscard]] auto precedence() const { return std::tuple(version, state); }
   bool operator==(const MemberUpdate&) const = default;
 };
 
-// One message of SWIM's failure detector.
+// One message of SWIM's failure detector. Times are measured by its sender alone, so none is in it.
 struct Probe {
   // kPingRequest asks a helper for an indirect probe. kNack: the helper was reached, but its target has not
   // answered it yet (Lifeguard).
@@ -54,6 +55,13 @@
   Type type{};
   std::uint32_t sequence = 0;  // the prober's; an answer repeats it
   MemberIndex target = 0;      // kPingRequest only
+
+  [[nodiscard]] static Probe ping(std::uint32_t sequence) { return {Type::kPing, sequence, 0}; }
+  [[nodiscard]] static Probe ping_request(std::uint32_t sequence, MemberIndex target) {
+    return {Type::kPingRequest, sequence, target};
+  }
+  [[nodiscard]] static Probe ack(std::uint32_t sequence) { return {Type::kAck, sequence, 0}; }
+  [[nodiscard]] static Probe nack(std::uint32_t sequence) { return {Type::kNack, sequence, 0}; }
   bool operator==(const Probe&) const = default;
 };
 
--- a/src/membership/member_table.hpp
+++ b/src/membership/member_table.hpp
@@ -10,40 +10,31 @@
 #include <utility>
 #include <vector>
 
-#include "membership/member.hpp"
+#include "membership/parameters.hpp"
 #include "membership/suspicion.hpp"
 
 namespace dispatcher::membership {
 
-// Figures of the protocol. The multipliers scale with log10 of the count of members (at least 1).
-struct Parameters {
-  Duration probe_interval = std::chrono::seconds(1);
-  Duration probe_timeout = std::chrono::milliseconds(250);  // of a direct ping; below a third of the interval
-  unsigned indirect_probes = 3;         // helpers that are asked to ping a member that has not answered
-  double suspicion_multiplier = 3;      // the shortest suspicion, in scaled probe intervals
-  double suspicion_max_multiplier = 4;  // the longest suspicion, in shortest ones
-  unsigned required_confirmations = 3;  // that shorten a suspicion to the shortest
-  unsigned max_health_score = 8;        // of LocalHealth
-  double retransmit_multiplier = 4;     // an update is sent so many times, scaled and rounded up
-  unsigned reconnect_every = 4;         // probe intervals between two pings of unknown or dead members
-};
-
 // Which updates a receiver needs.
 enum class UpdateFilter : std::uint8_t {
   kAll,
   kSuspicionsOnly,  // its view_hash() equals ours
 };
 
-// The view. Part of a Membership; used on its thread, with no callbacks.
+// The view. Part of a Membership; used on its thread, with no callbacks. Members are below count() in all
+// calls but merge(), which ignores others.
 class MemberTable {
  public:
+  // `self` is below `count`; `incarnation` is at least 1, see MemberVersion.
   MemberTable(const Parameters& parameters, MemberIndex self, MemberIndex count, std::uint64_t incarnation,
               Time now);
 
   // Whether this member had to refute the update, as it is about itself.
   enum class MergeOutcome : std::uint8_t { kMerged, kRefuted };
+  // Takes the update where it goes before what is known: see MemberUpdate. Updates in any order, repeated,
+  // give one view.
   MergeOutcome merge(Time now, const MemberUpdate& update);
-  // This process suspects a live member.
+  // This process suspects the member, where it is live.
   void suspect(Time now, MemberIndex member);
   // Declares members dead whose suspicions have timed out.
   void expire_suspicions(Time now);
@@ -55,10 +46,11 @@
   void leave();
 
   // Updates worth sending to `to`, the most valuable first: what it must know about itself, then what was
-  // sent the least often. The caller reports by mark_sent() which ones went out.
+  // sent the least often. The caller reports by mark_sent() which ones were packed.
   [[nodiscard]] std::vector<MemberUpdate> update_queue(MemberIndex to, UpdateFilter filter) const;
   void mark_sent(MemberIndex member);
-  // Updates about known members, from where the last page ended, for a receiver whose view_hash() differs.
+  // At most `max_updates` updates about known members, from where the last page ended on, for a receiver
+  // whose view_hash() differs.
   [[nodiscard]] std::vector<MemberUpdate> next_page(std::size_t max_updates);
   // Equal where the same members are alive, in the same incarnations.
   [[nodiscard]] std::uint32_t view_hash() const;
@@ -72,16 +64,18 @@
     return members_[member].update;
   }
   [[nodiscard]] MemberState state(MemberIndex member) const { return members_[member].update.state; }
+  // When its state or its incarnation last changed in this view.
   [[nodiscard]] Time state_since(MemberIndex member) const { return members_[member].since; }
   // Alive or suspect.
   [[nodiscard]] bool is_live(MemberIndex member) const;
+  // Changes since the last call, in their order.
   [[nodiscard]] std::vector<MemberChange> take_changes() { return std::exchange(changes_, {}); }
 
   // Totals since the start of the process.
   struct Counts {
-    std::uint64_t suspicions = 0;
-    std::uint64_t refutations = 0;
-    std::uint64_t deaths = 0;
+    std::uint64_t suspicions = 0;   // of others, by whomever
+    std::uint64_t refutations = 0;  // of this member's suspicions and earlier incarnations
+    std::uint64_t deaths = 0;       // of others
   };
   [[nodiscard]] const Counts& counts() const { return counts_; }
   [[nodiscard]] std::size_t page_position() const { return page_position_; }
@@ -91,9 +85,9 @@
  private:
   struct Member {
     MemberUpdate update;
-    Time since{};
-    std::optional<Suspicion> suspicion;
-    unsigned remaining_sends = 0;
+    Time since{};                        // see state_since()
+    std::optional<Suspicion> suspicion;  // while its state is kSuspect
+    unsigned remaining_sends = 0;        // of the update
   };
   MergeOutcome merge_own(const MemberUpdate& update);
   void replace(Time now, const MemberUpdate& update);
@@ -104,7 +98,7 @@
   Parameters parameters_;
   MemberIndex self_;
   std::vector<Member> members_;
-  std::size_t page_position_ = 0;
+  std::size_t page_position_ = 0;  // the last member of the last page
   std::vector<MemberChange> changes_;
   Counts counts_;
 };
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -9,49 +9,44 @@
 
 namespace dispatcher::membership {
 
-namespace {
-
-constexpr std::size_t kMaxIndirectProbes = 32;  // bounds the memory that ping requests take
-
-void shuffle(std::vector<MemberIndex>& members, Random& random) {
-  for (std::size_t i = members.size(); i > 1; --i) {
-    boost::random::uniform_int_distribution<std::size_t> draw(0, i - 1);
-    std::swap(members[i - 1], members[draw(random)]);
-  }
-}
-
-Probe ping(std::uint32_t sequence) { return {Probe::Type::kPing, sequence, 0}; }
-Probe ack(std::uint32_t sequence) { return {Probe::Type::kAck, sequence, 0}; }
-Probe nack(std::uint32_t sequence) { return {Probe::Type::kNack, sequence, 0}; }
-
-}  // namespace
-
 Membership::Membership(const Parameters& parameters, MemberIndex self, MemberIndex count,
                        std::uint64_t incarnation, Time now, Random random)
     : parameters_(parameters),
       random_(random),
       table_(parameters, self, count, incarnation, now),
       health_(parameters.max_health_score),
+      probe_rotation_(others()),
+      reconnect_rotation_(others()),
+      indirect_probes_(parameters),
       last_seen_(now) {
-  for (MemberIndex member = 0; member < count; ++member) {
-    if (member != self) probe_rotation_.order.push_back(member);
-  }
-  reconnect_rotation_ = probe_rotation_;
-  shuffle(probe_rotation_.order, random_);
-  shuffle(reconnect_rotation_.order, random_);
+  probe_rotation_.shuffle(random_);
+  reconnect_rotation_.shuffle(random_);
   // A fleet that starts together must not probe in step.
   boost::random::uniform_int_distribution<Duration::rep> draw(0, parameters_.probe_interval.count() - 1);
   probe_at_ = now + Duration(draw(random_));
 }
 
-std::vector<MemberIndex> Membership::live_members() const {
+std::vector<MemberIndex> Membership::others() const {
   std::vector<MemberIndex> found;
   for (MemberIndex member = 0; member < count(); ++member) {
-    if (member != self() && table_.is_live(member)) found.push_back(member);
+    if (member != self()) found.push_back(member);
   }
   return found;
 }
 
+std::vector<MemberIndex> Membership::live_members() const {
+  std::vector<MemberIndex> found = others();
+  std::erase_if(found, [this](MemberIndex member) { return !table_.is_live(member); });
+  return found;
+}
+
+// As many as help with an indirect probe.
+std::vector<MemberIndex> Membership::draw_some(std::vector<MemberIndex> members) {
+  shuffle(members, random_);
+  members.resize(std::min<std::size_t>(members.size(), parameters_.indirect_probes));
+  return members;
+}
+
 Membership::Counts Membership::counts() const {
   const MemberTable::Counts& table = table_.counts();
   return {table.suspicions, table.refutations, table.deaths, probes_, failed_probes_, pauses_};
@@ -89,7 +84,7 @@
 void Membership::answer(Time now, MemberIndex from, const Probe& probe, std::vector<OutgoingMessage>& out) {
   switch (probe.type) {
     case Probe::Type::kPing:
-      out.push_back({from, ack(probe.sequence)});
+      out.push_back({from, Probe::ack(probe.sequence)});
       return;
     case Probe::Type::kPingRequest:
       return start_indirect_probe(now, from, probe, out);
@@ -103,25 +98,21 @@
 void Membership::start_indirect_probe(Time now, MemberIndex origin, const Probe& request,
                                       std::vector<OutgoingMessage>& out) {
   if (request.target >= count() || request.target == self()) return;
-  if (indirect_probes_.size() >= kMaxIndirectProbes) return;
-  // The nack must reach the prober within its timeout: a fifth is left for the way.
-  const Time nack_at = now + parameters_.probe_timeout * 4 / 5;
-  indirect_probes_.push_back({origin, request.sequence, ++sequence_, request.target, nack_at,
-                              now + parameters_.probe_interval, false});
-  out.push_back({request.target, ping(sequence_)});
+  if (indirect_probes_.is_full()) return;
+  ++sequence_;
+  indirect_probes_.start(now, origin, request, sequence_);
+  out.push_back({request.target, Probe::ping(sequence_)});
+}
+
+// By the target, or by a helper on its behalf.
+bool Membership::is_acked_by(MemberIndex from, std::uint32_t sequence) const {
+  if (!pending_probe_ || sequence != pending_probe_->sequence) return false;
+  return from == pending_probe_->target || pending_probe_->is_indirect;
 }
 
 void Membership::on_ack(MemberIndex from, std::uint32_t sequence, std::vector<OutgoingMessage>& out) {
-  if (pending_probe_ && sequence == pending_probe_->sequence &&
-      (from == pending_probe_->target || pending_probe_->is_indirect))
-    pending_probe_->is_acked = true;
-  const auto indirect =
-      std::find_if(indirect_probes_.begin(), indirect_probes_.end(), [&](const IndirectProbe& candidate) {
-        return candidate.sequence == sequence && candidate.target == from;
-      });
-  if (indirect == indirect_probes_.end()) return;
-  out.push_back({indirect->origin, ack(indirect->origin_sequence)});
-  indirect_probes_.erase(indirect);
+  if (is_acked_by(from, sequence)) pending_probe_->is_acked = true;
+  if (const auto ack = indirect_probes_.on_ack(from, sequence)) out.push_back(*ack);
 }
 
 void Membership::on_nack(std::uint32_t sequence) {
@@ -130,20 +121,6 @@
 
 // Probing.
 
-std::optional<MemberIndex> Membership::next_target(ProbeRotation& rotation, Liveness wanted) {
-  // Two rounds, as the end of this one and the beginning of the next may name the same members.
-  for (std::size_t tried = 0; tried < 2 * rotation.order.size(); ++tried) {
-    if (rotation.position >= rotation.order.size()) {
-      rotation.position = 0;
-      shuffle(rotation.order, random_);
-    }
-    const MemberIndex member = rotation.order[rotation.position++];
-    const Liveness liveness = table_.is_live(member) ? Liveness::kLive : Liveness::kUnreachable;
-    if (liveness == wanted) return member;
-  }
-  return std::nullopt;
-}
-
 void Membership::finish_probe(Time now) {
   const PendingProbe probe = *std::exchange(pending_probe_, std::nullopt);
   if (probe.is_acked) return health_.improve();
@@ -160,53 +137,47 @@
 void Membership::start_probe(Time now, std::vector<OutgoingMessage>& out) {
   probe_at_ = now + health_.scaled(parameters_.probe_interval);
   ++interval_count_;
-  if (const auto target = next_target(probe_rotation_, Liveness::kLive)) {
+  const auto is_live = [this](MemberIndex member) { return table_.is_live(member); };
+  if (const auto target = probe_rotation_.next(random_, is_live)) {
     ++probes_;
+    ++sequence_;
     const Time retry_at = now + health_.scaled(parameters_.probe_timeout);
-    pending_probe_ = PendingProbe{*target, ++sequence_, retry_at, probe_at_};
-    out.push_back({*target, ping(sequence_)});
+    pending_probe_ = PendingProbe{*target, sequence_, retry_at, probe_at_};
+    out.push_back({*target, Probe::ping(sequence_)});
   }
   if (!pending_probe_ || interval_count_ % parameters_.reconnect_every == 0) ping_unreachable(out);
 }
 
 void Membership::ping_unreachable(std::vector<OutgoingMessage>& out) {
-  if (const auto target = next_target(reconnect_rotation_, Liveness::kUnreachable))
-    out.push_back({*target, ping(++sequence_)});
+  const auto is_unreachable = [this](MemberIndex member) { return !table_.is_live(member); };
+  const auto target = reconnect_rotation_.next(random_, is_unreachable);
+  if (!target) return;
+  ++sequence_;
+  out.push_back({*target, Probe::ping(sequence_)});
 }
 
 void Membership::retry_probe(Time now, std::vector<OutgoingMessage>& out) {
   pending_probe_->retry_at = now + health_.scaled(parameters_.probe_timeout);
-  out.push_back({pending_probe_->target, ping(pending_probe_->sequence)});
+  out.push_back({pending_probe_->target, Probe::ping(pending_probe_->sequence)});
   if (!pending_probe_->is_indirect) request_indirect_probes(out);
 }
 
 void Membership::request_indirect_probes(std::vector<OutgoingMessage>& out) {
   pending_probe_->is_indirect = true;
-  std::vector<MemberIndex> helpers;
-  for (MemberIndex member = 0; member < count(); ++member) {
-    if (member == self() || member == pending_probe_->target) continue;
-    if (state(member) == MemberState::kAlive) helpers.push_back(member);
-  }
-  shuffle(helpers, random_);
-  helpers.resize(std::min<std::size_t>(helpers.size(), parameters_.indirect_probes));
+  std::vector<MemberIndex> helpers = others();
+  std::erase_if(helpers, [this](MemberIndex member) {
+    return member == pending_probe_->target || state(member) != MemberState::kAlive;
+  });
+  helpers = draw_some(std::move(helpers));
   pending_probe_->helpers = static_cast<unsigned>(helpers.size());
-  const Probe request{Probe::Type::kPingRequest, pending_probe_->sequence, pending_probe_->target};
+  const Probe request = Probe::ping_request(pending_probe_->sequence, pending_probe_->target);
   for (const MemberIndex helper : helpers) out.push_back({helper, request});
 }
 
-void Membership::tick_indirect_probes(Time now, std::vector<OutgoingMessage>& out) {
-  for (IndirectProbe& indirect : indirect_probes_) {
-    if (indirect.is_nacked || indirect.nack_at > now) continue;
-    indirect.is_nacked = true;
-    out.push_back({indirect.origin, nack(indirect.origin_sequence)});
-  }
-  std::erase_if(indirect_probes_, [&](const IndirectProbe& indirect) { return indirect.deadline <= now; });
-}
-
 std::vector<OutgoingMessage> Membership::tick(Time now) {
   detect_pause(now);
   std::vector<OutgoingMessage> out;
-  tick_indirect_probes(now, out);
+  indirect_probes_.tick(now, out);
   if (pending_probe_ && !pending_probe_->is_acked && pending_probe_->retry_at <= now) retry_probe(now, out);
   if (probe_at_ <= now) {
     if (pending_probe_) finish_probe(now);
@@ -219,17 +190,14 @@
 Time Membership::next_deadline() const {
   Time earliest = probe_at_;
   if (pending_probe_ && !pending_probe_->is_acked) earliest = std::min(earliest, pending_probe_->retry_at);
-  for (const IndirectProbe& indirect : indirect_probes_)
-    earliest = std::min(earliest, indirect.is_nacked ? indirect.deadline : indirect.nack_at);
+  if (const auto indirect = indirect_probes_.next_deadline()) earliest = std::min(earliest, *indirect);
   if (const auto suspicion = table_.next_deadline()) earliest = std::min(earliest, *suspicion);
   return earliest;
 }
 
 std::vector<OutgoingMessage> Membership::leave() {
   table_.leave();
-  std::vector<MemberIndex> receivers = live_members();
-  shuffle(receivers, random_);
-  receivers.resize(std::min<std::size_t>(receivers.size(), parameters_.indirect_probes));
+  const std::vector<MemberIndex> receivers = draw_some(live_members());
   std::vector<OutgoingMessage> out;
   out.reserve(receivers.size());
   for (const MemberIndex receiver : receivers) out.push_back({receiver, std::nullopt});
@@ -241,16 +209,16 @@
   std::vector<std::uint64_t> state = {random(),
                                       random(),
                                       health_.score(),
-                                      probe_rotation_.position,
-                                      reconnect_rotation_.position,
+                                      probe_rotation_.position(),
+                                      reconnect_rotation_.position(),
                                       table_.page_position(),
                                       sequence_,
                                       interval_count_ % parameters_.reconnect_every,
                                       pending_probe_.has_value(),
-                                      indirect_probes_.size()};
+                                      indirect_probes_.pending().size()};
   const auto add_time = [&](Time at) { state.push_back(static_cast<std::uint64_t>((at - now).count())); };
-  state.insert(state.end(), probe_rotation_.order.begin(), probe_rotation_.order.end());
-  state.insert(state.end(), reconnect_rotation_.order.begin(), reconnect_rotation_.order.end());
+  state.insert(state.end(), probe_rotation_.order().begin(), probe_rotation_.order().end());
+  state.insert(state.end(), reconnect_rotation_.order().begin(), reconnect_rotation_.order().end());
   add_time(probe_at_);
   table_.append_state(now, state);
   if (pending_probe_) {
@@ -259,7 +227,7 @@
     add_time(pending_probe_->retry_at);
     add_time(pending_probe_->deadline);
   }
-  for (const IndirectProbe& indirect : indirect_probes_) {
+  for (const IndirectProbe& indirect : indirect_probes_.pending()) {
     state.insert(state.end(), {indirect.origin, indirect.origin_sequence, indirect.sequence, indirect.target,
                                indirect.is_nacked});
     add_time(indirect.nack_at);
--- a/src/membership/membership.hpp
+++ b/src/membership/membership.hpp
@@ -4,9 +4,9 @@
 // puts this member's version on each of them and fills them with updates (update_queue(), next_page()).
 //
 // Differences from the papers, as the set of members is fixed and their addresses are known:
-// - A member is unknown until it, or an update about it, was received. Unknown and dead members are pinged
-// now
-//   and then, so that a partitioned fleet finds itself again; such a ping that isn't acked means nothing new.
+// - A member is unknown until a message of it, or an update about it, arrives. Unknown and dead members are
+//   pinged now and then, so that the parts of a partitioned fleet meet again; such a ping that isn't acked
+//   means nothing new.
 // - A ping that is not acked is repeated each time the timeout passes again, beside the indirect probes: a
 //   direct path has two chances to lose a message, one by a helper four. This costs bytes only where
 //   something is wrong.
@@ -20,16 +20,12 @@
 #include <optional>
 #include <vector>
 
+#include "membership/indirect_probes.hpp"
 #include "membership/member_table.hpp"
+#include "membership/probe_rotation.hpp"
 
 namespace dispatcher::membership {
 
-// SWIM's round-robin order of probes: all other members, shuffled anew each round.
-struct ProbeRotation {
-  std::vector<MemberIndex> order;
-  std::size_t position = 0;
-};
-
 // The failure detector of one member and its view of the fleet. Owned by a GossipNode; used on one thread,
 // with no callbacks.
 class Membership {
@@ -43,7 +39,7 @@
   std::vector<OutgoingMessage> on_received(Time now, MemberIndex from, MemberVersion version,
                                            const std::optional<Probe>& probe,
                                            const std::vector<MemberUpdate>& updates);
-  // Does what is due, at or after next_deadline().
+  // Does what is due, at or after next_deadline(): probes, nacks, the end of suspicions.
   std::vector<OutgoingMessage> tick(Time now);
   [[nodiscard]] Time next_deadline() const;
   // Announces the end of this process; only update_queue() may be called after it.
@@ -69,8 +65,9 @@
     return table_.latest_update(member);
   }
   [[nodiscard]] Time state_since(MemberIndex member) const { return table_.state_since(member); }
-  // Alive or suspect ones, without this member.
+  // Alive or suspect ones, without this member, in ascending order.
   [[nodiscard]] std::vector<MemberIndex> live_members() const;
+  // Of LocalHealth; 0: healthy.
   [[nodiscard]] unsigned health_score() const { return health_.score(); }
   // Changes since the last call.
   [[nodiscard]] std::vector<MemberChange> take_changes() { return table_.take_changes(); }
@@ -81,12 +78,12 @@
 
   // Totals since the start of the process.
   struct Counts {
-    std::uint64_t suspicions = 0;
+    std::uint64_t suspicions = 0;  // these three: see MemberTable::Counts
     std::uint64_t refutations = 0;
     std::uint64_t deaths = 0;
-    std::uint64_t probes = 0;
-    std::uint64_t failed_probes = 0;
-    std::uint64_t pauses = 0;
+    std::uint64_t probes = 0;         // of live members
+    std::uint64_t failed_probes = 0;  // that were acked neither directly nor by a helper
+    std::uint64_t pauses = 0;         // in which this process did not run
   };
   [[nodiscard]] Counts counts() const;
 
@@ -95,28 +92,18 @@
   struct PendingProbe {
     MemberIndex target = 0;
     std::uint32_t sequence = 0;
-    Time retry_at{};
-    Time deadline{};
+    Time retry_at{};           // of the direct ping
+    Time deadline{};           // the end of the interval
     bool is_indirect = false;  // helpers were asked
     bool is_acked = false;
-    unsigned helpers = 0;
-    unsigned nacks = 0;
-  };
-  // A ping on behalf of another member.
-  struct IndirectProbe {
-    MemberIndex origin = 0;
-    std::uint32_t origin_sequence = 0;
-    std::uint32_t sequence = 0;
-    MemberIndex target = 0;
-    Time nack_at{};
-    Time deadline{};
-    bool is_nacked = false;
+    unsigned helpers = 0;  // that were asked
+    unsigned nacks = 0;    // that they sent
   };
-  enum class Liveness : std::uint8_t { kLive, kUnreachable };
 
   void detect_pause(Time now);
   void merge(Time now, const MemberUpdate& update);
   void answer(Time now, MemberIndex from, const Probe& probe, std::vector<OutgoingMessage>& out);
+  [[nodiscard]] bool is_acked_by(MemberIndex from, std::uint32_t sequence) const;
   void start_indirect_probe(Time now, MemberIndex origin, const Probe& request,
                             std::vector<OutgoingMessage>& out);
   void on_ack(MemberIndex from, std::uint32_t sequence, std::vector<OutgoingMessage>& out);
@@ -126,21 +113,21 @@
   void retry_probe(Time now, std::vector<OutgoingMessage>& out);
   void request_indirect_probes(std::vector<OutgoingMessage>& out);
   void ping_unreachable(std::vector<OutgoingMessage>& out);
-  void tick_indirect_probes(Time now, std::vector<OutgoingMessage>& out);
-  std::optional<MemberIndex> next_target(ProbeRotation& rotation, Liveness wanted);
+  [[nodiscard]] std::vector<MemberIndex> others() const;
+  [[nodiscard]] std::vector<MemberIndex> draw_some(std::vector<MemberIndex> members);
 
   Parameters parameters_;
   Random random_;
   MemberTable table_;
   LocalHealth health_;
-  ProbeRotation probe_rotation_;
-  ProbeRotation reconnect_rotation_;
-  std::uint32_t sequence_ = 0;
-  std::uint64_t interval_count_ = 0;
-  Time probe_at_;
-  Time last_seen_;  // the latest time passed in
+  ProbeRotation probe_rotation_;      // of probes, which live members get
+  ProbeRotation reconnect_rotation_;  // of pings to unknown and dead members
+  IndirectProbes indirect_probes_;
+  std::uint32_t sequence_ = 0;        // of the latest ping
+  std::uint64_t interval_count_ = 0;  // of probe intervals begun
+  Time probe_at_;                     // when the next one begins
+  Time last_seen_;                    // the latest time passed in
   std::optional<PendingProbe> pending_probe_;
-  std::vector<IndirectProbe> indirect_probes_;
   std::uint64_t probes_ = 0;
   std::uint64_t failed_probes_ = 0;
   std::uint64_t pauses_ = 0;
