--- a/tests/dispatcher/bounded_counter_test.cpp
+++ b/tests/dispatcher/bounded_counter_test.cpp
@@ -14,7 +14,8 @@
 
 using Arrival = LendingFleet::Arrival;
 
-// All that may happen next. Loss is an arrival that never comes, a stop a member whose turn never comes.
+// The states after each event that may come next. A loss is an arrival that never comes, a stop a member that
+// never ticks.
 std::vector<LendingFleet> successors(const LendingFleet& fleet) {
   constexpr std::size_t kMaxInFlight = 3;
   constexpr int kMaxRestarts = 2;
@@ -48,6 +49,7 @@
   return found;
 }
 
+// What an exploration has found.
 struct Exploration {
   std::size_t states = 0;
   std::uint64_t max_held = 0;
@@ -110,8 +112,9 @@
   for (const Budget& budget : {kRateBudget, kUnitsBudget}) {
     for (int depth = 6; depth <= 14; ++depth) {
       const Exploration found = explore(fleet_to_explore(budget), depth, 600'000);
-      std::printf("%s depth %d: %zu states, most %lu\n", budget.type == BudgetType::kRate ? "rate" : "units",
-                  depth, found.states, static_cast<unsigned long>(found.max_held));
+      std::printf("%s depth %d: %zu states, at most %lu held\n",
+                  budget.type == BudgetType::kRate ? "rate" : "units", depth, found.states,
+                  static_cast<unsigned long>(found.max_held));
       CHECK(found.max_held == 6);
       if (found.states >= 600'000) break;
     }
--- a/tests/dispatcher/fairness_test.cpp
+++ b/tests/dispatcher/fairness_test.cpp
@@ -19,8 +19,9 @@
 constexpr int kReplicas = 8;      // of each role
 constexpr int kTurns = 4;         // of a session
 
+// One run.
 struct Scenario {
-  double load = 0.5;
+  double load = 0.5;  // of the fleet's capacity
   double seconds = 60;
   bool has_slow_replicas = false;  // one reader and one writer work at 0.3 of their speed
 };
@@ -60,8 +61,10 @@
   return parameters;
 }
 
+// Of requests, those that were served.
 struct Ratio {
-  double total = 0, served = 0;
+  double total = 0;
+  double served = 0;
   [[nodiscard]] double value() const { return total > 0 ? served / total : 1; }
 };
 
@@ -119,7 +122,9 @@
       not_rejected_then(submission).served += submission.end == End::kRejected ? 0 : 1;
     }
     struct Session {
-      double turns = 0, rejected = 0, at_once = 0;
+      double turns = 0;
+      double rejected = 0;
+      double at_once = 0;
       double chance = 1;  // that all of its turns are rejected
     };
     std::map<std::uint64_t, Session> by_session;
@@ -162,6 +167,11 @@
   }
 
  private:
+  // A class by a number drawn from 0 to 1.
+  static const char* class_of(double pick) {
+    if (pick < 0.05) return "rare";
+    return pick < 0.35 ? "command" : "ask";
+  }
   int length(int mean) { return 1 + static_cast<int>(mean * std::min(random_.exponential(1), 8.0)); }
 
   void begin_session() {
@@ -170,8 +180,7 @@
       if (fixture_.now() > begin_ + micros(scenario_.seconds)) return;
       RouterFixture::Submission submission;
       submission.process = random_.below(kProcesses);
-      const double pick = random_.unit();
-      submission.request.request_class = pick < 0.05 ? "rare" : pick < 0.35 ? "command" : "ask";
+      submission.request.request_class = class_of(random_.unit());
       submission.request.tenant = random_.unit() < 0.3 ? "modest" : "greedy";
       submission.request.session = ++session_count_;
       submit_turn(submission, kTurns);
@@ -217,7 +226,8 @@
   for (const char* tenant : {"modest", "greedy"})
     std::printf(" %s %.3f", tenant, simulation.served(of_tenant(tenant)).value());
   const auto sessions = simulation.sessions();
-  int at_once = 0, later = 0;
+  int at_once = 0;
+  int later = 0;
   for (const auto& submission : simulation.submissions()) {
     if (submission.end != End::kRejected) continue;
     ++(submission.ended_at == submission.submitted_at ? at_once : later);
@@ -241,9 +251,9 @@
 TEST_CASE("at low load with a slow replica no session is rejected throughout, however long the prompt",
           "[fairness]") {
   for (const std::uint64_t seed : {21U, 22U, 23U}) {
-    Simulation simulation({0.5, 40, true}, seed);
+    Simulation simulation({.load = 0.5, .seconds = 40, .has_slow_replicas = true}, seed);
     simulation.run();
-    print("quiet", simulation);
+    print("low load", simulation);
     const auto sessions = simulation.sessions();
     INFO(sessions.rejected << " of " << sessions.total << " sessions, " << sessions.at_once << " at once");
     CHECK(sessions.total > 200);
@@ -254,14 +264,14 @@
   }
 }
 
-// Thin processes settle by chance what is a fraction of a request each, so that this chance shows.
+// Each process sees few requests and rounds its part of what it rejects by chance, so that this chance shows.
 TEST_CASE("under overload rejections are drawn by request: no session is rejected throughout beyond chance",
           "[fairness]") {
   Simulation::Sessions sum;
   for (const std::uint64_t seed : {22U, 32U, 42U, 52U}) {
-    Simulation simulation({2, 30, true}, seed);
+    Simulation simulation({.load = 2, .seconds = 30, .has_slow_replicas = true}, seed);
     simulation.run();
-    print("jam", simulation);
+    print("overload", simulation);
     const auto sessions = simulation.sessions();
     sum.total += sessions.total;
     sum.rejected += sessions.rejected;
@@ -273,9 +283,9 @@
 }
 
 TEST_CASE("under overload long prompts are answered too", "[fairness]") {
-  Simulation simulation({1.5, 40, true}, 23);
+  Simulation simulation({.load = 1.5, .seconds = 40, .has_slow_replicas = true}, 23);
   simulation.run();
-  print("jam", simulation);
+  print("overload", simulation);
   check_lengths(simulation, 0.5);
 }
 
@@ -305,7 +315,8 @@
     });
   };
   const auto serve = [&](const std::string& id) {  // late by an eighth, of which little was reading
-    const Duration read = std::chrono::milliseconds(50), write = std::chrono::milliseconds(1330);
+    const Duration read = std::chrono::milliseconds(50);
+    const Duration write = std::chrono::milliseconds(1330);
     router.handle(now, routing::AttemptCompleted{
                            id, "reader", 0, routing::AttemptStatus::kRead, read, false, 0, {}, {}});
     router.handle(now, routing::FirstToken{id, "writer", 1, write});
@@ -324,7 +335,7 @@
 }
 
 TEST_CASE("under overload each class and each tenant within its quota is answered", "[fairness]") {
-  Simulation simulation({1.3, 60}, 24);
+  Simulation simulation({.load = 1.3, .seconds = 60}, 24);
   simulation.run();
   print("overload", simulation);
   const double overall = simulation.served(any).value();
--- a/tests/dispatcher/fleet_figures.cpp
+++ b/tests/dispatcher/fleet_figures.cpp
@@ -6,6 +6,7 @@
 namespace dispatcher::testing {
 namespace {
 
+// Times in seconds; what is sent, a member; suspicions and deaths, a member and minute.
 struct Figures {
   double joined_s = 0;
   double idle_bytes_per_second = 0;
@@ -27,82 +28,111 @@
   return sum;
 }
 
-Figures measure(MemberIndex count, double loss, std::uint64_t seed) {
-  Figures figures;
-  FleetFixture fixture(count, seed);
-  fixture.network.loss = loss;
-  std::uint64_t suspicions = 0, deaths = 0;
-  fixture.on_change = [&](MemberIndex, const membership::MemberChange& change) {
-    suspicions += change.after == MemberState::kSuspect && change.before == MemberState::kAlive;
-    deaths += change.after == MemberState::kDead;
-  };
-  fixture.start_all();
-  const Time started_at = fixture.now();
-  // Under loss somebody is nearly always under suspicion somewhere.
-  fixture.until(
-      [&] {
-        for (MemberIndex member = 0; member < count; ++member) {
-          if (fixture.node(member).members().live_members().size() + 1 < count) return false;
-        }
-        return true;
-      },
-      seconds(120));
-  figures.joined_s = to_seconds(fixture.now() - started_at);
-  fixture.run(seconds(30));
-  suspicions = deaths = 0;
-  std::uint64_t before = sent_bytes(fixture);
-  fixture.run(seconds(120));
-  figures.idle_bytes_per_second = static_cast<double>(sent_bytes(fixture) - before) / 120 / count;
-  // Views that turned, by member accused and minute: one suspicion seen by all counts as (count - 1) views.
-  const double member_minutes = 2.0 * count;
-  figures.false_suspicions = static_cast<double>(suspicions) / (count - 1) / member_minutes;
-  figures.false_deaths = static_cast<double>(deaths) / (count - 1) / member_minutes;
-
-  const std::uint64_t id = replicated_state::entry_id("s-1");
-  const Time written_at = fixture.now();
-  fixture.write_evidence(0, id);
-  fixture.until([&] { return fixture.members_with_evidence(id) * 2 >= count; }, seconds(29));
-  figures.half_informed_s = to_seconds(fixture.now() - written_at);
-  fixture.until([&] { return fixture.members_with_evidence(id) == count; },
-                seconds(29) - (fixture.now() - written_at));
-  figures.all_informed_s = to_seconds(fixture.now() - written_at);
-  fixture.run(seconds(20));
+// Measures one fleet, phase by phase.
+class Measurement {
+ public:
+  Measurement(MemberIndex count, double loss, std::uint64_t seed) : fixture_(count, seed) {
+    fixture_.network.loss = loss;
+    fixture_.on_change = [this](MemberIndex, const membership::MemberChange& change) {
+      suspicions_ += change.after == MemberState::kSuspect && change.before == MemberState::kAlive;
+      deaths_ += change.after == MemberState::kDead;
+    };
+  }
+
+  Figures run() {
+    measure_join();
+    fixture_.run(seconds(30));
+    measure_idle();
+    measure_spread();
+    fixture_.run(seconds(20));
+    measure_busy();
+    fixture_.run(seconds(20));
+    measure_detection();
+    return figures_;
+  }
+
+ private:
+  void measure_join() {
+    fixture_.start_all();
+    const Time started_at = fixture_.now();
+    // Under loss somebody is nearly always under suspicion somewhere.
+    fixture_.until([this] { return is_joined(); }, seconds(120));
+    figures_.joined_s = to_seconds(fixture_.now() - started_at);
+  }
+
+  [[nodiscard]] bool is_joined() {
+    for (MemberIndex member = 0; member < fixture_.count(); ++member) {
+      if (fixture_.node(member).members().live_members().size() + 1 < fixture_.count()) return false;
+    }
+    return true;
+  }
+
+  void measure_idle() {
+    suspicions_ = 0;
+    deaths_ = 0;
+    const std::uint64_t before = sent_bytes(fixture_);
+    fixture_.run(seconds(120));
+    figures_.idle_bytes_per_second =
+        static_cast<double>(sent_bytes(fixture_) - before) / 120 / fixture_.count();
+    // Views that turned, by member accused and minute: one suspicion seen by all counts as (count - 1) views.
+    const double member_minutes = 2.0 * fixture_.count();
+    figures_.false_suspicions = static_cast<double>(suspicions_) / (fixture_.count() - 1) / member_minutes;
+    figures_.false_deaths = static_cast<double>(deaths_) / (fixture_.count() - 1) / member_minutes;
+  }
+
+  void measure_spread() {
+    const std::uint64_t id = replicated_state::entry_id("s-1");
+    const MemberIndex count = fixture_.count();
+    const Time written_at = fixture_.now();
+    fixture_.write_evidence(0, id);
+    fixture_.until([&] { return fixture_.members_with_evidence(id) * 2 >= count; }, seconds(29));
+    figures_.half_informed_s = to_seconds(fixture_.now() - written_at);
+    fixture_.until([&] { return fixture_.members_with_evidence(id) == count; },
+                   seconds(29) - (fixture_.now() - written_at));
+    figures_.all_informed_s = to_seconds(fixture_.now() - written_at);
+  }
 
   // One new piece of evidence a second, by members in turn.
-  before = sent_bytes(fixture);
-  for (MemberIndex i = 0; i < 60; ++i) {
-    const MemberIndex member = i % count;
-    fixture.write_evidence(member, 1000 + i);
-    fixture.run(seconds(1));
+  void measure_busy() {
+    const std::uint64_t before = sent_bytes(fixture_);
+    for (MemberIndex i = 0; i < 60; ++i) {
+      fixture_.write_evidence(i % fixture_.count(), 1000 + i);
+      fixture_.run(seconds(1));
+    }
+    figures_.busy_bytes_per_second =
+        static_cast<double>(sent_bytes(fixture_) - before) / 60 / fixture_.count();
   }
-  figures.busy_bytes_per_second = static_cast<double>(sent_bytes(fixture) - before) / 60 / count;
-  fixture.run(seconds(20));
-
-  const MemberIndex victim = count / 2;
-  fixture.kill(victim);
-  const Time died_at = fixture.now();
-  fixture.until(
-      [&] {
-        for (MemberIndex member = 0; member < count; ++member) {
-          if (fixture.is_running(member) &&
-              fixture.node(member).members().state(victim) == MemberState::kDead)
-            return true;
-        }
-        return false;
-      },
-      seconds(120));
-  figures.first_detected_s = to_seconds(fixture.now() - died_at);
-  fixture.until([&] { return fixture.all_consider(victim, MemberState::kDead); }, seconds(120));
-  figures.all_detected_s = to_seconds(fixture.now() - died_at);
-  return figures;
-}
 
-// As varints alone, without tags and lengths: what a format by hand would take.
-std::size_t by_hand(std::initializer_list<std::uint64_t> fields) {
+  void measure_detection() {
+    const MemberIndex victim = fixture_.count() / 2;
+    fixture_.kill(victim);
+    const Time died_at = fixture_.now();
+    fixture_.until([&] { return is_detected_by_any(victim); }, seconds(120));
+    figures_.first_detected_s = to_seconds(fixture_.now() - died_at);
+    fixture_.until([&] { return fixture_.all_consider(victim, MemberState::kDead); }, seconds(120));
+    figures_.all_detected_s = to_seconds(fixture_.now() - died_at);
+  }
+
+  [[nodiscard]] bool is_detected_by_any(MemberIndex victim) {
+    for (MemberIndex member = 0; member < fixture_.count(); ++member) {
+      if (!fixture_.is_running(member)) continue;
+      if (fixture_.node(member).members().state(victim) == MemberState::kDead) return true;
+    }
+    return false;
+  }
+
+  FleetFixture fixture_;
+  Figures figures_;
+  std::uint64_t suspicions_ = 0;
+  std::uint64_t deaths_ = 0;
+};
+
+// As varints alone, without tags and lengths: what a format without protobuf would take.
+std::size_t varint_bytes(std::initializer_list<std::uint64_t> fields) {
   std::size_t bytes = 0;
   for (std::uint64_t field : fields) {
-    do ++bytes;
-    while (field >>= 7U);
+    ++bytes;
+    for (; field >= 0x80U; field >>= 7U) ++bytes;
   }
   return bytes;
 }
@@ -110,20 +140,20 @@
 TEST_CASE("sizes of what datagrams hold", "[.figures]") {
   const std::uint64_t incarnation = 1'800'000'000'000;
   const Sender sender{0, 100, 42, {incarnation, 0}, 20'000};
-  const std::size_t head = DatagramBuilder(sender).size(),
-                    head_by_hand = by_hand({1, 0, 100, 42, incarnation, 0, 20'000});
-  std::printf("head %zu by hand %zu\n", head, head_by_hand);
-  const auto print = [&](const char* name, auto add, std::size_t hand) {
+  const std::size_t head = DatagramBuilder(sender).size();
+  const std::size_t varint_head = varint_bytes({1, 0, 100, 42, incarnation, 0, 20'000});
+  std::printf("head %zu by hand %zu\n", head, varint_head);
+  const auto print = [&](const char* name, auto add, std::size_t varints) {
     DatagramBuilder builder(sender);
     add(builder);
-    std::printf("%s %zu by hand %zu\n", name, builder.size() - head, hand);
+    std::printf("%s %zu by hand %zu\n", name, builder.size() - head, varints);
   };
   print(
       "probe",
       [](DatagramBuilder& builder) {
         builder.add(Probe{Probe::Type::kPing, 20'000, 0});
       },
-      by_hand({0, 20'000}));
+      varint_bytes({0, 20'000}));
   print(
       "hashes",
       [](DatagramBuilder& builder) {
@@ -136,13 +166,13 @@
       [&](DatagramBuilder& builder) {
         builder.add(MemberUpdate{77, {incarnation, 0}, MemberState::kAlive, 0});
       },
-      by_hand({77, incarnation, 0}));
+      varint_bytes({77, incarnation, 0}));
   print(
       "suspicion",
       [&](DatagramBuilder& builder) {
         builder.add(MemberUpdate{77, {incarnation, 1}, MemberState::kSuspect, 5});
       },
-      by_hand({77, incarnation, 1, 5}));
+      varint_bytes({77, incarnation, 1, 5}));
   Entry entry;
   entry.key = {1, replicated_state::entry_id("s-5be2a07c"), 42};
   entry.incarnation = incarnation;
@@ -150,31 +180,32 @@
   entry.age = seconds(2);
   const auto payload = replicated_state::encode({3, 4});
   entry.payload.assign(payload.begin(), payload.end());
-  const std::size_t own = by_hand({1, entry.key.id, 300, 200}) + 1 + 2 + 1;  // flags, payload, its length
+  const std::size_t own =
+      varint_bytes({1, entry.key.id, 300, 200}) + 1 + 2 + 1;  // flags, payload, its length
   print(
       "own entry", [&](DatagramBuilder& builder) { builder.add(entry); }, own);
   entry.key.owner = 7;
   print(
       "entry of another", [&](DatagramBuilder& builder) { builder.add(entry); },
-      own + by_hand({7, incarnation}));
+      own + varint_bytes({7, incarnation}));
   print(
       "digest",
       [](DatagramBuilder& builder) {
         builder.add(Digest{77, 300, 1}, DigestRole::kOffer);
       },
-      by_hand({77, 300}) + 4);
+      varint_bytes({77, 300}) + 4);
   print(
       "request",
       [](DatagramBuilder& builder) {
         builder.add(QuotaRequest{{1, 1000}, 300, 0, 500});
       },
-      by_hand({1, 1000, 300, 0, 500}));
+      varint_bytes({1, 1000, 300, 0, 500}));
   print(
       "grant",
       [&](DatagramBuilder& builder) {
         builder.add(QuotaGrant{{1, 1000}, incarnation, 300, 500, seconds(10)});
       },
-      by_hand({1, 1000, incarnation, 300, 500, 10000}));
+      varint_bytes({1, 1000, incarnation, 300, 500, 10000}));
 }
 
 TEST_CASE("figures of a fleet", "[.figures]") {
@@ -186,7 +217,7 @@
       const int seeds = count > 100 ? 2 : 5;
       Figures sum;
       for (int seed = 1; seed <= seeds; ++seed) {
-        const Figures figures = measure(count, loss, static_cast<std::uint64_t>(seed));
+        const Figures figures = Measurement(count, loss, static_cast<std::uint64_t>(seed)).run();
         for (auto field :
              {&Figures::joined_s, &Figures::idle_bytes_per_second, &Figures::false_suspicions,
               &Figures::false_deaths, &Figures::first_detected_s, &Figures::all_detected_s,
--- a/tests/dispatcher/fleet_test.cpp
+++ b/tests/dispatcher/fleet_test.cpp
@@ -1,4 +1,5 @@
-// Decisions of one dispatcher among many (src/fleet), at sizes where what each does alone adds up.
+// How one dispatcher among many backs off from service discovery, at sizes where what each does alone adds
+// up.
 #include <algorithm>
 #include <boost/asio/write.hpp>
 #include <queue>
@@ -15,51 +16,54 @@
 using service_discovery::Backoff;
 using service_discovery::BackoffPolicy;
 
-// A discovery of fixed capacity: calls wait in turn, each costs it the same, and one that waited for 2 s by
-// then is refused. All of the fleet lose their watch in one moment and ask again after their pauses. Returns
-// how many have their list `after` so long, and counts the calls.
-struct Outage {
-  int back = 0, calls = 0;
+// What a fleet has reached some time after an outage.
+struct Recovery {
+  int recovered = 0;  // dispatchers that have their endpoint list again
+  int calls = 0;      // that all of them have made
 };
-Outage outage(int dispatchers, const BackoffPolicy& shape, engine::Duration after,
-              engine::Duration cost = milliseconds(50)) {
-  const engine::Duration patience = service_discovery::kOverloadedResponseDelay;
-  std::mt19937_64 chance(7);
+
+// A discovery of fixed capacity: calls wait in turn, each costs it the same, and one that has waited for
+// kOverloadedResponseDelay is rejected. All dispatchers lose their watch in one moment, and retry after their
+// backoff.
+Recovery recover(int dispatchers, const BackoffPolicy& policy, engine::Duration after,
+                 engine::Duration cost = milliseconds(50)) {
+  const engine::Duration max_wait = service_discovery::kOverloadedResponseDelay;
+  std::mt19937_64 random(7);
   std::uniform_real_distribution<double> draw(0, 1);
-  std::vector<Backoff> fleet(static_cast<std::size_t>(dispatchers), Backoff(shape));
+  std::vector<Backoff> fleet(static_cast<std::size_t>(dispatchers), Backoff(policy));
   using Call = std::pair<engine::Time, std::size_t>;
   std::priority_queue<Call, std::vector<Call>, std::greater<>> calls;
-  for (std::size_t i = 0; i < fleet.size(); ++i) calls.emplace(fleet[i].on_failure(draw(chance)), i);
-  Outage result;
-  engine::Time free{};  // when it has done with the calls before
+  for (std::size_t i = 0; i < fleet.size(); ++i) calls.emplace(fleet[i].on_failure(draw(random)), i);
+  Recovery result;
+  engine::Time idle_at{};  // when discovery has served all calls so far
   while (!calls.empty() && calls.top().first < after) {
-    const auto [at, who] = calls.top();
+    const auto [at, caller] = calls.top();
     calls.pop();
     ++result.calls;
-    free = std::max(free, at) + cost;
-    const bool rejected = free - at > patience;
-    if (!rejected && free < after) ++result.back;
-    if (rejected) calls.emplace(at + patience + fleet[who].on_failure(draw(chance)), who);
+    idle_at = std::max(idle_at, at) + cost;
+    const bool is_rejected = idle_at - at > max_wait;
+    if (!is_rejected && idle_at < after) ++result.recovered;
+    if (is_rejected) calls.emplace(at + max_wait + fleet[caller].on_failure(draw(random)), caller);
   }
   return result;
 }
 
 TEST_CASE("an overbooked discovery is relieved by the fleet's own pauses", "[fleet]") {
   const BackoffPolicy fixed{milliseconds(200), milliseconds(200), 1, 1};  // as it was
-  CHECK(outage(100, fixed, seconds(120)).back < 50);
+  CHECK(recover(100, fixed, seconds(120)).recovered < 50);
   // A change must be known 6 s after it could be, so no pause is longer than kMaxRejectionPause, and a fleet
-  // that is refused comes again within 5 s: 300 dispatchers can only be relieved where they can be served so
-  // fast.
-  const engine::Duration cost = milliseconds(50), less = milliseconds(20);
-  CHECK(outage(300, fixed, seconds(120), less).back < 150);
+  // that is rejected retries within 5 s: 300 dispatchers can only recover where they can be served so fast.
+  const engine::Duration cost = milliseconds(50);
+  const engine::Duration less = milliseconds(20);
+  CHECK(recover(300, fixed, seconds(120), less).recovered < 150);
   for (const auto& [dispatchers, each] : {std::pair{1, cost}, {3, cost}, {100, cost}, {300, less}}) {
-    const Outage relieved =
-        outage(dispatchers, service_discovery::rejection_backoff(dispatchers), seconds(120), each);
-    CHECK(relieved.back == dispatchers);
-    CHECK(relieved.calls <= 6 * dispatchers);
+    const Recovery recovery =
+        recover(dispatchers, service_discovery::rejection_backoff(dispatchers), seconds(120), each);
+    CHECK(recovery.recovered == dispatchers);
+    CHECK(recovery.calls <= 6 * dispatchers);
   }
-  CHECK(outage(3, service_discovery::rejection_backoff(3), milliseconds(400)).back ==
-        3);  // few have no reason to wait
+  // Few have no reason to wait.
+  CHECK(recover(3, service_discovery::rejection_backoff(3), milliseconds(400)).recovered == 3);
 }
 
 TEST_CASE("the pause of a fleet is bounded, whatever size the configuration tells", "[fleet]") {
@@ -73,17 +77,17 @@
 
 TEST_CASE("back-off starts again after a success, and long outages neither overflow nor pass the cap",
           "[fleet]") {
-  Backoff b({milliseconds(200), milliseconds(800), 2, 1.0});
-  CHECK(b.on_failure(0.3) == milliseconds(200));
-  CHECK(b.on_failure(0.3) == milliseconds(400));
-  CHECK(b.on_failure(0.3) == milliseconds(800));
-  for (int i = 0; i < 100000; ++i) REQUIRE(b.on_failure(0.9) == milliseconds(800));
-  CHECK(b.failures() <= 3);
-  b.on_success();
-  CHECK(b.on_failure(0.0) == milliseconds(200));
-  Backoff odd({milliseconds(0), milliseconds(0), -3, 7});  // nonsense is clamped to something that works
-  CHECK(odd.on_failure(-1) >= engine::Duration(1));
-  CHECK(odd.on_failure(5) >= engine::Duration(1));
+  Backoff backoff({milliseconds(200), milliseconds(800), 2, 1.0});
+  CHECK(backoff.on_failure(0.3) == milliseconds(200));
+  CHECK(backoff.on_failure(0.3) == milliseconds(400));
+  CHECK(backoff.on_failure(0.3) == milliseconds(800));
+  for (int i = 0; i < 100000; ++i) REQUIRE(backoff.on_failure(0.9) == milliseconds(800));
+  CHECK(backoff.failures() <= 3);
+  backoff.on_success();
+  CHECK(backoff.on_failure(0.0) == milliseconds(200));
+  Backoff clamped({milliseconds(0), milliseconds(0), -3, 7});  // nonsense is clamped to something that works
+  CHECK(clamped.on_failure(-1) >= engine::Duration(1));
+  CHECK(clamped.on_failure(5) >= engine::Duration(1));
 }
 
 TEST_CASE("a watch whose discovery drops every connection asks ever less often, up to its cap",
@@ -95,7 +99,7 @@
     agent.async_accept([&](boost::system::error_code error, boost::asio::ip::tcp::socket socket) {
       if (error) return;
       ++connections;
-      // Refused, each time.
+      // Rejected, each time.
       boost::asio::write(socket,
                          boost::asio::buffer(std::string("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")));
       accept();
--- a/tests/dispatcher/gossip_codec_test.cpp
+++ b/tests/dispatcher/gossip_codec_test.cpp
@@ -1,7 +1,9 @@
 // Datagrams between dispatchers: what is built reads back within the size limit, and bad ones are dropped.
 #include <memory>
+#include <optional>
 #include <random>
-#include <tuple>
+#include <variant>
+#include <vector>
 
 #include "fleet_fixture.hpp"
 #include "property.hpp"
@@ -26,86 +28,116 @@
   return entry;
 }
 
+// A datagram of drawn content, and what of it fitted.
+class DrawnDatagram {
+ public:
+  explicit DrawnDatagram(std::uint64_t seed) : random_(seed), head_(draw_head()), builder_(head_) {
+    if (random_() % 2 == 0) probe_ = Probe::ping_request(static_cast<std::uint32_t>(random_()), 5);
+    if (probe_) RC_ASSERT(builder_.add(*probe_));
+    if (random_() % 2 == 0) builder_.add_members_hash(static_cast<std::uint32_t>(random_()));
+    if (random_() % 2 == 0)
+      builder_.add_group(static_cast<MemberIndex>(random_() % 10), static_cast<std::uint32_t>(random_()));
+    for (std::size_t i = 0; i < random_() % 60; ++i) add_content();
+  }
+
+  void check_size() const {
+    RC_ASSERT(builder_.size() <= 256U);
+    const auto datagram = builder_.finish();
+    RC_ASSERT(datagram.has_value());
+    RC_ASSERT(datagram->size() == builder_.size());
+  }
+
+  void check_decoded() const {
+    const auto result = decode(builder_.finish()->bytes(), head_.member, head_.tier, 40);
+    const auto* message = std::get_if<Message>(&result);
+    RC_ASSERT(message != nullptr);
+    RC_ASSERT(message->invalid_entries == 0U);
+    RC_ASSERT(message->probe == probe_);
+    RC_ASSERT(message->updates == updates_);
+    RC_ASSERT(message->requests.size() == requests_);
+    RC_ASSERT(message->grants.size() == grants_);
+    RC_ASSERT(message->returns.size() == returns_);
+    RC_ASSERT(message->digests.size() == digests_);
+    RC_ASSERT(message->entries.size() == entries_.size());
+    for (std::size_t i = 0; i < entries_.size(); ++i) check_entry(entries_[i], message->entries[i]);
+  }
+
+ private:
+  Sender draw_head() {
+    return {static_cast<std::uint32_t>(random_() % 3),
+            40,
+            static_cast<MemberIndex>(random_() % 40),
+            {1 + random_() % membership::kMaxIncarnation, static_cast<std::uint32_t>(random_() % 300)},
+            1 + static_cast<std::uint32_t>(random_() >> 33U)};
+  }
+
+  MemberUpdate draw_update() {
+    return {static_cast<MemberIndex>(random_() % 40),
+            {1 + random_() % membership::kMaxIncarnation, static_cast<std::uint32_t>(random_() % 200)},
+            static_cast<MemberState>(1 + random_() % 3),
+            0};
+  }
+
+  Digest draw_digest() {
+    return {static_cast<MemberIndex>(random_() % 40), random_() % 1000,
+            static_cast<std::uint32_t>(random_())};
+  }
+
+  QuotaRequest draw_request() {
+    return {{1, random_()}, 1 + static_cast<std::uint32_t>(random_() >> 33U), 0, 1 + random_() % 1000};
+  }
+
+  void add_content() {
+    switch (random_() % 6) {
+      case 0:
+        if (const MemberUpdate update = draw_update(); builder_.add(update)) updates_.push_back(update);
+        break;
+      case 1:
+        if (const Entry entry = any_entry(random_); builder_.add(entry)) entries_.push_back(entry);
+        break;
+      case 2:
+        requests_ += builder_.add(draw_request());
+        break;
+      case 3:
+        grants_ += builder_.add(QuotaGrant{{1, random_()}, kIncarnation, 9, random_() % 1000, seconds(10)});
+        break;
+      case 4:
+        returns_ += builder_.add(QuotaReturn{{1, random_()}, 9});
+        break;
+      case 5:
+        digests_ += builder_.add(draw_digest(), random_() % 2 == 0 ? DigestRole::kReply : DigestRole::kOffer);
+        break;
+    }
+  }
+
+  static void check_entry(const Entry& sent, const Entry& decoded) {
+    RC_ASSERT(sent.key == decoded.key);
+    RC_ASSERT(sent.incarnation == decoded.incarnation);
+    RC_ASSERT(sent.version == decoded.version);
+    RC_ASSERT(sent.is_tombstone == decoded.is_tombstone);
+    RC_ASSERT(sent.age == decoded.age);
+    RC_ASSERT(sent.payload == decoded.payload);
+  }
+
+  std::mt19937_64 random_;
+  Sender head_;
+  DatagramBuilder builder_;
+  std::optional<Probe> probe_;
+  std::vector<MemberUpdate> updates_;
+  std::vector<Entry> entries_;
+  std::size_t requests_ = 0;
+  std::size_t grants_ = 0;
+  std::size_t returns_ = 0;
+  std::size_t digests_ = 0;
+};
+
 TEST_CASE("whatever is built fits into 256 bytes, has the size that was computed, and decodes to the same",
           "[gossip]") {
   holds(
       [] {
-        std::mt19937_64 random(*rc::gen::arbitrary<std::uint64_t>());
-        Sender head{static_cast<std::uint32_t>(random() % 3),
-                    40,
-                    static_cast<MemberIndex>(random() % 40),
-                    {1 + random() % membership::kMaxIncarnation, static_cast<std::uint32_t>(random() % 300)},
-                    1 + static_cast<std::uint32_t>(random() >> 33U)};
-        DatagramBuilder builder(head);
-        std::vector<MemberUpdate> updates;
-        std::vector<Entry> entries;
-        std::size_t requests = 0;
-        std::size_t grants = 0;
-        std::size_t returns = 0;
-        std::size_t digests = 0;
-        const std::optional<Probe> probe =
-            random() % 2 == 0
-                ? std::optional(Probe{Probe::Type::kPingRequest, static_cast<std::uint32_t>(random()), 5})
-                : std::nullopt;
-        if (probe) RC_ASSERT(builder.add(*probe));
-        if (random() % 2 == 0) builder.add_members_hash(static_cast<std::uint32_t>(random()));
-        if (random() % 2 == 0)
-          builder.add_group(static_cast<MemberIndex>(random() % 10), static_cast<std::uint32_t>(random()));
-        for (std::size_t i = 0; i < random() % 60; ++i) {
-          switch (random() % 6) {
-            case 0: {
-              const MemberUpdate update{
-                  static_cast<MemberIndex>(random() % 40),
-                  {1 + random() % membership::kMaxIncarnation, static_cast<std::uint32_t>(random() % 200)},
-                  static_cast<MemberState>(1 + random() % 3),
-                  0};
-              if (builder.add(update)) updates.push_back(update);
-              break;
-            }
-            case 1: {
-              const Entry entry = any_entry(random);
-              if (builder.add(entry)) entries.push_back(entry);
-              break;
-            }
-            case 2:
-              requests += builder.add(QuotaRequest{
-                  {1, random()}, 1 + static_cast<std::uint32_t>(random() >> 33U), 0, 1 + random() % 1000});
-              break;
-            case 3:
-              grants += builder.add(QuotaGrant{{1, random()}, kIncarnation, 9, random() % 1000, seconds(10)});
-              break;
-            case 4:
-              returns += builder.add(QuotaReturn{{1, random()}, 9});
-              break;
-            case 5:
-              digests += builder.add(Digest{static_cast<MemberIndex>(random() % 40), random() % 1000,
-                                            static_cast<std::uint32_t>(random())},
-                                     random() % 2 == 0 ? DigestRole::kReply : DigestRole::kOffer);
-              break;
-          }
-        }
-        RC_ASSERT(builder.size() <= 256U);
-        const auto datagram = builder.finish();
-        RC_ASSERT(datagram.has_value());
-        RC_ASSERT(datagram->size() == builder.size());
-        const auto result = decode(datagram->bytes(), head.member, head.tier, 40);
-        const auto* message = std::get_if<Message>(&result);
-        RC_ASSERT(message != nullptr);
-        RC_ASSERT(message->invalid_entries == 0U);
-        RC_ASSERT(message->probe == probe);
-        RC_ASSERT(message->updates == updates);
-        RC_ASSERT(message->requests.size() == requests);
-        RC_ASSERT(message->grants.size() == grants);
-        RC_ASSERT(message->returns.size() == returns);
-        RC_ASSERT(message->digests.size() == digests);
-        RC_ASSERT(message->entries.size() == entries.size());
-        for (std::size_t i = 0; i < entries.size(); ++i) {
-          const Entry &sent = entries[i], &decoded = message->entries[i];
-          RC_ASSERT(sent.key == decoded.key);
-          RC_ASSERT(std::tie(sent.incarnation, sent.version, sent.is_tombstone, sent.age, sent.payload) ==
-                    std::tie(decoded.incarnation, decoded.version, decoded.is_tombstone, decoded.age,
-                             decoded.payload));
-        }
+        const DrawnDatagram drawn(*rc::gen::arbitrary<std::uint64_t>());
+        drawn.check_size();
+        drawn.check_decoded();
       },
       2000);
 }
--- a/tests/dispatcher/membership_fleet_test.cpp
+++ b/tests/dispatcher/membership_fleet_test.cpp
@@ -12,7 +12,8 @@
   fixture.start_all();
   REQUIRE(fixture.until([&] { return fixture.all_alive(); }, seconds(10)));
   fixture.run(seconds(40));
-  std::uint64_t before = 0, after = 0;
+  std::uint64_t before = 0;
+  std::uint64_t after = 0;
   for (MemberIndex member = 0; member < count; ++member) before += fixture.node(member).counts().sent_bytes;
   fixture.run(seconds(60));
   for (MemberIndex member = 0; member < count; ++member) after += fixture.node(member).counts().sent_bytes;
@@ -46,7 +47,8 @@
     return found;
   };
   REQUIRE(entries(0) == 1);
-  int new_incarnations = 0, deaths = 0;
+  int new_incarnations = 0;
+  int deaths = 0;
   fixture.on_change = [&](MemberIndex observer, const membership::MemberChange& change) {
     if (observer != 2 && change.member == 2) new_incarnations += change.is_new_incarnation;
     deaths += change.after == MemberState::kDead;
@@ -128,7 +130,8 @@
   FleetFixture fixture(10, 7);
   fixture.start_all();
   REQUIRE(fixture.until([&] { return fixture.all_alive(); }, seconds(10)));
-  const std::set<MemberIndex> left{0, 1, 2, 3}, right{4, 5, 6, 7, 8, 9};
+  const std::set<MemberIndex> left{0, 1, 2, 3};
+  const std::set<MemberIndex> right{4, 5, 6, 7, 8, 9};
   fixture.block(left, right);
   fixture.block(right, left);
   const auto apart = [&] {
--- a/tests/dispatcher/membership_test.cpp
+++ b/tests/dispatcher/membership_test.cpp
@@ -1,5 +1,5 @@
 // Membership of three members under every sequence of faults up to a bound: all that may be lost, delayed,
-// repeated, stopped or restarted is tried, and the fleet must heal once the faults end.
+// repeated, stopped or restarted is tried, and the fleet must recover once the faults end.
 #define XXH_INLINE_ALL
 #include <xxhash.h>
 
@@ -15,6 +15,7 @@
 namespace dispatcher::testing {
 namespace {
 
+// A message that was sent and may arrive.
 struct InFlightMessage {
   MemberIndex from;
   MemberIndex to;
@@ -23,6 +24,7 @@
   std::vector<MemberUpdate> updates;
 };
 
+// Three members, their network and their common clock, as one value that can be copied and hashed.
 struct ThreeMembers {
   std::vector<Membership> members;
   std::vector<bool> is_stopped{false, false, false};
@@ -109,8 +111,8 @@
     }
     return false;
   }
-  // Nobody believes in an incarnation or a refutation that its member never had.
-  [[nodiscard]] bool is_sound() const {
+  // No view has an incarnation or a refutation that its member never had.
+  [[nodiscard]] bool is_consistent() const {
     for (const Membership& observer : members) {
       if (observer.state(observer.self()) != MemberState::kAlive) return false;
       for (MemberIndex member = 0; member < 3; ++member) {
@@ -142,7 +144,7 @@
   }
 };
 
-// All that may go wrong next.
+// The states after each fault that may come next.
 std::vector<ThreeMembers> faults(const ThreeMembers& system) {
   std::vector<ThreeMembers> found;
   const auto add = [&](int cost, auto change) {
@@ -171,16 +173,17 @@
   return found;
 }
 
+// What an exploration has found.
 struct Exploration {
   std::size_t states = 0;
-  std::size_t ends = 0;
-  std::size_t unsound = 0;
-  std::size_t unhealed = 0;
-  std::size_t false_deaths = 0;  // ends at which somebody was considered dead: the faults reach that far
+  std::size_t ends = 0;  // states in which the time for faults was over
+  std::size_t inconsistent = 0;
+  std::size_t unrecovered = 0;
+  std::size_t false_deaths = 0;  // ends at which a member was considered dead: the faults reach that far
 };
 
 // Whether all consider all alive soon after the faults have ended.
-bool heals(ThreeMembers& system) {
+bool recovers(ThreeMembers& system) {
   for (MemberIndex member = 0; member < 3; ++member) system.resume(member);
   const Time deadline = system.now + seconds(60);
   while (!system.all_alive() && system.now < deadline) system.step();
@@ -189,7 +192,7 @@
 
 Exploration explore(int max_faults, Time max_time, std::size_t max_states) {
   Exploration found;
-  // A fleet that knows itself, then the faults.
+  // First without faults, until all are alive to all.
   ThreeMembers first;
   while (!(first.all_alive() && first.now > seconds(105) && first.in_flight.empty())) first.step();
   const Time end = first.now + max_time;
@@ -204,11 +207,11 @@
     ThreeMembers system = std::move(stack.back());
     stack.pop_back();
     if (!seen.insert(state_of(system)).second) continue;
-    if (!system.is_sound()) ++found.unsound;
+    if (!system.is_consistent()) ++found.inconsistent;
     if (system.now >= end) {
       if (!ended.insert(system.hash()).second) continue;
       found.false_deaths += system.is_any_dead() ? 1 : 0;
-      found.unhealed += heals(system) ? 0 : 1;
+      found.unrecovered += recovers(system) ? 0 : 1;
       continue;
     }
     if (system.faults < max_faults) {
@@ -222,26 +225,28 @@
   return found;
 }
 
-TEST_CASE("three members, every fault of up to two at any point: all hold all alive once the faults end",
+TEST_CASE("three members, every fault of up to two at any point: all are alive to all once the faults end",
           "[membership]") {
   const Exploration found = explore(2, seconds(5), 200'000);
   INFO(found.states << " states, " << found.ends << " ends, " << found.false_deaths
-                    << " with somebody held dead");
+                    << " with a member considered dead");
   CHECK(found.states > 5'000);
   CHECK(found.states < 200'000);  // all of them
   CHECK(found.false_deaths > 0);
-  CHECK(found.unsound == 0);
-  CHECK(found.unhealed == 0);
+  CHECK(found.inconsistent == 0);
+  CHECK(found.unrecovered == 0);
 }
 
 TEST_CASE("three members, up to three and four faults", "[.explore]") {
   for (const auto& [max_faults, time] : {std::pair(2, 12), std::pair(3, 5), std::pair(4, 3)}) {
     const Exploration found = explore(max_faults, seconds(time), 3'000'000);
     std::printf(
-        "%d faults in %d s: %zu states, %zu ends, %zu with somebody held dead, unsound %zu, unhealed %zu\n",
-        max_faults, time, found.states, found.ends, found.false_deaths, found.unsound, found.unhealed);
-    CHECK(found.unsound == 0);
-    CHECK(found.unhealed == 0);
+        "%d faults in %d s: %zu states, %zu ends, %zu with a member considered dead, "
+        "inconsistent %zu, unrecovered %zu\n",
+        max_faults, time, found.states, found.ends, found.false_deaths, found.inconsistent,
+        found.unrecovered);
+    CHECK(found.inconsistent == 0);
+    CHECK(found.unrecovered == 0);
   }
 }
 
--- a/tests/dispatcher/property.hpp
+++ b/tests/dispatcher/property.hpp
@@ -11,6 +11,7 @@
 
 namespace dispatcher::testing {
 
+// Checks the property for `cases` drawn cases, whose size grows to `size`.
 template <class Property>
 void holds(Property&& property, int cases = 300, int size = 100) {
   rc::detail::TestParams params;
--- a/tests/dispatcher/router_fixture.hpp
+++ b/tests/dispatcher/router_fixture.hpp
@@ -36,25 +36,30 @@
   std::mt19937_64 generator_;
 };
 
-Duration micros(double seconds);
-double to_seconds(Duration duration);
+// Rounded to microseconds.
+[[nodiscard]] Duration micros(double seconds);
+[[nodiscard]] double to_seconds(Duration duration);
 
-// Single-threaded: all routers run in the timers of one queue.
+// The processes, their clients and the fleet. Single-threaded: all routers run in the timers of one queue.
 class RouterFixture {
  public:
+  // An attempt that a process has sent.
   struct SentAttempt {
     Time at{};
     std::size_t process = 0;
     std::string endpoint;
     double work = 0;  // over the mean of its stage
   };
+  // How a request has ended; kOpen: not yet.
   enum class End { kOpen, kServed, kRejected, kFailed };
+  // A request that a client submits to one process.
   struct Submission {
     std::size_t process = 0;
     routing::Request request;  // its deadline is filled in, by class and length
     int answer_tokens = 1;
     End end = End::kOpen;
-    Time submitted_at{}, ended_at{};
+    Time submitted_at{};
+    Time ended_at{};
   };
 
   // Settings and fleet as in the parameters, whose mean lengths are those of requests of mean work.
@@ -68,7 +73,7 @@
   void update_all_lists();
   // Its open requests fail; it starts with empty state and the list it had.
   void restart(std::size_t process);
-  void submit(Submission submission);
+  void submit(Submission submission);  // now
   void at(Time time, std::function<void()> action) { timers_.add(time, std::move(action)); }
   void run_until(Time time);
 
@@ -87,7 +92,8 @@
     std::string endpoint;
     int number = 0;
     Time sent_at{};
-    bool in_flight = false, streaming = false;
+    bool in_flight = false;
+    bool streaming = false;
     engine::TimerQueue::Id timeout;
   };
   struct Process {
--- a/tests/dispatcher/slow_start_test.cpp
+++ b/tests/dispatcher/slow_start_test.cpp
@@ -13,6 +13,7 @@
 namespace dispatcher::testing {
 namespace {
 
+// What clients send, and how fast replicas serve it.
 struct Traffic {
   const char* name;
   double capacity;                       // requests of mean work a second that a warm replica can serve
@@ -21,27 +22,38 @@
   bool has_exponential_lengths = false;  // else between half and one and a half times the mean
 };
 
+// A fleet of processes before sixteen replicas, some of which restart.
 struct Scenario {
   std::size_t processes = 1;
   Traffic traffic{};
-  double load = 0.5;          // of the warm fleet's capacity
-  bool has_restarts = false;  // each process restarts once during the ramp
-  double overload_multiple = 4, initial_share = 0.3, overload_window = 2;  // seconds
-  int lost_writers = 0;                                                    // of the first zone, for good
+  double load = 0.5;             // of the warm fleet's capacity
+  bool has_restarts = false;     // each process restarts once during the ramp
+  double overload_multiple = 4;  // these three: of the settings; the window in seconds
+  double initial_share = 0.3;
+  double overload_window = 2;
+  int lost_writers = 0;       // of the first zone, for good
   int restarted = 1;          // of the four readers and the four writers of each zone
   double max_list_delay = 4;  // seconds until a process has the list with the restarted replicas
   double burst_start = 1.5;   // seconds after the restart
 };
 
+// What a run has measured.
 struct Measurement {
   // Requests of mean work, of the window that comes nearest to its bound.
-  double allowed = 0, sent = 0, bound = 0;
+  double allowed = 0;
+  double sent = 0;
+  double bound = 0;
   // Requests sent to a restarted replica over those of its peers: in the halves of the ramp, and after it.
-  double early = 0, late = 0, warm = 0;
+  double early = 0;
+  double late = 0;
+  double warm = 0;
 };
 
 // Phases, in seconds.
-constexpr double kBefore = 6, kDown = 1, kRamp = 8, kAfter = 5;
+constexpr double kBefore = 6;
+constexpr double kDown = 1;
+constexpr double kRamp = 8;
+constexpr double kAfter = 5;
 
 // The replica's number within its cell and role.
 int number_of(const std::string& endpoint) { return endpoint.back() - '0'; }
@@ -111,16 +123,18 @@
   }
 
  private:
-  double rate() const {
+  using SentAttempts = std::vector<const RouterFixture::SentAttempt*>;
+
+  [[nodiscard]] double rate() const {
     const bool is_burst = fixture_.now() > restart_ + micros(scenario_.burst_start) &&
                           fixture_.now() < restart_ + micros(scenario_.burst_start + 3);
     const double endpoints = 8 - scenario_.lost_writers;
-    return scenario_.load * scenario_.traffic.capacity * endpoints *
-           (is_burst ? scenario_.traffic.burst_factor : 1);
+    const double steady_rate = scenario_.load * scenario_.traffic.capacity * endpoints;
+    return is_burst ? steady_rate * scenario_.traffic.burst_factor : steady_rate;
   }
   double length() {
-    return scenario_.traffic.has_exponential_lengths ? std::min(random_.exponential(1), 8.0)
-                                                     : 0.5 + random_.unit();
+    if (scenario_.traffic.has_exponential_lengths) return std::min(random_.exponential(1), 8.0);
+    return 0.5 + random_.unit();
   }
   void submit_next(Time end) {
     fixture_.at(fixture_.now() + micros(random_.exponential(1 / rate())), [this, end] {
@@ -151,31 +165,34 @@
 
   [[nodiscard]] Measurement measure() const {
     Measurement measurement;
-    std::map<std::string, std::vector<const RouterFixture::SentAttempt*>> by_endpoint;
+    std::map<std::string, SentAttempts> by_endpoint;
     for (const auto& sent : fixture_.sent_attempts()) {
       if (is_restarted(sent.endpoint) && sent.at >= restart_) by_endpoint[sent.endpoint].push_back(&sent);
     }
-    for (const auto& [endpoint, sends] : by_endpoint) {
-      double sum = 0;
-      for (std::size_t first = 0, i = 0; i < sends.size(); ++i) {
-        const Time at = sends[i]->at;
-        sum += sends[i]->work;
-        while (sends[first]->at <= at - micros(scenario_.overload_window)) sum -= sends[first++]->work;
-        if (at > restart_ + micros(kRamp)) break;
-        const double limit = allowed(at);
-        const double bound = limit + 2 * std::sqrt(limit) + 2;
-        if (measurement.bound == 0 || sum / bound > measurement.sent / measurement.bound)
-          measurement = {limit, sum, bound};
-      }
-    }
+    for (const auto& [endpoint, sends] : by_endpoint) measure_windows(sends, measurement);
     measurement.early = relative_share(restart_ + micros(1), restart_ + micros(kRamp / 2));
     measurement.late = relative_share(restart_ + micros(kRamp / 2), restart_ + micros(kRamp));
     measurement.warm = relative_share(restart_ + micros(kRamp + 1), restart_ + micros(kRamp + kAfter));
     return measurement;
   }
+  // Slides a window over what was sent to one replica during the ramp.
+  void measure_windows(const SentAttempts& sends, Measurement& measurement) const {
+    double sum = 0;
+    std::size_t first = 0;
+    for (const RouterFixture::SentAttempt* latest : sends) {
+      sum += latest->work;
+      while (sends[first]->at <= latest->at - micros(scenario_.overload_window)) sum -= sends[first++]->work;
+      if (latest->at > restart_ + micros(kRamp)) break;
+      const double limit = allowed(latest->at);
+      const double bound = limit + 2 * std::sqrt(limit) + 2;
+      if (measurement.bound == 0 || sum / bound > measurement.sent / measurement.bound)
+        measurement = {.allowed = limit, .sent = sum, .bound = bound};
+    }
+  }
   // Requests that a restarted replica got, over those of a warm one.
   [[nodiscard]] double relative_share(Time from, Time to) const {
-    double to_restarted = 0, to_warm = 0;
+    double to_restarted = 0;
+    double to_warm = 0;
     for (const auto& sent : fixture_.sent_attempts()) {
       if (sent.at < from || sent.at >= to) continue;
       (is_restarted(sent.endpoint) ? to_restarted : to_warm) += 1;
@@ -210,15 +227,20 @@
   return measurement;
 }
 
-const Traffic kThin{"thin", 10}, kDense{"dense", 50}, kUneven{"uneven", 25, true},
-    kBursty{"bursty", 25, false, 2.5}, kBoth{"uneven bursts", 25, true, 2.5},
-    kSpread{"lengths spread", 10, false, 1, true},
-    kSpreadBursts{"bursts, lengths spread", 10, false, 2.5, true};
+constexpr Traffic kThin{.name = "thin", .capacity = 10};
+constexpr Traffic kDense{.name = "dense", .capacity = 50};
+constexpr Traffic kUneven{.name = "uneven", .capacity = 25, .is_uneven = true};
+constexpr Traffic kBursty{.name = "bursty", .capacity = 25, .burst_factor = 2.5};
+constexpr Traffic kUnevenBursts{
+    .name = "uneven bursts", .capacity = 25, .is_uneven = true, .burst_factor = 2.5};
+constexpr Traffic kSpread{.name = "lengths spread", .capacity = 10, .has_exponential_lengths = true};
+constexpr Traffic kSpreadBursts{
+    .name = "bursts, lengths spread", .capacity = 10, .burst_factor = 2.5, .has_exponential_lengths = true};
 
 constexpr auto kSizes = {1U, 3U, 20U, 30U, 100U, 300U};
 
 Scenario small_multiple(std::size_t processes, const Traffic& traffic, double load) {
-  Scenario scenario{processes, traffic, load};
+  Scenario scenario{.processes = processes, .traffic = traffic, .load = load};
   scenario.overload_multiple = 2.5;
   scenario.initial_share = 0.29;
   scenario.overload_window = 1.5;
@@ -228,21 +250,24 @@
 TEST_CASE("no window of a replica in slow start is overfull at half load, whatever the number of processes",
           "[cold]") {
   for (const std::size_t processes : kSizes)
-    for (const Traffic& traffic : {kThin, kUneven, kBursty, kSpread}) check({processes, traffic, 0.5}, 11);
+    for (const Traffic& traffic : {kThin, kUneven, kBursty, kSpread})
+      check({.processes = processes, .traffic = traffic, .load = 0.5}, 11);
 }
 
 TEST_CASE("no window of a replica in slow start is overfull at high load", "[cold]") {
   for (const std::size_t processes : kSizes)
-    for (const Traffic& traffic : {kThin, kBoth, kSpreadBursts}) check({processes, traffic, 0.8}, 12);
+    for (const Traffic& traffic : {kThin, kUnevenBursts, kSpreadBursts})
+      check({.processes = processes, .traffic = traffic, .load = 0.8}, 12);
 }
 
 TEST_CASE("processes with much to send keep within a starting replica's windows too", "[cold]") {
-  for (const std::size_t processes : {1U, 3U, 20U, 30U}) check({processes, kDense, 0.8}, 13);
+  for (const std::size_t processes : {1U, 3U, 20U, 30U})
+    check({.processes = processes, .traffic = kDense, .load = 0.8}, 13);
 }
 
 TEST_CASE("processes that restart during the ramp don't overload a replica in slow start", "[cold]") {
   for (const std::size_t processes : kSizes) {
-    for (const Traffic& traffic : {kThin, kBoth}) {
+    for (const Traffic& traffic : {kThin, kUnevenBursts}) {
       Scenario scenario = small_multiple(processes, traffic, 0.8);
       scenario.has_restarts = true;
       check(scenario, 14);
@@ -262,8 +287,9 @@
 }
 
 TEST_CASE("what many starting replicas serve raises nobody's budget at one of them", "[cold]") {
+  const Traffic traffic{.name = "uneven bursts", .capacity = 50, .is_uneven = true, .burst_factor = 2.5};
   for (const std::size_t processes : {1U, 3U, 20U}) {
-    Scenario scenario = small_multiple(processes, {"uneven bursts", 50, true, 2.5}, 0.8);
+    Scenario scenario = small_multiple(processes, traffic, 0.8);
     scenario.restarted = 3;
     scenario.max_list_delay = 0.1;
     scenario.burst_start = 0.2;
@@ -285,7 +311,7 @@
 
 TEST_CASE("what a replica in slow start gets rises with its capacity", "[cold]") {
   for (const std::size_t processes : {1U, 3U, 20U, 300U}) {
-    Scenario scenario = small_multiple(processes, {"steady", 50}, 0.5);
+    Scenario scenario = small_multiple(processes, {.name = "steady", .capacity = 50}, 0.5);
     scenario.max_list_delay = 0.1;
     const Measurement measurement = check(scenario, 16);
     INFO(processes << " processes: part of a warm peer's " << measurement.early << ", then "
