--- a/src/gossip/byte_budget.hpp
+++ b/src/gossip/byte_budget.hpp
@@ -1,5 +1,5 @@
 // How many bytes a member may send, over all receivers: a token bucket. Answers to probes may run it into
-// debt up to a bound; what can wait asks how much is available.
+// debt up to a bound; what can wait asks how much is available. No I/O; the clock is passed in.
 #ifndef DISPATCHER_GOSSIP_BYTE_BUDGET_HPP_
 #define DISPATCHER_GOSSIP_BYTE_BUDGET_HPP_
 
@@ -16,7 +16,8 @@
 // The token bucket of one member. Part of a GossipNode; used on its thread.
 class ByteBudget {
  public:
-  // Within any time t at most rate * t + burst + debt bytes are sent; `rate` is in bytes a second.
+  // Within any time t at most rate * t + burst + debt bytes are sent; `rate` is in bytes a second, the others
+  // in bytes. It starts full.
   ByteBudget(std::int64_t rate, std::int64_t burst, std::int64_t debt, Time now)
       : rate_(rate),
         burst_(burst * kMicrosPerByte),
@@ -39,8 +40,8 @@
   }
 
  private:
-  static constexpr std::int64_t kMicrosPerByte =
-      1'000'000;  // so that a byte a second accrues one a microsecond
+  // A byte a second accrues one millionth of a byte a microsecond.
+  static constexpr std::int64_t kMicrosPerByte = 1'000'000;
   static constexpr Duration kMaxElapsed = std::chrono::hours(1);  // keeps the product within 64 bits
 
   void refill(Time now) {
@@ -50,9 +51,8 @@
     refilled_at_ = now;
   }
 
-  // All but the rate in millionths of a byte.
-  std::int64_t rate_;
-  std::int64_t burst_;
+  std::int64_t rate_;   // bytes a second, which is millionths of a byte a microsecond
+  std::int64_t burst_;  // this and the next two in millionths of a byte
   std::int64_t debt_;
   std::int64_t level_;
   Time refilled_at_;
--- a/src/gossip/codec.hpp
+++ b/src/gossip/codec.hpp
@@ -11,7 +11,8 @@
 namespace dispatcher::gossip {
 
 // Decodes what came from the address of `from`. An entry beyond its bounds is skipped and counted; the
-// datagram is dropped where its head or its probe is wrong. `tier` and `member_count` are this process's.
+// datagram is dropped where its head or its probe is wrong, for the reason returned. `tier` and
+// `member_count` are this process's. It checks nothing against earlier datagrams: see ReplayWindow.
 [[nodiscard]] std::variant<Message, DropReason> decode(std::span<const std::uint8_t> bytes, MemberIndex from,
                                                        std::uint32_t tier, MemberIndex member_count);
 
--- a/src/gossip/datagram_builder.hpp
+++ b/src/gossip/datagram_builder.hpp
@@ -1,4 +1,4 @@
-// Writes datagrams.
+// Writes datagrams, in the format of wire.proto.
 #ifndef DISPATCHER_GOSSIP_DATAGRAM_BUILDER_HPP_
 #define DISPATCHER_GOSSIP_DATAGRAM_BUILDER_HPP_
 
@@ -16,24 +16,30 @@
 // set; content that didn't fit is left out. A local of whoever sends; not shared between threads.
 class DatagramBuilder {
  public:
+  // Begins with the head, which always fits.
   explicit DatagramBuilder(const Sender& sender);
   ~DatagramBuilder();
   DatagramBuilder(DatagramBuilder&&) noexcept;
   DatagramBuilder& operator=(DatagramBuilder&&) = delete;
 
-  bool add(const Probe& probe);
+  bool add(const Probe& probe);  // once
+  // Of the sender's view of the fleet; once. A hash of 0 is left out, as on the wire it means none.
   bool add_members_hash(std::uint32_t hash);
+  // Of the entries of a group of owners; once.
   bool add_group(MemberIndex group, std::uint32_t hash);
   bool add(const MemberUpdate& update);
   bool add(const QuotaRequest& request);
   bool add(const QuotaGrant& grant);
   bool add(const QuotaReturn& returned);
   bool add(const Entry& entry);
+  // A datagram's digests all have one role: once one is a reply, all are.
   bool add(const Digest& digest, DigestRole role);
 
   // Bounds the size from here on; what is there already stays.
   void set_limit(std::size_t max_bytes);
+  // Bytes of the datagram so far.
   [[nodiscard]] std::size_t size() const;
+  // Bytes that may be added.
   [[nodiscard]] std::size_t remaining() const { return size() < max_bytes_ ? max_bytes_ - size() : 0; }
   // None only where the sender's head alone is too long, which its bounds rule out.
   [[nodiscard]] std::optional<Datagram> finish() const;
--- a/src/gossip/drafts.hpp
+++ b/src/gossip/drafts.hpp
@@ -33,7 +33,9 @@
   [[nodiscard]] Draft& to(MemberIndex receiver);
   // Each message becomes a draft of its own: a datagram has one probe.
   void add(const std::vector<membership::OutgoingMessage>& messages);
+  // The messages of one receiver share drafts, as many as always fit one datagram in each.
   void add(const std::vector<replicated_state::QuotaMessage>& messages);
+  // Another draft to this receiver. Valid until the next call of any add.
   Draft& add_new(MemberIndex receiver);
   [[nodiscard]] std::vector<Draft>& all() { return drafts_; }
 
--- a/src/gossip/gossip_node.cpp
+++ b/src/gossip/gossip_node.cpp
@@ -19,7 +19,7 @@
   return membership::Random(static_cast<std::uint32_t>(mixed >> 32U));
 }
 
-// Answers to probes may go out on a debt of a second's bytes, as silence would be taken for death.
+// Answers to probes may go out on a debt of a second's bytes, as without them the member would be suspected.
 std::int64_t max_debt(const NodeOptions& options) { return options.bytes_per_second; }
 
 }  // namespace
@@ -254,7 +254,7 @@
     } else {
       apply_peer_change(now, change);
     }
-    if (on_change_) on_change_(change);
+    if (observe_change_) observe_change_(change);
   }
 }
 
--- a/src/gossip/gossip_node.hpp
+++ b/src/gossip/gossip_node.hpp
@@ -1,6 +1,6 @@
-// One dispatcher's part in its fleet: who is alive, what each member replicates, and the quotas that add up.
-// No I/O: the clock, the randomness and the datagrams are passed in, and datagrams to be sent are returned.
-// UdpTransport carries them.
+// One dispatcher's part in its fleet: SWIM membership, the replicated map and the bounded counters, whose
+// messages share datagrams. No I/O: the clock, the seed and the datagrams are passed in, and datagrams to be
+// sent are returned. UdpTransport carries them.
 #ifndef DISPATCHER_GOSSIP_GOSSIP_NODE_HPP_
 #define DISPATCHER_GOSSIP_GOSSIP_NODE_HPP_
 
@@ -36,9 +36,10 @@
 class GossipNode {
  public:
   using OutgoingDatagrams = std::vector<OutgoingDatagram>;
-  using OnChange = std::function<void(const membership::MemberChange&)>;
+  using ChangeObserver = std::function<void(const membership::MemberChange&)>;
 
-  // `incarnation`: when this process started, ms since the Unix epoch. `kinds` outlives the node.
+  // `incarnation`: when this process started, ms since the Unix epoch. All randomness follows from `seed`.
+  // `kinds` outlives the node.
   GossipNode(const NodeOptions& options, const replicated_state::EntryKinds& kinds, std::uint64_t incarnation,
              std::uint64_t seed, Time now);
 
@@ -51,6 +52,7 @@
                                               std::span<const std::uint8_t> bytes);
   // Announces the end of this process to a few members.
   [[nodiscard]] OutgoingDatagrams leave(Time now);
+  // When tick() has something to do next; in the past where it has already.
   [[nodiscard]] Time next_deadline() const;
 
   // Writes to the node's entries and quotas. Messages follow with the next tick, which next_deadline() may
@@ -62,8 +64,8 @@
   [[nodiscard]] const replicated_state::ReplicatedMap& entries() const { return entries_; }
   [[nodiscard]] const replicated_state::BoundedCounter& quotas() const { return quotas_; }
   [[nodiscard]] const membership::Membership& members() const { return members_; }
-  // Sets who is called at each change of a member. It must not change the node.
-  void on_change(OnChange on_change) { on_change_ = std::move(on_change); }
+  // Sets who is called at each change of a member, this one included. It must not change the node.
+  void set_change_observer(ChangeObserver observer) { observe_change_ = std::move(observer); }
 
   // A datagram came from an address that is no member's.
   void on_unknown_address() { count_drop(DropReason::kUnknownAddress); }
@@ -72,11 +74,11 @@
   struct Counts {
     std::uint64_t sent = 0;  // a datagram to all members counts once for each
     std::uint64_t sent_bytes = 0;
-    std::uint64_t received = 0;
+    std::uint64_t received = 0;  // of others, whether accepted or dropped
     std::uint64_t received_bytes = 0;
-    std::uint64_t deferred = 0;         // datagrams not sent, for want of byte budget
-    std::uint64_t invalid_entries = 0;  // skipped within accepted datagrams
-    std::array<std::uint64_t, kDropReasonCount> dropped{};
+    std::uint64_t deferred = 0;                             // datagrams not sent, for want of byte budget
+    std::uint64_t invalid_entries = 0;                      // skipped within accepted datagrams
+    std::array<std::uint64_t, kDropReasonCount> dropped{};  // by DropReason
   };
   [[nodiscard]] const Counts& counts() const { return counts_; }
 
@@ -106,10 +108,10 @@
   replicated_state::BoundedCounter quotas_;
   ByteBudget budget_;
   ReplayWindow replay_window_;
-  std::uint32_t serial_ = 0;
+  std::uint32_t serial_ = 0;          // of the latest datagram
   MemberIndex group_ = 0;             // whose hash went out last
   std::optional<Time> broadcast_at_;  // an entry was written that is worth a datagram to all
-  OnChange on_change_;
+  ChangeObserver observe_change_;
   Counts counts_;
 };
 
--- a/src/gossip/peer_config.cpp
+++ b/src/gossip/peer_config.cpp
@@ -32,7 +32,7 @@
   const Json* allowed = limits == nullptr ? nullptr : find_member(*limits, kPeersKey);
   if (allowed == nullptr) return false;
   if (!allowed->is_boolean())
-    throw PeerConfigError({PeerConfigFault::kInvalidPermission, "limits.peers", 0, 0});
+    throw PeerConfigError({PeerConfigErrorCode::kInvalidPermission, "limits.peers", 0, 0});
   return allowed->get<bool>();
 }
 
@@ -40,13 +40,13 @@
   const Json* tier = find_member(settings, kTierKey);
   if (tier == nullptr) return 0;
   if (!tier->is_number_unsigned() || tier->get<std::uint64_t>() > kMaxTier)
-    throw PeerConfigError({PeerConfigFault::kInvalidTier, kTierKey, 0, 0});
+    throw PeerConfigError({PeerConfigErrorCode::kInvalidTier, kTierKey, 0, 0});
   return tier->get<std::uint32_t>();
 }
 
 udp::endpoint read_address(const Json& value, const std::string& field) {
   const auto parsed = value.is_string() ? net::parse_endpoint(value.get<std::string>()) : std::nullopt;
-  if (!parsed) throw PeerConfigError({PeerConfigFault::kInvalidAddress, field, 0, 0});
+  if (!parsed) throw PeerConfigError({PeerConfigErrorCode::kInvalidAddress, field, 0, 0});
   return {parsed->address(), parsed->port()};
 }
 
@@ -59,7 +59,7 @@
 std::vector<udp::endpoint> read_peers(const Json& configuration) {
   const Json* peers = find_member(configuration, kPeersKey);
   if (peers == nullptr) return {};
-  if (!peers->is_array()) throw PeerConfigError({PeerConfigFault::kPeersNotAList, kPeersKey, 0, 0});
+  if (!peers->is_array()) throw PeerConfigError({PeerConfigErrorCode::kPeersNotAList, kPeersKey, 0, 0});
   std::vector<udp::endpoint> addresses;
   for (std::size_t i = 0; i < peers->size(); ++i) {
     const std::string field = std::string(kPeersKey) + "[" + std::to_string(i) + "]";
@@ -69,21 +69,21 @@
 }
 
 std::string describe(const PeerConfigProblem& problem) {
-  switch (problem.fault) {
-    case PeerConfigFault::kInvalidPermission:
+  switch (problem.code) {
+    case PeerConfigErrorCode::kInvalidPermission:
       return "true or false expected";
-    case PeerConfigFault::kInvalidTier:
+    case PeerConfigErrorCode::kInvalidTier:
       return "number expected";
-    case PeerConfigFault::kInvalidAddress:
+    case PeerConfigErrorCode::kInvalidAddress:
       return "address and port expected";
-    case PeerConfigFault::kPeersNotAList:
+    case PeerConfigErrorCode::kPeersNotAList:
       return "list of addresses expected";
-    case PeerConfigFault::kListenMissing:
+    case PeerConfigErrorCode::kListenMissing:
       return "missing, though talk is allowed";
-    case PeerConfigFault::kPeerCountMismatch:
+    case PeerConfigErrorCode::kPeerCountMismatch:
       return std::to_string(problem.expected_count) + " addresses expected, one a dispatcher, not " +
              std::to_string(problem.actual_count);
-    case PeerConfigFault::kDuplicatePeer:
+    case PeerConfigErrorCode::kDuplicatePeer:
       return "an address stands twice";
   }
   return {};
@@ -92,8 +92,8 @@
 }  // namespace
 
 std::string to_text(const PeerConfigProblem& problem) {
-  const bool is_in_settings =
-      problem.fault == PeerConfigFault::kInvalidPermission || problem.fault == PeerConfigFault::kInvalidTier;
+  const bool is_in_settings = problem.code == PeerConfigErrorCode::kInvalidPermission ||
+                              problem.code == PeerConfigErrorCode::kInvalidTier;
   const std::string place = is_in_settings ? "settings: " : "";
   return place + "field '" + problem.field + "': " + describe(problem);
 }
@@ -112,12 +112,12 @@
 }
 
 void check_peers(const PeerConfig& config, std::size_t member_count) {
-  if (!config.listen) throw PeerConfigError({PeerConfigFault::kListenMissing, kListenKey, 0, 0});
+  if (!config.listen) throw PeerConfigError({PeerConfigErrorCode::kListenMissing, kListenKey, 0, 0});
   const std::size_t count = config.peers.size();
   if (count != member_count)
-    throw PeerConfigError({PeerConfigFault::kPeerCountMismatch, kPeersKey, member_count, count});
+    throw PeerConfigError({PeerConfigErrorCode::kPeerCountMismatch, kPeersKey, member_count, count});
   const std::set<udp::endpoint> distinct(config.peers.begin(), config.peers.end());
-  if (distinct.size() != count) throw PeerConfigError({PeerConfigFault::kDuplicatePeer, kPeersKey, 0, 0});
+  if (distinct.size() != count) throw PeerConfigError({PeerConfigErrorCode::kDuplicatePeer, kPeersKey, 0, 0});
 }
 
 }  // namespace dispatcher::gossip
--- a/src/gossip/peer_config.hpp
+++ b/src/gossip/peer_config.hpp
@@ -26,7 +26,7 @@
 };
 
 // Why peers can't be used.
-enum class PeerConfigFault : std::uint8_t {
+enum class PeerConfigErrorCode : std::uint8_t {
   kInvalidPermission,  // limits.peers is no boolean
   kInvalidTier,        // no number, or too large
   kInvalidAddress,     // no address and port; `field` names it
@@ -38,7 +38,7 @@
 
 // What is wrong with the peers, and where.
 struct PeerConfigProblem {
-  PeerConfigFault fault{};
+  PeerConfigErrorCode code{};
   std::string field;               // as the configuration spells it, such as peers[1]
   std::size_t expected_count = 0;  // kPeerCountMismatch: of dispatchers
   std::size_t actual_count = 0;    // kPeerCountMismatch: of addresses
--- a/src/gossip/udp_transport.cpp
+++ b/src/gossip/udp_transport.cpp
@@ -46,8 +46,8 @@
 void UdpTransport::receive() {
   socket_.async_receive_from(
       boost::asio::buffer(receive_buffer_), sender_address_,
-      [this, alive = std::weak_ptr(alive_)](boost::system::error_code error, std::size_t size) {
-        if (alive.expired() || !socket_.is_open()) return;
+      [this, lifetime = std::weak_ptr(lifetime_)](boost::system::error_code error, std::size_t size) {
+        if (lifetime.expired() || !socket_.is_open()) return;
         // An error here is the answer of a host to what was sent to a member that is down.
         if (!error) on_datagram(size);
         receive();
--- a/src/gossip/udp_transport.hpp
+++ b/src/gossip/udp_transport.hpp
@@ -31,8 +31,10 @@
   void leave();
   // Closes the socket without any announcement.
   void stop();
+  // The address that it is bound to; not after stop().
   [[nodiscard]] udp::endpoint local() const { return socket_.local_endpoint(); }
-  // For tests on ephemeral ports, which are known only once all sockets are bound.
+  // Replaces the peers' addresses; the socket stays. For tests on ephemeral ports, which are known only once
+  // all sockets are bound.
   void set_peer_config(const PeerConfig& config);
 
  private:
@@ -51,7 +53,7 @@
   udp::endpoint sender_address_;
   std::array<std::uint8_t, kMaxDatagramBytes + 1> receive_buffer_{};  // one more, to detect longer ones
   engine::TimerQueue::Id timer_;
-  std::shared_ptr<char> alive_ = std::make_shared<char>();  // expires with the transport
+  std::shared_ptr<char> lifetime_ = std::make_shared<char>();  // expires with the transport
 };
 
 }  // namespace dispatcher::gossip
--- a/src/membership/suspicion.hpp
+++ b/src/membership/suspicion.hpp
@@ -1,5 +1,6 @@
-// How long a suspicion awaits its member's refutation, and how far a member trusts itself: from Lifeguard
-// (Dadgar, Phillips, Currey, "Lifeguard: local health awareness for more accurate failure detection", 2018).
+// How long a suspicion awaits its member's refutation, and how healthy a member takes itself to be: from
+// Lifeguard (Dadgar, Phillips, Currey, "Lifeguard: local health awareness for more accurate failure
+// detection", 2018).
 #ifndef DISPATCHER_MEMBERSHIP_SUSPICION_HPP_
 #define DISPATCHER_MEMBERSHIP_SUSPICION_HPP_
 
@@ -19,10 +20,13 @@
             Duration max_timeout);
   // True: the accuser is a new one, and its confirmation still counts.
   bool confirm(MemberIndex accuser);
+  // From its start on, by the confirmations so far.
   [[nodiscard]] Duration timeout() const;
+  // When its member is to be declared dead.
   [[nodiscard]] Time deadline() const { return since_ + timeout(); }
   // Adds time in which this process did not run.
   void extend(Duration pause) { since_ += pause; }
+  // Who suspects the member, the first accuser first.
   [[nodiscard]] const std::vector<MemberIndex>& accusers() const { return accusers_; }
 
  private:
@@ -43,8 +47,10 @@
     const unsigned headroom = max_score_ - score_;
     score_ = amount >= headroom ? max_score_ : score_ + amount;
   }
+  // A probe has succeeded.
   void improve() { score_ -= score_ > 0 ? 1 : 0; }
   [[nodiscard]] unsigned score() const { return score_; }
+  // A probe's interval or timeout as it is to be at this health.
   [[nodiscard]] Duration scaled(Duration time) const {
     return time * (1 + static_cast<Duration::rep>(score_));
   }
--- a/src/replicated_state/entry_kinds.cpp
+++ b/src/replicated_state/entry_kinds.cpp
@@ -11,26 +11,26 @@
 namespace {
 
 // What is wrong with the kind's own bounds, if anything is.
-std::optional<EntryKindFault> check_bounds(const EntryKind& kind) {
-  if (kind.id == 0 || kind.id > kMaxKindId) return EntryKindFault::kInvalidId;
-  if (kind.max_payload_bytes > kMaxPayloadBytes) return EntryKindFault::kPayloadTooLong;
-  if (!kind.is_valid) return EntryKindFault::kNoValidator;
+std::optional<EntryKindErrorCode> check_bounds(const EntryKind& kind) {
+  if (kind.id == 0 || kind.id > kMaxKindId) return EntryKindErrorCode::kInvalidId;
+  if (kind.max_payload_bytes > kMaxPayloadBytes) return EntryKindErrorCode::kPayloadTooLong;
+  if (!kind.is_valid) return EntryKindErrorCode::kNoValidator;
   const bool has_positive_times = kind.max_age > Duration::zero() && kind.half_life > Duration::zero();
-  if (!has_positive_times || kind.max_transmissions == 0) return EntryKindFault::kInvalidSpread;
+  if (!has_positive_times || kind.max_transmissions == 0) return EntryKindErrorCode::kInvalidSpread;
   return std::nullopt;
 }
 
 std::string describe(const EntryKindProblem& problem) {
-  switch (problem.fault) {
-    case EntryKindFault::kInvalidId:
+  switch (problem.code) {
+    case EntryKindErrorCode::kInvalidId:
       return "bad number";
-    case EntryKindFault::kPayloadTooLong:
+    case EntryKindErrorCode::kPayloadTooLong:
       return "payload too long";
-    case EntryKindFault::kNoValidator:
+    case EntryKindErrorCode::kNoValidator:
       return "declares no bounds";
-    case EntryKindFault::kInvalidSpread:
+    case EntryKindErrorCode::kInvalidSpread:
       return "bad age, half-life or spread";
-    case EntryKindFault::kIdTaken:
+    case EntryKindErrorCode::kIdTaken:
       return "number taken by " + problem.registered_name;
   }
   return {};
@@ -43,9 +43,9 @@
 }
 
 const EntryKind& EntryKinds::add(EntryKind kind) {
-  if (const auto fault = check_bounds(kind)) throw EntryKindError({*fault, kind.id, kind.name, {}});
+  if (const auto code = check_bounds(kind)) throw EntryKindError({*code, kind.id, kind.name, {}});
   if (const EntryKind* registered = find(kind.id))
-    throw EntryKindError({EntryKindFault::kIdTaken, kind.id, kind.name, registered->name});
+    throw EntryKindError({EntryKindErrorCode::kIdTaken, kind.id, kind.name, registered->name});
   return kinds_.emplace(kind.id, std::move(kind)).first->second;
 }
 
--- a/src/replicated_state/entry_kinds.hpp
+++ b/src/replicated_state/entry_kinds.hpp
@@ -39,7 +39,7 @@
 };
 
 // Why a kind can't be registered.
-enum class EntryKindFault : std::uint8_t {
+enum class EntryKindErrorCode : std::uint8_t {
   kInvalidId,       // not from 1 to kMaxKindId
   kPayloadTooLong,  // max_payload_bytes above kMaxPayloadBytes
   kNoValidator,     // is_valid is empty
@@ -49,7 +49,7 @@
 
 // A kind that was not registered, and why.
 struct EntryKindProblem {
-  EntryKindFault fault{};
+  EntryKindErrorCode code{};
   std::uint32_t id = 0;
   std::string name;
   std::string registered_name;  // kIdTaken: of the kind that has this id
--- a/src/replicated_state/failure_evidence.hpp
+++ b/src/replicated_state/failure_evidence.hpp
@@ -22,6 +22,7 @@
 
 // The kind to register.
 [[nodiscard]] EntryKind failure_evidence_kind();
+// The payload, of at most max_payload_bytes of the kind for values within their bounds.
 [[nodiscard]] std::vector<std::uint8_t> encode(const FailureEvidence& evidence);
 // None: not a message of this kind, or beyond its bounds.
 [[nodiscard]] std::optional<FailureEvidence> decode_failure_evidence(ByteView payload);
--- a/src/replicated_state/quota.hpp
+++ b/src/replicated_state/quota.hpp
@@ -1,5 +1,5 @@
 // What members of a fleet lend one another: budgets, the policy of lending, and the messages of the lending
-// protocol (see bounded_counter.hpp). Plain values without I/O.
+// protocol (see bounded_counter.hpp, which names its sources). Plain values without I/O.
 #ifndef DISPATCHER_REPLICATED_STATE_QUOTA_HPP_
 #define DISPATCHER_REPLICATED_STATE_QUOTA_HPP_
 
@@ -35,7 +35,8 @@
 inline constexpr std::uint64_t kMaxAmount = std::uint64_t{1} << 30U;  // amount * burst in µs fits 64 bits
 
 // A member's part of a budget before any lending: equal parts. The remainder goes to members from one on that
-// the budget's id selects, so that small budgets are not all with the first member.
+// the budget's id selects, so that small budgets are not all with the first member. `member` is below
+// `count`.
 [[nodiscard]] std::uint64_t initial_quota(const Budget& budget, MemberIndex member, MemberIndex count);
 
 inline constexpr Duration kMaxLease = std::chrono::seconds(15);  // bounds the wait after a restart
--- a/src/replicated_state/quota_allocation.hpp
+++ b/src/replicated_state/quota_allocation.hpp
@@ -53,13 +53,13 @@
   Time next_request_at{};
 
   [[nodiscard]] bool is_consumable() const { return budget.type == BudgetType::kConsumable; }
-  // kRate: the sum of loans that run at that time.
+  // kRate: the sum of loans to others that run at that time.
   [[nodiscard]] std::uint64_t lent_total(Time at) const;
   // kRate: the own rate that isn't lent out.
   [[nodiscard]] std::uint64_t own_rate(Time at) const;
   // Units, or the rate with loans included.
   [[nodiscard]] std::uint64_t held(Time now) const;
-  // What may be lent now.
+  // What may be lent now, in units or units a second.
   [[nodiscard]] std::uint64_t lendable(Time now) const;
   // What may be used now, in units.
   [[nodiscard]] std::uint64_t available(Time now) const;
--- a/tests/dispatcher/fleet_fixture.cpp
+++ b/tests/dispatcher/fleet_fixture.cpp
@@ -34,7 +34,7 @@
   process.node = std::make_unique<GossipNode>(options, kinds, incarnation,
                                               seed_ * 1000 + std::uint64_t{member} * 10 + ++process.restarts,
                                               clock(member));
-  process.node->on_change([this, member](const membership::MemberChange& change) {
+  process.node->set_change_observer([this, member](const membership::MemberChange& change) {
     if (on_change) on_change(member, change);
   });
   process.is_stopped = false;
@@ -70,6 +70,26 @@
   }
 }
 
+void FleetFixture::disturb(MemberIndex member, std::uint64_t draw, const std::set<MemberIndex>& receivers) {
+  switch (draw) {
+    case 0:
+      if (is_running(member)) stop(member);
+      break;
+    case 1:
+    case 2:
+      resume_all();
+      break;
+    case 4:
+      block({member}, receivers);
+      break;
+    case 5:
+      unblock_all();
+      break;
+    default:
+      break;
+  }
+}
+
 void FleetFixture::transmit(MemberIndex from, const GossipNode::OutgoingDatagrams& datagrams) {
   for (const gossip::OutgoingDatagram& outgoing : datagrams) {
     if (outgoing.to) {
--- a/tests/dispatcher/fleet_fixture.hpp
+++ b/tests/dispatcher/fleet_fixture.hpp
@@ -93,6 +93,9 @@
   // Drops all datagrams one way.
   void block(const std::set<MemberIndex>& from, const std::set<MemberIndex>& to);
   void unblock_all() { blocked_.clear(); }
+  // By a number that the caller draws: 0 stops the member, 1 and 2 resume all, 4 blocks its way to the
+  // receivers, 5 unblocks all, others do nothing.
+  void disturb(MemberIndex member, std::uint64_t draw, const std::set<MemberIndex>& receivers);
   void inject(MemberIndex from, MemberIndex to, const std::vector<std::uint8_t>& bytes) {
     deliver(from, to, bytes);
   }
--- a/tests/dispatcher/gossip_config_test.cpp
+++ b/tests/dispatcher/gossip_config_test.cpp
@@ -93,44 +93,45 @@
   CHECK_FALSE(gossip::parse_peer_config(nlohmann::json::object()).is_allowed);
 }
 
-TEST_CASE("each fault of the peers' configuration has its text", "[gossip]") {
-  using gossip::PeerConfigFault;
+TEST_CASE("each error of the peers' configuration has its text", "[gossip]") {
+  using gossip::PeerConfigErrorCode;
   using gossip::to_text;
-  CHECK(to_text({PeerConfigFault::kInvalidPermission, "limits.peers", 0, 0}) ==
+  CHECK(to_text({PeerConfigErrorCode::kInvalidPermission, "limits.peers", 0, 0}) ==
         "settings: field 'limits.peers': true or false expected");
-  CHECK(to_text({PeerConfigFault::kInvalidTier, "tier", 0, 0}) == "settings: field 'tier': number expected");
-  CHECK(to_text({PeerConfigFault::kInvalidAddress, "peers[1]", 0, 0}) ==
+  CHECK(to_text({PeerConfigErrorCode::kInvalidTier, "tier", 0, 0}) ==
+        "settings: field 'tier': number expected");
+  CHECK(to_text({PeerConfigErrorCode::kInvalidAddress, "peers[1]", 0, 0}) ==
         "field 'peers[1]': address and port expected");
-  CHECK(to_text({PeerConfigFault::kPeersNotAList, "peers", 0, 0}) ==
+  CHECK(to_text({PeerConfigErrorCode::kPeersNotAList, "peers", 0, 0}) ==
         "field 'peers': list of addresses expected");
-  CHECK(to_text({PeerConfigFault::kListenMissing, "peer_listen", 0, 0}) ==
+  CHECK(to_text({PeerConfigErrorCode::kListenMissing, "peer_listen", 0, 0}) ==
         "field 'peer_listen': missing, though talk is allowed");
-  CHECK(to_text({PeerConfigFault::kPeerCountMismatch, "peers", 4, 3}) ==
+  CHECK(to_text({PeerConfigErrorCode::kPeerCountMismatch, "peers", 4, 3}) ==
         "field 'peers': 4 addresses expected, one a dispatcher, not 3");
-  CHECK(to_text({PeerConfigFault::kDuplicatePeer, "peers", 0, 0}) ==
+  CHECK(to_text({PeerConfigErrorCode::kDuplicatePeer, "peers", 0, 0}) ==
         "field 'peers': an address stands twice");
 }
 
-TEST_CASE("what is wrong with the peers is named by a fault and a field", "[gossip]") {
-  using gossip::PeerConfigFault;
+TEST_CASE("what is wrong with the peers is named by a code and a field", "[gossip]") {
+  using gossip::PeerConfigErrorCode;
   const auto problem_of = [](const std::string& configuration) {
     try {
       static_cast<void>(gossip::parse_peer_config(nlohmann::json::parse(configuration)));
     } catch (const gossip::PeerConfigError& error) {
-      return std::pair(error.problem.fault, error.problem.field);
+      return std::pair(error.problem.code, error.problem.field);
     }
     throw std::logic_error("nothing is wrong");
   };
   CHECK(problem_of(R"({"settings": {"limits": {"peers": 1}}})") ==
-        std::pair(PeerConfigFault::kInvalidPermission, std::string("limits.peers")));
+        std::pair(PeerConfigErrorCode::kInvalidPermission, std::string("limits.peers")));
   CHECK(problem_of(R"({"settings": {"tier": 1001, "limits": {"peers": true}}})") ==
-        std::pair(PeerConfigFault::kInvalidTier, std::string("tier")));
+        std::pair(PeerConfigErrorCode::kInvalidTier, std::string("tier")));
   CHECK(problem_of(R"({"settings": {"limits": {"peers": true}}, "peer_listen": 7})") ==
-        std::pair(PeerConfigFault::kInvalidAddress, std::string("peer_listen")));
+        std::pair(PeerConfigErrorCode::kInvalidAddress, std::string("peer_listen")));
   CHECK(problem_of(R"({"settings": {"limits": {"peers": true}}, "peers_all": "x"})") ==
-        std::pair(PeerConfigFault::kInvalidAddress, std::string("peers_all")));
+        std::pair(PeerConfigErrorCode::kInvalidAddress, std::string("peers_all")));
   CHECK(problem_of(R"({"settings": {"limits": {"peers": true}}, "peers": "127.0.0.1:1"})") ==
-        std::pair(PeerConfigFault::kPeersNotAList, std::string("peers")));
+        std::pair(PeerConfigErrorCode::kPeersNotAList, std::string("peers")));
 }
 
 }  // namespace
--- a/tests/dispatcher/gossip_digest_test.cpp
+++ b/tests/dispatcher/gossip_digest_test.cpp
@@ -70,24 +70,12 @@
   }
 
   void disturb(MemberIndex member) {
-    const auto next = static_cast<MemberIndex>((member + 1) % fixture_.count());
-    switch (random_() % 40) {
-      case 0:
-        if (fixture_.is_running(member)) fixture_.stop(member);
-        break;
-      case 1:
-      case 2:
-        fixture_.resume_all();
-        break;
+    const std::uint64_t draw = random_() % 40;
+    fixture_.disturb(member, draw, {(member + 1) % fixture_.count()});
+    switch (draw) {
       case 3:
         start(member, BudgetStart::kUnknown);
         break;
-      case 4:
-        fixture_.block({member}, {next});
-        break;
-      case 5:
-        fixture_.unblock_all();
-        break;
       case 6:
         fixture_.skew[member] -= seconds(100);  // its next incarnation comes before this one
         break;
--- a/tests/dispatcher/gossip_test.cpp
+++ b/tests/dispatcher/gossip_test.cpp
@@ -130,26 +130,9 @@
   }
 
   void disturb(MemberIndex member) {
-    switch (random_() % 60) {
-      case 0:
-        if (fixture_.is_running(member)) fixture_.stop(member);
-        break;
-      case 1:
-      case 2:
-        fixture_.resume_all();
-        break;
-      case 3:
-        start(member, BudgetStart::kUnknown);
-        break;
-      case 4:
-        fixture_.block({member}, {(member + 1) % kCount, (member + 2) % kCount});
-        break;
-      case 5:
-        fixture_.unblock_all();
-        break;
-      default:
-        break;
-    }
+    const std::uint64_t draw = random_() % 60;
+    fixture_.disturb(member, draw, {(member + 1) % kCount, (member + 2) % kCount});
+    if (draw == 3) start(member, BudgetStart::kUnknown);
   }
 
   FleetFixture fixture_;
--- a/tests/dispatcher/replicated_map_test.cpp
+++ b/tests/dispatcher/replicated_map_test.cpp
@@ -226,13 +226,13 @@
   CHECK_THROWS(kinds.add(bad));
 }
 
-TEST_CASE("each fault of a kind has its text", "[replicated_state]") {
-  const auto text = [](EntryKindFault fault) { return to_text({fault, 7, "test", "other"}); };
-  CHECK(text(EntryKindFault::kInvalidId) == "kind 7 (test): bad number");
-  CHECK(text(EntryKindFault::kPayloadTooLong) == "kind 7 (test): payload too long");
-  CHECK(text(EntryKindFault::kNoValidator) == "kind 7 (test): declares no bounds");
-  CHECK(text(EntryKindFault::kInvalidSpread) == "kind 7 (test): bad age, half-life or spread");
-  CHECK(text(EntryKindFault::kIdTaken) == "kind 7 (test): number taken by other");
+TEST_CASE("each error of a kind has its text", "[replicated_state]") {
+  const auto text = [](EntryKindErrorCode code) { return to_text({code, 7, "test", "other"}); };
+  CHECK(text(EntryKindErrorCode::kInvalidId) == "kind 7 (test): bad number");
+  CHECK(text(EntryKindErrorCode::kPayloadTooLong) == "kind 7 (test): payload too long");
+  CHECK(text(EntryKindErrorCode::kNoValidator) == "kind 7 (test): declares no bounds");
+  CHECK(text(EntryKindErrorCode::kInvalidSpread) == "kind 7 (test): bad age, half-life or spread");
+  CHECK(text(EntryKindErrorCode::kIdTaken) == "kind 7 (test): number taken by other");
   EntryKind never_sent = test_kind(7);
   never_sent.max_transmissions = 0;
   EntryKinds kinds;
@@ -240,8 +240,8 @@
     kinds.add(never_sent);
     FAIL("accepted");
   } catch (const EntryKindError& error) {
-    CHECK(error.problem.fault == EntryKindFault::kInvalidSpread);
-    CHECK(error.what() == text(EntryKindFault::kInvalidSpread));
+    CHECK(error.problem.code == EntryKindErrorCode::kInvalidSpread);
+    CHECK(error.what() == text(EntryKindErrorCode::kInvalidSpread));
   }
 }
 
