--- a/src/gossip/drafts.hpp
+++ b/src/gossip/drafts.hpp
@@ -20,7 +20,7 @@
   std::vector<MemberUpdate> updates;  // that the receiver needs whatever was sent before
   ViewComparison view = ViewComparison::kUnknown;
   std::vector<Digest> digests;
-  bool is_digest_reply = false;
+  DigestRole digest_role = DigestRole::kOffer;
   std::vector<Entry> entries;  // that the receiver lacks
   // Must go out even where the byte budget is in debt.
   [[nodiscard]] bool is_urgent() const { return probe || !quota_messages.empty() || !updates.empty(); }
@@ -33,7 +33,9 @@
   [[nodiscard]] Draft& to(MemberIndex receiver);
   // Each message becomes a draft of its own: a datagram has one probe.
   void add(const std::vector<membership::OutgoingMessage>& messages);
+  // The messages of one receiver share drafts, as many as always fit one datagram in each.
   void add(const std::vector<replicated_state::QuotaMessage>& messages);
+  // Another draft to this receiver. Valid until the next call of any add.
   Draft& add_new(MemberIndex receiver);
   [[nodiscard]] std::vector<Draft>& all() { return drafts_; }
 
--- a/tests/dispatcher/fleet_fixture.cpp
+++ b/tests/dispatcher/fleet_fixture.cpp
@@ -4,6 +4,16 @@
 
 namespace dispatcher::testing {
 
+std::vector<std::uint8_t> bytes_of(const DatagramBuilder& builder) {
+  const auto datagram = builder.finish();
+  REQUIRE(datagram);
+  return bytes_of(*datagram);
+}
+
+std::vector<std::uint8_t> bytes_of(const gossip::Datagram& datagram) {
+  return {datagram.bytes().begin(), datagram.bytes().end()};
+}
+
 FleetFixture::FleetFixture(MemberIndex count, std::uint64_t seed, gossip::NodeOptions options)
     : skew(count), rate(count, 1.0), options_(options), seed_(seed), random_(seed), processes_(count) {
   options_.member_count = count;
@@ -24,7 +34,7 @@
   process.node = std::make_unique<GossipNode>(options, kinds, incarnation,
                                               seed_ * 1000 + std::uint64_t{member} * 10 + ++process.restarts,
                                               clock(member));
-  process.node->on_change([this, member](const membership::MemberChange& change) {
+  process.node->set_change_observer([this, member](const membership::MemberChange& change) {
     if (on_change) on_change(member, change);
   });
   process.is_stopped = false;
@@ -48,12 +58,38 @@
     deliver(process.waiting.front().first, member, process.waiting.front().second);
 }
 
+void FleetFixture::resume_all() {
+  for (MemberIndex member = 0; member < count(); ++member) {
+    if (!is_running(member)) resume(member);
+  }
+}
+
 void FleetFixture::block(const std::set<MemberIndex>& from, const std::set<MemberIndex>& to) {
   for (const MemberIndex sender : from) {
     for (const MemberIndex receiver : to) blocked_.emplace(sender, receiver);
   }
 }
 
+void FleetFixture::disturb(MemberIndex member, std::uint64_t draw, const std::set<MemberIndex>& receivers) {
+  switch (draw) {
+    case 0:
+      if (is_running(member)) stop(member);
+      break;
+    case 1:
+    case 2:
+      resume_all();
+      break;
+    case 4:
+      block({member}, receivers);
+      break;
+    case 5:
+      unblock_all();
+      break;
+    default:
+      break;
+  }
+}
+
 void FleetFixture::transmit(MemberIndex from, const GossipNode::OutgoingDatagrams& datagrams) {
   for (const gossip::OutgoingDatagram& outgoing : datagrams) {
     if (outgoing.to) {
