--- a/tests/dispatcher/fairness_test.cpp
+++ b/tests/dispatcher/fairness_test.cpp
@@ -82,7 +82,7 @@
     begin_ = fixture_.now();
     if (scenario_.has_slow_replicas) {
       fixture_.fleet().lose_endpoints(
-          [](const std::string& zone, bool, int number) { return zone == "z0" && number == 0; });
+          [](const std::string& zone, routing::Role, int number) { return zone == "z0" && number == 0; });
       fixture_.fleet().restore_endpoints();
     }
     fixture_.run_until(begin_ + Duration(1));
--- a/tests/dispatcher/router_fixture.cpp
+++ b/tests/dispatcher/router_fixture.cpp
@@ -58,7 +58,7 @@
   for (auto& [id, attempt] : std::exchange(process.attempts, {})) {
     if (!attempt.in_flight) continue;
     timers_.drop(attempt.timeout);
-    fleet_.abandon(attempt.work);
+    fleet_.cancel(attempt.work);
     fleet_.release(id);
     end(id, End::kFailed);
   }
@@ -123,7 +123,7 @@
 simulation::SimulatedFleet::Callbacks RouterFixture::callbacks(std::size_t process, const std::string& id) {
   const int incarnation = processes_[process].incarnation;
   simulation::SimulatedFleet::Callbacks callbacks;
-  callbacks.first = [this, process, id, incarnation] {
+  callbacks.on_first_token = [this, process, id, incarnation] {
     if (!is_running(process, incarnation)) return;
     Attempt& attempt = processes_[process].attempts[id];
     attempt.streaming = true;
@@ -131,7 +131,7 @@
     const Duration elapsed = now_ - attempt.sent_at;
     handle(process, routing::FirstToken{id, attempt.endpoint, attempt.number, elapsed});
   };
-  callbacks.ended = [this, process, id, incarnation](const engine::AttemptResult& result) {
+  callbacks.on_completed = [this, process, id, incarnation](const engine::AttemptResult& result) {
     if (is_running(process, incarnation)) end_attempt(process, id, result);
   };
   return callbacks;
@@ -157,7 +157,7 @@
   attempt.timeout =
       timers_.add(std::max(start.deadline, now_), [this, process, id = request.id, incarnation] {
         if (!is_running(process, incarnation)) return;
-        fleet_.abandon(processes_[process].attempts[id].work);
+        fleet_.cancel(processes_[process].attempts[id].work);
         end_attempt(process, id, {AttemptStatus::kTimeout, 0, {}, {}});
       });
 }
@@ -165,7 +165,7 @@
 void RouterFixture::cancel_attempt(std::size_t process, const routing::CancelAttempt& cancel) {
   const Attempt& attempt = processes_[process].attempts[cancel.request];
   if (!attempt.in_flight || attempt.streaming || attempt.number != cancel.attempt) return;
-  fleet_.abandon(attempt.work);
+  fleet_.cancel(attempt.work);
   at(now_, [this, process, id = cancel.request, incarnation = processes_[process].incarnation] {
     if (is_running(process, incarnation)) end_attempt(process, id, {AttemptStatus::kCancelled, 0, {}, {}});
   });
--- a/tests/dispatcher/slow_start_test.cpp
+++ b/tests/dispatcher/slow_start_test.cpp
@@ -107,7 +107,7 @@
     fixture_.update_all_lists();
     fixture_.at(loss, [this] {
       fixture_.fleet().lose_endpoints(
-          [this](const std::string&, bool, int number) { return number < scenario_.restarted; });
+          [this](const std::string&, routing::Role, int number) { return number < scenario_.restarted; });
       fixture_.at(fixture_.now() + Duration(1), [this] { fixture_.update_all_lists(); });
     });
     fixture_.at(restart_, [this] { fixture_.fleet().restore_endpoints(); });
