--- /dev/null
+++ b/tests/routing/script_player.cpp
@@ -0,0 +1,296 @@
+#include "script_player.hpp"
+
+#include <algorithm>
+#include <array>
+#include <chrono>
+#include <iterator>
+#include <limits>
+#include <sstream>
+#include <utility>
+
+#include "invariants.hpp"
+
+namespace dispatcher::routing::testing {
+namespace {
+
+using std::chrono::milliseconds;
+
+// The element that a drawn number stands for; the container has one at least.
+template <class Container>
+const auto& element(const Container& container, int number) {
+  const std::size_t index = static_cast<std::size_t>(number) % container.size();
+  return *std::next(container.begin(), static_cast<std::ptrdiff_t>(index));
+}
+
+LoadReport draw_report(const Step& step) {
+  LoadReport report;
+  if (step.variant % 2 != 0) return report;
+  report.memory_share = step.amount / 1000.0;
+  report.prompt_kilotokens = step.target / 20.0;
+  if (step.variant % 4 == 0) report.in_hand = step.amount / 10.0;
+  return report;
+}
+
+AttemptOutcome outcome_of(AttemptStatus status, const Step& step, int cached_tokens = 0,
+                          AttemptEvidence evidence = AttemptEvidence::kNone) {
+  return {status, cached_tokens, evidence, draw_report(step)};
+}
+
+AttemptStatus draw_failure(const Step& step) {
+  constexpr std::array kFailures = {AttemptStatus::kFull, AttemptStatus::kConnectFailed,
+                                    AttemptStatus::kReset, AttemptStatus::kError};
+  if (step.target % 50 == 9) return AttemptStatus::kNeverSent;
+  return element(kFailures, step.amount);
+}
+
+// A response that had begun and broke took the prompt state along; a state may be lost at its reader.
+AttemptEvidence draw_evidence(const Step& step, AttemptStatus status) {
+  if (step.amount % 3 != 0) return AttemptEvidence::kNone;
+  if (status == AttemptStatus::kFull) return AttemptEvidence::kStateNotFound;
+  if (status == AttemptStatus::kReset || status == AttemptStatus::kError)
+    return AttemptEvidence::kEndpointRunning;
+  return AttemptEvidence::kNone;
+}
+
+}  // namespace
+
+void ScriptPlayer::start() { dispatcher_.send_endpoint_list(ListKind::kCached, first_endpoints_); }
+
+void ScriptPlayer::play(const Step& step) {
+  const int percent = step.kind % 100;
+  if (percent < 22) return submit(step);
+  if (percent < 52) return progress(step);
+  if (percent < 64) return fail_attempt(step);
+  if (percent < 68) return disconnect_client(step);
+  if (percent < 90) return advance(step);
+  if (percent < 95) return change_endpoints(step);
+  if (percent < 97) return change_administrative_drain(step);
+  if (percent < 98) return dispatcher_.apply_next_settings();
+  if (percent < 99) return send_peer_event(step);
+  send_reservation_result(step);
+}
+
+// ---- choices ----
+
+std::optional<ScriptPlayer::AttemptChoice> ScriptPlayer::choose_attempt(int target,
+                                                                        Selection selection) const {
+  std::vector<AttemptChoice> choices;
+  for (const auto& [id, request] : dispatcher_.state().requests) {
+    for (std::size_t i = 0; i < request.attempts.size(); ++i) {
+      const ModelAttempt& attempt = request.attempts[i];
+      if (!attempt.is_active) continue;
+      if (selection == Selection::kAnyActive || !attempt.has_first_token) choices.push_back({&request, i});
+    }
+  }
+  if (choices.empty()) return std::nullopt;
+  return element(choices, target);
+}
+
+const ModelEndpoint& ScriptPlayer::choose_endpoint(int target) const {
+  return element(dispatcher_.state().endpoints, target).second;
+}
+
+// ---- clients ----
+
+void ScriptPlayer::submit(const Step& step) {
+  const RequestClass& request_class = element(dispatcher_.state().settings->classes, step.target);
+  const Request request = draw_request(step, request_class);
+  const ModelRequest& submitted = dispatcher_.submit(request, request_class);
+  require(submitted.has_final_answer || request.request_class != "unknown",
+          "a request of an unknown class was not answered at once");
+  const bool is_repeated = step.amount % 40 == 7;
+  if (is_repeated && !submitted.is_over()) dispatcher_.handle(request);  // a known id is ignored
+}
+
+Request ScriptPlayer::draw_request(const Step& step, const RequestClass& request_class) {
+  const DispatcherState& state = dispatcher_.state();
+  const Settings& settings = *state.settings;
+  Request request;
+  request.id = "q" + std::to_string(submitted_);
+  ++submitted_;
+  request.request_class = step.amount % 50 == 3 ? "unknown" : request_class.name;
+  if (!settings.tenants.empty()) request.tenant = element(settings.tenants, step.variant).name;
+  request.session = static_cast<std::uint64_t>(step.variant % 50);
+  request.shared_prefix = static_cast<std::uint64_t>(step.amount % 7);
+  request.prompt_tokens =
+      step.amount > 995 ? std::numeric_limits<int>::max() : step.amount * step.amount / 30;
+  request.prefix_tokens = request.shared_prefix == 0 ? 0 : request.prompt_tokens / 2;
+  request.max_tokens = 100;
+  // A client gives up after half of the deadline or more, and that is long after the objective for long
+  // prompts.
+  const double share_of_deadline = 0.5 + 0.5 * (step.target % 10) / 9.0;
+  const double class_deadline = static_cast<double>(request_class.deadline.count());
+  request.client_deadline =
+      state.now + Duration(static_cast<std::int64_t>(class_deadline * share_of_deadline));
+  request.client_retry = step.variant % 3 == 0;
+  request.resubmitted = settings.resume && step.variant % 5 == 0;
+  return request;
+}
+
+void ScriptPlayer::disconnect_client(const Step& step) {
+  std::vector<RequestId> connected;
+  for (const auto& [id, request] : dispatcher_.state().requests) {
+    if (!request.has_final_answer && !request.has_client_left) connected.push_back(id);
+  }
+  if (!connected.empty()) dispatcher_.disconnect_client(element(connected, step.target));
+}
+
+// ---- replicas ----
+
+// What goes well: a read ends, a stream begins, a stream ends.
+void ScriptPlayer::progress(const Step& step) {
+  const auto choice = choose_attempt(step.target, Selection::kAnyActive);
+  if (!choice) return;
+  const ModelRequest& request = *choice->request;
+  const ModelAttempt& attempt = choice->attempt();
+  const auto complete = [&](const AttemptOutcome& outcome) {
+    dispatcher_.complete_attempt(choice->id(), choice->number, outcome);
+  };
+  if (attempt.is_at_reader)
+    return complete(outcome_of(AttemptStatus::kRead, step, request.request.prompt_tokens / 3));
+  if (attempt.has_first_token) return complete(outcome_of(AttemptStatus::kServed, step));
+  if (attempt.requires_prompt_state && !request.prompt_state_at)
+    return complete(outcome_of(AttemptStatus::kFull, step, 0, AttemptEvidence::kStateNotFound));
+  // A response may be so short that its end is all that is seen of it.
+  if (request.is_over() || step.variant % 20 == 0) return complete(outcome_of(AttemptStatus::kServed, step));
+  dispatcher_.send_first_token(choice->id(), choice->number);
+}
+
+void ScriptPlayer::fail_attempt(const Step& step) {
+  const bool may_break_stream = step.variant % 4 == 0;
+  const auto choice =
+      choose_attempt(step.target, may_break_stream ? Selection::kAnyActive : Selection::kBeforeFirstToken);
+  if (!choice) return;
+  const ModelAttempt& attempt = choice->attempt();
+  AttemptOutcome outcome = outcome_of(AttemptStatus::kReset, step);
+  if (!attempt.has_first_token) {
+    outcome.status = draw_failure(step);
+    const bool has_prompt_state = !attempt.is_at_reader && choice->request->prompt_state_at;
+    if (has_prompt_state) outcome.evidence = draw_evidence(step, outcome.status);
+  }
+  dispatcher_.complete_attempt(choice->id(), choice->number, outcome);
+}
+
+void ScriptPlayer::advance(const Step& step) {
+  constexpr std::array<Duration, 7> kTimes = {milliseconds(0),   milliseconds(1),   milliseconds(20),
+                                              milliseconds(60),  milliseconds(200), milliseconds(700),
+                                              milliseconds(3000)};
+  dispatcher_.advance(element(kTimes, step.variant) + Duration(step.amount * 100));
+}
+
+// ---- service discovery, operators and the other process of a hot restart ----
+
+void ScriptPlayer::change_endpoints(const Step& step) {
+  switch (step.variant % 10) {
+    case 0:
+      return dispatcher_.handle(EndpointList{ListKind::kFailed, {}});
+    case 1:
+      return send_shortened_list(step);
+    default:
+      return send_endpoint_change(step);
+  }
+}
+
+// A full list without some of the endpoints.
+void ScriptPlayer::send_shortened_list(const Step& step) {
+  std::vector<EndpointInfo> endpoints;
+  int number = 0;
+  for (const auto& [id, endpoint] : dispatcher_.state().endpoints) {
+    const int divisor = 2 + number % 5;
+    ++number;
+    if (step.amount % divisor != 1) endpoints.push_back(endpoint.info);
+  }
+  dispatcher_.send_endpoint_list(ListKind::kFull, std::move(endpoints));
+}
+
+// A name that no endpoint had before.
+EndpointId ScriptPlayer::replacement_of(const EndpointId& endpoint) {
+  std::ostringstream name;
+  name << endpoint << "n" << replaced_endpoints_;
+  ++replaced_endpoints_;
+  return name.str();
+}
+
+void ScriptPlayer::send_endpoint_change(const Step& step) {
+  EndpointInfo endpoint = choose_endpoint(step.target).info;
+  endpoint.state = EndpointState::kReady;
+  switch (step.variant % 10) {
+    case 2:
+    case 3:
+      endpoint.state = EndpointState::kDraining;
+      break;
+    case 4:
+      endpoint.state = EndpointState::kRemoved;
+      break;
+    case 5:
+    case 6:  // a new process
+      endpoint.started = dispatcher_.state().now;
+      break;
+    case 7:  // a new machine
+      endpoint.endpoint = replacement_of(endpoint.endpoint);
+      endpoint.started = dispatcher_.state().now;
+      break;
+    default:
+      break;
+  }
+  dispatcher_.send_endpoint_list(ListKind::kDelta, {endpoint});
+}
+
+void ScriptPlayer::change_administrative_drain(const Step& step) {
+  const EndpointId endpoint = choose_endpoint(step.target).info.endpoint;
+  dispatcher_.set_administrative_drain(endpoint, step.variant % 2 == 0);
+}
+
+void ScriptPlayer::send_peer_event(const Step& step) {
+  if (step.variant % 2 == 0) return dispatcher_.handle(dispatcher_.router().learned_state());
+  dispatcher_.handle(PeerForwarded{choose_endpoint(step.target).info.endpoint});
+}
+
+// The result of a reservation that was perhaps never asked for.
+void ScriptPlayer::send_reservation_result(const Step& step) {
+  const DispatcherState& state = dispatcher_.state();
+  if (state.requests.empty()) return;
+  const RequestId request = element(state.requests, step.target).first;
+  dispatcher_.handle(ReservationResult{request, state.endpoints.begin()->first, step.variant % 2 == 0});
+}
+
+// ---- the end ----
+
+void ScriptPlayer::disconnect_everything() {
+  const std::size_t request_count = dispatcher_.state().requests.size();
+  for (std::size_t i = 0; i < request_count; ++i) disconnect_client({});
+  while (const auto choice = choose_attempt(0, Selection::kAnyActive))
+    dispatcher_.complete_attempt(choice->id(), choice->number, {AttemptStatus::kReset});
+}
+
+void ScriptPlayer::serve_streams() {
+  for (const auto& [id, request] : dispatcher_.state().requests) {
+    for (std::size_t i = 0; i < request.attempts.size(); ++i) {
+      const ModelAttempt& attempt = request.attempts[i];
+      if (attempt.is_active && attempt.has_first_token)
+        dispatcher_.complete_attempt(id, i, {AttemptStatus::kServed});
+    }
+  }
+}
+
+bool ScriptPlayer::has_open_request() const {
+  return std::ranges::any_of(dispatcher_.state().requests, [](const auto& entry) {
+    return !entry.second.is_over() || entry.second.active_attempt_count() > 0;
+  });
+}
+
+void ScriptPlayer::finish(Ending ending) {
+  constexpr int kMaxRounds = 5000;
+  dispatcher_.add_to_transcript("-- the end: no more requests --");
+  if (ending == Ending::kDisconnect) disconnect_everything();
+  for (int round = 0; has_open_request() || !dispatcher_.state().timers.empty(); ++round) {
+    require(round < kMaxRounds, "it does not come to an end");
+    serve_streams();
+    dispatcher_.advance(milliseconds(100));
+  }
+  check_nothing_left(dispatcher_.state(), router().table_sizes());
+  dispatcher_.send_endpoint_list(ListKind::kFull, {dispatcher_.state().endpoints.begin()->second.info});
+  check_bounded_tables(dispatcher_.state(), router().table_sizes());
+}
+
+}  // namespace dispatcher::routing::testing
--- a/tests/routing_digest_test.cpp
+++ b/tests/routing_digest_test.cpp
@@ -1,6 +1,6 @@
-// Holds the decision module's behaviour still: one hash over everything that it does in many drawn settings
-// and scripts. A change that is to change no decision must leave the recorded value as it is. One that is to
-// change some records the new value, and says so.
+// Pins the routing module's behaviour: one hash over every action that it returns in many drawn settings and
+// scripts. A refactoring must leave the recorded value as it is. A change of decisions records the new value,
+// and says so.
 #include <gtest/gtest.h>
 
 #include <array>
@@ -12,8 +12,9 @@
 #include <vector>
 
 #include "digest.hpp"
+#include "routing/invariants.hpp"
+#include "routing/script_player.hpp"
 #include "settings_draw.hpp"
-#include "settings_fixture.hpp"
 
 namespace dispatcher::routing::testing {
 namespace {
@@ -24,24 +25,25 @@
 void add(Digest& digest, const Action& action) {
   digest.add(action.index());
   std::visit(
-      [&](const auto& a) {
-        using A = std::decay_t<decltype(a)>;
-        if constexpr (std::is_same_v<A, StartAttempt>) {
-          digest.add(a.request, a.endpoint, a.deadline, a.connect_by);
-        } else if constexpr (std::is_same_v<A, CancelAttempt>) {
-          digest.add(a.request, a.attempt);
-        } else if constexpr (std::is_same_v<A, Reject>) {
-          digest.add(a.request, a.retry_after);
-        } else if constexpr (std::is_same_v<A, ReserveSlot>) {
-          digest.add(a.request, a.endpoint);
-        } else if constexpr (std::is_same_v<A, SetTimer>) {
-          digest.add(a.after, a.tag);
-        } else if constexpr (std::is_same_v<A, Subscribe> || std::is_same_v<A, LogMessage>) {
+      [&](const auto& alternative) {
+        using Alternative = std::decay_t<decltype(alternative)>;
+        if constexpr (std::is_same_v<Alternative, StartAttempt>) {
+          digest.add(alternative.request, alternative.endpoint, alternative.deadline, alternative.connect_by);
+        } else if constexpr (std::is_same_v<Alternative, CancelAttempt>) {
+          digest.add(alternative.request, alternative.attempt);
+        } else if constexpr (std::is_same_v<Alternative, Reject>) {
+          digest.add(alternative.request, alternative.retry_after);
+        } else if constexpr (std::is_same_v<Alternative, ReserveSlot>) {
+          digest.add(alternative.request, alternative.endpoint);
+        } else if constexpr (std::is_same_v<Alternative, SetTimer>) {
+          digest.add(alternative.after, alternative.tag);
+        } else if constexpr (std::is_same_v<Alternative, Subscribe> ||
+                             std::is_same_v<Alternative, LogMessage>) {
           // That there is one is all: the wording of a log line is no behaviour.
         } else {
-          static_assert(std::is_same_v<A, Fail> || std::is_same_v<A, MigrateStream> ||
-                        std::is_same_v<A, ReleaseReservation>);
-          digest.add(a.request);
+          static_assert(std::is_same_v<Alternative, Fail> || std::is_same_v<Alternative, MigrateStream> ||
+                        std::is_same_v<Alternative, ReleaseReservation>);
+          digest.add(alternative.request);
         }
       },
       action);
@@ -66,32 +68,35 @@
   add(digest, router.learned_state());
 }
 
-// What came up in the plays, so that nobody takes a hash over little for one over much.
+// What came up in the plays, so that a hash over little is not taken for one over much.
 struct Coverage {
   std::array<std::uint64_t, std::variant_size_v<Event>> events{};
   std::array<std::uint64_t, std::variant_size_v<Action>> actions{};
   std::set<std::string> zones;
   std::set<int> cells;
   std::set<Role> roles;
-  std::set<DeduplicationScope> groups;
-  std::set<AttemptStatus> verdicts;
-  std::set<ListKind> lists;
-
-  void note(const Site& site) {
-    for (const EndpointInfo& endpoint : site.endpoints)
-      zones.insert(endpoint.zone), cells.insert(endpoint.cell);
+  std::set<DeduplicationScope> deduplication_scopes;
+  std::set<AttemptStatus> statuses;
+  std::set<ListKind> list_kinds;
+
+  void add(const Site& site) {
+    for (const EndpointInfo& endpoint : site.endpoints) {
+      zones.insert(endpoint.zone);
+      cells.insert(endpoint.cell);
+    }
     for (const Settings& settings : site.settings) {
       for (const EndpointKind& kind : settings.kinds) roles.insert(kind.role);
-      for (const RequestClass& c : settings.classes) {
-        if (c.idempotency == Idempotency::kKeyed) groups.insert(c.deduplication_scope);
+      for (const RequestClass& request_class : settings.classes) {
+        if (request_class.idempotency == Idempotency::kKeyed)
+          deduplication_scopes.insert(request_class.deduplication_scope);
       }
     }
   }
-  void note(const Event& event, const std::vector<Action>& made) {
+  void add(const Event& event, const std::vector<Action>& made_actions) {
     ++events[event.index()];
-    for (const Action& action : made) ++actions[action.index()];
-    if (const auto* outcome = std::get_if<AttemptCompleted>(&event)) verdicts.insert(outcome->status);
-    if (const auto* list = std::get_if<EndpointList>(&event)) lists.insert(list->kind);
+    for (const Action& action : made_actions) ++actions[action.index()];
+    if (const auto* completed = std::get_if<AttemptCompleted>(&event)) statuses.insert(completed->status);
+    if (const auto* list = std::get_if<EndpointList>(&event)) list_kinds.insert(list->kind);
   }
 };
 
@@ -112,9 +117,9 @@
 Step draw_step(Dice& dice) {
   Step step;
   step.kind = dice.below(1000);
-  step.which = dice.below(1000);
-  step.how = dice.below(1000);
-  step.much = dice.below(1000);
+  step.target = dice.below(1000);
+  step.variant = dice.below(1000);
+  step.amount = dice.below(1000);
   return step;
 }
 
@@ -122,20 +127,20 @@
   Dice dice(static_cast<std::uint64_t>(number) + 1);
   const Range range = range_of(number);
   const Site site = draw_site(dice, range);
-  coverage.note(site);
-  Fixture fixture(site.settings, site.endpoints, static_cast<std::uint64_t>(number));
-  fixture.watch([&](Time now, const Event& event, const std::vector<Action>& actions) {
-    coverage.note(event, actions);
+  coverage.add(site);
+  ScriptPlayer player(site.settings, site.endpoints, static_cast<std::uint64_t>(number));
+  player.set_observer([&](Time now, const Event& event, const std::vector<Action>& actions) {
+    coverage.add(event, actions);
     digest.add(now, event.index(), actions.size());
     for (const Action& action : actions) add(digest, action);
   });
-  fixture.start();
+  player.start();
   // Most plays are short; in the long ones the tables fill.
   const int steps = number % 30 == 0 ? 500 : 20 + dice.below(80);
-  for (int i = 0; i < steps; ++i) fixture.play(draw_step(dice));
-  add(digest, fixture.router());
-  fixture.finish(range.extreme);
-  add(digest, fixture.router());
+  for (int i = 0; i < steps; ++i) player.play(draw_step(dice));
+  add(digest, player.router());
+  player.finish(range.extreme ? Ending::kDisconnect : Ending::kRunOut);
+  add(digest, player.router());
 }
 
 TEST(RoutingDigest, EveryActionIsAsRecorded) {
@@ -144,24 +149,24 @@
   for (int number = 0; number < kPlays; ++number) {
     try {
       play(number, digest, coverage);
-    } catch (const Broken& e) {
-      FAIL() << "play " << number << ": " << e.what();
+    } catch (const InvariantViolation& violation) {
+      FAIL() << "play " << number << ": " << violation.what();
     }
   }
   for (std::size_t i = 0; i < coverage.events.size(); ++i) EXPECT_GE(coverage.events[i], 100U) << i;
-  // The module makes no Hold as yet. Once it does, it is to be counted like the others.
-  const std::size_t hold = Action(ReserveSlot{}).index();
+  // The module makes no ReserveSlot as yet. Once it does, it is to be counted like the others.
+  const std::size_t reserve_slot = Action(ReserveSlot{}).index();
   for (std::size_t i = 0; i < coverage.actions.size(); ++i) {
-    if (i == hold) continue;
-    EXPECT_GE(coverage.actions[i], 10U) << i;  // Move is rare
+    if (i == reserve_slot) continue;
+    EXPECT_GE(coverage.actions[i], 10U) << i;  // MigrateStream is rare
   }
-  EXPECT_EQ(coverage.actions[hold], 0U);
+  EXPECT_EQ(coverage.actions[reserve_slot], 0U);
   EXPECT_EQ(coverage.zones.size(), 4U);
   EXPECT_GE(coverage.cells.size(), 4U);
   EXPECT_EQ(coverage.roles.size(), 3U);
-  EXPECT_EQ(coverage.groups.size(), 3U);
-  EXPECT_EQ(coverage.verdicts.size(), 9U);
-  EXPECT_EQ(coverage.lists.size(), 4U);
+  EXPECT_EQ(coverage.deduplication_scopes.size(), 3U);
+  EXPECT_EQ(coverage.statuses.size(), 9U);
+  EXPECT_EQ(coverage.list_kinds.size(), 4U);
   EXPECT_EQ(digest.value(), kRecorded) << std::hex << "0x" << digest.value();
 }
 
--- a/tests/settings_property_test.cpp
+++ b/tests/settings_property_test.cpp
@@ -1,54 +1,83 @@
-// Rules that hold under any settings that are not refused: settings and scripts of events are drawn, from
-// ranges wider than any site's, and played against the module. A failure prints the seed, the smallest
-// settings and script that RapidCheck found, and what happened. PROPERTY_RUNS and PROPERTY_SEED draw more, or
-// others.
+// Invariants that hold under any valid settings: settings and scripts of events are drawn, from ranges wider
+// than any site's, and played against the router. A failure prints the seed, the smallest settings and script
+// that RapidCheck found, and what happened. PROPERTY_RUNS and PROPERTY_SEED draw more, or others.
 #include <gtest/gtest.h>
 #include <rapidcheck.h>
 
+#include <algorithm>
+#include <array>
 #include <cstdlib>
 #include <ostream>
 #include <sstream>
 
+#include "routing/invariants.hpp"
+#include "routing/script_player.hpp"
 #include "settings/check.hpp"
 #include "settings_draw.hpp"
-#include "settings_fixture.hpp"
 
 namespace dispatcher::routing::testing {
+namespace {
+
+// In the order of the enumerations.
+constexpr std::array<const char*, 3> kRoleNames = {"reader", "writer", "mixed"};
+constexpr std::array<const char*, 3> kIdempotencyNames = {"idempotent", "keyed", "non-idempotent"};
+constexpr std::array<const char*, 3> kScopeNames = {"all", "zone", "cell"};
+
+double to_milliseconds(Duration time) { return static_cast<double>(time.count()) / 1000; }
+
+void print_options(const Settings& settings, std::ostream& out) {
+  const auto print_if = [&out](bool is_set, const char* name) {
+    if (is_set) out << ", " << name;
+  };
+  print_if(settings.may_cancel, "may cancel");
+  print_if(settings.resume, "resume");
+  print_if(settings.writers_read, "writers read");
+  print_if(settings.may_duplicate, "may duplicate");
+  print_if(settings.polls_endpoint_list, "polls endpoint list");
+  print_if(settings.early_pairing, "early pairing");
+  print_if(settings.retry_advice, "retry advice");
+}
+
+void print(const RequestClass& request_class, std::ostream& out) {
+  out << "  class " << request_class.name << " "
+      << kIdempotencyNames.at(static_cast<std::size_t>(request_class.idempotency)) << "/"
+      << kScopeNames.at(static_cast<std::size_t>(request_class.deduplication_scope)) << " window "
+      << to_milliseconds(request_class.deduplication_window) << " objective "
+      << to_milliseconds(request_class.latency_objective) << " deadline "
+      << to_milliseconds(request_class.deadline) << "\n";
+}
 
-using std::chrono::milliseconds;
-
-void print(const Settings& s, std::ostream& out) {
-  const auto ms = [](Duration d) { return static_cast<double>(d.count()) / 1000; };
-  static const char* const roles[] = {"reads", "writes", "both"};
-  static const char* const repeats[] = {"safe", "keyed", "unsafe"};
-  static const char* const groups[] = {"all", "zone", "cell"};
-  out << "  router " << s.router_number << " of " << s.router_count << ", tick " << ms(s.tick)
-      << " ms, attempts " << s.max_attempts << " (" << s.free_connect_failures << " free connects), pin "
-      << ms(s.reservation_limit) << ", slack " << ms(s.answer_slack) << ", grace " << ms(s.drain_grace)
-      << ", cold " << s.warmup_initial_share << " for " << ms(s.warmup_time) << ", tip "
-      << s.overload_multiple << " in " << ms(s.overload_window) << (s.may_cancel ? ", may cancel" : "")
-      << (s.resume ? ", resume" : "") << (s.writers_read ? ", writers read" : "")
-      << (s.may_duplicate ? ", may duplicate" : "") << (s.polls_endpoint_list ? ", lists by asking" : "")
-      << (s.early_pairing ? ", early pairing" : "") << (s.retry_advice ? ", advice" : "") << "\n  kinds";
-  for (const EndpointKind& k : s.kinds)
-    out << " " << k.name << " " << roles[static_cast<std::size_t>(k.role)];
+void print(const Settings& settings, std::ostream& out) {
+  out << "  router " << settings.router_number << " of " << settings.router_count << ", tick "
+      << to_milliseconds(settings.tick) << " ms, attempts " << settings.max_attempts << " ("
+      << settings.free_connect_failures << " free connect failures), reservation limit "
+      << to_milliseconds(settings.reservation_limit) << ", slack " << to_milliseconds(settings.answer_slack)
+      << ", drain grace " << to_milliseconds(settings.drain_grace) << ", warm-up "
+      << settings.warmup_initial_share << " for " << to_milliseconds(settings.warmup_time) << ", overload "
+      << settings.overload_multiple << " in " << to_milliseconds(settings.overload_window);
+  print_options(settings, out);
+  out << "\n  kinds";
+  for (const EndpointKind& kind : settings.kinds)
+    out << " " << kind.name << " " << kRoleNames.at(static_cast<std::size_t>(kind.role));
   out << "\n";
-  for (const RequestClass& c : s.classes)
-    out << "  class " << c.name << " " << repeats[static_cast<std::size_t>(c.idempotency)] << "/"
-        << groups[static_cast<std::size_t>(c.deduplication_scope)] << " window " << ms(c.deduplication_window)
-        << " objective " << ms(c.latency_objective) << " deadline " << ms(c.deadline) << "\n";
+  for (const RequestClass& request_class : settings.classes) print(request_class, out);
 }
 
-void showValue(const Genes& genes, std::ostream& out) {
+}  // namespace
+
+// RapidCheck finds these by their name and argument, and prints a failure's values with them.
+void showValue(const Genes& genes, std::ostream& out) {  // NOLINT(readability-identifier-naming): its name
   const Site site = draw(genes);
-  out << site.endpoints.size() << " hosts; settings\n";
-  for (const Settings& s : site.settings) print(s, out);
+  out << site.endpoints.size() << " endpoints; settings\n";
+  for (const Settings& settings : site.settings) print(settings, out);
 }
 
-void showValue(const Step& s, std::ostream& out) {
-  out << "{" << s.kind << "," << s.which << "," << s.how << "," << s.much << "}";
+void showValue(const Step& step, std::ostream& out) {  // NOLINT(readability-identifier-naming): its name
+  out << "{" << step.kind << "," << step.target << "," << step.variant << "," << step.amount << "}";
 }
 
+namespace {
+
 rc::Gen<Genes> any_genes(const Range& range = {}) {
   return rc::gen::map(rc::gen::container<std::vector<int>>(kGenes, rc::gen::inRange(0, 1000)),
                       [range](std::vector<int> values) {
@@ -56,12 +85,12 @@
                       });
 }
 
-rc::Gen<std::vector<Step>> any_script(int longest) {
+rc::Gen<std::vector<Step>> any_script(int max_steps) {
   const auto number = rc::gen::resize(rc::kNominalSize, rc::gen::inRange(0, 1000));
-  const auto step = rc::gen::map(rc::gen::tuple(number, number, number, number), [](const auto& t) {
-    return Step{std::get<0>(t), std::get<1>(t), std::get<2>(t), std::get<3>(t)};
+  const auto step = rc::gen::map(rc::gen::tuple(number, number, number, number), [](const auto& numbers) {
+    return Step{std::get<0>(numbers), std::get<1>(numbers), std::get<2>(numbers), std::get<3>(numbers)};
   });
-  return rc::gen::resize(longest, rc::gen::container<std::vector<Step>>(step));
+  return rc::gen::resize(max_steps, rc::gen::container<std::vector<Step>>(step));
 }
 
 std::uint64_t from_environment(const char* name, std::uint64_t absent) {
@@ -69,79 +98,83 @@
   return value == nullptr ? absent : std::strtoull(value, nullptr, 10);
 }
 
+// Checks the property in so many runs, of the seed or of that in the environment.
 template <class Property>
-void hold(std::uint64_t seed, int runs, Property property) {
+void expect_holds(std::uint64_t seed, int runs, Property property) {
   rc::detail::TestMetadata metadata;
-  metadata.id = metadata.description = ::testing::UnitTest::GetInstance()->current_test_info()->name();
+  metadata.id = ::testing::UnitTest::GetInstance()->current_test_info()->name();
+  metadata.description = metadata.id;
   rc::detail::TestParams params;
   params.seed = from_environment("PROPERTY_SEED", seed);
   params.maxSuccess = static_cast<int>(from_environment("PROPERTY_RUNS", static_cast<std::uint64_t>(runs)));
   const auto result = rc::detail::checkTestable(property, metadata, params);
   if (result.template is<rc::detail::SuccessResult>()) return;
-  std::ostringstream told;
-  rc::detail::printResultMessage(result, told);
-  ADD_FAILURE() << "seed " << params.seed << "\n" << told.str();
+  std::ostringstream message;
+  rc::detail::printResultMessage(result, message);
+  ADD_FAILURE() << "seed " << params.seed << "\n" << message.str();
 }
 
-std::string last_lines(const std::vector<std::string>& lines) {
-  constexpr std::size_t kMax = 60;
-  std::string all;
-  for (std::size_t i = lines.size() - std::min(lines.size(), kMax); i < lines.size(); ++i)
-    all += "\n" + lines[i];
-  return all;
+std::string end_of(const std::vector<std::string>& transcript) {
+  constexpr std::size_t kMaxLines = 60;
+  std::string text;
+  for (std::size_t i = transcript.size() - std::min(transcript.size(), kMaxLines); i < transcript.size(); ++i)
+    text += "\n" + transcript[i];
+  return text;
 }
 
-void play(const Site& site, const std::vector<Step>& script, bool in_haste = false) {
-  Fixture fixture(site.settings, site.endpoints, 7);
+void play(const Site& site, const std::vector<Step>& script, Ending ending = Ending::kRunOut) {
+  constexpr std::uint64_t kRouterSeed = 7;
+  ScriptPlayer player(site.settings, site.endpoints, kRouterSeed);
   try {
-    fixture.start();
-    for (const Step& step : script) fixture.play(step);
-    fixture.finish(in_haste);
-  } catch (const Broken& e) {
-    RC_FAIL(e.what() + last_lines(fixture.transcript()));
+    player.start();
+    for (const Step& step : script) player.play(step);
+    player.finish(ending);
+  } catch (const InvariantViolation& violation) {
+    RC_FAIL(violation.what() + end_of(player.transcript()));
   }
 }
 
 // ---- the properties ----
 
-TEST(AnySettings, DrawnOnesAreNeverRejected) {
-  hold(1, 1000, [] {
+TEST(AnySettings, DrawnSettingsAreValid) {
+  expect_holds(1, 1000, [] {
     const Site site = draw(*any_genes());
-    for (const Settings& s : site.settings) {
-      for (const settings::Finding& f : settings::check(s))
-        RC_ASSERT(f.severity != settings::Severity::kError);
+    for (const Settings& settings : site.settings) {
+      for (const settings::Finding& finding : settings::check(settings))
+        RC_ASSERT(finding.severity != settings::Severity::kError);
     }
   });
 }
 
-TEST(AnySettings, KeepTheRulesInAnyShortScript) {
-  hold(2, 400, [] { play(draw(*any_genes()), *any_script(60)); });
+TEST(AnySettings, InvariantsHoldInShortScripts) {
+  expect_holds(2, 400, [] { play(draw(*any_genes()), *any_script(60)); });
 }
 
-TEST(AnySettings, KeepTheRulesInLongScripts) {
-  hold(3, 60, [] { play(draw(*any_genes()), *any_script(600)); });
+TEST(AnySettings, InvariantsHoldInLongScripts) {
+  expect_holds(3, 60, [] { play(draw(*any_genes()), *any_script(600)); });
 }
 
-TEST(AnySettings, ExtremeTimesBreakNothing) {
+TEST(AnySettings, InvariantsHoldWithExtremeTimes) {
   Range range;
   range.extreme = true;
-  hold(4, 300, [&] { play(draw(*any_genes(range)), *any_script(60), true); });
+  expect_holds(4, 300, [&] { play(draw(*any_genes(range)), *any_script(60), Ending::kDisconnect); });
 }
 
-// See shortest_pin: 67 ms where 20 ms are a multiple of the tick. Under a shorter limit a state that finds no
-// writer must be let go of at once, for the next look comes too late.
-TEST(AnySettings, KeepPinLimitsOfAFewTicks) {
+// See shortest_pin: 67 ms where 20 ms are a multiple of the tick. Under a shorter limit a prompt state that
+// finds no writer must be released at once, for the next check of the queue comes too late.
+TEST(AnySettings, InvariantsHoldWithReservationLimitsOfAFewTicks) {
   Range range;
   range.short_pins = true;
-  hold(5, 2000, [&] { play(draw(*any_genes(range)), *any_script(60)); });
+  expect_holds(5, 2000, [&] { play(draw(*any_genes(range)), *any_script(60)); });
 }
 
-// That an attempt timed out is heard up to a tick later, and only then is the request answered. With a slack
+// That an attempt timed out is known up to a tick later, and only then is the request answered. With a slack
 // under a tick it must time out that much before the client's deadline.
-TEST(AnySettings, AnswerInASlackUnderATick) {
+TEST(AnySettings, InvariantsHoldWithAnAnswerSlackUnderATick) {
   Range range;
   range.slack_under_tick = true;
-  hold(6, 2000, [&] { play(draw(*any_genes(range)), *any_script(60)); });
+  expect_holds(6, 2000, [&] { play(draw(*any_genes(range)), *any_script(60)); });
 }
 
+}  // namespace
 }  // namespace dispatcher::routing::testing
