--- a/tests/conformance/conformance_test.cpp
+++ b/tests/conformance/conformance_test.cpp
@@ -1,5 +1,5 @@
-// Plays the tables in this folder, which hold the design's sentences as rows. docs/conformance.md tells how
-// to read and add to them.
+// Plays the tables in this folder, which hold the design's sentences as rows. docs/conformance.md describes
+// how to read and add to them.
 #define CATCH_CONFIG_RUNNER
 #include <algorithm>
 #include <catch2/catch.hpp>
@@ -8,7 +8,7 @@
 #include <string>
 #include <utility>
 
-#include "table_rows.hpp"
+#include "row_check.hpp"
 
 namespace dispatcher::routing::conformance {
 namespace {
@@ -18,29 +18,30 @@
   return all;
 }
 
-template <typename Do>
-void each_row(Do act) {
+// Calls the function with the topic and the row.
+template <typename Function>
+void for_each_row(Function function) {
   for (const auto& [topic, rows] : tables().topics) {
-    for (const Json& row : rows) act(topic, row);
+    for (const Json& row : rows) function(topic, row);
   }
 }
 
-std::string text(const std::vector<std::string>& failures) {
-  std::string lines;
-  for (const std::string& f : failures) lines += "\n    " + f;
-  return lines;
+std::string to_text(const Failures& failures) {
+  std::string text;
+  for (const std::string& failure : failures) text += "\n    " + failure;
+  return text;
 }
 
 // Each row is a test of its own, so that one that fails is known by its name.
-class Row : public Catch::ITestInvoker {
+class RowTest : public Catch::ITestInvoker {
  public:
-  Row(std::string topic, Json row) : topic_(std::move(topic)), row_(std::move(row)) {}
+  RowTest(std::string topic, Json row) : topic_(std::move(topic)), row_(std::move(row)) {}
   void invoke() const override {
     const std::string sentence = row_.at("sentence");
     INFO("row " << topic_ << ": " << row_.at("case").get<std::string>() << "\nsentence " << sentence << ": "
                 << tables().sentences.at(sentence).at("says").get<std::string>());
-    const std::vector<std::string> failures = play(row_, tables());
-    INFO(text(failures));
+    const Failures failures = check_row(row_, tables());
+    INFO(to_text(failures));
     CHECK(failures.empty());
   }
 
@@ -49,20 +50,20 @@
   Json row_;
 };
 
-void enter_rows() {
-  each_row([](const std::string& topic, const Json& row) {
+void register_rows() {
+  for_each_row([](const std::string& topic, const Json& row) {
     const std::string name = "Conformance row: " + row.at("case").get<std::string>();
     // Catch takes over the invoker.
-    Catch::AutoReg(new Row(topic, row), CATCH_INTERNAL_LINEINFO, Catch::StringRef(),
+    Catch::AutoReg(new RowTest(topic, row), CATCH_INTERNAL_LINEINFO, Catch::StringRef(),
                    Catch::NameAndTags(name, "[conformance][row]"));
   });
 }
 
-TEST_CASE("Conformance: a row that is told wrongly fails", "[conformance]") {
-  each_row([](const std::string& topic, const Json& row) {
-    for (const Json& wrong : told_wrongly(row, tables())) {
-      INFO(topic << ": " << row.at("case").get<std::string>() << "\nas " << wrong.at("expected").dump());
-      CHECK(!play(wrong, tables()).empty());
+TEST_CASE("Conformance: a falsified row fails", "[conformance]") {
+  for_each_row([](const std::string& topic, const Json& row) {
+    for (const Json& falsified : falsified_rows(row, tables())) {
+      INFO(topic << ": " << row.at("case").get<std::string>() << "\nas " << falsified.at("expected").dump());
+      CHECK(!check_row(falsified, tables()).empty());
     }
   });
 }
@@ -70,7 +71,7 @@
 TEST_CASE("Conformance: every sentence of the design has a row or a reason why not", "[conformance]") {
   std::map<std::string, int> rows;
   std::set<std::string> cases;
-  each_row([&](const std::string& topic, const Json& row) {
+  for_each_row([&](const std::string& topic, const Json& row) {
     ++rows[row.at("sentence")];
     INFO(topic << ": " << row.at("case").get<std::string>());
     CHECK(tables().sentences.contains(row.at("sentence").get<std::string>()));
@@ -78,7 +79,7 @@
   });
   for (const auto& [key, sentence] : tables().sentences.items()) {
     INFO(key);
-    only(sentence, {"says", "no_row"});
+    require_known_fields(sentence, {"says", "no_row"});
     CHECK(sentence.value("says", "") != "");
     CHECK((rows[key] > 0) != (sentence.value("no_row", "") != ""));
   }
@@ -86,7 +87,7 @@
 
 TEST_CASE("Conformance: every deviation is stated with its reason and has a row", "[conformance]") {
   std::set<std::string> used;
-  each_row([&](const std::string& topic, const Json& row) {
+  for_each_row([&](const std::string& topic, const Json& row) {
     INFO(topic << ": " << row.at("case").get<std::string>());
     if (!row.contains("deviation")) return;
     CHECK(tables().deviations.contains(row["deviation"].get<std::string>()));
@@ -94,32 +95,34 @@
   });
   for (const auto& [key, deviation] : tables().deviations.items()) {
     INFO(key);
-    only(deviation, {"does", "reason"});
+    require_known_fields(deviation, {"does", "reason"});
     CHECK(deviation.value("does", "") != "");
     CHECK(deviation.value("reason", "") != "");
     CHECK(used.contains(key));
   }
 }
 
-TEST_CASE("Conformance: a malformed row is turned down", "[conformance]") {
+TEST_CASE("Conformance: a malformed row is rejected", "[conformance]") {
   Json row = tables().topics.begin()->second.front();
-  CHECK(play(row, tables()).empty());
+  CHECK(check_row(row, tables()).empty());
   SECTION("unknown step") { row["state"].push_back({{"nap", 5}}); }
   SECTION("misspelt field of a step") { row["state"].push_back({{"wait_ms", 5}, {"wait_s", 5}}); }
   SECTION("misspelt field of the request") { row["request"]["sesion"] = 7; }
-  SECTION("unlisted host") { row["state"].push_back({{"teach", "r99"}, {"session", 1}}); }
+  SECTION("unlisted endpoint") { row["state"].push_back({{"teach", "r99"}, {"session", 1}}); }
   SECTION("unknown setting") { row["settings"]["cells"] = 7; }
-  CHECK(!play(row, tables()).empty());
+  CHECK(!check_row(row, tables()).empty());
 }
 
 }  // namespace
 
-int run(int count, char** words) {
+int run(int argument_count, char** arguments) {
   Catch::Session session;
-  enter_rows();
-  return session.run(count, words);
+  register_rows();
+  return session.run(argument_count, arguments);
 }
 
 }  // namespace dispatcher::routing::conformance
 
-int main(int count, char** words) { return dispatcher::routing::conformance::run(count, words); }
+int main(int argument_count, char** arguments) {
+  return dispatcher::routing::conformance::run(argument_count, arguments);
+}
--- a/tests/conformance/reference_scorer.cpp
+++ b/tests/conformance/reference_scorer.cpp
@@ -2,269 +2,310 @@
 
 #include <algorithm>
 #include <cmath>
+#include <limits>
 #include <numeric>
+#include <utility>
 
 namespace dispatcher::routing::conformance {
 namespace {
 
-constexpr int kBlock = 16;
-constexpr std::size_t kBlocksUntold = 31250;
-constexpr double kPrefix = 3, kLoad = 2, kMemory = 2;
+constexpr std::size_t kDefaultBlocks = 31250;  // of a kind whose memory is unknown
+constexpr double kPrefixWeight = 3, kLoadWeight = 2, kMemoryWeight = 2;
 // "Well above the mean" has no figure in the design. Up to the first no one would call it so; from the others
 // on all would.
 constexpr double kHardlyAbove = 0.5, kTwice = 2, kFarAbove = 3;
 
-double clamped(double x) { return std::clamp(x, 0.0, 1.0); }
+double clamp_to_unit(double x) { return std::clamp(x, 0.0, 1.0); }
 
-}  // namespace
-
-int Table::tokens(const Key& key) const {
-  const auto at =
-      std::find_if(entries_.begin(), entries_.end(), [&](const Entry& e) { return e.key == key; });
-  return at == entries_.end() ? 0 : at->tokens;
+bool has_load(const LoadReport& report) {
+  return report.in_hand || report.memory_share || report.prompt_kilotokens;
 }
 
-void Table::learn(const Key& key, int tokens, int own_tokens, std::size_t max_blocks) {
-  Entry entry{key, tokens / kBlock * kBlock, static_cast<std::size_t>(own_tokens / kBlock)};
-  for (const Entry& held : entries_) {
-    if (held.key == key && held.tokens > entry.tokens) entry = held;  // the longer text was sent there too
+std::set<EndpointId> with_fewest(const std::map<EndpointId, double>& counts) {
+  double minimum = std::numeric_limits<double>::max();
+  for (const auto& [id, count] : counts) minimum = std::min(minimum, count);
+  std::set<EndpointId> result;
+  for (const auto& [id, count] : counts) {
+    if (count == minimum) result.insert(id);
   }
-  std::erase_if(entries_, [&](const Entry& e) { return e.key == key; });
-  entries_.push_front(entry);
-  const auto used = [&] {
-    return std::accumulate(entries_.begin(), entries_.end(), std::size_t{0},
-                           [](std::size_t sum, const Entry& e) { return sum + e.blocks; });
-  };
-  while (used() > max_blocks) entries_.pop_back();
+  return result;
 }
 
-void ReferenceScorer::hear(Time now, const Event& event) {
+}  // namespace
+
+// ---- events ----
+
+void ReferenceScorer::observe(Time now, const Event& event) {
   now_ = now;
-  std::visit([this](const auto& e) { on(e); }, event);
+  std::visit([this](const auto& alternative) { apply(alternative); }, event);
 }
 
-void ReferenceScorer::on(const EndpointList& list) {
+void ReferenceScorer::apply(const EndpointList& list) {
   if (list.kind == ListKind::kFailed) return;
   if (list.kind != ListKind::kDelta) {
-    for (auto& [name, s] : servers_) s.entry.state = EndpointState::kRemoved;
+    for (auto& [id, endpoint] : endpoints_) endpoint.info.state = EndpointState::kRemoved;
   }
-  for (const EndpointInfo& e : list.entries) {
-    Server& s = servers_[e.endpoint];
-    const bool restarted = !s.entry.endpoint.empty() && s.entry.started != e.started;
-    if (bounds_ && restarted) s = {};
-    s.entry = e;
-    s.role = kind(e.kind)->role;
+  for (const EndpointInfo& info : list.entries) {
+    Endpoint& endpoint = endpoints_[info.endpoint];
+    const bool was_known = !endpoint.info.endpoint.empty();
+    const bool is_restarted = was_known && endpoint.info.started != info.started;
+    if (bounds_ && is_restarted) endpoint = {};
+    endpoint.info = info;
+    endpoint.role = kind_of(info).role;
   }
-  if (bounds_)
-    std::erase_if(servers_, [](const auto& s) { return s.second.entry.state == EndpointState::kRemoved; });
+  if (!bounds_) return;
+  std::erase_if(endpoints_,
+                [](const auto& entry) { return entry.second.info.state == EndpointState::kRemoved; });
 }
 
-void ReferenceScorer::on(const AdministrativeDrain& m) {
-  if (m.offline) {
-    offline_.insert(m.endpoint);
+void ReferenceScorer::apply(const AdministrativeDrain& drain) {
+  if (drain.offline) {
+    offline_.insert(drain.endpoint);
     return;
   }
-  offline_.erase(m.endpoint);
-  if (const auto s = servers_.find(m.endpoint); bounds_ && s != servers_.end()) {
-    const EndpointInfo entry = s->second.entry;
-    const Role role = s->second.role;
-    s->second = {entry, role, {}, {}, {}, false, 0};
-  }
+  offline_.erase(drain.endpoint);
+  const auto it = endpoints_.find(drain.endpoint);
+  if (!bounds_ || it == endpoints_.end()) return;
+  Endpoint returned;  // all that was known of it is forgotten
+  returned.info = it->second.info;
+  returned.role = it->second.role;
+  it->second = returned;
 }
 
-void ReferenceScorer::on(const AttemptCompleted& o) {
-  if (const auto s = servers_.find(o.endpoint);
-      s != servers_.end() && (o.report.in_hand || o.report.memory_share || o.report.prompt_kilotokens)) {
-    s->second.report = o.report;
-    s->second.reported = now_;
-    s->second.since = 0;
+void ReferenceScorer::apply(const AttemptCompleted& completed) {
+  const auto endpoint = endpoints_.find(completed.endpoint);
+  if (endpoint != endpoints_.end() && has_load(completed.report)) {
+    endpoint->second.report = completed.report;
+    endpoint->second.reported_at = now_;
+    endpoint->second.tokens_since_report = 0;
   }
-  const auto at = open_.find(o.request);
-  if (at == open_.end()) return;
-  Open& open = at->second;
-  open.at.clear();
-  open.tokens = 0;
-  if (o.status == AttemptStatus::kRead) open.state_at = o.endpoint;
-  if (o.evidence != AttemptEvidence::kNone &&
-      (o.status == AttemptStatus::kFull || o.status == AttemptStatus::kReset))
-    open.state_at.clear();
-  if (o.finished) open_.erase(at);
+  const auto it = open_.find(completed.request);
+  if (it == open_.end()) return;
+  OpenRequest& open = it->second;
+  open.active_endpoint = EndpointId();
+  open.unread_tokens = 0;
+  if (completed.status == AttemptStatus::kRead) open.prompt_state_at = completed.endpoint;
+  const bool is_state_lost =
+      completed.evidence != AttemptEvidence::kNone &&
+      (completed.status == AttemptStatus::kFull || completed.status == AttemptStatus::kReset);
+  if (is_state_lost) open.prompt_state_at = EndpointId();
+  if (completed.finished) open_.erase(it);
 }
 
-void ReferenceScorer::on(const FirstToken& f) {
-  if (const auto at = open_.find(f.request); at != open_.end()) {
-    at->second.state_at.clear();
-    at->second.tokens = 0;
-  }
+void ReferenceScorer::apply(const FirstToken& token) {
+  const auto it = open_.find(token.request);
+  if (it == open_.end()) return;
+  it->second.prompt_state_at = EndpointId();
+  it->second.unread_tokens = 0;
 }
 
-void ReferenceScorer::see(const Action& action) {
+// ---- actions ----
+
+void ReferenceScorer::observe(const Action& action) {
   if (const auto* release = std::get_if<ReleaseReservation>(&action)) {
-    if (const auto at = open_.find(release->request); at != open_.end()) at->second.state_at.clear();
+    const auto it = open_.find(release->request);
+    if (it != open_.end()) it->second.prompt_state_at = EndpointId();
+  } else if (const auto* start = std::get_if<StartAttempt>(&action)) {
+    record_attempt(*start);
+  }
+}
+
+void ReferenceScorer::record_attempt(const StartAttempt& start) {
+  OpenRequest& open = open_.at(start.request);
+  Endpoint& endpoint = endpoints_.at(start.endpoint);
+  open.active_endpoint = start.endpoint;
+  open.is_at_writer = endpoint.role != Role::kReader;
+  endpoint.was_used = true;
+  const bool is_read = endpoint.role != Role::kWriter && open.prompt_state_at.empty();
+  if (!is_read) return;
+  open.unread_tokens = std::max(0, open.request.prompt_tokens - tokens_cached_at(endpoint, open.request));
+  endpoint.tokens_since_report += open.unread_tokens;
+  record_prefixes(endpoint, open.request);
+}
+
+void ReferenceScorer::record_prefixes(Endpoint& endpoint, const Request& request) const {
+  const double memory_tokens = kind_of(endpoint.info).memory_tokens;
+  const std::size_t max_blocks =
+      memory_tokens > 0 ? static_cast<std::size_t>(memory_tokens) / kBlockTokens : kDefaultBlocks;
+  const int shared_tokens = request.shared_prefix != 0 ? request.prefix_tokens : 0;
+  if (request.session != 0) {
+    endpoint.prefixes.record({request.shared_prefix, request.session}, request.prompt_tokens,
+                             request.prompt_tokens - shared_tokens, max_blocks);
   }
-  const auto* send = std::get_if<StartAttempt>(&action);
-  if (send == nullptr) return;
-  Open& open = open_.at(send->request);
-  Server& s = servers_.at(send->endpoint);
-  const Request& r = open.request;
-  open.at = send->endpoint;
-  open.writes = s.role != Role::kReader;
-  s.used = true;
-  if (s.role == Role::kWriter || !open.state_at.empty()) return;
-  open.tokens = std::max(0, r.prompt_tokens - covered(s, r));
-  s.since += open.tokens;
-  const double tokens = kind(s.entry.kind)->memory_tokens;
-  const std::size_t maximum = tokens > 0 ? static_cast<std::size_t>(tokens) / kBlock : kBlocksUntold;
-  const int shared = r.shared_prefix != 0 ? r.prefix_tokens : 0;
-  if (r.session != 0)
-    s.table.learn({r.shared_prefix, r.session}, r.prompt_tokens, r.prompt_tokens - shared, maximum);
-  if (shared != 0) s.table.learn({r.shared_prefix, 0}, shared, shared, maximum);
+  if (shared_tokens != 0)
+    endpoint.prefixes.record({request.shared_prefix, 0}, shared_tokens, shared_tokens, max_blocks);
 }
 
-const EndpointKind* ReferenceScorer::kind(const std::string& name) const {
-  const auto is = [&](const EndpointKind& k) { return k.name == name; };
-  return &*std::find_if(settings_.kinds.begin(), settings_.kinds.end(), is);
+// ---- what is known of endpoints ----
+
+bool ReferenceScorer::is_ready(const Endpoint& endpoint) const {
+  return endpoint.info.state == EndpointState::kReady && !offline_.contains(endpoint.info.endpoint);
 }
 
-int ReferenceScorer::covered(const Server& s, const Request& r) const {
-  const int session = r.session != 0 ? s.table.tokens({r.shared_prefix, r.session}) : 0;
-  const int shared =
-      r.shared_prefix != 0 ? std::min(s.table.tokens({r.shared_prefix, 0}), r.prefix_tokens) : 0;
-  return std::min(std::max(session, shared), r.prompt_tokens);
+const EndpointKind& ReferenceScorer::kind_of(const EndpointInfo& info) const {
+  return *std::ranges::find(settings_.kinds, info.kind, &EndpointKind::name);
 }
 
-double ReferenceScorer::out(const std::string& endpoint) const {
-  return std::accumulate(open_.begin(), open_.end(), 0.0, [&](double sum, const auto& o) {
-    return sum + (o.second.at == endpoint ? o.second.tokens : 0);
+int ReferenceScorer::tokens_cached_at(const Endpoint& endpoint, const Request& request) const {
+  int of_session = 0, of_shared_prefix = 0;
+  if (request.session != 0) of_session = endpoint.prefixes.tokens({request.shared_prefix, request.session});
+  if (request.shared_prefix != 0) {
+    of_shared_prefix = std::min(endpoint.prefixes.tokens({request.shared_prefix, 0}), request.prefix_tokens);
+  }
+  return std::min(std::max(of_session, of_shared_prefix), request.prompt_tokens);
+}
+
+int ReferenceScorer::cached_tokens(const RequestId& request) const {
+  const OpenRequest& open = open_.at(request);
+  return open.request.prompt_tokens - static_cast<int>(open.unread_tokens);
+}
+
+double ReferenceScorer::unread_tokens_at(const EndpointId& endpoint) const {
+  return std::accumulate(open_.begin(), open_.end(), 0.0, [&endpoint](double sum, const auto& entry) {
+    const OpenRequest& open = entry.second;
+    return sum + (open.active_endpoint == endpoint ? open.unread_tokens : 0);
   });
 }
 
-int ReferenceScorer::waiting(const std::string& endpoint) const {
-  return static_cast<int>(std::count_if(open_.begin(), open_.end(),
-                                        [&](const auto& o) { return o.second.state_at == endpoint; }));
+int ReferenceScorer::waiting_states(const EndpointId& endpoint) const {
+  return static_cast<int>(std::ranges::count_if(
+      open_, [&endpoint](const auto& entry) { return entry.second.prompt_state_at == endpoint; }));
 }
 
-int ReferenceScorer::own_streams(const std::string& endpoint) const {
-  return static_cast<int>(std::count_if(
-      open_.begin(), open_.end(), [&](const auto& o) { return o.second.at == endpoint && o.second.writes; }));
+int ReferenceScorer::own_streams(const EndpointId& endpoint) const {
+  return static_cast<int>(std::ranges::count_if(open_, [&endpoint](const auto& entry) {
+    return entry.second.active_endpoint == endpoint && entry.second.is_at_writer;
+  }));
 }
 
-// Over the ready servers of a role that say it.
-template <typename Of>
-std::optional<double> ReferenceScorer::mean_heard(Role role, Of of) const {
+// Over the ready endpoints of a role that have a value; empty if none has.
+template <typename ValueOf>
+std::optional<double> ReferenceScorer::mean_over_ready(Role role, ValueOf value_of) const {
   double sum = 0, count = 0;
-  for (const auto& [name, s] : servers_) {
-    const std::optional<double> said = s.role == role && ready(s) ? of(s) : std::nullopt;
-    sum += said.value_or(0);
-    count += said ? 1 : 0;
+  for (const auto& [id, endpoint] : endpoints_) {
+    if (endpoint.role != role || !is_ready(endpoint)) continue;
+    const std::optional<double> value = value_of(endpoint);
+    if (!value) continue;
+    sum += *value;
+    count += 1;
   }
-  return count > 0 ? std::optional(sum / count) : std::nullopt;
+  if (count == 0) return std::nullopt;
+  return sum / count;
 }
 
-double ReferenceScorer::aged(double value, double mean, const Server& s) const {
+// ---- parts of the score ----
+
+// The reported value; with bounds it returns to the mean of the role's reports as it ages.
+double ReferenceScorer::aged_report(const Endpoint& endpoint, LoadField field) const {
+  const double value = (endpoint.report.*field).value_or(0);
   if (!bounds_) return value;
-  const double halves =
-      static_cast<double>((now_ - s.reported).count()) / static_cast<double>(bounds_->half_life.count());
-  return mean + (value - mean) * std::exp2(-halves);
+  const auto reported = [field](const Endpoint& other) { return other.report.*field; };
+  const double mean = mean_over_ready(endpoint.role, reported).value_or(0);
+  const double age = static_cast<double>((now_ - endpoint.reported_at).count());
+  const double half_lives = age / static_cast<double>(bounds_->half_life.count());
+  return mean + (value - mean) * std::exp2(-half_lives);
 }
 
-// Last reported work and our sends since, else our sends out; one never heard of nor used counts as the
-// average.
-double ReferenceScorer::load(const Server& s) const {
-  const auto reported = [](const Server& of) { return of.report.prompt_kilotokens; };
-  const auto known = [](const Server& of) -> std::optional<double> {
-    if (!of.report.prompt_kilotokens) return std::nullopt;
-    return 1000 * *of.report.prompt_kilotokens + of.since;
-  };
-  if (s.report.prompt_kilotokens)
-    return 1000 * aged(*s.report.prompt_kilotokens, mean_heard(s.role, reported).value_or(0), s) + s.since;
-  const auto average = mean_heard(s.role, known);
-  return !s.used && s.reported == Time{} && average ? *average : out(s.entry.endpoint);
+std::optional<double> ReferenceScorer::known_load(const Endpoint& endpoint) const {
+  if (!endpoint.report.prompt_kilotokens) return std::nullopt;
+  return 1000 * *endpoint.report.prompt_kilotokens + endpoint.tokens_since_report;
+}
+
+// The last reported work and what was sent since, else what is in flight; an endpoint that neither reported
+// nor was used counts as the average.
+double ReferenceScorer::load(const Endpoint& endpoint) const {
+  if (endpoint.report.prompt_kilotokens)
+    return 1000 * aged_report(endpoint, &LoadReport::prompt_kilotokens) + endpoint.tokens_since_report;
+  const auto average =
+      mean_over_ready(endpoint.role, [this](const Endpoint& other) { return known_load(other); });
+  const bool is_unknown = !endpoint.was_used && endpoint.reported_at == Time{};
+  if (is_unknown && average) return *average;
+  return unread_tokens_at(endpoint.info.endpoint);
 }
 
-double ReferenceScorer::memory(const Server& s) const {
-  const auto reported = [](const Server& of) { return of.report.memory_share; };
-  if (s.report.memory_share) return aged(*s.report.memory_share, mean_heard(s.role, reported).value_or(0), s);
+double ReferenceScorer::memory(const Endpoint& endpoint) const {
+  if (endpoint.report.memory_share) return aged_report(endpoint, &LoadReport::memory_share);
   double maximum = bounds_ ? bounds_->min_states : 1;
-  for (const auto& [name, of] : servers_) {
-    if (ready(of)) maximum = std::max(maximum, static_cast<double>(waiting(name)));
+  for (const auto& [id, other] : endpoints_) {
+    if (is_ready(other)) maximum = std::max(maximum, static_cast<double>(waiting_states(id)));
   }
-  return waiting(s.entry.endpoint) / maximum;
+  return waiting_states(endpoint.info.endpoint) / maximum;
 }
 
-std::map<std::string, Score> ReferenceScorer::scores(const Request& request) const {
-  std::map<std::string, double> loads;
-  std::map<std::string, Score> result;
-  std::map<Role, std::pair<double, double>> of_role;  // sum of loads, servers
-  for (const auto& [name, s] : servers_) {
-    if (!ready(s) || s.role == Role::kWriter) continue;
-    double tokens = load(s);
-    if (bounds_) tokens += bounds_->fixed_tokens * (1 + (s.role == Role::kMixed ? own_streams(name) : 0));
-    loads[name] = tokens;
-    of_role[s.role].first += tokens;
-    of_role[s.role].second += 1;
+ReferenceScorer::RelativeLoads ReferenceScorer::relative_loads() const {
+  struct Sum {
+    double load = 0, count = 0;
+  };
+  RelativeLoads result;
+  std::map<Role, Sum> sums;
+  for (const auto& [id, endpoint] : endpoints_) {
+    if (!is_ready(endpoint) || endpoint.role == Role::kWriter) continue;
+    double tokens = load(endpoint);
+    if (bounds_) {
+      const int streams = endpoint.role == Role::kMixed ? own_streams(id) : 0;
+      tokens += bounds_->fixed_tokens * (1 + streams);
+    }
+    result.loads[id] = tokens;
+    sums[endpoint.role].load += tokens;
+    sums[endpoint.role].count += 1;
   }
-  double minimum = 1e300, maximum = 0;
-  for (auto& [name, l] : loads) {
-    const auto& [sum, count] = of_role[servers_.at(name).role];
-    const double mean = std::max(sum / count, bounds_ ? bounds_->min_mean_tokens : 0);
-    l = mean > 0 ? l / mean : 0;
-    minimum = std::min(minimum, l);
-    maximum = std::max(maximum, l);
+  result.minimum = std::numeric_limits<double>::max();
+  for (auto& [id, relative_load] : result.loads) {
+    const Sum& sum = sums[endpoints_.at(id).role];
+    const double mean = std::max(sum.load / sum.count, bounds_ ? bounds_->min_mean_tokens : 0);
+    relative_load = mean > 0 ? relative_load / mean : 0;
+    result.minimum = std::min(result.minimum, relative_load);
+    result.maximum = std::max(result.maximum, relative_load);
   }
-  double spread = maximum - minimum;
+  return result;
+}
+
+std::map<EndpointId, Score> ReferenceScorer::scores(const Request& request) const {
+  constexpr double kTotalWeight = kPrefixWeight + kLoadWeight + kMemoryWeight;
+  const RelativeLoads relative = relative_loads();
+  double spread = relative.maximum - relative.minimum;
   if (bounds_) spread = std::clamp(spread, bounds_->spread_floor, bounds_->spread_max);
-  const double total = kPrefix + kLoad + kMemory;
-  for (const auto& [name, l] : loads) {
-    const Server& s = servers_.at(name);
+  std::map<EndpointId, Score> result;
+  for (const auto& [id, relative_load] : relative.loads) {
+    const Endpoint& endpoint = endpoints_.at(id);
     Score score;
     if (request.prompt_tokens > 0)
-      score.prefix = clamped(covered(s, request) / double(request.prompt_tokens));
-    score.load = spread > 0 ? clamped(1 - (l - minimum) / spread) : 1;
-    score.memory = clamped(1 - memory(s));
-    score.sum = (kPrefix * score.prefix + kLoad * score.load + kMemory * score.memory) / total;
-    result[name] = score;
+      score.prefix = clamp_to_unit(tokens_cached_at(endpoint, request) / double(request.prompt_tokens));
+    score.load = spread > 0 ? clamp_to_unit(1 - (relative_load - relative.minimum) / spread) : 1;
+    score.memory = clamp_to_unit(1 - memory(endpoint));
+    const double sum = kPrefixWeight * score.prefix + kLoadWeight * score.load + kMemoryWeight * score.memory;
+    score.sum = sum / kTotalWeight;
+    result[id] = score;
   }
   return result;
 }
 
-int ReferenceScorer::kept(const std::string& request) const {
-  const Open& open = open_.at(request);
-  return open.request.prompt_tokens - static_cast<int>(open.tokens);
-}
+// ---- writers ----
 
-std::map<std::string, double> ReferenceScorer::streams() const {
-  std::map<std::string, double> result;
-  for (const auto& [name, s] : servers_) {
-    if (s.role == Role::kWriter && ready(s)) result[name] = s.report.in_hand.value_or(own_streams(name));
+std::map<EndpointId, double> ReferenceScorer::streams() const {
+  std::map<EndpointId, double> result;
+  for (const auto& [id, endpoint] : endpoints_) {
+    if (endpoint.role == Role::kWriter && is_ready(endpoint))
+      result[id] = endpoint.report.in_hand.value_or(own_streams(id));
   }
   return result;
 }
 
-std::set<std::string> ReferenceScorer::writers_for(const std::string& reader) const {
-  const std::map<std::string, double> all = streams();
-  std::map<std::string, double> near;
+std::set<EndpointId> ReferenceScorer::writers_for(const EndpointId& reader) const {
+  const EndpointInfo& read_at = endpoints_.at(reader).info;
+  const std::map<EndpointId, double> all = streams();
+  std::map<EndpointId, double> near;  // in the reader's cell
   double sum = 0;
-  const EndpointInfo& at = servers_.at(reader).entry;
-  for (const auto& [name, count] : all) {
-    const EndpointInfo& e = servers_.at(name).entry;
-    if (e.zone == at.zone && e.cell == at.cell) near[name] = count;
+  for (const auto& [id, count] : all) {
+    const EndpointInfo& writer = endpoints_.at(id).info;
+    if (writer.zone == read_at.zone && writer.cell == read_at.cell) near[id] = count;
     sum += count;
   }
-  const auto fewest = [](const std::map<std::string, double>& of) {
-    double minimum = 1e300;
-    for (const auto& [name, count] : of) minimum = std::min(minimum, count);
-    std::set<std::string> result;
-    for (const auto& [name, count] : of) {
-      if (count == minimum) result.insert(name);
-    }
-    return result;
-  };
-  if (near.empty()) return fewest(all);
+  if (near.empty()) return with_fewest(all);
   const double mean = sum / static_cast<double>(all.size());
-  const double best = near.at(*fewest(near).begin());
-  if (best <= mean + kHardlyAbove) return fewest(near);
-  if (best >= kTwice * mean && best >= mean + kFarAbove) return fewest(all);
+  const double best = near.at(*with_fewest(near).begin());
+  if (best <= mean + kHardlyAbove) return with_fewest(near);
+  if (best >= kTwice * mean && best >= mean + kFarAbove) return with_fewest(all);
   return {};
 }
 
--- a/tests/conformance/reference_scorer.hpp
+++ b/tests/conformance/reference_scorer.hpp
@@ -1,114 +1,111 @@
-// The design's scores, worked out apart from the module: from the events that a router was given and the
-// actions that it returned, and from nothing else.
+// The scores of the design page, worked out apart from the routing module: from the events that a router was
+// given and the actions that it returned, and from nothing else.
 #ifndef DISPATCHER_TESTS_CONFORMANCE_REFERENCE_SCORER_HPP_
 #define DISPATCHER_TESTS_CONFORMANCE_REFERENCE_SCORER_HPP_
 
-#include <list>
+#include <cstdint>
 #include <map>
 #include <optional>
 #include <set>
 #include <string>
-#include <utility>
 
+#include "prefix_table.hpp"
 #include "routing/router.hpp"
 
 namespace dispatcher::routing::conformance {
 
+using EndpointId = decltype(EndpointInfo::endpoint);
+using RequestId = decltype(Request::id);
+
 // Where the module departs from the design on purpose: the figures of deviations.json.
 struct Bounds {
-  double spread_floor{}, spread_max{};  // of the mean load, between which min-max stretches
+  double spread_floor{}, spread_max{};  // of the mean load, between which min-max normalization stretches
   double min_mean_tokens{}, fixed_tokens{};
   double min_states{};
-  Duration half_life{};  // of a report
+  Duration half_life{};  // of a load report
   double tie_band{};
 };
 
-// A server's parts of the score, each from 0 to 1, and their weighted sum.
+// An endpoint's parts of the score, each from 0 to 1, and their weighted sum.
 struct Score {
   double prefix{}, load{}, memory{}, sum{};
 };
 
-// The keys that were sent to one reader, least recently used first out.
-class Table {
- public:
-  using Key = std::pair<std::uint64_t, std::uint64_t>;  // shared beginning, session: chained in this order
-  [[nodiscard]] int tokens(const Key& key) const;
-  void learn(const Key& key, int tokens, int own_tokens, std::size_t max_blocks);
-
- private:
-  struct Entry {
-    Key key;
-    int tokens;
-    std::size_t blocks;
-  };
-  std::list<Entry> entries_;  // last used first
-};
-
+// Follows one router. A value type: it shares nothing with the router.
 class ReferenceScorer {
  public:
   // Without bounds it is the design's page alone, with them also what the module does on purpose.
   ReferenceScorer(const Settings& settings, std::optional<Bounds> bounds)
       : settings_(settings), bounds_(bounds) {}
 
-  void hear(Time now, const Event& event);
-  void pass_time(Time now) { now_ = now; }
-  void see(const Action& action);
+  void observe(Time now, const Event& event);
+  void observe(const Action& action);  // in the order returned
+  void set_time(Time now) { now_ = now; }
 
-  // Of each ready reader and mixed server, for this request.
-  [[nodiscard]] std::map<std::string, Score> scores(const Request& request) const;
-  // Prompt tokens of the read that is out that should be found kept.
-  [[nodiscard]] int kept(const std::string& request) const;
-  // Reported or own ones, of each ready writer.
-  [[nodiscard]] std::map<std::string, double> streams() const;
-  // The writers that the design lets a state at this reader go to; empty where it does not say ("well above"
-  // has no figure there).
-  [[nodiscard]] std::set<std::string> writers_for(const std::string& reader) const;
+  // Of each ready reader and mixed endpoint, for this request.
+  [[nodiscard]] std::map<EndpointId, Score> scores(const Request& request) const;
+  // The prompt tokens that the endpoint of a read in flight should have cached.
+  [[nodiscard]] int cached_tokens(const RequestId& request) const;
+  // Streams of each ready writer: reported ones, else this router's own.
+  [[nodiscard]] std::map<EndpointId, double> streams() const;
+  // The writers that the design lets a prompt state at this reader go to; empty where it does not say ("well
+  // above" has no figure there).
+  [[nodiscard]] std::set<EndpointId> writers_for(const EndpointId& reader) const;
 
  private:
-  struct Server {
-    EndpointInfo entry;
+  struct Endpoint {
+    EndpointInfo info;
     Role role{};
-    Table table;
-    LoadReport report;
-    Time reported{};
-    bool used = false;  // by us, at any time
-    double since = 0;   // prompt tokens sent since the report
+    PrefixTable prefixes{};
+    LoadReport report{};
+    Time reported_at{};
+    bool was_used = false;           // by this router, at any time
+    double tokens_since_report = 0;  // prompt tokens sent to it
   };
-  struct Open {
+  struct OpenRequest {
     Request request;
-    std::string at, state_at;  // where an attempt is out, and where a read state waits
-    double tokens = 0;         // of that attempt, still to be read
-    bool writes = false;
+    EndpointId active_endpoint;  // where an attempt is in flight
+    EndpointId prompt_state_at;  // where a prompt state waits
+    double unread_tokens = 0;    // of the attempt in flight
+    bool is_at_writer = false;   // the attempt is at a writer or mixed endpoint
   };
-
-  [[nodiscard]] bool ready(const Server& s) const {
-    return s.entry.state == EndpointState::kReady && !offline_.contains(s.entry.endpoint);
-  }
-  [[nodiscard]] const EndpointKind* kind(const std::string& name) const;
-  [[nodiscard]] int covered(const Server& s, const Request& r) const;
-  [[nodiscard]] double load(const Server& s) const;
-  [[nodiscard]] double memory(const Server& s) const;
-  [[nodiscard]] double aged(double value, double mean, const Server& s) const;
-  [[nodiscard]] double out(const std::string& endpoint) const;   // prompt tokens
-  [[nodiscard]] int waiting(const std::string& endpoint) const;  // states
-  [[nodiscard]] int own_streams(const std::string& endpoint) const;
-  template <typename Of>
-  std::optional<double> mean_heard(Role role, Of of) const;
-
-  void on(const EndpointList& list);
-  void on(const Request& r) { open_[r.id].request = r; }
-  void on(const AttemptCompleted& o);
-  void on(const FirstToken& f);
-  void on(const AdministrativeDrain& m);
+  // Loads of the endpoints that can read, by the mean of their role.
+  struct RelativeLoads {
+    std::map<EndpointId, double> loads;
+    double minimum{}, maximum{};
+  };
+  using LoadField = std::optional<double> LoadReport::*;
+
+  [[nodiscard]] bool is_ready(const Endpoint& endpoint) const;
+  [[nodiscard]] const EndpointKind& kind_of(const EndpointInfo& info) const;
+  [[nodiscard]] int tokens_cached_at(const Endpoint& endpoint, const Request& request) const;
+  [[nodiscard]] double load(const Endpoint& endpoint) const;
+  [[nodiscard]] double memory(const Endpoint& endpoint) const;
+  [[nodiscard]] std::optional<double> known_load(const Endpoint& endpoint) const;
+  [[nodiscard]] double aged_report(const Endpoint& endpoint, LoadField field) const;
+  [[nodiscard]] double unread_tokens_at(const EndpointId& endpoint) const;
+  [[nodiscard]] int waiting_states(const EndpointId& endpoint) const;
+  [[nodiscard]] int own_streams(const EndpointId& endpoint) const;
+  [[nodiscard]] RelativeLoads relative_loads() const;
+  template <typename ValueOf>
+  std::optional<double> mean_over_ready(Role role, ValueOf value_of) const;
+
+  void apply(const EndpointList& list);
+  void apply(const Request& request) { open_[request.id].request = request; }
+  void apply(const AttemptCompleted& completed);
+  void apply(const FirstToken& token);
+  void apply(const AdministrativeDrain& drain);
   template <typename Other>
-  void on(const Other&) {}
+  void apply(const Other&) {}
+  void record_attempt(const StartAttempt& start);
+  void record_prefixes(Endpoint& endpoint, const Request& request) const;
 
   Settings settings_;
   std::optional<Bounds> bounds_;
   Time now_{};
-  std::map<std::string, Server> servers_;
-  std::set<std::string> offline_;
-  std::map<std::string, Open> open_;
+  std::map<EndpointId, Endpoint> endpoints_;
+  std::set<EndpointId> offline_;
+  std::map<RequestId, OpenRequest> open_;
 };
 
 }  // namespace dispatcher::routing::conformance
--- /dev/null
+++ b/tests/conformance/step_player.cpp
@@ -0,0 +1,190 @@
+#include "step_player.hpp"
+
+#include <algorithm>
+#include <array>
+#include <optional>
+#include <vector>
+
+namespace dispatcher::routing::conformance {
+
+void StepPlayer::play(const Json& step) {
+  struct Kind {
+    const char* field;
+    void (StepPlayer::*play)(const Json&);
+  };
+  static constexpr std::array kKinds = {Kind{"list", &StepPlayer::play_list},
+                                        Kind{"ask", &StepPlayer::play_ask},
+                                        Kind{"teach", &StepPlayer::play_teach},
+                                        Kind{"reports", &StepPlayer::play_reports},
+                                        Kind{"read", &StepPlayer::play_read},
+                                        Kind{"first", &StepPlayer::play_first},
+                                        Kind{"serve", &StepPlayer::play_serve},
+                                        Kind{"gone", &StepPlayer::play_gone},
+                                        Kind{"end", &StepPlayer::play_end},
+                                        Kind{"states", &StepPlayer::play_states},
+                                        Kind{"streams", &StepPlayer::play_streams},
+                                        Kind{"wait_ms", &StepPlayer::play_wait},
+                                        Kind{"maintenance", &StepPlayer::play_maintenance}};
+  const auto kind =
+      std::ranges::find_if(kKinds, [&step](const Kind& each) { return step.contains(each.field); });
+  if (kind == kKinds.end()) fail("unknown step: " + step.dump());
+  (this->*kind->play)(step);
+}
+
+void StepPlayer::play_list(const Json& step) {
+  require_known_fields(step, {"list", "delta"});
+  EndpointList list{step.value("delta", false) ? ListKind::kDelta : ListKind::kFull, {}};
+  for (const Json& json : step.at("list")) list.entries.push_back(parse_endpoint(json));
+  runner_.update_endpoints(list);
+}
+
+void StepPlayer::play_ask(const Json& step) {
+  require_known_fields(step, {"ask", "at", "refused"});
+  const Request request = runner_.make_request(step.at("ask"));
+  std::optional<EndpointId> only_at;
+  if (step.contains("at")) only_at = step.at("at").get<std::string>();
+  runner_.submit(request, only_at);
+  const bool is_rejection_expected = step.value("refused", false);
+  if (runner_.is_over(request.id) != is_rejection_expected)
+    fail(is_rejection_expected ? "a request was not rejected" : "a request was rejected");
+}
+
+// Complete reads, of which nothing is left but their keys; of one session after the other.
+void StepPlayer::play_teach(const Json& step) {
+  require_known_fields(step, {"teach", "session", "shared", "prompt", "prefix", "times"});
+  const EndpointId endpoint = step.at("teach").get<std::string>();
+  Json fields = step;
+  fields.erase("teach");
+  fields.erase("times");
+  for (int i = 0; i < step.value("times", 1); ++i) {
+    Request request = runner_.make_request(fields);
+    request.id = runner_.make_unnamed_request().id;
+    if (request.session != 0) request.session += static_cast<std::uint64_t>(i);
+    runner_.submit(request, endpoint);
+    if (runner_.role(endpoint) == Role::kMixed) {
+      runner_.disconnect_client(request.id);
+    } else {
+      runner_.complete(request.id, AttemptStatus::kRead, {.is_finished = true});
+    }
+  }
+}
+
+void StepPlayer::play_reports(const Json& step) {
+  require_known_fields(step, {"reports"});
+  for (const auto& item : step.at("reports").items()) report_load(item.key(), parse_report(item.value()));
+}
+
+// By the end of a request without a key, read, written or cancelled there.
+void StepPlayer::report_load(const EndpointId& endpoint, const LoadReport& report) {
+  const Request request = runner_.make_unnamed_request();
+  switch (runner_.role(endpoint)) {
+    case Role::kWriter:
+      runner_.submit(request);
+      runner_.complete_read(request.id, endpoint);
+      runner_.send_first_token(request.id);
+      return runner_.serve(request.id, report);
+    case Role::kMixed:
+      runner_.submit(request, endpoint);
+      return runner_.disconnect_client(request.id, report);
+    case Role::kReader:
+      runner_.submit(request, endpoint);
+      return runner_.complete(request.id, AttemptStatus::kRead, {.report = report, .is_finished = true});
+  }
+}
+
+void StepPlayer::play_read(const Json& step) {
+  require_known_fields(step, {"read", "report", "note", "finished"});
+  TableRunner::AttemptEnd end;
+  end.report = parse_report(step.value("report", Json::object()));
+  if (step.contains("note")) end.cached_tokens = step.at("note").get<int>();
+  end.is_finished = step.value("finished", false);
+  runner_.complete(step.at("read").get<std::string>(), AttemptStatus::kRead, end);
+}
+
+void StepPlayer::play_first(const Json& step) {
+  require_known_fields(step, {"first", "took_ms"});
+  runner_.send_first_token(step.at("first").get<std::string>(), parse_milliseconds(step, "took_ms", 20));
+}
+
+void StepPlayer::play_serve(const Json& step) {
+  require_known_fields(step, {"serve"});
+  runner_.serve(step.at("serve").get<std::string>());
+}
+
+void StepPlayer::play_gone(const Json& step) {
+  require_known_fields(step, {"gone"});
+  runner_.disconnect_client(step.at("gone").get<std::string>());
+}
+
+// The note 1 says that there is evidence.
+void StepPlayer::play_end(const Json& step) {
+  require_known_fields(step, {"end", "verdict", "note"});
+  const AttemptStatus status = parse_failure(step.at("verdict"));
+  runner_.complete(step.at("end").get<std::string>(), status, {.has_evidence = step.value("note", 0) == 1});
+}
+
+StepPlayer::StateEnd StepPlayer::parse_state_end(const std::string& word) {
+  if (word == "read") return StateEnd::kRead;
+  if (word == "fetched") return StateEnd::kFetched;
+  if (word == "gone") return StateEnd::kGone;
+  fail("unknown word: " + word);
+}
+
+StepPlayer::StreamEnd StepPlayer::parse_stream_end(const std::string& word) {
+  if (word == "sent") return StreamEnd::kSent;
+  if (word == "begun") return StreamEnd::kBegun;
+  if (word == "served") return StreamEnd::kServed;
+  fail("unknown word: " + word);
+}
+
+void StepPlayer::play_states(const Json& step) {
+  require_known_fields(step, {"states", "count", "until"});
+  hold_prompt_states(step.at("states").get<std::string>(), step.value("count", 1),
+                     parse_state_end(step.value("until", "read")));
+}
+
+// Read there, waiting for a writer.
+void StepPlayer::hold_prompt_states(const EndpointId& reader, int count, StateEnd end) {
+  std::vector<RequestId> ids;
+  for (int i = 0; i < count; ++i) {
+    const Request request = runner_.make_unnamed_request();
+    runner_.submit(request, reader);
+    runner_.complete_read(request.id);
+    ids.push_back(request.id);
+  }
+  for (const RequestId& id : ids) {
+    if (end == StateEnd::kGone) runner_.disconnect_client(id);
+    if (end == StateEnd::kFetched) runner_.send_first_token(id);
+  }
+}
+
+void StepPlayer::play_streams(const Json& step) {
+  require_known_fields(step, {"streams", "count", "until"});
+  const StreamEnd end = parse_stream_end(step.value("until", "begun"));
+  for (int i = 0; i < step.value("count", 1); ++i) open_stream(step.at("streams").get<std::string>(), end);
+}
+
+void StepPlayer::open_stream(const EndpointId& endpoint, StreamEnd end) {
+  const Request request = runner_.make_unnamed_request();
+  if (runner_.role(endpoint) == Role::kWriter) {
+    runner_.submit(request);
+    runner_.complete_read(request.id, endpoint);
+  } else {
+    runner_.submit(request, endpoint);
+  }
+  if (end == StreamEnd::kSent) return;
+  runner_.send_first_token(request.id);
+  if (end == StreamEnd::kServed) runner_.serve(request.id);
+}
+
+void StepPlayer::play_wait(const Json& step) {
+  require_known_fields(step, {"wait_ms"});
+  runner_.advance(parse_milliseconds(step, "wait_ms"));
+}
+
+void StepPlayer::play_maintenance(const Json& step) {
+  require_known_fields(step, {"maintenance", "offline"});
+  runner_.set_administrative_drain(step.at("maintenance").get<std::string>(), step.at("offline"));
+}
+
+}  // namespace dispatcher::routing::conformance
--- a/tests/routing/retry_policy_test.cpp
+++ b/tests/routing/retry_policy_test.cpp
@@ -178,11 +178,11 @@
 }
 
 std::vector<EndpointInfo> eight_readers_and_eight_writers() {
-  constexpr int kOfEachRole = 8;
+  constexpr std::size_t kOfEachRole = 8;
   std::vector<EndpointInfo> endpoints;
   endpoints.reserve(2 * kOfEachRole);
-  for (int i = 0; i < kOfEachRole; ++i) endpoints.push_back(reader("r" + std::to_string(i)));
-  for (int i = 0; i < kOfEachRole; ++i) endpoints.push_back(writer("w" + std::to_string(i)));
+  for (std::size_t i = 0; i < kOfEachRole; ++i) endpoints.push_back(reader("r" + std::to_string(i)));
+  for (std::size_t i = 0; i < kOfEachRole; ++i) endpoints.push_back(writer("w" + std::to_string(i)));
   return endpoints;
 }
 
