--- a/tests/confine/confine.cpp
+++ b/tests/confine/confine.cpp
@@ -30,85 +30,115 @@
 
 namespace {
 
-struct Refused {
-  int number;
+// A system call that the filter traps, and what it returns in the place of an effect.
+struct RefusedCall {
   const char* name;
+  int number;
   int error;
 };
 
-constexpr Refused kRejected[] = {
-    {SYS_fork, "fork", ENOSYS},
-    {SYS_vfork, "vfork", ENOSYS},
-    {SYS_execve, "execve", ENOSYS},
-    {SYS_execveat, "execveat", ENOSYS},
-    {SYS_io_uring_setup, "io_uring_setup", ENOSYS},
-    {SYS_io_uring_enter, "io_uring_enter", ENOSYS},
-    {SYS_io_uring_register, "io_uring_register", ENOSYS},
-    {SYS_splice, "splice", EINVAL},
-    {SYS_sendfile, "sendfile", ENOSYS},
-    {SYS_socketpair, "socketpair", EAFNOSUPPORT},
-    {SYS_socket, "socket", EAFNOSUPPORT},  // only of a family other than AF_INET
+constexpr RefusedCall kRefusedCalls[] = {
+    {"fork", SYS_fork, ENOSYS},
+    {"vfork", SYS_vfork, ENOSYS},
+    {"execve", SYS_execve, ENOSYS},
+    {"execveat", SYS_execveat, ENOSYS},
+    {"io_uring_setup", SYS_io_uring_setup, ENOSYS},
+    {"io_uring_enter", SYS_io_uring_enter, ENOSYS},
+    {"io_uring_register", SYS_io_uring_register, ENOSYS},
+    {"splice", SYS_splice, EINVAL},
+    {"sendfile", SYS_sendfile, ENOSYS},
+    {"socketpair", SYS_socketpair, EAFNOSUPPORT},
+    {"socket", SYS_socket, EAFNOSUPPORT},  // only of a family other than AF_INET
 };
+constexpr RefusedCall kUnknownCall = {"unknown", -1, ENOSYS};
 
 int report_fd = -1;
 
-void say(const char* text) {
-  if (report_fd < 0) return;
-  const std::size_t length = std::strlen(text);
-  while (::write(report_fd, text, length) < 0 && errno == EINTR) {
+// A line of the report, put together without allocation: a signal handler writes it. What exceeds the buffer
+// is left out.
+class ReportLine {
+ public:
+  ReportLine& append(const char* text) {
+    while (*text != '\0' && length_ < sizeof buffer_) {
+      buffer_[length_] = *text;
+      ++length_;
+      ++text;
+    }
+    return *this;
+  }
+  ReportLine& append(unsigned number) {
+    char digits[11] = {};  // of 32 bits, with the terminating zero
+    std::size_t first = sizeof digits - 1;
+    do {
+      --first;
+      digits[first] = static_cast<char>('0' + number % 10);
+      number /= 10;
+    } while (number != 0);
+    return append(digits + first);
   }
+  void write() const {
+    if (report_fd < 0) return;
+    while (::write(report_fd, buffer_, length_) < 0 && errno == EINTR) {
+    }
+  }
+
+ private:
+  char buffer_[96] = {};
+  std::size_t length_ = 0;
+};
+
+void report(const char* text) { ReportLine().append(text).append("\n").write(); }
+
+void report_refused(const char* call) { ReportLine().append("refused ").append(call).append("\n").write(); }
+
+const RefusedCall& find_refused_call(int number) {
+  for (const RefusedCall& call : kRefusedCalls) {
+    if (call.number == number) return call;
+  }
+  return kUnknownCall;
 }
 
 // Runs in the thread that made the call; only what is safe in a signal handler.
 void on_sigsys(int, siginfo_t* info, void* context) {
   auto* registers = static_cast<ucontext_t*>(context)->uc_mcontext.gregs;
-  int error = ENOSYS;
-  const char* name = "unknown";
-  for (const Refused& r : kRejected) {
-    if (r.number == info->si_syscall) name = r.name, error = r.error;
-  }
-  char line[96] = "refused ";
-  std::strncat(line, name, sizeof line - 16);
-  if (info->si_syscall == SYS_socket) {
-    // The family, so that a report says which socket was asked for.
-    const auto family = static_cast<unsigned>(registers[REG_RDI]);
-    char digits[12];
-    int n = 0;
-    unsigned value = family;
-    do digits[n++] = static_cast<char>('0' + value % 10), value /= 10;
-    while (value != 0 && n < 11);
-    std::strcat(line, " family ");
-    std::size_t at = std::strlen(line);
-    while (n > 0) line[at++] = digits[--n];
-    line[at] = '\0';
-  }
-  std::strcat(line, "\n");
-  say(line);
-  registers[REG_RAX] = -error;
+  const RefusedCall& call = find_refused_call(info->si_syscall);
+  ReportLine line;
+  line.append("refused ").append(call.name);
+  // The family, so that a report says which socket was asked for.
+  if (call.number == SYS_socket) line.append(" family ").append(static_cast<unsigned>(registers[REG_RDI]));
+  line.append("\n").write();
+  registers[REG_RAX] = -call.error;
 }
 
-bool install() {
-  scmp_filter_ctx filter = seccomp_init(SCMP_ACT_ALLOW);
-  if (filter == nullptr) return false;
+bool add_rules(scmp_filter_ctx filter) {
   int failed = 0;
-  for (const Refused& r : kRejected) {
-    if (r.number == SYS_clone) {
-      failed |=
-          seccomp_rule_add(filter, SCMP_ACT_TRAP, r.number, 1, SCMP_A0(SCMP_CMP_MASKED_EQ, CLONE_THREAD, 0));
-    } else if (r.number == SYS_socket) {
-      failed |= seccomp_rule_add(filter, SCMP_ACT_TRAP, r.number, 1, SCMP_A0(SCMP_CMP_NE, AF_INET));
+  for (const RefusedCall& call : kRefusedCalls) {
+    if (call.number == SYS_socket) {
+      failed |= seccomp_rule_add(filter, SCMP_ACT_TRAP, call.number, 1, SCMP_A0(SCMP_CMP_NE, AF_INET));
     } else {
-      failed |= seccomp_rule_add(filter, SCMP_ACT_TRAP, r.number, 0);
+      failed |= seccomp_rule_add(filter, SCMP_ACT_TRAP, call.number, 0);
     }
   }
   failed |= seccomp_rule_add(filter, SCMP_ACT_ERRNO(ENOSYS), SCMP_SYS(clone), 1,
                              SCMP_A0(SCMP_CMP_MASKED_EQ, CLONE_THREAD, 0));
   failed |= seccomp_rule_add(filter, SCMP_ACT_ERRNO(ENOSYS), SCMP_SYS(clone3), 0);
-  failed |= seccomp_load(filter);
-  seccomp_release(filter);
   return failed == 0;
 }
 
+bool install_filter() {
+  scmp_filter_ctx filter = seccomp_init(SCMP_ACT_ALLOW);
+  if (filter == nullptr) return false;
+  const bool is_loaded = add_rules(filter) && seccomp_load(filter) == 0;
+  seccomp_release(filter);
+  return is_loaded;
+}
+
+// The C library's own function of this name and type.
+template <class Function>
+Function* next_function(Function*, const char* name) {
+  return reinterpret_cast<Function*>(::dlsym(RTLD_NEXT, name));
+}
+
 __attribute__((constructor)) void confine() {
   if (const char* path = std::getenv("CONFINE_REPORT"); path != nullptr && *path != '\0')
     report_fd = ::open(path, O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, 0600);
@@ -116,11 +146,11 @@
   action.sa_sigaction = on_sigsys;
   action.sa_flags = SA_SIGINFO;
   sigemptyset(&action.sa_mask);
-  if (sigaction(SIGSYS, &action, nullptr) != 0 || !install()) {
-    say("confine: the filter could not be installed\n");
+  if (sigaction(SIGSYS, &action, nullptr) != 0 || !install_filter()) {
+    report("confine: the filter could not be installed");
     std::_Exit(125);  // a test must not pass because nothing was filtered
   }
-  say("confined\n");
+  report("confined");
 }
 
 }  // namespace
@@ -128,39 +158,37 @@
 // In front of the C library's own: each says that it was called, then lets the real one meet the filter.
 extern "C" {
 
-#define CONFINE_NEXT(name) reinterpret_cast<decltype(&name)>(::dlsym(RTLD_NEXT, #name))
-
 pid_t fork() {
-  say("refused fork\n");
-  return CONFINE_NEXT(fork)();
+  report_refused("fork");
+  return next_function(&fork, "fork")();
 }
 
 pid_t vfork() {  // the real one could not return into this frame; no process is made either way
-  say("refused vfork\n");
+  report_refused("vfork");
   errno = ENOSYS;
   return -1;
 }
 
 int posix_spawn(pid_t* pid, const char* path, const posix_spawn_file_actions_t* actions,
                 const posix_spawnattr_t* attributes, char* const argv[], char* const envp[]) {
-  say("refused posix_spawn\n");
-  return CONFINE_NEXT(posix_spawn)(pid, path, actions, attributes, argv, envp);
+  report_refused("posix_spawn");
+  return next_function(&posix_spawn, "posix_spawn")(pid, path, actions, attributes, argv, envp);
 }
 
 int posix_spawnp(pid_t* pid, const char* file, const posix_spawn_file_actions_t* actions,
                  const posix_spawnattr_t* attributes, char* const argv[], char* const envp[]) {
-  say("refused posix_spawnp\n");
-  return CONFINE_NEXT(posix_spawnp)(pid, file, actions, attributes, argv, envp);
+  report_refused("posix_spawnp");
+  return next_function(&posix_spawnp, "posix_spawnp")(pid, file, actions, attributes, argv, envp);
 }
 
 int system(const char* command) {
-  say("refused system\n");
-  return CONFINE_NEXT(system)(command);
+  report_refused("system");
+  return next_function(&system, "system")(command);
 }
 
 FILE* popen(const char* command, const char* mode) {
-  say("refused popen\n");
-  return CONFINE_NEXT(popen)(command, mode);
+  report_refused("popen");
+  return next_function(&popen, "popen")(command, mode);
 }
 
 }  // extern "C"
--- a/tests/confine/confine_test.cpp
+++ b/tests/confine/confine_test.cpp
@@ -57,10 +57,11 @@
          endpoint("r1", "reader", dial(reader)) + "," + endpoint("w1", "writer", dial(writer)) + "]}}";
 }
 
-// One process of the daemon, confined, with its folder, its log and the stand-in's report.
-class Confined {
+// One confined process of a program, with its folder, its log and the stand-in's report. Owns process and
+// folder: both are gone when it is destroyed.
+class ConfinedProcess {
  public:
-  Confined(const std::string& program, std::vector<std::string> more_environment) {
+  ConfinedProcess(const std::string& program, std::vector<std::string> more_environment) {
     char pattern[] = "/tmp/bitternferry-confine-XXXXXX";
     folder_ = ::mkdtemp(pattern);
     std::vector<std::string> environment{"LD_PRELOAD=" + std::string(CONFINE_LIBRARY),
@@ -71,8 +72,11 @@
     environment_ = std::move(environment);
     program_ = program;
   }
-  ~Confined() {
-    if (pid_ > 0 && !ended_) ::kill(pid_, SIGKILL), ::waitpid(pid_, nullptr, 0);
+  ~ConfinedProcess() {
+    if (pid_ > 0 && !has_ended_) {
+      ::kill(pid_, SIGKILL);
+      ::waitpid(pid_, nullptr, 0);
+    }
     std::error_code ignored;
     fs::remove_all(folder_, ignored);
   }
@@ -81,7 +85,7 @@
   void write_config(const std::string& text) const { std::ofstream(config()) << text; }
   void start() {
     std::vector<char*> env;
-    for (std::string& e : environment_) env.push_back(e.data());
+    for (std::string& variable : environment_) env.push_back(variable.data());
     env.push_back(nullptr);
     std::string name = program_;
     char* argv[] = {name.data(), nullptr};
@@ -101,7 +105,7 @@
     for (int i = 0; i < 2000; ++i) {
       int status = 0;
       if (::waitpid(pid_, &status, WNOHANG) == pid_) {
-        ended_ = true;
+        has_ended_ = true;
         return WIFEXITED(status) ? WEXITSTATUS(status) : 128 + WTERMSIG(status);
       }
       std::this_thread::sleep_for(milliseconds(10));
@@ -114,11 +118,11 @@
   std::vector<std::string> environment_;
   std::string program_;
   pid_t pid_ = 0;
-  bool ended_ = false;
+  bool has_ended_ = false;
 };
 
 // Asks /healthz until the daemon answers, as the platform's front does before it sends anything.
-bool healthy(TestEventLoop& work, int port) {
+bool becomes_healthy(TestEventLoop& work, int port) {
   const net::tcp::endpoint at(boost::asio::ip::address_v4::loopback(), static_cast<unsigned short>(port));
   for (int i = 0; i < 200; ++i) {
     FakeClient client(work, at);
@@ -138,10 +142,10 @@
 
 TEST_CASE("confined as on the fleet, the daemon starts, streams, reloads and drains", "[confine]") {
   Site site;
-  Confined daemon(DISPATCHER_DAEMON, {});
+  ConfinedProcess daemon(DISPATCHER_DAEMON, {});
   daemon.write_config(configuration(site.port, 1, site.reader, site.writer));
   daemon.start();
-  REQUIRE(healthy(site.work, site.port));
+  REQUIRE(becomes_healthy(site.work, site.port));
 
   FakeClient client(site.work,
                     {boost::asio::ip::address_v4::loopback(), static_cast<unsigned short>(site.port)});
@@ -166,11 +170,11 @@
 TEST_CASE("where TMPDIR offers a hand-over, the refused Unix socket is told and the start goes on",
           "[confine]") {
   Site site;
-  Confined daemon(DISPATCHER_DAEMON, {});
-  Confined with_folder(DISPATCHER_DAEMON, {"TMPDIR=" + daemon.folder().string()});
+  ConfinedProcess daemon(DISPATCHER_DAEMON, {});
+  ConfinedProcess with_folder(DISPATCHER_DAEMON, {"TMPDIR=" + daemon.folder().string()});
   with_folder.write_config(configuration(site.port, 1, site.reader, site.writer));
   with_folder.start();
-  REQUIRE(healthy(site.work, site.port));
+  REQUIRE(becomes_healthy(site.work, site.port));
   with_folder.signal(SIGTERM);
   CHECK(with_folder.wait_end() == 0);
   CHECK(with_folder.report().find("refused socket family 1\n") != std::string::npos);
@@ -179,7 +183,7 @@
 
 TEST_CASE("the stand-in refuses and reports what the fleet refuses, and lets threads and IPv4 be",
           "[confine]") {
-  Confined probe(CONFINE_PROBE, {});
+  ConfinedProcess probe(CONFINE_PROBE, {});
   probe.start();
   REQUIRE(probe.wait_end() == 0);
   const std::string said = probe.log(), report = probe.report();
--- a/tests/consumer/main.cpp
+++ b/tests/consumer/main.cpp
@@ -1,50 +1,75 @@
-// A dispatcher in miniature: feeds one request through reading and writing to its end.
+// The installed package, used as a dispatcher uses it: one request is taken through reading and writing to
+// its end. Prints the two endpoints; the exit code is 0 if the request was served.
+#include <chrono>
 #include <iostream>
 #include <routing/router.hpp>
 #include <string>
+#include <variant>
+#include <vector>
+
+namespace {
+
+using namespace dispatcher::routing;
+using std::chrono::milliseconds;
+
+Settings make_settings() {
+  RequestClass request_class;
+  request_class.name = "line";
+  request_class.idempotency = Idempotency::kIdempotent;
+  request_class.deduplication_scope = DeduplicationScope::kAll;
+  request_class.latency_objective = milliseconds(1000);
+  request_class.deadline = milliseconds(6000);
+  request_class.token_latency_objective = milliseconds(60);
+  request_class.priority_weight = 1;
+  Settings settings;
+  settings.router_count = 1;
+  settings.classes = {request_class};
+  settings.kinds = {{"reader", Role::kReader, 200000}, {"writer", Role::kWriter, 100000}};
+  settings.max_attempts = 4;
+  settings.reservation_limit = milliseconds(300);
+  return settings;
+}
+
+EndpointInfo make_endpoint(const char* name, const char* kind) {
+  return {name, "here", kind, 0, EndpointState::kReady, 1, {}};
+}
+
+Request make_request() {
+  Request request;
+  request.id = "one";
+  request.request_class = "line";
+  request.prompt_tokens = 1000;
+  request.client_deadline = milliseconds(6000);
+  return request;
+}
+
+// Where the actions send a request; empty: nowhere.
+auto target_of(const std::vector<Action>& actions) -> decltype(StartAttempt::endpoint) {
+  for (const Action& action : actions) {
+    if (const auto* start = std::get_if<StartAttempt>(&action)) return start->endpoint;
+  }
+  return {};
+}
+
+}  // namespace
 
 int main() {
-  using namespace dispatcher::routing;
-  using std::chrono::milliseconds;
-  Settings s;
-  s.router_count = 1;
-  s.classes.push_back({"line",
-                       Idempotency::kIdempotent,
-                       DeduplicationScope::kAll,
-                       {},
-                       milliseconds(1000),
-                       {},
-                       milliseconds(6000),
-                       milliseconds(60),
-                       1,
-                       0});
-  s.kinds = {{"reader", Role::kReader, 200000}, {"writer", Role::kWriter, 100000}};
-  s.max_attempts = 4;
-  s.reservation_limit = milliseconds(300);
-  Router router(s, 42);
+  Router router(make_settings(), 42);
   Time now = milliseconds(1);
-  const auto sent_to = [](const std::vector<Action>& actions) {
-    for (const Action& a : actions) {
-      if (const auto* send = std::get_if<StartAttempt>(&a)) return send->endpoint;
-    }
-    return std::string();
-  };
-  router.handle(now, EndpointList{ListKind::kFull,
-                                  {{"r1", "here", "reader", 0, EndpointState::kReady, 1, {}},
-                                   {"w1", "here", "writer", 0, EndpointState::kReady, 1, {}}}});
-  Request r;
-  r.id = "one";
-  r.request_class = "line";
-  r.prompt_tokens = 1000;
-  r.client_deadline = milliseconds(6000);
-  const std::string reader = sent_to(router.handle(now, r));
+  router.handle(
+      now, EndpointList{ListKind::kFull, {make_endpoint("r1", "reader"), make_endpoint("w1", "writer")}});
+  const auto reader = target_of(router.handle(now, make_request()));
   now += milliseconds(50);
-  const std::string writer = sent_to(router.handle(
-      now, AttemptCompleted{"one", reader, 0, AttemptStatus::kRead, milliseconds(50), false, 0, {}, {}}));
+  const AttemptCompleted read{"one", reader, 0, AttemptStatus::kRead, milliseconds(50), false, 0, {}, {}};
+  const auto writer = target_of(router.handle(now, read));
   router.handle(now, FirstToken{"one", writer, 1, milliseconds(20)});
   router.handle(
       now, AttemptCompleted{"one", writer, 1, AttemptStatus::kServed, milliseconds(900), true, 0, {}, {}});
-  const bool ok = reader == "r1" && writer == "w1" && router.table_sizes().requests == 0;
-  std::cout << (ok ? "served by " + reader + " and " + writer : "not served") << "\n";
-  return ok ? 0 : 1;
+  const bool is_served = reader == "r1" && writer == "w1" && router.table_sizes().requests == 0;
+  if (!is_served) {
+    std::cout << "not served\n";
+    return 1;
+  }
+  std::cout << "served by " << reader << " and " << writer << "\n";
+  return 0;
 }
--- a/tests/dispatcher/engine_digest_fixture.cpp
+++ b/tests/dispatcher/engine_digest_fixture.cpp
@@ -2,6 +2,7 @@
 
 #include <algorithm>
 #include <iterator>
+#include <sstream>
 #include <utility>
 
 #include "engine_digest_parts.hpp"
@@ -17,23 +18,25 @@
 
 namespace {
 
-dispatcher::routing::testing::Site draw_site(dispatcher::routing::testing::Dice& dice) {
-  dispatcher::routing::testing::Genes genes;
-  for (std::size_t i = 0; i < dispatcher::routing::testing::kGenes; ++i)
-    genes.values.push_back(dice.below(1000));
-  return dispatcher::routing::testing::draw(genes);
+using routing::testing::Dice;
+using routing::testing::Digest;
+
+routing::testing::Site draw_site(Dice& dice) {
+  routing::testing::Genes genes;
+  for (std::size_t i = 0; i < routing::testing::kGenes; ++i) genes.values.push_back(dice.below(1000));
+  return routing::testing::draw(genes);
 }
 
 template <class Table>
-auto pick_in(Table& table, dispatcher::routing::testing::Dice& dice) {
+auto pick_in(Table& table, Dice& dice) {
   return std::next(table.begin(), dice.below(static_cast<int>(table.size())));
 }
 
 }  // namespace
 
-EngineScript::EngineScript(std::uint64_t seed, dispatcher::routing::testing::Digest& digest, Counts& counts)
+EngineScript::EngineScript(std::uint64_t seed, Digest& digest, Counts& counts)
     : digest_(digest), counts_(counts), dice_(seed) {
-  dispatcher::routing::testing::Site site = draw_site(dice_);
+  routing::testing::Site site = draw_site(dice_);
   for (routing::Settings& settings : site.settings)
     settings_.push_back(std::make_shared<const routing::Settings>(std::move(settings)));
   for (int number = 0; number < 2; ++number) {
@@ -149,7 +152,8 @@
 
 void EngineScript::disconnect(Client& client) {
   count("client_gone");
-  client.is_over = client.has_disconnected = true;
+  client.is_over = true;
+  client.has_disconnected = true;
   client.at->engine.on_client_disconnected(client.request);
 }
 
@@ -186,11 +190,12 @@
 
 engine::AttemptResult EngineScript::draw_result(AttemptStatus status) {
   engine::AttemptResult result{status, 0, {}, {}};
-  if (status == AttemptStatus::kRead || status == AttemptStatus::kServed)
+  if (status == AttemptStatus::kRead || status == AttemptStatus::kServed) {
     result.cached_prompt_tokens = dice_.below(3) * 100;
-  else if (dice_.below(2) == 1)
+  } else if (dice_.below(2) == 1) {
     result.evidence = status == AttemptStatus::kFull ? routing::AttemptEvidence::kStateNotFound
                                                      : routing::AttemptEvidence::kEndpointRunning;
+  }
   if (dice_.one_in(3)) result.report.in_hand = dice_.below(40);
   if (dice_.one_in(3)) result.report.memory_share = dice_.below(100) / 128.0;
   if (dice_.one_in(3)) result.report.prompt_kilotokens = dice_.below(100) / 4.0;
@@ -259,6 +264,14 @@
   for (const auto& process : processes_) process->engine.update_endpoints(list);
 }
 
+// Another machine in the endpoint's place: a name that no endpoint had before.
+void EngineScript::rename_replacement(EndpointInfo& endpoint) {
+  std::ostringstream name;
+  name << endpoint.endpoint << "n" << replaced_endpoints_;
+  ++replaced_endpoints_;
+  endpoint.endpoint = name.str();
+}
+
 void EngineScript::change_endpoints() {
   const int how = dice_.below(10);
   if (how == 0) return send_list(ListKind::kFailed, {});
@@ -270,11 +283,15 @@
     return send_list(ListKind::kFull, std::move(entries));
   }
   EndpointInfo endpoint = pick_in(endpoints_, dice_)->second;
-  endpoint.state = how < 4    ? EndpointState::kDraining
-                   : how == 4 ? EndpointState::kRemoved
-                              : EndpointState::kReady;
+  if (how < 4) {
+    endpoint.state = EndpointState::kDraining;
+  } else if (how == 4) {
+    endpoint.state = EndpointState::kRemoved;
+  } else {
+    endpoint.state = EndpointState::kReady;
+  }
   if (how == 5 || how == 6 || how == 7) endpoint.started = now_;
-  if (how == 7) endpoint.endpoint += "n" + std::to_string(replaced_endpoints_++);
+  if (how == 7) rename_replacement(endpoint);
   endpoints_[endpoint.endpoint] = endpoint;
   send_list(ListKind::kDelta, {endpoint});
 }
--- a/tests/dispatcher/engine_digest_fixture.hpp
+++ b/tests/dispatcher/engine_digest_fixture.hpp
@@ -25,7 +25,7 @@
 // One run of drawn settings, requests and faults.
 class EngineScript {
  public:
-  EngineScript(std::uint64_t seed, dispatcher::routing::testing::Digest& digest, Counts& counts);
+  EngineScript(std::uint64_t seed, routing::testing::Digest& digest, Counts& counts);
   ~EngineScript();
   void run(int steps);
   bool finish();  // all clients leave and all attempts end: true if nothing is left
@@ -66,6 +66,7 @@
   void disconnect();
   void disconnect(Client& client);
   void change_endpoints();
+  void rename_replacement(routing::EndpointInfo& endpoint);
   void send_list(routing::ListKind kind, std::vector<routing::EndpointInfo> entries);
   void change_administrative_drain();
   void change_settings();
@@ -80,9 +81,9 @@
   void deliver_peer_messages();
   void record_counts();
 
-  dispatcher::routing::testing::Digest& digest_;
+  routing::testing::Digest& digest_;
   Counts& counts_;
-  dispatcher::routing::testing::Dice dice_;
+  routing::testing::Dice dice_;
   engine::Time now_ = std::chrono::seconds(1'800'000'000);
   std::vector<engine::SettingsSnapshot> settings_;
   std::size_t current_ = 0;
--- a/tests/dispatcher/engine_digest_parts.hpp
+++ b/tests/dispatcher/engine_digest_parts.hpp
@@ -14,15 +14,13 @@
 
 namespace dispatcher::testing {
 
-inline void add(dispatcher::routing::testing::Digest& digest, net::SlotId id) {
-  digest.add(id.index, id.generation);
-}
-inline void add(dispatcher::routing::testing::Digest& digest, engine::AttemptId id) {
+inline void add(routing::testing::Digest& digest, net::SlotId id) { digest.add(id.index, id.generation); }
+inline void add(routing::testing::Digest& digest, engine::AttemptId id) {
   add(digest, id.request);
   digest.add(id.number);
 }
 template <class T>
-void add(dispatcher::routing::testing::Digest& digest, const T& value) {
+void add(routing::testing::Digest& digest, const T& value) {
   digest.add(value);
 }
 
--- a/tests/dispatcher/engine_digest_test.cpp
+++ b/tests/dispatcher/engine_digest_test.cpp
@@ -52,7 +52,7 @@
                                   "ended read"};
 
 TEST_CASE("every call of the engine is as recorded", "[core]") {
-  dispatcher::routing::testing::Digest digest;
+  routing::testing::Digest digest;
   Counts counts;
   for (int number = 0; number < kRuns; ++number) {
     EngineScript fixture(static_cast<std::uint64_t>(number) + 1, digest, counts);
