--- a/tests/confine/confine.cpp
+++ b/tests/confine/confine.cpp
@@ -31,13 +31,13 @@
 namespace {
 
 // A system call that the filter traps, and what it returns in the place of an effect.
-struct RefusedCall {
+struct DeniedCall {
   const char* name;
   int number;
   int error;
 };
 
-constexpr RefusedCall kRefusedCalls[] = {
+constexpr DeniedCall kDeniedCalls[] = {
     {"fork", SYS_fork, ENOSYS},
     {"vfork", SYS_vfork, ENOSYS},
     {"execve", SYS_execve, ENOSYS},
@@ -50,7 +50,7 @@
     {"socketpair", SYS_socketpair, EAFNOSUPPORT},
     {"socket", SYS_socket, EAFNOSUPPORT},  // only of a family other than AF_INET
 };
-constexpr RefusedCall kUnknownCall = {"unknown", -1, ENOSYS};
+constexpr DeniedCall kUnknownCall = {"unknown", -1, ENOSYS};
 
 int report_fd = -1;
 
@@ -89,10 +89,10 @@
 
 void report(const char* text) { ReportLine().append(text).append("\n").write(); }
 
-void report_refused(const char* call) { ReportLine().append("refused ").append(call).append("\n").write(); }
+void report_denied(const char* call) { ReportLine().append("refused ").append(call).append("\n").write(); }
 
-const RefusedCall& find_refused_call(int number) {
-  for (const RefusedCall& call : kRefusedCalls) {
+const DeniedCall& find_denied_call(int number) {
+  for (const DeniedCall& call : kDeniedCalls) {
     if (call.number == number) return call;
   }
   return kUnknownCall;
@@ -101,7 +101,7 @@
 // Runs in the thread that made the call; only what is safe in a signal handler.
 void on_sigsys(int, siginfo_t* info, void* context) {
   auto* registers = static_cast<ucontext_t*>(context)->uc_mcontext.gregs;
-  const RefusedCall& call = find_refused_call(info->si_syscall);
+  const DeniedCall& call = find_denied_call(info->si_syscall);
   ReportLine line;
   line.append("refused ").append(call.name);
   // The family, so that a report says which socket was asked for.
@@ -112,7 +112,7 @@
 
 bool add_rules(scmp_filter_ctx filter) {
   int failed = 0;
-  for (const RefusedCall& call : kRefusedCalls) {
+  for (const DeniedCall& call : kDeniedCalls) {
     if (call.number == SYS_socket) {
       failed |= seccomp_rule_add(filter, SCMP_ACT_TRAP, call.number, 1, SCMP_A0(SCMP_CMP_NE, AF_INET));
     } else {
@@ -159,35 +159,35 @@
 extern "C" {
 
 pid_t fork() {
-  report_refused("fork");
+  report_denied("fork");
   return next_function(&fork, "fork")();
 }
 
 pid_t vfork() {  // the real one could not return into this frame; no process is made either way
-  report_refused("vfork");
+  report_denied("vfork");
   errno = ENOSYS;
   return -1;
 }
 
 int posix_spawn(pid_t* pid, const char* path, const posix_spawn_file_actions_t* actions,
                 const posix_spawnattr_t* attributes, char* const argv[], char* const envp[]) {
-  report_refused("posix_spawn");
+  report_denied("posix_spawn");
   return next_function(&posix_spawn, "posix_spawn")(pid, path, actions, attributes, argv, envp);
 }
 
 int posix_spawnp(pid_t* pid, const char* file, const posix_spawn_file_actions_t* actions,
                  const posix_spawnattr_t* attributes, char* const argv[], char* const envp[]) {
-  report_refused("posix_spawnp");
+  report_denied("posix_spawnp");
   return next_function(&posix_spawnp, "posix_spawnp")(pid, file, actions, attributes, argv, envp);
 }
 
 int system(const char* command) {
-  report_refused("system");
+  report_denied("system");
   return next_function(&system, "system")(command);
 }
 
 FILE* popen(const char* command, const char* mode) {
-  report_refused("popen");
+  report_denied("popen");
   return next_function(&popen, "popen")(command, mode);
 }
 
--- a/tests/conformance/row_observation.cpp
+++ b/tests/conformance/row_observation.cpp
@@ -4,7 +4,7 @@
 #include <optional>
 #include <sstream>
 
-#include "step_player.hpp"
+#include "step_runner.hpp"
 #include "table_runner.hpp"
 
 namespace dispatcher::routing::conformance {
@@ -102,7 +102,7 @@
   for (Json step : row.at("state")) {
     const int offset = step.value("router", 0);
     step.erase("router");
-    StepPlayer(runners.at(offset)).play(step);
+    StepRunner(runners.at(offset)).run(step);
   }
   TableRunner& runner = runners.at(0);
   const Request request = runner.make_request(request_of(row, variation));
--- a/tests/conformance/step_player.cpp
+++ b/tests/conformance/step_runner.cpp
@@ -1,4 +1,4 @@
-#include "step_player.hpp"
+#include "step_runner.hpp"
 
 #include <algorithm>
 #include <array>
@@ -7,38 +7,38 @@
 
 namespace dispatcher::routing::conformance {
 
-void StepPlayer::play(const Json& step) {
+void StepRunner::run(const Json& step) {
   struct Kind {
     const char* field;
-    void (StepPlayer::*play)(const Json&);
+    void (StepRunner::*run)(const Json&);
   };
-  static constexpr std::array kKinds = {Kind{"list", &StepPlayer::play_list},
-                                        Kind{"ask", &StepPlayer::play_ask},
-                                        Kind{"teach", &StepPlayer::play_teach},
-                                        Kind{"reports", &StepPlayer::play_reports},
-                                        Kind{"read", &StepPlayer::play_read},
-                                        Kind{"first", &StepPlayer::play_first},
-                                        Kind{"serve", &StepPlayer::play_serve},
-                                        Kind{"gone", &StepPlayer::play_gone},
-                                        Kind{"end", &StepPlayer::play_end},
-                                        Kind{"states", &StepPlayer::play_states},
-                                        Kind{"streams", &StepPlayer::play_streams},
-                                        Kind{"wait_ms", &StepPlayer::play_wait},
-                                        Kind{"maintenance", &StepPlayer::play_maintenance}};
+  static constexpr std::array kKinds = {Kind{"list", &StepRunner::run_list},
+                                        Kind{"ask", &StepRunner::run_ask},
+                                        Kind{"teach", &StepRunner::run_teach},
+                                        Kind{"reports", &StepRunner::run_reports},
+                                        Kind{"read", &StepRunner::run_read},
+                                        Kind{"first", &StepRunner::run_first},
+                                        Kind{"serve", &StepRunner::run_serve},
+                                        Kind{"gone", &StepRunner::run_gone},
+                                        Kind{"end", &StepRunner::run_end},
+                                        Kind{"states", &StepRunner::run_states},
+                                        Kind{"streams", &StepRunner::run_streams},
+                                        Kind{"wait_ms", &StepRunner::run_wait},
+                                        Kind{"maintenance", &StepRunner::run_maintenance}};
   const auto kind =
       std::ranges::find_if(kKinds, [&step](const Kind& each) { return step.contains(each.field); });
   if (kind == kKinds.end()) fail("unknown step: " + step.dump());
-  (this->*kind->play)(step);
+  (this->*kind->run)(step);
 }
 
-void StepPlayer::play_list(const Json& step) {
+void StepRunner::run_list(const Json& step) {
   require_known_fields(step, {"list", "delta"});
   EndpointList list{step.value("delta", false) ? ListKind::kDelta : ListKind::kFull, {}};
   for (const Json& json : step.at("list")) list.entries.push_back(parse_endpoint(json));
   runner_.update_endpoints(list);
 }
 
-void StepPlayer::play_ask(const Json& step) {
+void StepRunner::run_ask(const Json& step) {
   require_known_fields(step, {"ask", "at", "refused"});
   const Request request = runner_.make_request(step.at("ask"));
   std::optional<EndpointId> only_at;
@@ -46,11 +46,11 @@
   runner_.submit(request, only_at);
   const bool is_rejection_expected = step.value("refused", false);
   if (runner_.is_over(request.id) != is_rejection_expected)
-    fail(is_rejection_expected ? "a request was not rejected" : "a request was rejected");
+    fail((is_rejection_expected ? "not rejected: " : "rejected: ") + step.dump());
 }
 
 // Complete reads, of which nothing is left but their keys; of one session after the other.
-void StepPlayer::play_teach(const Json& step) {
+void StepRunner::run_teach(const Json& step) {
   require_known_fields(step, {"teach", "session", "shared", "prompt", "prefix", "times"});
   const EndpointId endpoint = step.at("teach").get<std::string>();
   Json fields = step;
@@ -69,13 +69,13 @@
   }
 }
 
-void StepPlayer::play_reports(const Json& step) {
+void StepRunner::run_reports(const Json& step) {
   require_known_fields(step, {"reports"});
   for (const auto& item : step.at("reports").items()) report_load(item.key(), parse_report(item.value()));
 }
 
 // By the end of a request without a key, read, written or cancelled there.
-void StepPlayer::report_load(const EndpointId& endpoint, const LoadReport& report) {
+void StepRunner::report_load(const EndpointId& endpoint, const LoadReport& report) {
   const Request request = runner_.make_unnamed_request();
   switch (runner_.role(endpoint)) {
     case Role::kWriter:
@@ -92,7 +92,7 @@
   }
 }
 
-void StepPlayer::play_read(const Json& step) {
+void StepRunner::run_read(const Json& step) {
   require_known_fields(step, {"read", "report", "note", "finished"});
   TableRunner::AttemptEnd end;
   end.report = parse_report(step.value("report", Json::object()));
@@ -101,50 +101,50 @@
   runner_.complete(step.at("read").get<std::string>(), AttemptStatus::kRead, end);
 }
 
-void StepPlayer::play_first(const Json& step) {
+void StepRunner::run_first(const Json& step) {
   require_known_fields(step, {"first", "took_ms"});
   runner_.send_first_token(step.at("first").get<std::string>(), parse_milliseconds(step, "took_ms", 20));
 }
 
-void StepPlayer::play_serve(const Json& step) {
+void StepRunner::run_serve(const Json& step) {
   require_known_fields(step, {"serve"});
   runner_.serve(step.at("serve").get<std::string>());
 }
 
-void StepPlayer::play_gone(const Json& step) {
+void StepRunner::run_gone(const Json& step) {
   require_known_fields(step, {"gone"});
   runner_.disconnect_client(step.at("gone").get<std::string>());
 }
 
 // The note 1 says that there is evidence.
-void StepPlayer::play_end(const Json& step) {
+void StepRunner::run_end(const Json& step) {
   require_known_fields(step, {"end", "verdict", "note"});
   const AttemptStatus status = parse_failure(step.at("verdict"));
   runner_.complete(step.at("end").get<std::string>(), status, {.has_evidence = step.value("note", 0) == 1});
 }
 
-StepPlayer::StateEnd StepPlayer::parse_state_end(const std::string& word) {
+StepRunner::StateEnd StepRunner::parse_state_end(const std::string& word) {
   if (word == "read") return StateEnd::kRead;
   if (word == "fetched") return StateEnd::kFetched;
   if (word == "gone") return StateEnd::kGone;
   fail("unknown word: " + word);
 }
 
-StepPlayer::StreamEnd StepPlayer::parse_stream_end(const std::string& word) {
+StepRunner::StreamEnd StepRunner::parse_stream_end(const std::string& word) {
   if (word == "sent") return StreamEnd::kSent;
   if (word == "begun") return StreamEnd::kBegun;
   if (word == "served") return StreamEnd::kServed;
   fail("unknown word: " + word);
 }
 
-void StepPlayer::play_states(const Json& step) {
+void StepRunner::run_states(const Json& step) {
   require_known_fields(step, {"states", "count", "until"});
   hold_prompt_states(step.at("states").get<std::string>(), step.value("count", 1),
                      parse_state_end(step.value("until", "read")));
 }
 
 // Read there, waiting for a writer.
-void StepPlayer::hold_prompt_states(const EndpointId& reader, int count, StateEnd end) {
+void StepRunner::hold_prompt_states(const EndpointId& reader, int count, StateEnd end) {
   std::vector<RequestId> ids;
   for (int i = 0; i < count; ++i) {
     const Request request = runner_.make_unnamed_request();
@@ -158,13 +158,13 @@
   }
 }
 
-void StepPlayer::play_streams(const Json& step) {
+void StepRunner::run_streams(const Json& step) {
   require_known_fields(step, {"streams", "count", "until"});
   const StreamEnd end = parse_stream_end(step.value("until", "begun"));
   for (int i = 0; i < step.value("count", 1); ++i) open_stream(step.at("streams").get<std::string>(), end);
 }
 
-void StepPlayer::open_stream(const EndpointId& endpoint, StreamEnd end) {
+void StepRunner::open_stream(const EndpointId& endpoint, StreamEnd end) {
   const Request request = runner_.make_unnamed_request();
   if (runner_.role(endpoint) == Role::kWriter) {
     runner_.submit(request);
@@ -177,12 +177,12 @@
   if (end == StreamEnd::kServed) runner_.serve(request.id);
 }
 
-void StepPlayer::play_wait(const Json& step) {
+void StepRunner::run_wait(const Json& step) {
   require_known_fields(step, {"wait_ms"});
   runner_.advance(parse_milliseconds(step, "wait_ms"));
 }
 
-void StepPlayer::play_maintenance(const Json& step) {
+void StepRunner::run_maintenance(const Json& step) {
   require_known_fields(step, {"maintenance", "offline"});
   runner_.set_administrative_drain(step.at("maintenance").get<std::string>(), step.at("offline"));
 }
--- /dev/null
+++ b/tests/conformance/step_runner.hpp
@@ -0,0 +1,51 @@
+// Runs the steps that bring a router into the state of a row; docs/conformance.md lists them.
+#ifndef DISPATCHER_TESTS_CONFORMANCE_STEP_RUNNER_HPP_
+#define DISPATCHER_TESTS_CONFORMANCE_STEP_RUNNER_HPP_
+
+#include <string>
+
+#include "table_fields.hpp"
+#include "table_runner.hpp"
+
+namespace dispatcher::routing::conformance {
+
+// Refers to the runner, which must outlive it.
+class StepRunner {
+ public:
+  explicit StepRunner(TableRunner& runner) : runner_(runner) {}
+
+  // Throws std::exception where the step is malformed or can't be brought about.
+  void run(const Json& step);
+
+ private:
+  // How far the requests of a step are taken.
+  enum class StateEnd { kRead, kFetched, kGone };
+  enum class StreamEnd { kSent, kBegun, kServed };
+  static StateEnd parse_state_end(const std::string& word);
+  static StreamEnd parse_stream_end(const std::string& word);
+
+  // Each runs one kind of step.
+  void run_list(const Json& step);
+  void run_ask(const Json& step);
+  void run_teach(const Json& step);
+  void run_reports(const Json& step);
+  void run_read(const Json& step);
+  void run_first(const Json& step);
+  void run_serve(const Json& step);
+  void run_gone(const Json& step);
+  void run_end(const Json& step);
+  void run_states(const Json& step);
+  void run_streams(const Json& step);
+  void run_wait(const Json& step);
+  void run_maintenance(const Json& step);
+
+  void report_load(const EndpointId& endpoint, const LoadReport& report);
+  void open_stream(const EndpointId& endpoint, StreamEnd end);
+  void hold_prompt_states(const EndpointId& reader, int count, StateEnd end);
+
+  TableRunner& runner_;
+};
+
+}  // namespace dispatcher::routing::conformance
+
+#endif  // DISPATCHER_TESTS_CONFORMANCE_STEP_RUNNER_HPP_
--- a/tests/routing/outlier_detection_test.cpp
+++ b/tests/routing/outlier_detection_test.cpp
@@ -85,7 +85,7 @@
   EXPECT_EQ(probing, 1);  // by one request, and only one, until that is answered
 }
 
-TEST(OutlierDetection, AtMostHalfOfARoleIsEjected) {
+TEST(OutlierDetection, NeverEjectsMoreThanHalfOfARole) {
   RouterHarness harness;
   harness.update_endpoints({reader("r1"), reader("r2"), reader("r3"), reader("r4"), writer("w1")});
   int ejected = 0;
@@ -97,7 +97,7 @@
   EXPECT_EQ(ejected, 2);
 }
 
-TEST(OutlierDetection, ReadsAtAHungReaderAreCancelledAndRetriedElsewhere) {
+TEST(OutlierDetection, ReadsAtAHungReaderAreCancelledAndRetriedAtOthers) {
   RouterHarness harness;
   harness.update_endpoints({reader("r1"), reader("r2"), reader("r3"), writer("w1"), writer("w2")});
   warm_up(harness);
@@ -133,7 +133,7 @@
   EXPECT_TRUE(harness.cancelled().empty());
 }
 
-TEST(OutlierDetection, IdleEndpointsDoNotMakeBusyOnesLookSlow) {
+TEST(OutlierDetection, IdleEndpointsDoNotMakeBusyOnesOutliers) {
   RouterHarness harness;
   harness.update_endpoints(writers_and_readers(2, 20));
   warm_up(harness);
--- a/tests/routing/retry_policy_test.cpp
+++ b/tests/routing/retry_policy_test.cpp
@@ -12,7 +12,7 @@
 constexpr AttemptStatus kUncertainStatuses[] = {AttemptStatus::kError, AttemptStatus::kTimeout,
                                                 AttemptStatus::kReset, AttemptStatus::kCancelled};
 
-TEST(RetryPolicy, LostReadIsRetriedElsewhereEvenIfNonIdempotent) {
+TEST(RetryPolicy, LostReadIsRetriedAtAnotherReaderEvenIfNonIdempotent) {
   for (const AttemptStatus status : kUncertainStatuses) {
     RouterHarness harness;
     harness.update_endpoints(make_endpoints());
--- a/tests/routing/script_player.cpp
+++ b/tests/routing/script_runner.cpp
@@ -1,4 +1,4 @@
-#include "script_player.hpp"
+#include "script_runner.hpp"
 
 #include <algorithm>
 #include <array>
@@ -54,9 +54,9 @@
 
 }  // namespace
 
-void ScriptPlayer::start() { dispatcher_.send_endpoint_list(ListKind::kCached, first_endpoints_); }
+void ScriptRunner::start() { dispatcher_.send_endpoint_list(ListKind::kCached, first_endpoints_); }
 
-void ScriptPlayer::play(const Step& step) {
+void ScriptRunner::run(const Step& step) {
   const int percent = step.kind % 100;
   if (percent < 22) return submit(step);
   if (percent < 52) return progress(step);
@@ -72,7 +72,7 @@
 
 // ---- choices ----
 
-std::optional<ScriptPlayer::AttemptChoice> ScriptPlayer::choose_attempt(int target,
+std::optional<ScriptRunner::AttemptChoice> ScriptRunner::choose_attempt(int target,
                                                                         Selection selection) const {
   std::vector<AttemptChoice> choices;
   for (const auto& [id, request] : dispatcher_.state().requests) {
@@ -86,13 +86,13 @@
   return element(choices, target);
 }
 
-const ModelEndpoint& ScriptPlayer::choose_endpoint(int target) const {
+const ModelEndpoint& ScriptRunner::choose_endpoint(int target) const {
   return element(dispatcher_.state().endpoints, target).second;
 }
 
 // ---- clients ----
 
-void ScriptPlayer::submit(const Step& step) {
+void ScriptRunner::submit(const Step& step) {
   const RequestClass& request_class = element(dispatcher_.state().settings->classes, step.target);
   const Request request = draw_request(step, request_class);
   const ModelRequest& submitted = dispatcher_.submit(request, request_class);
@@ -102,7 +102,7 @@
   if (is_repeated && !submitted.is_over()) dispatcher_.handle(request);  // a known id is ignored
 }
 
-Request ScriptPlayer::draw_request(const Step& step, const RequestClass& request_class) {
+Request ScriptRunner::draw_request(const Step& step, const RequestClass& request_class) {
   const DispatcherState& state = dispatcher_.state();
   const Settings& settings = *state.settings;
   Request request;
@@ -127,7 +127,7 @@
   return request;
 }
 
-void ScriptPlayer::disconnect_client(const Step& step) {
+void ScriptRunner::disconnect_client(const Step& step) {
   std::vector<RequestId> connected;
   for (const auto& [id, request] : dispatcher_.state().requests) {
     if (!request.has_final_answer && !request.has_client_left) connected.push_back(id);
@@ -138,7 +138,7 @@
 // ---- replicas ----
 
 // What goes well: a read ends, a stream begins, a stream ends.
-void ScriptPlayer::progress(const Step& step) {
+void ScriptRunner::progress(const Step& step) {
   const auto choice = choose_attempt(step.target, Selection::kAnyActive);
   if (!choice) return;
   const ModelRequest& request = *choice->request;
@@ -156,7 +156,7 @@
   dispatcher_.send_first_token(choice->id(), choice->number);
 }
 
-void ScriptPlayer::fail_attempt(const Step& step) {
+void ScriptRunner::fail_attempt(const Step& step) {
   const bool may_break_stream = step.variant % 4 == 0;
   const auto choice =
       choose_attempt(step.target, may_break_stream ? Selection::kAnyActive : Selection::kBeforeFirstToken);
@@ -171,7 +171,7 @@
   dispatcher_.complete_attempt(choice->id(), choice->number, outcome);
 }
 
-void ScriptPlayer::advance(const Step& step) {
+void ScriptRunner::advance(const Step& step) {
   constexpr std::array<Duration, 7> kTimes = {milliseconds(0),   milliseconds(1),   milliseconds(20),
                                               milliseconds(60),  milliseconds(200), milliseconds(700),
                                               milliseconds(3000)};
@@ -180,7 +180,7 @@
 
 // ---- service discovery, operators and the other process of a hot restart ----
 
-void ScriptPlayer::change_endpoints(const Step& step) {
+void ScriptRunner::change_endpoints(const Step& step) {
   switch (step.variant % 10) {
     case 0:
       return dispatcher_.handle(EndpointList{ListKind::kFailed, {}});
@@ -192,7 +192,7 @@
 }
 
 // A full list without some of the endpoints.
-void ScriptPlayer::send_shortened_list(const Step& step) {
+void ScriptRunner::send_shortened_list(const Step& step) {
   std::vector<EndpointInfo> endpoints;
   int number = 0;
   for (const auto& [id, endpoint] : dispatcher_.state().endpoints) {
@@ -204,14 +204,14 @@
 }
 
 // A name that no endpoint had before.
-EndpointId ScriptPlayer::replacement_of(const EndpointId& endpoint) {
+EndpointId ScriptRunner::replacement_of(const EndpointId& endpoint) {
   std::ostringstream name;
   name << endpoint << "n" << replaced_endpoints_;
   ++replaced_endpoints_;
   return name.str();
 }
 
-void ScriptPlayer::send_endpoint_change(const Step& step) {
+void ScriptRunner::send_endpoint_change(const Step& step) {
   EndpointInfo endpoint = choose_endpoint(step.target).info;
   endpoint.state = EndpointState::kReady;
   switch (step.variant % 10) {
@@ -236,18 +236,18 @@
   dispatcher_.send_endpoint_list(ListKind::kDelta, {endpoint});
 }
 
-void ScriptPlayer::change_administrative_drain(const Step& step) {
+void ScriptRunner::change_administrative_drain(const Step& step) {
   const EndpointId endpoint = choose_endpoint(step.target).info.endpoint;
   dispatcher_.set_administrative_drain(endpoint, step.variant % 2 == 0);
 }
 
-void ScriptPlayer::send_peer_event(const Step& step) {
+void ScriptRunner::send_peer_event(const Step& step) {
   if (step.variant % 2 == 0) return dispatcher_.handle(dispatcher_.router().learned_state());
   dispatcher_.handle(PeerForwarded{choose_endpoint(step.target).info.endpoint});
 }
 
 // The result of a reservation that was perhaps never asked for.
-void ScriptPlayer::send_reservation_result(const Step& step) {
+void ScriptRunner::send_reservation_result(const Step& step) {
   const DispatcherState& state = dispatcher_.state();
   if (state.requests.empty()) return;
   const RequestId request = element(state.requests, step.target).first;
@@ -256,14 +256,14 @@
 
 // ---- the end ----
 
-void ScriptPlayer::disconnect_everything() {
+void ScriptRunner::disconnect_everything() {
   const std::size_t request_count = dispatcher_.state().requests.size();
   for (std::size_t i = 0; i < request_count; ++i) disconnect_client({});
   while (const auto choice = choose_attempt(0, Selection::kAnyActive))
     dispatcher_.complete_attempt(choice->id(), choice->number, {AttemptStatus::kReset});
 }
 
-void ScriptPlayer::serve_streams() {
+void ScriptRunner::serve_streams() {
   for (const auto& [id, request] : dispatcher_.state().requests) {
     for (std::size_t i = 0; i < request.attempts.size(); ++i) {
       const ModelAttempt& attempt = request.attempts[i];
@@ -273,13 +273,13 @@
   }
 }
 
-bool ScriptPlayer::has_open_request() const {
+bool ScriptRunner::has_open_request() const {
   return std::ranges::any_of(dispatcher_.state().requests, [](const auto& entry) {
     return !entry.second.is_over() || entry.second.active_attempt_count() > 0;
   });
 }
 
-void ScriptPlayer::finish(Ending ending) {
+void ScriptRunner::finish(Ending ending) {
   constexpr int kMaxRounds = 5000;
   dispatcher_.add_to_transcript("-- the end: no more requests --");
   if (ending == Ending::kDisconnect) disconnect_everything();
--- a/tests/routing/script_player.hpp
+++ b/tests/routing/script_runner.hpp
@@ -1,7 +1,7 @@
-// Plays drawn scripts of events against a router: each step's numbers choose among what there is at that
+// Runs drawn scripts of events against a router: each step's numbers choose among what there is at that
 // moment.
-#ifndef DISPATCHER_TESTS_ROUTING_SCRIPT_PLAYER_HPP_
-#define DISPATCHER_TESTS_ROUTING_SCRIPT_PLAYER_HPP_
+#ifndef DISPATCHER_TESTS_ROUTING_SCRIPT_RUNNER_HPP_
+#define DISPATCHER_TESTS_ROUTING_SCRIPT_RUNNER_HPP_
 
 #include <cstddef>
 #include <cstdint>
@@ -25,16 +25,16 @@
   kDisconnect,  // clients leave and attempts break first, so that no deadline is waited for
 };
 
-class ScriptPlayer {
+class ScriptRunner {
  public:
   // The first settings are those of the start; the others come as new settings, in turn.
-  ScriptPlayer(std::vector<Settings> settings, std::vector<EndpointInfo> endpoints, std::uint64_t seed)
+  ScriptRunner(std::vector<Settings> settings, std::vector<EndpointInfo> endpoints, std::uint64_t seed)
       : dispatcher_(std::move(settings), seed), first_endpoints_(std::move(endpoints)) {}
 
   void set_observer(ModelDispatcher::Observer observer) { dispatcher_.set_observer(std::move(observer)); }
   // All three throw InvariantViolation.
   void start();  // with the first endpoint list
-  void play(const Step& step);
+  void run(const Step& step);
   // Afterwards nothing is left and nothing more happens.
   void finish(Ending ending = Ending::kRunOut);
 
@@ -78,4 +78,4 @@
 
 }  // namespace dispatcher::routing::testing
 
-#endif  // DISPATCHER_TESTS_ROUTING_SCRIPT_PLAYER_HPP_
+#endif  // DISPATCHER_TESTS_ROUTING_SCRIPT_RUNNER_HPP_
--- a/tests/routing_digest_test.cpp
+++ b/tests/routing_digest_test.cpp
@@ -13,7 +13,7 @@
 
 #include "digest.hpp"
 #include "routing/invariants.hpp"
-#include "routing/script_player.hpp"
+#include "routing/script_runner.hpp"
 #include "settings_draw.hpp"
 
 namespace dispatcher::routing::testing {
@@ -128,19 +128,19 @@
   const Range range = range_of(number);
   const Site site = draw_site(dice, range);
   coverage.add(site);
-  ScriptPlayer player(site.settings, site.endpoints, static_cast<std::uint64_t>(number));
-  player.set_observer([&](Time now, const Event& event, const std::vector<Action>& actions) {
+  ScriptRunner runner(site.settings, site.endpoints, static_cast<std::uint64_t>(number));
+  runner.set_observer([&](Time now, const Event& event, const std::vector<Action>& actions) {
     coverage.add(event, actions);
     digest.add(now, event.index(), actions.size());
     for (const Action& action : actions) add(digest, action);
   });
-  player.start();
+  runner.start();
   // Most plays are short; in the long ones the tables fill.
   const int steps = number % 30 == 0 ? 500 : 20 + dice.below(80);
-  for (int i = 0; i < steps; ++i) player.play(draw_step(dice));
-  add(digest, player.router());
-  player.finish(range.extreme ? Ending::kDisconnect : Ending::kRunOut);
-  add(digest, player.router());
+  for (int i = 0; i < steps; ++i) runner.run(draw_step(dice));
+  add(digest, runner.router());
+  runner.finish(range.extreme ? Ending::kDisconnect : Ending::kRunOut);
+  add(digest, runner.router());
 }
 
 TEST(RoutingDigest, EveryActionIsAsRecorded) {
--- a/tests/settings_property_test.cpp
+++ b/tests/settings_property_test.cpp
@@ -11,7 +11,7 @@
 #include <sstream>
 
 #include "routing/invariants.hpp"
-#include "routing/script_player.hpp"
+#include "routing/script_runner.hpp"
 #include "settings/check.hpp"
 #include "settings_draw.hpp"
 
@@ -124,13 +124,13 @@
 
 void play(const Site& site, const std::vector<Step>& script, Ending ending = Ending::kRunOut) {
   constexpr std::uint64_t kRouterSeed = 7;
-  ScriptPlayer player(site.settings, site.endpoints, kRouterSeed);
+  ScriptRunner runner(site.settings, site.endpoints, kRouterSeed);
   try {
-    player.start();
-    for (const Step& step : script) player.play(step);
-    player.finish(ending);
+    runner.start();
+    for (const Step& step : script) runner.run(step);
+    runner.finish(ending);
   } catch (const InvariantViolation& violation) {
-    RC_FAIL(violation.what() + end_of(player.transcript()));
+    RC_FAIL(violation.what() + end_of(runner.transcript()));
   }
 }
 
