--- a/tests/routing/event_sequence_test.cpp
+++ b/tests/routing/event_sequence_test.cpp
@@ -12,6 +12,7 @@
 namespace dispatcher::routing::testing {
 namespace {
 
+// The order of the draws is part of a seed: another order plays other sequences.
 class EventSequence : public ::testing::TestWithParam<int> {
  protected:
   EventSequence()
@@ -19,6 +20,7 @@
     for (const char* name : kEndpoints) change_endpoint(name, EndpointState::kReady);
   }
 
+  // One tick: perhaps a new request or a changed endpoint, and the end of some attempts.
   void play(int step) {
     harness_.skip(milliseconds(4));
     if (step % 5 == 0) harness_.expire_timer();
--- a/tests/routing/script_runner.hpp
+++ b/tests/routing/script_runner.hpp
@@ -7,6 +7,7 @@
 #include <cstdint>
 #include <optional>
 #include <string>
+#include <utility>
 #include <vector>
 
 #include "model_dispatcher.hpp"
@@ -25,6 +26,7 @@
   kDisconnect,  // clients leave and attempts break first, so that no deadline is waited for
 };
 
+// Owns the router and the dispatcher round it. Single-threaded, in virtual time.
 class ScriptRunner {
  public:
   // The first settings are those of the start; the others come as new settings, in turn.
