--- a/tests/settings_check_test.cpp
+++ b/tests/settings_check_test.cpp
@@ -5,7 +5,7 @@
 #include <stdexcept>
 #include <type_traits>
 
-#include "harness.hpp"
+#include "routing/router_harness.hpp"
 #include "settings/check.hpp"
 
 namespace dispatcher::settings {
@@ -22,8 +22,10 @@
 
 namespace {
 
-using routing::testing::endpoint;
-using routing::testing::Harness;
+using routing::testing::make_endpoint;
+using routing::testing::reader;
+using routing::testing::RouterHarness;
+using routing::testing::writer;
 using std::chrono::hours;
 using std::chrono::milliseconds;
 using std::chrono::seconds;
@@ -265,23 +267,26 @@
     Settings settings = valid_settings();
     test_case.change(settings);
     EXPECT_EQ(check(settings), (std::vector<Finding>{{Severity::kWarning, test_case.field, "", ""}}));
-    Harness harness(settings);
+    RouterHarness harness(settings);
     std::vector<EndpointInfo> endpoints;
-    for (const EndpointKind& kind : settings.kinds) endpoints.push_back(endpoint(kind.name + "1", kind.name));
-    harness.list(endpoints);
+    for (const EndpointKind& kind : settings.kinds)
+      endpoints.push_back(make_endpoint(kind.name + "1", kind.name));
+    harness.update_endpoints(endpoints);
     for (const RequestClass& request_class : settings.classes) {
-      Request request = harness.make(request_class.name, request_class.name);
-      request.client_deadline = harness.now + request_class.deadline;
-      harness.pass(request);
-      if (harness.out[request_class.name] == "r1") harness.end(request_class.name, AttemptStatus::kRead);
-      if (!harness.out[request_class.name].empty()) {
-        harness.first(request_class.name);
-        harness.end(request_class.name, AttemptStatus::kServed);
+      Request request = harness.make_request(request_class.name, {.request_class = request_class.name});
+      request.client_deadline = harness.now() + request_class.deadline;
+      harness.submit(request);
+      if (harness.active_endpoint(request_class.name) == "r1")
+        harness.complete(request_class.name, AttemptStatus::kRead);
+      if (!harness.active_endpoint(request_class.name).empty()) {
+        harness.send_first_token(request_class.name);
+        harness.complete(request_class.name, AttemptStatus::kServed);
       }
-      harness.run(request_class.deadline);
-      EXPECT_TRUE(harness.ended[request_class.name]) << test_case.field << ", class " << request_class.name;
+      harness.advance(request_class.deadline);
+      EXPECT_TRUE(harness.request(request_class.name).is_over)
+          << test_case.field << ", class " << request_class.name;
     }
-    EXPECT_EQ(harness.router.table_sizes().requests, 0U) << test_case.field;
+    EXPECT_EQ(harness.table_sizes().requests, 0U) << test_case.field;
   }
 }
 
@@ -295,12 +300,12 @@
   settings.drain_grace = settings.reservation_limit = milliseconds(1000);
   EXPECT_EQ(check(settings), (std::vector<Finding>{{Severity::kWarning, "categories[0].deadlineMs", "", ""},
                                                    {Severity::kWarning, "familyInfo.pinLimitMs", "", ""}}));
-  Harness harness(settings);
-  harness.list({endpoint("r1", "r"), endpoint("w1", "w")});
-  Request request = harness.make("a");
-  request.client_deadline = harness.now + settings.classes[0].deadline;
-  harness.pass(request);
-  EXPECT_EQ(harness.rejected, std::vector<std::string>{"a"});
+  RouterHarness harness(settings);
+  harness.update_endpoints({reader("r1"), writer("w1")});
+  Request request = harness.make_request("a");
+  request.client_deadline = harness.now() + settings.classes[0].deadline;
+  harness.submit(request);
+  EXPECT_EQ(harness.rejected(), std::vector<routing::testing::RequestId>{"a"});
 }
 
 TEST(Check, ReportsAllErrorsAtOnce) {
