--- a/src/expression/automaton.hpp
+++ b/src/expression/automaton.hpp
@@ -1,50 +1,49 @@
-// A regular expression as a whole deterministic automaton over bytes, made at load: matching is one look-up a
-// byte, without allocation. RE2 judges the pattern; what it does not take, or what grows too large, is
-// turned down.
+// Regular expressions that are matched in a time known beforehand: one table lookup for each byte of the
+// text.
 #ifndef DISPATCHER_EXPRESSION_AUTOMATON_HPP_
 #define DISPATCHER_EXPRESSION_AUTOMATON_HPP_
 
-#include <array>
+#include <cstddef>
 #include <cstdint>
-#include <stdexcept>
 #include <string>
 #include <string_view>
-#include <vector>
 
-namespace dispatcher::expression {
+#include "expression/dfa.hpp"
+#include "expression/pattern_error.hpp"
 
-struct PatternError : std::runtime_error {
-  using std::runtime_error::runtime_error;
-};
+namespace dispatcher::expression {
 
+// A pattern as a complete deterministic automaton, built once. Unlike RE2's, which builds its states while it
+// matches, it allocates nothing in matches(). Immutable, so that threads may share it.
 class Automaton {
  public:
-  static constexpr std::size_t kMaxStates = 1000;
-  static constexpr std::size_t kMaxNodes = 5000;  // of the automaton before it is made deterministic
-
-  // Throws PatternError.
+  // Builds the automaton of a pattern in the syntax of RE2. Throws PatternError where RE2 does not accept the
+  // pattern, where it uses a feature that is not supported, or where the automaton grows too large.
   explicit Automaton(const std::string& pattern);
-  // Is there a match anywhere in the text, which is UTF-8?
+
+  // Whether the text, which must be UTF-8, holds a match anywhere.
   [[nodiscard]] bool matches(std::string_view text) const noexcept {
-    std::uint32_t at = start_;
-    for (const char letter : text) {
-      at = next_[at + classes_[static_cast<unsigned char>(letter)]];
-      if (at < kDecided * width_) return at == kYes * width_;
+    const std::uint32_t accepting = Dfa::kAccepting * dfa_.row_width;
+    const std::uint32_t rejecting = Dfa::kRejecting * dfa_.row_width;
+    const std::uint32_t first_undecided = Dfa::kFirstUndecided * dfa_.row_width;
+    std::uint32_t state = dfa_.start;
+    for (const char byte : text) {
+      state = dfa_.transitions[state + dfa_.byte_class[static_cast<unsigned char>(byte)]];
+      if (state < first_undecided) return state == accepting;
     }
-    return at == kYes * width_ || (at != kNo * width_ && at_end_[at / width_] != 0);
+    return state == accepting || (state != rejecting && dfa_.accepts_at_end[state / dfa_.row_width] != 0);
   }
-  [[nodiscard]] std::size_t states() const { return at_end_.size(); }
+
+  [[nodiscard]] std::size_t states() const { return dfa_.accepts_at_end.size(); }
+
+  // The memory of its tables, in bytes.
   [[nodiscard]] std::size_t bytes() const {
-    return next_.size() * sizeof(next_[0]) + at_end_.size() + classes_.size();
+    return dfa_.transitions.size() * sizeof(dfa_.transitions[0]) + dfa_.accepts_at_end.size() +
+           dfa_.byte_class.size();
   }
 
  private:
-  // The first two states: no text can match any more, or it has matched already.
-  static constexpr std::uint32_t kNo = 0, kYes = 1, kDecided = 2;
-  std::array<std::uint8_t, 256> classes_{};  // of bytes that no state tells apart
-  std::uint32_t width_ = 1, start_ = 0;      // a state is told by where its row begins
-  std::vector<std::uint32_t> next_;
-  std::vector<std::uint8_t> at_end_;  // does the text match if it ends here?
+  Dfa dfa_;
 };
 
 }  // namespace dispatcher::expression
--- /dev/null
+++ b/src/expression/nfa.hpp
@@ -0,0 +1,75 @@
+// Nondeterministic automata over bytes, made from patterns by Thompson's construction (Ken Thompson, "Regular
+// Expression Search Algorithm", CACM 1968). Code points become sequences of byte ranges, as in RE2 and
+// https://swtch.com/~rsc/regexp/regexp3.html.
+#ifndef DISPATCHER_EXPRESSION_NFA_HPP_
+#define DISPATCHER_EXPRESSION_NFA_HPP_
+
+#include <cstddef>
+#include <cstdint>
+#include <vector>
+
+#include "expression/pattern_parser.hpp"
+
+namespace dispatcher::expression {
+
+inline constexpr std::size_t kMaxNfaStates = 5000;
+
+// Index of a state in Nfa::states.
+using NfaStateId = int;
+inline constexpr NfaStateId kNoState = -1;
+
+struct NfaState {
+  enum class Kind : std::uint8_t {
+    kByteRange,  // consumes a byte from `low` to `high`, then goes on at `next`
+    kSplit,      // goes on at `next` and at `alternative`
+    kTextBegin,  // goes on at `next` where no byte has been consumed
+    kTextEnd,    // goes on at `next` where no byte is left
+    kMatch
+  };
+  Kind kind = Kind::kSplit;
+  std::uint8_t low = 0;
+  std::uint8_t high = 0;
+  NfaStateId next = kNoState;
+  NfaStateId alternative = kNoState;
+
+  // Whether it is a byte range that holds `byte`.
+  [[nodiscard]] bool consumes(std::uint8_t byte) const {
+    return kind == Kind::kByteRange && low <= byte && byte <= high;
+  }
+};
+
+struct Nfa {
+  std::vector<NfaState> states;
+  NfaStateId start = kNoState;
+  NfaStateId match = kNoState;
+};
+
+// Throws PatternError where there would be more than kMaxNfaStates states.
+[[nodiscard]] Nfa build_nfa(const PatternNode& pattern);
+
+// States that are active at one place of a text, sorted.
+using StateSet = std::vector<NfaStateId>;
+
+// Where in a text an epsilon closure is computed: what assertions hold there.
+struct TextPlace {
+  bool is_begin = false;
+  bool is_end = false;
+};
+
+// Computes epsilon closures of one automaton, which must outlive it.
+class EpsilonClosure {
+ public:
+  explicit EpsilonClosure(const Nfa& nfa) : states_(nfa.states), is_visited_(nfa.states.size()) {}
+
+  // All states that are reached from `from` without consuming a byte. States that wait for the text's end
+  // are kept in the set, but passed only where it is the end.
+  [[nodiscard]] StateSet of(const StateSet& from, TextPlace place);
+
+ private:
+  const std::vector<NfaState>& states_;
+  std::vector<bool> is_visited_;
+};
+
+}  // namespace dispatcher::expression
+
+#endif  // DISPATCHER_EXPRESSION_NFA_HPP_
