--- a/src/daemon/rules_command.cpp
+++ b/src/daemon/rules_command.cpp
@@ -30,12 +30,12 @@
  private:
   void collect(const expression::Node& n, int field) {
     if (n.op == expression::Op::kField) return;
-    for (const expression::Node& kid : n.kids) {
+    for (const expression::Node& kid : n.children) {
       if (kid.op == expression::Op::kField) field = static_cast<int>(kid.integer);
     }
     if (n.op == expression::Op::kLiteral && n.type.kind == expression::Kind::kString && field >= 0)
       by_field_[static_cast<std::size_t>(field)].push_back(n.text);
-    for (const expression::Node& kid : n.kids) collect(kid, field);
+    for (const expression::Node& kid : n.children) collect(kid, field);
   }
   std::vector<std::vector<std::string>> by_field_;
 };
--- a/src/degradation/degradation_controller.cpp
+++ b/src/degradation/degradation_controller.cpp
@@ -93,7 +93,7 @@
 
   // In the order of the environment that read() makes.
   std::vector<expression::Value> values = last_signals_;
-  values.resize(fields_.fields().size(), expression::Value::of(expression::Fault::kAbsent));
+  values.resize(fields_.fields().size(), expression::Value::of(expression::EvaluationError::kAbsent));
   values.push_back(signals_.quota_usage(request.tenant, clock_()));
   values.insert(values.end(), request_values.begin(), request_values.end());
   const auto retry_after = machine_.shed(request.request_class, values, random_());
--- a/src/degradation/levels.cpp
+++ b/src/degradation/levels.cpp
@@ -50,9 +50,9 @@
 
 // Adds the numbers that a condition compares each signal with, and a value a little to either side of each.
 void collect_sample_points(const expression::Node& node, SamplePoints& points) {
-  for (const expression::Node& field : node.kids) {
+  for (const expression::Node& field : node.children) {
     if (field.op != expression::Op::kField) continue;
-    for (const expression::Node& literal : node.kids) {
+    for (const expression::Node& literal : node.children) {
       if (literal.op != expression::Op::kLiteral) continue;
       const bool is_integer = literal.type.kind == Kind::kInt;
       const double value = is_integer ? static_cast<double>(literal.integer) : literal.real;
@@ -60,7 +60,7 @@
       points[field.integer].insert({value - step, value, value + step});
     }
   }
-  for (const expression::Node& child : node.kids) collect_sample_points(child, points);
+  for (const expression::Node& child : node.children) collect_sample_points(child, points);
 }
 
 // The product of the numbers of points, or kMaxSamples + 1 where it is more.
@@ -77,7 +77,7 @@
   SamplePoints points;
   collect_sample_points(level.enter.tree(), points);
   collect_sample_points(level.leave.tree(), points);
-  std::vector<Value> values(signals.fields().size(), Value::of(expression::Fault::kAbsent));
+  std::vector<Value> values(signals.fields().size(), Value::of(expression::EvaluationError::kAbsent));
   for (std::size_t i = 0; i < values.size(); ++i) {
     if (signals.fields()[i].kind == Kind::kBool) values[i] = Value::of(false);
   }
--- a/src/degradation/signals.cpp
+++ b/src/degradation/signals.cpp
@@ -22,7 +22,7 @@
 
 bool serves_role(Role endpoint, Role wanted) { return endpoint == wanted || endpoint == Role::kMixed; }
 
-Value absent() { return Value::of(expression::Fault::kAbsent); }
+Value absent() { return Value::of(expression::EvaluationError::kAbsent); }
 
 Value value_or_absent(std::optional<double> value) { return value ? Value::of(*value) : absent(); }
 
--- a/src/degradation/state_machine.cpp
+++ b/src/degradation/state_machine.cpp
@@ -107,7 +107,7 @@
   LevelChange change{now, levels_->name(level_), levels_->name(to), cause, condition, {}};
   for (const expression::Value& value : signals) {
     const bool is_text = value.kind == expression::Kind::kString;
-    change.signals.push_back(is_text ? expression::Value::of(expression::Fault::kAbsent) : value);
+    change.signals.push_back(is_text ? expression::Value::of(expression::EvaluationError::kAbsent) : value);
   }
   record(std::move(change));
   if (cause == LevelChange::Cause::kEntered || cause == LevelChange::Cause::kLeft)
--- /dev/null
+++ b/src/expression/cost_model.cpp
@@ -0,0 +1,93 @@
+#include "expression/cost_model.hpp"
+
+#include <algorithm>
+#include <cmath>
+#include <vector>
+
+namespace dispatcher::expression {
+
+namespace {
+
+constexpr double kStringNs = 15;       // of reading a string, besides its bytes
+constexpr double kByteNs = 0.5;        // of a byte that is compared or copied
+constexpr double kSizeFactor = 3;      // of a byte that is counted, against one that is compared
+constexpr double kSearchNs = 150;      // of a search, besides its bytes
+constexpr double kSearchByteNs = 10;   // of a byte that is searched
+constexpr double kSearchPairNs = 0.2;  // of a byte that is searched, for each byte of the part
+constexpr double kIntToStringNs = 100;
+constexpr double kDoubleToStringNs = 600;
+constexpr double kStringToIntNs = 200;
+constexpr double kStringToDoubleNs = 1500;
+
+// Of a byte that is matched: a large automaton does not stay in the first caches.
+constexpr std::size_t kSmallAutomatonBytes = std::size_t{32} * 1024;
+constexpr double kSmallAutomatonNs = 5;
+constexpr double kLargeAutomatonNs = 15;
+
+double bytes_ns(std::size_t length) { return kByteNs * static_cast<double>(length); }
+
+}  // namespace
+
+double comparison_ns(Kind kind, std::size_t left_length, std::size_t right_length) {
+  return kind == Kind::kString ? prefix_ns(left_length, right_length) : kInstructionNs;
+}
+
+double prefix_ns(std::size_t left_length, std::size_t right_length) {
+  return kStringNs + bytes_ns(std::min(left_length, right_length));
+}
+
+double concatenation_ns(std::size_t length) { return kStringNs + bytes_ns(length); }
+
+double lookup_ns(Kind kind, std::size_t key_length, std::size_t max_key_length, std::size_t count) {
+  const double comparisons = std::ceil(std::log2(static_cast<double>(count) + 1));
+  return kInstructionNs + comparisons * comparison_ns(kind, key_length, max_key_length);
+}
+
+double size_ns(std::size_t length) { return kInstructionNs + kSizeFactor * bytes_ns(length); }
+
+double search_ns(std::size_t length, std::size_t part_length) {
+  const auto text = static_cast<double>(length);
+  const auto part = static_cast<double>(part_length);
+  return kSearchNs + kSearchByteNs * text + kSearchPairNs * text * part;
+}
+
+double match_ns(const Automaton& automaton, std::size_t length) {
+  const bool is_small = automaton.bytes() <= kSmallAutomatonBytes;
+  const double byte_ns = is_small ? kSmallAutomatonNs : kLargeAutomatonNs;
+  return kStringNs + byte_ns * static_cast<double>(length);
+}
+
+double to_int_ns(Kind from) { return from == Kind::kString ? kStringToIntNs : kInstructionNs; }
+
+double to_double_ns(Kind from) { return from == Kind::kString ? kStringToDoubleNs : kInstructionNs; }
+
+double to_string_ns(Kind from) { return from == Kind::kDouble ? kDoubleToStringNs : kIntToStringNs; }
+
+double worst_path_ns(std::span<const Instruction> instructions, std::span<const double> costs) {
+  // As all jumps lead forwards, the worst cost from an instruction on follows from that of later ones.
+  std::vector<double> worst_from(instructions.size() + 1, 0);
+  const auto worst_at = [&](std::int32_t target) { return worst_from[static_cast<std::size_t>(target)]; };
+  for (std::size_t i = instructions.size(); i-- > 0;) {
+    const Instruction& instruction = instructions[i];
+    double worst_after = worst_from[i + 1];
+    switch (instruction.opcode) {
+      case Opcode::kJump:
+        worst_after = worst_at(instruction.operand);
+        break;
+      case Opcode::kBranch:
+        worst_after =
+            std::max({worst_after, worst_at(instruction.operand), worst_at(instruction.second_operand)});
+        break;
+      case Opcode::kJumpIfFalse:
+      case Opcode::kJumpIfTrue:
+        worst_after = std::max(worst_after, worst_at(instruction.operand));
+        break;
+      default:
+        break;
+    }
+    worst_from[i] = costs[i] + worst_after;
+  }
+  return worst_from[0];
+}
+
+}  // namespace dispatcher::expression
--- /dev/null
+++ b/src/expression/cost_model.hpp
@@ -0,0 +1,41 @@
+// What instructions cost at most, in ns on a core of 2 GHz or more with cold caches: some three times what
+// the benchmark measures (bench/rules_bench.cpp). A computed cost must never be less than the true one:
+// better a rule that is rejected than a slow request.
+#ifndef DISPATCHER_EXPRESSION_COST_MODEL_HPP_
+#define DISPATCHER_EXPRESSION_COST_MODEL_HPP_
+
+#include <cstddef>
+#include <span>
+
+#include "expression/bytecode.hpp"
+
+namespace dispatcher::expression {
+
+inline constexpr double kProgramNs = 20;      // of a program, besides its instructions
+inline constexpr double kInstructionNs = 10;  // of an instruction that reads no string
+inline constexpr double kDivisionNs = 30;     // of a division, in addition
+
+// All lengths are the most bytes that a string may have.
+
+[[nodiscard]] double comparison_ns(Kind kind, std::size_t left_length, std::size_t right_length);
+// Reads both strings up to the length of the shorter one.
+[[nodiscard]] double prefix_ns(std::size_t left_length, std::size_t right_length);
+[[nodiscard]] double concatenation_ns(std::size_t length);
+// A binary search among `count` keys.
+[[nodiscard]] double lookup_ns(Kind kind, std::size_t key_length, std::size_t max_key_length,
+                               std::size_t count);
+[[nodiscard]] double size_ns(std::size_t length);
+// Searching a part that is not constant.
+[[nodiscard]] double search_ns(std::size_t length, std::size_t part_length);
+[[nodiscard]] double match_ns(const Automaton& automaton, std::size_t length);
+// Conversion from a value of kind `from`; to a number, or to a string.
+[[nodiscard]] double to_int_ns(Kind from);
+[[nodiscard]] double to_double_ns(Kind from);
+[[nodiscard]] double to_string_ns(Kind from);
+
+// The cost of the most expensive path through the instructions. `costs`: of each of them.
+[[nodiscard]] double worst_path_ns(std::span<const Instruction> instructions, std::span<const double> costs);
+
+}  // namespace dispatcher::expression
+
+#endif  // DISPATCHER_EXPRESSION_COST_MODEL_HPP_
--- a/src/expression/first_match.cpp
+++ b/src/expression/first_match.cpp
@@ -2,160 +2,143 @@
 
 #include <algorithm>
 #include <array>
+#include <utility>
 
 namespace dispatcher::expression {
 
 namespace {
 
-constexpr double kFindNs = 40, kFindByteNs = 1;  // a field's value looked up
-constexpr double kTryNs = 15;                    // a condition begun, besides its own cost
-constexpr std::size_t kMaxValues = 64;           // of a membership that conditions are found by
+// Worst costs, ns.
+constexpr double kLookupNs = 40;  // of a field's value in its index, besides its bytes
+constexpr double kLookupByteNs = 1;
+constexpr double kTryNs = 15;  // of a condition, besides its own cost
 
-Value value_of(const Node& literal) {
-  if (literal.type.kind == Kind::kString) return Value::of(std::string_view(literal.text));
-  return Value::of(literal.integer);
-}
-
-bool can_find(const Node& n) { return n.type.kind == Kind::kString || n.type.kind == Kind::kInt; }
+// A membership of more values is not indexed: each of them takes an entry.
+constexpr std::size_t kMaxIndexedValues = 64;
 
 }  // namespace
 
-std::vector<const Node*> parts(const Node& condition) {
-  std::vector<const Node*> all;
-  if (condition.op != Op::kAnd) return {&condition};
-  for (const Node& kid : condition.kids) {
-    const auto inner = parts(kid);
-    all.insert(all.end(), inner.begin(), inner.end());
+const FirstMatch::Indices* FirstMatch::FieldIndex::find(const Value& value) const {
+  if (value.kind == Kind::kString) {
+    const auto it = by_string.find(value.text());
+    return it == by_string.end() ? nullptr : &it->second;
   }
-  return all;
+  if (value.kind != Kind::kInt) return nullptr;
+  const auto it = by_integer.find(value.integer);
+  return it == by_integer.end() ? nullptr : &it->second;
 }
 
-std::optional<Membership> membership(const Node& part) {
-  const auto of = [](const Node& field,
-                     const std::vector<const Node*>& literals) -> std::optional<Membership> {
-    if (field.op != Op::kField || !can_find(field)) return std::nullopt;
-    Membership m{static_cast<int>(field.integer), {}};
-    for (const Node* literal : literals) {
-      if (literal->op != Op::kLiteral) return std::nullopt;
-      m.values.push_back(value_of(*literal));
-    }
-    return m;
-  };
-  if (part.op == Op::kEqual) {
-    if (part.kids[0].op == Op::kLiteral) return of(part.kids[1], {&part.kids[0]});
-    return of(part.kids[0], {&part.kids[1]});
-  }
-  if (part.op != Op::kIn || part.kids[1].op != Op::kList) return std::nullopt;
-  std::vector<const Node*> literals;
-  for (const Node& kid : part.kids[1].kids) literals.push_back(&kid);
-  return of(part.kids[0], literals);
+FirstMatch::Indices& FirstMatch::FieldIndex::find_or_add(const Value& value) {
+  return value.kind == Kind::kString ? by_string[value.text()] : by_integer[value.integer];
 }
 
-FirstMatch::ByField* FirstMatch::by_field(int field) {
-  const auto it =
-      std::find_if(by_field_.begin(), by_field_.end(), [&](const auto& b) { return b.field == field; });
-  if (it != by_field_.end()) return &*it;
-  if (by_field_.size() >= kMaxFields) return nullptr;
-  by_field_.emplace_back().field = field;
-  return &by_field_.back();
+FirstMatch::FirstMatch(std::vector<Program> conditions, const Environment& fields)
+    : conditions_(std::move(conditions)) {
+  field_indices_.reserve(kMaxIndexedFields);
+  for (std::size_t i = 0; i < conditions_.size(); ++i) add_to_index(static_cast<std::uint32_t>(i));
+  std::erase_if(field_indices_,
+                [](const FieldIndex& index) { return index.by_string.empty() && index.by_integer.empty(); });
+  compute_worst_ns(fields);
 }
 
-FirstMatch::Numbers& FirstMatch::group(ByField& by, const Value& value) {
-  return value.kind == Kind::kString ? by.texts[value.text()] : by.integers[value.integer];
+// Null: there are too many already.
+FirstMatch::FieldIndex* FirstMatch::find_or_add_index(int field) {
+  const auto it = std::find_if(field_indices_.begin(), field_indices_.end(),
+                               [&](const FieldIndex& index) { return index.field == field; });
+  if (it != field_indices_.end()) return &*it;
+  if (field_indices_.size() >= kMaxIndexedFields) return nullptr;
+  field_indices_.emplace_back().field = field;
+  return &field_indices_.back();
 }
 
-FirstMatch::FirstMatch(std::vector<Program> conditions, const Environment& fields)
-    : conditions_(std::move(conditions)) {
-  by_field_.reserve(kMaxFields);
-  for (std::size_t i = 0; i < conditions_.size(); ++i) {
-    // Of several memberships the one whose groups are smallest so far.
-    std::optional<Membership> best;
-    std::size_t minimum = SIZE_MAX;
-    for (const Node* part : parts(conditions_[i].tree())) {
-      auto m = membership(*part);
-      ByField* by = m && m->values.size() <= kMaxValues ? by_field(m->field) : nullptr;
-      if (by == nullptr) continue;
-      std::size_t largest = 0;
-      for (const Value& v : m->values) {
-        const Numbers* present = found(*by, v);
-        largest = std::max(largest, present == nullptr ? 0 : present->size());
-      }
-      if (largest >= minimum) continue;
-      minimum = largest;
-      best = std::move(m);
-    }
-    const auto number = static_cast<std::uint32_t>(i);
-    if (!best) {
-      rest_.push_back(number);
-      continue;
-    }
-    ByField& by = *by_field(best->field);
-    for (const Value& v : best->values) {
-      Numbers& numbers = group(by, v);
-      if (numbers.empty() || numbers.back() != number) numbers.push_back(number);
+// Of several memberships the one whose largest group is the smallest so far.
+std::optional<Membership> FirstMatch::choose_membership(const Node& condition) {
+  std::optional<Membership> best;
+  std::size_t smallest = SIZE_MAX;
+  for (const Node* part : parts(condition)) {
+    auto candidate = membership(*part);
+    if (!candidate || candidate->values.size() > kMaxIndexedValues) continue;
+    const FieldIndex* index = find_or_add_index(candidate->field);
+    if (index == nullptr) continue;
+    std::size_t largest = 0;
+    for (const Value& value : candidate->values) {
+      const Indices* group = index->find(value);
+      if (group != nullptr) largest = std::max(largest, group->size());
     }
+    if (largest >= smallest) continue;
+    smallest = largest;
+    best = std::move(candidate);
   }
-  std::erase_if(by_field_, [](const ByField& b) { return b.texts.empty() && b.integers.empty(); });
-  worst_ns_ = cost(rest_);
-  for (const ByField& by : by_field_) {
-    double maximum = 0;
-    for (const auto& [text, numbers] : by.texts) maximum = std::max(maximum, cost(numbers));
-    for (const auto& [integer, numbers] : by.integers) maximum = std::max(maximum, cost(numbers));
-    const std::size_t longest = fields.fields()[static_cast<std::size_t>(by.field)].longest;
-    worst_ns_ += kFindNs + kFindByteNs * static_cast<double>(longest) + maximum;
+  return best;
+}
+
+void FirstMatch::add_to_index(std::uint32_t condition) {
+  const auto membership = choose_membership(conditions_[condition].tree());
+  if (!membership) {
+    unindexed_.push_back(condition);
+    return;
+  }
+  FieldIndex& index = *find_or_add_index(membership->field);
+  for (const Value& value : membership->values) {
+    Indices& group = index.find_or_add(value);
+    const bool is_repeated = !group.empty() && group.back() == condition;  // a value that stands twice
+    if (!is_repeated) group.push_back(condition);
   }
 }
 
-double FirstMatch::cost(const Numbers& numbers) {
-  double ns = 0;
-  for (const std::uint32_t i : numbers) {
-    const double one = conditions_[i].worst_ns();
-    ns += one + kTryNs;
-    if (one <= costliest_ns_) continue;
-    costliest_ns_ = one;
-    costliest_ = static_cast<int>(i);
+void FirstMatch::compute_worst_ns(const Environment& fields) {
+  worst_ns_ = group_ns(unindexed_);
+  for (const FieldIndex& index : field_indices_) {
+    double largest_ns = 0;
+    for (const auto& [text, group] : index.by_string) largest_ns = std::max(largest_ns, group_ns(group));
+    for (const auto& [integer, group] : index.by_integer) largest_ns = std::max(largest_ns, group_ns(group));
+    const std::size_t max_length = fields.fields()[static_cast<std::size_t>(index.field)].max_length;
+    worst_ns_ += kLookupNs + kLookupByteNs * static_cast<double>(max_length) + largest_ns;
   }
-  return ns;
 }
 
-const FirstMatch::Numbers* FirstMatch::found(const ByField& by, const Value& value) const noexcept {
-  if (value.kind == Kind::kString) {
-    const auto it = by.texts.find(value.text());
-    return it == by.texts.end() ? nullptr : &it->second;
+double FirstMatch::group_ns(const Indices& indices) {
+  double total_ns = 0;
+  for (const std::uint32_t index : indices) {
+    const double condition_ns = conditions_[index].worst_ns();
+    total_ns += condition_ns + kTryNs;
+    if (condition_ns <= costliest_ns_) continue;
+    costliest_ns_ = condition_ns;
+    costliest_ = static_cast<int>(index);
   }
-  const auto it = value.kind == Kind::kInt ? by.integers.find(value.integer) : by.integers.end();
-  return it == by.integers.end() ? nullptr : &it->second;
+  return total_ns;
 }
 
 int FirstMatch::find(std::span<const Value> fields, Scratch& scratch) const noexcept {
-  std::array<std::span<const std::uint32_t>, kMaxFields + 1> open;
+  std::array<std::span<const std::uint32_t>, kMaxIndexedFields + 1> groups;
   std::size_t count = 0;
-  if (!rest_.empty()) open[count++] = rest_;
-  for (const ByField& by : by_field_) {
-    const Numbers* numbers = found(by, fields[static_cast<std::size_t>(by.field)]);
-    if (numbers != nullptr) open[count++] = *numbers;
+  if (!unindexed_.empty()) groups[count++] = unindexed_;
+  for (const FieldIndex& index : field_indices_) {
+    const Indices* group = index.find(fields[static_cast<std::size_t>(index.field)]);
+    if (group != nullptr) groups[count++] = *group;
   }
+  // Merges the groups, so that the conditions are tried in their order.
   while (count > 0) {
     std::size_t first = 0;
     for (std::size_t i = 1; i < count; ++i) {
-      if (open[i].front() < open[first].front()) first = i;
+      if (groups[i].front() < groups[first].front()) first = i;
     }
-    const std::uint32_t number = open[first].front();
-    open[first] = open[first].subspan(1);
-    if (open[first].empty()) open[first] = open[--count];
-    if (conditions_[number].run(fields, scratch).is(true)) return static_cast<int>(number);
+    const std::uint32_t condition = groups[first].front();
+    groups[first] = groups[first].subspan(1);
+    if (groups[first].empty()) groups[first] = groups[--count];
+    if (conditions_[condition].run(fields, scratch).is(true)) return static_cast<int>(condition);
   }
   return -1;
 }
 
 void FirstMatch::reserve(Scratch& scratch) const {
-  for (const Program& p : conditions_) scratch.reserve(p.max_values(), p.max_text());
+  for (const Program& condition : conditions_) scratch.reserve(condition.max_values(), condition.max_text());
 }
 
 std::size_t FirstMatch::bytes() const {
-  std::size_t all = 0;
-  for (const Program& p : conditions_) all += p.bytes();
-  return all;
+  std::size_t bytes = 0;
+  for (const Program& condition : conditions_) bytes += condition.bytes();
+  return bytes;
 }
 
 }  // namespace dispatcher::expression
--- a/src/expression/first_match.hpp
+++ b/src/expression/first_match.hpp
@@ -1,6 +1,4 @@
-// An ordered list of conditions, of which the first one that holds counts. Those that can only hold for one
-// value of a field, or a few, are found by that value, so that the worst cost grows with the largest group
-// and not with the list.
+// Ordered lists of conditions, of which the first one that holds counts.
 #ifndef DISPATCHER_EXPRESSION_FIRST_MATCH_HPP_
 #define DISPATCHER_EXPRESSION_FIRST_MATCH_HPP_
 
@@ -8,58 +6,70 @@
 #include <cstdint>
 #include <optional>
 #include <span>
-#include <string>
 #include <string_view>
 #include <unordered_map>
 #include <vector>
 
+#include "expression/membership.hpp"
 #include "expression/program.hpp"
 
 namespace dispatcher::expression {
 
-// What must hold of one field for a condition to hold: its value is one of these.
-struct Membership {
-  int field = -1;
-  std::vector<Value> values;  // views into the condition's program
-};
-// The parts of a condition that must all hold, and of one part its membership, where it is one.
-std::vector<const Node*> parts(const Node& condition);
-std::optional<Membership> membership(const Node& part);
-
+// Finds the first of its conditions that holds. Conditions that can hold only for some values of a field are
+// indexed by these values, so that the worst cost grows with the largest group of one value and not with the
+// list. Immutable once made, so that threads may share it.
 class FirstMatch {
  public:
   FirstMatch() = default;
+  // Owns the conditions, which must be compiled for `fields` with a bool as their result.
   FirstMatch(std::vector<Program> conditions, const Environment& fields);
 
-  // The number of the first condition that holds, -1: none. A condition that ends in a fault does not hold.
+  // The index of the first condition that holds, -1: none. A condition that ends in an error does not hold.
+  // `fields` and `scratch` as in Program::run(), the scratch after reserve(). Allocates nothing.
   int find(std::span<const Value> fields, Scratch& scratch) const noexcept;
-  // What the search costs at most, and the condition that has the largest part in that (-1: none).
+
+  // A bound on the time that find() takes, in ns, and the condition whose own cost is the highest; -1: none.
   [[nodiscard]] double worst_ns() const { return worst_ns_; }
   [[nodiscard]] int costliest() const { return costliest_; }
+
   [[nodiscard]] const Program& condition(std::size_t index) const { return conditions_[index]; }
   [[nodiscard]] std::size_t size() const { return conditions_.size(); }
+
+  // Makes the scratch large enough for all conditions.
   void reserve(Scratch& scratch) const;
+
+  // The memory that the conditions take, in bytes.
   [[nodiscard]] std::size_t bytes() const;
 
  private:
-  using Numbers = std::vector<std::uint32_t>;  // of conditions, in order
-  struct ByField {
+  using Indices = std::vector<std::uint32_t>;  // of conditions, in ascending order
+
+  // The conditions that can hold only for some values of one field, by these values.
+  struct FieldIndex {
     int field = -1;
-    std::unordered_map<std::string_view, Numbers> texts;
-    std::unordered_map<std::int64_t, Numbers> integers;
+    std::unordered_map<std::string_view, Indices> by_string;
+    std::unordered_map<std::int64_t, Indices> by_integer;
+
+    // Null: no condition can hold for this value.
+    [[nodiscard]] const Indices* find(const Value& value) const;
+    Indices& find_or_add(const Value& value);
   };
-  // Fields that conditions are found by; more than these would cost more to look up than they save.
-  static constexpr std::size_t kMaxFields = 8;
 
-  Numbers& group(ByField& index, const Value& value);
-  ByField* by_field(int field);
-  [[nodiscard]] const Numbers* found(const ByField& index, const Value& value) const noexcept;
-  double cost(const Numbers& numbers);
+  // Looking up more fields than these would cost more than it saves.
+  static constexpr std::size_t kMaxIndexedFields = 8;
+
+  FieldIndex* find_or_add_index(int field);
+  std::optional<Membership> choose_membership(const Node& condition);
+  void add_to_index(std::uint32_t condition);
+  void compute_worst_ns(const Environment& fields);
+  // The cost of trying all of these, which also updates the costliest one.
+  double group_ns(const Indices& indices);
 
   std::vector<Program> conditions_;
-  std::vector<ByField> by_field_;
-  Numbers rest_;
-  double worst_ns_ = 0, costliest_ns_ = 0;
+  std::vector<FieldIndex> field_indices_;
+  Indices unindexed_;
+  double worst_ns_ = 0;
+  double costliest_ns_ = 0;
   int costliest_ = -1;
 };
 
--- a/src/expression/from_cue.cpp
+++ b/src/expression/from_cue.cpp
@@ -11,10 +11,10 @@
   if (field.is_null()) return std::nullopt;
   try {
     return Program::compile(field.text(), fields, wanted);
-  } catch (const Errors& e) {
-    for (const Problem& p : e.problems) {
-      problems.push_back(
-          cue::problem(field, "in the expression, at " + std::to_string(p.at + 1) + ": " + p.what));
+  } catch (const Errors& errors) {
+    for (const Problem& problem : errors.problems) {
+      problems.push_back(cue::problem(
+          field, "in the expression, at " + std::to_string(problem.at + 1) + ": " + problem.what));
     }
   }
   return std::nullopt;
--- a/src/expression/from_cue.hpp
+++ b/src/expression/from_cue.hpp
@@ -1,4 +1,4 @@
-// Expressions as fields of a record.
+// Expressions as fields of configuration records.
 #ifndef DISPATCHER_EXPRESSION_FROM_CUE_HPP_
 #define DISPATCHER_EXPRESSION_FROM_CUE_HPP_
 
@@ -10,10 +10,10 @@
 
 namespace dispatcher::expression {
 
-// The text of the field, compiled. None where the record lacks it, or where it is bad: `problems` then tells
-// all that is wrong, at the field's place.
-std::optional<Program> compile(const cue::Data& field, const Environment& fields, Kind wanted,
-                               std::vector<cue::Problem>& problems);
+// Compiles the text of `field`. nullopt: the record lacks it, or it is wrong; then `problems` has got all
+// that is wrong, at the field's place in the file.
+[[nodiscard]] std::optional<Program> compile(const cue::Data& field, const Environment& fields, Kind wanted,
+                                             std::vector<cue::Problem>& problems);
 
 }  // namespace dispatcher::expression
 
--- a/src/expression/value.cpp
+++ b/src/expression/value.cpp
@@ -11,14 +11,14 @@
   return kNames[static_cast<std::size_t>(kind)];
 }
 
-const char* name(Fault fault) {
+const char* name(EvaluationError error) {
   constexpr std::array<const char*, 6> kNames = {"a field that the request lacks",
                                                  "overflow",
                                                  "division by zero",
                                                  "a key that the map lacks",
                                                  "an index past the list's end",
                                                  "a text that is no number"};
-  return kNames[static_cast<std::size_t>(fault)];
+  return kNames[static_cast<std::size_t>(error)];
 }
 
 std::string to_text(const Type& type) {
@@ -27,17 +27,17 @@
   return name(type.kind);
 }
 
-bool same(const Value& a, const Value& b) {
-  if (a.kind != b.kind) return false;
-  switch (a.kind) {
+bool same(const Value& left, const Value& right) {
+  if (left.kind != right.kind) return false;
+  switch (left.kind) {
     case Kind::kBool:
-      return a.truth == b.truth;
+      return left.boolean == right.boolean;
     case Kind::kInt:
-      return a.integer == b.integer;
+      return left.integer == right.integer;
     case Kind::kDouble:
-      return a.real == b.real;
+      return left.real == right.real;
     case Kind::kString:
-      return a.text() == b.text();
+      return left.text() == right.text();
     default:
       return false;
   }
@@ -46,13 +46,13 @@
 std::string to_text(const Value& value) {
   switch (value.kind) {
     case Kind::kError:
-      return std::string("none: ") + name(value.fault);
+      return std::string("none: ") + name(value.error);
     case Kind::kBool:
-      return value.truth ? "true" : "false";
+      return value.boolean ? "true" : "false";
     case Kind::kInt:
       return std::to_string(value.integer);
     case Kind::kDouble: {
-      std::array<char, 32> text{};
+      std::array<char, 32> text{};  // longer than the shortest form of any double
       return {text.data(), std::to_chars(text.data(), text.data() + text.size(), value.real).ptr};
     }
     case Kind::kString:
@@ -64,7 +64,7 @@
 
 int Environment::find(std::string_view path) const {
   const auto it =
-      std::find_if(fields_.begin(), fields_.end(), [&](const Field& f) { return f.path == path; });
+      std::find_if(fields_.begin(), fields_.end(), [&](const Field& field) { return field.path == path; });
   return it == fields_.end() ? -1 : static_cast<int>(it - fields_.begin());
 }
 
--- a/src/expression/value.hpp
+++ b/src/expression/value.hpp
@@ -1,38 +1,57 @@
-// Types and values of the matching language, and the fields that expressions may ask for.
+// Types and values of the expression language, a subset of CEL (https://github.com/google/cel-spec), and the
+// fields that expressions may use.
 #ifndef DISPATCHER_EXPRESSION_VALUE_HPP_
 #define DISPATCHER_EXPRESSION_VALUE_HPP_
 
+#include <cmath>
+#include <cstddef>
 #include <cstdint>
 #include <optional>
 #include <string>
 #include <string_view>
+#include <utility>
 #include <vector>
 
 namespace dispatcher::expression {
 
+// kError: of a value, that there is none; of a type, that the expression is ill-typed.
 enum class Kind : std::uint8_t { kError, kBool, kInt, kDouble, kString, kList, kMap };
-const char* name(Kind kind);
 
+// As error messages have it.
+[[nodiscard]] const char* name(Kind kind);
+
+// The type of an expression. Lists and maps hold scalars only, so that it needs no nesting.
 struct Type {
   Kind kind = Kind::kError;
-  Kind key = Kind::kError;      // of a map
-  Kind element = Kind::kError;  // of a list; a map's values
+  Kind key = Kind::kError;      // of a map's keys
+  Kind element = Kind::kError;  // of a list's elements, or a map's values
   bool operator==(const Type&) const = default;
 };
-std::string to_text(const Type& type);
+
+// As error messages have it: map(string, int).
+[[nodiscard]] std::string to_text(const Type& type);
 
 // Why an evaluation has no value.
-enum class Fault : std::uint8_t { kAbsent, kOverflow, kDivision, kNoKey, kRange, kConversion };
-const char* name(Fault fault);
+enum class EvaluationError : std::uint8_t {
+  kAbsent,  // of a field
+  kOverflow,
+  kDivisionByZero,
+  kNoSuchKey,
+  kIndexOutOfRange,
+  kInvalidNumber  // a string that is to be converted to a number
+};
 
-// One value, or the fault in its place. A text is a view: of the request, of a program's constants or of the
-// scratch it was made in.
+// As it is shown to operators.
+[[nodiscard]] const char* name(EvaluationError error);
+
+// A scalar, or the error in its place. A string is not owned: it is a view of the request, of a program's
+// constants or of the Scratch that it was made in.
 struct Value {
   Kind kind = Kind::kError;
-  Fault fault = Fault::kAbsent;
-  std::uint32_t size = 0;  // of a text, in bytes; of a list or map: its number among the constants
+  EvaluationError error = EvaluationError::kAbsent;  // of kError
+  std::uint32_t size = 0;                            // of a string, in bytes
   union {
-    bool truth;
+    bool boolean;
     std::int64_t integer;
     double real;
     const char* bytes;
@@ -41,7 +60,7 @@
   static Value of(bool given) {
     Value value;
     value.kind = Kind::kBool;
-    value.truth = given;
+    value.boolean = given;
     return value;
   }
   static Value of(std::int64_t given) {
@@ -56,45 +75,79 @@
     value.real = given;
     return value;
   }
-  static Value of(std::string_view given) {  // of less than 4 GiB
+  // Of less than 4 GiB.
+  static Value of(std::string_view given) {
     Value value;
     value.kind = Kind::kString;
     value.size = static_cast<std::uint32_t>(given.size());
     value.bytes = given.data();
     return value;
   }
-  static Value of(const char* given) {
-    return of(std::string_view(given));
-  }  // which would be taken for a bool
-  static Value of(Fault given) {
+  // Without this overload a string literal would be converted to bool.
+  static Value of(const char* given) { return of(std::string_view(given)); }
+  static Value of(EvaluationError given) {
     Value value;
-    value.fault = given;
+    value.error = given;
     return value;
   }
+  // Of a string only.
   [[nodiscard]] std::string_view text() const { return {bytes, size}; }
-  [[nodiscard]] bool is(bool given) const { return kind == Kind::kBool && truth == given; }
+  [[nodiscard]] bool is(bool given) const { return kind == Kind::kBool && boolean == given; }
   [[nodiscard]] bool failed() const { return kind == Kind::kError; }
 };
-// Equal as the language has it; values of different kinds never are.
-bool same(const Value& left, const Value& right);
-std::string to_text(const Value& value);
 
+// Equality as the language has it; values of different kinds never are equal, nor are two errors.
+[[nodiscard]] bool same(const Value& left, const Value& right);
+
+// Three-way comparison of two values of one scalar kind: negative, zero or positive. nullopt: unordered, as
+// NaN is to any number.
+[[nodiscard]] inline std::optional<int> compare(const Value& left, const Value& right) {
+  const auto compare_numbers = [](auto first, auto second) {
+    if (first < second) return -1;
+    return first > second ? 1 : 0;
+  };
+  switch (left.kind) {
+    case Kind::kBool:
+      return static_cast<int>(left.boolean) - static_cast<int>(right.boolean);
+    case Kind::kInt:
+      return compare_numbers(left.integer, right.integer);
+    case Kind::kDouble:
+      if (std::isnan(left.real) || std::isnan(right.real)) return std::nullopt;
+      return compare_numbers(left.real, right.real);
+    case Kind::kString:
+      return left.text().compare(right.text());
+    default:
+      return std::nullopt;
+  }
+}
+
+// A strict weak ordering for sorted tables of values that hold no NaN.
+[[nodiscard]] inline bool is_less(const Value& left, const Value& right) {
+  return compare(left, right).value_or(0) < 0;
+}
+
+// The value as an expression would write it, for people: strings are quoted, but not escaped.
+[[nodiscard]] std::string to_text(const Value& value);
+
+// A field that expressions may use, such as request.class.
 struct Field {
-  std::string path;  // as expressions write it: request.class
+  std::string path;  // as expressions write it
   Kind kind{};
-  bool optional = false;                                // some requests lack it
-  std::size_t longest = 0;                              // of a text, in bytes: a longer one never comes
-  std::optional<std::vector<std::string>> domain = {};  // of a text: it is one of these
+  bool optional = false;       // some requests lack it
+  std::size_t max_length = 0;  // of a string, in bytes; a longer one counts as absent
+  std::optional<std::vector<std::string>> domain = {};  // of a string: it is always one of these
 };
 
 // The fields by number: an evaluation is given their values in this order.
 class Environment {
  public:
+  // Returns the field's number.
   int add(Field field) {
     fields_.push_back(std::move(field));
     return static_cast<int>(fields_.size()) - 1;
   }
-  [[nodiscard]] int find(std::string_view path) const;  // -1: unknown
+  // The number of the field with this path; -1: there is none.
+  [[nodiscard]] int find(std::string_view path) const;
   [[nodiscard]] const std::vector<Field>& fields() const { return fields_; }
 
  private:
--- a/src/rate_limit/explain.cpp
+++ b/src/rate_limit/explain.cpp
@@ -58,7 +58,7 @@
     const expression::Value value = evaluate(*part, rules, values);
     if (value.is(false)) return expression::to_text(*part) + " is false";
     if (value.failed() && without_value.empty())
-      without_value = expression::to_text(*part) + " has no value: " + expression::name(value.fault);
+      without_value = expression::to_text(*part) + " has no value: " + expression::name(value.error);
   }
   return without_value;
 }
@@ -72,7 +72,7 @@
 std::string explain_limit(const Limit& limit, const expression::Value& key) {
   std::string text = "      limit " + limit.name + ": key ";
   if (key.failed()) {
-    text += "shared by all that lack it (" + std::string(expression::name(key.fault)) + ")";
+    text += "shared by all that lack it (" + std::string(expression::name(key.error)) + ")";
   } else {
     text += expression::to_text(key);
   }
--- a/src/rate_limit/request_attributes.cpp
+++ b/src/rate_limit/request_attributes.cpp
@@ -50,7 +50,8 @@
 expression::Value text_value(std::optional<std::string_view> text, std::size_t max_length) {
   const bool is_valid =
       text && text->size() <= max_length && cue::invalid_utf8(*text) == std::string_view::npos;
-  return is_valid ? expression::Value::of(*text) : expression::Value::of(expression::Fault::kAbsent);
+  return is_valid ? expression::Value::of(*text)
+                  : expression::Value::of(expression::EvaluationError::kAbsent);
 }
 
 void fill_request_fields(const RequestAttributes& attributes, SessionText& session_text,
@@ -58,7 +59,7 @@
   using expression::Value;
   session_text = hexadecimal(attributes.session);
   const Value session = attributes.session == 0
-                            ? Value::of(expression::Fault::kAbsent)
+                            ? Value::of(expression::EvaluationError::kAbsent)
                             : Value::of(std::string_view(session_text.data(), session_text.size()));
   std::size_t index = 0;
   values[index++] = text_value(attributes.request_class, kMaxNameLength);
--- a/src/rate_limit/rule_reader.cpp
+++ b/src/rate_limit/rule_reader.cpp
@@ -134,8 +134,8 @@
     if (limit.rate == 0 && !limit.max_in_progress)
       add_problem(data, "a limit needs a rate, in_progress or both");
     if (auto key = expression::compile(data["key"], fields, Kind::kString, problems)) {
-      if (key->longest() > kMaxKeyLength)
-        add_problem(data["key"], "may be " + std::to_string(key->longest()) + " bytes long, more than " +
+      if (key->max_length() > kMaxKeyLength)
+        add_problem(data["key"], "may be " + std::to_string(key->max_length()) + " bytes long, more than " +
                                      std::to_string(kMaxKeyLength));
       limit.key = std::move(*key);
     }
--- a/src/rate_limit/rules.cpp
+++ b/src/rate_limit/rules.cpp
@@ -97,7 +97,7 @@
     if (*program) cost += (*program)->worst_ns() + kKeyNs;
   }
   for (const Limit& limit : rule.limits)
-    cost += limit.key.worst_ns() + kKeyNs + kKeyByteNs * static_cast<double>(limit.key.longest());
+    cost += limit.key.worst_ns() + kKeyNs + kKeyByteNs * static_cast<double>(limit.key.max_length());
   return cost;
 }
 
--- a/tests/dispatcher/degradation_test.cpp
+++ b/tests/dispatcher/degradation_test.cpp
@@ -70,7 +70,7 @@
   // `late`, `ready`: negative: the signal is missing.
   void step(double late, double ready, Duration time = seconds(1)) {
     const auto value = [](double number) {
-      return number < 0 ? Value::of(expression::Fault::kAbsent) : Value::of(number);
+      return number < 0 ? Value::of(expression::EvaluationError::kAbsent) : Value::of(number);
     };
     const std::vector<Value> signals = {value(ready), value(late), Value::of(std::int64_t{5})};
     now += time;
