--- a/src/expression/interpreter.cpp
+++ b/src/expression/interpreter.cpp
@@ -134,49 +134,42 @@
   }
 }
 
-Value contains(std::string_view text, std::string_view part) {
-  return Value::of(part.empty() || memmem(text.data(), text.size(), part.data(), part.size()) != nullptr);
+Value compute_arithmetic(Opcode opcode, const Value& left, const Value& right, char*& text_end) {
+  if (left.kind == Kind::kInt) return compute_int(opcode, left.integer, right.integer);
+  if (left.kind == Kind::kDouble) return compute_double(opcode, left.real, right.real);
+  return concatenate(left, right, text_end);
 }
 
-// Of two operands that are no errors, and no strings to be added.
-Value compute(Opcode opcode, const Value& left, const Value& right) {
-  switch (opcode) {
+Value compute_order(Opcode opcode, const Value& left, const Value& right) {
+  const auto order = compare(left, right);
+  return Value::of(order && (*order < 0 || (opcode == Opcode::kLessEqual && *order == 0)));
+}
+
+Value compute_comparison(const Instruction& instruction, const Value& left, const Value& right) {
+  switch (instruction.opcode) {
     case Opcode::kEqual:
       return Value::of(same(left, right));
     case Opcode::kUnequal:
       return Value::of(!same(left, right));
-    case Opcode::kLess: {
-      const auto order = compare(left, right);
-      return Value::of(order && *order < 0);
-    }
-    case Opcode::kLessEqual: {
-      const auto order = compare(left, right);
-      return Value::of(order && *order <= 0);
-    }
-    case Opcode::kStartsWith:
-      return Value::of(left.text().starts_with(right.text()));
-    case Opcode::kEndsWith:
-      return Value::of(left.text().ends_with(right.text()));
-    case Opcode::kContains:
-      return contains(left.text(), right.text());
     default:
-      return left.kind == Kind::kDouble ? compute_double(opcode, left.real, right.real)
-                                        : compute_int(opcode, left.integer, right.integer);
+      return instruction.operand == kReversed ? compute_order(instruction.opcode, right, left)
+                                              : compute_order(instruction.opcode, left, right);
   }
 }
 
-// The result replaces the left operand.
-void apply_binary(const Instruction& instruction, Value& left, const Value& right, char*& text_end) {
-  if (left.failed()) return;
-  if (right.failed()) {
-    left = right;
-  } else if (instruction.opcode == Opcode::kAdd && left.kind == Kind::kString) {
-    left = concatenate(left, right, text_end);
-  } else if (instruction.operand == kReversed) {
-    left = compute(instruction.opcode, right, left);
-  } else {
-    left = compute(instruction.opcode, left, right);
-  }
+Value compute_search(Opcode opcode, std::string_view text, std::string_view part) {
+  if (opcode == Opcode::kStartsWith) return Value::of(text.starts_with(part));
+  if (opcode == Opcode::kEndsWith) return Value::of(text.ends_with(part));
+  return Value::of(part.empty() || memmem(text.data(), text.size(), part.data(), part.size()) != nullptr);
+}
+
+// Whether both operands of an instruction have values. Else the first error is the result, and takes the left
+// operand's place.
+bool have_values(Value& left, const Value& right) {
+  if (left.failed()) return false;
+  if (!right.failed()) return true;
+  left = right;
+  return false;
 }
 
 // Of an operand that is no error.
@@ -263,9 +256,29 @@
       case Opcode::kToString:
         if (!top->failed()) *top = compute_unary(instruction.opcode, *top, text_end);
         break;
-      default:
+      case Opcode::kEqual:
+      case Opcode::kUnequal:
+      case Opcode::kLess:
+      case Opcode::kLessEqual:
+        --top;
+        if (have_values(top[0], top[1])) *top = compute_comparison(instruction, top[0], top[1]);
+        break;
+      case Opcode::kAdd:
+      case Opcode::kSubtract:
+      case Opcode::kMultiply:
+      case Opcode::kDivide:
+      case Opcode::kRemainder:
         --top;
-        apply_binary(instruction, top[0], top[1], text_end);
+        if (have_values(top[0], top[1]))
+          *top = compute_arithmetic(instruction.opcode, top[0], top[1], text_end);
+        break;
+      case Opcode::kStartsWith:
+      case Opcode::kEndsWith:
+      case Opcode::kContains:
+        --top;
+        if (have_values(top[0], top[1]))
+          *top = compute_search(instruction.opcode, top[0].text(), top[1].text());
+        break;
     }
   }
   return *top;
--- a/src/expression/value.hpp
+++ b/src/expression/value.hpp
@@ -121,9 +121,21 @@
   }
 }
 
-// A strict weak ordering for sorted tables of values that hold no NaN.
+// Whether the first of two values of one scalar kind is the lesser one: a strict weak ordering where neither
+// is NaN.
 [[nodiscard]] inline bool is_less(const Value& left, const Value& right) {
-  return compare(left, right).value_or(0) < 0;
+  switch (left.kind) {
+    case Kind::kBool:
+      return !left.boolean && right.boolean;
+    case Kind::kInt:
+      return left.integer < right.integer;
+    case Kind::kDouble:
+      return left.real < right.real;
+    case Kind::kString:
+      return left.text() < right.text();
+    default:
+      return false;
+  }
 }
 
 // The value as an expression would write it, for people: strings are quoted, but not escaped.
