--- a/src/expression/interpreter.cpp
+++ b/src/expression/interpreter.cpp
@@ -13,11 +13,9 @@
 // A longer string is no number: the time that parsing takes is bounded by it.
 constexpr std::size_t kMaxNumberLength = 64;
 
-Value field_value(const Instruction& instruction, const Value& field) {
-  // The costs and the scratch are computed for this length, whoever filled in the fields.
-  const bool is_too_long =
-      field.kind == Kind::kString && field.size > static_cast<std::uint32_t>(instruction.second_operand);
-  return is_too_long ? Value::of(EvaluationError::kAbsent) : field;
+// The costs and the scratch are computed for this length, whoever filled in the fields.
+bool exceeds_max_length(const Instruction& instruction, const Value& field) {
+  return field.kind == Kind::kString && field.size > static_cast<std::uint32_t>(instruction.second_operand);
 }
 
 // The result replaces the left side.
@@ -210,7 +208,8 @@
         *++top = code.constants[operand];
         break;
       case Opcode::kField:
-        *++top = field_value(instruction, fields[operand]);
+        *++top = fields[operand];
+        if (exceeds_max_length(instruction, *top)) *top = Value::of(EvaluationError::kAbsent);
         break;
       case Opcode::kPresent:
         *++top = Value::of(!fields[operand].failed());
