--- a/src/expression/interpreter.cpp
+++ b/src/expression/interpreter.cpp
@@ -18,13 +18,22 @@
   return field.kind == Kind::kString && field.size > static_cast<std::uint32_t>(instruction.second_operand);
 }
 
-// The result replaces the left side.
+// The result replaces the left side. Values are copied only where they change: a copy of 16 bytes right after
+// its parts were written waits for them.
 void apply_and(Value& left, const Value& right) {
-  if (right.is(false) || (!left.failed() && !left.is(false))) left = right;
+  if (right.is(false)) {
+    left = Value::of(false);
+  } else if (right.failed() && left.is(true)) {
+    left = right;
+  }
 }
 
 void apply_or(Value& left, const Value& right) {
-  if (right.is(true) || (!left.failed() && !left.is(true))) left = right;
+  if (right.is(true)) {
+    left = Value::of(true);
+  } else if (right.failed() && left.is(false)) {
+    left = right;
+  }
 }
 
 void apply_not(Value& value) {
