--- /dev/null
+++ b/tests/dispatcher/expression_automaton_test.cpp
@@ -0,0 +1,103 @@
+// Automata of patterns, against RE2.
+#include <re2/re2.h>
+
+#include <catch2/catch.hpp>
+#include <optional>
+#include <random>
+#include <string>
+#include <vector>
+
+#include "expression/automaton.hpp"
+
+namespace dispatcher::testing {
+namespace {
+
+using namespace expression;
+
+// Parts of patterns.
+const std::vector<std::string>& atoms() {
+  static const std::vector<std::string> all = {"a",
+                                               "b",
+                                               "\xC3\xA9",
+                                               ".",
+                                               "[ab]",
+                                               "[^a]",
+                                               "\\d",
+                                               "\\W",
+                                               "\\s",
+                                               "^",
+                                               "$",
+                                               "(a|b)",
+                                               "(?:ab)",
+                                               "[a-f0]",
+                                               "[[:alpha:]]",
+                                               "k",
+                                               "(?i:k)",
+                                               "S",
+                                               "",
+                                               "x{0}",
+                                               "\\.",
+                                               "[^\\n]",
+                                               "[\xC3\xA9-\xE2\x82\xAC]",
+                                               "\\x{20ac}",
+                                               "(?s:.)",
+                                               "(|a)",
+                                               "\\pN"};
+  return all;
+}
+
+// Parts of texts.
+const std::vector<std::string>& letters() {
+  static const std::vector<std::string> all = {"a",
+                                               "b",
+                                               "k",
+                                               "K",
+                                               "s",
+                                               "\xC3\xA9",
+                                               "\xE2\x82\xAC",
+                                               "\xF0\x9F\x98\x80",
+                                               "0",
+                                               " ",
+                                               "\n",
+                                               ".",
+                                               "\xE2\x84\xAA",
+                                               "\xC5\xBF"};
+  return all;
+}
+
+TEST_CASE("an automaton matches what RE2 matches", "[match]") {
+  std::mt19937 random(7);
+  const auto any = [&](const std::vector<std::string>& choices) {
+    return choices[random() % choices.size()];
+  };
+  std::size_t made = 0;
+  std::size_t matched = 0;
+  for (int i = 0; i < 4000; ++i) {
+    std::string pattern = random() % 4 == 0 ? "(?i)" : "";
+    for (unsigned count = random() % 5; count > 0; --count) {
+      pattern += any(atoms());
+      if (random() % 3 == 0) pattern += any({"*", "+", "?", "{2}", "{1,3}", "{2,}", "*?", "|"});
+    }
+    std::optional<Automaton> automaton;
+    try {
+      automaton.emplace(pattern);
+    } catch (const PatternError&) {
+      continue;
+    }
+    ++made;
+    const re2::RE2 reference(pattern);
+    for (int j = 0; j < 12; ++j) {
+      std::string text;
+      for (unsigned count = random() % 6; count > 0; --count) text += any(letters());
+      INFO(pattern << " on " << text);
+      const bool found = re2::RE2::PartialMatch(text, reference);
+      CHECK(automaton->matches(text) == found);
+      matched += found ? 1 : 0;
+    }
+  }
+  CHECK(made > 2500);
+  CHECK(matched > 8000);
+}
+
+}  // namespace
+}  // namespace dispatcher::testing
