--- a/bench/rules_bench.cpp
+++ b/bench/rules_bench.cpp
@@ -1,7 +1,7 @@
 // What rules cost: deciding requests, the computed worst cost against the slowest requests that can be made,
 // reading a large file, and the table under a million keys. Times are per request, in ns, a million requests
 // each.
-//   cmake -B build-bench -DCMAKE_BUILD_TYPE=Release -DBASALTVANE_BENCH=ON && cmake --build build-bench -j4
+//   cmake -B build-bench -DCMAKE_BUILD_TYPE=Release -DDISPATCHER_BENCH=ON && cmake --build build-bench -j4
 //   build-bench/bench/dispatcher_rules_bench
 #include <benchmark/benchmark.h>
 
@@ -30,11 +30,14 @@
 std::string usual(int rules) {
   std::string text = "headers: tier: {name: \"X-Tier\", longest: 32}\nrules: [\n";
   for (int i = 0; i < rules - 3; ++i) {
-    const std::string n = std::to_string(i);
-    text += "{name: \"account-" + n + "\", when: \"request.account == 'account-" + n +
-            "' && request.class == 'ask' && request.prompt_tokens < 16000\", session: \"request.session + "
-            "header.tier\", "
-            "limits: [{key: \"request.account\", rate: 10, burst: 20}]},\n";
+    const std::string account = "account-" + std::to_string(i);
+    text += "{name: \"";
+    text += account;
+    text += "\", when: \"request.account == '";
+    text += account;
+    text += "' && request.class == 'ask' && request.prompt_tokens < 16000\", ";
+    text += "session: \"request.session + header.tier\", ";
+    text += "limits: [{key: \"request.account\", rate: 10, burst: 20}]},\n";
   }
   return text +
          "{name: \"gold\", when: \"header.tier.matches('^(gold|platinum)-[0-9]+$')\", limits: [{key: "
@@ -45,15 +48,18 @@
 }
 
 // As slow as the default budget lets in: every condition is tried, and each reads all of a long text.
-const std::vector<std::string> kSlow = {
-    "header.a.matches('(x+x+)+[yz]$')",
-    "size(header.a + header.b) == 1",
-    "header.a + header.b == request.account + header.a",
-    "[1, 2, 3, 4, 5, 6, 7, 8].exists(x, request.prompt_tokens % x == x)",
-    "header.b.matches('[ab]*a[ab]{8}z')",
-    "header.a in ['" + std::string(127, 'x') + "', '" + std::string(128, 'y') + "']",
-    "double(header.b) > 1.5 || string(request.prompt_tokens) == header.a",
-    "header.a.contains(header.b)"};
+const std::vector<std::string>& slow_conditions() {
+  static const std::vector<std::string> all = {
+      "header.a.matches('(x+x+)+[yz]$')",
+      "size(header.a + header.b) == 1",
+      "header.a + header.b == request.account + header.a",
+      "[1, 2, 3, 4, 5, 6, 7, 8].exists(x, request.prompt_tokens % x == x)",
+      "header.b.matches('[ab]*a[ab]{8}z')",
+      "header.a in ['" + std::string(127, 'x') + "', '" + std::string(128, 'y') + "']",
+      "double(header.b) > 1.5 || string(request.prompt_tokens) == header.a",
+      "header.a.contains(header.b)"};
+  return all;
+}
 
 std::string slow(const std::vector<std::string>& conditions) {
   std::string text =
@@ -67,8 +73,8 @@
 std::shared_ptr<const RuleSet> slowest_allowed() {
   std::shared_ptr<const RuleSet> last;
   std::vector<std::string> conditions;
-  for (std::size_t failed = 0, i = 0; failed < kSlow.size(); ++i) {
-    conditions.push_back(kSlow[i % kSlow.size()]);
+  for (std::size_t failed = 0, i = 0; failed < slow_conditions().size(); ++i) {
+    conditions.push_back(slow_conditions()[i % slow_conditions().size()]);
     try {
       last = read(slow(conditions));
       failed = 0;
@@ -89,7 +95,7 @@
   for (std::size_t i = 0; i < 4096; ++i) requests.push_back(make_attributes(i));
   std::vector<float> times;
   times.reserve(kRequests);
-  for (auto _ : state) {
+  for ([[maybe_unused]] const auto iteration : state) {
     const RequestAttributes& attributes = requests[times.size() % requests.size()];
     const auto begin = std::chrono::steady_clock::now();
     benchmark::DoNotOptimize(rules.decide(attributes, scratch));
@@ -98,18 +104,18 @@
     state.SetIterationTime(static_cast<double>(took.count()) * 1e-9);
   }
   std::sort(times.begin(), times.end());
-  const auto part = [&](double p) {
-    return times[static_cast<std::size_t>(p * static_cast<double>(times.size() - 1))];
+  const auto quantile = [&](double fraction) {
+    return times[static_cast<std::size_t>(fraction * static_cast<double>(times.size() - 1))];
   };
-  state.counters["p99"] = part(0.99);
-  state.counters["p99.9"] = part(0.999);
+  state.counters["p99"] = quantile(0.99);
+  state.counters["p99.9"] = quantile(0.999);
   state.counters["most"] = times.back();
   state.counters["computed"] = rules.worst_ns();
   // Each request by the best of five tries: what is left is the rules' own cost, without the interruptions.
   times.clear();
   for (const RequestAttributes& attributes : requests) {
     float best = 1e9;
-    for (int k = 0; k < 5; ++k) {
+    for (int attempt = 0; attempt < 5; ++attempt) {
       const auto begin = std::chrono::steady_clock::now();
       benchmark::DoNotOptimize(rules.decide(attributes, scratch));
       best = std::min(
@@ -118,14 +124,16 @@
     times.push_back(best);
   }
   std::sort(times.begin(), times.end());
-  state.counters["best5_p99.9"] = part(0.999);
+  state.counters["best5_p99.9"] = quantile(0.999);
 }
 
 const std::vector<std::string>& accounts() {
   static const std::vector<std::string> all = [] {
-    std::vector<std::string> made;
-    for (int i = 0; i < 2500; ++i) made.push_back("account-" + std::to_string(i));
-    return made;
+    constexpr int kAccounts = 2500;
+    std::vector<std::string> names;
+    names.reserve(kAccounts);
+    for (int i = 0; i < kAccounts; ++i) names.push_back("account-" + std::to_string(i));
+    return names;
   }();
   return all;
 }
@@ -149,19 +157,22 @@
 
 void slow_rules(benchmark::State& state) {
   static const auto rules = slowest_allowed();
-  static const std::string x(128, 'x'), ab = [] {
+  constexpr std::size_t kLength = 128;  // the most that the headers and the account may have
+  static const std::string repeated(kLength, 'x');
+  static const std::string random_text = [] {
     std::mt19937 random(2);
-    std::string s;
-    while (s.size() < 128) s += random() % 2 == 0 ? 'a' : 'b';
-    return s;
+    std::string text;
+    while (text.size() < kLength) text += random() % 2 == 0 ? 'a' : 'b';
+    return text;
   }();
   state.counters["rules"] = static_cast<double>(rules->rules().size());
-  decide(state, *rules, [&](std::size_t i) {
+  decide(state, *rules, [&](std::size_t index) {
     RequestAttributes attributes;
     attributes.request_class = "ask";
-    attributes.account = std::string_view(x).substr(0, 128);
+    attributes.account = repeated;
     attributes.prompt_tokens = 1'000'000'007;
-    attributes.headers = {std::string_view(i % 2 == 0 ? x : ab), std::string_view(ab)};
+    attributes.headers = {std::string_view(index % 2 == 0 ? repeated : random_text),
+                          std::string_view(random_text)};
     return attributes;
   });
 }
@@ -175,12 +186,13 @@
   const auto program = expression::Program::compile(expression, fields, expression::Kind::kBool);
   expression::Scratch scratch;
   scratch.reserve(program.max_values(), program.max_text());
-  const std::string a(1024, 'x'), b = std::string(511, 'x') + "y" + std::string(512, 'x');
-  const std::vector<expression::Value> values = {expression::Value::of(std::string_view(a)),
-                                                 expression::Value::of(std::string_view(b)),
+  const std::string first(1024, 'x');
+  const std::string second = std::string(511, 'x') + "y" + std::string(512, 'x');
+  const std::vector<expression::Value> values = {expression::Value::of(std::string_view(first)),
+                                                 expression::Value::of(std::string_view(second)),
                                                  expression::Value::of(std::int64_t{1'000'000'007})};
   const auto begin = std::chrono::steady_clock::now();
-  for (auto _ : state) benchmark::DoNotOptimize(program.run(values, scratch));
+  for ([[maybe_unused]] const auto iteration : state) benchmark::DoNotOptimize(program.run(values, scratch));
   const std::chrono::duration<double, std::nano> took = std::chrono::steady_clock::now() - begin;
   const double mean = took.count() / static_cast<double>(state.iterations());
   state.counters["computed"] = program.worst_ns();
@@ -189,12 +201,12 @@
 
 void load(benchmark::State& state) {
   const std::string text = usual(10'000);
-  for (auto _ : state) benchmark::DoNotOptimize(read(text));
+  for ([[maybe_unused]] const auto iteration : state) benchmark::DoNotOptimize(read(text));
   state.counters["bytes"] = static_cast<double>(text.size());
 }
 
 void million_keys(benchmark::State& state) {
-  for (auto _ : state) {
+  for ([[maybe_unused]] const auto iteration : state) {
     rate_limit::CounterTable table(1'000'000);
     const rate_limit::InstanceLimit limit{
         1, std::chrono::seconds(10), std::chrono::seconds(0), rate_limit::InstanceLimit::kUnlimited, {}};
@@ -216,11 +228,12 @@
 void control(benchmark::State& state) {
   std::vector<float> times;
   times.reserve(kRequests);
-  for (auto _ : state) {
+  for ([[maybe_unused]] const auto iteration : state) {
     const auto begin = std::chrono::steady_clock::now();
-    std::uint64_t x = times.size() | 1U;
-    for (int i = 0; i < state.range(0); ++i) x = x * 6364136223846793005ULL + 1442695040888963407ULL;
-    benchmark::DoNotOptimize(x);
+    std::uint64_t number = times.size() | 1U;
+    for (int i = 0; i < state.range(0); ++i)
+      number = number * 6364136223846793005ULL + 1442695040888963407ULL;
+    benchmark::DoNotOptimize(number);
     const std::chrono::duration<float, std::nano> took = std::chrono::steady_clock::now() - begin;
     times.push_back(took.count());
     state.SetIterationTime(static_cast<double>(took.count()) * 1e-9);
--- a/src/expression/interpreter.cpp
+++ b/src/expression/interpreter.cpp
@@ -141,10 +141,25 @@
   }
 }
 
-Value compute_arithmetic(Opcode opcode, const Value& left, const Value& right, char*& text_end) {
-  if (left.kind == Kind::kInt) return compute_int(opcode, left.integer, right.integer);
-  if (left.kind == Kind::kDouble) return compute_double(opcode, left.real, right.real);
-  return concatenate(left, right, text_end);
+// Whether both operands of an instruction have values. Else the first error is the result, and takes the left
+// operand's place.
+bool have_values(Value& left, const Value& right) {
+  if (left.failed()) return false;
+  if (!right.failed()) return true;
+  left = right;
+  return false;
+}
+
+// Of two operands, whose result replaces the left one.
+void apply_arithmetic(Opcode opcode, Value& left, const Value& right, char*& text_end) {
+  if (!have_values(left, right)) return;
+  if (left.kind == Kind::kInt) {
+    left = compute_int(opcode, left.integer, right.integer);
+  } else if (left.kind == Kind::kDouble) {
+    left = compute_double(opcode, left.real, right.real);
+  } else {
+    left = concatenate(left, right, text_end);
+  }
 }
 
 Value compute_order(Opcode opcode, const Value& left, const Value& right) {
@@ -152,31 +167,34 @@
   return Value::of(order && (*order < 0 || (opcode == Opcode::kLessEqual && *order == 0)));
 }
 
-Value compute_comparison(const Instruction& instruction, const Value& left, const Value& right) {
-  switch (instruction.opcode) {
-    case Opcode::kEqual:
-      return Value::of(same(left, right));
-    case Opcode::kUnequal:
-      return Value::of(!same(left, right));
-    default:
-      return instruction.operand == kReversed ? compute_order(instruction.opcode, right, left)
-                                              : compute_order(instruction.opcode, left, right);
+void apply_comparison(const Instruction& instruction, Value& left, const Value& right) {
+  if (!have_values(left, right)) return;
+  if (instruction.opcode == Opcode::kEqual) {
+    left = Value::of(same(left, right));
+  } else if (instruction.opcode == Opcode::kUnequal) {
+    left = Value::of(!same(left, right));
+  } else if (instruction.operand == kReversed) {
+    left = compute_order(instruction.opcode, right, left);
+  } else {
+    left = compute_order(instruction.opcode, left, right);
   }
 }
 
-Value compute_search(Opcode opcode, std::string_view text, std::string_view part) {
-  if (opcode == Opcode::kStartsWith) return Value::of(text.starts_with(part));
-  if (opcode == Opcode::kEndsWith) return Value::of(text.ends_with(part));
-  return Value::of(part.empty() || memmem(text.data(), text.size(), part.data(), part.size()) != nullptr);
+bool contains(std::string_view text, std::string_view part) {
+  return part.empty() || memmem(text.data(), text.size(), part.data(), part.size()) != nullptr;
 }
 
-// Whether both operands of an instruction have values. Else the first error is the result, and takes the left
-// operand's place.
-bool have_values(Value& left, const Value& right) {
-  if (left.failed()) return false;
-  if (!right.failed()) return true;
-  left = right;
-  return false;
+void apply_search(Opcode opcode, Value& left, const Value& right) {
+  if (!have_values(left, right)) return;
+  const std::string_view text = left.text();
+  const std::string_view part = right.text();
+  if (opcode == Opcode::kStartsWith) {
+    left = Value::of(text.starts_with(part));
+  } else if (opcode == Opcode::kEndsWith) {
+    left = Value::of(text.ends_with(part));
+  } else {
+    left = Value::of(contains(text, part));
+  }
 }
 
 // Of an operand that is no error.
@@ -269,7 +287,7 @@
       case Opcode::kLess:
       case Opcode::kLessEqual:
         --top;
-        if (have_values(top[0], top[1])) *top = compute_comparison(instruction, top[0], top[1]);
+        apply_comparison(instruction, top[0], top[1]);
         break;
       case Opcode::kAdd:
       case Opcode::kSubtract:
@@ -277,15 +295,13 @@
       case Opcode::kDivide:
       case Opcode::kRemainder:
         --top;
-        if (have_values(top[0], top[1]))
-          *top = compute_arithmetic(instruction.opcode, top[0], top[1], text_end);
+        apply_arithmetic(instruction.opcode, top[0], top[1], text_end);
         break;
       case Opcode::kStartsWith:
       case Opcode::kEndsWith:
       case Opcode::kContains:
         --top;
-        if (have_values(top[0], top[1]))
-          *top = compute_search(instruction.opcode, top[0].text(), top[1].text());
+        apply_search(instruction.opcode, top[0], top[1]);
         break;
     }
   }
--- a/tests/dispatcher/expression_errors_test.cpp
+++ b/tests/dispatcher/expression_errors_test.cpp
@@ -88,13 +88,23 @@
   CHECK(contains(evaluate_to_text("1" + repeated("+1", 5000)), "nested"));
   CHECK(contains(evaluate_to_text("request" + repeated(".a", 5000)), "nested"));
   CHECK(evaluate_to_text("true" + repeated(" && true", 1000)) == "true");  // a chain is flat
-  CHECK(contains(evaluate_to_text("'" + std::string(17 * 1024, 'x') + "' == ''"), "longer than"));
+  CHECK(
+      contains(evaluate_to_text("'" + std::string(std::size_t{17} * 1024, 'x') + "' == ''"), "longer than"));
   const std::string ten = "[1,2,3,4,5,6,7,8,9,10]";
   std::string multiplying = "a1 > 0";
-  for (int i = 1; i <= 6; ++i) multiplying = ten + ".all(a" + std::to_string(i) + ", " + multiplying + ")";
+  for (int i = 1; i <= 6; ++i) {
+    multiplying.insert(0, ten + ".all(a" + std::to_string(i) + ", ");
+    multiplying += ")";
+  }
   CHECK(contains(evaluate_to_text(multiplying), "more than 20000 operations"));
   std::string doubling = "request.account";
-  for (int i = 0; i < 9; ++i) doubling = "(" + doubling + " + " + doubling + ")";
+  for (int i = 0; i < 9; ++i) {
+    const std::string operand = doubling;
+    doubling.insert(0, "(");
+    doubling += " + ";
+    doubling += operand;
+    doubling += ")";
+  }
   CHECK(contains(evaluate_to_text(doubling), "bytes of text"));
   for (const char* pattern : {"(x+x+)+y.{200}", "[ab]*a[ab]{30}", "((a{100}){100}){100}"}) {
     INFO(pattern);
--- a/tests/dispatcher/expression_fixture.cpp
+++ b/tests/dispatcher/expression_fixture.cpp
@@ -47,7 +47,7 @@
       const auto values = sample_values();
       return to_text(program.run(values, scratch));
     } catch (const Errors& errors) {
-      const std::string message = errors.what();
+      std::string message = errors.what();
       const bool is_other_kind = message.find("expected " + std::string(name(kind))) != std::string::npos;
       if (!is_other_kind) return message;
     }
--- a/tests/dispatcher/rate_limit_fixture.hpp
+++ b/tests/dispatcher/rate_limit_fixture.hpp
@@ -15,11 +15,12 @@
 
 using Strings = std::vector<std::string>;
 
-inline const rate_limit::Vocabulary kVocabulary{{"ask", "command"}, {"acme", "other"}};
+// The classes and accounts of make_settings().
+inline const rate_limit::Vocabulary known_names{{"ask", "command"}, {"acme", "other"}};
 
 // Throws cue::Errors.
 inline std::shared_ptr<const rate_limit::RuleSet> make_rules(
-    const std::string& text, const rate_limit::Vocabulary& vocabulary = kVocabulary) {
+    const std::string& text, const rate_limit::Vocabulary& vocabulary = known_names) {
   return rate_limit::RuleSet::read({"r.cue", text}, vocabulary);
 }
 
--- a/tests/dispatcher/rate_limit_rules_test.cpp
+++ b/tests/dispatcher/rate_limit_rules_test.cpp
@@ -23,13 +23,14 @@
                     "account: \"'nobody'\"},\n"
                     " {name: \"b\", limits: [{key: \"1\"}, {rate: 1, burst: 0}]}]") ==
       Strings{"r:3:52: rules[2].limits[1].burst: expected 1 | >=1 & <=1000000, found 0"});
+  const std::string unknown_field =
+      "r:1:27: rules[0].when: in the expression, at 1: unknown field 'request.clas'; 'request.class' is "
+      "known";
   CHECK(
       rule_problems("rules: [{name: \"a\", when: \"request.clas == 'x'\"},\n {name: \"a\", class: \"'zz'\", "
                     "account: \"'nobody'\"},\n"
                     " {name: \"b\", limits: [{key: \"1\"}, {rate: 1}]}]") ==
-      Strings{"r:1:27: rules[0].when: in the expression, at 1: unknown field 'request.clas'; 'request.class' "
-              "is known",
-              "r:2:9: rules[1].name: the name stands twice",
+      Strings{unknown_field, "r:2:9: rules[1].name: the name stands twice",
               "r:2:21: rules[1].class: no class 'zz' in the settings",
               "r:2:38: rules[1].account: no account 'nobody' in the settings",
               "r:3:23: rules[2].limits[0]: a limit needs a rate, in_progress or both",
@@ -134,7 +135,7 @@
                        "\"request.account\", rate: 2.5, burst: 5, in_progress: 3}]}]"};
   std::ostringstream out, errors;
   CHECK(daemon::rules_explain(file, {"request", "{class: \"ask\", account: \"acme\", prompt_tokens: 12}"},
-                              kVocabulary, out, errors) == 0);
+                              known_names, out, errors) == 0);
   CHECK(
       out.str() ==
       "no    gold: (header.tier == \"gold\") has no value: a field that the request lacks\n"
@@ -143,7 +144,7 @@
       "      class = \"command\"\n"
       "      session = none: a field that the request lacks: not known, its own stays\n"
       "      limit all/0: key \"acme\", 2.5 a second in bursts of 5, 3 in progress, over the whole fleet\n");
-  CHECK(daemon::rules_explain(file, {"request", "{clas: \"ask\"}"}, kVocabulary, out, errors) == 1);
+  CHECK(daemon::rules_explain(file, {"request", "{clas: \"ask\"}"}, known_names, out, errors) == 1);
   CHECK(errors.str() == "request:1:2: clas: unknown field; 'class' is known\n");
 }
 
