--- a/adapter/event_decoder.cpp
+++ b/adapter/event_decoder.cpp
@@ -12,6 +12,7 @@
 using json::optional_duration;
 using json::optional_member;
 using json::ParseError;
+using json::ParseProblem;
 using json::required_duration;
 using json::required_member;
 using routing::AttemptCompleted;
@@ -49,7 +50,7 @@
   for (const auto& [name, status] : kAttemptStatusNames) {
     if (given == name) return status;
   }
-  throw ParseError(std::string("field '") + fields::kStatus + "': unknown word '" + given + "'");
+  throw ParseError(ParseProblem::kInvalidValue, fields::kStatus, "unknown word '" + given + "'");
 }
 
 ListKind decode_list_kind(int number) {
@@ -176,7 +177,7 @@
   EndpointList list;
   list.kind = decode_list_kind(required_member<int>(message, fields::kListKind));
   if (list.kind == ListKind::kFailed) return list;
-  if (!page.is_array()) throw ParseError(std::string("field '") + fields::kPage + "': no such page");
+  if (!page.is_array()) throw ParseError(ParseProblem::kInvalidValue, fields::kPage, "no such page");
   for (const Json& entry : page) list.entries.push_back(decode_endpoint(entry));
   return list;
 }
--- a/adapter/simulator_session.cpp
+++ b/adapter/simulator_session.cpp
@@ -13,6 +13,7 @@
 namespace {
 
 using json::ParseError;
+using json::ParseProblem;
 using json::required_member;
 
 constexpr std::string_view kWhiteSpace = " \t\r";
@@ -22,9 +23,9 @@
 std::optional<std::string> SimulatorSession::handle_line(std::string_view input) {
   if (input.find_first_not_of(kWhiteSpace) == std::string_view::npos) return std::nullopt;
   const Json envelope = Json::parse(input, nullptr, false);
-  if (envelope.is_discarded()) throw ParseError("not JSON");
+  if (envelope.is_discarded()) throw ParseError(ParseProblem::kInvalidDocument, {}, "not JSON");
   if (!envelope.is_object() || envelope.size() != 1 || !envelope.begin().value().is_object())
-    throw ParseError("an object with one named object expected");
+    throw ParseError(ParseProblem::kInvalidDocument, {}, "an object with one named object expected");
   const std::string& name = envelope.begin().key();
   const Json& message = envelope.begin().value();
   if (name == control_messages::kEndOfBatch) return take_replies();
--- a/src/json/load_report.cpp
+++ b/src/json/load_report.cpp
@@ -1,8 +1,10 @@
+// Load reports: the values that the dispatcher uses.
 #include "json/load_report.hpp"
 
 #include <optional>
 
 namespace dispatcher::json {
+
 namespace {
 
 std::optional<double> optional_number(const Json& object, const std::string& key) {
--- a/src/json/load_report.hpp
+++ b/src/json/load_report.hpp
@@ -8,7 +8,7 @@
 
 namespace dispatcher::json {
 
-// Names of a report's values in the replicas' JSON, which stay as they are.
+/// Names of a report's values in the replicas' JSON, which stay as they are.
 namespace load_report_keys {
 inline constexpr const char* kInFlight = "rif";
 inline constexpr const char* kQueued = "q";
@@ -20,8 +20,8 @@
 inline constexpr const char* kPromptKilotokens = "x1";
 }  // namespace load_report_keys
 
-// The values that the dispatcher uses; those which `fields` doesn't have are empty, and unknown ones are
-// ignored. Throws ParseError where one is no number.
+/// The values that the dispatcher uses; those which `fields` doesn't have are empty, and unknown ones are
+/// ignored. Throws ParseError where one is no number.
 [[nodiscard]] routing::LoadReport parse_load_report(const Json& fields);
 
 }  // namespace dispatcher::json
--- a/src/json/members.hpp
+++ b/src/json/members.hpp
@@ -3,27 +3,24 @@
 #ifndef DISPATCHER_JSON_MEMBERS_HPP_
 #define DISPATCHER_JSON_MEMBERS_HPP_
 
-#include <stdexcept>
 #include <string>
 
+#include "json/parse_error.hpp"
 #include "json/typed_value.hpp"
 
 namespace dispatcher::json {
 
-// A malformed message; what() names the field.
-struct ParseError : std::runtime_error {
-  using std::runtime_error::runtime_error;
-};
-
+/// Throws the ParseError of a field that is required and absent.
 [[noreturn]] inline void throw_missing(const std::string& key) {
-  throw ParseError("field '" + key + "' is missing");
+  throw ParseError(ParseProblem::kMissingField, key);
 }
 
+/// Throws the ParseError of a field whose value is another than `expected`, such as "number".
 [[noreturn]] inline void throw_unexpected(const std::string& key, const std::string& expected) {
-  throw ParseError("field '" + key + "': " + expected + " expected");
+  throw ParseError(ParseProblem::kUnexpectedValue, key, expected);
 }
 
-// The value of a key, or `fallback` where it is missing or null. Throws ParseError.
+/// The value of a key, or `fallback` where it is missing or null. Throws ParseError.
 template <class T>
 [[nodiscard]] T optional_member(const Json& object, const std::string& key, T fallback = {}) {
   const Json* value = find_member(object, key);
@@ -32,14 +29,14 @@
   return convert<T>(*value);
 }
 
-// The value of a key that must be present. Throws ParseError.
+/// The value of a key that must be present. Throws ParseError.
 template <class T>
 [[nodiscard]] T required_member(const Json& object, const std::string& key) {
   if (find_member(object, key) == nullptr) throw_missing(key);
   return optional_member<T>(object, key);
 }
 
-// A number of milliseconds; zero where it is missing or null. Throws ParseError.
+/// A number of milliseconds; zero where it is missing or null. Throws ParseError.
 [[nodiscard]] inline routing::Duration optional_duration(const Json& object, const std::string& key) {
   const Json* value = find_member(object, key);
   if (value == nullptr) return {};
@@ -47,18 +44,18 @@
   return convert_duration(*value);
 }
 
-// A number of milliseconds that must be present. Throws ParseError.
+/// A number of milliseconds that must be present. Throws ParseError.
 [[nodiscard]] inline routing::Duration required_duration(const Json& object, const std::string& key) {
   if (find_member(object, key) == nullptr) throw_missing(key);
   return optional_duration(object, key);
 }
 
-// The value of a key that must be present and of the type, such as an object or an array. Throws ParseError.
+/// The value of a key that must be present and of the type, such as an object or an array. Throws ParseError.
 [[nodiscard]] inline const Json& required_value(const Json& object, const std::string& key,
                                                 Json::value_t type) {
   const auto it = object.find(key);
   if (it == object.end()) throw_missing(key);
-  if (it->type() != type) throw ParseError("field '" + key + "' has the wrong type");
+  if (it->type() != type) throw ParseError(ParseProblem::kWrongType, key);
   return *it;
 }
 
--- a/src/platform_api/frontend.cpp
+++ b/src/platform_api/frontend.cpp
@@ -4,7 +4,6 @@
 #include <algorithm>
 #include <memory>
 #include <nlohmann/json.hpp>
-#include <stdexcept>
 #include <utility>
 
 #include "platform_api/request.hpp"
@@ -38,17 +37,18 @@
   routing::Request parsed;
   try {
     parsed = parse_request(request, *settings_, arrival);
-  } catch (const std::invalid_argument& error) {
+  } catch (const HeaderError& error) {
     return server_.respond_error(client, 400, error.what());
   }
   if (engine_.is_in_progress(parsed.id))
-    return server_.respond_error(client, 409, "X-Correlation-Id: already in progress");
+    return server_.respond_error(client, 409,
+                                 describe(HeaderProblem::kIdInProgress, header_names::kRequestId));
   if (!admit(client, request, parsed, {}, *settings_)) return;
   auto message = std::make_shared<engine::UpstreamRequest>();
   message->id = parsed.id;
   message->method = http::to_view(request.method_string());
   message->target = http::to_view(request.target());
-  message->headers = http::forwarded_headers(request, {"X-Correlation-Id", "X-Time-Left-Ms"});
+  message->headers = http::forwarded_headers(request, {header_names::kRequestId, header_names::kTimeLeft});
   message->body = std::move(request.body());
   submit(client, parsed, std::move(message));
 }
--- /dev/null
+++ b/src/platform_api/header_error.hpp
@@ -0,0 +1,45 @@
+// The platform's request header fields, and the error of one that can't be used.
+#ifndef DISPATCHER_PLATFORM_API_HEADER_ERROR_HPP_
+#define DISPATCHER_PLATFORM_API_HEADER_ERROR_HPP_
+
+#include <stdexcept>
+#include <string>
+#include <string_view>
+
+namespace dispatcher::platform_api {
+
+/// Names of the header fields on the wire.
+namespace header_names {
+inline constexpr std::string_view kRequestId = "X-Correlation-Id";
+inline constexpr std::string_view kRequestClass = "X-Service-Class";
+inline constexpr std::string_view kTenant = "X-Account";
+inline constexpr std::string_view kSession = "X-Session-Key";
+inline constexpr std::string_view kTimeLeft = "X-Time-Left-Ms";
+inline constexpr std::string_view kRetry = "X-Repeat";
+inline constexpr std::string_view kFacts = "X-Facts";
+}  // namespace header_names
+
+/// What is wrong with a header field's value.
+enum class HeaderProblem { kNotAlphanumeric, kUnknownClass, kNotANumber, kOutOfRange, kIdInProgress };
+
+/// The text that a client is told, such as "X-Time-Left-Ms: out of range".
+[[nodiscard]] std::string describe(HeaderProblem problem, std::string_view header);
+
+/// A request whose header field can't be used. what() is the text of describe(), fit for the client.
+class HeaderError : public std::runtime_error {
+ public:
+  /// `header`: the field's name; for a part of X-Facts, with the part's name behind it ("X-Facts prefix").
+  HeaderError(HeaderProblem problem, std::string_view header)
+      : std::runtime_error(describe(problem, header)), problem_(problem), header_(header) {}
+
+  [[nodiscard]] HeaderProblem problem() const { return problem_; }
+  [[nodiscard]] const std::string& header() const { return header_; }
+
+ private:
+  HeaderProblem problem_;
+  std::string header_;
+};
+
+}  // namespace dispatcher::platform_api
+
+#endif  // DISPATCHER_PLATFORM_API_HEADER_ERROR_HPP_
--- a/src/platform_api/request.cpp
+++ b/src/platform_api/request.cpp
@@ -5,11 +5,11 @@
 #include <cctype>
 #include <charconv>
 #include <chrono>
-#include <stdexcept>
 #include <string>
 #include <string_view>
 
 #include "http/message.hpp"
+#include "platform_api/header_error.hpp"
 
 namespace dispatcher::platform_api {
 
@@ -19,20 +19,34 @@
 // Far above any context length, and far enough from overflow for sums of counts.
 constexpr int kMaxTokens = 100'000'000;
 constexpr std::chrono::milliseconds kMaxTimeLeft = std::chrono::hours(24);
+// Values of X-Repeat, for Request::client_retry and Request::resubmitted.
+constexpr std::string_view kRetryValue = "1";
+constexpr std::string_view kResubmittedValue = "again";
+constexpr int kDecimal = 10;
 constexpr int kHexadecimal = 16;
 
+// A part of X-Facts: its name there, and what an error calls it.
+struct FactName {
+  std::string_view key;
+  std::string_view header;
+};
+constexpr FactName kPrefixFact{"prefix", "X-Facts prefix"};
+constexpr FactName kPromptLengthFact{"prompt_len", "X-Facts prompt_len"};
+constexpr FactName kPrefixLengthFact{"prefix_len", "X-Facts prefix_len"};
+constexpr FactName kMaxOutputFact{"max_out", "X-Facts max_out"};
+
 template <class T>
-T parse_number(std::string_view text, const char* name, int base = 10) {
+T parse_number(std::string_view text, std::string_view header, int base = kDecimal) {
   T value{};
   const char* const last = text.data() + text.size();
   const auto [end, error] = std::from_chars(text.data(), last, value, base);
-  if (error != std::errc() || end != last) throw std::invalid_argument(std::string(name) + ": not a number");
+  if (error != std::errc() || end != last) throw HeaderError(HeaderProblem::kNotANumber, header);
   return value;
 }
 
-int parse_tokens(std::string_view text, const char* name) {
-  const int value = parse_number<int>(text, name);
-  if (value < 0 || value > kMaxTokens) throw std::invalid_argument(std::string(name) + ": out of range");
+int parse_tokens(std::string_view text, std::string_view header) {
+  const int value = parse_number<int>(text, header);
+  if (value < 0 || value > kMaxTokens) throw HeaderError(HeaderProblem::kOutOfRange, header);
   return value;
 }
 
@@ -42,11 +56,11 @@
   if (equals == std::string_view::npos) return;
   const std::string_view name = fact.substr(0, equals);
   const std::string_view value = fact.substr(equals + 1);
-  if (name == "prefix")
-    request.shared_prefix = parse_number<std::uint64_t>(value, "X-Facts prefix", kHexadecimal);
-  if (name == "prompt_len") request.prompt_tokens = parse_tokens(value, "X-Facts prompt_len");
-  if (name == "prefix_len") request.prefix_tokens = parse_tokens(value, "X-Facts prefix_len");
-  if (name == "max_out") request.max_tokens = parse_tokens(value, "X-Facts max_out");
+  if (name == kPrefixFact.key)
+    request.shared_prefix = parse_number<std::uint64_t>(value, kPrefixFact.header, kHexadecimal);
+  if (name == kPromptLengthFact.key) request.prompt_tokens = parse_tokens(value, kPromptLengthFact.header);
+  if (name == kPrefixLengthFact.key) request.prefix_tokens = parse_tokens(value, kPrefixLengthFact.header);
+  if (name == kMaxOutputFact.key) request.max_tokens = parse_tokens(value, kMaxOutputFact.header);
 }
 
 void parse_facts(std::string_view facts, routing::Request& request) {
@@ -63,23 +77,24 @@
   const bool is_alphanumeric =
       std::all_of(text.begin(), text.end(), [](unsigned char byte) { return std::isalnum(byte) != 0; });
   if (text.empty() || text.size() > kMaxIdLength || !is_alphanumeric)
-    throw std::invalid_argument("X-Correlation-Id: letters and digits expected");
+    throw HeaderError(HeaderProblem::kNotAlphanumeric, header_names::kRequestId);
   return std::string(text);
 }
 
 const routing::RequestClass& find_class(const routing::Settings& settings, std::string_view name) {
   const auto found = std::find_if(settings.classes.begin(), settings.classes.end(),
                                   [&](const auto& candidate) { return candidate.name == name; });
-  if (found == settings.classes.end()) throw std::invalid_argument("X-Service-Class: unknown class");
+  if (found == settings.classes.end())
+    throw HeaderError(HeaderProblem::kUnknownClass, header_names::kRequestClass);
   return *found;
 }
 
 // The client's own time limit; without one, the class's.
 engine::Duration parse_time_left(std::string_view text, const routing::RequestClass& request_class) {
   if (text.empty()) return request_class.deadline;
-  const std::chrono::milliseconds left(parse_number<std::int64_t>(text, "X-Time-Left-Ms"));
+  const std::chrono::milliseconds left(parse_number<std::int64_t>(text, header_names::kTimeLeft));
   if (left < std::chrono::milliseconds(0) || left > kMaxTimeLeft)
-    throw std::invalid_argument("X-Time-Left-Ms: out of range");
+    throw HeaderError(HeaderProblem::kOutOfRange, header_names::kTimeLeft);
   return left;
 }
 
@@ -89,17 +104,17 @@
                                engine::Time arrival) {
   const auto get = [&](std::string_view name) { return http::header(request, name); };
   routing::Request parsed;
-  parsed.id = parse_id(get("X-Correlation-Id"));
-  const routing::RequestClass& request_class = find_class(settings, get("X-Service-Class"));
+  parsed.id = parse_id(get(header_names::kRequestId));
+  const routing::RequestClass& request_class = find_class(settings, get(header_names::kRequestClass));
   parsed.request_class = request_class.name;
-  parsed.tenant = get("X-Account");
-  if (const auto key = get("X-Session-Key"); !key.empty())
-    parsed.session = parse_number<std::uint64_t>(key, "X-Session-Key", kHexadecimal);
-  parse_facts(get("X-Facts"), parsed);
-  parsed.client_deadline = arrival + parse_time_left(get("X-Time-Left-Ms"), request_class);
-  const auto repeat = get("X-Repeat");
-  parsed.client_retry = repeat == "1";
-  parsed.resubmitted = repeat == "again";
+  parsed.tenant = get(header_names::kTenant);
+  if (const auto key = get(header_names::kSession); !key.empty())
+    parsed.session = parse_number<std::uint64_t>(key, header_names::kSession, kHexadecimal);
+  parse_facts(get(header_names::kFacts), parsed);
+  parsed.client_deadline = arrival + parse_time_left(get(header_names::kTimeLeft), request_class);
+  const auto retry = get(header_names::kRetry);
+  parsed.client_retry = retry == kRetryValue;
+  parsed.resubmitted = retry == kResubmittedValue;
   return parsed;
 }
 
--- a/src/platform_api/request.hpp
+++ b/src/platform_api/request.hpp
@@ -4,12 +4,13 @@
 
 #include "engine/timer_queue.hpp"
 #include "http/message_reader.hpp"
+#include "platform_api/header_error.hpp"
 #include "routing/router.hpp"
 
 namespace dispatcher::platform_api {
 
 /// The routing request that the headers describe; its deadline counts from `arrival`. Throws
-/// std::invalid_argument, whose text names the header and is fit for the client.
+/// HeaderError at the first field that can't be used.
 [[nodiscard]] routing::Request parse_request(const http::RequestReader::Message& request,
                                              const routing::Settings& settings, engine::Time arrival);
 
--- a/src/settings/parse.cpp
+++ b/src/settings/parse.cpp
@@ -222,7 +222,7 @@
 }  // namespace
 
 SettingsError::SettingsError(std::vector<Finding> all)
-    : ParseError(describe_errors(all)), findings(std::move(all)) {}
+    : ParseError(json::ParseProblem::kInvalidDocument, {}, describe_errors(all)), findings(std::move(all)) {}
 
 ParsedSettings parse_settings(const json::Json& source) {
   std::vector<Finding> findings;
--- a/tests/dispatcher/parsers_test.cpp
+++ b/tests/dispatcher/parsers_test.cpp
@@ -227,7 +227,8 @@
   const auto problem = [&](const std::string& headers) {
     try {
       parse(headers);
-    } catch (const std::invalid_argument& error) {
+    } catch (const platform_api::HeaderError& error) {
+      CHECK(error.what() == platform_api::describe(error.problem(), error.header()));
       return std::string(error.what());
     }
     return std::string("none");
