--- a/src/openai_api/config.hpp
+++ b/src/openai_api/config.hpp
@@ -15,6 +15,7 @@
 
 /// A model that clients may name.
 struct Model {
+  /// The name by which clients ask for it.
   std::string id;
   /// The class of the model's requests; points into Config::settings.
   const routing::RequestClass* request_class = nullptr;
@@ -28,8 +29,9 @@
   std::string account;
 };
 
-/// The parsed file.
+/// The parsed file. Copies share the settings.
 struct Config {
+  /// The platform's settings that the file was checked against.
   std::shared_ptr<const routing::Settings> settings;
   net::tcp::endpoint listen;
   std::vector<Model> models;
--- a/src/openai_api/frontend.cpp
+++ b/src/openai_api/frontend.cpp
@@ -20,6 +20,20 @@
 // Advice to clients where the router gives none.
 constexpr engine::Duration kDefaultRetryAfter = milliseconds(500);
 
+// What a path leads to.
+enum class Route { kCompletion, kModels, kModel, kHealth };
+
+std::optional<Route> find_route(std::string_view path) {
+  if (path == kCompletionsPath) return Route::kCompletion;
+  if (path == kModelsPath) return Route::kModels;
+  if (path == kHealthPath) return Route::kHealth;
+  const bool names_model = path.starts_with(kModelPathPrefix) && path.size() > kModelPathPrefix.size();
+  if (names_model) return Route::kModel;
+  return std::nullopt;
+}
+
+std::string allowed_method(Route route) { return route == Route::kCompletion ? "POST" : "GET"; }
+
 // Compares in a time that does not depend on where the texts differ.
 bool is_same_secret(std::string_view expected, std::string_view given) {
   std::size_t difference = expected.size() ^ given.size();
@@ -30,18 +44,6 @@
   return difference == 0;
 }
 
-ApiError invalid_request(int status, std::string message) {
-  return {status, std::move(message), "invalid_request_error", std::nullopt, std::nullopt};
-}
-
-ApiError rate_limit_error(const char* message) {
-  return {429, message, "rate_limit_error", std::nullopt, "rate_limit_exceeded"};
-}
-
-ApiError server_error(int status, const char* message, const char* code) {
-  return {status, message, "server_error", std::nullopt, code};
-}
-
 Json model_object(const Model& model) {
   return {{"id", model.id}, {"object", "model"}, {"created", 0}, {"owned_by", "bitternferry"}};
 }
@@ -84,22 +86,16 @@
 
 void Frontend::on_request(SlotId client, http::Server::Request& request, engine::Time arrival) {
   const auto [method, path] = target_of(request);
-  const bool is_completion = path == kCompletionsPath;
-  const bool is_model = path.starts_with(kModelPathPrefix) && path.size() > kModelPathPrefix.size();
-  if (!is_completion && !is_model && path != kModelsPath && path != kHealthPath)
-    return server_.respond_error(client, 404, "no such path: " + std::string(path));
-  const std::string allowed = is_completion ? "POST" : "GET";
+  const std::optional<Route> route = find_route(path);
+  if (!route) return server_.respond_error(client, 404, "no such path: " + std::string(path));
+  const std::string allowed = allowed_method(*route);
   if (method != allowed)
     return server_.respond_error(client, 405, "this path takes " + allowed, {{"Allow", allowed}});
-  if (path == kHealthPath) return respond_health(client);
+  if (*route == Route::kHealth) return respond_health(client);
   const auto account = authenticate(request);
-  if (!account) {
-    ApiError error = invalid_request(401, "no valid API key was given");
-    error.code = "invalid_api_key";
-    return respond_error(client, error, {{"WWW-Authenticate", "Bearer"}});
-  }
-  if (is_completion) return handle_completion(client, request, arrival, *account);
-  if (is_model) return handle_model(client, path.substr(kModelPathPrefix.size()));
+  if (!account) return respond_error(client, invalid_api_key(), {{"WWW-Authenticate", "Bearer"}});
+  if (*route == Route::kCompletion) return handle_completion(client, request, arrival, *account);
+  if (*route == Route::kModel) return handle_model(client, path.substr(kModelPathPrefix.size()));
   handle_models(client);
 }
 
@@ -119,7 +115,8 @@
 void Frontend::handle_completion(SlotId client, http::Server::Request& request, engine::Time arrival,
                                  const std::string& account) {
   if (pending_responses_.size() >= config_.max_concurrent_requests)
-    return respond_retry_later(client, rate_limit_error("too many requests in progress"), kDefaultRetryAfter);
+    return respond_retry_later(client, rate_limit_exceeded("too many requests in progress"),
+                               kDefaultRetryAfter);
   ChatRequest chat;
   try {
     chat = parse_request(request.body(), config_, account);
@@ -138,13 +135,20 @@
   const routing::RequestClass& request_class = admitted_class(routing, model);
   if (&request_class != model.request_class)
     routing.client_deadline = arrival + time_to_first_token(chat, request_class);
-  const auto now = std::chrono::duration_cast<std::chrono::seconds>(clock_());
-  ResponseFormat format{"chatcmpl-" + routing.id, model.id, now.count(), chat.is_stream, chat.include_usage};
-  const bool is_idempotent = request_class.idempotency == routing::Idempotency::kIdempotent;
-  pending_responses_.emplace(client, PendingResponse{ResponseTranslator(std::move(format)), is_idempotent});
+  ResponseTranslator translator(response_format(chat, routing));
+  pending_responses_.emplace(client, PendingResponse{std::move(translator), request_class.idempotency});
   submit(client, routing, upstream_request(routing.id, std::move(chat.body)));
 }
 
+ResponseFormat Frontend::response_format(const ChatRequest& chat, const routing::Request& request) const {
+  const auto unix_time = std::chrono::duration_cast<std::chrono::seconds>(clock_());
+  return {.id = "chatcmpl-" + request.id,
+          .model = chat.model->id,
+          .created = unix_time.count(),
+          .is_stream = chat.is_stream,
+          .include_usage = chat.include_usage};
+}
+
 // The rate limiter's rules may have put the request into another class than its model's.
 const routing::RequestClass& Frontend::admitted_class(const routing::Request& request,
                                                       const Model& model) const {
@@ -171,13 +175,13 @@
 bool Frontend::write_events(SlotId client, std::string_view events) {
   const auto pending = pending_responses_.find(client);
   if (pending == pending_responses_.end()) return true;
-  auto& [translator, is_idempotent] = pending->second;
+  auto& [translator, idempotency] = pending->second;
   const std::string translated = translator.translate(events);
   if (translator.is_too_long()) {
-    const bool may_retry = is_idempotent;
+    const routing::Idempotency request_idempotency = idempotency;  // cancelling erases the entry
     cancel_request(client);
-    respond_possibly_executed(client, server_error(502, "the answer is too long", "answer_too_long"),
-                              may_retry);
+    respond_possibly_executed(client, server_error(502, ErrorCode::kAnswerTooLong, "the answer is too long"),
+                              request_idempotency);
     return true;
   }
   return translated.empty() || server_.write_events(client, translated);
@@ -200,10 +204,10 @@
   const auto pending = pending_responses_.find(client);
   if (pending == pending_responses_.end()) return;
   const bool is_stream = pending->second.translator.is_stream();
-  const bool is_idempotent = pending->second.is_idempotent;
-  const ApiError error = server_error(502, "the answer broke off", "stream_broken");
+  const routing::Idempotency idempotency = pending->second.idempotency;
+  const ApiError error = server_error(502, ErrorCode::kStreamBroken, "the answer broke off");
   forget_request(client);
-  if (!is_stream) return respond_possibly_executed(client, error, is_idempotent);
+  if (!is_stream) return respond_possibly_executed(client, error, idempotency);
   server_.write_events(client, "data: " + to_body(error) + "\n\n");
   server_.abort(client);
 }
@@ -211,43 +215,48 @@
 void Frontend::reject(SlotId client, std::optional<engine::Duration> retry_after) {
   forget_request(client);
   respond_retry_later(
-      client, server_error(503, "the service is busy: nothing was done, try again later", "overloaded"),
+      client,
+      server_error(503, ErrorCode::kOverloaded, "the service is busy: nothing was done, try again later"),
       retry_after.value_or(kDefaultRetryAfter));
 }
 
 void Frontend::fail(SlotId client, engine::Failure why) {
   const auto pending = pending_responses_.find(client);
-  const bool is_idempotent = pending != pending_responses_.end() && pending->second.is_idempotent;
+  const bool is_known = pending != pending_responses_.end();
+  const auto idempotency = is_known ? pending->second.idempotency : routing::Idempotency::kNonIdempotent;
   forget_request(client);
   switch (why) {
     case engine::Failure::kInvalidRequest:
-      return respond_error(client, invalid_request(400, "the model can't use this request"));
+      return respond_error(client, invalid_request("the model can't use this request"));
     case engine::Failure::kDeadlineExceeded:
       return respond_possibly_executed(
-          client, server_error(504, "no answer came in time; it may have run", "timeout"), is_idempotent);
+          client, server_error(504, ErrorCode::kTimeout, "no answer came in time; it may have run"),
+          idempotency);
     case engine::Failure::kUpstream:
       return respond_possibly_executed(
-          client, server_error(502, "the attempt failed; it may have run", "upstream_failed"), is_idempotent);
+          client, server_error(502, ErrorCode::kUpstreamFailed, "the attempt failed; it may have run"),
+          idempotency);
   }
 }
 
 // ---- answers of the frontend's own ----
 
 void Frontend::reject_rate_limited(SlotId client, engine::Duration retry_after) {
-  respond_retry_later(client, rate_limit_error("a limit is reached: nothing was done, try again later"),
+  respond_retry_later(client, rate_limit_exceeded("a limit is reached: nothing was done, try again later"),
                       retry_after);
 }
 
 void Frontend::reject_overloaded(SlotId client, engine::Duration retry_after) {
-  respond_retry_later(client,
-                      server_error(503, "reduced service: nothing was done, try again later", "overloaded"),
-                      retry_after);
+  respond_retry_later(
+      client, server_error(503, ErrorCode::kOverloaded, "reduced service: nothing was done, try again later"),
+      retry_after);
 }
 
 // The API's client libraries retry these statuses by themselves, unless told not to: a request that may have
 // run must not run twice.
-void Frontend::respond_possibly_executed(SlotId client, const ApiError& error, bool is_idempotent) {
-  if (is_idempotent) return respond_error(client, error);
+void Frontend::respond_possibly_executed(SlotId client, const ApiError& error,
+                                         routing::Idempotency idempotency) {
+  if (idempotency == routing::Idempotency::kIdempotent) return respond_error(client, error);
   respond_error(client, error, {{"X-Should-Retry", "false"}});
 }
 
@@ -265,9 +274,7 @@
 }
 
 std::string Frontend::error_body(int status, std::string_view message) {
-  ApiError error = invalid_request(status, std::string(message));
-  if (status >= 500) error.type = "server_error";
-  return to_body(error);
+  return to_body(http_error(status, std::string(message)));
 }
 
 }  // namespace dispatcher::openai_api
--- a/src/openai_api/frontend.hpp
+++ b/src/openai_api/frontend.hpp
@@ -20,7 +20,8 @@
 
 using net::SlotId;
 
-/// Serves POST /v1/chat/completions, GET /v1/models, GET /v1/models/ID and GET /healthz.
+/// Serves POST /v1/chat/completions, GET /v1/models, GET /v1/models/ID and GET /healthz. Owned by the daemon
+/// and used on its event loop only.
 class Frontend : public http::Frontend {
  public:
   /// `seed`: of the request ids, which must differ between the dispatchers of a platform.
@@ -34,7 +35,7 @@
   // A request that the engine has.
   struct PendingResponse {
     ResponseTranslator translator;
-    bool is_idempotent;  // whatever became of it, the client may safely send it again
+    routing::Idempotency idempotency;  // whether the client may send it again after it may have run
   };
 
   void on_request(SlotId client, http::Server::Request& request, engine::Time arrival) override;
@@ -51,18 +52,20 @@
   void reject_overloaded(SlotId client, engine::Duration retry_after) override;
   void forget_request(SlotId client) override;
 
-  /// The account that the request may use; nullopt: its key is unknown.
+  // The account that the request may use; nullopt: its key is unknown.
   [[nodiscard]] std::optional<std::string> authenticate(const http::Server::Request& request) const;
   void handle_models(SlotId client);
   void handle_model(SlotId client, std::string_view id);
   void handle_completion(SlotId client, http::Server::Request& request, engine::Time arrival,
                          const std::string& account);
+  [[nodiscard]] ResponseFormat response_format(const ChatRequest& chat,
+                                               const routing::Request& request) const;
   [[nodiscard]] const routing::RequestClass& admitted_class(const routing::Request& request,
                                                             const Model& model) const;
 
   void respond_error(SlotId client, const ApiError& error, std::initializer_list<http::Header> more = {});
   void respond_retry_later(SlotId client, const ApiError& error, engine::Duration retry_after);
-  void respond_possibly_executed(SlotId client, const ApiError& error, bool is_idempotent);
+  void respond_possibly_executed(SlotId client, const ApiError& error, routing::Idempotency idempotency);
 
   Config config_;
   RequestIdGenerator request_ids_;
--- a/src/openai_api/request.cpp
+++ b/src/openai_api/request.cpp
@@ -4,6 +4,7 @@
 #include <algorithm>
 #include <array>
 #include <cmath>
+#include <utility>
 
 namespace dispatcher::openai_api {
 
@@ -16,8 +17,8 @@
 constexpr std::size_t kCharactersPerToken = 4;
 constexpr std::int64_t kMaxCount = 1'000'000;
 
-[[noreturn]] void throw_invalid(const std::string& message, const char* param) {
-  throw ApiError{400, message, "invalid_request_error", param, std::nullopt};
+[[noreturn]] void throw_invalid(const char* field, std::string message) {
+  throw invalid_field(field, std::move(message));
 }
 
 // ---- typed fields: absent and null are the same ----
@@ -30,14 +31,14 @@
 bool read_flag(const Json& object, const char* field) {
   const Json* value = find_member(object, field);
   if (value == nullptr) return false;
-  if (!value->is_boolean()) throw_invalid(std::string(field) + " must be true or false", field);
+  if (!value->is_boolean()) throw_invalid(field, std::string(field) + " must be true or false");
   return value->get<bool>();
 }
 
 std::string read_text(const Json& object, const char* field) {
   const Json* value = find_member(object, field);
   if (value == nullptr) return {};
-  if (!value->is_string()) throw_invalid(std::string(field) + " must be text", field);
+  if (!value->is_string()) throw_invalid(field, std::string(field) + " must be text");
   return value->get<std::string>();
 }
 
@@ -46,7 +47,7 @@
   if (value == nullptr) return std::nullopt;
   const bool is_valid = value->is_number_integer() && value->get<std::int64_t>() >= 1 &&
                         value->get<std::int64_t>() <= kMaxCount;
-  if (!is_valid) throw_invalid(std::string(field) + " must be a whole number above 0", field);
+  if (!is_valid) throw_invalid(field, std::string(field) + " must be a whole number above 0");
   return value->get<int>();
 }
 
@@ -77,10 +78,10 @@
   const Json* value = find_member(message, "content");
   if (value == nullptr) return {};
   if (value->is_string()) return value->get<std::string>();
-  if (!value->is_array()) throw_invalid("content must be text or an array of parts", "messages");
+  if (!value->is_array()) throw_invalid("messages", "content must be text or an array of parts");
   std::string all;
   for (const Json& part : *value) {
-    if (!part.is_object()) throw_invalid("content parts must be objects", "messages");
+    if (!part.is_object()) throw_invalid("messages", "content parts must be objects");
     all += read_text(part, "text");
   }
   return all;
@@ -90,19 +91,19 @@
   static constexpr std::array kRoles = {"system", "developer", "user", "assistant", "tool", "function"};
   std::string role = read_text(message, "role");
   if (std::find(kRoles.begin(), kRoles.end(), role) == kRoles.end())
-    throw_invalid("unknown role '" + role + "'", "messages");
+    throw_invalid("messages", "unknown role '" + role + "'");
   return role;
 }
 
 Prompt read_messages(const Json& object) {
   const Json* messages = find_member(object, "messages");
   if (messages == nullptr || !messages->is_array() || messages->empty())
-    throw_invalid("messages must be an array with at least one message", "messages");
+    throw_invalid("messages", "messages must be an array with at least one message");
   Prompt prompt;
   prompt.conversation_key = hash(read_text(object, "user"));
   bool has_user_message = false;  // what follows the first one differs from turn to turn
   for (const Json& message : *messages) {
-    if (!message.is_object()) throw_invalid("each message must be an object", "messages");
+    if (!message.is_object()) throw_invalid("messages", "each message must be an object");
     const std::string role = read_role(message);
     const std::string text = message_text(message);
     const bool is_first = &message == &messages->front();
@@ -125,7 +126,7 @@
 
 const Model& read_model(const Json& object, const Config& config) {
   const std::string id = read_text(object, "model");
-  if (id.empty()) throw_invalid("model is missing", "model");
+  if (id.empty()) throw_invalid("model", "model is missing");
   const auto found = std::find_if(config.models.begin(), config.models.end(),
                                   [&](const Model& candidate) { return candidate.id == id; });
   if (found == config.models.end()) throw model_not_found(id);
@@ -136,26 +137,35 @@
   request.is_stream = read_flag(object, "stream");
   const Json* options = find_member(object, "stream_options");
   if (options == nullptr) return;
-  if (!options->is_object()) throw_invalid("stream_options must be an object", "stream_options");
+  if (!options->is_object()) throw_invalid("stream_options", "stream_options must be an object");
   if (!request.is_stream)
-    throw_invalid("stream_options is only allowed where stream is true", "stream_options");
+    throw_invalid("stream_options", "stream_options is only allowed where stream is true");
   request.include_usage = read_flag(*options, "include_usage");
 }
 
-}  // namespace
+int read_max_tokens(const Json& object, const Config& config) {
+  const auto max_completion_tokens = read_count(object, "max_completion_tokens");
+  const auto max_tokens = read_count(object, "max_tokens");  // the older name of the same field
+  if (max_completion_tokens) return *max_completion_tokens;
+  return max_tokens.value_or(config.default_max_tokens);
+}
 
-std::string to_body(const ApiError& error) {
-  Json object{{"message", error.message}, {"type", error.type}, {"param", nullptr}, {"code", nullptr}};
-  if (error.param) object["param"] = *error.param;
-  if (error.code) object["code"] = *error.code;
-  return Json{{"error", object}}.dump(-1, ' ', false, Json::error_handler_t::replace);
+// Clients that name their conversation know best; for others its first messages identify it.
+std::uint64_t session_key(const Json& object, const std::string& account, const Prompt& prompt) {
+  const std::string cache_key = read_text(object, "prompt_cache_key");
+  const std::uint64_t conversation_key = cache_key.empty() ? prompt.conversation_key : hash(cache_key);
+  return hash(account, conversation_key);
 }
 
-ApiError model_not_found(std::string_view id) {
-  return {404, "the model '" + std::string(id) + "' does not exist", "invalid_request_error", "model",
-          "model_not_found"};
+// The client's own request, streamed with the usage at its end.
+std::string upstream_body(Json object) {
+  object["stream"] = true;
+  object["stream_options"] = {{"include_usage", true}};
+  return object.dump();
 }
 
+}  // namespace
+
 Json parse_json(std::string_view text) {
   bool is_too_deep = false;
   const auto check_depth = [&is_too_deep](int depth, Json::parse_event_t, Json&) {
@@ -168,14 +178,12 @@
 
 ChatRequest parse_request(std::string_view body, const Config& config, const std::string& account) {
   Json object = parse_json(body);
-  if (!object.is_object())
-    throw ApiError{400, "the body is not a JSON object", "invalid_request_error", {}, {}};
+  if (!object.is_object()) throw invalid_request("the body is not a JSON object");
   ChatRequest request;
   request.model = &read_model(object, config);
   read_stream_options(object, request);
-  if (read_count(object, "n").value_or(1) != 1) throw_invalid("only one choice is offered: n must be 1", "n");
-  const auto max_completion_tokens = read_count(object, "max_completion_tokens");
-  const auto max_tokens = read_count(object, "max_tokens");  // the older name of the same field
+  if (read_count(object, "n").value_or(1) != 1) throw_invalid("n", "only one choice is offered: n must be 1");
+  const int max_tokens = read_max_tokens(object, config);
   const Prompt prompt = read_messages(object);
 
   routing::Request& routing = request.routing;
@@ -184,15 +192,9 @@
   routing.shared_prefix = prompt.system_key;
   routing.prefix_tokens = estimate_tokens(prompt.system_characters);
   routing.prompt_tokens = estimate_tokens(prompt.characters);
-  routing.max_tokens =
-      max_completion_tokens ? *max_completion_tokens : max_tokens.value_or(config.default_max_tokens);
-  // Clients that name their conversation know best; for others its first messages identify it.
-  const std::string cache_key = read_text(object, "prompt_cache_key");
-  routing.session = hash(account, cache_key.empty() ? prompt.conversation_key : hash(cache_key));
-
-  object["stream"] = true;
-  object["stream_options"] = {{"include_usage", true}};
-  request.body = object.dump();
+  routing.max_tokens = max_tokens;
+  routing.session = session_key(object, account, prompt);
+  request.body = upstream_body(std::move(object));
   return request;
 }
 
--- a/src/openai_api/request.hpp
+++ b/src/openai_api/request.hpp
@@ -7,33 +7,23 @@
 #include <string>
 #include <string_view>
 
+#include "openai_api/api_error.hpp"
 #include "openai_api/config.hpp"
 #include "routing/router.hpp"
 
 namespace dispatcher::openai_api {
 
-/// An answer that is an error, in the form of the OpenAI API.
-struct ApiError {
-  int status = 400;
-  std::string message;
-  std::string type = "invalid_request_error";
-  /// The request's field that is wrong.
-  std::optional<std::string> param;
-  std::optional<std::string> code;
-};
-
-[[nodiscard]] std::string to_body(const ApiError& error);
-[[nodiscard]] ApiError model_not_found(std::string_view id);
-
 /// A valid chat completion request.
 struct ChatRequest {
   /// Without its id and deadline.
   routing::Request routing;
+  /// The model that the client named; points into the Config.
   const Model* model = nullptr;
   /// What a replica is sent: always streamed, with the usage at the end.
   std::string body;
-  /// What the client asked for.
+  /// The client asked for an event stream.
   bool is_stream = false;
+  /// The client asked for an event with the usage at the stream's end.
   bool include_usage = false;
 };
 
@@ -41,7 +31,8 @@
 /// stack. Returns a discarded value where the text is malformed or nested deeper.
 [[nodiscard]] nlohmann::json parse_json(std::string_view text);
 
-/// Throws ApiError.
+/// Parses and checks the body of a completion request. `account`: whom it is charged to. Throws ApiError at
+/// the first field that can't be used.
 [[nodiscard]] ChatRequest parse_request(std::string_view body, const Config& config,
                                         const std::string& account);
 
--- a/src/openai_api/response_translator.hpp
+++ b/src/openai_api/response_translator.hpp
@@ -13,15 +13,20 @@
 
 /// What a client is owed, as named in its answer.
 struct ResponseFormat {
+  /// Of the completion, "chatcmpl-" and the request's id.
   std::string id;
+  /// As the client named it.
   std::string model;
   /// Seconds since the Unix epoch.
   std::int64_t created = 0;
+  /// Server-sent events (WHATWG HTML, section 9.2), else one completion object.
   bool is_stream = false;
+  /// Whether a stream ends with an event of the usage.
   bool include_usage = false;
 };
 
-/// Translates one answer. Owned by the frontend's record of the request.
+/// Translates one answer: chunks of the OpenAI API pass with the fields that a replica left out filled in.
+/// Owned by the frontend's record of the request; not thread-safe.
 class ResponseTranslator {
  public:
   explicit ResponseTranslator(ResponseFormat format);
@@ -33,6 +38,7 @@
   [[nodiscard]] bool is_complete() const { return is_complete_; }
   /// The completion object, for a client that does not stream.
   [[nodiscard]] std::string completion() const;
+  /// Whether the client reads a stream.
   [[nodiscard]] bool is_stream() const { return format_.is_stream; }
   /// Whether the collected text exceeds what any limit on tokens allows: a replica that does not stop must
   /// not exhaust the memory.
