--- a/src/http/client_table.hpp
+++ b/src/http/client_table.hpp
@@ -7,6 +7,7 @@
 #include <vector>
 
 #include "engine/timer_queue.hpp"
+#include "http/message.hpp"
 #include "http/message_reader.hpp"
 #include "net/connection.hpp"
 #include "net/slot_table.hpp"
@@ -26,18 +27,22 @@
 
 /// One client's connection and the request on it. Owned by ClientTable.
 struct Client {
+  /// Never null.
   std::shared_ptr<net::Connection> connection;
+  /// Holds the request until its response has ended.
   RequestReader reader{kMaxBodyBytes};
   ClientState state = ClientState::kReading;
+  /// The response is an event stream that has begun and not ended.
   bool is_streaming = false;
-  /// HTTP/1.0 has no chunks: there the end of the connection is the end of the stream.
-  bool is_chunked = true;
+  /// How the end of a stream to this client is marked.
+  StreamFraming framing = StreamFraming::kChunked;
   /// The stream's output is above its high watermark; Handler::on_writable() is owed.
   bool is_backpressured = false;
   /// Reading was cancelled, as the stream is to go to another process.
   bool is_reading_suspended = false;
   /// The connection may carry another request after this one.
   bool keep_alive = true;
+  /// The interim response 100 (RFC 9110, section 10.1.1) was considered for this request.
   bool has_sent_continue = false;
   /// A first byte has arrived on this connection.
   bool has_received_data = false;
@@ -49,35 +54,47 @@
   Time request_arrival{};
   /// When the connection was accepted, went idle or began to linger.
   Time state_since{};
+  /// Of what the client or this side has to do next; see ServerOptions.
   engine::TimerQueue::Id deadline;
+
+  [[nodiscard]] bool is_chunked() const { return framing == StreamFraming::kChunked; }
+  [[nodiscard]] Persistence persistence() const {
+    return keep_alive ? Persistence::kKeepAlive : Persistence::kClose;
+  }
 };
 
 /// Owns the clients of one server. Used on its event loop only.
 class ClientTable {
  public:
+  /// Called where a client's deadline has passed; the deadline is no longer set then.
   using DeadlineHandler = std::function<void(SlotId, Client&)>;
 
   /// `max_body_bytes`: see reserve_body_bytes(). `on_deadline` runs from the timer queue.
   ClientTable(engine::TimerQueue& timers, engine::Clock clock, std::size_t max_body_bytes,
               DeadlineHandler on_deadline);
 
+  /// Adds a client without a deadline. Returns its handle, which is never used again.
   SlotId add(std::shared_ptr<net::Connection> connection);
   /// Returns nullptr where the client has been removed.
   [[nodiscard]] Client* find(SlotId id) { return clients_.find(id); }
   /// Closes the connection at once and forgets the client. Returns false where it has been removed already.
   bool remove(SlotId id);
+  /// How many clients are connected, lingering ones included.
   [[nodiscard]] std::size_t size() const { return clients_.size(); }
   /// All clients; they may be removed while the result is iterated.
   [[nodiscard]] std::vector<SlotId> ids() const { return clients_.ids(); }
 
-  /// Replaces the client's deadline.
+  /// Replaces the client's deadline, which is `timeout` from now.
   void set_deadline(SlotId id, Duration timeout);
+  /// Does nothing where the client has no deadline.
   void cancel_deadline(Client& client) { timers_.drop(client.deadline); }
 
   /// Replaces the client's reservation. Returns false where it is above 0 and the reservations of all clients
   /// together exceed the limit; it counts all the same until it is released.
   [[nodiscard]] bool reserve_body_bytes(Client& client, std::size_t bytes);
+  /// Ends the client's reservation.
   void release_body_bytes(Client& client);
+  /// Changes the limit for reservations from now on.
   void set_max_body_bytes(std::size_t max_body_bytes) { max_body_bytes_ = max_body_bytes; }
 
   /// The client whose connection is of least value: the first to be closed when connections run out. A null
--- a/src/http/event_framer.hpp
+++ b/src/http/event_framer.hpp
@@ -28,6 +28,7 @@
 
   /// The bytes after the last complete event: at the stream's end, an event that was truncated.
   [[nodiscard]] const std::string& incomplete_event() const { return buffer_; }
+  /// Whether the incomplete event exceeds kMaxEventBytes: the stream is to be given up.
   [[nodiscard]] bool is_too_long() const { return buffer_.size() > kMaxEventBytes; }
 
  private:
@@ -39,7 +40,8 @@
   bool is_complete_ = false;     // a blank line ended the event, but an LF may follow its CR
 };
 
-/// The values of an event's lines of one field ("data"), joined by LF. Comments are lines of the field "".
+/// The values of an event's lines of one field ("data"), joined by LF (WHATWG HTML, section 9.2.6). Comments
+/// are lines of the field "".
 [[nodiscard]] std::string event_field(std::string_view event, std::string_view field);
 
 }  // namespace dispatcher::http
--- a/src/http/frontend.hpp
+++ b/src/http/frontend.hpp
@@ -21,6 +21,7 @@
   engine::TimerQueue& timers;
   engine::Clock clock;
   ServerOptions options = {};
+  /// May be empty; see Server.
   DescriptorReclaimer reclaim_descriptor = {};
 };
 
@@ -29,11 +30,14 @@
 /// it is also the handle under which the engine answers.
 class Frontend : private Server::Handler, private engine::ResponseSink {
  public:
+  /// Listens at `address` once server().open() is called.
   Frontend(const FrontendContext& context, const net::tcp::endpoint& address);
   Frontend(const Frontend&) = delete;
   Frontend& operator=(const Frontend&) = delete;
 
+  /// The server that the clients are connected to. Owned by the frontend.
   [[nodiscard]] Server& server() { return server_; }
+  /// By which the engine tells this frontend's requests from another's.
   [[nodiscard]] const engine::ResponseSink& response_sink() const { return *this; }
 
   /// Continues a stream that began in another process: `socket` is its client's, `id` the request's id,
@@ -45,6 +49,7 @@
   /// Every request is checked by these before the engine gets it. Both are optional and must outlive the
   /// frontend.
   void attach(rate_limit::RateLimiter& rate_limiter) { rate_limiter_ = &rate_limiter; }
+  /// As above.
   void attach(degradation::DegradationController& degradation) { degradation_ = &degradation; }
 
  protected:
@@ -66,7 +71,9 @@
     std::string_view method;
     std::string_view path;  // without the query
   };
+  /// Valid as long as the request.
   [[nodiscard]] static Target target_of(const Server::Request& request);
+  /// Answers a health check: 200, or 503 while the server drains.
   void respond_health(SlotId client);
 
   /// Cancels the request of a client that disconnected, or that is answered without the engine.
--- a/src/http/message.cpp
+++ b/src/http/message.cpp
@@ -21,10 +21,11 @@
   return boost::beast::iequals({left.data(), left.size()}, {right.data(), right.size()});
 }
 
-std::string head(int status, bool keep_alive) {
+std::string head(int status, Persistence persistence) {
   std::string text = "HTTP/1.1 " + std::to_string(status) + " ";
   text += reason_phrase(status);
-  text += keep_alive ? "\r\n" : "\r\nConnection: close\r\n";
+  text += "\r\n";
+  if (persistence == Persistence::kClose) text += "Connection: close\r\n";
   return text;
 }
 
@@ -52,9 +53,9 @@
   return to_view(beast_http::obsolete_reason(static_cast<beast_http::status>(status)));
 }
 
-std::string response(int status, std::string_view content_type, std::string_view body, bool keep_alive,
-                     std::initializer_list<Header> more) {
-  std::string text = head(status, keep_alive);
+std::string response(int status, std::string_view content_type, std::string_view body,
+                     Persistence persistence, std::initializer_list<Header> more) {
+  std::string text = head(status, persistence);
   if (!body.empty()) text.append("Content-Type: ").append(content_type).append("\r\n");
   for (const Header& field : more) text.append(field.name).append(": ").append(field.value).append("\r\n");
   text += "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n";
@@ -62,9 +63,12 @@
   return text;
 }
 
-std::string stream_head(bool keep_alive, bool chunked) {
-  std::string text = head(200, keep_alive) + "Content-Type: text/event-stream\r\nCache-Control: no-cache\r\n";
-  text += chunked ? "Transfer-Encoding: chunked\r\n\r\n" : "\r\n";
+std::string stream_head(Persistence persistence, StreamFraming framing) {
+  constexpr int kOk = 200;
+  std::string text = head(kOk, persistence);
+  text += "Content-Type: text/event-stream\r\nCache-Control: no-cache\r\n";
+  if (framing == StreamFraming::kChunked) text += "Transfer-Encoding: chunked\r\n";
+  text += "\r\n";
   return text;
 }
 
@@ -78,8 +82,9 @@
 }
 
 std::string seconds_text(std::chrono::microseconds time) {
+  constexpr double kMicrosecondsPerSecond = 1e6;
   char text[32];
-  std::snprintf(text, sizeof text, "%.3f", static_cast<double>(time.count()) / 1e6);
+  std::snprintf(text, sizeof text, "%.3f", static_cast<double>(time.count()) / kMicrosecondsPerSecond);
   return text;
 }
 
--- a/src/http/message.hpp
+++ b/src/http/message.hpp
@@ -36,17 +36,28 @@
 [[nodiscard]] std::string forwarded_headers(const beast_http::fields& fields,
                                             std::initializer_list<std::string_view> own_fields);
 
-/// The standard reason phrase of a status.
+/// Whether a connection carries another message after this one (RFC 9112, section 9.3).
+enum class Persistence { kKeepAlive, kClose };
+
+/// How the recipient of a stream finds its end.
+enum class StreamFraming {
+  kChunked,     // the chunked transfer coding (RFC 9112, section 7.1)
+  kUntilClose,  // the connection's end, for HTTP/1.0, which has no chunks
+};
+
+/// The reason phrase of a status (RFC 9110, section 15.1).
 [[nodiscard]] std::string_view reason_phrase(int status);
 
-/// A complete response with a Content-Length.
+/// A complete response with a Content-Length, and with a Content-Type where the body is not empty.
 [[nodiscard]] std::string response(int status, std::string_view content_type, std::string_view body,
-                                   bool keep_alive, std::initializer_list<Header> more = {});
+                                   Persistence persistence, std::initializer_list<Header> more = {});
 
-/// The head of a server-sent event stream, in chunks or (for HTTP/1.0) up to the connection's end.
-[[nodiscard]] std::string stream_head(bool keep_alive, bool chunked);
-/// One chunk of the chunked transfer coding (RFC 9112, section 7.1).
+/// The head of a response that is a server-sent event stream (WHATWG HTML, section 9.2).
+[[nodiscard]] std::string stream_head(Persistence persistence, StreamFraming framing);
+/// One chunk of the chunked transfer coding (RFC 9112, section 7.1). `data` must not be empty, as an empty
+/// chunk is the last one.
 [[nodiscard]] std::string chunk(std::string_view data);
+/// The chunk that ends the chunked transfer coding, without trailer fields.
 inline constexpr std::string_view kLastChunk = "0\r\n\r\n";
 
 /// A duration in seconds with three decimals, for the value of a Retry-After field.
--- a/src/http/message_reader.hpp
+++ b/src/http/message_reader.hpp
@@ -10,12 +10,11 @@
 #include <optional>
 #include <string>
 
+#include "http/message.hpp"
 #include "net/ring_buffer.hpp"
 
 namespace dispatcher::http {
 
-namespace beast_http = boost::beast::http;
-
 /// The largest request body in bytes, and the largest answer that a replica gives outside a stream.
 inline constexpr std::size_t kMaxBodyBytes = std::size_t{256} * 1024;
 /// The largest head (start line and fields) of a message in bytes.
@@ -24,10 +23,14 @@
 inline constexpr std::uint64_t kMaxChunkBytes = std::size_t{16} * 1024 * 1024;
 
 /// How far a message has been read.
-enum class ReadStatus { kNeedMore, kComplete, kMalformed };
+enum class ReadStatus {
+  kNeedMore,   // all bytes that have arrived were read
+  kComplete,   // with its body
+  kMalformed,  // the message breaks the protocol or a limit; nothing more can be read from the connection
+};
 
-/// Reads one message after another from a connection's input. Owned by the connection's owner and used on its
-/// event loop only.
+/// Reads one HTTP/1.1 message (RFC 9112) after another from a connection's input. Owned by the connection's
+/// owner and used on its event loop only.
 template <bool kIsRequest>
 class MessageReader {
  public:
@@ -78,12 +81,16 @@
     return !error_ && parser_->is_done() ? ReadStatus::kComplete : ReadStatus::kMalformed;
   }
 
+  /// Whether the start line and all header fields have arrived.
   [[nodiscard]] bool is_head_complete() const { return parser_->is_header_done(); }
   /// Whether any byte of the message has arrived.
   [[nodiscard]] bool has_started() const { return has_started_; }
+  /// Whether the message lets the connection carry another one (RFC 9112, section 9.3). Its head must be
+  /// complete.
   [[nodiscard]] bool keep_alive() const { return parser_->keep_alive(); }
   /// Why the last read() returned kMalformed.
   [[nodiscard]] const boost::system::error_code& error() const { return error_; }
+  /// The message as far as it has been read; valid until reset().
   [[nodiscard]] Message& message() { return parser_->get(); }
 
   /// Moves out the part of the body that has arrived since the last call.
@@ -100,12 +107,13 @@
 
   /// Continues a chunked response that another reader began, at the byte where that one stopped, by parsing
   /// an equivalent head and the start of a chunk that lacks `chunk_bytes_left` bytes (0: its line end).
-  void resume_chunked(std::uint64_t chunk_bytes_left, bool keep_alive) {
+  void resume_chunked(std::uint64_t chunk_bytes_left, Persistence persistence) {
     constexpr std::size_t kMaxPreambleBytes = 1024;
     reset();
     net::RingBuffer preamble(kMaxPreambleBytes);
     preamble.append("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n");
-    preamble.append(keep_alive ? "\r\n" : "Connection: close\r\n\r\n");
+    if (persistence == Persistence::kClose) preamble.append("Connection: close\r\n");
+    preamble.append("\r\n");
     if (chunk_bytes_left > 0) {
       char chunk_header[24];
       std::snprintf(chunk_header, sizeof chunk_header, "%llx\r\n",
@@ -159,7 +167,9 @@
   boost::system::error_code error_;
 };
 
+/// Reads what a client sends.
 using RequestReader = MessageReader<true>;
+/// Reads what a replica sends.
 using ResponseReader = MessageReader<false>;
 
 }  // namespace dispatcher::http
--- a/src/http/server.hpp
+++ b/src/http/server.hpp
@@ -1,20 +1,21 @@
-// An HTTP/1.1 server: accepts connections, reads requests and writes answers, whole or as event streams.
+// An HTTP/1.1 server: reads requests and writes responses, complete or as event streams.
 #ifndef DISPATCHER_HTTP_SERVER_HPP_
 #define DISPATCHER_HTTP_SERVER_HPP_
 
 #include <boost/asio/io_context.hpp>
 #include <chrono>
-#include <functional>
 #include <initializer_list>
 #include <string>
 #include <string_view>
+#include <utility>
 
 #include "engine/timer_queue.hpp"
+#include "http/client_acceptor.hpp"
 #include "http/client_table.hpp"
 #include "http/message.hpp"
 #include "http/message_reader.hpp"
+#include "http/request_checks.hpp"
 #include "net/connection.hpp"
-#include "net/listener.hpp"
 
 namespace dispatcher::http {
 
@@ -39,22 +40,22 @@
   bool is_single_request = false;
 };
 
-/// Frees a file descriptor elsewhere in the process. Returns false where there was none to free.
-using DescriptorReclaimer = std::function<bool()>;
-
-/// Serves one address. Used on the thread of its io_context only; the owner also owns the handler and
-/// outlives both. Handler callbacks run from the event loop or a timer, or from inside a call to the server:
-/// an answer given inside on_request() may be followed by the next request's on_request() later, never nested
-/// in it.
-class Server : private net::Connection::Owner, private net::Listener::Owner {
+/// Serves one address with HTTP/1.1 (RFC 9110, RFC 9112): persistent connections, pipelining, chunked
+/// transfer coding and lingering closes. Used on the thread of its io_context only; the owner also owns the
+/// handler and outlives both. Handler callbacks run from the event loop or a timer, or from inside a call to
+/// the server: an answer given inside on_request() may be followed by the next request's on_request() later,
+/// never nested in it.
+class Server : private net::Connection::Owner, private ClientAcceptor::Owner {
  public:
+  /// A complete request with its body.
   using Request = RequestReader::Message;
 
   /// Receives the requests.
   class Handler {
    public:
     virtual ~Handler() = default;
-    /// Exactly one answer is owed: respond(), or begin_stream() and then end_response() or abort().
+    /// A request has arrived; `arrival` is when its first byte did. The request stays valid until it is
+    /// answered. Exactly one answer is owed: respond(), or begin_stream() and then end_response() or abort().
     virtual void on_request(SlotId client, Request& request, Time arrival) = 0;
     /// The client disconnected while its answer was owed; nothing is owed any more.
     virtual void on_disconnected(SlotId client) = 0;
@@ -64,20 +65,24 @@
     virtual std::string error_body(int status, std::string_view message) = 0;
   };
 
-  /// `reclaim_descriptor` may be empty; it is called when accepting fails and no client can be evicted.
+  /// `reclaim_descriptor` may be empty; it is called when accepting fails and no client can be evicted. The
+  /// references must outlive the server.
   Server(boost::asio::io_context& io, const net::tcp::endpoint& address, Handler& handler,
          engine::TimerQueue& timers, engine::Clock clock, const ServerOptions& options,
          DescriptorReclaimer reclaim_descriptor);
 
   // ---- answers; no effect where the client has disconnected ----
 
+  /// Sends a complete response. `more`: further header fields.
   void respond(SlotId client, int status, std::string_view content_type, std::string_view body,
                std::initializer_list<Header> more = {});
+  /// Sends a complete response with the handler's error_body().
   void respond_error(SlotId client, int status, std::string_view message,
                      std::initializer_list<Header> more = {});
   /// Sends the head of an event stream.
   void begin_stream(SlotId client);
-  /// Returns false where the client's output is above its high watermark: wait for on_writable().
+  /// Sends complete events, never an empty text. Returns false where the client's output is above its high
+  /// watermark: wait for on_writable().
   bool write_events(SlotId client, std::string_view events);
   /// Completes the answer; the connection goes on to its next request or is closed.
   void end_response(SlotId client);
@@ -90,12 +95,13 @@
 
   /// Listens, on the socket given where it is bound to this address, and accepts. Throws
   /// boost::system::system_error where the address can't be bound. May follow stop_accepting().
-  void open(net::UniqueFd listening_socket = {});
+  void open(net::UniqueFd listening_socket = {}) { acceptor_.open(std::move(listening_socket)); }
   /// Accepts what the kernel's backlog holds, as closing over it would reset those connections, and closes
   /// the listening socket.
-  void stop_accepting();
+  void stop_accepting() { acceptor_.stop(); }
   /// From now on each answer is its connection's last. Idle connections stay until close_idle().
   void drain() { is_draining_ = true; }
+  /// Closes the connections that carry no request, with a lingering close.
   void close_idle();
   /// Changes the limits. Clients above the new maximum are evicted as far as possible.
   void set_limits(std::size_t max_clients, std::size_t max_body_bytes);
@@ -105,41 +111,46 @@
   /// Cancels reading from a streaming client. Returns true once all output is written and nothing is in
   /// transit, so that detach() may follow; to be called again until then, or resume_reading() to give up.
   [[nodiscard]] bool suspend_reading(SlotId client);
+  /// Reads from the client again. Does nothing where reading was not suspended.
   void resume_reading(SlotId client);
-  /// Forgets the client and returns a duplicate of its socket.
+  /// Closes this process's side of the connection, forgets the client and returns a duplicate of its socket.
   [[nodiscard]] net::UniqueFd detach(SlotId client);
-  /// Adds a client whose stream began in another process and continues here.
+  /// Adds a client whose chunked stream began in another process and continues here. Throws
+  /// boost::system::system_error where the descriptor is no socket.
   SlotId adopt_stream(net::UniqueFd socket);
 
-  [[nodiscard]] bool is_open() const { return listener_.is_open(); }
+  // ---- state ----
+
+  /// Whether it listens.
+  [[nodiscard]] bool is_open() const { return acceptor_.is_open(); }
   [[nodiscard]] bool is_draining() const { return is_draining_; }
+  /// How many clients are connected, lingering ones included.
   [[nodiscard]] std::size_t client_count() const { return clients_.size(); }
-  [[nodiscard]] net::tcp::endpoint local() const { return listener_.local(); }
+  /// The address listened on, with the port that the kernel chose where none was configured.
+  [[nodiscard]] net::tcp::endpoint local() const { return acceptor_.local(); }
   /// The listening descriptor, to be handed to another process. Still owned by this server.
-  [[nodiscard]] int listening_socket() { return listener_.native_handle(); }
+  [[nodiscard]] int listening_socket() { return acceptor_.native_handle(); }
 
  private:
-  void on_accepted(net::tcp::socket socket) override;
-  void on_accept_failed(net::error_code error) override;
+  SlotId add_client(net::tcp::socket socket) override;
+  void begin_lingering_close(SlotId id) override;
   void on_data(SlotId id) override;
   void on_sent(SlotId id) override;
   void on_ended(SlotId id, net::error_code error) override;
 
   void on_deadline(SlotId id, Client& client);
-  void enforce_client_limit(SlotId newcomer = {});
-  bool evict_client(SlotId newcomer = {});
-  void remove_client(SlotId id);
+  SlotId create_client(net::tcp::socket socket);
   void abandon_client(SlotId id);
 
   void read_request(SlotId id);
   void start_request(SlotId id, Client& client);
   static void send_continue_if_expected(Client& client);
   void limit_early_input(SlotId id, Client& client);
-  void reject(SlotId id, Client& client, int status, std::string_view message,
+  void reject(SlotId id, Client& client, const RequestRejection& rejection,
               std::initializer_list<Header> more = {});
-  void reject_malformed(SlotId id, Client& client);
+  void deliver_request(SlotId id, Client& client);
+  void await_next_request(SlotId id, Client& client);
 
-  void begin_lingering_close(SlotId id);
   void restart_linger_deadline(SlotId id, Client& client);
   static void discard_input(Client& client);
 
@@ -148,9 +159,8 @@
   engine::TimerQueue& timers_;
   engine::Clock clock_;
   ServerOptions options_;
-  DescriptorReclaimer reclaim_descriptor_;
-  net::Listener listener_;
   ClientTable clients_;
+  ClientAcceptor acceptor_;
   bool is_draining_ = false;
 };
 
--- a/src/net/address.hpp
+++ b/src/net/address.hpp
@@ -8,6 +8,7 @@
 
 namespace dispatcher::net {
 
+/// Boost.Asio's types of TCP sockets and addresses, and the error type of its operations.
 using boost::asio::ip::tcp;
 using boost::system::error_code;
 
--- a/src/net/connection.hpp
+++ b/src/net/connection.hpp
@@ -28,6 +28,7 @@
   class Owner {
    public:
     virtual ~Owner() = default;
+    /// The result of connect(). Not called for accepted connections.
     virtual void on_connected(SlotId, error_code) {}
     /// More bytes are in input().
     virtual void on_data(SlotId) = 0;
@@ -37,14 +38,19 @@
     virtual void on_ended(SlotId, error_code) = 0;
   };
 
+  /// Takes over a connected socket and sends without delay (TCP_NODELAY). The maxima bound the buffers.
+  /// set_owner() has to follow before anything is read or written.
   Connection(tcp::socket socket, std::size_t max_input_bytes, std::size_t max_output_bytes);
   /// Opens an outgoing connection. Any failure, one to create the socket included, arrives as on_connected().
   static std::shared_ptr<Connection> connect(boost::asio::io_context& io, const tcp::endpoint& to,
                                              Owner& owner, SlotId id, std::size_t max_input_bytes,
                                              std::size_t max_output_bytes);
 
+  /// The owner must outlive the connection or close() it.
   void set_owner(Owner& owner, SlotId id);
+  /// Bytes that have arrived; the owner consumes them.
   [[nodiscard]] RingBuffer& input() { return input_; }
+  /// Bytes that were queued and are not written to the socket yet.
   [[nodiscard]] const RingBuffer& output() const { return output_; }
 
   /// Reads from the socket while input() has free space, until pause_reading() or cancel_reading().
@@ -54,6 +60,7 @@
   /// As pause_reading(), and cancels the read under way. Used before the socket goes to another process:
   /// once is_quiescent(), no bytes are in transit inside this object until read() is called.
   void cancel_reading();
+  /// Whether the connection is open, with no operation under way and no output left.
   [[nodiscard]] bool is_quiescent() const;
   /// Appends to input() as if the peer had sent it: bytes that another process had read from the socket.
   void append_input(std::string_view bytes) { input_.append(bytes); }
--- a/src/net/listener.hpp
+++ b/src/net/listener.hpp
@@ -17,11 +17,13 @@
   class Owner {
    public:
     virtual ~Owner() = default;
+    /// A client has connected.
     virtual void on_accepted(tcp::socket socket) = 0;
     /// Accepting has stopped; the owner calls accept() to resume it.
     virtual void on_accept_failed(error_code error) = 0;
   };
 
+  /// Does not listen before open() or adopt().
   Listener(boost::asio::io_context& io, const tcp::endpoint& address, Owner& owner);
 
   /// Binds and listens; does nothing where the socket is open already. Throws boost::system::system_error,
@@ -36,10 +38,13 @@
   void accept_pending();
   /// Leaves further connections in the kernel's backlog. An accept under way may still deliver one.
   void pause_accepting() { is_accept_wanted_ = false; }
+  /// Closes the socket and resets what the kernel's backlog holds; see accept_pending(). open() may follow.
   void close();
 
+  /// The listening descriptor, still owned by this object.
   [[nodiscard]] int native_handle() { return acceptor_.native_handle(); }
   [[nodiscard]] bool is_open() const { return acceptor_.is_open(); }
+  /// The address bound to. Throws boost::system::system_error where the socket is not open.
   [[nodiscard]] tcp::endpoint local() const { return acceptor_.local_endpoint(); }
 
  private:
--- a/src/net/ring_buffer.hpp
+++ b/src/net/ring_buffer.hpp
@@ -23,8 +23,10 @@
   /// Storage of this size is kept while the queue is empty; anything larger is freed.
   static constexpr std::size_t kInitialCapacityBytes = 4096;
 
+  /// `max_bytes`: the limit on what is queued. Nothing is allocated yet.
   explicit RingBuffer(std::size_t max_bytes) : max_bytes_(max_bytes) {}
 
+  /// Bytes queued.
   [[nodiscard]] std::size_t size() const { return size_; }
   [[nodiscard]] bool empty() const { return size_ == 0; }
   /// Bytes that may be added before the limit is reached.
--- a/src/net/slot_table.hpp
+++ b/src/net/slot_table.hpp
@@ -59,6 +59,7 @@
     --size_;
   }
 
+  /// How many entries there are.
   [[nodiscard]] std::size_t size() const { return size_; }
 
   /// Handles of all entries in the order of their slots; the caller may erase entries while iterating them.
--- a/src/net/unique_fd.hpp
+++ b/src/net/unique_fd.hpp
@@ -12,6 +12,7 @@
 class UniqueFd {
  public:
   UniqueFd() = default;
+  /// Takes ownership.
   explicit UniqueFd(int fd) : fd_(fd) {}
   UniqueFd(UniqueFd&& other) noexcept : fd_(other.release()) {}
   UniqueFd& operator=(UniqueFd&& other) noexcept {
@@ -20,9 +21,11 @@
   }
   ~UniqueFd() { reset(); }
   explicit operator bool() const { return fd_ >= 0; }
+  /// The descriptor, still owned; -1: none.
   [[nodiscard]] int get() const { return fd_; }
   /// Gives up ownership without closing.
   int release() { return std::exchange(fd_, -1); }
+  /// Closes what is owned and takes ownership of `fd`.
   void reset(int fd = -1) {
     if (fd_ >= 0) ::close(fd_);
     fd_ = fd;
--- a/src/platform_api/frontend.hpp
+++ b/src/platform_api/frontend.hpp
@@ -12,9 +12,10 @@
 
 using net::SlotId;
 
-/// Serves POST /v1/chat/completions and GET /healthz.
+/// Serves POST /v1/chat/completions and GET /healthz. Owned by the daemon and used on its event loop only.
 class Frontend : public http::Frontend {
  public:
+  /// `settings`: the request classes by which headers are parsed, and the advice on retries.
   Frontend(const http::FrontendContext& context, const net::tcp::endpoint& address,
            engine::SettingsSnapshot settings);
 
--- a/src/upstream/exchange_runner.cpp
+++ b/src/upstream/exchange_runner.cpp
@@ -92,7 +92,8 @@
   exchange.handler = &handler;
   exchange.is_request_sent = true;
   exchange.has_response_started = true;
-  exchange.reader.resume_chunked(position.chunk_left, position.keep_alive);
+  exchange.reader.resume_chunked(
+      position.chunk_left, position.keep_alive ? http::Persistence::kKeepAlive : http::Persistence::kClose);
   ++pool_.endpoint_of(connection).running_attempts;
   connection.transport->append_input(unread);
   // The unread bytes may be all that is left of the response. The handler must not be called from in here.
--- a/tests/dispatcher/endpoint_watcher_test.cpp
+++ b/tests/dispatcher/endpoint_watcher_test.cpp
@@ -63,7 +63,7 @@
     if (!text.empty()) write(call, http::chunk(text));
   }
   static void answer(Call& call, int status, const std::string& body) {
-    write(call, http::response(status, "application/json", body, true));
+    write(call, http::response(status, "application/json", body, http::Persistence::kKeepAlive));
   }
   static void reset(Call& call) {
     boost::system::error_code ignored;
--- a/tests/dispatcher/hot_restart_test.cpp
+++ b/tests/dispatcher/hot_restart_test.cpp
@@ -357,7 +357,7 @@
     }
     got += one.take_body();
     if (one.read(first) == http::ReadStatus::kComplete) break;
-    two.resume_chunked(one.chunk_bytes_left(), true);
+    two.resume_chunked(one.chunk_bytes_left(), http::Persistence::kKeepAlive);
     second.append(first.text());
     second.append(std::string_view(bytes).substr(cut));
     INFO(cut);
