--- a/tests/confine/confine_test.cpp
+++ b/tests/confine/confine_test.cpp
@@ -145,7 +145,7 @@
 
   FakeClient client(site.work,
                     {boost::asio::ip::address_v4::loopback(), static_cast<unsigned short>(site.port)});
-  client.post(platform_headers("c0ffee01", "ask"), chat_body("ask", true));
+  client.post(platform_headers("c0ffee01", "ask"), chat_body("ask", ResponseMode::kStream));
   REQUIRE(site.work.until([&] { return client.is_complete; }));
   CHECK(client.status == 200);
   CHECK(client.body.find("yes") != std::string::npos);
--- a/tests/dispatcher/attempt_chaos_test.cpp
+++ b/tests/dispatcher/attempt_chaos_test.cpp
@@ -28,7 +28,7 @@
         delayed_states.emplace_back(now() + std::min<engine::Duration>(draw_wait(1500), seen.time_left),
                                     seen.id);
     } else if (percent < 75) {
-      replica.respond(client, 503, {}, true);
+      replica.reject_unprocessed(client, 503);
     } else {
       unanswered_reads[{&replica, client}] = seen.id;
       if (percent < 90) delayed_answers.push_back({now() + draw_wait(400), &replica, client});
@@ -36,8 +36,8 @@
   }
   void write(FakeReplica& replica, SlotId client, const ReceivedRequest& seen) {
     const int percent = draw_percent();
-    if (!held_since.contains(seen.id)) return replica.respond(client, 410, {}, true);
-    if (percent < 20) return replica.respond(client, 503, {}, true);
+    if (!held_since.contains(seen.id)) return replica.reject_unprocessed(client, 410);
+    if (percent < 20) return replica.reject_unprocessed(client, 503);
     ++runs_by_id[seen.id];
     if (percent < 50) {
       started.insert(seen.id);
--- a/tests/dispatcher/attempt_endings_fixture.hpp
+++ b/tests/dispatcher/attempt_endings_fixture.hpp
@@ -29,7 +29,7 @@
 inline void silent(FakeReplica&, SlotId, const ReceivedRequest&) {}
 // Rejects a request that it has no capacity for; nothing of it has run.
 inline void full(FakeReplica& replica, SlotId client, const ReceivedRequest&) {
-  replica.respond(client, 503, {}, true);
+  replica.reject_unprocessed(client, 503);
 }
 
 class RawSocketPeer;
--- a/tests/dispatcher/attempt_endings_test.cpp
+++ b/tests/dispatcher/attempt_endings_test.cpp
@@ -275,8 +275,9 @@
   REQUIRE(fixture.calls.empty());
   for (std::size_t i : {0U, 1U}) {
     for (const SlotId client : fixture.writer(i).pending_clients) {
-      status == 200 ? fixture.writer(i).stream_words(client, {"a"})
-                    : fixture.writer(i).respond(client, status, {}, status == 503);
+      if (status == 200) fixture.writer(i).stream_words(client, {"a"});
+      if (status == 503) fixture.writer(i).reject_unprocessed(client, status);
+      if (status == 500) fixture.writer(i).respond(client, status);
     }
   }
   fixture.now += milliseconds(20);
--- a/tests/dispatcher/daemon_test.cpp
+++ b/tests/dispatcher/daemon_test.cpp
@@ -1,4 +1,4 @@
-// Discovery's watch, and a whole dispatcher from start to drain.
+// The watch of service discovery, and a complete dispatcher from start to drain.
 #include <algorithm>
 #include <csignal>
 #include <filesystem>
@@ -10,45 +10,50 @@
 namespace dispatcher::testing {
 namespace {
 
-const std::string kUp =
+using routing::ListKind;
+
+constexpr const char* kReadyFields =
     R"("dial":"127.0.0.1:3000","site":"here","class":"reader","block":0,"share":1,"born_ms":0)";
 std::string entry(const std::string& endpoint, const std::string& health) {
-  return R"({"host":")" + endpoint + R"(","health":")" + health + "\"," + kUp + "}";
+  return R"({"host":")" + endpoint + R"(","health":")" + health + "\"," + kReadyFields + "}";
 }
-std::string list(int seq, bool whole, const std::string& entries) {
-  return R"({"seq":)" + std::to_string(seq) + R"(,"whole":)" + (whole ? "true" : "false") + R"(,"hosts":[)" +
-         entries + "]}\n";
+std::string list(int seq, ListKind kind, const std::string& entries) {
+  const std::string is_complete = kind == ListKind::kFull ? "true" : "false";
+  return R"({"seq":)" + std::to_string(seq) + R"(,"whole":)" + is_complete + R"(,"hosts":[)" + entries +
+         "]}\n";
 }
 
-TEST_CASE("a watch applies lines as they come, and opens again from the last version", "[discovery]") {
+TEST_CASE("a watch applies events as they arrive, and reconnects from the last version", "[discovery]") {
   TestEventLoop work;
-  FakeReplica agent(work, [](FakeReplica& r, SlotId client, const FakeReplica::ReceivedRequest& seen) {
+  FakeReplica agent(work, [](FakeReplica& replica, SlotId client, const FakeReplica::ReceivedRequest& seen) {
     // What can't be read may have told anything, so the whole list is asked for again.
-    if (seen.target == "/v1/servers") return r.respond(client, 200, list(43, true, entry("a", "draining")));
-    r.server.begin_stream(client);
-    if (r.received.size() == 1) {
-      const std::string line = list(41, true, entry("a", "up"));
-      r.server.write_events(client, "\n" + line.substr(0, 20));  // cut anywhere
-      r.server.write_events(client, line.substr(20) + "not JSON\n" + list(42, false, entry("a", "removed")));
+    if (seen.target == "/v1/servers")
+      return replica.respond(client, 200, list(43, ListKind::kFull, entry("a", "draining")));
+    replica.server.begin_stream(client);
+    if (replica.received.size() == 1) {
+      const std::string event = list(41, ListKind::kFull, entry("a", "up"));
+      replica.server.write_events(client, "\n" + event.substr(0, 20));  // cut anywhere
+      replica.server.write_events(
+          client, event.substr(20) + "not JSON\n" + list(42, ListKind::kDelta, entry("a", "removed")));
     } else {
-      r.server.write_events(client, list(44, false, entry("a", "removed")));
+      replica.server.write_events(client, list(44, ListKind::kDelta, entry("a", "removed")));
     }
   });
   std::vector<std::string> logs;
-  std::vector<service_discovery::EndpointSnapshot> told;
+  std::vector<service_discovery::EndpointSnapshot> snapshots;
   service_discovery::EndpointWatcher watch(
       work.io, agent.server.local(), work.timers, work.clock(),
-      [&](std::string_view line) { logs.emplace_back(line); },
-      [&](const service_discovery::EndpointSnapshot& servers) { told.push_back(servers); });
+      [&](std::string_view entry) { logs.emplace_back(entry); },
+      [&](const service_discovery::EndpointSnapshot& servers) { snapshots.push_back(servers); });
   watch.start(40);
-  REQUIRE(work.until([&] { return told.size() == 1; }));
-  CHECK(told[0].is_complete);
+  REQUIRE(work.until([&] { return snapshots.size() == 1; }));
+  CHECK(snapshots[0].is_complete);
   work.settle();
   work.advance(milliseconds(300));
-  REQUIRE(work.until([&] { return told.size() == 3; }));
-  CHECK(told[1].is_complete);
-  CHECK(told[1].list.entries[0].state == routing::EndpointState::kDraining);
-  CHECK(told[2].version == 44);
+  REQUIRE(work.until([&] { return snapshots.size() == 3; }));
+  CHECK(snapshots[1].is_complete);
+  CHECK(snapshots[1].list.entries[0].state == routing::EndpointState::kDraining);
+  CHECK(snapshots[2].version == 44);
   CHECK(agent.received[0].target == "/v1/servers?follow=1&since=40");
   CHECK(agent.received[1].target == "/v1/servers");
   CHECK(agent.received[2].target == "/v1/servers?follow=1&since=43");
@@ -59,34 +64,35 @@
   CHECK(work.until([&] { return agent.received.size() == 4; }));
 }
 
-TEST_CASE("a watch that moves takes the new address's whole list, then follows it", "[discovery]") {
+TEST_CASE("a watch with a new address takes its complete list, then follows it", "[discovery]") {
   TestEventLoop work;
-  FakeReplica old(work, [](FakeReplica& r, SlotId client, const FakeReplica::ReceivedRequest&) {
-    r.server.begin_stream(client);
-    r.server.write_events(client, list(41, true, entry("a", "up")));
+  FakeReplica old(work, [](FakeReplica& replica, SlotId client, const FakeReplica::ReceivedRequest&) {
+    replica.server.begin_stream(client);
+    replica.server.write_events(client, list(41, ListKind::kFull, entry("a", "up")));
   });
-  FakeReplica agent(work, [](FakeReplica& r, SlotId client, const FakeReplica::ReceivedRequest& seen) {
-    if (seen.target == "/v1/servers") return r.respond(client, 200, list(7, true, entry("b", "up")));
-    r.server.begin_stream(client);
-    r.server.write_events(client, list(8, false, entry("b", "draining")));
+  FakeReplica agent(work, [](FakeReplica& replica, SlotId client, const FakeReplica::ReceivedRequest& seen) {
+    if (seen.target == "/v1/servers")
+      return replica.respond(client, 200, list(7, ListKind::kFull, entry("b", "up")));
+    replica.server.begin_stream(client);
+    replica.server.write_events(client, list(8, ListKind::kDelta, entry("b", "draining")));
   });
-  std::vector<service_discovery::EndpointSnapshot> told;
+  std::vector<service_discovery::EndpointSnapshot> snapshots;
   service_discovery::EndpointWatcher watch(
       work.io, old.server.local(), work.timers, work.clock(), [](std::string_view) {},
-      [&](const service_discovery::EndpointSnapshot& servers) { told.push_back(servers); });
+      [&](const service_discovery::EndpointSnapshot& servers) { snapshots.push_back(servers); });
   watch.start(40);
-  REQUIRE(work.until([&] { return told.size() == 1; }));
+  REQUIRE(work.until([&] { return snapshots.size() == 1; }));
   watch.set_address(agent.server.local());
-  REQUIRE(work.until([&] { return told.size() == 3; }));
-  CHECK(told[1].is_complete);
-  CHECK(told[1].list.entries[0].endpoint == "b");
-  CHECK(told[2].list.entries[0].state == routing::EndpointState::kDraining);
+  REQUIRE(work.until([&] { return snapshots.size() == 3; }));
+  CHECK(snapshots[1].is_complete);
+  CHECK(snapshots[1].list.entries[0].endpoint == "b");
+  CHECK(snapshots[2].list.entries[0].state == routing::EndpointState::kDraining);
   CHECK(agent.received[1].target == "/v1/servers?follow=1&since=7");
   CHECK(work.until([&] { return old.disconnected_clients.size() == 1; }));
 }
 
 // Discovery is silent here: what the configuration knows must serve.
-TEST_CASE("a dispatcher serves from the list it knows, and ends once it is drained", "[app]") {
+TEST_CASE("a dispatcher serves from its configured endpoint list, and ends once it is drained", "[app]") {
   daemon::Loop loop;
   daemon::Config config;
   config.listen = config.discovery = loopback();
@@ -94,12 +100,12 @@
   config.settings = make_settings();
   std::vector<std::string> logs;
   daemon::Dispatcher dispatcher(loop, config, {{"chat.json", kChatConfig}, {}},
-                                [&](std::string_view line) { logs.emplace_back(line); });
+                                [&](std::string_view entry) { logs.emplace_back(entry); });
   dispatcher.start();
   // The client runs on the dispatcher's own loop.
   struct Client : net::Connection::Owner {
-    explicit Client(daemon::Loop& l, const net::tcp::endpoint& to)
-        : connection(net::Connection::connect(l.io(), to, *this, {}, 4096, 4096)) {}
+    explicit Client(daemon::Loop& event_loop, const net::tcp::endpoint& to)
+        : connection(net::Connection::connect(event_loop.io(), to, *this, {}, 4096, 4096)) {}
     void on_connected(SlotId, net::error_code) override {
       connection->write("GET /healthz HTTP/1.1\r\n\r\n");
       connection->read();
@@ -116,7 +122,7 @@
   CHECK(client.connection->input().size() > 0);
 }
 
-TEST_CASE("SIGHUP moves the watch or, with a bad file, changes nothing; SIGTERM still drains", "[app]") {
+TEST_CASE("SIGHUP reloads or, with an invalid file, changes nothing; SIGTERM still drains", "[app]") {
   daemon::Loop loop;
   daemon::Config config;
   config.listen = config.discovery = loopback();
@@ -129,12 +135,14 @@
   next.config.discovery = agent.local_endpoint();
   next.config.name = "another";
   std::vector<std::string> logs;
-  std::function<daemon::ConfigurationFiles()> read = [] {
-    return throw daemon::ConfigError("field 'x': bad"), daemon::ConfigurationFiles{};
+  std::function<daemon::ConfigurationFiles()> read = []() -> daemon::ConfigurationFiles {
+    throw daemon::ConfigError("field 'x': bad");
   };
   daemon::Dispatcher dispatcher(
       loop, config, {{"chat.json", kChatConfig}, {}},
-      [&](std::string_view line) { line.starts_with("discovery") ? void() : void(logs.emplace_back(line)); },
+      [&](std::string_view entry) {
+        if (!entry.starts_with("discovery")) logs.emplace_back(entry);
+      },
       [&] { return read(); });
   dispatcher.start();
   const auto hang_up = [&] {
@@ -163,7 +171,7 @@
   CHECK(logs.back() == "drained");
 }
 
-TEST_CASE("a file read again goes before the environment of the start", "[app]") {
+TEST_CASE("on a reload the file takes precedence over the environment", "[app]") {
   const std::string path = std::filesystem::temp_directory_path() / "bitternferry_reload_test.json";
   std::ofstream(path) << R"({"listen":"127.0.0.1:1","discovery":"127.0.0.1:3"})";
   daemon::Environment environment{{"PROXY_CONFIG", path}, {"PROXY_DISCOVERY", "nowhere"}};
@@ -174,7 +182,7 @@
 }
 
 // Of a pair only the active instance listens at the chat address.
-TEST_CASE("VRRP decides who fronts the chat address", "[app][vrrp]") {
+TEST_CASE("the chat front listens only where VRRP is active", "[app][vrrp]") {
   const int priority = GENERATE(255, 100);
   daemon::Loop loop;
   daemon::Config config;
@@ -186,11 +194,11 @@
       R"({"listen":"127.0.0.1:0","peers":["127.0.0.1:9"],"addresses":["127.0.0.1"],"priority":)" +
       std::to_string(priority) + "}";
   daemon::Dispatcher dispatcher(loop, config, {{"chat.json", kChatConfig}, {"vrrp.json", vrrp}},
-                                [&](std::string_view line) { logs.emplace_back(line); });
+                                [&](std::string_view entry) { logs.emplace_back(entry); });
   dispatcher.start();
   const auto logged = [&](const std::string& start) {
     return std::any_of(logs.begin(), logs.end(),
-                       [&](const std::string& line) { return line.starts_with(start); });
+                       [&](const std::string& entry) { return entry.starts_with(start); });
   };
   CHECK(logged(priority == 255 ? "vrrp: active" : "vrrp: backup"));
   CHECK(logged("chat front on") == (priority == 255));
--- a/tests/dispatcher/degradation_fleet_test.cpp
+++ b/tests/dispatcher/degradation_fleet_test.cpp
@@ -57,7 +57,7 @@
                                    const std::string& request_class) const {
     auto client = through_chat ? fixture.chat_client() : fixture.platform_client();
     client->post(through_chat ? "Content-Type: application/json\r\n" : platform_headers(id, request_class),
-                 chat_body(request_class, true));
+                 chat_body(request_class, ResponseMode::kStream));
     return client;
   }
   Fixture& fixture;
@@ -117,7 +117,7 @@
     Fixture fixture(
         healthy_reader,
         [](FakeReplica& r, SlotId client, const FakeReplica::ReceivedRequest&) {
-          r.stream_words(client, {"a"}, false);
+          r.stream_words(client, {"a"}, StreamEnd::kOpen);
         },
         kChatConfig);
     ControllerFixture levels(kSome, fixture.clock());
--- a/tests/dispatcher/drain_test.cpp
+++ b/tests/dispatcher/drain_test.cpp
@@ -21,7 +21,7 @@
     add("r", "reader", reader.server.local());
     add("w", "writer", writer.server.local());
     dispatcher.emplace(loop, config, daemon::FeatureFiles{},
-                       [this](std::string_view line) { logs.emplace_back(line); });
+                       [this](std::string_view entry) { logs.emplace_back(entry); });
     dispatcher->start();
   }
   void add(const std::string& endpoint, const std::string& kind, const net::tcp::endpoint& at) {
@@ -43,7 +43,8 @@
     }
     return false;
   }
-  bool drained() {
+  // Waits for the dispatcher to end by itself.
+  bool ends_drained() {
     return until([&] { return loop.io().stopped(); }) && logs.back() == "drained";
   }
   std::unique_ptr<FakeClient> client() { return std::make_unique<FakeClient>(work, dispatcher->address()); }
@@ -56,10 +57,8 @@
   std::optional<daemon::Dispatcher> dispatcher;
 };
 
-void never_answer(FakeReplica&, SlotId, const FakeReplica::ReceivedRequest&) {}  // the test answers by itself
-
 TEST_CASE("a draining dispatcher finishes a request in each of its phases", "[drain]") {
-  DrainFixture fixture(never_answer, never_answer);
+  DrainFixture fixture(silent_replica, silent_replica);
   auto client = fixture.client();
   client->post(platform_headers("a1", "command"), "{}");
   REQUIRE(fixture.until([&] { return fixture.reader.pending_clients.size() == 1; }));
@@ -82,7 +81,7 @@
   SECTION("while it streams") {
     answer_read();
     REQUIRE(fixture.until(at_writer));
-    fixture.writer.stream_words(fixture.writer.pending_clients[0], {"yes"}, false);
+    fixture.writer.stream_words(fixture.writer.pending_clients[0], {"yes"}, StreamEnd::kOpen);
     REQUIRE(fixture.until([&] { return client->body.find("yes") != std::string::npos; }));
     fixture.dispatcher->drain();
     fixture.writer.server.write_events(fixture.writer.pending_clients[0], "data: [DONE]\n\n");
@@ -91,25 +90,24 @@
   REQUIRE(fixture.until([&] { return client->is_complete; }));
   CHECK(client->status == 200);
   CHECK(client->body.find("[DONE]") != std::string::npos);
-  CHECK(fixture.drained());
+  CHECK(fixture.ends_drained());
   CHECK(fixture.writer.count("POST", "a1") == 1);
 }
 
 TEST_CASE("a draining dispatcher rejects a request that no replica takes before it ends", "[drain]") {
   DrainFixture fixture([](FakeReplica& replica, SlotId client,
-                          const FakeReplica::ReceivedRequest&) { replica.respond(client, 503, {}, true); },
-                       never_answer);
+                          const FakeReplica::ReceivedRequest&) { replica.reject_unprocessed(client, 503); },
+                       silent_replica);
   auto client = fixture.client();
   client->post(platform_headers("a1", "ask", 1000), "{}");
   REQUIRE(fixture.until([&] { return fixture.reader.count("POST", "a1") > 0; }));
   fixture.dispatcher->drain();
   REQUIRE(fixture.until([&] { return client->is_finished(); }));
   CHECK(client->status == 503);
-  CHECK(fixture.drained());
+  CHECK(fixture.ends_drained());
 }
 
-TEST_CASE("a draining dispatcher answers what still comes, and closes idle connections gracefully",
-          "[drain]") {
+TEST_CASE("a draining dispatcher answers late requests, and closes idle connections gracefully", "[drain]") {
   DrainFixture fixture(healthy_reader, healthy_writer);
   auto idle = fixture.client();
   auto partial = fixture.client();  // has sent a part of its request
@@ -136,19 +134,19 @@
   late->close();
   fixture.until([&] { return fixture.work.io.poll() == 0; });
   idle->close();
-  CHECK(fixture.drained());
+  CHECK(fixture.ends_drained());
   CHECK(fixture.reader.received.size() == requests_before);
 }
 
 // A request whose client has gone leaves nothing to do but the release of what a reader reserved for it.
 TEST_CASE("a draining dispatcher ends only once the reservations of its requests are released", "[drain]") {
-  DrainFixture fixture(healthy_reader, never_answer);
+  DrainFixture fixture(healthy_reader, silent_replica);
   auto client = fixture.client();
   client->post(platform_headers("a1", "command"), "{}");
   REQUIRE(fixture.until([&] { return fixture.writer.pending_clients.size() == 1; }));
   fixture.dispatcher->drain();
   client->close();
-  CHECK(fixture.drained());
+  CHECK(fixture.ends_drained());
   CHECK(fixture.reader.count("DELETE", "a1") + fixture.writer.count("DELETE", "a1") >= 1);
 }
 
--- a/tests/dispatcher/endings_test.cpp
+++ b/tests/dispatcher/endings_test.cpp
@@ -40,6 +40,8 @@
 
 // ---- buffers under way ----
 
+constexpr std::size_t kRingBytes = std::size_t{64} * 1024;
+
 std::string fill(net::RingBuffer& ring, const std::string& text) {  // as a read that ends just now
   const auto space = ring.prepare();
   std::string remaining = text;
@@ -52,8 +54,8 @@
   return remaining;
 }
 
-TEST_CASE("what is read while the rest is consumed lands where it is looked for", "[endings]") {
-  net::RingBuffer ring(64 * 1024);
+TEST_CASE("a ring buffer's prepared space stays valid while earlier bytes are consumed", "[endings]") {
+  net::RingBuffer ring(kRingBytes);
   const std::size_t size = GENERATE(std::size_t{100}, std::size_t{6000});
   for (std::string remaining(size, 'a'); !remaining.empty();) remaining = fill(ring, remaining);
   const auto space = ring.prepare();  // a read is under way ...
@@ -68,8 +70,8 @@
   CHECK(ring.text() == "d");
 }
 
-TEST_CASE("what is being written stays where it is while more is queued", "[endings]") {
-  net::RingBuffer ring(64 * 1024);
+TEST_CASE("bytes of a ring buffer that are being written stay in place while more are queued", "[endings]") {
+  net::RingBuffer ring(kRingBytes);
   ring.append(std::string(4000, 'a'));
   const auto held = ring.storage();
   const auto piece = ring.data()[0];  // a write is under way from here
@@ -82,7 +84,7 @@
 // join+brink, seeds 3 and 8: a dispatcher crashed (signal 11 in a copy from address nil below Server::next).
 // A client had sent several requests at once. The second was taken from the event loop while the next read
 // was under way into the buffer, which gave its memory back, or set its start anew.
-TEST_CASE("requests sent at once and one more behind them are each taken once, in order", "[endings]") {
+TEST_CASE("pipelined requests and a later one are each delivered once, in order", "[endings]") {
   TestEventLoop work;
   HoldingServer holder(work);
   holder.answers_at_once = true;
@@ -155,8 +157,7 @@
   net::tcp::socket socket{io};
 };
 
-TEST_CASE("a request that crosses the close of an idle connection is not taken, and resets nothing",
-          "[endings]") {
+TEST_CASE("a request that crosses an idle timeout is not delivered, and resets no response", "[endings]") {
   TestEventLoop work;
   http::ServerOptions options;
   options.idle_timeout = milliseconds(300);
@@ -178,7 +179,7 @@
   CHECK(work.until([&] { return holder.server.client_count() == 0; }));
 }
 
-TEST_CASE("as the process ends, a request that is here is answered and the end follows", "[endings]") {
+TEST_CASE("during a drain a request that has arrived is answered before its connection ends", "[endings]") {
   TestEventLoop work;
   HoldingServer holder(work);
   holder.answers_at_once = true;
@@ -199,7 +200,7 @@
   CHECK(holder.received.size() == (sent_before ? 2U : 1U));
 }
 
-TEST_CASE("a connection that makes room is closed in good order while there is some left", "[endings]") {
+TEST_CASE("near the client limit an idle connection gets a lingering close", "[endings]") {
   TestEventLoop work;
   http::ServerOptions options;
   options.max_clients = 16;
@@ -222,7 +223,7 @@
 }
 
 // What the machine accepted has been taken: closing the listener over it would reset it.
-TEST_CASE("connections that wait to be accepted are served when accepting stops", "[endings]") {
+TEST_CASE("connections in the backlog are served when accepting stops", "[endings]") {
   TestEventLoop work;
   HoldingServer holder(work);
   BlockingClient first(holder.server.local()), second(holder.server.local());
@@ -234,7 +235,7 @@
   CHECK(work.until([&] { return holder.received.size() == 2; }));
 }
 
-TEST_CASE("an error is read whole by a client that is still sending", "[endings]") {
+TEST_CASE("a client that is still sending receives its error response completely", "[endings]") {
   TestEventLoop work;
   HoldingServer holder(work);
   FakeClient client(work, holder.server.local());
@@ -248,7 +249,7 @@
 
 // ---- the client's end ----
 
-TEST_CASE("the end of a client's connection is seen behind whatever it sent first", "[endings]") {
+TEST_CASE("a client's disconnect is seen behind unread input", "[endings]") {
   TestEventLoop work;
   HoldingServer holder(work);
   FakeClient client(work, holder.server.local());
@@ -266,7 +267,7 @@
   CHECK_FALSE(holder.server.is_connected(holder.received[0].first));
 }
 
-TEST_CASE("a client that floods its connection while an answer is owed is let go of", "[endings]") {
+TEST_CASE("a client that floods its connection while a response is owed is disconnected", "[endings]") {
   TestEventLoop work;
   HoldingServer holder(work);
   FakeClient client(work, holder.server.local());
@@ -275,7 +276,7 @@
   CHECK(holder.server.client_count() == 0);
 }
 
-TEST_CASE("bytes behind a request leave its answer whole, which is the connection's last", "[endings]") {
+TEST_CASE("excess bytes behind a request leave its response complete, the connection's last", "[endings]") {
   TestEventLoop work;
   HoldingServer holder(work);
   FakeClient client(work, holder.server.local());
--- a/tests/dispatcher/fixture.cpp
+++ b/tests/dispatcher/fixture.cpp
@@ -53,13 +53,13 @@
   behavior_(*this, client, current);
 }
 
-void FakeReplica::stream_words(SlotId client, const std::vector<std::string>& words, bool last) {
+void FakeReplica::stream_words(SlotId client, const std::vector<std::string>& words, StreamEnd end) {
   server.begin_stream(client);
   for (const std::string& word : words) {
     server.write_events(client, "data: {\"choices\":[{\"index\":0,\"delta\":{\"content\":\"" + word +
                                     "\"},\"finish_reason\":null}]}\n\n");
   }
-  if (!last) return;
+  if (end == StreamEnd::kOpen) return;
   server.write_events(client,
                       "data: {\"choices\":[{\"index\":0,\"delta\":{},\"finish_reason\":\"stop\"}]}\n\n"
                       "data: {\"choices\":[],\"usage\":{\"prompt_tokens\":7,\"completion_tokens\":2}}\n\n"
@@ -134,13 +134,13 @@
   }
 }
 
-Fixture::Fixture(Behavior reader_behavior, Behavior writer_behavior, const std::string& chat_config)
-    : pool(io, timers, clock(), [this](std::string_view line) { logs.emplace_back(line); },
+Fixture::Fixture(const Behavior& reader_behavior, const Behavior& writer_behavior,
+                 const std::string& chat_config)
+    : pool(io, timers, clock(), [this](std::string_view entry) { logs.emplace_back(entry); },
            {settings.connect_timeout, settings.idle_timeout, milliseconds(100), 4, 8, 64}),
       engine(std::make_shared<const routing::Settings>(settings), 7, pool, timers, clock(),
-             [this](std::string_view line) { logs.emplace_back(line); }),
-      platform(http::FrontendContext{io, engine, timers, clock()}, loopback(),
-               std::make_shared<const routing::Settings>(settings)) {
+             [this](std::string_view entry) { logs.emplace_back(entry); }),
+      platform(frontend_context(), loopback(), std::make_shared<const routing::Settings>(settings)) {
   pool.attach(engine);
   routing::EndpointList list{routing::ListKind::kFull, {}};
   std::vector<upstream::EndpointAddress> addresses;
@@ -155,14 +155,13 @@
   platform.server().open();
   if (chat_config.empty()) return;
   chat = std::make_unique<openai_api::Frontend>(
-      http::FrontendContext{io, engine, timers, clock()},
-      *openai_api::parse_config({"chat.json", chat_config}, settings), 7);
+      frontend_context(), *openai_api::parse_config({"chat.json", chat_config}, settings), 7);
   chat->server().open();
 }
 
 namespace {
 // Where a role's two replicas begin in Fixture::replicas.
-std::size_t first_of(Role role) { return role == Role::kReader ? 0 : 2; }
+std::size_t first_of(Role role) { return role == Role::kReader ? 0 : Fixture::kFirstWriter; }
 }  // namespace
 
 int Fixture::request_count(std::string_view method, Role role, std::string_view id) const {
@@ -194,8 +193,11 @@
   replica.stream_words(client, {"yes", "it"});
 }
 
-std::string chat_body(const std::string& model, bool stream, const std::string& text) {
-  return R"({"model":")" + model + R"(","stream":)" + (stream ? "true" : "false") +
+void silent_replica(FakeReplica&, SlotId, const FakeReplica::ReceivedRequest&) {}
+
+std::string chat_body(const std::string& model, ResponseMode mode, const std::string& text) {
+  const std::string is_stream = mode == ResponseMode::kStream ? "true" : "false";
+  return R"({"model":")" + model + R"(","stream":)" + is_stream +
          R"(,"messages":[{"role":"system","content":"You help technicians."},{"role":"user","content":")" +
          text + R"("}]})";
 }
--- a/tests/dispatcher/fixture.hpp
+++ b/tests/dispatcher/fixture.hpp
@@ -76,6 +76,12 @@
   }
 };
 
+// Whether a replica's stream goes on after what is written now.
+enum class StreamEnd { kComplete, kOpen };
+
+// How a client of the OpenAI API wants its response.
+enum class ResponseMode { kStream, kCompletion };
+
 // A replica that answers by a given behavior and records the requests it receives.
 class FakeReplica : private http::Server::Handler {
  public:
@@ -90,13 +96,16 @@
         behavior_(std::move(behavior)) {
     server.open();
   }
-  // `never_ran`: the replica states that it has not begun to work on the request.
-  void respond(SlotId client, int status, std::string_view body = {}, bool never_ran = false) {
-    if (never_ran) return server.respond(client, status, "application/json", body, {{"X-Unprocessed", "1"}});
+  void respond(SlotId client, int status, std::string_view body = {}) {
     server.respond(client, status, "application/json", body);
   }
-  // Streams an event for each word; `last` ends the stream as replicas do.
-  void stream_words(SlotId client, const std::vector<std::string>& words, bool last = true);
+  // Rejects a request and states that no work on it has begun.
+  void reject_unprocessed(SlotId client, int status) {
+    server.respond(client, status, "application/json", {}, {{"X-Unprocessed", "1"}});
+  }
+  // Streams an event for each word; kComplete ends the stream as replicas do.
+  void stream_words(SlotId client, const std::vector<std::string>& words,
+                    StreamEnd end = StreamEnd::kComplete);
   // Requests received with the method and, where given, the id.
   [[nodiscard]] int count(std::string_view method, std::string_view id = {}) const;
 
@@ -209,10 +218,13 @@
 class Fixture : public TestEventLoop {
  public:
   using Behavior = FakeReplica::Behavior;
-  Fixture(Behavior reader_behavior, Behavior writer_behavior, const std::string& chat_config = {});
+  // Where the writers begin in `replicas`; the readers are before them.
+  static constexpr std::size_t kFirstWriter = 2;
+  Fixture(const Behavior& reader_behavior, const Behavior& writer_behavior,
+          const std::string& chat_config = {});
   ~Fixture() = default;
-  FakeReplica& reader(std::size_t i = 0) { return *replicas[i]; }
-  FakeReplica& writer(std::size_t i = 0) { return *replicas[2 + i]; }
+  FakeReplica& reader(std::size_t index = 0) { return *replicas[index]; }
+  FakeReplica& writer(std::size_t index = 0) { return *replicas[kFirstWriter + index]; }
   // Requests that the replicas of a role have received.
   [[nodiscard]] int request_count(std::string_view method, Role role, std::string_view id = {}) const;
   // The one such request.
@@ -230,6 +242,9 @@
   engine::Engine engine;
   platform_api::Frontend platform;
   std::unique_ptr<openai_api::Frontend> chat;
+
+ private:
+  http::FrontendContext frontend_context() { return {io, engine, timers, clock()}; }
 };
 
 // The headers of a request to the platform's API.
@@ -238,10 +253,15 @@
 // The behaviors of replicas without faults.
 void healthy_reader(FakeReplica& replica, SlotId client, const FakeReplica::ReceivedRequest& request);
 void healthy_writer(FakeReplica& replica, SlotId client, const FakeReplica::ReceivedRequest& request);
-inline const std::string kChatConfig =
+// The behavior of a replica that never answers, unless the test does so in its place.
+void silent_replica(FakeReplica& replica, SlotId client, const FakeReplica::ReceivedRequest& request);
+// A configuration of the OpenAI-compatible frontend with a model for each class of make_settings().
+inline constexpr const char* kChatConfig =
     R"({"listen":"127.0.0.1:0","account":"acme",
   "models":[{"id":"ask","class":"ask"},{"id":"command","class":"command"}]})";
-std::string chat_body(const std::string& model, bool stream, const std::string& text = "Is the boiler on?");
+// A request of the OpenAI API with a system message and the user message `text`.
+std::string chat_body(const std::string& model, ResponseMode mode,
+                      const std::string& text = "Is the boiler on?");
 
 }  // namespace dispatcher::testing
 
--- a/tests/dispatcher/frontends_test.cpp
+++ b/tests/dispatcher/frontends_test.cpp
@@ -21,11 +21,29 @@
   return has_end ? "served" : "cut";
 }
 
-Replay replay(bool through_chat, unsigned seed) {
+enum class Api { kPlatform, kOpenAi };
+
+// One request through either frontend, whose client is returned.
+std::unique_ptr<FakeClient> post_job(Fixture& fixture, Api api, int number, const std::string& request_class,
+                                     const std::string& job) {
+  const std::string body = chat_body(request_class, ResponseMode::kStream, job);
+  if (api == Api::kOpenAi) {
+    auto client = fixture.chat_client();
+    client->post("Content-Type: application/json\r\n", body);
+    return client;
+  }
+  char id[17];
+  std::snprintf(id, sizeof id, "%016x", number);
+  auto client = fixture.platform_client();
+  client->post(platform_headers(id, request_class), body);
+  return client;
+}
+
+Replay replay(Api api, unsigned seed) {
   Replay result;
-  // What happens to a request is written in its text, so that it is the same through either front.
+  // What happens to a request is written in its text, so that it is the same through either frontend.
   const auto reader = [](FakeReplica& replica, SlotId client, const ReceivedRequest& request) {
-    if (request.body.find("read-full") != std::string::npos) return replica.respond(client, 503, {}, true);
+    if (request.body.find("read-full") != std::string::npos) return replica.reject_unprocessed(client, 503);
     healthy_reader(replica, client, request);
   };
   const auto writer = [&result](FakeReplica& replica, SlotId client, const ReceivedRequest& request) {
@@ -33,7 +51,7 @@
     const std::string job = request.body.substr(at, request.body.find('"', at) - at);
     const int before = result.effects[job]++;
     if (job.find("breaks") != std::string::npos) {
-      replica.stream_words(client, {"half"}, false);
+      replica.stream_words(client, {"half"}, StreamEnd::kOpen);
       return replica.server.abort(client);
     }
     if (job.find("reset") != std::string::npos && before == 0) return replica.server.abort(client);
@@ -44,15 +62,13 @@
   std::mt19937 random(seed);
   for (int i = 0; i < 40; ++i) {
     const std::vector<std::string> fates = {"well", "breaks", "reset", "error", "read-full"};
-    const std::string job = "job-" + std::to_string(i) + "-" + fates[random() % fates.size()];
+    std::string job = "job-" + std::to_string(i) + "-";
+    job += fates[random() % fates.size()];
     const std::string request_class = random() % 2 == 0 ? "ask" : "command";
-    auto client = through_chat ? fixture.chat_client() : fixture.platform_client();
-    char id[17];
-    std::snprintf(id, sizeof id, "%016x", i + 1);
-    client->post(through_chat ? "Content-Type: application/json\r\n" : platform_headers(id, request_class),
-                 chat_body(request_class, true, job));
+    auto client = post_job(fixture, api, i + 1, request_class, job);
     for (int step = 0; step < 400 && !client->is_finished(); ++step) fixture.advance(milliseconds(20));
-    result.outcomes.push_back(request_class + " " + job + " " + outcome_of(*client));
+    result.outcomes.push_back(request_class);
+    result.outcomes.back().append(" ").append(job).append(" ").append(outcome_of(*client));
     fixture.now += seconds(25);  // ejected endpoints return: each request meets the same fleet
     fixture.advance(milliseconds(100));
   }
@@ -60,8 +76,9 @@
   return result;
 }
 
-TEST_CASE("mixed traffic ends alike through both fronts and runs no command twice", "[chat][replay]") {
-  const Replay chat = replay(true, 11), platform = replay(false, 11);
+TEST_CASE("both frontends give mixed traffic the same outcomes and run no command twice", "[chat][replay]") {
+  const Replay chat = replay(Api::kOpenAi, 11);
+  const Replay platform = replay(Api::kPlatform, 11);
   CHECK(chat.outcomes == platform.outcomes);
   CHECK(chat.effects == platform.effects);
   std::set<std::string> ends;
--- a/tests/dispatcher/hot_restart_test.cpp
+++ b/tests/dispatcher/hot_restart_test.cpp
@@ -320,7 +320,7 @@
 
 TEST_CASE("a stream that began before the drain is its connection's last answer", "[upgrade][platform]") {
   Fixture fixture(healthy_reader, [](FakeReplica& r, SlotId client, const FakeReplica::ReceivedRequest&) {
-    r.stream_words(client, {"half"}, false);
+    r.stream_words(client, {"half"}, StreamEnd::kOpen);
   });
   auto client = fixture.platform_client();
   client->post(platform_headers("a1", "ask"), R"({"model":"chat","messages":[]})");
@@ -376,7 +376,7 @@
 // The world hands a stream to itself, as it would to another process: sockets, and what is left of a chunk.
 TEST_CASE("a running stream changes hands, and neither its client nor its replica notices", "[upgrade]") {
   Fixture fixture(healthy_reader, [](FakeReplica& r, SlotId client, const FakeReplica::ReceivedRequest&) {
-    r.stream_words(client, {"one"}, false);
+    r.stream_words(client, {"one"}, StreamEnd::kOpen);
   });
   auto client = fixture.platform_client();
   client->post(platform_headers("a1", "command"), "{}");
@@ -425,7 +425,7 @@
 
 TEST_CASE("a stream that changed hands and breaks ends without the last chunk", "[upgrade]") {
   Fixture fixture(healthy_reader, [](FakeReplica& r, SlotId client, const FakeReplica::ReceivedRequest&) {
-    r.stream_words(client, {"one"}, false);
+    r.stream_words(client, {"one"}, StreamEnd::kOpen);
   });
   auto client = fixture.platform_client();
   client->post(platform_headers("a1", "ask"), "{}");
--- a/tests/dispatcher/http_server_test.cpp
+++ b/tests/dispatcher/http_server_test.cpp
@@ -12,15 +12,15 @@
   replica.respond(client, 200, "ok");
 }
 
-TEST_CASE("clients that say nothing or never finish keep nobody out", "[server]") {
+TEST_CASE("silent and unfinished connections are evicted for a client with a request", "[server]") {
   TestEventLoop loop;
   http::ServerOptions options;
   options.max_clients = 4;
   FakeReplica replica(loop, answer_ok, options);
   const std::string start = GENERATE("", "GET / HT");
   std::vector<std::unique_ptr<FakeClient>> crowd;
-  const auto join = [&](int n) {
-    for (int i = 0; i < n; ++i) {
+  const auto join = [&](int client_count) {
+    for (int i = 0; i < client_count; ++i) {
       crowd.push_back(std::make_unique<FakeClient>(loop, replica.server.local()));
       crowd.back()->send(start);
     }
@@ -41,7 +41,7 @@
   CHECK(real.status == 200);
 }
 
-TEST_CASE("bodies that come at once are bounded together", "[server]") {
+TEST_CASE("the memory of request bodies is limited over all clients", "[server]") {
   TestEventLoop loop;
   http::ServerOptions options;
   options.max_body_bytes = 1000;
--- a/tests/dispatcher/json_framer_test.cpp
+++ b/tests/dispatcher/json_framer_test.cpp
@@ -17,17 +17,17 @@
   std::vector<std::string> all;
   for (std::size_t at = 0; at < text.size();) {
     const std::size_t maximum = random() % 3 == 0 ? 1 : 40;
-    const std::size_t n = std::min<std::size_t>(1 + random() % maximum, text.size() - at);
-    for (auto& object : framer.append(std::string_view(text).substr(at, n))) all.push_back(std::move(object));
-    at += n;
+    const std::size_t length = std::min<std::size_t>(1 + random() % maximum, text.size() - at);
+    for (auto& object : framer.append(std::string_view(text).substr(at, length)))
+      all.push_back(std::move(object));
+    at += length;
   }
   return all;
 }
 
 Json drawn_object(std::mt19937_64& random) {
-  static const std::vector<std::string> kTexts{"",      "{",     "}}{",  "\"",    "\\",
-                                               "\\\"}", "a\nb{", "[{\"", "\r\n\t"};
-  const auto text = [&] { return kTexts[random() % kTexts.size()]; };
+  static const std::vector<std::string> texts{"", "{", "}}{", "\"", "\\", "\\\"}", "a\nb{", "[{\"", "\r\n\t"};
+  const auto text = [&] { return texts[random() % texts.size()]; };
   Json object{{"seq", random() % 100}, {text() + "k", text()}, {"hosts", Json::array()}};
   for (std::size_t i = random() % 4; i > 0; --i)
     object["hosts"].push_back({{"host", text()}, {text(), {{"deep", Json::object()}}}});
@@ -46,7 +46,10 @@
       std::string one = sent.back().dump(static_cast<int>(random() % 6) - 1);
       if (random() % 3 == 0) {  // line ends as other systems have them, which strings never hold raw
         std::string other;
-        for (const char c : one) other += c == '\n' ? std::string("\r\n") : std::string(1, c);
+        for (const char byte : one) {
+          if (byte == '\n') other += '\r';
+          other += byte;
+        }
         one = other;
       }
       text += one + between[random() % between.size()];
@@ -59,7 +62,7 @@
   }
 }
 
-TEST_CASE("what is no object is bad, after the objects before it", "[discovery][framer]") {
+TEST_CASE("input that is no object is malformed, after the objects before it", "[discovery][framer]") {
   for (const std::string& noise :
        std::vector<std::string>{"x", "}", "]", "[1]", "null", "\"{}\"", ",", std::string(1, '\0')}) {
     JsonFramer framer;
@@ -69,7 +72,7 @@
   }
 }
 
-TEST_CASE("an object is bounded, its length and not that of all of them", "[discovery][framer]") {
+TEST_CASE("the length of one object is limited, not that of the stream", "[discovery][framer]") {
   JsonFramer framer(32);
   for (int i = 0; i < 100; ++i)
     REQUIRE(framer
--- a/tests/dispatcher/openai_api_test.cpp
+++ b/tests/dispatcher/openai_api_test.cpp
@@ -5,7 +5,7 @@
 namespace {
 
 using Json = nlohmann::json;
-const std::string kJson = "Content-Type: application/json\r\n";
+constexpr const char* kJsonHeader = "Content-Type: application/json\r\n";
 
 std::vector<std::string> data_of(const std::string& body) {
   http::EventFramer framer;
@@ -14,11 +14,18 @@
   return data;
 }
 
-TEST_CASE("a streamed completion has the standard's chunks and its own end", "[chat]") {
-  Fixture fixture(healthy_reader, healthy_writer, kChatConfig);
+// A client that has posted the body and received its response.
+std::unique_ptr<FakeClient> answered_client(Fixture& fixture, const std::string& body,
+                                            const std::string& more_headers = {}) {
   auto client = fixture.chat_client();
-  client->post(kJson, chat_body("ask", true));
+  client->post(kJsonHeader + more_headers, body);
   REQUIRE(fixture.until([&] { return client->is_complete; }));
+  return client;
+}
+
+TEST_CASE("a streamed completion consists of the API's chunks and its end marker", "[chat]") {
+  Fixture fixture(healthy_reader, healthy_writer, kChatConfig);
+  const auto client = answered_client(fixture, chat_body("ask", ResponseMode::kStream));
   CHECK(client->status == 200);
   CHECK(client->headers["Content-Type"] == "text/event-stream");
   const auto data = data_of(client->body);
@@ -33,34 +40,31 @@
   CHECK(fixture.request_count("POST", Role::kWriter) == 1);
 }
 
-TEST_CASE("a whole completion joins the stream and its usage", "[chat]") {
+TEST_CASE("a completion that is not streamed joins the replica's chunks and usage", "[chat]") {
   Fixture fixture(healthy_reader, healthy_writer, kChatConfig);
-  auto client = fixture.chat_client();
-  client->post(kJson, chat_body("ask", false));
-  REQUIRE(fixture.until([&] { return client->is_complete; }));
+  const auto client = answered_client(fixture, chat_body("ask", ResponseMode::kCompletion));
   const Json answer = Json::parse(client->body);
   CHECK(answer["object"] == "chat.completion");
   CHECK(answer["choices"][0]["message"] == Json{{"role", "assistant"}, {"content", "yesit"}});
   CHECK(answer["choices"][0]["finish_reason"] == "stop");
   CHECK(answer["usage"]["total_tokens"] == 9);
-  const Json sent = Json::parse(fixture.reader(0).received.empty() ? fixture.reader(1).received[0].body
-                                                                   : fixture.reader(0).received[0].body);
+  const Json sent = Json::parse(fixture.only_request("POST", Role::kReader).body);
   CHECK(sent["stream"] == true);  // a replica always streams
 }
 
-TEST_CASE("usage is passed on where it is asked for", "[chat]") {
+TEST_CASE("a stream includes the usage where include_usage is set", "[chat]") {
   Fixture fixture(healthy_reader, healthy_writer, kChatConfig);
   auto client = fixture.chat_client();
-  Json body = Json::parse(chat_body("ask", true));
+  Json body = Json::parse(chat_body("ask", ResponseMode::kStream));
   body["stream_options"] = {{"include_usage", true}};
-  client->post(kJson, body.dump());
+  client->post(kJsonHeader, body.dump());
   REQUIRE(fixture.until([&] { return client->is_complete; }));
   const auto data = data_of(client->body);
   REQUIRE(data.size() == 5);
   CHECK(Json::parse(data[3])["usage"]["prompt_tokens"] == 7);
 }
 
-TEST_CASE("the models are listed", "[chat]") {
+TEST_CASE("the models are listed, and an unknown one is not found", "[chat]") {
   Fixture fixture(healthy_reader, healthy_writer, kChatConfig);
   auto client = fixture.chat_client();
   client->get("/v1/models");
@@ -73,7 +77,7 @@
   CHECK(Json::parse(client->body)["error"]["code"] == "model_not_found");
 }
 
-TEST_CASE("bad requests get the standard's errors and reach no replica", "[chat]") {
+TEST_CASE("invalid requests get the API's errors and reach no replica", "[chat]") {
   Fixture fixture(healthy_reader, healthy_writer, kChatConfig);
   struct Case {
     std::string body;
@@ -95,17 +99,14 @@
       {R"({"model":"ask","stream":"yes","messages":[{"role":"user","content":"x"}]})", 400, "stream"},
       {R"({"model":"ask","max_tokens":0,"messages":[{"role":"user","content":"x"}]})", 400, "max_tokens"}};
   for (const Case& test_case : cases) {
-    auto client = fixture.chat_client();
-    client->post(kJson, test_case.body);
-    REQUIRE(fixture.until([&] { return client->is_complete; }));
+    const auto client = answered_client(fixture, test_case.body);
     INFO(test_case.body.substr(0, 80));
     CHECK(client->status == test_case.status);
     CHECK(Json::parse(client->body)["error"]["type"] == "invalid_request_error");
     CHECK(Json::parse(client->body)["error"]["param"] == test_case.param);
   }
-  auto large = fixture.chat_client();
-  large->post(kJson, std::string(300 * 1024, 'x'));
-  REQUIRE(fixture.until([&] { return large->is_complete; }));
+  constexpr std::size_t kAboveMaxBodyBytes = std::size_t{300} * 1024;
+  const auto large = answered_client(fixture, std::string(kAboveMaxBodyBytes, 'x'));
   CHECK(large->status == 413);
   auto lost = fixture.chat_client();
   lost->get("/v2/models");
@@ -119,7 +120,7 @@
   CHECK(fixture.request_count("POST", Role::kReader) + fixture.request_count("POST", Role::kWriter) == 0);
 }
 
-TEST_CASE("where keys are set, only they are served", "[chat]") {
+TEST_CASE("where API keys are configured, only requests with one are served", "[chat]") {
   Json config = Json::parse(kChatConfig);
   config["keys"] = {{{"key", "k-1"}, {"account", "acme"}}};
   Fixture fixture(healthy_reader, healthy_writer, config.dump());
@@ -128,25 +129,23 @@
                                                 {"Authorization: Bearer k-2\r\n", 401},
                                                 {"Authorization: Bearer \r\n", 401},
                                                 {"Authorization: Bearer k-1\r\n", 200}}) {
-    auto client = fixture.chat_client();
-    client->post(kJson + header, chat_body("ask", false));
-    REQUIRE(fixture.until([&] { return client->is_complete; }));
+    const auto client = answered_client(fixture, chat_body("ask", ResponseMode::kCompletion), header);
     CHECK(client->status == status);
   }
 }
 
-TEST_CASE("a command whose stream breaks is sent once and gets no forged end", "[chat]") {
-  const bool stream = GENERATE(true, false);
+TEST_CASE("a non-idempotent request whose stream breaks is sent once and gets no regular end", "[chat]") {
+  const ResponseMode mode = GENERATE(ResponseMode::kStream, ResponseMode::kCompletion);
   Fixture fixture(
       healthy_reader,
       [](FakeReplica& replica, SlotId client, const ReceivedRequest&) {
-        replica.stream_words(client, {"valve"}, false);
+        replica.stream_words(client, {"valve"}, StreamEnd::kOpen);
         replica.server.write_events(client, "data: {\"choices\":[{\"ind");  // cut mid-event
         replica.server.abort(client);
       },
       kChatConfig);
   auto client = fixture.chat_client();
-  client->post(kJson, chat_body("command", stream));
+  client->post(kJsonHeader, chat_body("command", mode));
   REQUIRE(fixture.until([&] { return client->is_finished(); }));
   fixture.advance(seconds(4));
   CHECK(fixture.request_count("POST", Role::kWriter) == 1);
@@ -154,7 +153,7 @@
   CHECK(client->body.find("{\"ind") == std::string::npos);
   CHECK(client->body.find("stream_broken") != std::string::npos);
   CHECK(client->body.find("\"finish_reason\":\"stop\"") == std::string::npos);
-  if (stream) {
+  if (mode == ResponseMode::kStream) {
     CHECK_FALSE(client->is_complete);
   } else {
     CHECK(client->status == 502);
@@ -163,37 +162,35 @@
   CHECK(fixture.engine.open_request_count() == 0);
 }
 
-TEST_CASE("a stream that ends without its own last word is not passed off as whole", "[chat]") {
+TEST_CASE("a stream without its end marker is not answered as a complete completion", "[chat]") {
   Fixture fixture(
       healthy_reader,
       [](FakeReplica& replica, SlotId client, const ReceivedRequest&) {
-        replica.stream_words(client, {"half"}, false);
+        replica.stream_words(client, {"half"}, StreamEnd::kOpen);
         replica.server.end_response(client);  // the last chunk, but no [DONE]
       },
       kChatConfig);
-  auto client = fixture.chat_client();
-  client->post(kJson, chat_body("ask", false));
-  REQUIRE(fixture.until([&] { return client->is_complete; }));
+  const auto client = answered_client(fixture, chat_body("ask", ResponseMode::kCompletion));
   CHECK(client->status == 502);
 }
 
-// A replica that never stops must not fill the memory of a dispatcher that collects the whole.
-TEST_CASE("an answer without end is given up", "[chat]") {
+// A replica that never stops must not fill the memory of a dispatcher that collects the completion.
+TEST_CASE("an endless response is aborted at a maximum length", "[chat]") {
   Fixture fixture(
       healthy_reader,
       [](FakeReplica& replica, SlotId client, const ReceivedRequest&) {
-        replica.stream_words(client, {std::string(250'000, 'x')}, false);
+        replica.stream_words(client, {std::string(250'000, 'x')}, StreamEnd::kOpen);
       },
       kChatConfig);
   auto client = fixture.chat_client();
-  client->post(kJson, chat_body("command", false));
-  auto& writers = fixture.replicas;
+  client->post(kJsonHeader, chat_body("command", ResponseMode::kCompletion));
+  const std::string event =
+      "data: {\"choices\":[{\"delta\":{\"content\":\"" + std::string(250'000, 'x') + "\"}}]}\n\n";
   for (int i = 0; i < 40 && !client->is_finished(); ++i) {
     fixture.settle();
-    for (std::size_t w : {2U, 3U}) {
-      for (const SlotId to : writers[w]->pending_clients)
-        writers[w]->server.write_events(
-            to, "data: {\"choices\":[{\"delta\":{\"content\":\"" + std::string(250'000, 'x') + "\"}}]}\n\n");
+    for (const std::size_t index : {0U, 1U}) {
+      FakeReplica& writer = fixture.writer(index);
+      for (const SlotId pending : writer.pending_clients) writer.server.write_events(pending, event);
     }
   }
   REQUIRE(fixture.until([&] { return client->is_complete; }));
@@ -202,19 +199,35 @@
   CHECK(fixture.engine.open_request_count() == 0);
 }
 
-TEST_CASE("an ask always gets its final answer, whatever the replicas do", "[chat]") {
-  const int fault = GENERATE(0, 1, 2, 3, 4);
-  const auto act = [fault](FakeReplica& replica, SlotId client, const ReceivedRequest&) {
-    if (fault == 0) replica.server.abort(client);            // reset with no answer
-    if (fault == 1) replica.respond(client, 500);            // errors
-    if (fault == 2) replica.respond(client, 503, {}, true);  // full
-    if (fault == 3) replica.respond(client, 410, {}, true);  // no state, ever
-  };                                                         // 4: silence
-  const bool at_reader = GENERATE(true, false);
-  Fixture fixture(at_reader ? Fixture::Behavior(act) : Fixture::Behavior(healthy_reader),
-                  at_reader ? Fixture::Behavior(healthy_writer) : Fixture::Behavior(act), kChatConfig);
+enum class ReplicaFailure { kReset, kError, kAtCapacity, kStateLost, kSilence };
+
+FakeReplica::Behavior failing_by(ReplicaFailure failure) {
+  return [failure](FakeReplica& replica, SlotId client, const ReceivedRequest&) {
+    switch (failure) {
+      case ReplicaFailure::kReset:
+        return replica.server.abort(client);
+      case ReplicaFailure::kError:
+        return replica.respond(client, 500);
+      case ReplicaFailure::kAtCapacity:
+        return replica.reject_unprocessed(client, 503);
+      case ReplicaFailure::kStateLost:
+        return replica.reject_unprocessed(client, 410);
+      case ReplicaFailure::kSilence:
+        return;
+    }
+  };
+}
+
+TEST_CASE("an idempotent request always gets a final answer, whatever the replicas do", "[chat]") {
+  const auto failing_replica =
+      failing_by(GENERATE(ReplicaFailure::kReset, ReplicaFailure::kError, ReplicaFailure::kAtCapacity,
+                          ReplicaFailure::kStateLost, ReplicaFailure::kSilence));
+  const Role failing_role = GENERATE(Role::kReader, Role::kWriter);
+  const bool readers_fail = failing_role == Role::kReader;
+  Fixture fixture(readers_fail ? failing_replica : FakeReplica::Behavior(healthy_reader),
+                  readers_fail ? FakeReplica::Behavior(healthy_writer) : failing_replica, kChatConfig);
   auto client = fixture.chat_client();
-  client->post(kJson, chat_body("ask", true));
+  client->post(kJsonHeader, chat_body("ask", ResponseMode::kStream));
   fixture.until([&] { return fixture.request_count("POST", Role::kReader) > 0; });
   for (int i = 0; i < 130 && !client->is_finished(); ++i) fixture.advance(milliseconds(50));
   REQUIRE(fixture.until([&] { return client->is_complete; }));
@@ -225,7 +238,7 @@
   CHECK(fixture.engine.open_request_count() == 0);
 }
 
-TEST_CASE("an ask is tried elsewhere where a command is not", "[chat]") {
+TEST_CASE("an idempotent request is retried after a reset, a non-idempotent one is not", "[chat]") {
   const std::string model = GENERATE("ask", "command");
   int calls = 0;
   Fixture fixture(
@@ -235,23 +248,19 @@
         healthy_writer(replica, client, request);
       },
       kChatConfig);
-  auto client = fixture.chat_client();
-  client->post(kJson, chat_body(model, false));
-  REQUIRE(fixture.until([&] { return client->is_complete; }));
+  const auto client = answered_client(fixture, chat_body(model, ResponseMode::kCompletion));
   fixture.advance(seconds(1));
   CHECK(client->status == (model == "ask" ? 200 : 502));
   CHECK(calls == (model == "ask" ? 2 : 1));
 }
 
-TEST_CASE("a cancel before the first token stops the work and lets go of what is held", "[chat]") {
-  const bool while_reading = GENERATE(true, false);
-  const auto silent = [](FakeReplica&, SlotId, const ReceivedRequest&) {};
-  Fixture fixture(while_reading ? Fixture::Behavior(silent) : Fixture::Behavior(healthy_reader), silent,
-                  kChatConfig);
+TEST_CASE("a disconnect before the first token cancels the attempt and releases the reservation", "[chat]") {
+  const Role role_at_work = GENERATE(Role::kReader, Role::kWriter);
+  const bool while_reading = role_at_work == Role::kReader;
+  Fixture fixture(while_reading ? silent_replica : healthy_reader, silent_replica, kChatConfig);
   auto client = fixture.chat_client();
-  client->post(kJson, chat_body("command", true));
-  REQUIRE(fixture.until(
-      [&] { return fixture.request_count("POST", while_reading ? Role::kReader : Role::kWriter) == 1; }));
+  client->post(kJsonHeader, chat_body("command", ResponseMode::kStream));
+  REQUIRE(fixture.until([&] { return fixture.request_count("POST", role_at_work) == 1; }));
   client->close();
   const auto stopped = [&] {
     std::size_t disconnected = 0;
@@ -269,10 +278,9 @@
 }
 
 TEST_CASE("a silent replica costs the client no more than its deadline", "[chat]") {
-  const auto silent = [](FakeReplica&, SlotId, const ReceivedRequest&) {};
-  Fixture fixture(healthy_reader, silent, kChatConfig);
+  Fixture fixture(healthy_reader, silent_replica, kChatConfig);
   auto client = fixture.chat_client();
-  client->post(kJson, chat_body("command", false));
+  client->post(kJsonHeader, chat_body("command", ResponseMode::kCompletion));
   REQUIRE(fixture.until([&] { return fixture.request_count("POST", Role::kWriter) == 1; }));
   fixture.advance(milliseconds(3100));
   REQUIRE(fixture.until([&] { return client->is_complete; }));
@@ -281,24 +289,23 @@
   CHECK(fixture.request_count("POST", Role::kWriter) == 1);
 }
 
-TEST_CASE("more than max_open requests are told to come later", "[chat]") {
+TEST_CASE("requests above max_open are rejected with Retry-After", "[chat]") {
   Json config = Json::parse(kChatConfig);
   config["max_open"] = 1;
-  const auto silent = [](FakeReplica&, SlotId, const ReceivedRequest&) {};
-  Fixture fixture(silent, silent, config.dump());
+  Fixture fixture(silent_replica, silent_replica, config.dump());
   auto first = fixture.chat_client(), second = fixture.chat_client();
-  first->post(kJson, chat_body("ask", true));
+  first->post(kJsonHeader, chat_body("ask", ResponseMode::kStream));
   REQUIRE(fixture.until([&] { return fixture.request_count("POST", Role::kReader) == 1; }));
-  second->post(kJson, chat_body("ask", true));
+  second->post(kJsonHeader, chat_body("ask", ResponseMode::kStream));
   REQUIRE(fixture.until([&] { return second->is_complete; }));
   CHECK(second->status == 429);
   CHECK(second->headers["Retry-After"] == "1");
 }
 
-TEST_CASE("a conversation keeps its keys from turn to turn", "[chat]") {
+TEST_CASE("a conversation keeps its session and prefix keys from turn to turn", "[chat]") {
   const auto settings = make_settings();
   const auto config = *openai_api::parse_config({"chat.json", kChatConfig}, settings);
-  Json body = Json::parse(chat_body("ask", false));
+  Json body = Json::parse(chat_body("ask", ResponseMode::kCompletion));
   const auto first = openai_api::parse_request(body.dump(), config, "acme");
   body["messages"].push_back({{"role", "assistant"}, {"content", "Yes."}});
   body["messages"].push_back({{"role", "user"}, {"content", {{{"type", "text"}, {"text", "Since when?"}}}}});
@@ -313,7 +320,7 @@
   CHECK(openai_api::parse_request(body.dump(), config, "other").routing.session != second.routing.session);
 }
 
-TEST_CASE("a bad file of the front is refused by the name of its field", "[chat]") {
+TEST_CASE("an invalid chat.json is rejected by the name of its field", "[chat]") {
   const auto settings = make_settings();
   const auto problem = [&](const char* path, const Json& value) {
     Json config = Json::parse(kChatConfig);
--- a/tests/dispatcher/parsers_test.cpp
+++ b/tests/dispatcher/parsers_test.cpp
@@ -87,7 +87,7 @@
     "HTTP/1.1 204 No Content\r\n\r\n"
     "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n7\r\ndata: x\r\n2\r\n\n\n\r\n0\r\n\r\n";
 
-TEST_CASE("messages parse alike, whole or split anywhere", "[parsers]") {
+TEST_CASE("messages parse alike, complete or split anywhere", "[parsers]") {
   const std::string requests = transcript_of<true>({valid_requests});
   const std::string responses = transcript_of<false>({valid_responses});
   CHECK(requests ==
@@ -103,7 +103,7 @@
   }
 }
 
-TEST_CASE("garbage is rejected alike, whole or split anywhere", "[parsers]") {
+TEST_CASE("garbage is rejected alike, complete or split anywhere", "[parsers]") {
   Random random(2);
   int rejected = 0;
   for (int i = 0; i < 1500; ++i) {
@@ -134,7 +134,8 @@
   std::vector<std::string> events;
   for (const std::string text : {"data: one", "event: x|data: a|data: b", ": note", "data:"}) {
     std::string event = text + "|";
-    for (std::size_t at; (at = event.find('|')) != std::string::npos;) event.replace(at, 1, end);
+    for (std::size_t at = event.find('|'); at != std::string::npos; at = event.find('|'))
+      event.replace(at, 1, end);
     events.push_back(event + end);
   }
   std::string stream;
@@ -160,7 +161,7 @@
   CHECK(framer.incomplete_event().empty());
 }
 
-TEST_CASE("the framer passes garbage on unchanged", "[parsers]") {
+TEST_CASE("the event framer passes garbage on unchanged", "[parsers]") {
   Random random(4);
   for (int i = 0; i < 500; ++i) {
     std::string noise = random_bytes(random, random() % 400);
--- a/tests/dispatcher/platform_api_test.cpp
+++ b/tests/dispatcher/platform_api_test.cpp
@@ -9,14 +9,13 @@
 namespace dispatcher::testing {
 namespace {
 
-const std::string kBody = R"({"model":"chat","messages":[]})";
-const auto silent = [](FakeReplica&, SlotId, const ReceivedRequest&) {};
+constexpr const char* kBody = R"({"model":"chat","messages":[]})";
 
-TEST_CASE("a stream passes through unchanged and the connection lives on", "[platform]") {
+TEST_CASE("a stream is forwarded unchanged and its connection is kept alive", "[platform]") {
   const std::string events = "data: {\"odd\":  1}\r\n\r\n: note\n\nevent: x\ndata: y\n\ndata: [DONE]\n\n";
   Fixture fixture(healthy_reader, [&](FakeReplica& replica, SlotId client, const ReceivedRequest&) {
     replica.server.begin_stream(client);
-    for (const char c : events) replica.server.write_events(client, std::string(1, c));
+    for (const char byte : events) replica.server.write_events(client, std::string(1, byte));
     replica.server.end_response(client);
   });
   auto client = fixture.platform_client();
@@ -28,14 +27,13 @@
     CHECK(client->body == events);
     CHECK(fixture.request_count("POST", Role::kWriter, id) == 1);
   }
-  const auto& request =
-      fixture.writer(0).received.empty() ? fixture.writer(1).received[0] : fixture.writer(0).received[0];
+  const auto& request = fixture.only_request("POST", Role::kWriter);
   CHECK(request.target == "/v1/chat/completions?x=1");
   CHECK(request.body == kBody);
 }
 
 // Clients of a class with idempotency keys send a key with each request, by which replicas detect a repeat.
-TEST_CASE("what a client's request says for the whole way reaches the replica", "[platform]") {
+TEST_CASE("end-to-end header fields reach the replica, hop-by-hop fields do not", "[platform]") {
   Fixture fixture(healthy_reader, healthy_writer);
   auto client = fixture.platform_client();
   client->post(platform_headers("a1", "ask") +
@@ -57,7 +55,7 @@
   }
 }
 
-TEST_CASE("what is not a request is answered and reaches no replica", "[platform]") {
+TEST_CASE("malformed and misdirected requests are answered and reach no replica", "[platform]") {
   Fixture fixture(healthy_reader, healthy_writer);
   const auto status = [&](const std::string& bytes) {
     auto client = fixture.platform_client();
@@ -75,7 +73,7 @@
   CHECK(fixture.request_count("POST", Role::kReader) == 0);
 }
 
-TEST_CASE("many requests on one connection are answered in turn", "[platform]") {
+TEST_CASE("thousands of pipelined requests are answered in order", "[platform]") {
   Fixture fixture(healthy_reader, healthy_writer);
   auto client = fixture.platform_client();
   std::string all;
@@ -87,7 +85,7 @@
 
 TEST_CASE("a broken stream ends the client's connection without the last chunk", "[platform]") {
   Fixture fixture(healthy_reader, [](FakeReplica& replica, SlotId client, const ReceivedRequest&) {
-    replica.stream_words(client, {"half"}, false);
+    replica.stream_words(client, {"half"}, StreamEnd::kOpen);
     replica.server.abort(client);
   });
   auto client = fixture.platform_client();
@@ -99,9 +97,9 @@
   CHECK(fixture.request_count("POST", Role::kWriter) == 1);  // after a first token nothing is sent again
 }
 
-TEST_CASE("a client that closes stops its stream at the replica", "[platform]") {
+TEST_CASE("a client's disconnect cancels its stream at the replica", "[platform]") {
   Fixture fixture(healthy_reader, [](FakeReplica& replica, SlotId client, const ReceivedRequest&) {
-    replica.stream_words(client, {"on and on"}, false);
+    replica.stream_words(client, {"on and on"}, StreamEnd::kOpen);
   });
   auto client = fixture.platform_client();
   client->post(platform_headers("a1", "command"), kBody);
@@ -113,9 +111,9 @@
   CHECK(fixture.engine.open_request_count() == 0);
 }
 
-TEST_CASE("a request that the module gives up on is refused at once, with Retry-After", "[platform]") {
+TEST_CASE("a request that the router rejects is answered at once, with Retry-After", "[platform]") {
   Fixture fixture(healthy_reader, [](FakeReplica& replica, SlotId client, const ReceivedRequest&) {
-    replica.respond(client, 503, {}, true);
+    replica.reject_unprocessed(client, 503);
   });
   auto client = fixture.platform_client();
   const auto begun = fixture.now;
@@ -126,8 +124,8 @@
   CHECK(fixture.now - begun < milliseconds(500));
 }
 
-TEST_CASE("an id in progress is not taken twice", "[platform]") {
-  Fixture fixture(silent, silent);
+TEST_CASE("a second request with an id in progress is rejected", "[platform]") {
+  Fixture fixture(silent_replica, silent_replica);
   auto first = fixture.platform_client(), second = fixture.platform_client();
   first->post(platform_headers("a1", "ask"), kBody);
   REQUIRE(fixture.until([&] { return fixture.request_count("POST", Role::kReader) == 1; }));
@@ -136,7 +134,7 @@
   CHECK(second->status == 409);
 }
 
-TEST_CASE("while draining, what comes is served and its connection closed", "[platform]") {
+TEST_CASE("a draining server serves new requests and closes their connections", "[platform]") {
   Fixture fixture(healthy_reader, healthy_writer);
   auto idle = fixture.platform_client(), client = fixture.platform_client();
   idle->get("/healthz");
@@ -152,7 +150,7 @@
   CHECK(fixture.until([&] { return idle->is_closed; }));
 }
 
-TEST_CASE("a client that says nothing or half a request hears an error or a close within 3 s", "[platform]") {
+TEST_CASE("a silent connection is closed and a partial request answered 408 within 3 s", "[platform]") {
   Fixture fixture(healthy_reader, healthy_writer);
   auto silent_one = fixture.platform_client(), half = fixture.platform_client(),
        late = fixture.platform_client();
@@ -171,7 +169,7 @@
   CHECK(fixture.platform.server().client_count() == 0);
 }
 
-TEST_CASE("a request that can't be read or used reaches no replica", "[platform]") {
+TEST_CASE("requests with invalid framing or headers are rejected and reach no replica", "[platform]") {
   Fixture fixture(healthy_reader, healthy_writer, kChatConfig);
   const auto [head, status] = GENERATE(table<std::string, int>({
       {platform_headers("a1", "ask") + "Transfer-Encoding: chunked\r\nContent-Length: 3\r\n", 400},
@@ -204,7 +202,7 @@
 #ifndef __SANITIZE_ADDRESS__  // the sanitizer's probes of memory need a descriptor too
 // Without a descriptor for it a client waits in the backlog; nobody else is disturbed, and it is served
 // later.
-TEST_CASE("running out of descriptors ends nothing", "[platform]") {
+TEST_CASE("a shortage of descriptors delays new clients and disturbs no others", "[platform]") {
   Fixture fixture(healthy_reader, healthy_writer);
   auto steady = fixture.platform_client();
   steady->get("/healthz");
--- a/tests/dispatcher/rate_limit_front_ends_test.cpp
+++ b/tests/dispatcher/rate_limit_front_ends_test.cpp
@@ -24,7 +24,7 @@
   const std::string headers =
       through_chat ? "Content-Type: application/json\r\n" : platform_headers(id, request_class);
   client->post(headers + more_headers,
-               prompt.empty() ? chat_body(request_class, true) : chat_body(request_class, true, prompt));
+               prompt.empty() ? chat_body(request_class, ResponseMode::kStream) : chat_body(request_class, ResponseMode::kStream, prompt));
   return client;
 }
 
@@ -108,7 +108,7 @@
         [](FakeReplica& replica, SlotId client, const FakeReplica::ReceivedRequest& seen) {
           if (seen.body.find("well") != std::string::npos) return healthy_writer(replica, client, seen);
           if (seen.body.find("cut") != std::string::npos) {
-            replica.stream_words(client, {"half"}, false);
+            replica.stream_words(client, {"half"}, StreamEnd::kOpen);
             return replica.server.abort(client);
           }
           if (seen.body.find("error") != std::string::npos) return replica.respond(client, 500);
--- a/tests/dispatcher/replica_answers_test.cpp
+++ b/tests/dispatcher/replica_answers_test.cpp
@@ -98,7 +98,7 @@
       healthy_writer, kChatConfig);
   auto client = fixture.platform_client(), chat = fixture.chat_client();
   client->post(platform_headers("a1", "ask"), kBody);
-  chat->post("", chat_body("ask", true));
+  chat->post("", chat_body("ask", ResponseMode::kStream));
   REQUIRE(fixture.until([&] { return client->is_finished() && chat->is_finished(); }));
   CHECK(client->status == 400);
   CHECK(chat->status == 400);
--- a/tests/dispatcher/settings_test.cpp
+++ b/tests/dispatcher/settings_test.cpp
@@ -133,8 +133,8 @@
   fixture.chat->adopt(
       *openai_api::parse_config({"chat.json", next}, *other()));  // keeps what its models point into
   auto client = fixture.chat_client(), old = fixture.chat_client();
-  client->post("", chat_body("more", false));
-  old->post("", chat_body("ask", false));
+  client->post("", chat_body("more", ResponseMode::kCompletion));
+  old->post("", chat_body("ask", ResponseMode::kCompletion));
   REQUIRE(fixture.until([&] { return client->is_complete && old->is_complete; }));
   CHECK(client->status == 200);
   CHECK(old->status == 404);
