--- a/tests/dispatcher/settings_test.cpp
+++ b/tests/dispatcher/settings_test.cpp
@@ -139,8 +139,8 @@
       {"chat.json", next}, *changed_settings()));  // the frontend keeps the settings that its models refer to
   const auto client = fixture.chat_client();
   const auto old = fixture.chat_client();
-  client->post("", chat_body("more", false));
-  old->post("", chat_body("ask", false));
+  client->post("", chat_body("more", ResponseMode::kCompletion));
+  old->post("", chat_body("ask", ResponseMode::kCompletion));
   REQUIRE(fixture.until([&] { return client->is_complete && old->is_complete; }));
   CHECK(client->status == 200);
   CHECK(old->status == 404);
