--- a/src/daemon/chat_address.cpp
+++ b/src/daemon/chat_address.cpp
@@ -29,7 +29,7 @@
 void ChatAddress::serve(net::UniqueFd listening) {
   listening_ = std::move(listening);
   if (pair_) {
-    if (!parts_.peer.has_predecessor()) join_pair(false);
+    if (!parts_.peer.has_predecessor()) join_pair(vrrp::StartMode::kNormal);
   } else if (parts_.chat) {
     parts_.chat->server().open(std::move(listening_));
   }
@@ -37,17 +37,17 @@
 }
 
 // VRRP decides who of the pair listens. Of two processes of one instance only one takes part.
-void ChatAddress::join_pair(bool succeeds) {
+void ChatAddress::join_pair(vrrp::StartMode mode) {
   if (!pair_ || vrrp_ || has_left_) return;
   try {
     start_vrrp();
   } catch (const std::exception& error) {
     if (!is_serving_) throw;
     parts_.log(std::string("vrrp can't speak yet: ") + error.what());
-    parts_.loop.timers().add(parts_.loop.now() + kRetryPause, [this, succeeds] { join_pair(succeeds); });
+    parts_.loop.timers().add(parts_.loop.now() + kRetryPause, [this, mode] { join_pair(mode); });
     return;
   }
-  vrrp_->start(succeeds ? vrrp::StartMode::kResumeActive : vrrp::StartMode::kNormal);
+  vrrp_->start(mode);
 }
 
 void ChatAddress::start_vrrp() {
--- a/src/daemon/chat_address.hpp
+++ b/src/daemon/chat_address.hpp
@@ -24,8 +24,8 @@
   void serve(net::UniqueFd listening);
   [[nodiscard]] bool is_paired() const { return pair_.has_value(); }
   // Joins the pair, if there is one and this process has not yet. Tried again where the socket is still
-  // taken. `succeeds`: the process before this one was the active member.
-  void join_pair(bool succeeds);
+  // taken.
+  void join_pair(vrrp::StartMode mode);
   // The process ends: the other of the pair takes over at once, or the process that replaces this one does.
   void leave_pair();
 
--- a/src/daemon/config.cpp
+++ b/src/daemon/config.cpp
@@ -90,9 +90,9 @@
 constexpr int kConnectsPerAttempt = 4;
 
 void add_all(std::vector<Finding>& findings, std::vector<Finding> more) {
-  for (Finding& f : more) {
-    f.field = "settings." + f.field;
-    findings.push_back(std::move(f));
+  for (Finding& finding : more) {
+    finding.field.insert(0, "settings.");
+    findings.push_back(std::move(finding));
   }
 }
 
@@ -197,7 +197,7 @@
   if (const Json* known = member(object, "known")) config.known = read_known(*known, findings);
   std::vector<std::string> lines = dispatcher::settings::format_report(file, source, findings);
   if (std::any_of(findings.begin(), findings.end(),
-                  [](const Finding& f) { return f.severity == Severity::kError; }))
+                  [](const Finding& finding) { return finding.severity == Severity::kError; }))
     throw ConfigError(lines);
   config.warnings = std::move(lines);
   return config;
@@ -224,7 +224,9 @@
   }
   if (!before.is_object()) return;
   for (const auto& [key, value] : before.items()) {
-    const std::string name = path.empty() ? key : path + "." + key;
+    std::string name = path;
+    if (!name.empty()) name += '.';
+    name += key;
     if (!after.is_object() || !after.contains(key)) throw ConfigError("field '" + name + "' is missing");
     check_keys(value, after.at(key), name);
   }
--- a/src/daemon/config.hpp
+++ b/src/daemon/config.hpp
@@ -23,6 +23,7 @@
   [[nodiscard]] std::vector<std::string> lines() const;
 };
 
+// A configuration as read and checked.
 struct Config {
   std::string name;
   net::tcp::endpoint listen, discovery;
--- /dev/null
+++ b/src/daemon/config_commands.hpp
@@ -0,0 +1,24 @@
+// `llm-dispatcher check-config` and `show-config`: what a configuration says, without serving by it.
+#ifndef DISPATCHER_DAEMON_CONFIG_COMMANDS_HPP_
+#define DISPATCHER_DAEMON_CONFIG_COMMANDS_HPP_
+
+#include <iosfwd>
+#include <optional>
+
+#include "cue/syntax.hpp"
+#include "daemon/config.hpp"
+#include "daemon/feature_files.hpp"
+
+namespace dispatcher::daemon {
+
+// Checks the files against the configuration and prints a summary. Throws ConfigError or cue::Errors where a
+// file is bad.
+void check_config(const Config& config, const FeatureFiles& files, std::ostream& out);
+
+// Prints the configuration as it is understood, and this instance's part of the limits of `rules`, if given.
+// Throws cue::Errors where that file is bad.
+void show_config(const Config& config, const std::optional<cue::File>& rules, std::ostream& out);
+
+}  // namespace dispatcher::daemon
+
+#endif  // DISPATCHER_DAEMON_CONFIG_COMMANDS_HPP_
--- a/src/daemon/dispatcher.cpp
+++ b/src/daemon/dispatcher.cpp
@@ -18,7 +18,7 @@
 
 }  // namespace
 
-Dispatcher::Dispatcher(Loop& loop, const Config& config, const FeatureFiles& files, engine::Log log,
+Dispatcher::Dispatcher(Loop& loop, const Config& config, const FeatureFiles& files, const engine::Log& log,
                        ConfigurationReloader::ReadFiles read_files)
     : parts_(loop, config, files, log, callbacks()),
       chat_address_(parts_, files.vrrp),
@@ -120,13 +120,14 @@
 }
 
 void Dispatcher::on_vrrp_left(bool was_active) {
-  if (is_serving_) chat_address_.join_pair(was_active);
+  if (is_serving_)
+    chat_address_.join_pair(was_active ? vrrp::StartMode::kResumeActive : vrrp::StartMode::kNormal);
 }
 
 void Dispatcher::on_peers_changed() {
   parts_.apply_resource_limits();
   if (!parts_.peer.has_peer()) parts_.engine.on_peer_disconnected();
-  if (!parts_.peer.has_predecessor() && is_serving_) chat_address_.join_pair(false);
+  if (!parts_.peer.has_predecessor() && is_serving_) chat_address_.join_pair(vrrp::StartMode::kNormal);
   if (is_draining_ && parts_.peer.is_successor_serving()) stop_accepting();
 }
 
--- a/src/daemon/dispatcher.hpp
+++ b/src/daemon/dispatcher.hpp
@@ -20,7 +20,7 @@
 class Dispatcher : private hot_restart::HotRestartPeer::Owner {
  public:
   // `read_files`: what SIGHUP reads anew. Throws ConfigError or cue::Errors where a file is bad.
-  Dispatcher(Loop& loop, const Config& config, const FeatureFiles& files, engine::Log log,
+  Dispatcher(Loop& loop, const Config& config, const FeatureFiles& files, const engine::Log& log,
              ConfigurationReloader::ReadFiles read_files = {});
 
   // Looks for a process to take over from, then serves. Throws where the admin address can't be listened at.
--- a/src/daemon/loop.hpp
+++ b/src/daemon/loop.hpp
@@ -10,6 +10,7 @@
 
 namespace dispatcher::daemon {
 
+// Runs everything of one process, on the thread that calls run(). Owns the timer queue.
 class Loop {
  public:
   Loop() : timer_(io_), anchor_(system_now() - steady_now()) {
--- a/src/daemon/resource_limits.cpp
+++ b/src/daemon/resource_limits.cpp
@@ -17,7 +17,7 @@
 // Of the descriptors that are left for connections.
 constexpr std::size_t kEndpointPercent = 46;
 constexpr std::size_t kClientPercent = 54;
-constexpr std::size_t kBytesPerMegabyte = 1024 * 1024;
+constexpr std::size_t kBytesPerMegabyte = std::size_t{1024} * 1024;
 // Of the memory, for request bodies. A body stands in memory up to three times: as it came, to be sent again,
 // and on its way out.
 constexpr std::size_t kBodyMemoryDivisor = 8;
--- a/src/daemon/rules_command.cpp
+++ b/src/daemon/rules_command.cpp
@@ -4,6 +4,7 @@
 #include <chrono>
 #include <cmath>
 #include <iomanip>
+#include <numeric>
 #include <ostream>
 #include <random>
 
@@ -28,14 +29,14 @@
   }
 
  private:
-  void collect(const expression::Node& n, int field) {
-    if (n.op == expression::Op::kField) return;
-    for (const expression::Node& kid : n.children) {
-      if (kid.op == expression::Op::kField) field = static_cast<int>(kid.integer);
+  void collect(const expression::Node& node, int field) {
+    if (node.op == expression::Op::kField) return;
+    for (const expression::Node& child : node.children) {
+      if (child.op == expression::Op::kField) field = static_cast<int>(child.integer);
     }
-    if (n.op == expression::Op::kLiteral && n.type.kind == expression::Kind::kString && field >= 0)
-      by_field_[static_cast<std::size_t>(field)].push_back(n.text);
-    for (const expression::Node& kid : n.children) collect(kid, field);
+    if (node.op == expression::Op::kLiteral && node.type.kind == expression::Kind::kString && field >= 0)
+      by_field_[static_cast<std::size_t>(field)].push_back(node.text);
+    for (const expression::Node& child : node.children) collect(child, field);
   }
   std::vector<std::vector<std::string>> by_field_;
 };
@@ -44,12 +45,72 @@
                                     std::ostream& errors) {
   try {
     return RuleSet::read(file, names);
-  } catch (const cue::Errors& e) {
-    errors << e.what() << "\n";
+  } catch (const cue::Errors& error) {
+    errors << error.what() << "\n";
     return nullptr;
   }
 }
 
+// Draws a request made of the values that the rules ask for, and a few others.
+rate_limit::RequestAttributes draw_request(const RuleSet& rules, const Values& values,
+                                           std::mt19937_64& random) {
+  constexpr std::size_t kHeaderFields = rate_limit::kRequestFields;  // the first one after the fixed fields
+  rate_limit::RequestAttributes attributes;
+  attributes.request_class = values.any(0, random);
+  attributes.account = values.any(1, random);
+  attributes.model = values.any(2, random);
+  attributes.session = random();
+  attributes.is_openai_api = random() % 2 == 0;
+  attributes.prompt_tokens = static_cast<std::int64_t>(random() % 32'768);
+  attributes.time_left_ms = static_cast<std::int64_t>(random() % 10'000);
+  for (std::size_t i = 0; i < rules.headers().size(); ++i) {
+    const bool is_absent = random() % 2 == 0;
+    attributes.headers.push_back(
+        is_absent ? std::nullopt : std::optional<std::string_view>(values.any(kHeaderFields + i, random)));
+  }
+  return attributes;
+}
+
+struct Measurement {
+  std::vector<float> times_ns;  // of each decision, ascending
+  std::size_t matched = 0;      // requests that met a rule
+
+  [[nodiscard]] float quantile(double share) const {
+    return times_ns[static_cast<std::size_t>(share * static_cast<double>(times_ns.size() - 1))];
+  }
+  [[nodiscard]] double mean_ns() const {
+    return std::accumulate(times_ns.begin(), times_ns.end(), 0.0) / static_cast<double>(times_ns.size());
+  }
+};
+
+Measurement measure(const RuleSet& rules, std::size_t requests) {
+  const Values values(rules);
+  std::mt19937_64 random(1);
+  expression::Scratch scratch;
+  rules.reserve(scratch);
+  Measurement measurement;
+  measurement.times_ns.reserve(requests);
+  for (std::size_t i = 0; i < requests; ++i) {
+    const rate_limit::RequestAttributes attributes = draw_request(rules, values, random);
+    const auto begin = std::chrono::steady_clock::now();
+    const rate_limit::Decision decision = rules.decide(attributes, scratch);
+    const auto end = std::chrono::steady_clock::now();
+    measurement.times_ns.push_back(std::chrono::duration<float, std::nano>(end - begin).count());
+    if (decision.rule) ++measurement.matched;
+  }
+  std::sort(measurement.times_ns.begin(), measurement.times_ns.end());
+  return measurement;
+}
+
+void print(const Measurement& measurement, const RuleSet& rules, std::ostream& out) {
+  out << measurement.times_ns.size() << " requests, " << measurement.matched << " matched a rule of "
+      << rules.rules().size() << "\n"
+      << std::fixed << std::setprecision(0) << "mean " << measurement.mean_ns() << " ns, median "
+      << measurement.quantile(0.5) << ", p99 " << measurement.quantile(0.99) << ", p99.9 "
+      << measurement.quantile(0.999) << ", most " << measurement.times_ns.back() << "; computed worst "
+      << rules.worst_ns() << "\n";
+}
+
 }  // namespace
 
 int rules_check(const std::vector<cue::File>& files, const rate_limit::Vocabulary& names, bool costs,
@@ -61,8 +122,8 @@
       status = 1;
       continue;
     }
-    for (const cue::Problem& p : rate_limit::warnings(*rules))
-      out << "warning: " << cue::to_text(file.name, p) << "\n";
+    for (const cue::Problem& problem : rate_limit::warnings(*rules))
+      out << "warning: " << cue::to_text(file.name, problem) << "\n";
     out << file.name << ": ok, " << rules->rules().size() << " rules, at most "
         << std::llround(rules->worst_ns()) << " ns a request (budget " << std::llround(rules->budget_ns())
         << ")\n";
@@ -80,8 +141,8 @@
   try {
     const auto sample = rate_limit::read_sample(request, *rules);
     for (const std::string& line : rate_limit::explain(*rules, sample->attributes)) out << line << "\n";
-  } catch (const cue::Errors& e) {
-    errors << e.what() << "\n";
+  } catch (const cue::Errors& error) {
+    errors << error.what() << "\n";
     return 1;
   }
   return 0;
@@ -91,43 +152,8 @@
                 std::ostream& out, std::ostream& errors) {
   const auto rules = load(file, names, errors);
   if (rules == nullptr) return 1;
-  constexpr std::size_t kFixed = rate_limit::kRequestFields;  // fields before the headers
-  const Values values(*rules);
-  std::mt19937_64 random(1);
-  expression::Scratch scratch;
-  rules->reserve(scratch);
-  std::vector<float> times;
-  times.reserve(requests);
-  std::size_t matched = 0;
-  for (std::size_t n = 0; n < requests; ++n) {
-    rate_limit::RequestAttributes facts;
-    facts.request_class = values.any(0, random);
-    facts.account = values.any(1, random);
-    facts.model = values.any(2, random);
-    facts.session = random();
-    facts.is_openai_api = random() % 2 == 0;
-    facts.prompt_tokens = static_cast<std::int64_t>(random() % 32'768);
-    facts.time_left_ms = static_cast<std::int64_t>(random() % 10'000);
-    for (std::size_t h = 0; h < rules->headers().size(); ++h)
-      facts.headers.push_back(
-          random() % 2 == 0 ? std::nullopt : std::optional<std::string_view>(values.any(kFixed + h, random)));
-    const auto begin = std::chrono::steady_clock::now();
-    const rate_limit::Decision decision = rules->decide(facts, scratch);
-    times.push_back(
-        std::chrono::duration<float, std::nano>(std::chrono::steady_clock::now() - begin).count());
-    matched += decision.rule ? 1 : 0;
-  }
-  if (times.empty()) return 0;
-  double sum = 0;
-  for (const float t : times) sum += t;
-  std::sort(times.begin(), times.end());
-  const auto part = [&](double p) {
-    return times[static_cast<std::size_t>(p * static_cast<double>(times.size() - 1))];
-  };
-  out << requests << " requests, " << matched << " matched a rule of " << rules->rules().size() << "\n"
-      << std::fixed << std::setprecision(0) << "mean " << sum / static_cast<double>(times.size())
-      << " ns, median " << part(0.5) << ", p99 " << part(0.99) << ", p99.9 " << part(0.999) << ", most "
-      << times.back() << "; computed worst " << rules->worst_ns() << "\n";
+  if (requests == 0) return 0;
+  print(measure(*rules, requests), *rules, out);
   return 0;
 }
 
