--- a/fuzz/run.sh
+++ b/fuzz/run.sh
@@ -4,7 +4,8 @@
 set -euo pipefail
 cd "$(dirname "$0")/.."
 inputs=${1:-20000}
-cmake -B build-fuzz -DCMAKE_CXX_COMPILER=clang++-14 -DCMAKE_BUILD_TYPE=RelWithDebInfo -DDISPATCHER_FUZZ=ON >/dev/null
+cmake -B build-fuzz -DCMAKE_CXX_COMPILER=clang++-14 -DCMAKE_BUILD_TYPE=RelWithDebInfo -DDISPATCHER_FUZZ=ON \
+  -DCMAKE_EXPORT_COMPILE_COMMANDS=ON >/dev/null
 cmake --build build-fuzz -j"$(nproc)" --target cue_fuzz expression_fuzz gossip_fuzz
 for target in cue expression gossip; do
   mkdir -p "build-fuzz/found-$target"
