--- a/adapter/action_encoder.cpp
+++ b/adapter/action_encoder.cpp
@@ -20,36 +20,36 @@
   explicit ReplyWriter(Json& reply) : reply_(reply) {}
 
   const char* operator()(const routing::StartAttempt& action) const {
-    reply_[fields::kRequest] = action.request;
-    reply_[fields::kEndpoint] = action.endpoint;
+    reply_[fields::kRequest] = action.request.value();
+    reply_[fields::kEndpoint] = action.endpoint.value();
     if (action.deadline != routing::Time{}) reply_[fields::kDeadline] = milliseconds_of(action.deadline);
     return replies::kStartAttempt;
   }
   const char* operator()(const routing::CancelAttempt& action) const {
-    reply_[fields::kRequest] = action.request;
+    reply_[fields::kRequest] = action.request.value();
     reply_[fields::kAttempt] = action.attempt;
     return replies::kCancelAttempt;
   }
   const char* operator()(const routing::Reject& action) const {
-    reply_[fields::kRequest] = action.request;
+    reply_[fields::kRequest] = action.request.value();
     if (action.retry_after) reply_[fields::kRetryAfter] = milliseconds_of(*action.retry_after);
     return replies::kReject;
   }
   const char* operator()(const routing::Fail& action) const {
-    reply_[fields::kRequest] = action.request;
+    reply_[fields::kRequest] = action.request.value();
     return replies::kFail;
   }
   const char* operator()(const routing::MigrateStream& action) const {
-    reply_[fields::kRequest] = action.request;
+    reply_[fields::kRequest] = action.request.value();
     return replies::kMigrateStream;
   }
   const char* operator()(const routing::ReserveSlot& action) const {
-    reply_[fields::kRequest] = action.request;
-    reply_[fields::kEndpoint] = action.endpoint;
+    reply_[fields::kRequest] = action.request.value();
+    reply_[fields::kEndpoint] = action.endpoint.value();
     return replies::kReserveSlot;
   }
   const char* operator()(const routing::ReleaseReservation& action) const {
-    reply_[fields::kRequest] = action.request;
+    reply_[fields::kRequest] = action.request.value();
     return replies::kReleaseReservation;
   }
   const char* operator()(const routing::SetTimer& action) const {
--- a/include/routing/actions.hpp
+++ b/include/routing/actions.hpp
@@ -7,6 +7,7 @@
 #include <string>
 #include <variant>
 
+#include "routing/identifiers.hpp"
 #include "routing/settings.hpp"
 
 namespace dispatcher::routing {
@@ -14,41 +15,43 @@
 // Sends a request to an endpoint. Attempts of a request are numbered from 0 in the order sent; the dispatcher
 // ends one that is not complete at its deadline (kTimeout).
 struct StartAttempt {
-  std::string request, endpoint;
+  RequestId request;
+  EndpointId endpoint;
   Time deadline{};
   Time connect_by{};  // for dispatchers on sockets: a connection not made by then has failed; zero: no limit
 };
 
 // Cancels an attempt that is in flight; its AttemptCompleted still comes.
 struct CancelAttempt {
-  std::string request;
+  RequestId request;
   int attempt{};
 };
 
 // Final answer: the request had no effect, retrying is harmless.
 struct Reject {
-  std::string request;
+  RequestId request;
   std::optional<Duration> retry_after;
 };
 
 // Final answer: the request failed and may have had effects.
 struct Fail {
-  std::string request;
+  RequestId request;
 };
 
 // Ends a running stream in good order; its client returns and continues elsewhere.
 struct MigrateStream {
-  std::string request;
+  RequestId request;
 };
 
 // Reserves a slot for the request at a writer while its prompt is being read.
 struct ReserveSlot {
-  std::string request, endpoint;
+  RequestId request;
+  EndpointId endpoint;
 };
 
 // Releases all that is reserved for the request.
 struct ReleaseReservation {
-  std::string request;
+  RequestId request;
 };
 
 // Asks for TimerExpired{tag} in the first batch of events after this time.
--- a/include/routing/events.hpp
+++ b/include/routing/events.hpp
@@ -10,6 +10,7 @@
 #include <variant>
 #include <vector>
 
+#include "routing/identifiers.hpp"
 #include "routing/settings.hpp"
 
 namespace dispatcher::routing {
@@ -44,7 +45,8 @@
 
 // One endpoint as service discovery describes it.
 struct EndpointInfo {
-  std::string endpoint, zone, kind;
+  EndpointId endpoint;
+  std::string zone, kind;
   int cell{};  // endpoints of one zone and cell share a fast network
   EndpointState state{};
   double weight{};  // see Settings::weights
@@ -60,7 +62,8 @@
 // A request that the router now owes exactly one final answer. A known id is ignored; an unknown class is
 // answered with Fail at once. The answer comes by client_deadline if timers are delivered on time.
 struct Request {
-  std::string id, request_class, tenant;
+  RequestId id;
+  std::string request_class, tenant;
   std::uint64_t session{}, shared_prefix{};  // zero: none
   int prompt_tokens{}, prefix_tokens{}, max_tokens{};
   Time client_deadline{};
@@ -76,7 +79,8 @@
 // The end of an attempt: exactly one for each StartAttempt. `finished`: the request got its final answer with
 // this result or before.
 struct AttemptCompleted {
-  std::string request, endpoint;
+  RequestId request;
+  EndpointId endpoint;
   int attempt{};
   AttemptStatus status{};
   Duration elapsed{};  // since the attempt was sent
@@ -88,20 +92,22 @@
 
 // The first token of an attempt's answer arrived.
 struct FirstToken {
-  std::string request, endpoint;
+  RequestId request;
+  EndpointId endpoint;
   int attempt{};
   Duration elapsed{};  // since the attempt was sent
 };
 
 // The result of a ReserveSlot action.
 struct ReservationResult {
-  std::string request, endpoint;
+  RequestId request;
+  EndpointId endpoint;
   bool held{};
 };
 
 // The client closed its connection: no answer is owed any more.
 struct ClientGone {
-  std::string request;
+  RequestId request;
 };
 
 // A timer set with SetTimer is due.
@@ -112,7 +118,7 @@
 // Operators take an endpoint out of service or put it back; this takes precedence over every endpoint list.
 // An offline endpoint gets nothing new, also after it left the list and returned. Repeats change nothing.
 struct AdministrativeDrain {
-  std::string endpoint;
+  EndpointId endpoint;
   bool offline{};
 };
 
@@ -126,7 +132,7 @@
 struct LearnedState {
   // An endpoint that is warming up.
   struct EndpointHistory {
-    std::string endpoint;
+    EndpointId endpoint;
     std::vector<Time> sends;  // recent attempts sent to it
     Time back{};              // when operators put it back into service; zero: never
   };
@@ -139,7 +145,7 @@
 
 // During a hot restart, the other process sent a request to this endpoint: both share the slow-start budget.
 struct PeerForwarded {
-  std::string endpoint;
+  EndpointId endpoint;
 };
 
 // Other settings, for the requests from now on; each open request keeps those that it was admitted under.
--- /dev/null
+++ b/include/routing/identifiers.hpp
@@ -0,0 +1,69 @@
+/// Identifiers of endpoints and requests: text that names one thing, of a type for each kind of thing, so
+/// that the compiler tells them apart.
+#ifndef DISPATCHER_ROUTING_IDENTIFIERS_HPP_
+#define DISPATCHER_ROUTING_IDENTIFIERS_HPP_
+
+#include <compare>
+#include <concepts>
+#include <cstddef>
+#include <functional>
+#include <iosfwd>
+#include <string>
+#include <string_view>
+#include <utility>
+
+namespace dispatcher::routing {
+
+/// Text that names one thing of the kind `Tag`. Text becomes an identifier by itself, at the borders where it
+/// is parsed; an identifier becomes text by value() only, and never another kind of identifier. Compares,
+/// orders and hashes as its text does. A value type: copies share nothing.
+template <class Tag>
+class Identifier {
+ public:
+  /// Empty: names nothing.
+  Identifier() = default;
+  Identifier(std::string text) : text_(std::move(text)) {}
+  Identifier(std::string_view text) : text_(text) {}
+  Identifier(const char* text) : text_(text) {}
+
+  [[nodiscard]] const std::string& value() const { return text_; }
+  [[nodiscard]] bool empty() const { return text_.empty(); }
+
+  friend bool operator==(const Identifier&, const Identifier&) = default;
+  friend std::strong_ordering operator<=>(const Identifier&, const Identifier&) = default;
+
+  /// Compares with text without a copy of it.
+  template <std::convertible_to<std::string_view> Text>
+  friend bool operator==(const Identifier& left, const Text& right) {
+    return std::string_view(left.text_) == std::string_view(right);
+  }
+  template <std::convertible_to<std::string_view> Text>
+  friend std::strong_ordering operator<=>(const Identifier& left, const Text& right) {
+    return std::string_view(left.text_) <=> std::string_view(right);
+  }
+
+  /// Writes the text, as a failed test prints it.
+  friend std::ostream& operator<<(std::ostream& out, const Identifier& id) { return out << id.text_; }
+
+ private:
+  std::string text_;
+};
+
+/// Names an endpoint, as service discovery does.
+using EndpointId = Identifier<struct EndpointTag>;
+
+/// Names a request, as its client's message does or as its frontend draws it.
+using RequestId = Identifier<struct RequestTag>;
+
+}  // namespace dispatcher::routing
+
+/// The hash of the text. Not noexcept, as computing it is no cheap step: standard tables keep the hash of
+/// each entry then, as they do for text.
+template <class Tag>
+struct std::hash<dispatcher::routing::Identifier<Tag>> {
+  [[nodiscard]] std::size_t operator()(const dispatcher::routing::Identifier<Tag>& id) const {
+    return std::hash<std::string>()(id.value());
+  }
+};
+
+#endif  // DISPATCHER_ROUTING_IDENTIFIERS_HPP_
--- a/src/admin/admin_server.cpp
+++ b/src/admin/admin_server.cpp
@@ -63,10 +63,10 @@
   respond_json(client, is_ready ? 200 : 503, {{"ready", is_ready}});
 }
 
-void AdminServer::handle_endpoint(net::SlotId client, const std::string& endpoint, bool is_drained) {
+void AdminServer::handle_endpoint(net::SlotId client, const engine::EndpointId& endpoint, bool is_drained) {
   if (!callbacks_.set_endpoint_drained(endpoint, is_drained))
     return respond_not_found(client, "no such replica");
-  respond_json(client, 200, {{"replica", endpoint}, {"state", is_drained ? "offline" : "online"}});
+  respond_json(client, 200, {{"replica", endpoint.value()}, {"state", is_drained ? "offline" : "online"}});
 }
 
 void AdminServer::handle_level(net::SlotId client, std::string_view method, std::string_view path) {
--- a/src/admin/endpoint_command.hpp
+++ b/src/admin/endpoint_command.hpp
@@ -3,14 +3,15 @@
 #define DISPATCHER_ADMIN_ENDPOINT_COMMAND_HPP_
 
 #include <optional>
-#include <string>
 #include <string_view>
 
+#include "engine/interfaces.hpp"
+
 namespace dispatcher::admin {
 
 /// Takes an endpoint out of service or back into it.
 struct EndpointCommand {
-  std::string endpoint;
+  engine::EndpointId endpoint;
   /// true: drain the endpoint ("offline"); false: return it to service ("online").
   bool is_drained = false;
 };
--- a/src/daemon/components.hpp
+++ b/src/daemon/components.hpp
@@ -30,9 +30,10 @@
 
 // What the parts tell their owner. All are called on the event loop thread, once it runs.
 struct ComponentCallbacks {
-  std::function<void(const service_discovery::EndpointSnapshot&)> on_endpoints;   // a list, or a change of it
-  std::function<bool()> is_ready;                                                 // for GET /control/ready
-  std::function<bool(const std::string& endpoint, bool offline)> drain_endpoint;  // false: unknown endpoint
+  std::function<void(const service_discovery::EndpointSnapshot&)> on_endpoints;  // a list, or a change of it
+  std::function<bool()> is_ready;                                                // for GET /control/ready
+  // False: unknown endpoint.
+  std::function<bool(const routing::EndpointId& endpoint, bool offline)> drain_endpoint;
   hot_restart::HotRestartPeer::Owner& hot_restart_owner;
 };
 
--- a/src/daemon/dispatcher.cpp
+++ b/src/daemon/dispatcher.cpp
@@ -29,10 +29,11 @@
 }
 
 ComponentCallbacks Dispatcher::callbacks() {
-  return {[this](const service_discovery::EndpointSnapshot& snapshot) { parts_.update_endpoints(snapshot); },
-          [this] { return is_ready(); },
-          [this](const std::string& endpoint, bool offline) { return drain_endpoint(endpoint, offline); },
-          *this};
+  return {
+      [this](const service_discovery::EndpointSnapshot& snapshot) { parts_.update_endpoints(snapshot); },
+      [this] { return is_ready(); },
+      [this](const routing::EndpointId& endpoint, bool offline) { return drain_endpoint(endpoint, offline); },
+      *this};
 }
 
 void Dispatcher::start() {
@@ -65,7 +66,7 @@
   restore_endpoint_list(handover.endpoint_list);
   parts_.engine.restore_learned_state(handover.learned_state);
   parts_.levels.restore(handover.degradation_level);
-  for (const std::string& id : handover.open_request_ids)
+  for (const routing::RequestId& id : handover.open_request_ids)
     parts_.engine.on_peer_request_progress(id, engine::RequestProgress::kInProgress);
   parts_.watch.start(parts_.endpoints.version);
   parts_.platform.server().open(std::move(handover.listening_sockets["platform"]));
@@ -80,8 +81,8 @@
 
 void Dispatcher::restore_drained_endpoints() {
   parts_.drained_endpoints.load();
-  for (const std::string& endpoint : parts_.drained_endpoints.endpoints()) {
-    parts_.log("operators: host " + endpoint + " still offline");
+  for (const routing::EndpointId& endpoint : parts_.drained_endpoints.endpoints()) {
+    parts_.log("operators: host " + endpoint.value() + " still offline");
     apply_drain(endpoint, true);
   }
 }
@@ -136,22 +137,22 @@
   return parts_.platform.server().is_open() && !is_draining_ && parts_.engine.endpoint_count() > 0;
 }
 
-bool Dispatcher::drain_endpoint(const std::string& endpoint, bool offline) {
+bool Dispatcher::drain_endpoint(const routing::EndpointId& endpoint, bool offline) {
   if (!parts_.engine.is_known_endpoint(endpoint) && !parts_.drained_endpoints.contains(endpoint))
     return false;
   change_drain(endpoint, offline);
   return true;
 }
 
-void Dispatcher::change_drain(const std::string& endpoint, bool offline) {
+void Dispatcher::change_drain(const routing::EndpointId& endpoint, bool offline) {
   if (!parts_.drained_endpoints.set_drained(endpoint, offline)) return;
-  parts_.log("operators: host " + endpoint + (offline ? " offline" : " online"));
+  parts_.log("operators: host " + endpoint.value() + (offline ? " offline" : " online"));
   apply_drain(endpoint, offline);
   parts_.peer.notify_endpoint_drained(endpoint, offline);
 }
 
 // The router hears of it first: what the pool gives back then goes elsewhere.
-void Dispatcher::apply_drain(const std::string& endpoint, bool offline) {
+void Dispatcher::apply_drain(const routing::EndpointId& endpoint, bool offline) {
   parts_.engine.set_administrative_drain(endpoint, offline);
   parts_.pool.set_administratively_drained(endpoint, offline);
 }
--- a/src/daemon/dispatcher.hpp
+++ b/src/daemon/dispatcher.hpp
@@ -39,18 +39,18 @@
   // hot_restart::HotRestartPeer::Owner
   hot_restart::Json endpoint_list() override { return service_discovery::to_json(parts_.endpoints); }
   std::map<std::string, int> listening_sockets() override;
-  std::vector<std::string> open_request_ids() override { return parts_.engine.open_request_ids(); }
+  std::vector<routing::RequestId> open_request_ids() override { return parts_.engine.open_request_ids(); }
   routing::LearnedState learned_state() override { return parts_.engine.learned_state(); }
   hot_restart::Json degradation_level() override { return parts_.levels.status(); }
   void on_handover(hot_restart::HandoverState handover) override;
-  void on_endpoint_drained(const std::string& endpoint, bool offline) override {
+  void on_endpoint_drained(const routing::EndpointId& endpoint, bool offline) override {
     change_drain(endpoint, offline);
   }
-  void on_peer_request(const std::string& id, bool open) override {
+  void on_peer_request(const routing::RequestId& id, bool open) override {
     parts_.engine.on_peer_request_progress(
         id, open ? engine::RequestProgress::kInProgress : engine::RequestProgress::kCompleted);
   }
-  void on_peer_forwarded(const std::string& endpoint) override {
+  void on_peer_forwarded(const routing::EndpointId& endpoint) override {
     parts_.engine.on_peer_attempt_started(endpoint);
   }
   void on_stream(const hot_restart::StreamTransfer& stream, net::UniqueFd client_socket,
@@ -65,9 +65,9 @@
   void restore_endpoint_list(const hot_restart::Json& handed_over);
   void tick_levels();
   [[nodiscard]] bool is_ready();
-  [[nodiscard]] bool drain_endpoint(const std::string& endpoint, bool offline);
-  void change_drain(const std::string& endpoint, bool offline);
-  void apply_drain(const std::string& endpoint, bool offline);
+  [[nodiscard]] bool drain_endpoint(const routing::EndpointId& endpoint, bool offline);
+  void change_drain(const routing::EndpointId& endpoint, bool offline);
+  void apply_drain(const routing::EndpointId& endpoint, bool offline);
   void stop_accepting();
   void finish_draining();
   [[nodiscard]] bool is_work_left();
--- a/src/degradation/signals.hpp
+++ b/src/degradation/signals.hpp
@@ -63,7 +63,7 @@
   std::map<std::string, routing::Role> roles_by_kind_;
   std::map<std::string, double> quotas_;  // requests a second that this dispatcher's part allows, by account
   std::vector<std::string> classes_;
-  std::map<std::string, Endpoint> endpoints_;
+  std::map<routing::EndpointId, Endpoint> endpoints_;
   std::map<ZoneRole, RecentMaximum> ready_maxima_;
   std::map<std::string, WindowedRatio> late_;      // by class
   std::map<std::string, WindowedRatio> arrivals_;  // by account
--- a/src/engine/active_request.hpp
+++ b/src/engine/active_request.hpp
@@ -17,7 +17,7 @@
 
 /// One attempt of a request at one endpoint.
 struct Attempt {
-  std::string endpoint;
+  EndpointId endpoint;
   Time started{};
   bool is_active = true;
   bool at_reader = false;  ///< the endpoint is a reader, which may hold a state for the request
@@ -28,7 +28,8 @@
 struct ActiveRequest {
   ResponseSink* sink = nullptr;
   SlotId client;  ///< the sink's handle
-  std::string id, request_class;
+  RequestId id;
+  std::string request_class;
   Time first_token_objective{};
   SettingsSnapshot settings;                       ///< as they were when the request arrived
   std::shared_ptr<const UpstreamRequest> message;  ///< until the stream starts: no attempt is made after that
--- a/src/engine/attempt_manager.cpp
+++ b/src/engine/attempt_manager.cpp
@@ -131,7 +131,8 @@
   if (status == AttemptStatus::kServed) {
     request.sink->finish_stream(request.client);
   } else {
-    context_.log("stream " + request.id + " broke at endpoint " + request.attempt(id.number).endpoint);
+    context_.log("stream " + request.id.value() + " broke at endpoint " +
+                 request.attempt(id.number).endpoint.value());
     request.sink->abort_stream(request.client);
   }
   return status;
--- a/src/engine/endpoint_roles.cpp
+++ b/src/engine/endpoint_roles.cpp
@@ -27,18 +27,18 @@
   }
 }
 
-void EndpointRoles::remember_removed(const std::string& endpoint) {
+void EndpointRoles::remember_removed(const routing::EndpointId& endpoint) {
   std::erase(removed_, endpoint);
   removed_.push_back(endpoint);
   if (removed_.size() > kMaxRemovedEndpoints) removed_.pop_front();
 }
 
-bool EndpointRoles::is_known(const std::string& endpoint) const {
+bool EndpointRoles::is_known(const routing::EndpointId& endpoint) const {
   if (roles_.contains(endpoint)) return true;
   return std::find(removed_.begin(), removed_.end(), endpoint) != removed_.end();
 }
 
-bool EndpointRoles::is_reader(const std::string& endpoint) const {
+bool EndpointRoles::is_reader(const routing::EndpointId& endpoint) const {
   const auto it = roles_.find(endpoint);
   return it != roles_.end() && it->second == routing::Role::kReader;
 }
--- a/src/engine/endpoint_roles.hpp
+++ b/src/engine/endpoint_roles.hpp
@@ -18,16 +18,16 @@
   void update(const routing::EndpointList& list, const routing::Settings& settings);
 
   /// Whether a list names the endpoint, or did so lately: one that was removed may return.
-  [[nodiscard]] bool is_known(const std::string& endpoint) const;
-  [[nodiscard]] bool is_reader(const std::string& endpoint) const;
+  [[nodiscard]] bool is_known(const routing::EndpointId& endpoint) const;
+  [[nodiscard]] bool is_reader(const routing::EndpointId& endpoint) const;
   /// The number of endpoints that the list names now.
   [[nodiscard]] std::size_t size() const { return roles_.size(); }
 
  private:
-  void remember_removed(const std::string& endpoint);
+  void remember_removed(const routing::EndpointId& endpoint);
 
-  std::map<std::string, routing::Role> roles_;  // by endpoint
-  std::deque<std::string> removed_;             // the one removed last at the back
+  std::map<routing::EndpointId, routing::Role> roles_;  // by endpoint
+  std::deque<routing::EndpointId> removed_;             // the one removed last at the back
 };
 
 }  // namespace dispatcher::engine
--- a/src/engine/engine.cpp
+++ b/src/engine/engine.cpp
@@ -64,7 +64,7 @@
 void Engine::on_overdue(SlotId slot) {
   ActiveRequest* request = requests_.find(slot);
   if (request == nullptr || request->is_answered) return;
-  context_.log("request " + request->id + " overdue: failed by the engine");
+  context_.log("request " + request->id.value() + " overdue: failed by the engine");
   request->sink->fail(request->client, Failure::kDeadlineExceeded);
   requests_.mark_answered(*request);
   router_.handle(routing::ClientGone{request->id});
@@ -76,7 +76,7 @@
   if (request == nullptr || request->is_answered) return;
   requests_.mark_answered(*request);
   const std::optional<int> streaming_attempt = request->streaming_attempt;
-  const std::string id = request->id;
+  const RequestId id = request->id;
   context_.request_log.log_answered(id, "client-gone");
   attempts_.terminate_unconnected(slot);
   router_.handle(routing::ClientGone{id});
@@ -88,7 +88,7 @@
 
 void Engine::resume_stream(SlotId slot) { relay_.resume(slot); }
 
-bool Engine::is_in_progress(const std::string& id) const {
+bool Engine::is_in_progress(const RequestId& id) const {
   return requests_.contains(id) || peer_request_ids_.contains(id);
 }
 
@@ -113,9 +113,9 @@
   executor_.set_subscribe_callback(std::move(callback));
 }
 
-bool Engine::is_known_endpoint(const std::string& endpoint) const { return endpoints_.is_known(endpoint); }
+bool Engine::is_known_endpoint(const EndpointId& endpoint) const { return endpoints_.is_known(endpoint); }
 
-void Engine::set_administrative_drain(const std::string& endpoint, bool is_offline) {
+void Engine::set_administrative_drain(const EndpointId& endpoint, bool is_offline) {
   router_.handle(routing::AdministrativeDrain{endpoint, is_offline});
 }
 
@@ -131,12 +131,12 @@
 
 void Engine::release_stream(SlotId slot) { handover_.release(slot); }
 
-SlotId Engine::adopt_stream(ResponseSink& sink, SlotId client, const std::string& id,
-                            const std::string& endpoint) {
+SlotId Engine::adopt_stream(ResponseSink& sink, SlotId client, const RequestId& id,
+                            const EndpointId& endpoint) {
   return handover_.adopt(sink, client, id, endpoint, settings_);
 }
 
-void Engine::on_peer_request_progress(const std::string& id, RequestProgress progress) {
+void Engine::on_peer_request_progress(const RequestId& id, RequestProgress progress) {
   if (progress == RequestProgress::kInProgress) {
     peer_request_ids_.insert(id);
   } else {
@@ -144,7 +144,7 @@
   }
 }
 
-void Engine::on_peer_attempt_started(const std::string& endpoint) {
+void Engine::on_peer_attempt_started(const EndpointId& endpoint) {
   router_.handle(routing::PeerForwarded{endpoint});
 }
 
@@ -159,7 +159,7 @@
   if (requests_.find_active(id)) attempts_.complete(id, result);
 }
 
-void Engine::on_reservation_result(AttemptId id, const std::string& endpoint, bool is_reserved) {
+void Engine::on_reservation_result(AttemptId id, const EndpointId& endpoint, bool is_reserved) {
   const ActiveAttempt active = requests_.find_active(id);
   if (!active) return;
   router_.handle(routing::ReservationResult{active.request->id, endpoint, is_reserved});
@@ -171,7 +171,7 @@
   return active.request->sink->is_client_connected(active.request->client);
 }
 
-void Engine::on_reservation_released(const std::string& id) {
+void Engine::on_reservation_released(const RequestId& id) {
   ActiveRequest* request = requests_.find(requests_.slot_of(id));
   if (request != nullptr) request->reservations.on_release_confirmed();
 }
--- a/src/engine/engine.hpp
+++ b/src/engine/engine.hpp
@@ -52,7 +52,7 @@
   /// The client takes events again, after ResponseSink::write_events() returned false.
   void resume_stream(SlotId request);
   /// Whether a request of this id is in progress here or at the other process of a hot restart.
-  [[nodiscard]] bool is_in_progress(const std::string& id) const;
+  [[nodiscard]] bool is_in_progress(const RequestId& id) const;
   /// Whether something is still owed to the request's client.
   [[nodiscard]] bool is_unanswered(SlotId request);
 
@@ -64,10 +64,10 @@
   /// Called as the router wants the endpoint list anew.
   void set_subscribe_callback(std::function<void()> callback);
   /// Whether any list has named this endpoint, now or lately.
-  [[nodiscard]] bool is_known_endpoint(const std::string& endpoint) const;
+  [[nodiscard]] bool is_known_endpoint(const EndpointId& endpoint) const;
   [[nodiscard]] std::size_t endpoint_count() const { return endpoints_.size(); }
   /// While an operator has it offline, an endpoint gets nothing new, whatever the lists say.
-  void set_administrative_drain(const std::string& endpoint, bool is_offline);
+  void set_administrative_drain(const EndpointId& endpoint, bool is_offline);
 
   // ---- observers: optional, not owned ----
 
@@ -79,17 +79,17 @@
 
   [[nodiscard]] routing::LearnedState learned_state() const { return router_.learned_state(); }
   void restore_learned_state(const routing::LearnedState& learned_state);
-  [[nodiscard]] std::vector<std::string> open_request_ids() const { return requests_.ids(); }
+  [[nodiscard]] std::vector<RequestId> open_request_ids() const { return requests_.ids(); }
   /// The streams of a frontend that can be handed over. Each goes on at the other process with adopt_stream()
   /// there, after release_stream() here.
   [[nodiscard]] std::vector<RunningStream> running_streams(const ResponseSink& sink);
   void release_stream(SlotId request);
   /// The adopted stream's attempt has number 0.
-  [[nodiscard]] SlotId adopt_stream(ResponseSink& sink, SlotId client, const std::string& id,
-                                    const std::string& endpoint);
+  [[nodiscard]] SlotId adopt_stream(ResponseSink& sink, SlotId client, const RequestId& id,
+                                    const EndpointId& endpoint);
   /// As the other process notifies of its own requests and attempts.
-  void on_peer_request_progress(const std::string& id, RequestProgress progress);
-  void on_peer_attempt_started(const std::string& endpoint);
+  void on_peer_request_progress(const RequestId& id, RequestProgress progress);
+  void on_peer_attempt_started(const EndpointId& endpoint);
   void on_peer_disconnected() { peer_request_ids_.clear(); }
 
   // ---- called by the upstream client ----
@@ -98,11 +98,11 @@
   void on_events(AttemptId attempt, std::string_view events);
   void on_attempt_completed(AttemptId attempt, const AttemptResult& result);
   /// The answer to UpstreamClient::reserve_slot().
-  void on_reservation_result(AttemptId attempt, const std::string& endpoint, bool is_reserved);
+  void on_reservation_result(AttemptId attempt, const EndpointId& endpoint, bool is_reserved);
   /// Asked right before an attempt's first byte. One that is not needed any more completes as kNeverSent.
   [[nodiscard]] bool is_still_needed(AttemptId attempt);
   /// The replicas have confirmed UpstreamClient::release_reservation().
-  void on_reservation_released(const std::string& id);
+  void on_reservation_released(const RequestId& id);
 
   // ---- counts ----
 
@@ -125,7 +125,7 @@
   StreamRelay relay_;
   StreamHandover handover_;
   ActionExecutor executor_;
-  std::unordered_set<std::string> peer_request_ids_;  // in progress at the other process of a hot restart
+  std::unordered_set<RequestId> peer_request_ids_;  // in progress at the other process of a hot restart
 };
 
 }  // namespace dispatcher::engine
--- a/src/engine/interfaces.hpp
+++ b/src/engine/interfaces.hpp
@@ -22,6 +22,8 @@
 
 using net::SlotId;
 using routing::AttemptStatus;
+using routing::EndpointId;
+using routing::RequestId;
 
 /// Writes one line to the operators' log.
 using Log = std::function<void(std::string_view)>;
@@ -31,7 +33,8 @@
 
 /// The HTTP request that is forwarded to a replica. The engine passes it on unread.
 struct UpstreamRequest {
-  std::string id, method, target;
+  RequestId id;
+  std::string method, target;
   std::string headers;  ///< complete header lines, each with its CRLF
   std::string body;
 };
@@ -88,7 +91,7 @@
   virtual ~UpstreamClient() = default;
   /// Forwards a request to an endpoint. `connect_by`: a new connection that is not established by then has
   /// failed; zero means the usual connect timeout.
-  virtual void start_attempt(AttemptId attempt, const std::string& endpoint,
+  virtual void start_attempt(AttemptId attempt, const EndpointId& endpoint,
                              std::shared_ptr<const UpstreamRequest> message, Time deadline,
                              Time connect_by) = 0;
   /// Ends an attempt, of which nothing is reported any more. False: the replica can't have received the
@@ -98,11 +101,11 @@
   virtual void pause_reading(AttemptId attempt) = 0;
   virtual void resume_reading(AttemptId attempt) = 0;
   /// Asks a writer to reserve a slot; answered by Engine::on_reservation_result().
-  virtual void reserve_slot(AttemptId attempt, const std::string& endpoint, const std::string& id) = 0;
+  virtual void reserve_slot(AttemptId attempt, const EndpointId& endpoint, const RequestId& id) = 0;
   /// Releases all that replicas hold for a request; answered by Engine::on_reservation_released(). Until
   /// `until` an attempt may still leave a state behind, so that the release is repeated. The next attempt of
   /// the request that is written ends the release calls: they must not take its state.
-  virtual void release_reservation(const std::string& id, Time until) = 0;
+  virtual void release_reservation(const RequestId& id, Time until) = 0;
   /// Whether an active attempt has an established connection. One without can't have left any state.
   [[nodiscard]] virtual bool has_connection(AttemptId attempt) = 0;
 };
@@ -126,15 +129,16 @@
 class HotRestartObserver {
  public:
   virtual ~HotRestartObserver() = default;
-  virtual void on_request_progress(const std::string& id, RequestProgress progress) = 0;
-  virtual void on_attempt_started(const std::string& endpoint) = 0;
+  virtual void on_request_progress(const RequestId& id, RequestProgress progress) = 0;
+  virtual void on_attempt_started(const EndpointId& endpoint) = 0;
 };
 
 /// A stream that runs for a frontend's client, as it is handed over to the other process of a hot restart.
 struct RunningStream {
   SlotId request, client;
   int attempt = 0;
-  std::string id, endpoint;
+  RequestId id;
+  EndpointId endpoint;
 };
 
 }  // namespace dispatcher::engine
--- a/src/engine/request_log.cpp
+++ b/src/engine/request_log.cpp
@@ -16,8 +16,8 @@
   return text.data();
 }
 
-std::string attempt_fields(const std::string& endpoint, int attempt) {
-  return " attempt=" + std::to_string(attempt) + " host=" + endpoint;
+std::string attempt_fields(const routing::EndpointId& endpoint, int attempt) {
+  return " attempt=" + std::to_string(attempt) + " host=" + endpoint.value();
 }
 
 // The log's field `note` has one number: the cached tokens of a success, else whether there was evidence.
@@ -40,12 +40,13 @@
                         " repeat=" + (request.client_retry ? "1" : "0"));
 }
 
-void RequestLog::log_attempt_started(const std::string& id, const std::string& endpoint, int attempt) const {
+void RequestLog::log_attempt_started(const routing::RequestId& id, const routing::EndpointId& endpoint,
+                                     int attempt) const {
   if (sink_) write(id, "sent" + attempt_fields(endpoint, attempt));
 }
 
-void RequestLog::log_first_token(const std::string& id, const std::string& endpoint, int attempt,
-                                 routing::Duration elapsed) const {
+void RequestLog::log_first_token(const routing::RequestId& id, const routing::EndpointId& endpoint,
+                                 int attempt, routing::Duration elapsed) const {
   if (!sink_) return;
   write(id, "first" + attempt_fields(endpoint, attempt) + " ms=" + milliseconds_text(elapsed));
 }
@@ -62,7 +63,7 @@
   write(outcome.request, text);
 }
 
-void RequestLog::log_answered(const std::string& id, std::string_view how) const {
+void RequestLog::log_answered(const routing::RequestId& id, std::string_view how) const {
   if (sink_) write(id, "answered " + std::string(how));
 }
 
--- a/src/engine/request_log.hpp
+++ b/src/engine/request_log.hpp
@@ -21,15 +21,18 @@
   explicit RequestLog(Sink sink) : sink_(std::move(sink)) {}
 
   void log_received(const routing::Request& request, routing::Time now) const;
-  void log_attempt_started(const std::string& id, const std::string& endpoint, int attempt) const;
-  void log_first_token(const std::string& id, const std::string& endpoint, int attempt,
+  void log_attempt_started(const routing::RequestId& id, const routing::EndpointId& endpoint,
+                           int attempt) const;
+  void log_first_token(const routing::RequestId& id, const routing::EndpointId& endpoint, int attempt,
                        routing::Duration elapsed) const;
   void log_attempt_completed(const routing::AttemptCompleted& outcome) const;
   /// `how`: one word for what became of the request where it is not served.
-  void log_answered(const std::string& id, std::string_view how) const;
+  void log_answered(const routing::RequestId& id, std::string_view how) const;
 
  private:
-  void write(const std::string& id, const std::string& text) const { sink_("request " + id + " " + text); }
+  void write(const routing::RequestId& id, const std::string& text) const {
+    sink_("request " + id.value() + " " + text);
+  }
 
   Sink sink_;
 };
--- a/src/engine/request_table.cpp
+++ b/src/engine/request_table.cpp
@@ -2,7 +2,7 @@
 
 namespace dispatcher::engine {
 
-SlotId RequestTable::add(const std::string& id) {
+SlotId RequestTable::add(const RequestId& id) {
   const SlotId slot = requests_.emplace();
   requests_.find(slot)->id = id;
   slots_by_id_[id] = slot;
@@ -10,7 +10,7 @@
   return slot;
 }
 
-SlotId RequestTable::slot_of(const std::string& id) const {
+SlotId RequestTable::slot_of(const RequestId& id) const {
   const auto it = slots_by_id_.find(id);
   return it == slots_by_id_.end() ? SlotId{} : it->second;
 }
@@ -40,8 +40,8 @@
   requests_.erase(slot);
 }
 
-std::vector<std::string> RequestTable::ids() const {
-  std::vector<std::string> ids;
+std::vector<RequestId> RequestTable::ids() const {
+  std::vector<RequestId> ids;
   ids.reserve(slots_by_id_.size());
   for (const auto& [id, slot] : slots_by_id_) ids.push_back(id);
   return ids;
--- a/src/engine/request_table.hpp
+++ b/src/engine/request_table.hpp
@@ -27,11 +27,11 @@
   explicit RequestTable(EngineContext& context) : context_(context) {}
 
   /// Adds a request, unanswered. The id should not be in use; if it is, the newer request has it.
-  SlotId add(const std::string& id);
+  SlotId add(const RequestId& id);
   /// Null if there is no such request (any more).
   [[nodiscard]] ActiveRequest* find(SlotId slot) { return requests_.find(slot); }
   /// An empty handle if there is no such request.
-  [[nodiscard]] SlotId slot_of(const std::string& id) const;
+  [[nodiscard]] SlotId slot_of(const RequestId& id) const;
   [[nodiscard]] ActiveAttempt find_active(AttemptId id);
 
   /// Nothing is owed to the client any more.
@@ -39,8 +39,8 @@
   /// Removes a request that is answered, has no active attempt and no release ahead.
   void remove_if_complete(SlotId slot);
 
-  [[nodiscard]] bool contains(const std::string& id) const { return slots_by_id_.contains(id); }
-  [[nodiscard]] std::vector<std::string> ids() const;
+  [[nodiscard]] bool contains(const RequestId& id) const { return slots_by_id_.contains(id); }
+  [[nodiscard]] std::vector<RequestId> ids() const;
   [[nodiscard]] std::vector<SlotId> slots() const { return requests_.ids(); }
   [[nodiscard]] std::size_t size() const { return requests_.size(); }
   [[nodiscard]] std::size_t unanswered_count() const { return unanswered_count_; }
@@ -48,7 +48,7 @@
  private:
   EngineContext& context_;
   net::SlotTable<ActiveRequest> requests_;
-  std::unordered_map<std::string, SlotId> slots_by_id_;
+  std::unordered_map<RequestId, SlotId> slots_by_id_;
   std::size_t unanswered_count_ = 0;
 };
 
--- a/src/engine/reservation_cleanup.cpp
+++ b/src/engine/reservation_cleanup.cpp
@@ -33,7 +33,7 @@
   requests_.remove_if_complete(slot);
 }
 
-void ReservationCleanup::release_for_router(const std::string& id) {
+void ReservationCleanup::release_for_router(const RequestId& id) {
   Time may_run_until{};
   if (ActiveRequest* request = requests_.find(requests_.slot_of(id)); request != nullptr) {
     request->reservations.on_released_by_router();
--- a/src/engine/reservation_cleanup.hpp
+++ b/src/engine/reservation_cleanup.hpp
@@ -22,7 +22,7 @@
   /// take the state of that one. Attempts whose connections fail to be established postpone nothing.
   void schedule_if_needed(SlotId slot, ScheduledRelease scheduled);
   /// The router releases what it knows to be held for a request.
-  void release_for_router(const std::string& id);
+  void release_for_router(const RequestId& id);
   /// How long after the end of an attempt its reservations are released.
   [[nodiscard]] static Duration release_delay(const ActiveRequest& request);
 
--- a/src/engine/stream_handover.cpp
+++ b/src/engine/stream_handover.cpp
@@ -37,8 +37,8 @@
   requests_.remove_if_complete(slot);
 }
 
-SlotId StreamHandover::adopt(ResponseSink& sink, SlotId client, const std::string& id,
-                             const std::string& endpoint, SettingsSnapshot settings) {
+SlotId StreamHandover::adopt(ResponseSink& sink, SlotId client, const RequestId& id,
+                             const EndpointId& endpoint, SettingsSnapshot settings) {
   const SlotId slot = requests_.add(id);
   ActiveRequest& request = *requests_.find(slot);
   request.sink = &sink;
--- a/src/engine/stream_handover.hpp
+++ b/src/engine/stream_handover.hpp
@@ -24,8 +24,8 @@
   void release(SlotId slot);
   /// The stream goes on here; its attempt has number 0. The router isn't notified: it has nothing to decide
   /// for a running stream.
-  [[nodiscard]] SlotId adopt(ResponseSink& sink, SlotId client, const std::string& id,
-                             const std::string& endpoint, SettingsSnapshot settings);
+  [[nodiscard]] SlotId adopt(ResponseSink& sink, SlotId client, const RequestId& id,
+                             const EndpointId& endpoint, SettingsSnapshot settings);
 
  private:
   EngineContext& context_;
--- a/src/engine/stream_relay.cpp
+++ b/src/engine/stream_relay.cpp
@@ -64,7 +64,7 @@
 void StreamRelay::on_idle(SlotId slot) {
   const ActiveRequest* request = requests_.find(slot);
   if (request == nullptr || !request->streaming_attempt || request->is_answered) return;
-  context_.log("stream " + request->id + " idle: aborted");
+  context_.log("stream " + request->id.value() + " idle: aborted");
   attempts_.terminate({slot, *request->streaming_attempt}, AttemptStatus::kTimeout);
 }
 
--- a/src/hot_restart/drained_endpoint_store.cpp
+++ b/src/hot_restart/drained_endpoint_store.cpp
@@ -60,7 +60,7 @@
   }
 }
 
-bool DrainedEndpointStore::set_drained(const std::string& endpoint, bool drained) {
+bool DrainedEndpointStore::set_drained(const routing::EndpointId& endpoint, bool drained) {
   const bool has_changed = drained ? endpoints_.insert(endpoint).second : endpoints_.erase(endpoint) > 0;
   if (has_changed) save();
   return has_changed;
@@ -68,7 +68,9 @@
 
 void DrainedEndpointStore::save() const {
   if (path_.empty()) return;
-  const Json object{{kEndpointsKey, endpoints_}};
+  Json endpoints = Json::array();
+  for (const routing::EndpointId& endpoint : endpoints_) endpoints.push_back(endpoint.value());
+  const Json object{{kEndpointsKey, endpoints}};
   if (replace_file(object.dump(-1, ' ', false, Json::error_handler_t::replace))) return;
   log_("drained endpoints: '" + path_ + "' can't be written: a restarted process will not know of them");
 }
--- a/src/hot_restart/drained_endpoint_store.hpp
+++ b/src/hot_restart/drained_endpoint_store.hpp
@@ -17,10 +17,12 @@
   // `path` empty: nothing is stored.
   DrainedEndpointStore(std::string path, engine::Log log) : path_(std::move(path)), log_(std::move(log)) {}
   void load();
-  [[nodiscard]] const std::set<std::string>& endpoints() const { return endpoints_; }
-  [[nodiscard]] bool contains(const std::string& endpoint) const { return endpoints_.contains(endpoint); }
+  [[nodiscard]] const std::set<routing::EndpointId>& endpoints() const { return endpoints_; }
+  [[nodiscard]] bool contains(const routing::EndpointId& endpoint) const {
+    return endpoints_.contains(endpoint);
+  }
   // Takes effect also where the file can't be written, which is logged. False: nothing has changed.
-  [[nodiscard]] bool set_drained(const std::string& endpoint, bool drained);
+  [[nodiscard]] bool set_drained(const routing::EndpointId& endpoint, bool drained);
 
  private:
   void save() const;
@@ -28,7 +30,7 @@
 
   std::string path_;
   engine::Log log_;
-  std::set<std::string> endpoints_;
+  std::set<routing::EndpointId> endpoints_;
 };
 
 }  // namespace dispatcher::hot_restart
--- a/src/hot_restart/handover_messages.cpp
+++ b/src/hot_restart/handover_messages.cpp
@@ -70,14 +70,14 @@
   return value.is_boolean() && value.get<bool>();
 }
 
-std::vector<std::string> texts_member(const Json& object, const char* name) {
-  std::vector<std::string> texts;
+std::vector<routing::RequestId> request_ids_member(const Json& object, const char* name) {
+  std::vector<routing::RequestId> request_ids;
   const Json& values = member(object, name);
-  if (!values.is_array()) return texts;
+  if (!values.is_array()) return request_ids;
   for (const Json& value : values) {
-    if (value.is_string()) texts.push_back(value.get<std::string>());
+    if (value.is_string()) request_ids.emplace_back(value.get<std::string>());
   }
-  return texts;
+  return request_ids;
 }
 
 routing::Time decode_time(const Json& value) {
@@ -105,7 +105,7 @@
 Json encode_history(const LearnedState::EndpointHistory& history) {
   Json send_times = Json::array();
   for (const routing::Time sent_at : history.sends) send_times.push_back(sent_at.count());
-  return {{key::kEndpoint, history.endpoint},
+  return {{key::kEndpoint, history.endpoint.value()},
           {key::kSendTimes, send_times},
           {key::kBackSince, history.back.count()}};
 }
@@ -127,7 +127,7 @@
 Handover decode_handover(const Json& object) {
   Handover handover;
   handover.endpoint_list = member(object, key::kEndpointList);
-  handover.open_request_ids = texts_member(object, key::kOpenRequestIds);
+  handover.open_request_ids = request_ids_member(object, key::kOpenRequestIds);
   handover.learned_state = decode_learned_state(member(object, key::kLearnedState));
   handover.degradation_level = member(object, key::kDegradationLevel);
   const Json& names = member(object, key::kListenerNames);
@@ -194,27 +194,29 @@
 Json encode(const Handover& message) {
   Json object = encode_without_lists(message);
   object[key::kEndpointList] = message.endpoint_list;
-  object[key::kOpenRequestIds] = message.open_request_ids;
+  Json request_ids = Json::array();
+  for (const routing::RequestId& id : message.open_request_ids) request_ids.push_back(id.value());
+  object[key::kOpenRequestIds] = std::move(request_ids);
   return object;
 }
 
 Json encode(const SuccessorServing& /*message*/) { return {{key::kServing, true}}; }
 
 Json encode(const EndpointDrained& message) {
-  return {{key::kDrainedEndpoint, message.endpoint}, {key::kIsDrained, message.drained}};
+  return {{key::kDrainedEndpoint, message.endpoint.value()}, {key::kIsDrained, message.drained}};
 }
 
 Json encode(const RequestStatusChanged& message) {
-  return {{key::kRequest, message.id}, {key::kIsOpen, message.is_open}};
+  return {{key::kRequest, message.id.value()}, {key::kIsOpen, message.is_open}};
 }
 
-Json encode(const RequestForwarded& message) { return {{key::kForwardedTo, message.endpoint}}; }
+Json encode(const RequestForwarded& message) { return {{key::kForwardedTo, message.endpoint.value()}}; }
 
 Json encode(const StreamTransfer& message) {
   const std::vector<unsigned char> unread(message.unread.begin(), message.unread.end());
   return {{key::kStream,
-           {{key::kRequestId, message.request_id},
-            {key::kEndpoint, message.endpoint},
+           {{key::kRequestId, message.request_id.value()},
+            {key::kEndpoint, message.endpoint.value()},
             {key::kUnread, unread},
             {key::kChunkLeft, message.chunk_left},
             {key::kKeepAlive, message.keep_alive}}}};
--- a/src/hot_restart/handover_messages.hpp
+++ b/src/hot_restart/handover_messages.hpp
@@ -22,7 +22,7 @@
 // come with it, in the order of `listener_names`.
 struct Handover {
   Json endpoint_list;  // see service_discovery::to_json(); null: none
-  std::vector<std::string> open_request_ids;
+  std::vector<routing::RequestId> open_request_ids;
   routing::LearnedState learned_state;
   Json degradation_level;  // see DegradationController::level()
   std::vector<std::string> listener_names;
@@ -33,26 +33,26 @@
 
 // Operators drained an endpoint or put it back.
 struct EndpointDrained {
-  std::string endpoint;
+  routing::EndpointId endpoint;
   bool drained = false;
 };
 
 // A request was accepted or completed.
 struct RequestStatusChanged {
-  std::string id;
+  routing::RequestId id;
   bool is_open = false;
 };
 
 // A request was forwarded to an endpoint.
 struct RequestForwarded {
-  std::string endpoint;
+  routing::EndpointId endpoint;
 };
 
 // From the predecessor: a stream that goes on at the successor. The descriptors of the client's and the
 // replica's sockets come with it, in this order.
 struct StreamTransfer {
-  std::string request_id;
-  std::string endpoint;
+  routing::RequestId request_id;
+  routing::EndpointId endpoint;
   std::string unread;            // bytes of the replica's response that were received but not parsed
   std::uint64_t chunk_left = 0;  // bytes of the current chunk that are still to come
   bool keep_alive = true;        // the replica's connection may be reused
--- a/src/hot_restart/hot_restart_peer.cpp
+++ b/src/hot_restart/hot_restart_peer.cpp
@@ -154,7 +154,7 @@
   }
 }
 
-void HotRestartPeer::notify_endpoint_drained(const std::string& endpoint, bool drained) {
+void HotRestartPeer::notify_endpoint_drained(const routing::EndpointId& endpoint, bool drained) {
   broadcast(encode(EndpointDrained{endpoint, drained}));
 }
 
@@ -166,12 +166,12 @@
   successor_.channel->send(encode(stream), {client, upstream});
 }
 
-void HotRestartPeer::on_request_progress(const std::string& id, engine::RequestProgress progress) {
+void HotRestartPeer::on_request_progress(const routing::RequestId& id, engine::RequestProgress progress) {
   const bool is_open = progress == engine::RequestProgress::kInProgress;
   if (has_peer()) broadcast(encode(RequestStatusChanged{id, is_open}));
 }
 
-void HotRestartPeer::on_attempt_started(const std::string& endpoint) {
+void HotRestartPeer::on_attempt_started(const routing::EndpointId& endpoint) {
   if (has_peer()) broadcast(encode(RequestForwarded{endpoint}));
 }
 
--- a/src/hot_restart/hot_restart_peer.hpp
+++ b/src/hot_restart/hot_restart_peer.hpp
@@ -22,7 +22,7 @@
 // What the predecessor handed over; all empty where there is none.
 struct HandoverState {
   Json endpoint_list;  // see service_discovery::to_json(); null: none
-  std::vector<std::string> open_request_ids;
+  std::vector<routing::RequestId> open_request_ids;
   routing::LearnedState learned_state;
   Json degradation_level;                                  // see DegradationController::resume(); null: none
   std::map<std::string, net::UniqueFd> listening_sockets;  // by the name that the predecessor gave them
@@ -39,15 +39,15 @@
     [[nodiscard]] virtual Json endpoint_list() = 0;
     // The sockets stay the owner's: copies are sent.
     [[nodiscard]] virtual std::map<std::string, int> listening_sockets() = 0;
-    [[nodiscard]] virtual std::vector<std::string> open_request_ids() = 0;
+    [[nodiscard]] virtual std::vector<routing::RequestId> open_request_ids() = 0;
     [[nodiscard]] virtual routing::LearnedState learned_state() = 0;
     [[nodiscard]] virtual Json degradation_level() = 0;
 
     // Called once, also where there is no predecessor or it hands nothing over: with an empty state then.
     virtual void on_handover(HandoverState state) = 0;
-    virtual void on_endpoint_drained(const std::string& endpoint, bool drained) = 0;
-    virtual void on_peer_request(const std::string& id, bool is_open) = 0;
-    virtual void on_peer_forwarded(const std::string& endpoint) = 0;
+    virtual void on_endpoint_drained(const routing::EndpointId& endpoint, bool drained) = 0;
+    virtual void on_peer_request(const routing::RequestId& id, bool is_open) = 0;
+    virtual void on_peer_forwarded(const routing::EndpointId& endpoint) = 0;
     virtual void on_stream(const StreamTransfer& stream, net::UniqueFd client_socket,
                            net::UniqueFd upstream_socket) = 0;
     // The predecessor has left the VRRP group, where it was the active router or not.
@@ -74,13 +74,13 @@
   // The successor has read all. A process that ends before takes with it what it was handing over.
   [[nodiscard]] bool is_all_sent() const;
 
-  void notify_endpoint_drained(const std::string& endpoint, bool drained);
+  void notify_endpoint_drained(const routing::EndpointId& endpoint, bool drained);
   // To the successor only.
   void notify_vrrp_left(bool was_active);
   // The stream goes on at the successor, which must be serving. The sockets stay the caller's.
   void transfer_stream(const StreamTransfer& stream, int client, int upstream);
-  void on_request_progress(const std::string& id, engine::RequestProgress progress) override;
-  void on_attempt_started(const std::string& endpoint) override;
+  void on_request_progress(const routing::RequestId& id, engine::RequestProgress progress) override;
+  void on_attempt_started(const routing::EndpointId& endpoint) override;
 
  private:
   // The connection to the predecessor or to the successor.
--- a/src/http/frontend.cpp
+++ b/src/http/frontend.cpp
@@ -24,7 +24,8 @@
               context.reclaim_descriptor),
       engine_(context.engine) {}
 
-SlotId Frontend::adopt_stream(net::UniqueFd socket, const std::string& id, const std::string& endpoint) {
+SlotId Frontend::adopt_stream(net::UniqueFd socket, const engine::RequestId& id,
+                              const engine::EndpointId& endpoint) {
   const SlotId client = server_.adopt_stream(std::move(socket));
   const SlotId request = engine_.adopt_stream(*this, client, id, endpoint);
   requests_[client] = request;
--- a/src/http/frontend.hpp
+++ b/src/http/frontend.hpp
@@ -38,7 +38,7 @@
 
   /// Continues a stream that began in another process: `socket` is its client's, `id` the request's id,
   /// `endpoint` the replica it comes from. Returns the engine's handle of the request.
-  SlotId adopt_stream(net::UniqueFd socket, const std::string& id, const std::string& endpoint);
+  SlotId adopt_stream(net::UniqueFd socket, const engine::RequestId& id, const engine::EndpointId& endpoint);
   /// To be called after the client's stream was handed to another process.
   void forget_detached_stream(SlotId client) { forget_request(client); }
 
--- a/src/openai_api/frontend.cpp
+++ b/src/openai_api/frontend.cpp
@@ -52,7 +52,8 @@
   return !retry_count.empty() && retry_count != "0";
 }
 
-std::shared_ptr<const engine::UpstreamRequest> upstream_request(const std::string& id, std::string body) {
+std::shared_ptr<const engine::UpstreamRequest> upstream_request(const engine::RequestId& id,
+                                                                std::string body) {
   auto message = std::make_shared<engine::UpstreamRequest>();
   message->id = id;
   message->method = "POST";
@@ -139,7 +140,8 @@
   if (&request_class != model.request_class)
     routing.client_deadline = arrival + time_to_first_token(chat, request_class);
   const auto now = std::chrono::duration_cast<std::chrono::seconds>(clock_());
-  ResponseFormat format{"chatcmpl-" + routing.id, model.id, now.count(), chat.is_stream, chat.include_usage};
+  ResponseFormat format{"chatcmpl-" + routing.id.value(), model.id, now.count(), chat.is_stream,
+                        chat.include_usage};
   const bool is_idempotent = request_class.idempotency == routing::Idempotency::kIdempotent;
   pending_responses_.emplace(client, PendingResponse{ResponseTranslator(std::move(format)), is_idempotent});
   submit(client, routing, upstream_request(routing.id, std::move(chat.body)));
--- a/src/routing/endpoint_table.cpp
+++ b/src/routing/endpoint_table.cpp
@@ -20,8 +20,8 @@
 
 }  // namespace
 
-std::vector<std::string> EndpointTable::apply(const EndpointList& list, const Settings& settings, Time now) {
-  std::vector<std::string> restarted;
+std::vector<EndpointId> EndpointTable::apply(const EndpointList& list, const Settings& settings, Time now) {
+  std::vector<EndpointId> restarted;
   if (list.kind != ListKind::kDelta) {
     for (auto& [name, endpoint] : endpoints_) {
       endpoint.listed_state = EndpointState::kRemoved;
@@ -43,7 +43,7 @@
     endpoint.listed_state = info.state;
     endpoint.state = effective_state(endpoint);
     if (endpoint.weight <= 0) endpoint.weight = 1;
-    endpoint.name_hash = hash_text(endpoint.endpoint);
+    endpoint.name_hash = hash_text(endpoint.endpoint.value());
     endpoint.role = kind->role;
     endpoint.memory_tokens = kind->memory_tokens;
   }
@@ -74,12 +74,12 @@
   return true;
 }
 
-Endpoint* EndpointTable::find(const std::string& name) {
+Endpoint* EndpointTable::find(const EndpointId& name) {
   const auto it = endpoints_.find(name);
   return it == endpoints_.end() ? nullptr : &it->second;
 }
 
-const Endpoint* EndpointTable::find(const std::string& name) const {
+const Endpoint* EndpointTable::find(const EndpointId& name) const {
   const auto it = endpoints_.find(name);
   return it == endpoints_.end() ? nullptr : &it->second;
 }
--- a/src/routing/endpoint_table.hpp
+++ b/src/routing/endpoint_table.hpp
@@ -24,15 +24,15 @@
 // next list or drain is applied.
 class EndpointTable {
  public:
-  using Map = std::map<std::string, Endpoint>;
+  using Map = std::map<EndpointId, Endpoint>;
 
   // Returns the names of the endpoints that have restarted.
-  [[nodiscard]] std::vector<std::string> apply(const EndpointList& list, const Settings& settings, Time now);
+  [[nodiscard]] std::vector<EndpointId> apply(const EndpointList& list, const Settings& settings, Time now);
   // Returns whether this changed an endpoint that is known.
   [[nodiscard]] bool apply(const AdministrativeDrain& drain, Time now);
 
-  [[nodiscard]] Endpoint* find(const std::string& name);
-  [[nodiscard]] const Endpoint* find(const std::string& name) const;
+  [[nodiscard]] Endpoint* find(const EndpointId& name);
+  [[nodiscard]] const Endpoint* find(const EndpointId& name) const;
   [[nodiscard]] Map& entries() { return endpoints_; }
   [[nodiscard]] const Map& entries() const { return endpoints_; }
   [[nodiscard]] RoleStatistics statistics(Role role) const;
@@ -45,7 +45,7 @@
   void update_locality();
 
   Map endpoints_;
-  std::set<std::string> offline_;  // by the operators' word, whether listed or not
+  std::set<EndpointId> offline_;  // by the operators' word, whether listed or not
   double reader_count_ = 0;
 };
 
--- a/src/routing/load_shedding.cpp
+++ b/src/routing/load_shedding.cpp
@@ -79,7 +79,7 @@
   const double start_rate = static_cast<double>(starts_.size() + 1) / to_seconds(kStartWindow);
   const double capacity = start_rate * to_seconds(min_latency_objective_) *
                           (state.is_over_quota ? kOverQuotaQueueShare : kQueueShare);
-  return unit_interval(hash_text(state.request.id) ^ mix_bits(seed_)) < queue_length - capacity;
+  return unit_interval(hash_text(state.request.id.value()) ^ mix_bits(seed_)) < queue_length - capacity;
 }
 
 }  // namespace dispatcher::routing
--- a/src/routing/outlier_detection.cpp
+++ b/src/routing/outlier_detection.cpp
@@ -51,7 +51,7 @@
     const RoleStatistics role = endpoints.statistics(endpoint.role);
     const double max_ejected = std::max(1.0, role.ready * kMaxEjectedShare);
     if (role.ready < 2 || role.ejected + 1 > max_ejected) return std::nullopt;
-    log = LogMessage{"endpoint " + endpoint.endpoint + " ejected: " + describe(status)};
+    log = LogMessage{"endpoint " + endpoint.endpoint.value() + " ejected: " + describe(status)};
   }
   const Duration backoff =
       kBaseEjectionTime * (1 << std::min(endpoint.ejection_count, kMaxEjectionDoublings));
@@ -119,7 +119,7 @@
   if (!endpoint.is_ejected) return std::nullopt;
   endpoint.is_ejected = false;
   endpoint.ejection_count = 0;
-  return LogMessage{"endpoint " + endpoint.endpoint + " returned"};
+  return LogMessage{"endpoint " + endpoint.endpoint.value() + " returned"};
 }
 
 // Two failures in a row eject. While the role's endpoints hardly ever fail, the first one is enough, and so
--- a/src/routing/prefix_affinity.cpp
+++ b/src/routing/prefix_affinity.cpp
@@ -46,7 +46,7 @@
                                            double reader_count) const {
   if (request.shared_prefix == 0) {
     if (request.session != 0) return mix_bits(request.session);
-    return mix_bits(hash_text(request.id) ^ mix_bits(static_cast<std::uint64_t>(router_number)));
+    return mix_bits(hash_text(request.id.value()) ^ mix_bits(static_cast<std::uint64_t>(router_number)));
   }
   const auto known = popularity_.find(request.shared_prefix);
   const double count = known == popularity_.end() ? 0 : known->second - discount_;
--- a/src/routing/request_state.hpp
+++ b/src/routing/request_state.hpp
@@ -32,9 +32,9 @@
   int attempt_count = 0;
   int charged_attempts = 0;      // of max_attempts
   int later_sends_answered = 0;  // later own sends to the same endpoint that were answered first
-  std::string endpoint;          // of the attempt in flight
-  std::string reader;
-  std::vector<std::string> failed_endpoints;
+  EndpointId endpoint;           // of the attempt in flight
+  EndpointId reader;
+  std::vector<EndpointId> failed_endpoints;
   Time sent_at{};              // of the attempt in flight
   Time idle_since{};           // when the last attempt ended
   Time first_run_sent_at{};    // of the first attempt that may have had an effect ...
@@ -56,7 +56,7 @@
   }
 };
 
-using RequestTable = std::map<std::string, RequestState>;  // by id
+using RequestTable = std::map<RequestId, RequestState>;  // by id
 
 }  // namespace dispatcher::routing
 
--- a/src/routing/router.cpp
+++ b/src/routing/router.cpp
@@ -86,8 +86,8 @@
   void handle(const EndpointList& list) {
     needs_subscription_ = list.kind == ListKind::kFailed;
     if (needs_subscription_) return;
-    for (const std::string& name : endpoints_.apply(list, *context_.settings, context_.now))
-      emit(LogMessage{"endpoint " + name + " restarted"});
+    for (const EndpointId& name : endpoints_.apply(list, *context_.settings, context_.now))
+      emit(LogMessage{"endpoint " + name.value() + " restarted"});
     slow_start_.update(context_, endpoints_);
   }
 
@@ -203,7 +203,7 @@
 
   // ---- one request ----
 
-  [[nodiscard]] RequestState* find_in_flight(const std::string& id, int attempt) {
+  [[nodiscard]] RequestState* find_in_flight(const RequestId& id, int attempt) {
     const auto it = requests_.find(id);
     if (it == requests_.end()) return nullptr;
     RequestState& state = it->second;
@@ -404,7 +404,7 @@
       record_start(endpoint, state, completed.elapsed);
       // Logged only: the index is not cleared, as the reader caches the prompt again from now on.
       if (completed.cached_prompt_tokens + kBlockTokens < state.predicted_cached_tokens)
-        emit(LogMessage{"endpoint " + endpoint.endpoint + " lost cached prompts"});
+        emit(LogMessage{"endpoint " + endpoint.endpoint.value() + " lost cached prompts"});
     } else if (completed.status == AttemptStatus::kServed) {
       endpoint.last_response_at = context_.now;
       if (phase == Phase::kStreaming) outliers_.record_stream(context_, endpoint, state);
--- a/src/routing/slow_start.cpp
+++ b/src/routing/slow_start.cpp
@@ -106,7 +106,8 @@
     return static_cast<double>(used) < std::round(budget(context, endpoint));
   if (used >= 1) return false;
   const auto window = static_cast<std::uint64_t>(context.now / std::max(overload_window, Duration(1)));
-  const std::uint64_t hash = mix_bits(endpoint.name_hash ^ mix_bits(window)) ^ hash_text(state.request.id);
+  const std::uint64_t hash =
+      mix_bits(endpoint.name_hash ^ mix_bits(window)) ^ hash_text(state.request.id.value());
   return unit_interval(hash) < draw_share(context, endpoints, endpoint, state);
 }
 
--- a/src/routing/writer_selection.cpp
+++ b/src/routing/writer_selection.cpp
@@ -84,7 +84,7 @@
     load_sum += stream_load(context, endpoint);
   }
   const std::uint64_t salt =
-      hash_text(state.request.id) ^ mix_bits(static_cast<std::uint64_t>(settings.router_number));
+      hash_text(state.request.id.value()) ^ mix_bits(static_cast<std::uint64_t>(settings.router_number));
   const auto choose = [&](const auto& share_for) {
     return least_loaded(context, candidates, salt, share_for);
   };
--- a/src/service_discovery/endpoint_snapshot.cpp
+++ b/src/service_discovery/endpoint_snapshot.cpp
@@ -130,7 +130,7 @@
   Json endpoints = Json::array();
   for (std::size_t i = 0; i < snapshot.list.entries.size(); ++i) {
     const EndpointInfo& info = snapshot.list.entries[i];
-    endpoints.push_back({{key::kEndpoint, info.endpoint},
+    endpoints.push_back({{key::kEndpoint, info.endpoint.value()},
                          {key::kAddress, to_text(snapshot.addresses[i].address)},
                          {key::kZone, info.zone},
                          {key::kKind, info.kind},
--- a/src/simulation/scenario.cpp
+++ b/src/simulation/scenario.cpp
@@ -79,7 +79,7 @@
   RequestOutcome& outcome(SlotId client) { return outcomes_[client.index]; }
 
   // ---- to the fleet ----
-  void start_attempt(engine::AttemptId attempt, const std::string& endpoint,
+  void start_attempt(engine::AttemptId attempt, const engine::EndpointId& endpoint,
                      std::shared_ptr<const engine::UpstreamRequest> message, Time, Time) override {
     SimulatedFleet::Callbacks callbacks;
     callbacks.first = [this, attempt] { engine_.on_events(attempt, "data: {}\n\n"); };
@@ -98,8 +98,8 @@
   }
   void pause_reading(engine::AttemptId) override {}
   void resume_reading(engine::AttemptId) override {}
-  void reserve_slot(engine::AttemptId, const std::string&, const std::string&) override {}
-  void release_reservation(const std::string& id, Time) override { fleet_.release(id); }
+  void reserve_slot(engine::AttemptId, const engine::EndpointId&, const engine::RequestId&) override {}
+  void release_reservation(const engine::RequestId& id, Time) override { fleet_.release(id); }
   bool has_connection(engine::AttemptId attempt) override { return works_.contains(attempt); }
 
   // ---- to the clients ----
@@ -123,7 +123,7 @@
   routing::Settings settings_;
   engine::Engine engine_;
   degradation::DegradationController control_;
-  std::map<std::string, Job> jobs_;
+  std::map<engine::RequestId, Job> jobs_;
   std::map<engine::AttemptId, SimulatedFleet::Work> works_;
 };
 
@@ -232,7 +232,7 @@
         result_.served_weight += request_class.priority_weight * weight;
       }
       const bool may_execute_twice = request_class.idempotency != routing::Idempotency::kNonIdempotent;
-      const std::string id = std::to_string(i + 1);  // as the traffic numbers them
+      const engine::RequestId id = std::to_string(i + 1);  // as the traffic numbers them
       if (!may_execute_twice && fleet_.execution_count(id) > 1) ++result_.duplicate_executions;
     }
     for (const auto& instance : instances_) result_.level_changes += instance->level_changes();
--- a/src/simulation/simulated_fleet.cpp
+++ b/src/simulation/simulated_fleet.cpp
@@ -35,7 +35,7 @@
   endpoint.zone = "z" + std::to_string(zone);
   endpoint.cell = cell;
   endpoint.name = (is_reader ? "r" : "w") + std::to_string(cell) + "-" + std::to_string(number);
-  const std::string name = endpoint.name;
+  const engine::EndpointId name = endpoint.name;
   endpoints_.emplace(name, std::move(endpoint));
 }
 
@@ -49,7 +49,8 @@
   return settings.warmup_initial_share + (1 - settings.warmup_initial_share) * age;
 }
 
-SimulatedFleet::Work SimulatedFleet::send(const std::string& name, const Job& job, Callbacks callbacks) {
+SimulatedFleet::Work SimulatedFleet::send(const engine::EndpointId& name, const Job& job,
+                                          Callbacks callbacks) {
   const Work work = ++last_work_;
   const auto it = endpoints_.find(name);
   Endpoint& endpoint = it == endpoints_.end() ? endpoints_.begin()->second : it->second;
@@ -185,9 +186,9 @@
   end(endpoint, work, {AttemptStatus::kCancelled, 0, {}, {}});
 }
 
-void SimulatedFleet::release(const std::string& id) { retained_at_.erase(id); }
+void SimulatedFleet::release(const engine::RequestId& id) { retained_at_.erase(id); }
 
-std::size_t SimulatedFleet::execution_count(const std::string& id) const {
+std::size_t SimulatedFleet::execution_count(const engine::RequestId& id) const {
   const auto it = execution_counts_.find(id);
   return it == execution_counts_.end() ? 0 : it->second;
 }
--- a/src/simulation/simulated_fleet.hpp
+++ b/src/simulation/simulated_fleet.hpp
@@ -18,7 +18,7 @@
 
 // A request as a replica sees it. Lengths are in tokens.
 struct Job {
-  std::string id;
+  engine::RequestId id;
   std::uint64_t session = 0, prefix = 0;  // keys of the prefix cache
   int prompt_tokens = 0, prefix_tokens = 0, answer_tokens = 0;
 };
@@ -37,15 +37,15 @@
   SimulatedFleet(const Parameters& parameters, engine::TimerQueue& timers, engine::Clock clock);
 
   // Starts an attempt at an endpoint; one that is unknown or lost refuses the connection.
-  Work send(const std::string& endpoint, const Job& job, Callbacks callbacks);
+  Work send(const engine::EndpointId& endpoint, const Job& job, Callbacks callbacks);
   // Cancels an attempt; its callbacks are not called any more.
   void abandon(Work work);
   // Releases the KV cache that a reader retains for a request.
-  void release(const std::string& id);
+  void release(const engine::RequestId& id);
   // Requests whose KV cache is retained.
   [[nodiscard]] std::size_t retained_states() const { return retained_at_.size(); }
   // How often a writer began to decode a request.
-  [[nodiscard]] std::size_t execution_count(const std::string& id) const;
+  [[nodiscard]] std::size_t execution_count(const engine::RequestId& id) const;
 
   // Faults: the endpoints for which `is_lost` returns true reset their connections and refuse new ones, until
   // restore_endpoints() restarts all of them.
@@ -67,7 +67,8 @@
     engine::TimerQueue::Id next_step;
   };
   struct Endpoint {
-    std::string name, zone;
+    engine::EndpointId name;
+    std::string zone;
     int cell = 0, number = 0;
     bool is_reader = false;
     bool is_up = true, is_listed = true;
@@ -98,10 +99,11 @@
   const Parameters& parameters_;
   engine::TimerQueue& timers_;
   engine::Clock clock_;
-  std::map<std::string, Endpoint> endpoints_;
+  std::map<engine::EndpointId, Endpoint> endpoints_;
   std::unordered_map<Work, Endpoint*> endpoint_of_;
-  std::unordered_map<std::string, int> retained_at_;  // by id: the cell whose reader retains its KV cache
-  std::unordered_map<std::string, std::size_t> execution_counts_;  // by id
+  // By id: the cell whose reader retains its KV cache.
+  std::unordered_map<engine::RequestId, int> retained_at_;
+  std::unordered_map<engine::RequestId, std::size_t> execution_counts_;  // by id
   std::function<void()> list_changed_;
   Work last_work_ = 0;
   double link_slowdown_ = 1;
--- a/src/upstream/attempt_runner.hpp
+++ b/src/upstream/attempt_runner.hpp
@@ -17,7 +17,7 @@
 // What an attempt is to do, and by when.
 struct AttemptParameters {
   AttemptId attempt;
-  std::string endpoint;
+  EndpointId endpoint;
   std::shared_ptr<const engine::UpstreamRequest> request;
   Time deadline{};    // of the request; the replica is notified of what is left of it
   Time connect_by{};  // when a new connection must be up; zero: within the usual time
--- a/src/upstream/connection_pool.cpp
+++ b/src/upstream/connection_pool.cpp
@@ -84,7 +84,7 @@
   erase_removed_endpoints();
 }
 
-void ConnectionPool::set_administratively_drained(const std::string& name, bool is_drained) {
+void ConnectionPool::set_administratively_drained(const EndpointId& name, bool is_drained) {
   if (is_drained) {
     administratively_drained_.insert(name);
   } else {
@@ -93,7 +93,7 @@
   if (Endpoint* endpoint = find_endpoint(name)) update_readiness(name, *endpoint);
 }
 
-void ConnectionPool::update_readiness(const std::string& name, Endpoint& endpoint) {
+void ConnectionPool::update_readiness(const EndpointId& name, Endpoint& endpoint) {
   const bool is_ready = endpoint.is_listed && !administratively_drained_.contains(name);
   if (endpoint.is_ready && !is_ready) endpoint.drain_started = clock_();
   endpoint.is_ready = is_ready;
@@ -108,7 +108,7 @@
   });
 }
 
-Endpoint* ConnectionPool::find_endpoint(const std::string& name) {
+Endpoint* ConnectionPool::find_endpoint(const EndpointId& name) {
   const auto it = endpoints_.find(name);
   return it == endpoints_.end() ? nullptr : &it->second;
 }
@@ -125,7 +125,7 @@
 
 // ---- opening and reuse ----
 
-SlotId ConnectionPool::acquire(const std::string& name, Duration connect_timeout) {
+SlotId ConnectionPool::acquire(const EndpointId& name, Duration connect_timeout) {
   Endpoint* endpoint = find_endpoint(name);
   if (endpoint == nullptr) return {};
   const Time now = clock_();
@@ -155,7 +155,7 @@
   return {};
 }
 
-SlotId ConnectionPool::open(const std::string& name, Endpoint& endpoint, Time now, Duration connect_timeout) {
+SlotId ConnectionPool::open(const EndpointId& name, Endpoint& endpoint, Time now, Duration connect_timeout) {
   const SlotId id = connections_.emplace();
   ++endpoint.connection_count;
   PooledConnection& connection = *connections_.find(id);
@@ -171,7 +171,7 @@
   return id;
 }
 
-SlotId ConnectionPool::adopt(const std::string& name, net::UniqueFd socket) {
+SlotId ConnectionPool::adopt(const EndpointId& name, net::UniqueFd socket) {
   auto transport = std::make_shared<net::Connection>(net::adopt_socket(io_, std::move(socket)),
                                                      kMaxInputBytes, kMaxOutputBytes);
   const SlotId id = connections_.emplace();
--- a/src/upstream/connection_pool.hpp
+++ b/src/upstream/connection_pool.hpp
@@ -23,7 +23,7 @@
 
 // A connection and what it carries. Owned by ConnectionPool.
 struct PooledConnection {
-  std::string endpoint;
+  EndpointId endpoint;
   net::tcp::endpoint address;  // where the endpoint listened when the connection was opened
   std::shared_ptr<net::Connection> transport;
   Time opened_at{};
@@ -58,13 +58,13 @@
   // Takes a change of service discovery's list, or, if `is_complete`, all of a new one.
   void update_endpoints(const std::vector<EndpointAddress>& addresses, bool is_complete);
   // By the operators' word, whether the endpoint is listed or not.
-  void set_administratively_drained(const std::string& name, bool is_drained);
+  void set_administratively_drained(const EndpointId& name, bool is_drained);
 
   // The connection last used that is fit for reuse, else a new one that fails after `connect_timeout`.
   // Empty: none may be opened, or the endpoint is unknown.
-  [[nodiscard]] SlotId acquire(const std::string& name, Duration connect_timeout);
+  [[nodiscard]] SlotId acquire(const EndpointId& name, Duration connect_timeout);
   // Takes over a connected socket to an endpoint from another process; throws where it is no TCP socket.
-  [[nodiscard]] SlotId adopt(const std::string& name, net::UniqueFd socket);
+  [[nodiscard]] SlotId adopt(const EndpointId& name, net::UniqueFd socket);
   // Keeps a connection whose exchange has ended for the next one, or closes it where it can't be kept.
   void park(SlotId id);
   // Closes a connection at once, whatever it carries; its handler hears nothing more. Unknown ids are
@@ -83,9 +83,9 @@
   // nullptr: the connection has been closed.
   [[nodiscard]] PooledConnection* find(SlotId id) { return connections_.find(id); }
   // nullptr: unknown. An endpoint is known while it has connections.
-  [[nodiscard]] Endpoint* find_endpoint(const std::string& name);
+  [[nodiscard]] Endpoint* find_endpoint(const EndpointId& name);
   [[nodiscard]] Endpoint& endpoint_of(const PooledConnection& connection);
-  [[nodiscard]] const std::map<std::string, Endpoint>& endpoints() const { return endpoints_; }
+  [[nodiscard]] const std::map<EndpointId, Endpoint>& endpoints() const { return endpoints_; }
   [[nodiscard]] std::vector<SlotId> ids() const { return connections_.ids(); }
   [[nodiscard]] std::size_t size() const { return connections_.size(); }
   // How long to wait for a new connection, by how long others took.
@@ -95,9 +95,9 @@
 
  private:
   [[nodiscard]] SlotId acquire_idle(Endpoint& endpoint);
-  [[nodiscard]] SlotId open(const std::string& name, Endpoint& endpoint, Time now, Duration connect_timeout);
+  [[nodiscard]] SlotId open(const EndpointId& name, Endpoint& endpoint, Time now, Duration connect_timeout);
   [[nodiscard]] bool has_settled(SlotId id);
-  void update_readiness(const std::string& name, Endpoint& endpoint);
+  void update_readiness(const EndpointId& name, Endpoint& endpoint);
   void close_idle(Endpoint& endpoint);
   void remove_from_idle(Endpoint& endpoint, SlotId id);
   void end_exchange(PooledConnection& connection);
@@ -109,8 +109,8 @@
   Options options_;
   ConnectionHandler* handler_ = nullptr;
   net::SlotTable<PooledConnection> connections_;
-  std::map<std::string, Endpoint> endpoints_;
-  std::set<std::string> administratively_drained_;
+  std::map<EndpointId, Endpoint> endpoints_;
+  std::set<EndpointId> administratively_drained_;
   // All connections that became idle, oldest first; may name some that were closed or acquired since.
   std::deque<SlotId> idle_order_;
   std::size_t idle_count_ = 0;
--- a/src/upstream/endpoint.hpp
+++ b/src/upstream/endpoint.hpp
@@ -8,15 +8,17 @@
 
 #include "net/connection.hpp"
 #include "net/slot_table.hpp"
+#include "routing/identifiers.hpp"
 #include "upstream/options.hpp"
 
 namespace dispatcher::upstream {
 
 using net::SlotId;
+using routing::EndpointId;
 
 // Where a replica listens, as service discovery lists it.
 struct EndpointAddress {
-  std::string endpoint;  // its name
+  EndpointId endpoint;
   net::tcp::endpoint address;
   bool is_ready = false;    // takes new requests
   bool is_removed = false;  // has left the list
--- a/src/upstream/exchange.hpp
+++ b/src/upstream/exchange.hpp
@@ -14,6 +14,8 @@
 namespace dispatcher::upstream {
 
 using engine::AttemptId;
+using engine::EndpointId;
+using engine::RequestId;
 using net::SlotId;
 
 // What a connection is used for.
@@ -27,9 +29,9 @@
 // What is to be sent, and for whom.
 struct ExchangeRequest {
   ExchangeKind kind = ExchangeKind::kNone;
-  AttemptId attempt;       // of kAttempt and kReservation
-  std::string request_id;  // of the client's request that it is about
-  std::string text;        // of the HTTP request; empty once it is handed to the connection
+  AttemptId attempt;     // of kAttempt and kReservation
+  RequestId request_id;  // of the client's request that it is about
+  std::string text;      // of the HTTP request; empty once it is handed to the connection
 };
 
 // How an exchange ended.
@@ -37,8 +39,8 @@
   SlotId connection;
   ExchangeKind kind = ExchangeKind::kNone;
   AttemptId attempt;
-  std::string request_id;
-  std::string endpoint;
+  RequestId request_id;
+  EndpointId endpoint;
   std::optional<int> http_status;  // nothing: the exchange failed without a complete response
   engine::AttemptResult result;    // of kAttempt only
 };
--- a/src/upstream/exchange_runner.cpp
+++ b/src/upstream/exchange_runner.cpp
@@ -113,7 +113,7 @@
   if (!exchange.is_active()) return pool_.close(id);  // nothing is due on an idle connection
   pool_.endpoint_of(connection).on_bytes_received(clock_());
   if (!exchange.is_request_sent) {  // no response to what was not written yet
-    log_("endpoint " + connection.endpoint + " answered before it was asked");
+    log_("endpoint " + connection.endpoint.value() + " answered before it was asked");
     return on_connection_broken(id);
   }
   const http::ReadStatus progress = parse_response(id, connection);
@@ -185,7 +185,7 @@
     outcome.result =
         interpret_response(exchange.reader.message(), exchange.framer.incomplete_event(), exchange.result);
     if (!is_expected_status(status)) {
-      log_("endpoint " + outcome.endpoint + " answered " + std::to_string(status));
+      log_("endpoint " + outcome.endpoint.value() + " answered " + std::to_string(status));
     }
   }
   // Bytes past the response belong to no exchange; a connection with such is not kept.
@@ -227,7 +227,7 @@
 void ExchangeRunner::on_malformed_response(SlotId id, std::string_view reason) {
   const PooledConnection* connection = pool_.find(id);
   if (connection == nullptr) return;
-  log_("endpoint " + connection->endpoint + " sent a malformed response: " + std::string(reason));
+  log_("endpoint " + connection->endpoint.value() + " sent a malformed response: " + std::string(reason));
   fail_exchange(id, AttemptStatus::kError);
 }
 
--- a/src/upstream/protocol.cpp
+++ b/src/upstream/protocol.cpp
@@ -25,8 +25,8 @@
   return text;
 }
 
-std::string reservation_text(std::string_view method, const std::string& request_id) {
-  return request_head(method, "/kv/leases/" + request_id) + "Content-Length: 0\r\n\r\n";
+std::string reservation_text(std::string_view method, const engine::RequestId& request_id) {
+  return request_head(method, "/kv/leases/" + request_id.value()) + "Content-Length: 0\r\n\r\n";
 }
 
 // Is the request itself at fault, whichever replica it is sent to, and not the time or the load?
@@ -77,16 +77,18 @@
 
 std::string request_text(const engine::UpstreamRequest& request, engine::Duration time_left) {
   std::string text = request_head(request.method, request.target);
-  text += "X-Correlation-Id: " + request.id + "\r\n";
+  text += "X-Correlation-Id: " + request.id.value() + "\r\n";
   text += "X-Time-Left-Ms: " + std::to_string(time_left.count() / 1000) + "\r\n";
   text += request.headers;
   text += "Content-Length: " + std::to_string(request.body.size()) + "\r\n\r\n";
   return text + request.body;
 }
 
-std::string reserve_text(const std::string& request_id) { return reservation_text("POST", request_id); }
+std::string reserve_text(const engine::RequestId& request_id) { return reservation_text("POST", request_id); }
 
-std::string release_text(const std::string& request_id) { return reservation_text("DELETE", request_id); }
+std::string release_text(const engine::RequestId& request_id) {
+  return reservation_text("DELETE", request_id);
+}
 
 void note_event(const std::string& event, engine::AttemptResult& result) {
   if (event.starts_with(kLoadComment)) {
--- a/src/upstream/protocol.hpp
+++ b/src/upstream/protocol.hpp
@@ -28,8 +28,8 @@
 // The request of an attempt. `time_left`: until the deadline of the client's request.
 [[nodiscard]] std::string request_text(const engine::UpstreamRequest& request, engine::Duration time_left);
 // The calls that reserve a place for a request, and that release what is reserved for it.
-[[nodiscard]] std::string reserve_text(const std::string& request_id);
-[[nodiscard]] std::string release_text(const std::string& request_id);
+[[nodiscard]] std::string reserve_text(const engine::RequestId& request_id);
+[[nodiscard]] std::string release_text(const engine::RequestId& request_id);
 
 // Adds to `result` what a complete event reports besides its text: a load report, the count of cached tokens.
 void note_event(const std::string& event, engine::AttemptResult& result);
--- a/src/upstream/release_targets.cpp
+++ b/src/upstream/release_targets.cpp
@@ -43,9 +43,9 @@
   return found;
 }
 
-std::vector<std::string> ReleaseTargets::next_round(Time now,
-                                                    const std::vector<ReleaseCandidate>& candidates) {
-  std::vector<std::string> targets;
+std::vector<EndpointId> ReleaseTargets::next_round(Time now,
+                                                   const std::vector<ReleaseCandidate>& candidates) {
+  std::vector<EndpointId> targets;
   if (has_expired(now)) return targets;
   ++round_count_;
   while (targets.size() < std::min(width_, candidates.size())) {
--- a/src/upstream/release_targets.hpp
+++ b/src/upstream/release_targets.hpp
@@ -8,13 +8,16 @@
 #include <utility>
 #include <vector>
 
+#include "routing/identifiers.hpp"
 #include "upstream/options.hpp"
 
 namespace dispatcher::upstream {
 
+using routing::EndpointId;
+
 // A replica that a release may be sent to.
 struct ReleaseCandidate {
-  std::string endpoint;
+  EndpointId endpoint;
   std::string zone;
   int cell = 0;
   bool has_idle_connection = false;  // one that may be used again
@@ -33,8 +36,7 @@
       : started_(started), give_up_after_(give_up_after), interval_(interval) {}
   // The endpoints to call in this round: a single one where it is known to be reachable, then twice as many
   // in each round up to a limit. Empty: there are no candidates, or the time is over.
-  [[nodiscard]] std::vector<std::string> next_round(Time now,
-                                                    const std::vector<ReleaseCandidate>& candidates);
+  [[nodiscard]] std::vector<EndpointId> next_round(Time now, const std::vector<ReleaseCandidate>& candidates);
   // From the last round to the next: longer with each round once many have reached nobody.
   [[nodiscard]] Duration next_interval() const;
   [[nodiscard]] bool has_expired(Time now) const { return now >= started_ + give_up_after_; }
@@ -53,7 +55,7 @@
   std::size_t width_ = 1;  // calls of the next round
   int call_count_ = 0;
   int round_count_ = 0;
-  std::set<std::string> called_;  // endpoints called since all were last called
+  std::set<EndpointId> called_;  // endpoints called since all were last called
   std::map<std::string, int> calls_by_zone_;
   std::map<Cell, int> calls_by_cell_;
 };
--- a/src/upstream/replica_client.cpp
+++ b/src/upstream/replica_client.cpp
@@ -21,7 +21,7 @@
   pool_.update_endpoints(addresses, is_complete);
 }
 
-void ReplicaClient::set_administratively_drained(const std::string& endpoint, bool is_drained) {
+void ReplicaClient::set_administratively_drained(const EndpointId& endpoint, bool is_drained) {
   pool_.set_administratively_drained(endpoint, is_drained);
   if (!is_drained) return;
   for (const SlotId id : pool_.ids()) {
@@ -40,7 +40,7 @@
   handover_.adopt_stream(attempt, std::move(stream));
 }
 
-void ReplicaClient::start_attempt(AttemptId attempt, const std::string& endpoint,
+void ReplicaClient::start_attempt(AttemptId attempt, const EndpointId& endpoint,
                                   std::shared_ptr<const engine::UpstreamRequest> message, Time deadline,
                                   Time connect_by) {
   attempts_.start({attempt, endpoint, std::move(message), deadline, connect_by});
@@ -52,13 +52,11 @@
 
 void ReplicaClient::resume_reading(AttemptId attempt) { attempts_.resume(attempt); }
 
-void ReplicaClient::reserve_slot(AttemptId attempt, const std::string& endpoint, const std::string& id) {
+void ReplicaClient::reserve_slot(AttemptId attempt, const EndpointId& endpoint, const RequestId& id) {
   reservations_.reserve(attempt, endpoint, id);
 }
 
-void ReplicaClient::release_reservation(const std::string& id, Time until) {
-  reservations_.release(id, until);
-}
+void ReplicaClient::release_reservation(const RequestId& id, Time until) { reservations_.release(id, until); }
 
 bool ReplicaClient::has_connection(AttemptId attempt) { return attempts_.is_connected(attempt); }
 
--- a/src/upstream/replica_client.hpp
+++ b/src/upstream/replica_client.hpp
@@ -33,7 +33,7 @@
   void update_endpoints(const std::vector<EndpointAddress>& addresses, bool is_complete);
   // A drained endpoint gets no first byte of anything any more: exchanges that wait for a connection to it
   // fail as not sent. Those that run go on.
-  void set_administratively_drained(const std::string& endpoint, bool is_drained);
+  void set_administratively_drained(const EndpointId& endpoint, bool is_drained);
   // Limits and times for what is opened from now on.
   void apply_options(const Options& options);
 
@@ -53,14 +53,14 @@
     return reservations_.releases_blocking_shutdown();
   }
 
-  void start_attempt(AttemptId attempt, const std::string& endpoint,
+  void start_attempt(AttemptId attempt, const EndpointId& endpoint,
                      std::shared_ptr<const engine::UpstreamRequest> message, Time deadline,
                      Time connect_by) override;
   bool cancel_attempt(AttemptId attempt) override;
   void pause_reading(AttemptId attempt) override;
   void resume_reading(AttemptId attempt) override;
-  void reserve_slot(AttemptId attempt, const std::string& endpoint, const std::string& id) override;
-  void release_reservation(const std::string& id, Time until) override;
+  void reserve_slot(AttemptId attempt, const EndpointId& endpoint, const RequestId& id) override;
+  void release_reservation(const RequestId& id, Time until) override;
   bool has_connection(AttemptId attempt) override;
 
  private:
--- a/src/upstream/reservation_client.cpp
+++ b/src/upstream/reservation_client.cpp
@@ -33,14 +33,13 @@
   releaser_.set_limits(release_limits(options));
 }
 
-void ReservationClient::reserve(AttemptId attempt, const std::string& endpoint,
-                                const std::string& request_id) {
+void ReservationClient::reserve(AttemptId attempt, const EndpointId& endpoint, const RequestId& request_id) {
   const SlotId id = pool_.acquire(endpoint, pool_.connect_timeout());
   if (!id) return;
   exchanges_.start(id, *this, {ExchangeKind::kReservation, attempt, request_id, reserve_text(request_id)});
 }
 
-void ReservationClient::release(const std::string& request_id, Time until) {
+void ReservationClient::release(const RequestId& request_id, Time until) {
   // A reservation call that still waits for its connection would come after the release.
   for (const SlotId id : pool_.ids()) {
     const PooledConnection& connection = *pool_.find(id);
@@ -51,7 +50,7 @@
   releaser_.release(request_id, until);
 }
 
-SlotId ReservationClient::start_release_call(const std::string& endpoint, const std::string& request_id) {
+SlotId ReservationClient::start_release_call(const EndpointId& endpoint, const RequestId& request_id) {
   const SlotId id = pool_.acquire(endpoint, round_interval_);
   if (!id) return {};
   exchanges_.start(id, *this, {ExchangeKind::kRelease, {}, request_id, release_text(request_id)});
--- a/src/upstream/reservation_client.hpp
+++ b/src/upstream/reservation_client.hpp
@@ -25,11 +25,11 @@
   void apply_options(const Options& options);
 
   // Asks an endpoint to reserve a place for the request; Engine::hold_answer() is notified of its response.
-  void reserve(AttemptId attempt, const std::string& endpoint, const std::string& request_id);
+  void reserve(AttemptId attempt, const EndpointId& endpoint, const RequestId& request_id);
   // As engine::UpstreamClient::release().
-  void release(const std::string& request_id, Time until);
+  void release(const RequestId& request_id, Time until);
   // Ends the calls of a release under way: they must not release what an attempt written now reserves.
-  void cancel_release(const std::string& request_id) { releaser_.cancel(request_id); }
+  void cancel_release(const RequestId& request_id) { releaser_.cancel(request_id); }
 
   // Releases that have not come to their end.
   [[nodiscard]] std::size_t pending_releases() const { return releaser_.pending(); }
@@ -41,8 +41,7 @@
   void on_reservation_ended(const ExchangeOutcome& outcome);
   void on_release_ended(const ExchangeOutcome& outcome);
 
-  [[nodiscard]] SlotId start_release_call(const std::string& endpoint,
-                                          const std::string& request_id) override;
+  [[nodiscard]] SlotId start_release_call(const EndpointId& endpoint, const RequestId& request_id) override;
   void close_release_call(SlotId call) override { pool_.close(call); }
   [[nodiscard]] std::vector<ReleaseCandidate> release_candidates() override;
 
--- a/src/upstream/reservation_releaser.cpp
+++ b/src/upstream/reservation_releaser.cpp
@@ -29,7 +29,7 @@
   return {now, kGiveUpAfter, limits_.round_interval};
 }
 
-void ReservationReleaser::release(const std::string& request_id, Time until) {
+void ReservationReleaser::release(const RequestId& request_id, Time until) {
   const auto [entry, is_new] =
       releases_.try_emplace(request_id, Release{new_targets(clock_()), {}, until, false, {}});
   Release& release = entry->second;
@@ -38,13 +38,13 @@
   if (release.is_awaiting_repeat) restart(request_id, release);
 }
 
-void ReservationReleaser::restart(const std::string& request_id, Release& release) {
+void ReservationReleaser::restart(const RequestId& request_id, Release& release) {
   release.is_awaiting_repeat = false;
   release.targets = new_targets(clock_());
   start_round(request_id);
 }
 
-void ReservationReleaser::cancel(const std::string& request_id) {
+void ReservationReleaser::cancel(const RequestId& request_id) {
   const auto release = releases_.extract(request_id);
   if (release.empty()) return;
   timers_.drop(release.mapped().timer);
@@ -60,13 +60,13 @@
 }
 
 // One round of calls, and the next one if none of them is answered soon.
-void ReservationReleaser::start_round(const std::string& request_id) {
+void ReservationReleaser::start_round(const RequestId& request_id) {
   Release& release = releases_.at(request_id);
   timers_.drop(release.timer);
   const Time now = clock_();
   if (release.targets.has_expired(now)) {
     const std::string calls = std::to_string(release.targets.call_count());
-    log_("release of " + request_id + " reached no replica in " + calls + " calls");
+    log_("release of " + request_id.value() + " reached no replica in " + calls + " calls");
     return cancel(request_id);
   }
   start_calls(request_id, release, release.targets.next_round(now, transport_.release_candidates()));
@@ -74,10 +74,10 @@
       timers_.add(now + release.targets.next_interval(), [this, request_id] { start_round(request_id); });
 }
 
-void ReservationReleaser::start_calls(const std::string& request_id, Release& release,
-                                      const std::vector<std::string>& targets) {
+void ReservationReleaser::start_calls(const RequestId& request_id, Release& release,
+                                      const std::vector<EndpointId>& targets) {
   close_calls(release, kMaxCallsPerRelease - std::min(kMaxCallsPerRelease, targets.size()));
-  for (const std::string& endpoint : targets) {
+  for (const EndpointId& endpoint : targets) {
     if (call_count_ >= limits_.max_calls) {
       if (release.calls.empty()) break;  // the limit is used up by other releases, whose calls will end
       close_calls(release, release.calls.size() - 1);
@@ -89,7 +89,7 @@
   }
 }
 
-void ReservationReleaser::on_call_failed(const std::string& request_id, SlotId call) {
+void ReservationReleaser::on_call_failed(const RequestId& request_id, SlotId call) {
   const auto it = releases_.find(request_id);
   if (it == releases_.end()) return;
   Release& release = it->second;
@@ -100,7 +100,7 @@
   if (release.calls.empty() && calls_made < transport_.release_candidates().size()) start_round(request_id);
 }
 
-void ReservationReleaser::on_call_answered(const std::string& request_id, SlotId call) {
+void ReservationReleaser::on_call_answered(const RequestId& request_id, SlotId call) {
   const auto it = releases_.find(request_id);
   if (it == releases_.end()) return;
   Release& release = it->second;
@@ -109,15 +109,15 @@
   const Time started = release.targets.started();
   if (release.targets.call_count() > 1) {
     const auto elapsed = std::chrono::duration_cast<std::chrono::milliseconds>(now - started);
-    log_("release of " + request_id + " took " + std::to_string(release.targets.call_count()) + " calls, " +
-         std::to_string(elapsed.count()) + " ms");
+    log_("release of " + request_id.value() + " took " + std::to_string(release.targets.call_count()) +
+         " calls, " + std::to_string(elapsed.count()) + " ms");
   }
   if (started >= release.until) return cancel(request_id);
   schedule_repeat(request_id, release, now);
 }
 
 // The last repetition comes once nothing can leave a reservation any more.
-void ReservationReleaser::schedule_repeat(const std::string& request_id, Release& release, Time now) {
+void ReservationReleaser::schedule_repeat(const RequestId& request_id, Release& release, Time now) {
   timers_.drop(release.timer);
   close_calls(release, 0);
   release.is_awaiting_repeat = true;
--- a/src/upstream/reservation_releaser.hpp
+++ b/src/upstream/reservation_releaser.hpp
@@ -14,6 +14,7 @@
 
 namespace dispatcher::upstream {
 
+using engine::RequestId;
 using net::SlotId;
 
 // Drives the releases of all requests. Each calls further and further replicas until one answers, with
@@ -26,8 +27,8 @@
    public:
     virtual ~ReleaseTransport() = default;
     // Empty: no connection may be opened now.
-    [[nodiscard]] virtual SlotId start_release_call(const std::string& endpoint,
-                                                    const std::string& request_id) = 0;
+    [[nodiscard]] virtual SlotId start_release_call(const EndpointId& endpoint,
+                                                    const RequestId& request_id) = 0;
     virtual void close_release_call(SlotId call) = 0;
     [[nodiscard]] virtual std::vector<ReleaseCandidate> release_candidates() = 0;
   };
@@ -45,13 +46,13 @@
 
   // Releases what is reserved for the request. `until`: by then, something of the request may still leave a
   // reservation. Continues a release of the request that is under way.
-  void release(const std::string& request_id, Time until);
+  void release(const RequestId& request_id, Time until);
   // Ends a release and its calls: an attempt of the request is being written, whose reservation earlier calls
   // must not release.
-  void cancel(const std::string& request_id);
+  void cancel(const RequestId& request_id);
   // How a call ended. Calls of a release that has ended are ignored.
-  void on_call_answered(const std::string& request_id, SlotId call);
-  void on_call_failed(const std::string& request_id, SlotId call);
+  void on_call_answered(const RequestId& request_id, SlotId call);
+  void on_call_failed(const RequestId& request_id, SlotId call);
 
   // Releases that have not come to their end.
   [[nodiscard]] std::size_t pending() const { return releases_.size(); }
@@ -67,10 +68,10 @@
     engine::TimerQueue::Id timer;     // of the next round, or the repetition
   };
   [[nodiscard]] ReleaseTargets new_targets(Time now) const;
-  void restart(const std::string& request_id, Release& release);
-  void start_round(const std::string& request_id);
-  void start_calls(const std::string& request_id, Release& release, const std::vector<std::string>& targets);
-  void schedule_repeat(const std::string& request_id, Release& release, Time now);
+  void restart(const RequestId& request_id, Release& release);
+  void start_round(const RequestId& request_id);
+  void start_calls(const RequestId& request_id, Release& release, const std::vector<EndpointId>& targets);
+  void schedule_repeat(const RequestId& request_id, Release& release, Time now);
   // Closes the oldest calls, so that `remaining` are left.
   void close_calls(Release& release, std::size_t remaining);
 
@@ -79,8 +80,8 @@
   engine::Clock clock_;
   engine::Log log_;
   Limits limits_;
-  std::map<std::string, Release> releases_;  // by request id
-  std::size_t call_count_ = 0;               // under way, of all releases
+  std::map<RequestId, Release> releases_;  // by request id
+  std::size_t call_count_ = 0;             // under way, of all releases
 };
 
 }  // namespace dispatcher::upstream
--- a/src/upstream/stream_handover.hpp
+++ b/src/upstream/stream_handover.hpp
@@ -15,7 +15,7 @@
 // A running stream without its attempt: all that another process needs to read on.
 struct DetachedStream {
   net::UniqueFd socket;
-  std::string endpoint;
+  EndpointId endpoint;
   std::string unread;  // bytes of the response that were received and not parsed
   ResponsePosition position;
 };
--- a/tests/conformance/reference_scorer.cpp
+++ b/tests/conformance/reference_scorer.cpp
@@ -49,7 +49,7 @@
     for (auto& [name, s] : servers_) s.entry.state = EndpointState::kRemoved;
   }
   for (const EndpointInfo& e : list.entries) {
-    Server& s = servers_[e.endpoint];
+    Server& s = servers_[e.endpoint.value()];
     const bool restarted = !s.entry.endpoint.empty() && s.entry.started != e.started;
     if (bounds_ && restarted) s = {};
     s.entry = e;
@@ -61,11 +61,11 @@
 
 void ReferenceScorer::on(const AdministrativeDrain& m) {
   if (m.offline) {
-    offline_.insert(m.endpoint);
+    offline_.insert(m.endpoint.value());
     return;
   }
-  offline_.erase(m.endpoint);
-  if (const auto s = servers_.find(m.endpoint); bounds_ && s != servers_.end()) {
+  offline_.erase(m.endpoint.value());
+  if (const auto s = servers_.find(m.endpoint.value()); bounds_ && s != servers_.end()) {
     const EndpointInfo entry = s->second.entry;
     const Role role = s->second.role;
     s->second = {entry, role, {}, {}, {}, false, 0};
@@ -73,18 +73,18 @@
 }
 
 void ReferenceScorer::on(const AttemptCompleted& o) {
-  if (const auto s = servers_.find(o.endpoint);
+  if (const auto s = servers_.find(o.endpoint.value());
       s != servers_.end() && (o.report.in_hand || o.report.memory_share || o.report.prompt_kilotokens)) {
     s->second.report = o.report;
     s->second.reported = now_;
     s->second.since = 0;
   }
-  const auto at = open_.find(o.request);
+  const auto at = open_.find(o.request.value());
   if (at == open_.end()) return;
   Open& open = at->second;
   open.at.clear();
   open.tokens = 0;
-  if (o.status == AttemptStatus::kRead) open.state_at = o.endpoint;
+  if (o.status == AttemptStatus::kRead) open.state_at = o.endpoint.value();
   if (o.evidence != AttemptEvidence::kNone &&
       (o.status == AttemptStatus::kFull || o.status == AttemptStatus::kReset))
     open.state_at.clear();
@@ -92,7 +92,7 @@
 }
 
 void ReferenceScorer::on(const FirstToken& f) {
-  if (const auto at = open_.find(f.request); at != open_.end()) {
+  if (const auto at = open_.find(f.request.value()); at != open_.end()) {
     at->second.state_at.clear();
     at->second.tokens = 0;
   }
@@ -100,14 +100,14 @@
 
 void ReferenceScorer::see(const Action& action) {
   if (const auto* release = std::get_if<ReleaseReservation>(&action)) {
-    if (const auto at = open_.find(release->request); at != open_.end()) at->second.state_at.clear();
+    if (const auto at = open_.find(release->request.value()); at != open_.end()) at->second.state_at.clear();
   }
   const auto* send = std::get_if<StartAttempt>(&action);
   if (send == nullptr) return;
-  Open& open = open_.at(send->request);
-  Server& s = servers_.at(send->endpoint);
+  Open& open = open_.at(send->request.value());
+  Server& s = servers_.at(send->endpoint.value());
   const Request& r = open.request;
-  open.at = send->endpoint;
+  open.at = send->endpoint.value();
   open.writes = s.role != Role::kReader;
   s.used = true;
   if (s.role == Role::kWriter || !open.state_at.empty()) return;
@@ -179,7 +179,7 @@
   if (s.report.prompt_kilotokens)
     return 1000 * aged(*s.report.prompt_kilotokens, mean_heard(s.role, reported).value_or(0), s) + s.since;
   const auto average = mean_heard(s.role, known);
-  return !s.used && s.reported == Time{} && average ? *average : out(s.entry.endpoint);
+  return !s.used && s.reported == Time{} && average ? *average : out(s.entry.endpoint.value());
 }
 
 double ReferenceScorer::memory(const Server& s) const {
@@ -189,7 +189,7 @@
   for (const auto& [name, of] : servers_) {
     if (ready(of)) maximum = std::max(maximum, static_cast<double>(waiting(name)));
   }
-  return waiting(s.entry.endpoint) / maximum;
+  return waiting(s.entry.endpoint.value()) / maximum;
 }
 
 std::map<std::string, Score> ReferenceScorer::scores(const Request& request) const {
--- a/tests/conformance/reference_scorer.hpp
+++ b/tests/conformance/reference_scorer.hpp
@@ -82,7 +82,7 @@
   };
 
   [[nodiscard]] bool ready(const Server& s) const {
-    return s.entry.state == EndpointState::kReady && !offline_.contains(s.entry.endpoint);
+    return s.entry.state == EndpointState::kReady && !offline_.contains(s.entry.endpoint.value());
   }
   [[nodiscard]] const EndpointKind* kind(const std::string& name) const;
   [[nodiscard]] int covered(const Server& s, const Request& r) const;
@@ -96,7 +96,7 @@
   std::optional<double> mean_heard(Role role, Of of) const;
 
   void on(const EndpointList& list);
-  void on(const Request& r) { open_[r.id].request = r; }
+  void on(const Request& r) { open_[r.id.value()].request = r; }
   void on(const AttemptCompleted& o);
   void on(const FirstToken& f);
   void on(const AdministrativeDrain& m);
--- a/tests/conformance/table_rows.cpp
+++ b/tests/conformance/table_rows.cpp
@@ -92,11 +92,11 @@
   while (!at.empty()) {
     seen.path.push_back(at);
     if (asked.role(at) == Role::kReader) {
-      at = asked.read(r.id);
+      at = asked.read(r.id.value());
       if (row.contains("read_at")) seen.pick = at;
     } else {
-      asked.first(r.id);
-      asked.serve(r.id);
+      asked.first(r.id.value());
+      asked.serve(r.id.value());
       break;
     }
   }
--- a/tests/conformance/table_runner.cpp
+++ b/tests/conformance/table_runner.cpp
@@ -133,16 +133,16 @@
     design_.see(action);
     module_.see(action);
     if (const auto* send = std::get_if<StartAttempt>(&action)) {
-      Attempts& a = attempts_.at(send->request);
-      if (!a.at.empty()) fail(send->request + ": a second attempt at once");
-      a.at = send->endpoint;
+      Attempts& a = attempts_.at(send->request.value());
+      if (!a.at.empty()) fail(send->request.value() + ": a second attempt at once");
+      a.at = send->endpoint.value();
       ++a.count;
     } else if (const auto* timer = std::get_if<SetTimer>(&action)) {
       timers_.emplace(now_ + timer->after, timer->tag);
     } else if (const auto* reject = std::get_if<Reject>(&action)) {
-      attempts_.at(reject->request).ended = true;
+      attempts_.at(reject->request.value()).ended = true;
     } else if (const auto* failed = std::get_if<Fail>(&action)) {
-      attempts_.at(failed->request).ended = true;
+      attempts_.at(failed->request.value()).ended = true;
     }
   }
 }
@@ -190,9 +190,9 @@
 
 std::string TableRunner::ask(const Request& request, const std::string& only_at) {
   return this->only_at(only_at, [&] {
-    attempts_[request.id].request = request;
+    attempts_[request.id.value()].request = request;
     pass(request);
-    return attempts_[request.id].at;
+    return attempts_[request.id.value()].at;
   });
 }
 
@@ -256,8 +256,8 @@
   for (const Json& json : step.at("list")) {
     const EndpointInfo entry = endpoint_of(json);
     list.entries.push_back(entry);
-    listed_[entry.endpoint] = entry;
-    roles_[entry.endpoint] = one_of(entry.kind, kRoles);
+    listed_[entry.endpoint.value()] = entry;
+    roles_[entry.endpoint.value()] = one_of(entry.kind, kRoles);
   }
   pass(list);
 }
@@ -267,14 +267,14 @@
   const Request r = keyless();
   if (role(endpoint) == Role::kWriter) {
     ask(r);
-    read(r.id, endpoint);
-    first(r.id);
-    serve(r.id, report_of(figures));
+    read(r.id.value(), endpoint);
+    first(r.id.value());
+    serve(r.id.value(), report_of(figures));
     return;
   }
   ask(r, endpoint);
-  if (role(endpoint) == Role::kMixed) return gone(r.id, report_of(figures));
-  end_read(r.id, report_of(figures), true);
+  if (role(endpoint) == Role::kMixed) return gone(r.id.value(), report_of(figures));
+  end_read(r.id.value(), report_of(figures), true);
 }
 
 // Whole reads, of which nothing is left but their keys; of one session after the other.
@@ -288,7 +288,7 @@
     r.id = keyless().id;
     r.session += r.session != 0 ? static_cast<std::uint64_t>(i) : 0;
     const std::string at = ask(r, step.at("teach"));
-    role(at) == Role::kMixed ? gone(r.id) : void(end_read(r.id, {}, true));
+    role(at) == Role::kMixed ? gone(r.id.value()) : void(end_read(r.id.value(), {}, true));
   }
 }
 
@@ -296,12 +296,12 @@
   const Request r = keyless();
   if (role(endpoint) == Role::kWriter) {
     ask(r);
-    read(r.id, endpoint);
+    read(r.id.value(), endpoint);
   } else {
     ask(r, endpoint);
   }
-  if (until != "sent") first(r.id);
-  if (until == "served") serve(r.id);
+  if (until != "sent") first(r.id.value());
+  if (until == "served") serve(r.id.value());
 }
 
 void TableRunner::states(const std::string& reader, int count, const std::string& until) {
@@ -309,8 +309,8 @@
   for (int i = 0; i < count; ++i) {
     const Request r = keyless();
     ask(r, reader);
-    read(r.id);
-    ids.push_back(r.id);
+    read(r.id.value());
+    ids.push_back(r.id.value());
   }
   for (const std::string& id : ids) {
     if (until == "gone") gone(id);
@@ -325,7 +325,8 @@
     only(step, {"ask", "at", "refused"});
     const Request r = request(step.at("ask"));
     ask(r, step.value("at", ""));
-    if (attempts_.at(r.id).ended != step.value("refused", false)) fail(r.id + ": refused or not");
+    if (attempts_.at(r.id.value()).ended != step.value("refused", false))
+      fail(r.id.value() + ": refused or not");
   } else if (step.contains("teach")) {
     teach(step);
   } else if (step.contains("reports")) {
@@ -359,7 +360,7 @@
     wait(ms(step, "wait_ms"));
   } else if (step.contains("maintenance")) {
     only(step, {"maintenance", "offline"});
-    pass(AdministrativeDrain{step.at("maintenance"), step.at("offline")});
+    pass(AdministrativeDrain{step.at("maintenance").get<std::string>(), step.at("offline")});
   } else {
     fail("unknown step: " + step.dump());
   }
--- a/tests/consumer/main.cpp
+++ b/tests/consumer/main.cpp
@@ -27,7 +27,7 @@
     for (const Action& a : actions) {
       if (const auto* send = std::get_if<StartAttempt>(&a)) return send->endpoint;
     }
-    return std::string();
+    return EndpointId();
   };
   router.handle(now, EndpointList{ListKind::kFull,
                                   {{"r1", "here", "reader", 0, EndpointState::kReady, 1, {}},
@@ -37,14 +37,14 @@
   r.request_class = "line";
   r.prompt_tokens = 1000;
   r.client_deadline = milliseconds(6000);
-  const std::string reader = sent_to(router.handle(now, r));
+  const EndpointId reader = sent_to(router.handle(now, r));
   now += milliseconds(50);
-  const std::string writer = sent_to(router.handle(
+  const EndpointId writer = sent_to(router.handle(
       now, AttemptCompleted{"one", reader, 0, AttemptStatus::kRead, milliseconds(50), false, 0, {}, {}}));
   router.handle(now, FirstToken{"one", writer, 1, milliseconds(20)});
   router.handle(
       now, AttemptCompleted{"one", writer, 1, AttemptStatus::kServed, milliseconds(900), true, 0, {}, {}});
   const bool ok = reader == "r1" && writer == "w1" && router.table_sizes().requests == 0;
-  std::cout << (ok ? "served by " + reader + " and " + writer : "not served") << "\n";
+  std::cout << (ok ? "served by " + reader.value() + " and " + writer.value() : "not served") << "\n";
   return ok ? 0 : 1;
 }
--- a/tests/digest.hpp
+++ b/tests/digest.hpp
@@ -12,6 +12,8 @@
 #include <string_view>
 #include <type_traits>
 
+#include "routing/identifiers.hpp"
+
 namespace dispatcher::routing::testing {
 
 // FNV-1a with 64 bits. Each value is added as eight bytes, the lowest first; a text with its length before
@@ -30,6 +32,10 @@
     add(text.size());
     for (const char c : text) add_byte(static_cast<unsigned char>(c));
   }
+  template <class Tag>
+  void add(const Identifier<Tag>& id) {
+    add(std::string_view(id.value()));
+  }
   template <class T>
   void add(const std::optional<T>& value) {
     add(value.has_value());
--- a/tests/dispatcher/admin_test.cpp
+++ b/tests/dispatcher/admin_test.cpp
@@ -15,8 +15,8 @@
   AdminFixture()
       : server(io, loopback(), timers, clock(),
                {[this] { return is_ready; },
-                [this](const std::string& endpoint, bool is_drained) {
-                  commands.push_back(endpoint + (is_drained ? " offline" : " online"));
+                [this](const engine::EndpointId& endpoint, bool is_drained) {
+                  commands.push_back(endpoint.value() + (is_drained ? " offline" : " online"));
                   return endpoint == "s-1";
                 }},
                {}) {
@@ -137,7 +137,8 @@
     request.client_deadline = now + seconds(6);
     std::string endpoint;
     for (const auto& action : router.handle(now, request)) {
-      if (const auto* attempt = std::get_if<routing::StartAttempt>(&action)) endpoint = attempt->endpoint;
+      if (const auto* attempt = std::get_if<routing::StartAttempt>(&action))
+        endpoint = attempt->endpoint.value();
     }
     if (!endpoint.empty()) {
       routing::AttemptCompleted read{
--- a/tests/dispatcher/degradation_fleet_test.cpp
+++ b/tests/dispatcher/degradation_fleet_test.cpp
@@ -218,7 +218,7 @@
   ControllerFixture levels(kSome, work.clock());
   admin::AdminServer console(
       work.io, loopback(), work.timers, work.clock(),
-      {[] { return true; }, [](const std::string&, bool) { return false; },
+      {[] { return true; }, [](const engine::EndpointId&, bool) { return false; },
        [&] { return levels.controller.status(); }, [&] { return levels.controller.history(); },
        [&](const std::string& name) { return levels.controller.set_override(name); }},
       {});
--- a/tests/dispatcher/engine_digest_fixture.cpp
+++ b/tests/dispatcher/engine_digest_fixture.cpp
@@ -96,7 +96,7 @@
   return all.empty() ? nullptr : *pick_in(all, dice_);
 }
 
-bool EngineScript::reads(const std::string& endpoint) const {
+bool EngineScript::reads(const engine::EndpointId& endpoint) const {
   const auto it = endpoints_.find(endpoint);
   return it != endpoints_.end() &&
          std::ranges::any_of(settings().kinds, [&](const routing::EndpointKind& kind) {
@@ -222,7 +222,7 @@
   if (process.attempts.empty()) return;
   const auto& [attempt, active] = *pick_in(process.attempts, dice_);
   count("hold_answer");
-  process.engine.on_reservation_result(engine::AttemptId(attempt), std::string(active.endpoint),
+  process.engine.on_reservation_result(engine::AttemptId(attempt), engine::EndpointId(active.endpoint),
                                        !dice_.one_in(3));
 }
 
@@ -230,7 +230,7 @@
   Process& process = pick_process();
   if (process.releases.empty()) return;
   const auto it = pick_in(process.releases, dice_);
-  const std::string id = *it;
+  const engine::RequestId id = *it;
   process.releases.erase(it);
   process.engine.on_reservation_released(id);
 }
@@ -274,13 +274,13 @@
                    : how == 4 ? EndpointState::kRemoved
                               : EndpointState::kReady;
   if (how == 5 || how == 6 || how == 7) endpoint.started = now_;
-  if (how == 7) endpoint.endpoint += "n" + std::to_string(replaced_endpoints_++);
+  if (how == 7) endpoint.endpoint = endpoint.endpoint.value() + "n" + std::to_string(replaced_endpoints_++);
   endpoints_[endpoint.endpoint] = endpoint;
   send_list(ListKind::kDelta, {endpoint});
 }
 
 void EngineScript::change_administrative_drain() {
-  const std::string endpoint = pick_in(endpoints_, dice_)->first;
+  const engine::EndpointId endpoint = pick_in(endpoints_, dice_)->first;
   const bool offline = dice_.one_in(2);
   for (const auto& process : processes_) process->engine.set_administrative_drain(endpoint, offline);
 }
@@ -320,10 +320,10 @@
 
 void EngineScript::exchange_peer_state() {
   Process& process = pick_process();
-  std::vector<std::string> open = process.engine.open_request_ids();
+  std::vector<engine::RequestId> open = process.engine.open_request_ids();
   std::ranges::sort(open);
-  for (const std::string& id : open) {
-    digest_.add(std::string_view(id));
+  for (const engine::RequestId& id : open) {
+    digest_.add(id);
     if (dice_.one_in(2))
       process.other().engine.on_peer_request_progress(id, engine::RequestProgress::kInProgress);
   }
--- a/tests/dispatcher/engine_digest_fixture.hpp
+++ b/tests/dispatcher/engine_digest_fixture.hpp
@@ -32,7 +32,7 @@
 
  private:
   struct ActiveAttempt {
-    std::string endpoint;
+    engine::EndpointId endpoint;
     bool is_connected = false;
     bool is_delivered = false;  // the complete request reached the replica
     bool has_started = false;   // its response did
@@ -53,7 +53,7 @@
   Client& client(net::SlotId id) { return clients_.at(id.index); }
   Client* pick_client(bool (*fits)(const Client&));
   Process& pick_process();
-  [[nodiscard]] bool reads(const std::string& endpoint) const;
+  [[nodiscard]] bool reads(const engine::EndpointId& endpoint) const;
 
   void step(int kind);
   void submit();
@@ -86,7 +86,7 @@
   engine::Time now_ = std::chrono::seconds(1'800'000'000);
   std::vector<engine::SettingsSnapshot> settings_;
   std::size_t current_ = 0;
-  std::map<std::string, routing::EndpointInfo> endpoints_;
+  std::map<engine::EndpointId, routing::EndpointInfo> endpoints_;
   std::vector<std::unique_ptr<Frontend>> frontends_;
   std::vector<std::unique_ptr<Process>> processes_;
   std::map<std::uint32_t, Client> clients_;
--- a/tests/dispatcher/engine_digest_parts.hpp
+++ b/tests/dispatcher/engine_digest_parts.hpp
@@ -49,7 +49,7 @@
     engine.set_subscribe_callback([this] { fixture_.record("subscribe", number_); });
   }
 
-  void start_attempt(engine::AttemptId attempt, const std::string& endpoint,
+  void start_attempt(engine::AttemptId attempt, const engine::EndpointId& endpoint,
                      std::shared_ptr<const engine::UpstreamRequest> message, engine::Time deadline,
                      engine::Time connect_by) override {
     fixture_.record("send", number_, attempt, endpoint, message ? message->id : "none", deadline, connect_by);
@@ -64,10 +64,11 @@
   }
   void pause_reading(engine::AttemptId attempt) override { fixture_.record("pause", number_, attempt); }
   void resume_reading(engine::AttemptId attempt) override { fixture_.record("resume", number_, attempt); }
-  void reserve_slot(engine::AttemptId attempt, const std::string& endpoint, const std::string& id) override {
+  void reserve_slot(engine::AttemptId attempt, const engine::EndpointId& endpoint,
+                    const engine::RequestId& id) override {
     fixture_.record("hold", number_, attempt, endpoint, id);
   }
-  void release_reservation(const std::string& id, engine::Time until) override {
+  void release_reservation(const engine::RequestId& id, engine::Time until) override {
     fixture_.record("release", number_, id, until);
     releases.push_back(id);
   }
@@ -77,13 +78,13 @@
     return it != attempts.end() && it->second.is_connected;
   }
 
-  void on_request_progress(const std::string& id, engine::RequestProgress progress) override {
+  void on_request_progress(const engine::RequestId& id, engine::RequestProgress progress) override {
     const bool open = progress == engine::RequestProgress::kInProgress;
     fixture_.record("tell_request", number_, id, open);
     fixture_.peer_messages_.push_back(
         [this, id, progress] { other().engine.on_peer_request_progress(id, progress); });
   }
-  void on_attempt_started(const std::string& endpoint) override {
+  void on_attempt_started(const engine::EndpointId& endpoint) override {
     fixture_.record("tell_sent", number_, endpoint);
     fixture_.peer_messages_.push_back([this, endpoint] { other().engine.on_peer_attempt_started(endpoint); });
   }
@@ -100,7 +101,7 @@
   engine::TimerQueue timers;
   engine::Engine engine;
   std::map<engine::AttemptId, ActiveAttempt> attempts;
-  std::vector<std::string> releases;  // asked for, not confirmed yet
+  std::vector<engine::RequestId> releases;  // asked for, not confirmed yet
 
  private:
   EngineScript& fixture_;
--- a/tests/dispatcher/engine_test.cpp
+++ b/tests/dispatcher/engine_test.cpp
@@ -45,10 +45,10 @@
                                 {AttemptStatus::kRead, 0, {}, {}});
   }
 
-  void start_attempt(engine::AttemptId attempt, const std::string& endpoint,
+  void start_attempt(engine::AttemptId attempt, const engine::EndpointId& endpoint,
                      std::shared_ptr<const engine::UpstreamRequest>, engine::Time, engine::Time) override {
     started.push_back(attempt);
-    calls.push_back("send " + endpoint.substr(0, 1));
+    calls.push_back("send " + endpoint.value().substr(0, 1));
   }
   bool cancel_attempt(engine::AttemptId) override {
     calls.push_back("abandon");
@@ -56,8 +56,8 @@
   }
   void pause_reading(engine::AttemptId) override { calls.push_back("pause"); }
   void resume_reading(engine::AttemptId) override { calls.push_back("resume"); }
-  void reserve_slot(engine::AttemptId, const std::string&, const std::string&) override {}
-  void release_reservation(const std::string& id, engine::Time until) override {
+  void reserve_slot(engine::AttemptId, const engine::EndpointId&, const engine::RequestId&) override {}
+  void release_reservation(const engine::RequestId& id, engine::Time until) override {
     calls.push_back("release");
     release_until = until;
     if (confirms_releases) timers.add(now, [this, id] { engine.on_reservation_released(id); });
--- a/tests/dispatcher/hot_restart_compatibility_test.cpp
+++ b/tests/dispatcher/hot_restart_compatibility_test.cpp
@@ -156,7 +156,7 @@
         service_discovery::parse_endpoint_snapshot(Json::parse(kHandover).at("list")));
   }
   std::map<std::string, int> listening_sockets() override { return {{"platform", 0}, {"chat", 1}}; }
-  std::vector<std::string> open_request_ids() override { return {"a1", "b\"2", "\xff"}; }
+  std::vector<routing::RequestId> open_request_ids() override { return {"a1", "b\"2", "\xff"}; }
   routing::LearnedState learned_state() override {
     routing::LearnedState state;
     state.starts[0] = {0.1, 1.0 / 3, 7};
@@ -172,13 +172,15 @@
     return {{"level", "less"}, {"pinned", true}, {"shed", 3}, {"signals", {{"open", 12}}}};
   }
   void on_handover(hot_restart::HandoverState state) override { states.push_back(std::move(state)); }
-  void on_endpoint_drained(const std::string& endpoint, bool drained) override {
-    events.push_back("drained " + endpoint + (drained ? " yes" : " no"));
+  void on_endpoint_drained(const routing::EndpointId& endpoint, bool drained) override {
+    events.push_back("drained " + endpoint.value() + (drained ? " yes" : " no"));
   }
-  void on_peer_request(const std::string& id, bool is_open) override {
-    events.push_back("request " + id + (is_open ? " open" : " closed"));
+  void on_peer_request(const routing::RequestId& id, bool is_open) override {
+    events.push_back("request " + id.value() + (is_open ? " open" : " closed"));
+  }
+  void on_peer_forwarded(const routing::EndpointId& endpoint) override {
+    events.push_back("sent " + endpoint.value());
   }
-  void on_peer_forwarded(const std::string& endpoint) override { events.push_back("sent " + endpoint); }
   void on_stream(const hot_restart::StreamTransfer& stream, net::UniqueFd client,
                  net::UniqueFd upstream) override {
     CHECK(client);
@@ -301,7 +303,7 @@
   const hot_restart::HandoverState& state = fixture.owner.states.front();
   CHECK(state.endpoint_list == Json::parse(kHandover).at("list"));
   CHECK(state.degradation_level == Json::parse(kHandover).at("level"));
-  CHECK(state.open_request_ids == std::vector<std::string>{"a1", "b\"2", "\xef\xbf\xbd"});
+  CHECK(state.open_request_ids == std::vector<routing::RequestId>{"a1", "b\"2", "\xef\xbf\xbd"});
   REQUIRE(state.listening_sockets.size() == 2);
   CHECK(state.listening_sockets.at("chat"));
   CHECK(state.listening_sockets.at("platform"));
@@ -375,7 +377,7 @@
   std::ofstream(path) << kDrainedEndpointsFile;
   hot_restart::DrainedEndpointStore store(path, [](std::string_view) {});
   store.load();
-  CHECK(store.endpoints() == std::set<std::string>{"r\"1", "w1"});
+  CHECK(store.endpoints() == std::set<routing::EndpointId>{"r\"1", "w1"});
   CHECK(store.set_drained("a", true));  // written anew, twice
   CHECK(store.set_drained("a", false));
   std::ifstream file(path);
--- a/tests/dispatcher/hot_restart_test.cpp
+++ b/tests/dispatcher/hot_restart_test.cpp
@@ -41,7 +41,7 @@
   CHECK(first.set_drained("a", false));
   hot_restart::DrainedEndpointStore second(path, quiet);
   second.load();
-  CHECK(second.endpoints() == std::set<std::string>{"b"});
+  CHECK(second.endpoints() == std::set<routing::EndpointId>{"b"});
   CHECK(std::distance(fs::directory_iterator(folder.path), {}) == 1);  // nothing half written stays
   std::ifstream whole(path);
   const std::string text{std::istreambuf_iterator<char>(whole), {}};
--- a/tests/dispatcher/release_targets_test.cpp
+++ b/tests/dispatcher/release_targets_test.cpp
@@ -65,7 +65,7 @@
   ReleaseTargets targets(milliseconds(1000), milliseconds(1200), milliseconds(50));
   const std::vector<ReleaseCandidate> candidates = {candidate("a", "x", 0, false), candidate("b", "x"),
                                                     candidate("c", "y", 1, true, true)};
-  CHECK(targets.next_round(milliseconds(1000), candidates) == std::vector<std::string>{"b"});
+  CHECK(targets.next_round(milliseconds(1000), candidates) == std::vector<EndpointId>{"b"});
 }
 
 TEST_CASE("where no endpoint is known to be reachable, two in different zones are called", "[upstream]") {
@@ -73,7 +73,7 @@
   const std::vector<ReleaseCandidate> candidates = {candidate("a", "x", 0, false, false, milliseconds(900)),
                                                     candidate("b", "x", 0, false, false, milliseconds(800)),
                                                     candidate("c", "y", 1, false, false, milliseconds(10))};
-  CHECK(targets.next_round(milliseconds(1000), candidates) == std::vector<std::string>{"a", "c"});
+  CHECK(targets.next_round(milliseconds(1000), candidates) == std::vector<EndpointId>{"a", "c"});
 }
 
 // All twelve endpoints of the zone that has just become unreachable were heard from last, and would come
@@ -86,7 +86,7 @@
         candidate("unreachable" + std::to_string(i), "x", i / 4, true, false, milliseconds(990)));
   candidates.push_back(candidate("reachable", "y", 9, false, true, milliseconds(1)));
   ReleaseTargets targets(milliseconds(1000), milliseconds(1200), milliseconds(50));
-  std::set<std::string> called;
+  std::set<EndpointId> called;
   for (const auto& endpoint : targets.next_round(milliseconds(1000), candidates)) called.insert(endpoint);
   CHECK_FALSE(called.contains("reachable"));
   for (const auto& endpoint : targets.next_round(milliseconds(1050), candidates)) called.insert(endpoint);
@@ -98,7 +98,7 @@
   candidates.reserve(40);
   for (int i = 0; i < 40; ++i) candidates.push_back(candidate("h" + std::to_string(i), "x", i / 5));
   ReleaseTargets targets(Time{}, milliseconds(1200), milliseconds(50));
-  std::set<std::string> called;
+  std::set<EndpointId> called;
   std::vector<std::size_t> widths;
   for (int round = 0; called.size() < candidates.size(); ++round) {
     const auto endpoints = targets.next_round(milliseconds(50 * round), candidates);
--- a/tests/dispatcher/router_fixture.cpp
+++ b/tests/dispatcher/router_fixture.cpp
@@ -120,7 +120,8 @@
   }
 }
 
-simulation::SimulatedFleet::Callbacks RouterFixture::callbacks(std::size_t process, const std::string& id) {
+simulation::SimulatedFleet::Callbacks RouterFixture::callbacks(std::size_t process,
+                                                               const routing::RequestId& id) {
   const int incarnation = processes_[process].incarnation;
   simulation::SimulatedFleet::Callbacks callbacks;
   callbacks.first = [this, process, id, incarnation] {
@@ -145,7 +146,7 @@
   attempt.endpoint = start.endpoint;
   attempt.sent_at = now_;
   attempt.in_flight = true;
-  const bool is_reader = start.endpoint.starts_with("r");
+  const bool is_reader = start.endpoint.value().starts_with("r");
   const double work = is_reader ? double(request.prompt_tokens) / parameters_.mean_prompt
                                 : double(submitted.answer_tokens) / parameters_.mean_answer;
   sent_attempts_.push_back({now_, process, start.endpoint, work});
@@ -171,7 +172,7 @@
   });
 }
 
-void RouterFixture::end_attempt(std::size_t process, const std::string& id,
+void RouterFixture::end_attempt(std::size_t process, const routing::RequestId& id,
                                 const engine::AttemptResult& result) {
   Attempt& attempt = processes_[process].attempts[id];
   if (!attempt.in_flight) return;
@@ -193,7 +194,7 @@
   handle(process, completed);
 }
 
-void RouterFixture::end(const std::string& id, End end) {
+void RouterFixture::end(const routing::RequestId& id, End end) {
   Submission& ended = submission(id);
   if (ended.end != End::kOpen) return;
   ended.end = end;
--- a/tests/dispatcher/router_fixture.hpp
+++ b/tests/dispatcher/router_fixture.hpp
@@ -45,7 +45,7 @@
   struct SentAttempt {
     Time at{};
     std::size_t process = 0;
-    std::string endpoint;
+    routing::EndpointId endpoint;
     double work = 0;  // over the mean of its stage
   };
   enum class End { kOpen, kServed, kRejected, kFailed };
@@ -84,7 +84,7 @@
  private:
   struct Attempt {
     simulation::SimulatedFleet::Work work = 0;
-    std::string endpoint;
+    routing::EndpointId endpoint;
     int number = 0;
     Time sent_at{};
     bool in_flight = false, streaming = false;
@@ -94,21 +94,21 @@
     std::unique_ptr<routing::Router> router;
     int incarnation = 0;
     routing::EndpointList list;
-    std::map<std::string, Attempt> attempts;
+    std::map<routing::RequestId, Attempt> attempts;
   };
   void start(std::size_t process);
   void handle(std::size_t process, const routing::Event& event);
   void execute(std::size_t process, const routing::Action& action);
   void start_attempt(std::size_t process, const routing::StartAttempt& start);
   void cancel_attempt(std::size_t process, const routing::CancelAttempt& cancel);
-  void end_attempt(std::size_t process, const std::string& id, const engine::AttemptResult& result);
-  void end(const std::string& id, End end);
+  void end_attempt(std::size_t process, const routing::RequestId& id, const engine::AttemptResult& result);
+  void end(const routing::RequestId& id, End end);
   // An event of a process, unless it has restarted since.
   void handle_if_running(std::size_t process, int incarnation, const routing::Event& event);
   [[nodiscard]] bool is_running(std::size_t process, int incarnation) const;
-  simulation::SimulatedFleet::Callbacks callbacks(std::size_t process, const std::string& id);
+  simulation::SimulatedFleet::Callbacks callbacks(std::size_t process, const routing::RequestId& id);
   [[nodiscard]] routing::EndpointList list() const;
-  Submission& submission(const std::string& id) { return submissions_[std::stoul(id)]; }
+  Submission& submission(const routing::RequestId& id) { return submissions_[std::stoul(id.value())]; }
 
   simulation::Parameters parameters_;
   routing::Settings settings_;
--- a/tests/dispatcher/slow_start_test.cpp
+++ b/tests/dispatcher/slow_start_test.cpp
@@ -44,7 +44,7 @@
 constexpr double kBefore = 6, kDown = 1, kRamp = 8, kAfter = 5;
 
 // The replica's number within its cell and role.
-int number_of(const std::string& endpoint) { return endpoint.back() - '0'; }
+int number_of(const routing::EndpointId& endpoint) { return endpoint.value().back() - '0'; }
 
 simulation::Parameters parameters_of(const Scenario& scenario) {
   simulation::Parameters parameters;
@@ -80,7 +80,7 @@
         random_(seed),
         fixture_(parameters_, scenario.processes, seed) {
     fixture_.is_listed = [lost = scenario.lost_writers](const routing::EndpointInfo& entry) {
-      return entry.zone != "z0" || entry.endpoint[0] != 'w' || number_of(entry.endpoint) < 4 - lost;
+      return entry.zone != "z0" || entry.endpoint.value()[0] != 'w' || number_of(entry.endpoint) < 4 - lost;
     };
     for (std::size_t i = 0; i < scenario.processes; ++i) {
       const double weight = scenario.traffic.is_uneven && i % 5 == 0 ? 5 : 1;
@@ -145,13 +145,13 @@
     return scenario_.overload_multiple * scenario_.traffic.capacity *
            std::lerp(scenario_.initial_share, 1.0, age) * scenario_.overload_window;
   }
-  [[nodiscard]] bool is_restarted(const std::string& endpoint) const {
+  [[nodiscard]] bool is_restarted(const routing::EndpointId& endpoint) const {
     return number_of(endpoint) < scenario_.restarted;
   }
 
   [[nodiscard]] Measurement measure() const {
     Measurement measurement;
-    std::map<std::string, std::vector<const RouterFixture::SentAttempt*>> by_endpoint;
+    std::map<routing::EndpointId, std::vector<const RouterFixture::SentAttempt*>> by_endpoint;
     for (const auto& sent : fixture_.sent_attempts()) {
       if (is_restarted(sent.endpoint) && sent.at >= restart_) by_endpoint[sent.endpoint].push_back(&sent);
     }
--- a/tests/guards_test.cpp
+++ b/tests/guards_test.cpp
@@ -357,7 +357,7 @@
     Request r = h.make("q" + std::to_string(i), "safe", i + 1);
     r.tenant = "small";
     h.pass(r);
-    h.serve(r.id);
+    h.serve(r.id.value());
   }
   EXPECT_TRUE(h.rejected.empty());
 }
--- a/tests/harness.hpp
+++ b/tests/harness.hpp
@@ -102,30 +102,30 @@
     std::vector<Action> actions = router.handle(now, e);
     for (const Action& a : actions) {
       if (const auto* s = std::get_if<StartAttempt>(&a)) {
-        EXPECT_FALSE(ended[s->request]) << "sent after the end";
-        EXPECT_EQ(out[s->request], "") << "second attempt at once";
-        out[s->request] = s->endpoint;
-        ++attempts[s->request];
+        EXPECT_FALSE(ended[s->request.value()]) << "sent after the end";
+        EXPECT_EQ(out[s->request.value()], "") << "second attempt at once";
+        out[s->request.value()] = s->endpoint.value();
+        ++attempts[s->request.value()];
         sends.push_back(*s);
       } else if (const auto* r = std::get_if<Reject>(&a)) {
-        EXPECT_FALSE(ended[r->request]) << "second final answer";
-        EXPECT_EQ(out[r->request], "") << "refused with an attempt out";
-        ended[r->request] = true;
-        rejected.push_back(r->request);
+        EXPECT_FALSE(ended[r->request.value()]) << "second final answer";
+        EXPECT_EQ(out[r->request.value()], "") << "refused with an attempt out";
+        ended[r->request.value()] = true;
+        rejected.push_back(r->request.value());
       } else if (const auto* f = std::get_if<Fail>(&a)) {
-        EXPECT_FALSE(ended[f->request]) << "second final answer";
-        ended[f->request] = true;
-        failed.push_back(f->request);
+        EXPECT_FALSE(ended[f->request.value()]) << "second final answer";
+        ended[f->request.value()] = true;
+        failed.push_back(f->request.value());
       } else if (const auto* l = std::get_if<ReleaseReservation>(&a)) {
-        released.push_back(l->request);
-        held[l->request] = false;
+        released.push_back(l->request.value());
+        held[l->request.value()] = false;
       } else if (const auto* c = std::get_if<CancelAttempt>(&a)) {
-        cancelled.push_back(c->request);
+        cancelled.push_back(c->request.value());
       } else if (std::get_if<SetTimer>(&a) != nullptr) {
         timer = true;
       } else if (const auto* m = std::get_if<MigrateStream>(&a)) {
-        moved.push_back(m->request);
-        ended[m->request] = true;
+        moved.push_back(m->request.value());
+        ended[m->request.value()] = true;
       }
     }
     return actions;
--- a/tests/routing/event_sequence_test.cpp
+++ b/tests/routing/event_sequence_test.cpp
@@ -28,10 +28,11 @@
   const auto audit = [&] {
     for (; sends_seen < h.sends.size(); ++sends_seen) {
       const StartAttempt& sent = h.sends[sends_seen];
-      EXPECT_EQ(state[sent.endpoint], EndpointState::kReady) << "sent to a host that drains or is gone";
-      EXPECT_LE(h.attempts[sent.request], s.max_attempts);
-      if (cls[sent.request] == "unsafe") {
-        EXPECT_FALSE(ran[sent.request]) << "second effect";
+      EXPECT_EQ(state[sent.endpoint.value()], EndpointState::kReady)
+          << "sent to a host that drains or is gone";
+      EXPECT_LE(h.attempts[sent.request.value()], s.max_attempts);
+      if (cls[sent.request.value()] == "unsafe") {
+        EXPECT_FALSE(ran[sent.request.value()]) << "second effect";
       }
     }
     for (const std::string& id : h.rejected) {
--- a/tests/routing/slow_start_test.cpp
+++ b/tests/routing/slow_start_test.cpp
@@ -86,19 +86,19 @@
   for (int i = 0; i < 8; ++i) two_seconds();
   for (int i = 0; i < 16; ++i) {
     if (i / 2 % 2 == 0) continue;
-    started.push_back(endpoint(endpoints[static_cast<std::size_t>(i)].endpoint, i < 8 ? "r" : "w", i % 2,
-                               "east", EndpointState::kReady, routers[0]->now));
+    started.push_back(endpoint(endpoints[static_cast<std::size_t>(i)].endpoint.value(), i < 8 ? "r" : "w",
+                               i % 2, "east", EndpointState::kReady, routers[0]->now));
   }
   for (auto& h : routers) h->list(started, ListKind::kDelta), h->sends.clear();
   for (int i = 0; i < 5; ++i) two_seconds();
   std::map<std::string, int> sent;
   for (auto& h : routers) {
-    for (const StartAttempt& send : h->sends) ++sent[send.endpoint];
+    for (const StartAttempt& send : h->sends) ++sent[send.endpoint.value()];
   }
   const double mean = 5.0 * kRouters / 8;  // of a role, cold and warm
   for (const EndpointInfo& cold : started) {
-    EXPECT_GT(sent[cold.endpoint], mean / 4) << cold.endpoint;
-    EXPECT_LT(sent[cold.endpoint], mean * 1.25) << cold.endpoint;
+    EXPECT_GT(sent[cold.endpoint.value()], mean / 4) << cold.endpoint;
+    EXPECT_LT(sent[cold.endpoint.value()], mean * 1.25) << cold.endpoint;
   }
 }
 
--- a/tests/settings_fixture.cpp
+++ b/tests/settings_fixture.cpp
@@ -43,27 +43,28 @@
           for (const EndpointInfo& entry : e.entries) all += " " + told(entry);
           return all;
         } else if constexpr (std::is_same_v<E, Request>) {
-          return "request " + e.id + " class " + e.request_class + " tokens " +
+          return "request " + e.id.value() + " class " + e.request_class + " tokens " +
                  std::to_string(e.prompt_tokens) + " deadline " + ms(e.client_deadline);
         } else if constexpr (std::is_same_v<E, AttemptCompleted>) {
-          return "outcome " + e.request + " attempt " + std::to_string(e.attempt) + " at " + e.endpoint +
-                 ": " + name_of(e.status) + (e.finished ? ", finished" : "") +
+          return "outcome " + e.request.value() + " attempt " + std::to_string(e.attempt) + " at " +
+                 e.endpoint.value() + ": " + name_of(e.status) + (e.finished ? ", finished" : "") +
                  (e.cached_prompt_tokens != 0 ? ", cached " + std::to_string(e.cached_prompt_tokens) : "") +
                  (e.evidence != AttemptEvidence::kNone ? ", with evidence" : "");
         } else if constexpr (std::is_same_v<E, FirstToken>) {
-          return "first token " + e.request + " attempt " + std::to_string(e.attempt) + " at " + e.endpoint;
+          return "first token " + e.request.value() + " attempt " + std::to_string(e.attempt) + " at " +
+                 e.endpoint.value();
         } else if constexpr (std::is_same_v<E, ReservationResult>) {
-          return "hold " + e.request + (e.held ? " held" : " not held");
+          return "hold " + e.request.value() + (e.held ? " held" : " not held");
         } else if constexpr (std::is_same_v<E, ClientGone>) {
-          return "client gone " + e.request;
+          return "client gone " + e.request.value();
         } else if constexpr (std::is_same_v<E, TimerExpired>) {
           return "timer " + std::to_string(e.tag);
         } else if constexpr (std::is_same_v<E, AdministrativeDrain>) {
-          return "maintenance " + e.endpoint + (e.offline ? " offline" : " online");
+          return "maintenance " + e.endpoint.value() + (e.offline ? " offline" : " online");
         } else if constexpr (std::is_same_v<E, LearnedState>) {
           return "knowledge";
         } else if constexpr (std::is_same_v<E, PeerForwarded>) {
-          return "sent elsewhere to " + e.endpoint;
+          return "sent elsewhere to " + e.endpoint.value();
         } else {
           return "new settings";
         }
@@ -76,19 +77,19 @@
       [](const auto& a) -> std::string {
         using A = std::decay_t<decltype(a)>;
         if constexpr (std::is_same_v<A, StartAttempt>) {
-          return "send " + a.request + " to " + a.endpoint + " not past " + ms(a.deadline);
+          return "send " + a.request.value() + " to " + a.endpoint.value() + " not past " + ms(a.deadline);
         } else if constexpr (std::is_same_v<A, CancelAttempt>) {
-          return "cancel " + a.request + " attempt " + std::to_string(a.attempt);
+          return "cancel " + a.request.value() + " attempt " + std::to_string(a.attempt);
         } else if constexpr (std::is_same_v<A, Reject>) {
-          return "refuse " + a.request + (a.retry_after ? " retry in " + ms(*a.retry_after) : "");
+          return "refuse " + a.request.value() + (a.retry_after ? " retry in " + ms(*a.retry_after) : "");
         } else if constexpr (std::is_same_v<A, Fail>) {
-          return "fail " + a.request;
+          return "fail " + a.request.value();
         } else if constexpr (std::is_same_v<A, MigrateStream>) {
-          return "move " + a.request;
+          return "move " + a.request.value();
         } else if constexpr (std::is_same_v<A, ReserveSlot>) {
-          return "hold " + a.request + " at " + a.endpoint;
+          return "hold " + a.request.value() + " at " + a.endpoint.value();
         } else if constexpr (std::is_same_v<A, ReleaseReservation>) {
-          return "release " + a.request;
+          return "release " + a.request.value();
         } else if constexpr (std::is_same_v<A, SetTimer>) {
           return "timer " + std::to_string(a.tag) + " after " + ms(a.after);
         } else if constexpr (std::is_same_v<A, Subscribe>) {
@@ -151,7 +152,7 @@
 
 // ---- what the router does ----
 
-Fixture::Open& Fixture::owed(const std::string& id, const char* what) {
+Fixture::Open& Fixture::owed(const RequestId& id, const char* what) {
   const auto it = requests_.find(id);
   check(it != requests_.end(), std::string(what) + " of a request that never came");
   return it->second;
@@ -433,7 +434,7 @@
   pass(o);
 }
 
-void Fixture::lose_states(const std::string& endpoint) {
+void Fixture::lose_states(const EndpointId& endpoint) {
   for (auto& [id, q] : requests_) {
     if (q.held_at == endpoint) q.held_at.reset();
   }
@@ -493,7 +494,7 @@
       break;
     case 7:  // a new machine
       e.state = EndpointState::kReady;
-      e.endpoint += "n" + std::to_string(restarts_++);
+      e.endpoint = e.endpoint.value() + "n" + std::to_string(restarts_++);
       e.started = now_;
       break;
     default:
@@ -558,9 +559,9 @@
     now_ = std::max(next, now_);
     for (const auto& [id, q] : requests_) {
       check(q.over() || now_ <= q.r.client_deadline + q.rules->answer_slack,
-            id + " has no final answer by deadline and slack");
+            id.value() + " has no final answer by deadline and slack");
       check(!q.held_at || out(q) > 0 || now_ <= q.idle_since + q.rules->reservation_limit,
-            id + ": its state is held past the pin limit");
+            id.value() + ": its state is held past the pin limit");
     }
   }
 }
--- a/tests/settings_fixture.hpp
+++ b/tests/settings_fixture.hpp
@@ -45,7 +45,7 @@
 
  private:
   struct Attempt {
-    std::string endpoint;
+    EndpointId endpoint;
     bool reading = false;                                // at a reader: has no effect, however it ends
     bool needs_state = false;                            // at a writer that does not read
     Time sent{}, deadline{}, connect_by{}, cancelled{};  // cancelled: when its end is known; zero: not
@@ -56,7 +56,7 @@
     std::shared_ptr<const Settings> rules;  // those that it came in under
     RequestClass cls;
     std::vector<Attempt> attempts;
-    std::optional<std::string> held_at;  // the reader with its state
+    std::optional<EndpointId> held_at;  // the reader with its state
     Time idle_since{};
     bool answered = false, begun = false, gone = false;
     [[nodiscard]] bool over() const { return answered || begun || gone; }
@@ -82,7 +82,7 @@
   void carry_out(const SetTimer& timer);
   void carry_out(const Subscribe&);
   void carry_out(const LogMessage&) {}
-  Open& owed(const std::string& id, const char* what);
+  Open& owed(const RequestId& id, const char* what);
   void check_answer(Open& q, const char* what);
   void check_effect(const Open& q, const Known& to, const StartAttempt& send) const;
   [[nodiscard]] bool proven_harmless(const Open& q) const;
@@ -96,7 +96,7 @@
   void end_attempt(Open& q, int number, AttemptStatus status, int cached_tokens, AttemptEvidence evidence,
                    const Step& step = {});
   void begin_stream(Open& q, int number);
-  void lose_states(const std::string& endpoint);
+  void lose_states(const EndpointId& endpoint);
   void send_list(ListKind kind, std::vector<EndpointInfo> entries);
 
   [[nodiscard]] Time round_up(Time time) const;
@@ -113,8 +113,8 @@
   Time now_ = std::chrono::seconds(1000);
   Duration tick_;
   std::vector<EndpointInfo> first_;
-  std::map<std::string, Known> endpoints_;
-  std::map<std::string, Open> requests_;
+  std::map<EndpointId, Known> endpoints_;
+  std::map<RequestId, Open> requests_;
   std::multimap<Time, std::uint64_t> timers_;
   std::vector<std::string> transcript_;
   int asked_ = 0, restarts_ = 0;
