--- a/src/degradation/degradation_controller.cpp
+++ b/src/degradation/degradation_controller.cpp
@@ -153,14 +153,15 @@
        " at the process before");
 }
 
-void DegradationController::on_first_token(const std::string& request_class, bool late) {
-  if (active()) signals_.first_token(request_class, late, clock_());
+void DegradationController::on_first_token(const std::string& request_class, bool is_late) {
+  if (!active()) return;
+  const FirstTokenTiming timing = is_late ? FirstTokenTiming::kLate : FirstTokenTiming::kInTime;
+  signals_.first_token(request_class, timing, clock_());
 }
 
 void DegradationController::on_request_not_served(const std::string& request_class,
                                                   engine::NotServedReason reason) {
-  if (!active()) return;
-  signals_.given_up(request_class, reason == engine::NotServedReason::kRejected, clock_());
+  if (active()) signals_.request_not_served(request_class, reason, clock_());
 }
 
 }  // namespace dispatcher::degradation
--- a/src/routing/retry_policy.cpp
+++ b/src/routing/retry_policy.cpp
@@ -78,6 +78,11 @@
          context.now + lead >= state.request.client_deadline || is_window_over;
 }
 
+bool can_wait_for_reader(const Context& context, const EndpointTable& endpoints, const RequestState& state) {
+  return has_attempts_for_both_stages(state) || context.settings->writers_can_prefill ||
+         endpoints.has_mixed_endpoint();
+}
+
 bool can_wait_for_writer(const Context& context, const RequestState& state) {
   const Duration tick = std::max(context.settings->tick, Duration(1));
   const Duration next_timer = (kTimerInterval + tick - Duration(1)) / tick * tick;
@@ -160,7 +165,7 @@
 bool should_migrate(const Context& context, const Endpoint& endpoint, const RequestState& state) {
   const bool is_quiet =
       context.now - endpoint.last_response_at > scaled(state.latency_objective(), kMigrateQuietObjectives);
-  return endpoint.is_ejected && endpoint.is_unresponsive && is_quiet && context.settings->resume;
+  return endpoint.is_ejected && endpoint.is_unresponsive && is_quiet && context.settings->may_migrate_streams;
 }
 
 bool has_become_late(Time now, const RequestState& state) {
--- a/tests/dispatcher/membership_fleet_test.cpp
+++ b/tests/dispatcher/membership_fleet_test.cpp
@@ -12,7 +12,8 @@
   fixture.start_all();
   REQUIRE(fixture.until([&] { return fixture.all_alive(); }, seconds(10)));
   fixture.run(seconds(40));
-  std::uint64_t before = 0, after = 0;
+  std::uint64_t before = 0;
+  std::uint64_t after = 0;
   for (MemberIndex member = 0; member < count; ++member) before += fixture.node(member).counts().sent_bytes;
   fixture.run(seconds(60));
   for (MemberIndex member = 0; member < count; ++member) after += fixture.node(member).counts().sent_bytes;
@@ -46,7 +47,8 @@
     return found;
   };
   REQUIRE(entries(0) == 1);
-  int new_incarnations = 0, deaths = 0;
+  int new_incarnations = 0;
+  int deaths = 0;
   fixture.on_change = [&](MemberIndex observer, const membership::MemberChange& change) {
     if (observer != 2 && change.member == 2) new_incarnations += change.is_new_incarnation;
     deaths += change.after == MemberState::kDead;
@@ -84,8 +86,7 @@
   CHECK(fixture.until(is_accepted, seconds(3)));  // its first ping is answered with its later incarnation
   fixture.run(seconds(10));
   CHECK(suspicions == 0);
-  CHECK(fixture.node(0).counts().dropped[static_cast<std::size_t>(gossip::DropReason::kStaleIncarnation)] >
-        0);
+  CHECK(fixture.node(0).counts().dropped[static_cast<std::size_t>(DropReason::kStaleIncarnation)] > 0);
 }
 
 TEST_CASE("clocks apart by hours and running at different rates make no difference", "[membership]") {
@@ -129,7 +130,8 @@
   FleetFixture fixture(10, 7);
   fixture.start_all();
   REQUIRE(fixture.until([&] { return fixture.all_alive(); }, seconds(10)));
-  const std::set<MemberIndex> left{0, 1, 2, 3}, right{4, 5, 6, 7, 8, 9};
+  const std::set<MemberIndex> left{0, 1, 2, 3};
+  const std::set<MemberIndex> right{4, 5, 6, 7, 8, 9};
   fixture.block(left, right);
   fixture.block(right, left);
   const auto apart = [&] {
@@ -201,8 +203,7 @@
     suspicions += change.after == MemberState::kSuspect;
   };
   for (const gossip::OutgoingDatagram& outgoing : fixture.node(4).leave(fixture.clock(4)))
-    fixture.inject(4, outgoing.to.value(),
-                   {outgoing.datagram.bytes().begin(), outgoing.datagram.bytes().end()});
+    fixture.inject(4, outgoing.to.value(), bytes_of(outgoing.datagram));
   fixture.kill(4);
   CHECK(fixture.until([&] { return fixture.all_consider(4, MemberState::kDead); }, seconds(10)));
   CHECK(suspicions == 0);
--- a/tests/settings_fixture.cpp
+++ b/tests/settings_fixture.cpp
@@ -183,7 +183,7 @@
   check(!q.answered, "sent after the end");
   check(!q.begun, "sent after the first token");
   check(!q.gone, "sent after its client was gone");
-  check(out(q) == 0 || q.rules->may_duplicate, "two attempts out where duplicates are barred");
+  check(out(q) == 0 || q.rules->may_hedge, "two attempts out where duplicates are barred");
   const auto it = endpoints_.find(send.endpoint);
   check(it != endpoints_.end(), "sent to a host that no list named");
   const Known& to = it->second;
@@ -197,7 +197,7 @@
   Attempt a;
   a.endpoint = send.endpoint;
   a.reading = to.role == Role::kReader;
-  a.needs_state = to.role == Role::kWriter && !settings_[current_]->writers_read;
+  a.needs_state = to.role == Role::kWriter && !settings_[current_]->writers_can_prefill;
   a.sent = now_;
   a.connect_by = send.connect_by;
   check(!q.held_at || !q.rules->reservation_expires_while_connecting ||
@@ -246,7 +246,7 @@
 
 void Fixture::carry_out(const MigrateStream& move) {
   Open& q = owed(move.request, "a move");
-  check(settings_[current_]->resume, "moved where streams do not resume");
+  check(settings_[current_]->may_migrate_streams, "moved where streams do not resume");
   check(q.begun && !q.answered && !q.gone, "moved what is no running stream");
   q.answered = true;
   for (Attempt& a : q.attempts) {
@@ -256,7 +256,7 @@
 
 void Fixture::carry_out(const ReserveSlot& hold) {
   owed(hold.request, "a hold");
-  check(settings_[current_]->early_pairing, "held where that is not allowed");
+  check(settings_[current_]->may_reserve_slots, "held where that is not allowed");
   check(endpoints_.contains(hold.endpoint), "held at a host that no list named");
 }
 
@@ -332,7 +332,7 @@
       now_ + Duration(static_cast<std::int64_t>(static_cast<double>(q.cls.deadline.count()) *
                                                 (0.5 + 0.5 * (step.which % 10) / 9.0)));
   q.r.client_retry = step.how % 3 == 0;
-  q.r.resubmitted = rules->resume && step.how % 5 == 0;
+  q.r.resubmitted = rules->may_migrate_streams && step.how % 5 == 0;
   if (step.much % 50 == 3) q.r.request_class = "unknown";
   const Request r = q.r;
   const Open& here = requests_.emplace(r.id, std::move(q)).first->second;
--- a/tests/settings_parse_test.cpp
+++ b/tests/settings_parse_test.cpp
@@ -1,4 +1,4 @@
-// The parser of settings: every member, what is missing, and names that are unknown.
+// The parser of settings: every member, members that are missing, and names that are unknown.
 #include <gtest/gtest.h>
 
 #include <vector>
@@ -29,42 +29,42 @@
   source["guarantees"]["askEveryMs"] = 10000;
   source["limits"].update({{"mayProbe", true}, {"mayDuplicate", true}, {"peers", true}, {"openCap", 27264}});
   const Settings settings = parse_settings(source).settings;
-  EXPECT_TRUE(settings.may_probe && settings.may_duplicate && settings.peers &&
+  EXPECT_TRUE(settings.may_probe && settings.may_hedge && settings.may_message_peers &&
               settings.clients_mark_retries && settings.weight_by_work);
   EXPECT_EQ(settings.report_source, ReportSource::kInAnswers);
   EXPECT_EQ(settings.report_fields,
             (std::vector<LoadField>{LoadField::kPromptKilotokens, LoadField::kInHand}));
-  EXPECT_EQ(settings.weights, WeightMeaning::kRough);
+  EXPECT_EQ(settings.weight_meaning, WeightMeaning::kRough);
   EXPECT_EQ(settings.zones, (std::vector<std::string>{"east", "west"}));
   EXPECT_EQ(settings.poll_interval, std::chrono::seconds(10));
   EXPECT_EQ(settings.max_open_requests, 27264);
   EXPECT_EQ(settings.classes[0].latency_objective_stretch, 1.5);
   const Prices& prices = settings.prices;
-  EXPECT_EQ(
-      (std::vector<double>{prices.waste, prices.probe, prices.cross_zone, prices.late_fail, prices.peer,
-                           prices.far, prices.move, prices.connection, prices.handshake, prices.list_line}),
-      (std::vector<double>{0.22, 0.5, 0.028, 0.08, 0.003, 0.04, 0.01, 0.02, 0.04, 1}));
-  EXPECT_EQ((std::vector<double>{settings.goal.whole, settings.goal.worst_window, settings.goal.worst_class,
+  EXPECT_EQ((std::vector<double>{prices.wasted_work, prices.probe, prices.cross_zone, prices.late_failure,
+                                 prices.peer_message, prices.remote_transfer, prices.migration,
+                                 prices.connection, prices.handshake, prices.endpoint_list_entry}),
+            (std::vector<double>{0.22, 0.5, 0.028, 0.08, 0.003, 0.04, 0.01, 0.02, 0.04, 1}));
+  EXPECT_EQ((std::vector<double>{settings.goal.total, settings.goal.worst_window, settings.goal.worst_class,
                                  settings.goal.worst_tenant}),
             (std::vector<double>{0.3, 0.4, 0.2, 0.1}));
   source["loadInfo"]["source"] = "pull";
   EXPECT_EQ(parse_settings(source).settings.report_source, ReportSource::kInProbes);
 }
 
-TEST(SettingsParser, WhatIsMissingOrNullIsNotAllowedAndHasNoPrice) {
+TEST(SettingsParser, PermissionsAndPricesThatAreMissingOrNullAreFalseAndZero) {
   for (const Json& absent : {Json(), Json::object()}) {  // null, or without the keys; else missing
     Json source = settings_json();
     if (absent.is_object())
       source["prices"] = source["goal"] = source["loadInfo"] = source["clientHabits"] = absent;
     source["weights"] = source["worthBy"] = source["dcs"] = nullptr;
     const Settings settings = parse_settings(source).settings;
-    EXPECT_FALSE(settings.may_probe || settings.may_duplicate || settings.peers ||
+    EXPECT_FALSE(settings.may_probe || settings.may_hedge || settings.may_message_peers ||
                  settings.clients_mark_retries || settings.weight_by_work);
     EXPECT_EQ(settings.report_source, ReportSource::kNone);
-    EXPECT_EQ(settings.weights, WeightMeaning::kNothing);
+    EXPECT_EQ(settings.weight_meaning, WeightMeaning::kNothing);
     EXPECT_TRUE(settings.report_fields.empty() && settings.zones.empty());
-    EXPECT_EQ(settings.prices.waste + settings.prices.probe + settings.prices.far + settings.goal.whole +
-                  settings.max_open_requests,
+    EXPECT_EQ(settings.prices.wasted_work + settings.prices.probe + settings.prices.remote_transfer +
+                  settings.goal.total + settings.max_open_requests,
               0);
   }
 }
@@ -74,7 +74,7 @@
   source["weights"] = source["worthBy"] = "new";
   source["loadInfo"] = {{"source", "new"}};
   const Settings settings = parse_settings(source).settings;
-  EXPECT_EQ(settings.weights, WeightMeaning::kNothing);
+  EXPECT_EQ(settings.weight_meaning, WeightMeaning::kNothing);
   EXPECT_EQ(settings.report_source, ReportSource::kNone);
   EXPECT_FALSE(settings.weight_by_work);
 }
