--- a/src/openai_api/frontend.cpp
+++ b/src/openai_api/frontend.cpp
@@ -54,7 +54,8 @@
   return !retry_count.empty() && retry_count != "0";
 }
 
-std::shared_ptr<const engine::UpstreamRequest> upstream_request(const std::string& id, std::string body) {
+std::shared_ptr<const engine::UpstreamRequest> upstream_request(const engine::RequestId& id,
+                                                                std::string body) {
   auto message = std::make_shared<engine::UpstreamRequest>();
   message->id = id;
   message->method = "POST";
@@ -142,7 +143,7 @@
 
 ResponseFormat Frontend::response_format(const ChatRequest& chat, const routing::Request& request) const {
   const auto unix_time = std::chrono::duration_cast<std::chrono::seconds>(clock_());
-  return {.id = "chatcmpl-" + request.id,
+  return {.id = "chatcmpl-" + request.id.value(),
           .model = chat.model->id,
           .created = unix_time.count(),
           .is_stream = chat.is_stream,
--- a/src/routing/open_requests.cpp
+++ b/src/routing/open_requests.cpp
@@ -5,16 +5,16 @@
 namespace dispatcher::routing {
 
 RequestState& OpenRequests::insert(RequestState state) {
-  const std::string id = state.request.id;
+  const RequestId id = state.request.id;
   return requests_.emplace(id, std::move(state)).first->second;
 }
 
-RequestState* OpenRequests::find(const std::string& id) {
+RequestState* OpenRequests::find(const RequestId& id) {
   const auto it = requests_.find(id);
   return it != requests_.end() ? &it->second : nullptr;
 }
 
-RequestState* OpenRequests::find_in_flight(const std::string& id, int attempt) {
+RequestState* OpenRequests::find_in_flight(const RequestId& id, int attempt) {
   RequestState* state = find(id);
   if (state == nullptr || !state->is_in_flight || state->current_attempt() != attempt) return nullptr;
   return state;
--- a/src/routing/open_requests.hpp
+++ b/src/routing/open_requests.hpp
@@ -3,7 +3,6 @@
 #define DISPATCHER_ROUTING_OPEN_REQUESTS_HPP_
 
 #include <cstddef>
-#include <string>
 
 #include "routing/endpoint.hpp"
 #include "routing/request_state.hpp"
@@ -16,9 +15,9 @@
   // Adds a request whose id is not in the table yet.
   RequestState& insert(RequestState state);
   // Null: no such request is open.
-  [[nodiscard]] RequestState* find(const std::string& id);
+  [[nodiscard]] RequestState* find(const RequestId& id);
   // The request, if this attempt of it is in flight. Null: it is not.
-  [[nodiscard]] RequestState* find_in_flight(const std::string& id, int attempt);
+  [[nodiscard]] RequestState* find_in_flight(const RequestId& id, int attempt);
   // Erases the request if it is owed no answer and has no attempt in flight; `state` is void then.
   void erase_if_settled(const RequestState& state);
 
--- a/src/routing/response_observer.cpp
+++ b/src/routing/response_observer.cpp
@@ -40,7 +40,7 @@
     append(logs, record_start(context, requests, endpoint, state, completed.elapsed));
     // Logged only: the index is not cleared, as the reader caches the prompt again from now on.
     if (completed.cached_prompt_tokens + kBlockTokens < state.predicted_cached_tokens)
-      logs.push_back({"endpoint " + endpoint.endpoint + " lost cached prompts"});
+      logs.push_back({"endpoint " + endpoint.endpoint.value() + " lost cached prompts"});
   } else if (completed.status == AttemptStatus::kServed) {
     endpoint.last_response_at = context.now;
     if (phase == Phase::kStreaming) outliers_.record_stream(context, endpoint, state);
--- a/src/routing/router.cpp
+++ b/src/routing/router.cpp
@@ -77,8 +77,8 @@
   void handle(const EndpointList& list) {
     needs_subscription_ = list.kind == ListKind::kFailed;
     if (needs_subscription_) return;
-    for (const std::string& name : endpoints_.apply(list, *context_.settings, context_.now))
-      emit(LogMessage{"endpoint " + name + " restarted"});
+    for (const EndpointId& name : endpoints_.apply(list, *context_.settings, context_.now))
+      emit(LogMessage{"endpoint " + name.value() + " restarted"});
     observer_.update(context_, endpoints_);
   }
 
--- a/tests/conformance/reference_scorer.hpp
+++ b/tests/conformance/reference_scorer.hpp
@@ -14,9 +14,6 @@
 
 namespace dispatcher::routing::conformance {
 
-using EndpointId = decltype(EndpointInfo::endpoint);
-using RequestId = decltype(Request::id);
-
 // Where the module departs from the design on purpose: the figures of deviations.json.
 struct Bounds {
   double spread_floor{}, spread_max{};  // of the mean load, between which min-max normalization stretches
--- a/tests/consumer/main.cpp
+++ b/tests/consumer/main.cpp
@@ -44,7 +44,7 @@
 }
 
 // Where the actions send a request; empty: nowhere.
-auto target_of(const std::vector<Action>& actions) -> decltype(StartAttempt::endpoint) {
+EndpointId target_of(const std::vector<Action>& actions) {
   for (const Action& action : actions) {
     if (const auto* start = std::get_if<StartAttempt>(&action)) return start->endpoint;
   }
--- a/tests/routing/dispatcher_state.hpp
+++ b/tests/routing/dispatcher_state.hpp
@@ -17,9 +17,6 @@
 
 namespace dispatcher::routing::testing {
 
-using RequestId = decltype(Request::id);
-using EndpointId = decltype(EndpointInfo::endpoint);
-
 // One attempt of a request.
 struct ModelAttempt {
   EndpointId endpoint;
--- a/tests/routing/router_harness.hpp
+++ b/tests/routing/router_harness.hpp
@@ -17,9 +17,6 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-using RequestId = decltype(Request::id);
-using EndpointId = decltype(EndpointInfo::endpoint);
-
 // Router 0 of 2 in zone "east". Classes: "safe" (idempotent), "unsafe" (non-idempotent), "keyed" (within its
 // zone), "keyed-all" (everywhere). Kinds: "r" (reader), "w" (writer), "m" (mixed).
 [[nodiscard]] Settings make_settings();
--- a/tests/settings_check_test.cpp
+++ b/tests/settings_check_test.cpp
@@ -305,7 +305,7 @@
   Request request = harness.make_request("a");
   request.client_deadline = harness.now() + settings.classes[0].deadline;
   harness.submit(request);
-  EXPECT_EQ(harness.rejected(), std::vector<routing::testing::RequestId>{"a"});
+  EXPECT_EQ(harness.rejected(), std::vector<routing::RequestId>{"a"});
 }
 
 TEST(Check, ReportsAllErrorsAtOnce) {
