--- a/tests/dispatcher/hot_restart_compatibility_test.cpp
+++ b/tests/dispatcher/hot_restart_compatibility_test.cpp
@@ -7,7 +7,6 @@
 
 #include <array>
 #include <cstring>
-#include <filesystem>
 #include <fstream>
 #include <iterator>
 
@@ -15,11 +14,11 @@
 #include "fixture.hpp"
 #include "hot_restart/drained_endpoint_store.hpp"
 #include "hot_restart/hot_restart_peer.hpp"
+#include "hot_restart_fixture.hpp"
 
 namespace dispatcher::testing {
 namespace {
 
-namespace fs = std::filesystem;
 using hot_restart::Json;
 
 constexpr std::string_view kHandover =
@@ -50,17 +49,7 @@
     R"({"stream":{"chunk_left":17,"host":"w1","id":"a1","keep_alive":true,"unread":[100,97,10,255]}})";
 constexpr std::string_view kDrainedEndpointsFile = R"({"offline":["r\"1","w1"]})";
 
-struct Folder {
-  Folder() {
-    std::string name = (fs::temp_directory_path() / "bitternferry-XXXXXX").string();
-    if (::mkdtemp(name.data()) == nullptr) throw std::runtime_error("no folder");
-    path = name;
-  }
-  ~Folder() { fs::remove_all(path); }
-  std::string operator/(const std::string& file) const { return path + "/" + file; }
-  std::string path;
-};
-
+// One packet that was received, its descriptors counted and closed.
 struct Packet {
   std::string text;
   std::size_t descriptors = 0;
@@ -107,7 +96,7 @@
   }
   // None: there is no packet yet.
   [[nodiscard]] std::optional<Packet> receive() const {
-    std::string text(1024 * 1024, '\0');
+    std::string text(1024UL * 1024, '\0');
     iovec piece{text.data(), text.size()};
     msghdr head{};
     head.msg_iov = &piece;
@@ -235,7 +224,7 @@
   void wait_for(std::size_t events) {
     REQUIRE(work.until([&] { return owner.events.size() >= events; }));
   }
-  Folder folder;
+  TemporaryFolder folder;
   std::string path = folder / "peer.sock";
   TestEventLoop work;
   RecordedOwner owner;
@@ -370,7 +359,7 @@
 
 TEST_CASE("the file of drained endpoints is read and written as the previous release had it",
           "[upgrade][compatibility]") {
-  const Folder folder;
+  const TemporaryFolder folder;
   const std::string path = folder / "x.bans";
   std::ofstream(path) << kDrainedEndpointsFile;
   hot_restart::DrainedEndpointStore store(path, [](std::string_view) {});
@@ -385,7 +374,7 @@
 
 TEST_CASE("the socket and the file of drained endpoints have the previous release's names",
           "[upgrade][compatibility]") {
-  const Folder folder;
+  const TemporaryFolder folder;
   std::ofstream(folder / "bitternferry-n_1_x.bans") << kDrainedEndpointsFile;
   daemon::Loop loop;
   daemon::Config config;
@@ -395,13 +384,13 @@
   config.scratch = folder.path;
   config.settings = make_settings();
   std::vector<std::string> logs;
-  daemon::Dispatcher dispatcher(loop, config, {}, [&](std::string_view line) { logs.emplace_back(line); });
+  daemon::Dispatcher dispatcher(loop, config, {}, [&](std::string_view text) { logs.emplace_back(text); });
   dispatcher.start();
   CHECK(std::any_of(logs.begin(), logs.end(),
-                    [](const auto& line) { return line.find("w1 still offline") != std::string::npos; }));
+                    [](const auto& entry) { return entry.find("w1 still offline") != std::string::npos; }));
   const RawSocket successor = RawSocket::connect(folder / "bitternferry-n_1_x.sock");
   std::optional<Packet> packet;
-  while (!(packet = successor.receive())) loop.io().run_one();
+  for (packet = successor.receive(); !packet; packet = successor.receive()) loop.io().run_one();
   CHECK(packet->text.starts_with(R"({"estate":true,"ids":[],"knowledge":{)"));
   CHECK(packet->descriptors == 1);
 }
