--- /dev/null
+++ b/tests/dispatcher/engine_fixture.hpp
@@ -0,0 +1,99 @@
+// What the tests of the engine alone share: an engine whose upstream client and sink only record calls.
+#ifndef DISPATCHER_TESTS_DISPATCHER_ENGINE_FIXTURE_HPP_
+#define DISPATCHER_TESTS_DISPATCHER_ENGINE_FIXTURE_HPP_
+
+#include <cstddef>
+#include <memory>
+#include <optional>
+#include <string>
+#include <string_view>
+#include <vector>
+
+#include "fixture.hpp"
+
+namespace dispatcher::testing {
+
+// An engine with two readers and two writers, a clock that the test advances, and a record of its calls.
+struct EngineFixture : engine::UpstreamClient, engine::ResponseSink {
+  EngineFixture()
+      : engine(
+            std::make_shared<const routing::Settings>(make_settings()), 1, *this, timers,
+            [this] { return now; }, [](std::string_view) {}) {
+    routing::EndpointList list{routing::ListKind::kFull, {}};
+    for (const std::string endpoint : {"r1", "r2", "w1", "w2"})
+      list.entries.push_back({endpoint,
+                              "here",
+                              endpoint[0] == 'r' ? "reader" : "writer",
+                              0,
+                              routing::EndpointState::kReady,
+                              1,
+                              {}});
+    engine.update_endpoints(list);
+  }
+  net::SlotId submit(const std::string& id, const std::string& request_class = "command") {
+    auto message = std::make_shared<engine::UpstreamRequest>();
+    message->id = id;
+    routing::Request request;
+    request.id = id;
+    request.request_class = request_class;
+    request.prompt_tokens = 1000;
+    request.client_deadline = now + seconds(3);
+    return engine.submit(*this, {1, 1}, request, message);
+  }
+  void advance(engine::Duration time) {
+    for (const engine::Time end = now + time; now < end;) {
+      now += milliseconds(5);
+      timers.run(now);
+    }
+  }
+  void complete_read(int attempt) {
+    engine.on_attempt_completed(started[static_cast<std::size_t>(attempt)],
+                                {routing::AttemptStatus::kRead, 0, {}, {}});
+  }
+
+  void start_attempt(engine::AttemptId attempt, const std::string& endpoint,
+                     std::shared_ptr<const engine::UpstreamRequest>, engine::Time, engine::Time) override {
+    started.push_back(attempt);
+    calls.push_back("send " + endpoint.substr(0, 1));
+  }
+  bool cancel_attempt(engine::AttemptId) override {
+    calls.push_back("abandon");
+    return delivered;
+  }
+  void pause_reading(engine::AttemptId) override { calls.push_back("pause"); }
+  void resume_reading(engine::AttemptId) override { calls.push_back("resume"); }
+  void reserve_slot(engine::AttemptId, const std::string&, const std::string&) override {}
+  void release_reservation(const std::string& id, engine::Time until) override {
+    calls.push_back("release");
+    release_until = until;
+    if (confirms_releases) timers.add(now, [this, id] { engine.on_reservation_released(id); });
+  }
+  bool is_client_connected(SlotId) override { return client_connected; }
+  bool has_connection(engine::AttemptId) override { return connected; }
+  void start_stream(SlotId) override { calls.push_back("begin"); }
+  bool write_events(SlotId, std::string_view) override { return has_capacity; }
+  void finish_stream(SlotId) override { calls.push_back("finish"); }
+  void abort_stream(SlotId) override { calls.push_back("cut"); }
+  void reject(SlotId, std::optional<engine::Duration> retry_after) override {
+    calls.push_back(retry_after ? "refuse with advice" : "refuse");
+  }
+  void fail(SlotId, engine::Failure why) override {
+    calls.push_back(why == engine::Failure::kDeadlineExceeded ? "fail late" : "fail");
+  }
+  using Calls = std::vector<std::string>;
+  engine::Time now = seconds(1'800'000'000);
+  engine::TimerQueue timers;
+  bool delivered = true;          // a cancelled attempt had been written in full
+  bool has_capacity = true;       // of the client, for further events
+  bool connected = true;          // an attempt has its connection
+  bool confirms_releases = true;  // at the next turn of the timers
+  bool client_connected = true;
+  engine::Time release_until{};
+  std::vector<engine::AttemptId> started;
+  Calls calls;
+  engine::Engine engine;
+};
+
+}  // namespace dispatcher::testing
+
+#endif  // DISPATCHER_TESTS_DISPATCHER_ENGINE_FIXTURE_HPP_
--- a/tests/dispatcher/poll_schedule_test.cpp
+++ b/tests/dispatcher/poll_schedule_test.cpp
@@ -49,13 +49,13 @@
   engine::Duration longest_gap{};  // with no call out, and without a refusal before it
 
   void run() {
-    const engine::Time start = seconds(100), outage = start + milliseconds(random_() % 4000);
-    back_ = outage + milliseconds(random_() % 14000);
+    const engine::Time start = seconds(100);
+    outage_ = start + milliseconds(random_() % 4000);
+    back_ = outage_ + milliseconds(random_() % 14000);
     mixed_ = random_() % 2 == 0;
     same_ = kOutages[random_() % kOutages.size()];
     watch_dies_ = random_() % 2 == 0;
     old_answer_at_return_ = lists_ == ListDelivery::kPush && random_() % 2 == 0;
-    outage_ = outage;
     execute(schedule_.restart(start), start);
     for (engine::Time now = start; !known_;) {
       REQUIRE(now < back_ + seconds(30));
@@ -64,11 +64,11 @@
   }
 
  private:
-  enum class What { kHead, kByte, kHalf, kRejected, kFailed, kUnreadable };
+  enum class EventKind { kHead, kByte, kHalf, kRejected, kFailed, kUnreadable };
   struct Event {
     engine::Time at;
     CallId id;
-    What what;
+    EventKind kind;
     bool operator>(const Event& other) const { return at > other.at; }
   };
   ListDelivery lists_;
@@ -78,9 +78,14 @@
   PollSchedule schedule_;
   std::priority_queue<Event, std::vector<Event>, std::greater<>> events_;
   std::map<CallId, Fate> calls_;
-  engine::Time back_{}, outage_{}, empty_since_{};
+  engine::Time back_{};
+  engine::Time outage_{};
+  engine::Time empty_since_{};
   Fate same_{};
-  bool mixed_ = false, watch_dies_ = false, old_answer_at_return_ = false, known_ = false;
+  bool mixed_ = false;
+  bool watch_dies_ = false;
+  bool old_answer_at_return_ = false;
+  bool known_ = false;
   bool after_refusal_ = false;
 
   double draw() { return std::uniform_real_distribution<double>(0, 1)(random_); }
@@ -100,30 +105,33 @@
     return now;
   }
   void happen(const Event& event, engine::Time now) {
-    switch (event.what) {
-      case What::kHead:
+    switch (event.kind) {
+      case EventKind::kHead:
         execute(schedule_.on_answered(event.id, now), now);
         if (calls_[event.id] == Fate::kAnswer && now >= back_) return know(now);
         return schedule_.on_data_received(event.id, now, std::nullopt);
-      case What::kByte:
+      case EventKind::kByte:
         return byte(event.id, now);
-      case What::kHalf:
+      case EventKind::kHalf:
         return schedule_.on_data_received(event.id, now, now);
-      case What::kRejected:
+      case EventKind::kRejected:
         back_ = std::max(back_, now);
         after_refusal_ = true;
         return execute(schedule_.on_rejected(event.id, now, draw()), now);
-      case What::kFailed:
+      case EventKind::kFailed:
         return execute(schedule_.on_failed(event.id, now, draw()), now);
-      case What::kUnreadable:
+      case EventKind::kUnreadable:
         return execute(schedule_.on_unreadable(event.id, now, draw()), now);
     }
   }
   // The watch from before the outage: an empty line every 2 s, then nothing or a reset.
   void byte(CallId id, engine::Time now) {
-    if (now >= outage_) return watch_dies_ ? void() : execute(schedule_.on_failed(id, now, draw()), now);
+    if (now >= outage_) {
+      if (!watch_dies_) execute(schedule_.on_failed(id, now, draw()), now);
+      return;
+    }
     schedule_.on_data_received(id, now, std::nullopt);
-    events_.push({now + seconds(2), id, What::kByte});
+    events_.push({now + seconds(2), id, EventKind::kByte});
   }
   void know(engine::Time now) {
     known_ = true;
@@ -145,37 +153,42 @@
     after_refusal_ = false;
     calls_[id] = Fate::kAnswer;
     if (now < outage_) {  // the watch of calm times
-      events_.push({now, id, What::kHead});
-      events_.push({now + milliseconds(1), id, What::kByte});
+      events_.push({now, id, EventKind::kHead});
+      events_.push({now + milliseconds(1), id, EventKind::kByte});
     } else if (now >= back_) {
-      if (lose_-- > 0) return void(calls_[id] = Fate::kNeverUp);
+      if (lose_-- > 0) {
+        calls_[id] = Fate::kNeverUp;
+        return;
+      }
       events_.push({now + engine::Duration(std::llround(draw() * static_cast<double>(slowest_.count()))), id,
-                    What::kHead});
+                    EventKind::kHead});
     } else {
       suffer(id, now, mixed_ ? kOutages[random_() % kOutages.size()] : same_);
     }
   }
   void suffer(CallId id, engine::Time now, Fate fate) {
     calls_[id] = fate;
-    const auto later = [&](int ms, What what) { events_.push({now + milliseconds(ms), id, what}); };
+    const auto later = [&](int ms, EventKind kind) { events_.push({now + milliseconds(ms), id, kind}); };
     switch (fate) {
-      case Fate::kSilent:  // the agent accepts it and answers it when discovery is back, or is cut off for
-                           // good
+      case Fate::kSilent:  // answered when discovery is back, or never
         if (!old_answer_at_return_) return;
         calls_[id] = Fate::kAnswer;
-        return events_.push({back_, id, What::kHead});
+        return events_.push({back_, id, EventKind::kHead});
       case Fate::kRejectLate:
-        return later(2000, What::kRejected);
+        return later(2000, EventKind::kRejected);
       case Fate::kRejectNow:
-        return later(1, What::kRejected);
+        return later(1, EventKind::kRejected);
       case Fate::kReset:
-        return later(0, What::kFailed);
+        return later(0, EventKind::kFailed);
       case Fate::kResetLate:
-        return now + milliseconds(700) < back_ ? later(700, What::kFailed) : void();
+        if (now + milliseconds(700) < back_) later(700, EventKind::kFailed);
+        return;
       case Fate::kUnreadable:
-        return later(0, What::kHead), later(1, What::kUnreadable);
+        later(0, EventKind::kHead);
+        return later(1, EventKind::kUnreadable);
       case Fate::kStall:
-        return later(0, What::kHead), later(1, What::kHalf);
+        later(0, EventKind::kHead);
+        return later(1, EventKind::kHalf);
       case Fate::kNeverUp:
       case Fate::kAnswer:
         return;
@@ -322,7 +335,8 @@
     for (const int refusals : {1, 2, 3, 8}) {
       for (const engine::Duration off : {milliseconds(-1), milliseconds(0), milliseconds(1)}) {
         PollSchedule schedule(lists, 300);
-        engine::Time now = seconds(50), pause{};
+        engine::Time now = seconds(50);
+        engine::Duration pause{};
         CallId id = schedule.restart(now).open;
         for (int i = 0; i < refusals; ++i) {
           now += service_discovery::kOverloadedResponseDelay;
