--- a/tests/digest.hpp
+++ b/tests/digest.hpp
@@ -28,7 +28,7 @@
   void add(std::chrono::microseconds time) { add(time.count()); }
   void add(std::string_view text) {
     add(text.size());
-    for (const char c : text) add_byte(static_cast<unsigned char>(c));
+    for (const char byte : text) add_byte(static_cast<unsigned char>(byte));
   }
   template <class T>
   void add(const std::optional<T>& value) {
--- a/tests/dispatcher/admin_test.cpp
+++ b/tests/dispatcher/admin_test.cpp
@@ -35,6 +35,7 @@
   admin::AdminServer server;
 };
 
+// A POST request without a body.
 std::string post(const std::string& path) {
   return "POST " + path + " HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n";
 }
@@ -82,9 +83,9 @@
   for (int i = 0; i < 40; ++i) {
     auto client = fixture.connect();
     for (std::size_t at = 0; at < call.size();) {
-      const std::size_t n = 1 + random() % 20;
-      client->send(call.substr(at, n));
-      at += n;
+      const std::size_t size = 1 + random() % 20;
+      client->send(call.substr(at, size));
+      at += size;
       fixture.settle();
     }
     REQUIRE(fixture.until([&] { return client->is_finished(); }));
@@ -93,8 +94,8 @@
   CHECK(fixture.commands.size() == 40);
   for (int i = 0; i < 40; ++i) {
     std::string garbage;
-    for (std::size_t n = 5 + random() % 60; garbage.size() < n;)
-      garbage += static_cast<char>(1 + random() % 255);
+    const std::size_t size = 5 + random() % 60;
+    while (garbage.size() < size) garbage += static_cast<char>(1 + random() % 255);
     CHECK(fixture.status_of(garbage + "\r\n\r\n") / 100 == 4);
   }
   CHECK(fixture.commands.size() == 40);
@@ -165,7 +166,8 @@
   using routing::EndpointState;
   using routing::ListKind;
   RouterFixture fixture;
-  const std::string home = fixture.reader_of_next(), other = home == "r1" ? "r2" : "r1";
+  const std::string home = fixture.reader_of_next();
+  const std::string other = home == "r1" ? "r2" : "r1";
   fixture.set_drained(home, true);
   fixture.set_drained(home, true);
   CHECK(fixture.readers(5) == std::set{other});
@@ -181,7 +183,8 @@
 TEST_CASE("a host that is back gets work soon, as a cold one and within its budget", "[console]") {
   RouterFixture fixture;
   CHECK(fixture.readers(100).size() == 1);  // all go where the conversation's texts are
-  const std::string home = fixture.reader_of_next(), other = home == "r1" ? "r2" : "r1";
+  const std::string home = fixture.reader_of_next();
+  const std::string other = home == "r1" ? "r2" : "r1";
   fixture.set_drained(other, true);
   fixture.set_drained(other, false);
   CHECK(fixture.reader_of_next() == other);  // at once, though nothing is kept there
--- a/tests/dispatcher/attempt_chaos_test.cpp
+++ b/tests/dispatcher/attempt_chaos_test.cpp
@@ -13,7 +13,7 @@
   explicit ChaosFixture(unsigned seed) : random(seed) {}
   int draw_percent() { return std::uniform_int_distribution<int>(0, 99)(random); }
   engine::Duration draw_wait(int max_ms) { return milliseconds(draw_percent() * max_ms / 100); }
-  engine::Time now() const { return fixture.now; }
+  [[nodiscard]] engine::Time now() const { return fixture.now; }
   void hold(const std::string& id) {
     if (!started.contains(id)) held_since[id] = now();
   }
@@ -76,7 +76,9 @@
       }
       return true;
     });
-    for (auto& [id, since] : held_since) {
+    for (auto& held : held_since) {
+      const std::string& id = held.first;
+      engine::Time& since = held.second;
       const bool is_active = std::any_of(unanswered_reads.begin(), unanswered_reads.end(),
                                          [&](const auto& entry) { return entry.second == id; });
       if (is_active) since = now();
@@ -92,7 +94,8 @@
   std::map<std::string, engine::Time> held_since;  // since when, with no attempt out
   std::map<std::pair<FakeReplica*, SlotId>, std::string> unanswered_reads;
   std::map<std::string, int> runs_by_id;
-  std::set<std::string> started, overdue;
+  std::set<std::string> started;
+  std::set<std::string> overdue;
   std::vector<std::pair<engine::Time, std::string>> delayed_states;
   std::vector<DelayedAnswer> delayed_answers;
   std::map<FakeReplica*, std::size_t> processed_count;
--- a/tests/dispatcher/attempt_endings_fixture.hpp
+++ b/tests/dispatcher/attempt_endings_fixture.hpp
@@ -21,9 +21,11 @@
 
 using ReceivedRequest = FakeReplica::ReceivedRequest;
 
-inline const std::string kBody = R"({"model":"x","stream":true,"messages":[]})";
-inline const std::string kAnswerHead =
-    "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n";
+inline constexpr const char* kBody = R"({"model":"x","stream":true,"messages":[]})";
+// The head of a streamed answer.
+inline std::string answer_head() {
+  return "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n";
+}
 
 // Takes a request and never answers.
 inline void silent(FakeReplica&, SlotId, const ReceivedRequest&) {}
@@ -36,7 +38,8 @@
 
 // A dispatcher whose requests come from the test itself, so that nothing runs between two steps.
 struct DirectFixture : Fixture, private engine::ResponseSink {
-  DirectFixture(Behavior reader, Behavior writer) : Fixture(std::move(reader), std::move(writer)) {}
+  DirectFixture(const Behavior& reader_behavior, const Behavior& writer_behavior)
+      : Fixture(reader_behavior, writer_behavior) {}
   SlotId submit(const std::string& id, const std::string& request_class = "ask", std::size_t size = 40) {
     auto message = std::make_shared<engine::UpstreamRequest>();
     *message = {id, "POST", "/v1/chat/completions", "Content-Type: application/json\r\n",
@@ -52,11 +55,13 @@
     engine.apply_settings(std::make_shared<const routing::Settings>(changed));
   }
   void send_writes_to(const RawSocketPeer& peer);  // both writers are the peer
-  int posts() const { return request_count("POST", Role::kReader) + request_count("POST", Role::kWriter); }
-  int releases() const {
+  [[nodiscard]] int posts() const {
+    return request_count("POST", Role::kReader) + request_count("POST", Role::kWriter);
+  }
+  [[nodiscard]] int releases() const {
     return request_count("DELETE", Role::kReader) + request_count("DELETE", Role::kWriter);
   }
-  int count(const std::string& word) const {
+  [[nodiscard]] int count(const std::string& word) const {
     return static_cast<int>(std::count(calls.begin(), calls.end(), word));
   }
   void start_stream(SlotId) override { calls.emplace_back("begin"); }
@@ -80,8 +85,9 @@
  public:
   explicit RawSocketPeer(TestEventLoop& work) : work_(work), acceptor_(work.io) {
     acceptor_.open(net::tcp::v4());
-    const int minimum = 536, receive_buffer = 4096;
-    ::setsockopt(acceptor_.native_handle(), IPPROTO_TCP, TCP_MAXSEG, &minimum, sizeof minimum);
+    const int segment_bytes = 536;
+    const int receive_buffer = 4096;
+    ::setsockopt(acceptor_.native_handle(), IPPROTO_TCP, TCP_MAXSEG, &segment_bytes, sizeof segment_bytes);
     ::setsockopt(acceptor_.native_handle(), SOL_SOCKET, SO_RCVBUF, &receive_buffer, sizeof receive_buffer);
     acceptor_.bind(loopback());
     acceptor_.listen();
--- a/tests/dispatcher/attempt_endings_test.cpp
+++ b/tests/dispatcher/attempt_endings_test.cpp
@@ -53,9 +53,9 @@
   fixture.submit("a1");
   REQUIRE(fixture.until([&] { return fixture.posts() == 1; }));
   fixture.client_connected = false;
-  for (std::size_t i : {0U, 1U})
-    for (const SlotId client : fixture.reader(i).pending_clients)
-      fixture.reader(i).respond(client, 202, "{}");
+  for (const std::size_t index : {0U, 1U})
+    for (const SlotId client : fixture.reader(index).pending_clients)
+      fixture.reader(index).respond(client, 202, "{}");
   fixture.advance(milliseconds(400));
   CHECK(fixture.request_count("POST", Role::kWriter) == 0);
   CHECK(fixture.releases() >= 1);  // two calls at once, where no connection is kept
@@ -68,9 +68,9 @@
   DirectFixture fixture(silent, healthy_writer);
   const SlotId id = fixture.submit("a1");
   REQUIRE(fixture.until([&] { return fixture.posts() == 1; }));
-  for (std::size_t i : {0U, 1U})
-    for (const SlotId client : fixture.reader(i).pending_clients)
-      fixture.reader(i).respond(client, 202, "{}");
+  for (const std::size_t index : {0U, 1U})
+    for (const SlotId client : fixture.reader(index).pending_clients)
+      fixture.reader(index).respond(client, 202, "{}");
   fixture.engine.on_client_disconnected(id);  // the answer is written, and not read
   fixture.advance(milliseconds(400));
   CHECK(fixture.releases() >= 1);  // two calls at once, where no connection is kept
@@ -111,9 +111,9 @@
   REQUIRE(fixture.until([&] { return fixture.posts() == 1; }));
   fixture.pool.update_endpoints(
       {{"r1", new_address.server.local(), true}, {"r2", new_address.server.local(), true}}, false);
-  for (std::size_t i : {0U, 1U})
-    for (const SlotId client : fixture.reader(i).pending_clients)
-      fixture.reader(i).respond(client, 202, "{}");
+  for (const std::size_t index : {0U, 1U})
+    for (const SlotId client : fixture.reader(index).pending_clients)
+      fixture.reader(index).respond(client, 202, "{}");
   REQUIRE(fixture.until([&] { return fixture.count("finish") == 1; }));
   fixture.advance(milliseconds(60));
   CHECK(fixture.pool.open_connections() == 1);  // the writer's
@@ -161,7 +161,7 @@
   fixture.submit("a1", "command", 200000);
   REQUIRE(fixture.until([&] { return peer.accepted(); }));
   fixture.settle();
-  peer.write(kAnswerHead + http::chunk("data: {\"of\":\"another\"}\n\n") + http::chunk("data: [DONE]\n\n") +
+  peer.write(answer_head() + http::chunk("data: {\"of\":\"another\"}\n\n") + http::chunk("data: [DONE]\n\n") +
              "0\r\n\r\n");
   fixture.advance(milliseconds(100));
   CHECK(fixture.body.empty());
@@ -174,8 +174,9 @@
   REQUIRE(fixture.until([&] { return fixture.request_count("POST", Role::kWriter) == 1; }));
   const bool at_once = GENERATE(true, false);
   if (!at_once) fixture.advance(seconds(2));
-  for (std::size_t i : {0U, 1U})
-    for (const SlotId client : fixture.writer(i).pending_clients) fixture.writer(i).server.abort(client);
+  for (const std::size_t index : {0U, 1U})
+    for (const SlotId client : fixture.writer(index).pending_clients)
+      fixture.writer(index).server.abort(client);
   fixture.advance(seconds(3));
   CHECK(fixture.request_count("POST", Role::kWriter) == 1);
   CHECK(fixture.calls == std::vector<std::string>{"fail"});
@@ -185,13 +186,13 @@
 TEST_CASE("an answer cut at any place is not passed off as whole", "[endings]") {
   const std::string event = "data: {\"a\":1}\n\n";
   const auto [bytes, begins] = GENERATE_COPY(
-      std::pair<std::string, bool>("HTTP/1.1 20", false), std::pair(kAnswerHead.substr(0, 40), false),
-      std::pair(kAnswerHead, false), std::pair(kAnswerHead + "f\r\ndata: {\"a\"", false),
-      std::pair(kAnswerHead + http::chunk("data: {\"a\":1}"), false),
-      std::pair(kAnswerHead + http::chunk(event), true),
-      std::pair(kAnswerHead + http::chunk(event) + http::chunk("data: {\"b\""), true),
-      std::pair(kAnswerHead + http::chunk(event) + http::chunk("data: {\"b\"") + "0\r\n\r\n", true),
-      std::pair(kAnswerHead + http::chunk(event) + "0\r", true));
+      std::pair<std::string, bool>("HTTP/1.1 20", false), std::pair(answer_head().substr(0, 40), false),
+      std::pair(answer_head(), false), std::pair(answer_head() + "f\r\ndata: {\"a\"", false),
+      std::pair(answer_head() + http::chunk("data: {\"a\":1}"), false),
+      std::pair(answer_head() + http::chunk(event), true),
+      std::pair(answer_head() + http::chunk(event) + http::chunk("data: {\"b\""), true),
+      std::pair(answer_head() + http::chunk(event) + http::chunk("data: {\"b\"") + "0\r\n\r\n", true),
+      std::pair(answer_head() + http::chunk(event) + "0\r", true));
   DirectFixture fixture(healthy_reader, healthy_writer);
   RawSocketPeer peer(fixture);
   fixture.send_writes_to(peer);
@@ -213,10 +214,12 @@
 TEST_CASE("a connection rests after an answer, and what comes meanwhile closes it", "[endings]") {
   Fixture fixture(healthy_reader, healthy_writer);
   const std::string answer =
-      kAnswerHead + http::chunk("data: {\"a\":1}\n\n") + http::chunk("data: [DONE]\n\n") + "0\r\n\r\n";
-  RawBytesReplica writer(fixture, answer, kAnswerHead + http::chunk("data: {\"late\":1}\n\n") + "0\r\n\r\n");
+      answer_head() + http::chunk("data: {\"a\":1}\n\n") + http::chunk("data: [DONE]\n\n") + "0\r\n\r\n";
+  RawBytesReplica writer(fixture, answer,
+                         answer_head() + http::chunk("data: {\"late\":1}\n\n") + "0\r\n\r\n");
   fixture.pool.update_endpoints({{"w1", writer.address(), true}, {"w2", writer.address(), true}}, false);
-  auto first = fixture.platform_client(), second = fixture.platform_client();
+  auto first = fixture.platform_client();
+  auto second = fixture.platform_client();
   first->post(platform_headers("a1", "command"), kBody);
   REQUIRE(fixture.until([&] { return first->is_finished(); }));
   CHECK(fixture.pool.open_connections() == 2);
@@ -273,11 +276,11 @@
   REQUIRE(fixture.until([&] { return fixture.request_count("POST", Role::kWriter) == 1; }));
   fixture.advance(seconds(3) - milliseconds(20));
   REQUIRE(fixture.calls.empty());
-  for (std::size_t i : {0U, 1U}) {
-    for (const SlotId client : fixture.writer(i).pending_clients) {
-      if (status == 200) fixture.writer(i).stream_words(client, {"a"});
-      if (status == 503) fixture.writer(i).reject_unprocessed(client, status);
-      if (status == 500) fixture.writer(i).respond(client, status);
+  for (const std::size_t index : {0U, 1U}) {
+    for (const SlotId client : fixture.writer(index).pending_clients) {
+      if (status == 200) fixture.writer(index).stream_words(client, {"a"});
+      if (status == 503) fixture.writer(index).reject_unprocessed(client, status);
+      if (status == 500) fixture.writer(index).respond(client, status);
     }
   }
   fixture.now += milliseconds(20);
--- a/tests/dispatcher/connection_pool_test.cpp
+++ b/tests/dispatcher/connection_pool_test.cpp
@@ -113,7 +113,7 @@
   upstream::ReplicaClient upstream_client{io,
                                           timers,
                                           clock(),
-                                          [this](std::string_view line) { logs.emplace_back(line); },
+                                          [this](std::string_view text) { logs.emplace_back(text); },
                                           {milliseconds(250), seconds(15), milliseconds(50)}};
 };
 
--- a/tests/dispatcher/pooled_connections_test.cpp
+++ b/tests/dispatcher/pooled_connections_test.cpp
@@ -6,7 +6,7 @@
 namespace dispatcher::testing {
 namespace {
 
-const std::string kBody = R"({"model":"chat","messages":[]})";
+constexpr const char* kBody = R"({"model":"chat","messages":[]})";
 
 // Writing to a connection that the replica has closed would end as a reset, which a command can't survive.
 TEST_CASE("a pooled connection is checked for its end before use", "[pool]") {
@@ -40,7 +40,7 @@
 
 TEST_CASE("a command whose writers refuse connections never ran, and is refused", "[pool]") {
   Fixture fixture(healthy_reader, healthy_writer);
-  for (std::size_t i : {0U, 1U}) fixture.writer(i).server.stop_accepting();
+  for (const std::size_t index : {0U, 1U}) fixture.writer(index).server.stop_accepting();
   auto client = fixture.platform_client();
   client->post(platform_headers("a1", "command"), kBody);
   for (int i = 0; i < 150 && !client->is_finished(); ++i) fixture.advance(milliseconds(20));
@@ -56,7 +56,7 @@
   auto client = fixture.platform_client();
   client->post(platform_headers("a1", "ask"), kBody);
   REQUIRE(fixture.until([&] { return fixture.request_count("POST", Role::kReader) == 1; }));
-  for (std::size_t i : {0U, 1U, 2U}) fixture.replicas[i]->server.stop_accepting();
+  for (const std::size_t index : {0U, 1U, 2U}) fixture.replicas[index]->server.stop_accepting();
   client->close();
   fixture.settle();
   fixture.advance(milliseconds(400));
@@ -73,8 +73,9 @@
   });
   fixture.engine.update_endpoints(
       {routing::ListKind::kDelta, {{"w2", "here", "writer", 0, routing::EndpointState::kRemoved, 1, {}}}});
-  auto first = fixture.platform_client(), second = fixture.platform_client(),
-       third = fixture.platform_client();
+  auto first = fixture.platform_client();
+  auto second = fixture.platform_client();
+  auto third = fixture.platform_client();
   first->post(platform_headers("a1", "ask"), kBody);
   second->post(platform_headers("a2", "ask"), kBody);
   REQUIRE(fixture.until([&] { return first->is_complete && second->is_complete; }));
@@ -99,7 +100,8 @@
   });
   fixture.engine.update_endpoints(
       {routing::ListKind::kDelta, {{"w2", "here", "writer", 0, routing::EndpointState::kRemoved, 1, {}}}});
-  auto first = fixture.platform_client(), second = fixture.platform_client();
+  auto first = fixture.platform_client();
+  auto second = fixture.platform_client();
   first->post(platform_headers("a1", "ask"), kBody);
   second->post(platform_headers("a2", "ask"), kBody);
   REQUIRE(fixture.until([&] { return first->is_complete && second->is_complete; }));
--- a/tests/dispatcher/replica_answers_test.cpp
+++ b/tests/dispatcher/replica_answers_test.cpp
@@ -6,10 +6,16 @@
 namespace dispatcher::testing {
 namespace {
 
-const std::string kBody = R"({"model":"chat","messages":[]})";
-const std::string kHead =
-    "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n";
-const std::string kStream = kHead + http::chunk("data: {\"a\":1}\n\n") + http::chunk("data: [DONE]\n\n");
+constexpr const char* kBody = R"({"model":"chat","messages":[]})";
+// The head of a streamed answer.
+std::string stream_head() {
+  return "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n";
+}
+
+// A streamed answer up to its last chunk.
+std::string stream() {
+  return stream_head() + http::chunk("data: {\"a\":1}\n\n") + http::chunk("data: [DONE]\n\n");
+}
 
 // Both writers answer with these bytes.
 struct RawWriters {
@@ -18,16 +24,17 @@
     fixture.pool.update_endpoints({{"w1", first.address(), true}, {"w2", second.address(), true}}, false);
   }
   [[nodiscard]] int requests() const { return first.requests + second.requests; }
-  RawBytesReplica first, second;
+  RawBytesReplica first;
+  RawBytesReplica second;
 };
 
 TEST_CASE("good streams may bring more than belongs to them", "[pool]") {
   Fixture fixture(healthy_reader, healthy_writer);
   const std::string bytes = GENERATE(
-      "HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\nHTTP/1.1 100 Continue\r\n\r\n" + kStream + "0\r\n\r\n",
-      kStream + http::chunk(": X-Backend-Load: {\"x0\":\"full\",\"x1\":[]}\n\n") + "0\r\n\r\n",
-      kStream + http::chunk(": X-Backend-Load: {{{\n\n") + "0\r\n\r\n",
-      kStream + "0\r\n\r\n" + kStream + "0\r\n\r\n");
+      "HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\nHTTP/1.1 100 Continue\r\n\r\n" + stream() + "0\r\n\r\n",
+      stream() + http::chunk(": X-Backend-Load: {\"x0\":\"full\",\"x1\":[]}\n\n") + "0\r\n\r\n",
+      stream() + http::chunk(": X-Backend-Load: {{{\n\n") + "0\r\n\r\n",
+      stream() + "0\r\n\r\n" + stream() + "0\r\n\r\n");
   RawWriters writers(fixture, bytes);
   auto client = fixture.platform_client();
   for (const std::string id : {"a1", "a2"}) {
@@ -48,12 +55,13 @@
       std::string("\x01\x02 noise\r\n\r\n"), "HTTP/1.1 200 OK\r\n" + std::string(20000, 'x'),
       "HTTP/1.1 200 OK\r\nA: b\r\n" +
           [] {
-            std::string s;
-            for (int i = 0; i < 3000; ++i) s += "X-More: y\r\n";
-            return s;
+            std::string headers;
+            for (int i = 0; i < 3000; ++i) headers += "X-More: y\r\n";
+            return headers;
           }(),
       std::string("HTTP/1.1 200 OK\r\nContent-Length: 9\r\nTransfer-Encoding: chunked\r\n\r\n"),
-      kHead + "zz\r\n", kHead + "c0000000\r\ndata: {}\n\n", kHead + "5\r\n", kHead);
+      stream_head() + "zz\r\n", stream_head() + "c0000000\r\ndata: {}\n\n", stream_head() + "5\r\n",
+      stream_head());
   RawWriters writers(fixture, bytes);
   auto client = fixture.platform_client();
   client->post(platform_headers("a1", "command"), kBody);
@@ -78,7 +86,7 @@
 TEST_CASE("a stream spoilt later ends its client's connection at once", "[pool]") {
   Fixture fixture(healthy_reader, healthy_writer);
   const std::string more = GENERATE("zz\r\n", "c0000000\r\nxx", "4\r\ndata: x\n\n");
-  RawWriters writers(fixture, kHead + http::chunk("data: {\"a\":1}\n\n"), more);
+  RawWriters writers(fixture, stream_head() + http::chunk("data: {\"a\":1}\n\n"), more);
   auto client = fixture.platform_client();
   client->post(platform_headers("a1", "ask"), kBody);
   REQUIRE(fixture.until([&] { return !client->body.empty(); }));
@@ -96,7 +104,8 @@
   Fixture fixture(
       [](FakeReplica& replica, SlotId client, const ReceivedRequest&) { replica.respond(client, 400); },
       healthy_writer, kChatConfig);
-  auto client = fixture.platform_client(), chat = fixture.chat_client();
+  auto client = fixture.platform_client();
+  auto chat = fixture.chat_client();
   client->post(platform_headers("a1", "ask"), kBody);
   chat->post("", chat_body("ask", ResponseMode::kStream));
   REQUIRE(fixture.until([&] { return client->is_finished() && chat->is_finished(); }));
@@ -104,7 +113,7 @@
   CHECK(chat->status == 400);
   CHECK(fixture.request_count("POST", Role::kReader) == 2);
   CHECK(std::none_of(fixture.logs.begin(), fixture.logs.end(),
-                     [](const std::string& line) { return line.find("ejected") != std::string::npos; }));
+                     [](const std::string& entry) { return entry.find("ejected") != std::string::npos; }));
   CHECK(fixture.until([&] { return fixture.engine.open_request_count() == 0; }));
 }
 
--- a/tests/dispatcher/reservation_release_test.cpp
+++ b/tests/dispatcher/reservation_release_test.cpp
@@ -9,7 +9,8 @@
   int reads = 0;
   DirectFixture fixture(
       [&](FakeReplica& replica, SlotId client, const ReceivedRequest&) {
-        ++reads == 1 ? replica.server.abort(client) : full(replica, client, {});
+        if (++reads == 1) return replica.server.abort(client);
+        full(replica, client, {});
       },
       healthy_writer);
   fixture.submit("a1");
@@ -64,7 +65,8 @@
   int reads = 0;
   DirectFixture fixture(
       [&](FakeReplica& replica, SlotId client, const ReceivedRequest& seen) {
-        ++reads == 1 ? replica.server.abort(client) : healthy_reader(replica, client, seen);
+        if (++reads == 1) return replica.server.abort(client);
+        healthy_reader(replica, client, seen);
       },
       healthy_writer);
   fixture.submit("a1");
@@ -76,13 +78,16 @@
 
 // Asked for while a later read's state waits for its writer, a release would take it.
 TEST_CASE("the state that the router knows of is not taken by calls for a broken read", "[endings]") {
-  int reads = 0, writes = 0;
+  int reads = 0;
+  int writes = 0;
   DirectFixture fixture(
       [&](FakeReplica& replica, SlotId client, const ReceivedRequest& seen) {
-        ++reads == 1 ? replica.server.abort(client) : healthy_reader(replica, client, seen);
+        if (++reads == 1) return replica.server.abort(client);
+        healthy_reader(replica, client, seen);
       },
       [&](FakeReplica& replica, SlotId client, const ReceivedRequest& seen) {
-        ++writes == 1 ? full(replica, client, seen) : healthy_writer(replica, client, seen);
+        if (++writes == 1) return full(replica, client, seen);
+        healthy_writer(replica, client, seen);
       });
   fixture.submit("a1");
   for (int i = 0; i < 100 && fixture.count("begin") == 0; ++i) fixture.advance(milliseconds(5));
--- a/tests/dispatcher/reservation_tracker_test.cpp
+++ b/tests/dispatcher/reservation_tracker_test.cpp
@@ -11,13 +11,16 @@
 using routing::AttemptEvidence;
 using routing::AttemptStatus;
 
-constexpr Time kNow = std::chrono::seconds(100), kUntil = std::chrono::seconds(105);
+constexpr Time kNow = std::chrono::seconds(100);
+constexpr Time kUntil = std::chrono::seconds(105);
 
 TEST_CASE("which ends of attempts may leave a state behind, and which may do so later", "[held]") {
   struct Row {
     AttemptStatus status;
     AttemptEvidence evidence;
-    bool at_reader, may_have_left_state, may_run_on;
+    bool at_reader;
+    bool may_have_left_state;
+    bool may_run_on;
   };
   const Row row =
       GENERATE(Row{AttemptStatus::kServed, AttemptEvidence::kNone, false, false, false},
