--- a/tests/dispatcher/degradation_fleet_test.cpp
+++ b/tests/dispatcher/degradation_fleet_test.cpp
@@ -56,7 +56,7 @@
                                    const std::string& request_class) const {
     auto client = through_chat ? fixture.chat_client() : fixture.platform_client();
     client->post(through_chat ? "Content-Type: application/json\r\n" : platform_headers(id, request_class),
-                 chat_body(request_class, true));
+                 chat_body(request_class, ResponseMode::kStream));
     return client;
   }
   Fixture& fixture;
@@ -117,7 +117,7 @@
     Fixture fixture(
         healthy_reader,
         [](FakeReplica& replica, SlotId client, const FakeReplica::ReceivedRequest&) {
-          replica.stream_words(client, {"a"}, false);
+          replica.stream_words(client, {"a"}, StreamEnd::kOpen);
         },
         kChatConfig);
     ControllerFixture levels(kTwoLevels, fixture.clock());
--- a/tests/settings_check_test.cpp
+++ b/tests/settings_check_test.cpp
@@ -126,7 +126,7 @@
 
 constexpr Case kWarningCases[] = {
     {"overShareWorth", [](Settings& settings) { settings.over_quota_weight = 1.5; }},
-    {"prices.wasted_work", [](Settings& settings) { settings.prices.wasted_work = -1; }},
+    {"prices.waste", [](Settings& settings) { settings.prices.wasted_work = -1; }},
     {"familyInfo.moveFee", [](Settings& settings) { settings.prices.remote_transfer = kNoNumber; }},
     {"goal.worstWindow", [](Settings& settings) { settings.goal.worst_window = -1; }},
     {"familyInfo.memoryTokens[0]", [](Settings& settings) { settings.kinds[0].memory_tokens = -1; }},
