--- a/src/expression/code_generator.hpp
+++ b/src/expression/code_generator.hpp
@@ -12,10 +12,11 @@
 
 inline constexpr std::size_t kMaxTextBytes = std::size_t{64} * 1024;  // of strings that one evaluation makes
 
+// A program without its tree.
 struct GeneratedCode {
   Bytecode bytecode;
   std::size_t max_length = 0;  // of the result, in bytes, where it is a string
-  double worst_ns = 0;
+  double worst_ns = 0;         // of one evaluation
 };
 
 // `tree`: as the type checker made it, for the same fields. Throws Errors where a pattern cannot be used, or
--- a/src/expression/first_match.hpp
+++ b/src/expression/first_match.hpp
@@ -26,7 +26,7 @@
 
   // The index of the first condition that holds, -1: none. A condition that ends in an error does not hold.
   // `fields` and `scratch` as in Program::run(), the scratch after reserve(). Allocates nothing.
-  int find(std::span<const Value> fields, Scratch& scratch) const noexcept;
+  [[nodiscard]] int find(std::span<const Value> fields, Scratch& scratch) const noexcept;
 
   // A bound on the time that find() takes, in ns, and the condition whose own cost is the highest; -1: none.
   [[nodiscard]] double worst_ns() const { return worst_ns_; }
--- a/src/expression/grammar.hpp
+++ b/src/expression/grammar.hpp
@@ -20,6 +20,7 @@
 template <char... Letters>
 struct Word : seq<string<Letters...>, WordEnd> {};
 
+// Names and literals.
 struct Boolean : sor<Word<'t', 'r', 'u', 'e'>, Word<'f', 'a', 'l', 's', 'e'>> {};
 struct Null : Word<'n', 'u', 'l', 'l'> {};
 struct ReservedWord : sor<Boolean, Null, Word<'i', 'n'>> {};
@@ -56,6 +57,7 @@
 struct ClosingBracket : one<']'> {};
 struct ClosingBrace : one<'}'> {};
 
+// Lists, maps, calls and what else begins an operand.
 struct Arguments
     : if_must<one<'('>, Space, opt<Operand, Space, star<Comma, Operand, Space>>, ClosingParenthesis> {};
 struct List
@@ -72,6 +74,7 @@
 struct Index : if_must<one<'['>, Space, Operand, Space, ClosingBracket> {};
 struct Member : seq<Primary, star<Space, sor<Select, Index>>> {};
 
+// Operators, from the tightest binding to the loosest.
 struct Unary;
 struct Negation : seq<sor<one<'!'>, one<'-'>>, Space, must<Unary>> {};
 struct Unary : sor<Negation, Member> {};
--- a/src/expression/interpreter.cpp
+++ b/src/expression/interpreter.cpp
@@ -48,7 +48,7 @@
   }
 }
 
-Value look_up(const Bytecode& code, const Instruction& instruction, const Value& key) {
+Value lookup(const Bytecode& code, const Instruction& instruction, const Value& key) {
   const LookupTable& table = code.tables[static_cast<std::size_t>(instruction.operand)];
   if (instruction.opcode == Opcode::kIndexList) {
     const bool is_inside = key.integer >= 0 && static_cast<std::uint64_t>(key.integer) < table.keys.size();
@@ -271,7 +271,7 @@
       case Opcode::kInMap:
       case Opcode::kIndexList:
       case Opcode::kIndexMap:
-        if (!top->failed()) *top = look_up(code, instruction, *top);
+        if (!top->failed()) *top = lookup(code, instruction, *top);
         break;
       case Opcode::kMatches:
         if (!top->failed()) *top = Value::of(code.automata[operand].matches(top->text()));
--- a/src/expression/nfa.hpp
+++ b/src/expression/nfa.hpp
@@ -18,6 +18,7 @@
 using NfaStateId = int;
 inline constexpr NfaStateId kNoState = -1;
 
+// A state with its outgoing transitions.
 struct NfaState {
   enum class Kind : std::uint8_t {
     kByteRange,  // consumes a byte from `low` to `high`, then goes on at `next`
@@ -38,6 +39,7 @@
   }
 };
 
+// An automaton with one start state and one accepting state.
 struct Nfa {
   std::vector<NfaState> states;
   NfaStateId start = kNoState;
--- a/src/expression/program.hpp
+++ b/src/expression/program.hpp
@@ -24,7 +24,7 @@
 
   // The expression's value. `fields`: the values in the environment's order, an error in place of one that is
   // absent. `scratch` must have been reserved for max_values() and max_text(). Allocates and throws nothing.
-  Value run(std::span<const Value> fields, Scratch& scratch) const noexcept {
+  [[nodiscard]] Value run(std::span<const Value> fields, Scratch& scratch) const noexcept {
     return interpret(code_, fields, scratch);
   }
 
--- a/src/rate_limit/request_attributes.hpp
+++ b/src/rate_limit/request_attributes.hpp
@@ -21,7 +21,8 @@
   std::vector<std::string> classes, accounts;
 };
 
-Vocabulary vocabulary_of(const routing::Settings& settings);
+// The names of the settings' classes and tenants.
+[[nodiscard]] Vocabulary vocabulary_of(const routing::Settings& settings);
 
 // What is known of a request before anything is reserved or sent for it. The views need to be valid only
 // while the request is decided.
@@ -37,6 +38,7 @@
 
 // The number of fields that add_request_fields() adds: request.class, request.account and so on.
 inline constexpr std::size_t kRequestFields = 10;
+// Declares them, in the order of fill_request_fields().
 void add_request_fields(expression::Environment& fields, const Vocabulary& vocabulary);
 
 // A session in hexadecimal.
--- a/tests/dispatcher/reference_evaluator.cpp
+++ b/tests/dispatcher/reference_evaluator.cpp
@@ -103,10 +103,10 @@
 
 Value ReferenceEvaluator::evaluate_lookup(const Node& node) {
   const Value key = evaluate(node.children[node.op == Op::kIn ? 0 : 1]);
-  return key.failed() ? key : look_up(node, key);
+  return key.failed() ? key : lookup(node, key);
 }
 
-Value ReferenceEvaluator::look_up(const Node& node, const Value& key) {
+Value ReferenceEvaluator::lookup(const Node& node, const Value& key) {
   const bool is_membership = node.op == Op::kIn;
   const Node& collection = node.children[is_membership ? 1 : 0];
   const bool is_map = collection.op == Op::kMap;
--- a/tests/dispatcher/reference_evaluator.hpp
+++ b/tests/dispatcher/reference_evaluator.hpp
@@ -25,7 +25,7 @@
   expression::Value evaluate_logic(const expression::Node& node);
   expression::Value evaluate_conditional(const expression::Node& node);
   expression::Value evaluate_lookup(const expression::Node& node);
-  expression::Value look_up(const expression::Node& node, const expression::Value& key);
+  expression::Value lookup(const expression::Node& node, const expression::Value& key);
   expression::Value evaluate_operator(const expression::Node& node, const Values& operands);
   expression::Value evaluate_arithmetic(const expression::Node& node, const Values& operands);
   expression::Value evaluate_call(const expression::Node& node, const Values& arguments);
