--- a/src/expression/grammar.hpp
+++ b/src/expression/grammar.hpp
@@ -60,14 +60,17 @@
 // Lists, maps, calls and what else begins an operand.
 struct Arguments
     : if_must<one<'('>, Space, opt<Operand, Space, star<Comma, Operand, Space>>, ClosingParenthesis> {};
+// [a, b]; a trailing comma is allowed.
 struct List
     : if_must<one<'['>, Space, opt<Operand, Space, star<Comma, Operand, Space>, opt<Comma>>, ClosingBracket> {
 };
 struct Entry : if_must<Operand, Space, Colon, Space, Operand> {};
+// {key: value}; a trailing comma is allowed.
 struct Map
     : if_must<one<'{'>, Space, opt<Entry, Space, star<Comma, Entry, Space>, opt<Comma>>, ClosingBrace> {};
 struct Parenthesized : if_must<one<'('>, Space, Operand, Space, ClosingParenthesis> {};
 struct Call : seq<Name, Space, Arguments> {};
+// What stands alone as an operand.
 struct Primary : sor<Boolean, Null, RawString, LongString, PlainString, Double, Integer, Call, Name,
                      Parenthesized, List, Map> {};
 struct Select : if_must<seq<one<'.'>, not_at<digit>>, Space, MemberName, opt<Space, Arguments>> {};
@@ -82,6 +85,7 @@
 struct Product : seq<Unary, star<Space, if_must<ProductOperator, Space, Unary>>> {};
 struct SumOperator : one<'+', '-'> {};
 struct Sum : seq<Product, star<Space, if_must<SumOperator, Space, Product>>> {};
+// The longer ones first, as a parsing expression grammar takes the first that matches.
 struct RelationOperator : sor<string<'<', '='>, string<'>', '='>, string<'=', '='>, string<'!', '='>,
                               one<'<', '>'>, Word<'i', 'n'>> {};
 struct Relation : seq<Sum, star<Space, if_must<RelationOperator, Space, Sum>>> {};
--- a/tests/dispatcher/cue_test.cpp
+++ b/tests/dispatcher/cue_test.cpp
@@ -42,7 +42,7 @@
   }
   return {};
 }
-using Told = std::vector<std::string>;
+using ErrorTexts = std::vector<std::string>;
 
 TEST_CASE("a record has what its file says and defaults for the rest", "[record]") {
   const Data data = read(
@@ -71,12 +71,12 @@
   CHECK(data["name"].text() == "abc");
   CHECK(data["limits"]["b"]["burst"].integer() == 2);
   CHECK(problems("#Small: {rate: <10, ...}\nname: \"a\"\nlimits: a: #Small & {rate: 30}\n") ==
-        Told{"f:3:28: limits.a.rate: expected <10, found 30 (the other stands at 1:16)"});
+        ErrorTexts{"f:3:28: limits.a.rate: expected <10, found 30 (the other stands at 1:16)"});
   // A definition is closed, and says so to what it is joined with.
   CHECK(problems("#Small: rate: <10\nname: \"a\"\nlimits: a: #Small & {rate: 3, burst: 1}\n") ==
-        Told{"f:3:31: limits.a.burst: unknown field"});
+        ErrorTexts{"f:3:31: limits.a.burst: unknown field"});
   CHECK(problems("#Small: rate: <10\nname: \"a\"\nlimits: a: #Small & {rate: 3}\n") ==
-        Told{"f:3:21: limits.a.burst: a definition that does not end in '...' leaves out the field"});
+        ErrorTexts{"f:3:21: limits.a.burst: a definition that does not end in '...' leaves out the field"});
 }
 
 TEST_CASE("texts, numbers and their notations", "[record]") {
@@ -96,13 +96,14 @@
   CHECK(number("-9223372036854775808") == -9223372036854775808.0);
   const auto bad = [&](const std::string& n) { return problems("t: \"\", n: " + n, schema); };
   CHECK(bad("9223372036854775808") ==
-        Told{"f:1:11: the number does not fit into 64 bits, found '9223372036854775808'"});
-  CHECK(bad("9T") == Told{});
+        ErrorTexts{"f:1:11: the number does not fit into 64 bits, found '9223372036854775808'"});
+  CHECK(bad("9T") == ErrorTexts{});
   CHECK(bad("9999999999T").front().find("64 bits") != std::string::npos);
   CHECK(bad("012").front().find("may not begin with 0") != std::string::npos);
   CHECK(bad("1e999").front().find("out of range") != std::string::npos);
   CHECK(bad("12ab").size() == 1);
-  CHECK(problems("t: \"\\(n)\"", schema) == Told{"f:1:5: interpolation is not offered, found '\\(n)\"'"});
+  CHECK(problems("t: \"\\(n)\"", schema) ==
+        ErrorTexts{"f:1:5: interpolation is not offered, found '\\(n)\"'"});
   CHECK(problems("t: \"\\ud800\"", schema).front().find("no such character") != std::string::npos);
   CHECK(problems("t: \"\"\"\n\t a\n  b\n\t \"\"\"", schema).front().find("indented less") !=
         std::string::npos);
@@ -111,26 +112,29 @@
 TEST_CASE("every problem is told, with its place, what was expected and what stood there", "[record]") {
   CHECK(problems("name: \"A1\"\nsize: 101\nshare: 2\nmode: \"swift\"\ntags: [1, \"x\", null]\nnmae: 1\n"
                  "limits: {a: {}, b: {rate: \"1\"}, c: {rate: 1, brust: 2}}\n") ==
-        Told{"f:1:7: name: expected =~\"^[a-z]+$\", found \"A1\"",
-             "f:2:7: size: expected 10 | int & >0 & <=100, found 101",
-             "f:3:8: share: expected >=0 & <=1, found 2",
-             "f:4:7: mode: expected \"fast\" | \"slow\" | null, found \"swift\"",
-             "f:5:8: tags[0]: expected string, found 1", "f:5:16: tags[2]: expected string, found null",
-             "f:6:1: nmae: unknown field; 'name' is known",
-             "f:7:27: limits.b.rate: expected int & >0, found \"1\"",
-             "f:7:46: limits.c.brust: unknown field; 'burst' is known"});
+        ErrorTexts{"f:1:7: name: expected =~\"^[a-z]+$\", found \"A1\"",
+                   "f:2:7: size: expected 10 | int & >0 & <=100, found 101",
+                   "f:3:8: share: expected >=0 & <=1, found 2",
+                   "f:4:7: mode: expected \"fast\" | \"slow\" | null, found \"swift\"",
+                   "f:5:8: tags[0]: expected string, found 1", "f:5:16: tags[2]: expected string, found null",
+                   "f:6:1: nmae: unknown field; 'name' is known",
+                   "f:7:27: limits.b.rate: expected int & >0, found \"1\"",
+                   "f:7:46: limits.c.brust: unknown field; 'burst' is known"});
   // Missing fields show once the rest is sound.
-  CHECK(problems("limits: {a: {}, b: {}}\n") == Told{"f:1:1: name: missing: expected =~\"^[a-z]+$\"",
-                                                     "f:1:13: limits.a.rate: missing: expected int & >0",
-                                                     "f:1:20: limits.b.rate: missing: expected int & >0"});
-  CHECK(problems("name: string\n") == Told{"f:1:7: name: not a value yet: =~\"^[a-z]+$\""});
-  CHECK(problems("name: \"a\"\none: {rate: 0}\n") == Told{"f:2:13: one.rate: expected int & >0, found 0"});
+  CHECK(problems("limits: {a: {}, b: {}}\n") ==
+        ErrorTexts{"f:1:1: name: missing: expected =~\"^[a-z]+$\"",
+                   "f:1:13: limits.a.rate: missing: expected int & >0",
+                   "f:1:20: limits.b.rate: missing: expected int & >0"});
+  CHECK(problems("name: string\n") == ErrorTexts{"f:1:7: name: not a value yet: =~\"^[a-z]+$\""});
+  CHECK(problems("name: \"a\"\none: {rate: 0}\n") ==
+        ErrorTexts{"f:2:13: one.rate: expected int & >0, found 0"});
   CHECK(problems("name: \"a\"\nname: \"b\"\n") ==
-        Told{"f:2:7: name: expected \"a\", found \"b\" (the other stands at 1:7)"});
+        ErrorTexts{"f:2:7: name: expected \"a\", found \"b\" (the other stands at 1:7)"});
 }
 
 TEST_CASE("after a fault of syntax, reading goes on at the next field", "[record]") {
-  const Told told = problems("name: \nsize: 4 5\ntags: [1 2]\nlimits: {a: {rate: 1}\nshare: )\nmode: \"x\n");
+  const ErrorTexts told =
+      problems("name: \nsize: 4 5\ntags: [1 2]\nlimits: {a: {rate: 1}\nshare: )\nmode: \"x\n");
   REQUIRE(told.size() == 6);
   CHECK(told[0] == "f:2:9: a comma or the line's end expected, found '5'");
 }
@@ -141,7 +145,7 @@
        {"a: 1, b: 2", "a: 1\nb: 2", "{a: 1}", "a: [1,\n2]", "a: [1\n2\n]", "a: {b: 1\n}\n", "a: b: c: 1",
         "\"a b\": 1", "a?: int", "a: 1 |\n2 | *3", "a: (1)", "a: 1 & int", "#A: int\na: #A & 3",
         "a: >=1 & <3 & 2", "a: !=null & 3", "// nothing\n", "", "a: {...}"})
-    CHECK(problems(good, schema) == Told{});
+    CHECK(problems(good, schema) == ErrorTexts{});
   for (const char* bad :
        {"a: 1 b: 2",  "a: [1 2]",     "a: 1\n| 2",   "a: [,]",           "a: {,}",      "a: 1,,b: 2",
         "a",          "a: ",          ": 1",         "a: '1'",           "a: \"x\ny\"", "a: 1 +2",
@@ -152,12 +156,12 @@
     CHECK(problems(bad, schema).size() >= 1);
   }
   // JSON as it is, also where a line begins with a comma.
-  CHECK(problems("{\"a\" : 1\n , \"b\"\n:\n [1\n,2]\n}\n", schema) == Told{});
+  CHECK(problems("{\"a\" : 1\n , \"b\"\n:\n [1\n,2]\n}\n", schema) == ErrorTexts{});
 }
 
 TEST_CASE("what is defined by itself is turned down where it stands", "[record]") {
   const std::string schema = "#File: {...}";
-  CHECK(problems("#A: {b: #A}\na: #A", schema) == Told{"f:1:9: #A.b: '#A' is defined by itself"});
+  CHECK(problems("#A: {b: #A}\na: #A", schema) == ErrorTexts{"f:1:9: #A.b: '#A' is defined by itself"});
   CHECK(problems("#A: #B\n#B: [#C]\n#C: 1 | #A", schema).size() == 1);
   std::string chain = "#A0: 1\n";
   for (int i = 1; i < 5000; ++i) chain += "#A" + std::to_string(i) + ": #A" + std::to_string(i - 1) + "\n";
@@ -190,10 +194,10 @@
   CHECK(problems("a: " + choices, schema).front().find("alternatives") != std::string::npos);
   CHECK(problems(std::string(cue::kMaxBytes + 1, ' '), schema).front().find("larger than") !=
         std::string::npos);
-  CHECK(problems("a: \"" + std::string(cue::kMaxBytes / 2, 'x') + "\"", schema) == Told{});
+  CHECK(problems("a: \"" + std::string(cue::kMaxBytes / 2, 'x') + "\"", schema) == ErrorTexts{});
   std::string wide;  // two structs of many fields joined, and a definition that knows none of as many
   for (int i = 0; i < 60'000; ++i) wide += "x" + std::to_string(i) + ": 1, ";
-  CHECK(problems("a: {" + wide + "} & {" + wide + "y: 1}", schema) == Told{});
+  CHECK(problems("a: {" + wide + "} & {" + wide + "y: 1}", schema) == ErrorTexts{});
   CHECK(problems("#A: {" + wide + "}\n_b: {" + wide + "z1: 1, z2: 1}\na: #A & _b", schema).size() == 2);
   const std::string many = [] {
     std::string text;
@@ -209,7 +213,7 @@
       "#L: {rate: <10, ...} // small\nname: \"abc\"\nsize: 5 & int\nlimits: {a: #L & {rate: 3}, \"b\": rate: "
       "0x4}\n"
       "tags: [\"x\", #\"y\"#, \"\"\"\n\tz\n\t\"\"\"]\nmode: null\nshare: 1.5e-1\n";
-  CHECK(problems(good) == Told{});
+  CHECK(problems(good) == ErrorTexts{});
   const std::string marks = "{}[]()\":,|&*<>=!~#_.?-+\\\n\t 1a\xff\xc3";
   for (int i = 0; i < 4000; ++i) {
     std::string text = good.substr(0, random() % (good.size() + 1));
--- a/tests/dispatcher/rate_limit_front_ends_test.cpp
+++ b/tests/dispatcher/rate_limit_front_ends_test.cpp
@@ -23,8 +23,9 @@
   auto client = through_chat ? fixture.chat_client() : fixture.platform_client();
   const std::string headers =
       through_chat ? "Content-Type: application/json\r\n" : platform_headers(id, request_class);
-  client->post(headers + more_headers,
-               prompt.empty() ? chat_body(request_class, ResponseMode::kStream) : chat_body(request_class, ResponseMode::kStream, prompt));
+  client->post(headers + more_headers, prompt.empty()
+                                           ? chat_body(request_class, ResponseMode::kStream)
+                                           : chat_body(request_class, ResponseMode::kStream, prompt));
   return client;
 }
 
