--- a/src/cue/data.cpp
+++ b/src/cue/data.cpp
@@ -5,32 +5,29 @@
 
 namespace dispatcher::cue {
 
-namespace {
-template <class T>
-const T& need(const T* value, const std::string& path, const char* what) {
-  if (value == nullptr) throw std::logic_error("record: " + path + " is not " + what);
-  return *value;
+void Data::throw_wrong_kind(const char* expected) const {
+  throw std::logic_error("record: " + path_ + " is not " + expected);
 }
-}  // namespace
 
 const Data& Data::operator[](std::string_view field) const {
   static const Data absent;
-  const auto* all = std::get_if<Fields>(&content_);
-  if (all == nullptr) return absent;
-  const auto it = std::find_if(all->begin(), all->end(), [&](const auto& f) { return f.first == field; });
-  return it == all->end() ? absent : it->second;
+  const auto* fields = std::get_if<Fields>(&content_);
+  if (fields == nullptr) return absent;
+  const auto it = std::find_if(fields->begin(), fields->end(),
+                               [&](const auto& candidate) { return candidate.first == field; });
+  return it == fields->end() ? absent : it->second;
 }
 
-bool Data::is_null() const { return scalar<Null>() != nullptr; }
-const std::string& Data::text() const { return need(scalar<std::string>(), path_, "text"); }
-std::int64_t Data::integer() const { return need(scalar<std::int64_t>(), path_, "a whole number"); }
-bool Data::flag() const { return need(scalar<bool>(), path_, "true or false"); }
-const Data::Items& Data::items() const { return need(std::get_if<Items>(&content_), path_, "a list"); }
-const Data::Fields& Data::fields() const { return need(std::get_if<Fields>(&content_), path_, "a struct"); }
+bool Data::is_null() const { return scalar_if<Null>() != nullptr; }
+const std::string& Data::text() const { return scalar<std::string>("text"); }
+std::int64_t Data::integer() const { return scalar<std::int64_t>("a whole number"); }
+bool Data::flag() const { return scalar<bool>("true or false"); }
+const Data::Items& Data::items() const { return require(std::get_if<Items>(&content_), "a list"); }
+const Data::Fields& Data::fields() const { return require(std::get_if<Fields>(&content_), "a struct"); }
 
 double Data::real() const {
-  const auto* whole = scalar<std::int64_t>();
-  return whole != nullptr ? static_cast<double>(*whole) : need(scalar<double>(), path_, "a number");
+  const auto* integer = scalar_if<std::int64_t>();
+  return integer != nullptr ? static_cast<double>(*integer) : scalar<double>("a number");
 }
 
 }  // namespace dispatcher::cue
--- a/src/cue/data.hpp
+++ b/src/cue/data.hpp
@@ -1,4 +1,4 @@
-// A record that has been checked: plain values, each with where it stands in its file.
+// A configuration that has been checked against its schema: plain values, each with its place in the file.
 #ifndef DISPATCHER_CUE_DATA_HPP_
 #define DISPATCHER_CUE_DATA_HPP_
 
@@ -9,45 +9,63 @@
 #include <variant>
 #include <vector>
 
-#include "cue/syntax.hpp"
+#include "cue/errors.hpp"
+#include "cue/scalar.hpp"
+#include "cue/source.hpp"
 
 namespace dispatcher::cue {
 
-struct Null {
-  auto operator<=>(const Null&) const = default;
-};
-using Scalar = std::variant<Null, bool, std::int64_t, double, std::string>;
-
-// What the schema promises may be asked for without a check: a wrong call is a fault of the program and
-// throws std::logic_error, whatever the file says.
+/// A scalar, list or struct that Schema::read() returned. What the schema guarantees is accessed without a
+/// check: an accessor of the wrong kind is an error of the program, whatever the file says, and throws
+/// std::logic_error. References that accessors return live as long as the Data they were taken from.
 class Data {
  public:
   using Fields = std::vector<std::pair<std::string, Data>>;  // in the file's order
   using Items = std::vector<Data>;
   using Content = std::variant<Scalar, Items, Fields>;
+
+  /// A null without a place.
   Data() = default;
-  Data(Position at, std::string path, Content content)
-      : at_(at), path_(std::move(path)), content_(std::move(content)) {}
+  Data(Position position, std::string path, Content content)
+      : position_(position), path_(std::move(path)), content_(std::move(content)) {}
 
-  [[nodiscard]] Position where() const { return at_; }             // line 0: the schema's default
-  [[nodiscard]] const std::string& path() const { return path_; }  // as rules[2].limit.rate
-  const Data& operator[](std::string_view field) const;            // a null where the record lacks it
+  /// Where the file has the value; not in_file() where it is the schema's default.
+  [[nodiscard]] Position where() const { return position_; }
+  /// The field's path, as `rules[2].limit.rate`.
+  [[nodiscard]] const std::string& path() const { return path_; }
+
+  /// The field of a struct; a null where there is no such field, or no struct.
+  [[nodiscard]] const Data& operator[](std::string_view field) const;
+  /// Whether the struct has the field with a value other than null.
   [[nodiscard]] bool has(std::string_view field) const { return !(*this)[field].is_null(); }
+
   [[nodiscard]] bool is_null() const;
   [[nodiscard]] const std::string& text() const;
   [[nodiscard]] std::int64_t integer() const;
-  [[nodiscard]] double real() const;  // of an integer, too
+  /// The value of a number of either kind.
+  [[nodiscard]] double real() const;
   [[nodiscard]] bool flag() const;
   [[nodiscard]] const Items& items() const;
   [[nodiscard]] const Fields& fields() const;
 
  private:
   template <class T>
-  [[nodiscard]] const T* scalar() const {
-    const auto* value = std::get_if<Scalar>(&content_);
-    return value == nullptr ? nullptr : std::get_if<T>(value);
+  [[nodiscard]] const T* scalar_if() const {
+    const auto* scalar = std::get_if<Scalar>(&content_);
+    return scalar == nullptr ? nullptr : std::get_if<T>(scalar);
   }
-  Position at_;
+  template <class T>
+  [[nodiscard]] const T& scalar(const char* expected) const {
+    return require(scalar_if<T>(), expected);
+  }
+  template <class T>
+  [[nodiscard]] const T& require(const T* value, const char* expected) const {
+    if (value == nullptr) throw_wrong_kind(expected);
+    return *value;
+  }
+  [[noreturn]] void throw_wrong_kind(const char* expected) const;
+
+  Position position_;
   std::string path_;
   Content content_ = Scalar(Null{});
 };
--- /dev/null
+++ b/src/cue/evaluator.hpp
@@ -0,0 +1,59 @@
+// Evaluates the syntax tree of a file to values.
+#ifndef DISPATCHER_CUE_EVALUATOR_HPP_
+#define DISPATCHER_CUE_EVALUATOR_HPP_
+
+#include <cstddef>
+#include <map>
+#include <set>
+#include <string>
+#include <string_view>
+#include <unordered_map>
+
+#include "cue/evaluation_context.hpp"
+#include "cue/syntax.hpp"
+#include "cue/unifier.hpp"
+
+namespace dispatcher::cue {
+
+/// Evaluates one file. Refers to the context, which must outlive it. All functions may throw LimitReached,
+/// and report what is wrong to the context.
+class Evaluator {
+ public:
+  /// Takes the file as parse() returned it.
+  Evaluator(EvaluationContext& context, Expression file);
+
+  /// The struct that the file is, without its definitions, which are evaluated even if nothing uses them.
+  /// Null where it has no value.
+  [[nodiscard]] ValuePtr evaluate_file();
+  /// The value of a definition; null where it has none.
+  [[nodiscard]] ValuePtr evaluate_definition(const std::string& name);
+
+ private:
+  // Whether structs allow fields that they do not name: within a definition `#Name` only those that end in
+  // `...` do.
+  enum class Openness { kOpen, kClosed };
+  // The index of each label among the fields of the struct that is built.
+  using FieldIndex = std::unordered_map<std::string_view, std::size_t>;
+
+  ValuePtr evaluate(const Expression& expression, Openness openness);
+  ValuePtr evaluate_reference(const std::string& name, Position position);
+  ValuePtr evaluate_bound(const Expression& expression);
+  ValuePtr evaluate_conjunction(const Expression& expression, Openness openness);
+  ValuePtr evaluate_disjunction(const Expression& expression, Openness openness);
+  ValuePtr evaluate_list(const Expression& expression, Openness openness);
+  ValuePtr evaluate_struct(const Expression& expression, Openness openness);
+  bool evaluate_field(const Expression::Field& field, Openness openness, Value& structure, FieldIndex& index);
+  bool add_field(const Expression::Field& field, const ValuePtr& value, Value& structure, FieldIndex& index);
+  ValuePtr apply_own_patterns(const Value& structure);
+
+  EvaluationContext& context_;
+  Unifier unifier_;
+  Expression file_;                                // without the definitions
+  std::map<std::string, Expression> definitions_;  // by name
+  std::map<std::string, ValuePtr> evaluated_;      // definitions that are done; null: they have no value
+  std::set<std::string> evaluating_;               // definitions that refer to one another
+};
+
+}  // namespace dispatcher::cue
+
+#endif  // DISPATCHER_CUE_EVALUATOR_HPP_
--- /dev/null
+++ b/src/cue/scalar.hpp
@@ -0,0 +1,29 @@
+// The scalar values of the CUE subset.
+#ifndef DISPATCHER_CUE_SCALAR_HPP_
+#define DISPATCHER_CUE_SCALAR_HPP_
+
+#include <compare>
+#include <cstdint>
+#include <string>
+#include <variant>
+
+namespace dispatcher::cue {
+
+/// The value `null`.
+struct Null {
+  auto operator<=>(const Null&) const = default;
+};
+
+/// A value without parts. Integers and floating-point numbers are of different kinds: 1 and 1.0 are unequal.
+using Scalar = std::variant<Null, bool, std::int64_t, double, std::string>;
+
+/// The order of two strings, or of two numbers by their value whatever their kinds. Other scalars are
+/// equivalent where they are equal and unordered otherwise.
+[[nodiscard]] std::partial_ordering compare(const Scalar& left, const Scalar& right);
+
+/// The scalar as error messages show it; a long string is cut.
+[[nodiscard]] std::string describe(const Scalar& scalar);
+
+}  // namespace dispatcher::cue
+
+#endif  // DISPATCHER_CUE_SCALAR_HPP_
--- a/src/cue/schema.hpp
+++ b/src/cue/schema.hpp
@@ -1,4 +1,4 @@
-// What a file may say, written in the same subset of CUE, and the one way to read a file by it.
+// A schema of configuration files, written in the same subset of CUE, and reading of files against it.
 #ifndef DISPATCHER_CUE_SCHEMA_HPP_
 #define DISPATCHER_CUE_SCHEMA_HPP_
 
@@ -13,20 +13,25 @@
 
 struct Value;
 
+/// What a file may contain, and its defaults. Immutable; may be used by several threads at once.
 class Schema {
  public:
-  // `cue`: definitions; `root`: the one that a whole file must meet. Throws Errors where it is bad itself.
+  /// `cue`: definitions; `root`: the name of the one that a file as a whole must satisfy. Throws Errors where
+  /// the schema itself is invalid.
   Schema(std::string_view cue, const std::string& root);
-  // The file unified with the schema: each field present, checked and in its default where the file says
-  // nothing. Throws Errors with all that is wrong. Depth and work are bounded, whatever the file holds.
+
+  /// The file's data, unified with the schema: each field that is not optional is present, checked, and the
+  /// schema's default where the file leaves it out. Throws Errors with everything that is wrong, in the order
+  /// of the file. Nesting depth and work are bounded, whatever the file holds.
   [[nodiscard]] Data read(const File& file) const;
 
  private:
   std::shared_ptr<const Value> root_;
 };
 
-// A fault that shows only once a record is known to be well-formed, such as a name that is nowhere declared.
-Problem problem(const Data& at, std::string what);
+/// A problem at a place in well-formed data, for what no schema can check, such as a name that is declared
+/// nowhere.
+[[nodiscard]] Problem problem(const Data& at, std::string what);
 
 }  // namespace dispatcher::cue
 
