--- a/fuzz/cue_fuzz.cpp
+++ b/fuzz/cue_fuzz.cpp
@@ -1,4 +1,5 @@
-// Any bytes as a file of records: read or told of, within the bounds, never more.
+// Fuzz target of the configuration files' reader: any bytes are either read or rejected with a bounded number
+// of problems.
 #include <cstddef>
 #include <cstdint>
 #include <cstdlib>
@@ -6,6 +7,13 @@
 
 #include "cue/schema.hpp"
 
+namespace {
+
+constexpr std::int64_t kMaxSize = 100;             // as the schema below has it
+constexpr std::size_t kMaxReportedProblems = 101;  // the reader's limit and the problem that says so
+
+}  // namespace
+
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
   using namespace dispatcher::cue;
   static const Schema schema(R"cue(
@@ -22,10 +30,11 @@
 )cue",
                              "#File");
   try {
-    const Data read = schema.read({"f", std::string(reinterpret_cast<const char*>(data), size)});
-    if (read["size"].is_null() ? false : read["size"].integer() > 100) std::abort();
-  } catch (const Errors& e) {
-    if (e.problems.empty() || e.problems.size() > 101) std::abort();
+    const Data file = schema.read({"f", std::string(reinterpret_cast<const char*>(data), size)});
+    const Data& bounded = file["size"];
+    if (!bounded.is_null() && bounded.integer() > kMaxSize) std::abort();
+  } catch (const Errors& errors) {
+    if (errors.problems.empty() || errors.problems.size() > kMaxReportedProblems) std::abort();
   }
   return 0;
 }
