--- a/src/cue/nearest.hpp
+++ b/src/cue/nearest.hpp
@@ -1,8 +1,9 @@
-// The name that was probably meant, for errors about one that is not known.
+// Suggests the name that was probably meant, for errors about an unknown one.
 #ifndef DISPATCHER_CUE_NEAREST_HPP_
 #define DISPATCHER_CUE_NEAREST_HPP_
 
 #include <algorithm>
+#include <cstddef>
 #include <string>
 #include <string_view>
 #include <utility>
@@ -10,37 +11,44 @@
 
 namespace dispatcher::cue {
 
-// How many letters differ.
-inline std::size_t edit_distance(std::string_view left, std::string_view right) {
+/// The Levenshtein distance: how many bytes must be changed, added or removed to turn one text into the
+/// other.
+[[nodiscard]] inline std::size_t edit_distance(std::string_view left, std::string_view right) {
+  // One row of the matrix of distances between the prefixes of both; `diagonal` is of the row before.
   std::vector<std::size_t> row(right.size() + 1);
   for (std::size_t j = 0; j <= right.size(); ++j) row[j] = j;
   for (std::size_t i = 1; i <= left.size(); ++i) {
     std::size_t diagonal = std::exchange(row[0], i);
     for (std::size_t j = 1; j <= right.size(); ++j) {
-      const std::size_t change = diagonal + (left[i - 1] == right[j - 1] ? 0 : 1);
-      diagonal = std::exchange(row[j], std::min({row[j] + 1, row[j - 1] + 1, change}));
+      const std::size_t substitution = diagonal + (left[i - 1] == right[j - 1] ? 0 : 1);
+      diagonal = std::exchange(row[j], std::min({row[j] + 1, row[j - 1] + 1, substitution}));
     }
   }
   return row.back();
 }
 
-// "; 'x' is known" for the nearest of the names, where one is near; `name_of` gives an element's.
+/// "; 'name' is known" for the name that is most similar to `given`, or nothing where none is similar.
+/// `name_of` gives an element's name as std::string_view. The work is bounded.
 template <class Names, class NameOf>
-std::string nearest(std::string_view given, const Names& names, NameOf name_of) {
-  constexpr std::size_t kMaxLength = 64, kMaxApart = 2, kMaxNames = 1000;  // what it may take is bounded
+[[nodiscard]] std::string nearest(std::string_view given, const Names& names, NameOf name_of) {
+  constexpr std::size_t kMaxLength = 64;
+  constexpr std::size_t kMaxDistance = 2;
+  constexpr std::size_t kMaxNames = 1000;
   if (given.size() > kMaxLength) return {};
-  std::size_t minimum = kMaxApart + 1;
+  std::size_t minimum = kMaxDistance + 1;
   std::string_view best;
-  std::size_t seen = 0;
-  for (const auto& one : names) {
-    if (++seen > kMaxNames) break;
-    const std::string_view name = name_of(one);
-    if (const std::size_t apart = edit_distance(given, name); apart < minimum) {
-      minimum = apart;
-      best = name;
-    }
+  std::size_t compared = 0;
+  for (const auto& element : names) {
+    ++compared;
+    if (compared > kMaxNames) break;
+    const std::string_view name = name_of(element);
+    const std::size_t distance = edit_distance(given, name);
+    if (distance >= minimum) continue;
+    minimum = distance;
+    best = name;
   }
-  return best.empty() ? std::string() : "; '" + std::string(best) + "' is known";
+  if (best.empty()) return {};
+  return "; '" + std::string(best) + "' is known";
 }
 
 }  // namespace dispatcher::cue
--- a/src/cue/utf8.hpp
+++ b/src/cue/utf8.hpp
@@ -1,4 +1,4 @@
-// UTF-8 as RFC 3629 has it: what is well-formed, how long it is, and how it is written.
+// UTF-8 (RFC 3629): validation, lengths and encoding.
 #ifndef DISPATCHER_CUE_UTF8_HPP_
 #define DISPATCHER_CUE_UTF8_HPP_
 
@@ -10,11 +10,13 @@
 
 namespace dispatcher::cue {
 
-// Well-formed byte sequences by their first byte, as in RFC 3629, section 4. Bytes after the second one are
-// continuation bytes.
+/// The well-formed sequences of more than one byte by their first byte, as in RFC 3629, section 4. Bytes
+/// after the second one are continuation bytes.
 struct Utf8Form {
-  unsigned first_min, first_max;
-  unsigned second_min, second_max;
+  unsigned first_min;
+  unsigned first_max;
+  unsigned second_min;
+  unsigned second_max;
   std::size_t length;
 };
 inline constexpr std::array<Utf8Form, 8> kUtf8Forms = {{{0xC2, 0xDF, 0x80, 0xBF, 2},
@@ -26,8 +28,8 @@
                                                         {0xF1, 0xF3, 0x80, 0xBF, 4},
                                                         {0xF4, 0xF4, 0x80, 0x8F, 4}}};
 
-// Whether `text` starts with a sequence of this form, whose first byte is known to fit.
-inline bool starts_with_form(std::string_view text, const Utf8Form& form) {
+/// Whether `text` starts with a sequence of this form, whose first byte is known to fit.
+[[nodiscard]] inline bool starts_with_form(std::string_view text, const Utf8Form& form) {
   if (text.size() < form.length) return false;
   const auto second = static_cast<unsigned char>(text[1]);
   if (second < form.second_min || second > form.second_max) return false;
@@ -37,8 +39,8 @@
   return true;
 }
 
-// The length of the character at the front of `text`; 0: none is well-formed there.
-inline std::size_t utf8_length(std::string_view text) {
+/// The length in bytes of the character at the front of `text`; 0 where none is well-formed there.
+[[nodiscard]] inline std::size_t utf8_length(std::string_view text) {
   if (text.empty()) return 0;
   const auto first = static_cast<unsigned char>(text.front());
   if (first < 0x80) return 1;
@@ -49,8 +51,8 @@
   return 0;
 }
 
-// Where it stops being well-formed; npos: nowhere.
-inline std::size_t invalid_utf8(std::string_view text) {
+/// The offset at which `text` stops being well-formed; npos where it is well-formed.
+[[nodiscard]] inline std::size_t invalid_utf8(std::string_view text) {
   for (std::size_t i = 0; i < text.size();) {
     const std::size_t length = utf8_length(text.substr(i));
     if (length == 0) return i;
@@ -59,21 +61,25 @@
   return std::string_view::npos;
 }
 
-inline void encode_utf8(std::string& out, std::uint32_t character) {
-  const auto tail = [&](unsigned shift) { return static_cast<char>(0x80U | ((character >> shift) & 0x3FU)); };
-  if (character < 0x80) {
-    out += static_cast<char>(character);
-  } else if (character < 0x800) {
-    out += {static_cast<char>(0xC0U | (character >> 6U)), tail(0)};
-  } else if (character < 0x10000) {
-    out += {static_cast<char>(0xE0U | (character >> 12U)), tail(6), tail(0)};
+/// Appends a code point, which must be at most 0x10FFFF and no surrogate.
+inline void encode_utf8(std::string& out, std::uint32_t code_point) {
+  const auto continuation = [&](unsigned shift) {
+    return static_cast<char>(0x80U | ((code_point >> shift) & 0x3FU));
+  };
+  if (code_point < 0x80) {
+    out += static_cast<char>(code_point);
+  } else if (code_point < 0x800) {
+    out += {static_cast<char>(0xC0U | (code_point >> 6U)), continuation(0)};
+  } else if (code_point < 0x10000) {
+    out += {static_cast<char>(0xE0U | (code_point >> 12U)), continuation(6), continuation(0)};
   } else {
-    out += {static_cast<char>(0xF0U | (character >> 18U)), tail(12), tail(6), tail(0)};
+    out +=
+        {static_cast<char>(0xF0U | (code_point >> 18U)), continuation(12), continuation(6), continuation(0)};
   }
 }
 
-// At most `maximum` bytes of it, no character cut.
-inline std::string clip_utf8(std::string_view text, std::size_t maximum) {
+/// The longest prefix of at most `maximum` bytes that ends with a whole, well-formed character.
+[[nodiscard]] inline std::string clip_utf8(std::string_view text, std::size_t maximum) {
   std::size_t end = 0;
   while (end < text.size()) {
     const std::size_t length = utf8_length(text.substr(end));
--- a/tests/dispatcher/vrrp_test.cpp
+++ b/tests/dispatcher/vrrp_test.cpp
@@ -159,11 +159,11 @@
 TEST_CASE("each field of VRRP's file is checked", "[vrrp]") {
   const auto parse = [](const std::string& text) { return vrrp::parse_config({"vrrp.json", text}); };
   CHECK_FALSE(parse(R"({"listen":null})"));
-  const std::string rest = R"("peers":["127.0.0.2:9"],"addresses":["127.0.0.9"])";
-  CHECK(parse(R"({"listen":"127.0.0.1:9",)" + rest + "}")->parameters.primary == kLow);
-  CHECK_THROWS_WITH(parse(R"({"listen":"x",)" + rest + "}"),
+  const std::string other_fields = R"("peers":["127.0.0.2:9"],"addresses":["127.0.0.9"])";
+  CHECK(parse(R"({"listen":"127.0.0.1:9",)" + other_fields + "}")->parameters.primary == kLow);
+  CHECK_THROWS_WITH(parse(R"({"listen":"x",)" + other_fields + "}"),
                     "vrrp.json:1:11: listen: IPv4 address and port expected");
-  CHECK_THROWS_WITH(parse(R"({"listen":"127.0.0.1:9","priority":256,)" + rest + "}"),
+  CHECK_THROWS_WITH(parse(R"({"listen":"127.0.0.1:9","priority":256,)" + other_fields + "}"),
                     "vrrp.json:1:36: priority: expected 100 | int & >=1 & <=255, found 256");
   CHECK_THROWS_WITH(
       parse(R"({"listen":"127.0.0.1:9"})"),
