--- a/src/engine/engine.cpp
+++ b/src/engine/engine.cpp
@@ -1,20 +1,18 @@
 #include "engine/engine.hpp"
 
-#include <algorithm>
 #include <utility>
 
+#include "routing/request_classes.hpp"
+
 namespace dispatcher::engine {
 
 namespace {
 
 /// For a request's first token, from its arrival. Zero if the settings don't name its class.
 Duration latency_objective(const routing::Settings& settings, const routing::Request& request) {
-  const auto it = std::find_if(settings.classes.begin(), settings.classes.end(),
-                               [&](const routing::RequestClass& request_class) {
-                                 return request_class.name == request.request_class;
-                               });
-  if (it == settings.classes.end()) return {};
-  return it->latency_objective + it->latency_objective_per_1000_tokens * request.prompt_tokens / 1000;
+  const routing::RequestClass* known = routing::find_class(settings, request.request_class);
+  if (known == nullptr) return {};
+  return known->latency_objective + known->latency_objective_per_1000_tokens * request.prompt_tokens / 1000;
 }
 
 }  // namespace
--- a/src/openai_api/config.cpp
+++ b/src/openai_api/config.cpp
@@ -7,6 +7,7 @@
 #include <utility>
 
 #include "cue/schema.hpp"
+#include "routing/request_classes.hpp"
 
 namespace dispatcher::openai_api {
 
@@ -42,13 +43,11 @@
     Model model;
     model.id = data["id"].text();
     const std::string& class_name = data["class"].text();
-    const auto found = std::find_if(settings_.classes.begin(), settings_.classes.end(),
-                                    [&](const auto& candidate) { return candidate.name == class_name; });
-    if (found == settings_.classes.end()) {
+    model.request_class = routing::find_class(settings_, class_name);
+    if (model.request_class == nullptr) {
       add_problem(data["class"], "no class '" + class_name + "' in the settings");
       return model;
     }
-    model.request_class = &*found;
     if (data.has("deadline_ms")) model.deadline = std::chrono::milliseconds(data["deadline_ms"].integer());
     return model;
   }
--- a/src/openai_api/frontend.cpp
+++ b/src/openai_api/frontend.cpp
@@ -6,6 +6,8 @@
 #include <memory>
 #include <utility>
 
+#include "routing/request_classes.hpp"
+
 namespace dispatcher::openai_api {
 
 using Json = nlohmann::json;
@@ -153,11 +155,8 @@
 // The rate limiter's rules may have put the request into another class than its model's.
 const routing::RequestClass& Frontend::admitted_class(const routing::Request& request,
                                                       const Model& model) const {
-  const auto& classes = config_.settings->classes;
-  const auto found = std::find_if(classes.begin(), classes.end(), [&](const auto& candidate) {
-    return candidate.name == request.request_class;
-  });
-  return found == classes.end() ? *model.request_class : *found;
+  const routing::RequestClass* admitted = routing::find_class(*config_.settings, request.request_class);
+  return admitted != nullptr ? *admitted : *model.request_class;
 }
 
 // ---- answers from the engine ----
--- a/src/platform_api/request.cpp
+++ b/src/platform_api/request.cpp
@@ -10,6 +10,7 @@
 
 #include "http/message.hpp"
 #include "platform_api/header_error.hpp"
+#include "routing/request_classes.hpp"
 
 namespace dispatcher::platform_api {
 
@@ -81,11 +82,9 @@
   return std::string(text);
 }
 
-const routing::RequestClass& find_class(const routing::Settings& settings, std::string_view name) {
-  const auto found = std::find_if(settings.classes.begin(), settings.classes.end(),
-                                  [&](const auto& candidate) { return candidate.name == name; });
-  if (found == settings.classes.end())
-    throw HeaderError(HeaderProblem::kUnknownClass, header_names::kRequestClass);
+const routing::RequestClass& require_class(const routing::Settings& settings, std::string_view name) {
+  const routing::RequestClass* found = routing::find_class(settings, name);
+  if (found == nullptr) throw HeaderError(HeaderProblem::kUnknownClass, header_names::kRequestClass);
   return *found;
 }
 
@@ -105,7 +104,7 @@
   const auto get = [&](std::string_view name) { return http::header(request, name); };
   routing::Request parsed;
   parsed.id = parse_id(get(header_names::kRequestId));
-  const routing::RequestClass& request_class = find_class(settings, get(header_names::kRequestClass));
+  const routing::RequestClass& request_class = require_class(settings, get(header_names::kRequestClass));
   parsed.request_class = request_class.name;
   parsed.tenant = get(header_names::kTenant);
   if (const auto key = get(header_names::kSession); !key.empty())
--- a/src/rate_limit/rate_limiter.cpp
+++ b/src/rate_limit/rate_limiter.cpp
@@ -3,6 +3,8 @@
 #include <algorithm>
 #include <utility>
 
+#include "routing/request_classes.hpp"
+
 namespace dispatcher::rate_limit {
 
 namespace {
@@ -10,12 +12,6 @@
 // Rejections come in floods: one log line for all of this time.
 constexpr routing::Duration kLogInterval = std::chrono::seconds(10);
 
-const routing::RequestClass* find_class(const routing::Settings& settings, const std::string& name) {
-  const auto it = std::find_if(settings.classes.begin(), settings.classes.end(),
-                               [&](const auto& request_class) { return request_class.name == name; });
-  return it == settings.classes.end() ? nullptr : &*it;
-}
-
 // Whether a request of one class may be treated as one of another without being retried where it must not be.
 // Null: a class that the settings don't have.
 bool may_change_class(const routing::RequestClass* from, const routing::RequestClass* to) {
@@ -79,8 +75,8 @@
 void RateLimiter::apply(const Decision& decision, routing::Request& request,
                         const routing::Settings& settings) {
   if (decision.request_class != nullptr) {
-    const auto* from = find_class(settings, request.request_class);
-    const auto* to = find_class(settings, *decision.request_class);
+    const auto* from = routing::find_class(settings, request.request_class);
+    const auto* to = routing::find_class(settings, *decision.request_class);
     if (may_change_class(from, to)) {
       request.request_class = *decision.request_class;
     } else {
--- a/src/routing/request_admission.cpp
+++ b/src/routing/request_admission.cpp
@@ -1,15 +1,7 @@
 #include "routing/request_admission.hpp"
 
-#include <algorithm>
-
 namespace dispatcher::routing {
 
-const RequestClass* find_class(const Settings& settings, const std::string& name) {
-  const auto found = std::find_if(settings.classes.begin(), settings.classes.end(),
-                                  [&](const RequestClass& known) { return known.name == name; });
-  return found != settings.classes.end() ? &*found : nullptr;
-}
-
 RequestState RequestAdmission::admit(const Context& context, const Request& request,
                                      const RequestClass& request_class, double reader_count) {
   RequestState state;
--- a/src/routing/request_admission.hpp
+++ b/src/routing/request_admission.hpp
@@ -9,9 +9,6 @@
 
 namespace dispatcher::routing {
 
-// The request's class among those of the settings, which own it. Null: there is no such class.
-[[nodiscard]] const RequestClass* find_class(const Settings& settings, const std::string& name);
-
 // Counts what arrives, by tenant and by shared prefix. Owned by one Router and used on its thread.
 class RequestAdmission {
  public:
--- a/src/routing/router.cpp
+++ b/src/routing/router.cpp
@@ -10,6 +10,7 @@
 #include "routing/learned_state.hpp"
 #include "routing/open_requests.hpp"
 #include "routing/request_admission.hpp"
+#include "routing/request_classes.hpp"
 #include "routing/response_observer.hpp"
 #include "routing/retry_policy.hpp"
 #include "settings/check.hpp"
--- a/src/simulation/scenario.cpp
+++ b/src/simulation/scenario.cpp
@@ -6,6 +6,7 @@
 #include <utility>
 
 #include "degradation/degradation_controller.hpp"
+#include "routing/request_classes.hpp"
 #include "simulation/simulated_fleet.hpp"
 #include "simulation/traffic.hpp"
 
@@ -257,9 +258,7 @@
   }
 
   [[nodiscard]] const routing::RequestClass& class_of(const std::string& name) const {
-    const auto& classes = parameters_.settings.classes;
-    return *std::find_if(classes.begin(), classes.end(),
-                         [&](const auto& request_class) { return request_class.name == name; });
+    return *routing::find_class(parameters_.settings, name);
   }
 
   const Parameters& parameters_;
