--- a/tests/dispatcher/allocations.cpp
+++ b/tests/dispatcher/allocations.cpp
@@ -12,9 +12,9 @@
 #ifndef __SANITIZE_ADDRESS__  // its allocator checks that new and free are not paired
 void* operator new(std::size_t size) {
   ++dispatcher::testing::allocations;
-  if (void* p = std::malloc(size)) return p;
+  if (void* block = std::malloc(size)) return block;
   throw std::bad_alloc();
 }
-void operator delete(void* p) noexcept { std::free(p); }
-void operator delete(void* p, std::size_t) noexcept { std::free(p); }
+void operator delete(void* block) noexcept { std::free(block); }
+void operator delete(void* block, std::size_t) noexcept { std::free(block); }
 #endif
