--- a/tests/run.sh
+++ b/tests/run.sh
@@ -4,7 +4,7 @@
 set -euo pipefail
 cd "$(dirname "$0")/.."
 flags="-DDISPATCHER_TESTS=ON -DDISPATCHER_WERROR=ON -DCMAKE_EXPORT_COMPILE_COMMANDS=ON"
-cmake -B build-ci -DCMAKE_BUILD_TYPE=Release $flags
+cmake -B build-ci -DCMAKE_BUILD_TYPE=Release -DDISPATCHER_BENCH=ON $flags
 cmake --build build-ci -j"$(nproc)"
 bash tests/consumer/run.sh build-ci
 build-ci/llm-dispatcher version
