--- a/bench/routing_bench.cpp
+++ b/bench/routing_bench.cpp
@@ -172,7 +172,7 @@
     Attempt& attempt = attempt_of(number);
     if (attempt.number < 0) return {};
     const AttemptCompleted completed = completion(attempt, AttemptStatus::kRead);
-    if (completed.endpoint.rfind("reader", 0) != 0) return {};
+    if (completed.endpoint.value().rfind("reader", 0) != 0) return {};
     const auto took = measure(times_.reads, completed);
     take_attempt(attempt);
     return took;
