--- a/deploy/levels.cue
+++ b/deploy/levels.cue
@@ -5,15 +5,15 @@
 		name:  "spare-commands"
 		enter: "late.command > 0.10"
 		leave: "late.command < 0.03"
-		// Accounts beyond their share first, and retries.
+		// Accounts over their quota first, and retries.
 		shed: [{classes: ["ask"], when: "account.use > 1.0 || request.retry"}]
 	},
 	{
 		name:  "half-the-asks"
-		// A zone that is lost is no reason by itself: the others may carry its load.
+		// A lost zone is no reason by itself: the others may carry its load.
 		enter: "late.command > 0.25 || (ready.least_zone_readers < 0.5 && late.ask > 0.3)"
 		leave: "late.command < 0.08 && late.ask < 0.1"
-		// The conversation's key decides: who is served stays served.
+		// Selected by the conversation's key: a conversation that is served stays served.
 		shed: [{classes: ["ask"], when: "!has(request.session) || request.session < '8'", retry_ms: {least: 1000, most: 4000}}]
 	},
 	{
--- a/deploy/scenarios/calm.cue
+++ b/deploy/scenarios/calm.cue
@@ -1,3 +1,3 @@
-// An ordinary minute: two zones, three instances.
+// A minute without faults: two zones, three instances.
 lasts_s:   60
 instances: 3
--- a/deploy/scenarios/overlapping.cue
+++ b/deploy/scenarios/overlapping.cue
@@ -1,4 +1,4 @@
-// Half the readers die, the links slow down and the traffic jumps, one into the other.
+// Half the readers are lost, the links slow down and the traffic surges, in overlapping intervals.
 lasts_s:   240
 instances: 4
 traffic: rate: 40
--- a/deploy/scenarios/zone-lost.cue
+++ b/deploy/scenarios/zone-lost.cue
@@ -1,4 +1,4 @@
-// One of two zones vanishes for a minute at normal load and comes back cold.
+// One of two zones is lost for a minute at normal load and returns in slow start.
 lasts_s:   180
 instances: 4
 traffic: rate: 60
--- a/tools/account.py
+++ b/tools/account.py
@@ -1,10 +1,11 @@
 #!/usr/bin/env python3
-"""Counts over a fleet what became of its requests, from the logs of `llm-dispatcher --log-requests`.
+"""Summarises a fleet's requests by outcome, from the logs of `llm-dispatcher --log-requests`.
 
     tools/account.py FOLDER [--aim ask=1200:40,command=800:60] [--by SECONDS] [--hosts]
 
-One file a dispatcher. Prints, for each stretch of the day, how requests ended and what held up those that were
-late: the time at readers, at writers, and what failed on the way; with --hosts also each replica's share.
+FOLDER holds one file per dispatcher. --aim: the latency objective of each class, in ms and ms per 1,000 prompt tokens. Prints,
+for each interval of --by seconds, how requests ended and what delayed the late ones: the time at readers, at writers, and
+failed attempts; with --hosts also each replica's attempts.
 """
 import argparse
 import collections
@@ -43,7 +44,7 @@
 
 
 def cause(request, aims):
-    """Its ending in one word; for a late one, what took longest."""
+    """How the request ended; for a late one, what took longest."""
     base, slope = aims[request["facts"]["class"]]
     aim = base + slope * int(request["facts"]["prompt"]) / 1000
     if request["first"] is not None:
