--- a/adapter/event_decoder.cpp
+++ b/adapter/event_decoder.cpp
@@ -26,6 +26,7 @@
 using routing::ListKind;
 using routing::LoadReport;
 using routing::Request;
+using routing::ReservationOutcome;
 using routing::ReservationResult;
 
 // Bits of a request's flags; the others are of no use to the module.
@@ -33,7 +34,7 @@
 constexpr std::uint64_t kClientRetryFlag = 2;
 constexpr std::uint64_t kResubmittedFlag = 16;
 
-constexpr int kReservationHeld = 1;  // other values: not held
+constexpr int kReservationHeld = 1;  // other values: denied
 
 constexpr std::pair<const char*, AttemptStatus> kAttemptStatusNames[] = {
     {"S", AttemptStatus::kServed},
@@ -167,7 +168,8 @@
   ReservationResult result;
   result.request = required_member<std::string>(message, fields::kRequest);
   result.endpoint = required_member<std::string>(message, fields::kEndpoint);
-  result.held = required_member<int>(message, fields::kReservationStatus) == kReservationHeld;
+  const int status = required_member<int>(message, fields::kReservationStatus);
+  result.outcome = status == kReservationHeld ? ReservationOutcome::kReserved : ReservationOutcome::kDenied;
   return result;
 }
 
--- a/include/routing/events.hpp
+++ b/include/routing/events.hpp
@@ -98,11 +98,14 @@
   Duration elapsed{};  // since the attempt was sent
 };
 
+// What a writer answered to a ReserveSlot action.
+enum class ReservationOutcome { kReserved, kDenied };
+
 // The result of a ReserveSlot action.
 struct ReservationResult {
   RequestId request;
   EndpointId endpoint;
-  bool held{};
+  ReservationOutcome outcome = ReservationOutcome::kDenied;
 };
 
 // The client closed its connection: no answer is owed any more.
@@ -115,11 +118,14 @@
   std::uint64_t tag{};
 };
 
-// Operators take an endpoint out of service or put it back; this takes precedence over every endpoint list.
-// An offline endpoint gets nothing new, also after it left the list and returned. Repeats change nothing.
+// Whether operators let an endpoint serve. This takes precedence over every endpoint list: a drained endpoint
+// gets nothing new, also after it left the list and returned.
+enum class AdministrativeState { kInService, kDrained };
+
+// Operators drain an endpoint or return it to service. Repeats change nothing.
 struct AdministrativeDrain {
   EndpointId endpoint;
-  bool offline{};
+  AdministrativeState state{};
 };
 
 // A moving average, with the mean absolute deviation as a share of the mean and the number of samples.
--- a/include/routing/identifiers.hpp
+++ b/include/routing/identifiers.hpp
@@ -52,6 +52,13 @@
 /// Names an endpoint, as service discovery does.
 using EndpointId = Identifier<struct EndpointTag>;
 
+/// Names a cell: endpoints of one zone that share a fast network. Its number counts within the zone.
+struct CellId {
+  std::string zone;
+  int cell = 0;
+  auto operator<=>(const CellId&) const = default;
+};
+
 /// Names a request, as its client's message does or as its frontend draws it.
 using RequestId = Identifier<struct RequestTag>;
 
--- a/src/admin/admin_server.cpp
+++ b/src/admin/admin_server.cpp
@@ -55,7 +55,7 @@
   const auto command = parse_endpoint_command(path);
   if (!command) return respond_not_found(client, "no such call");
   if (method != "POST") return respond_wrong_method(client, "POST");
-  handle_endpoint(client, command->endpoint, command->is_drained);
+  handle_endpoint(client, command->endpoint, command->state);
 }
 
 void AdminServer::handle_ready(net::SlotId client) {
@@ -63,9 +63,11 @@
   respond_json(client, is_ready ? 200 : 503, {{"ready", is_ready}});
 }
 
-void AdminServer::handle_endpoint(net::SlotId client, const engine::EndpointId& endpoint, bool is_drained) {
-  if (!callbacks_.set_endpoint_drained(endpoint, is_drained))
+void AdminServer::handle_endpoint(net::SlotId client, const engine::EndpointId& endpoint,
+                                  engine::AdministrativeState state) {
+  if (!callbacks_.set_administrative_state(endpoint, state))
     return respond_not_found(client, "no such replica");
+  const bool is_drained = state == engine::AdministrativeState::kDrained;
   respond_json(client, 200, {{"replica", endpoint.value()}, {"state", is_drained ? "offline" : "online"}});
 }
 
--- a/src/admin/admin_server.hpp
+++ b/src/admin/admin_server.hpp
@@ -19,7 +19,8 @@
 struct AdminCallbacks {
   std::function<bool()> is_ready;
   /// Drains an endpoint or returns it to service. Returns false where the endpoint is unknown.
-  std::function<bool(const engine::EndpointId& endpoint, bool is_drained)> set_endpoint_drained;
+  std::function<bool(const engine::EndpointId& endpoint, engine::AdministrativeState state)>
+      set_administrative_state;
   /// The degradation level in force, and the latest changes of it. Empty: there are no levels.
   std::function<nlohmann::json()> current_level = {};
   std::function<nlohmann::json()> level_changes = {};
@@ -49,7 +50,8 @@
   std::string error_body(int status, std::string_view message) override;
 
   void handle_ready(net::SlotId client);
-  void handle_endpoint(net::SlotId client, const engine::EndpointId& endpoint, bool is_drained);
+  void handle_endpoint(net::SlotId client, const engine::EndpointId& endpoint,
+                       engine::AdministrativeState state);
   void handle_level(net::SlotId client, std::string_view method, std::string_view path);
   void respond_json(net::SlotId client, int status, const nlohmann::json& body);
   void respond_not_found(net::SlotId client, std::string_view message);
--- a/src/admin/endpoint_command.cpp
+++ b/src/admin/endpoint_command.cpp
@@ -27,7 +27,9 @@
   const std::string_view state = path.substr(slash + 1);
   if (!std::all_of(endpoint.begin(), endpoint.end(), is_id_character)) return std::nullopt;
   if (state != "offline" && state != "online") return std::nullopt;
-  return EndpointCommand{endpoint, state == "offline"};
+  using engine::AdministrativeState;
+  return EndpointCommand{
+      endpoint, state == "offline" ? AdministrativeState::kDrained : AdministrativeState::kInService};
 }
 
 }  // namespace dispatcher::admin
--- a/src/admin/endpoint_command.hpp
+++ b/src/admin/endpoint_command.hpp
@@ -9,11 +9,10 @@
 
 namespace dispatcher::admin {
 
-/// Takes an endpoint out of service or back into it.
+/// Drains an endpoint ("offline") or returns it to service ("online").
 struct EndpointCommand {
   engine::EndpointId endpoint;
-  /// true: drain the endpoint ("offline"); false: return it to service ("online").
-  bool is_drained = false;
+  engine::AdministrativeState state{};
 };
 
 /// Parses a path such as /control/replicas/ID/offline. Returns nullopt where it is no such command.
--- a/src/daemon/chat_address.cpp
+++ b/src/daemon/chat_address.cpp
@@ -62,7 +62,8 @@
   const bool was_active = vrrp_->state() == vrrp::State::kActive;
   vrrp_->hand_over();
   is_active_ = false;
-  parts_.peer.notify_vrrp_left(was_active);
+  using hot_restart::VrrpRole;
+  parts_.peer.notify_vrrp_left(was_active ? VrrpRole::kActive : VrrpRole::kBackup);
 }
 
 // The other of the pair may still be closing its listener at the shared address: tried until it is free.
--- a/src/daemon/components.cpp
+++ b/src/daemon/components.cpp
@@ -75,7 +75,7 @@
 void Components::build_admin(const ComponentCallbacks& callbacks) {
   admin::AdminCallbacks calls;
   calls.is_ready = callbacks.is_ready;
-  calls.set_endpoint_drained = callbacks.drain_endpoint;
+  calls.set_administrative_state = callbacks.set_administrative_state;
   calls.current_level = [this] { return levels.status(); };
   calls.level_changes = [this] { return levels.history(); };
   calls.pin_level = [this](const std::string& name) { return levels.set_override(name); };
@@ -111,7 +111,7 @@
 
 void Components::update_endpoints(const service_discovery::EndpointSnapshot& snapshot) {
   service_discovery::apply_update(endpoints, snapshot);
-  pool.update_endpoints(snapshot.addresses, snapshot.is_complete);
+  pool.update_endpoints(snapshot.addresses, snapshot.scope);
   engine.update_endpoints(snapshot.list);
   levels.update_endpoints(snapshot.list);
 }
--- a/src/daemon/components.hpp
+++ b/src/daemon/components.hpp
@@ -33,7 +33,8 @@
   std::function<void(const service_discovery::EndpointSnapshot&)> on_endpoints;  // a list, or a change of it
   std::function<bool()> is_ready;                                                // for GET /control/ready
   // False: unknown endpoint.
-  std::function<bool(const routing::EndpointId& endpoint, bool offline)> drain_endpoint;
+  std::function<bool(const routing::EndpointId& endpoint, routing::AdministrativeState state)>
+      set_administrative_state;
   hot_restart::HotRestartPeer::Owner& hot_restart_owner;
 };
 
--- a/src/daemon/config.cpp
+++ b/src/daemon/config.cpp
@@ -117,7 +117,7 @@
   service_discovery::EndpointSnapshot known;
   try {
     known = service_discovery::parse_endpoint_snapshot(source);
-    known.is_complete = true;
+    known.scope = upstream::ListScope::kComplete;
     known.list.kind = routing::ListKind::kCached;
   } catch (const std::exception& e) {
     findings.push_back({Severity::kError, "known", e.what(), ""});
--- a/src/daemon/dispatcher.cpp
+++ b/src/daemon/dispatcher.cpp
@@ -29,11 +29,12 @@
 }
 
 ComponentCallbacks Dispatcher::callbacks() {
-  return {
-      [this](const service_discovery::EndpointSnapshot& snapshot) { parts_.update_endpoints(snapshot); },
-      [this] { return is_ready(); },
-      [this](const routing::EndpointId& endpoint, bool offline) { return drain_endpoint(endpoint, offline); },
-      *this};
+  return {[this](const service_discovery::EndpointSnapshot& snapshot) { parts_.update_endpoints(snapshot); },
+          [this] { return is_ready(); },
+          [this](const routing::EndpointId& endpoint, routing::AdministrativeState state) {
+            return set_administrative_state(endpoint, state);
+          },
+          *this};
 }
 
 void Dispatcher::start() {
@@ -83,7 +84,7 @@
   parts_.drained_endpoints.load();
   for (const routing::EndpointId& endpoint : parts_.drained_endpoints.endpoints()) {
     parts_.log("operators: host " + endpoint.value() + " still offline");
-    apply_drain(endpoint, true);
+    apply_administrative_state(endpoint, routing::AdministrativeState::kDrained);
   }
 }
 
@@ -120,9 +121,10 @@
   stream_handover_.adopt(stream, std::move(client_socket), std::move(upstream_socket));
 }
 
-void Dispatcher::on_vrrp_left(bool was_active) {
-  if (is_serving_)
-    chat_address_.join_pair(was_active ? vrrp::StartMode::kResumeActive : vrrp::StartMode::kNormal);
+void Dispatcher::on_vrrp_left(hot_restart::VrrpRole role) {
+  if (!is_serving_) return;
+  const bool was_active = role == hot_restart::VrrpRole::kActive;
+  chat_address_.join_pair(was_active ? vrrp::StartMode::kResumeActive : vrrp::StartMode::kNormal);
 }
 
 void Dispatcher::on_peers_changed() {
@@ -138,24 +140,28 @@
   return parts_.platform.server().is_open() && !is_draining_ && parts_.engine.endpoint_count() > 0;
 }
 
-bool Dispatcher::drain_endpoint(const routing::EndpointId& endpoint, bool offline) {
+bool Dispatcher::set_administrative_state(const routing::EndpointId& endpoint,
+                                          routing::AdministrativeState state) {
   if (!parts_.engine.is_known_endpoint(endpoint) && !parts_.drained_endpoints.contains(endpoint))
     return false;
-  change_drain(endpoint, offline);
+  change_administrative_state(endpoint, state);
   return true;
 }
 
-void Dispatcher::change_drain(const routing::EndpointId& endpoint, bool offline) {
-  if (!parts_.drained_endpoints.set_drained(endpoint, offline)) return;
-  parts_.log("operators: host " + endpoint.value() + (offline ? " offline" : " online"));
-  apply_drain(endpoint, offline);
-  parts_.peer.notify_endpoint_drained(endpoint, offline);
+void Dispatcher::change_administrative_state(const routing::EndpointId& endpoint,
+                                             routing::AdministrativeState state) {
+  if (!parts_.drained_endpoints.set_administrative_state(endpoint, state)) return;
+  const bool is_drained = state == routing::AdministrativeState::kDrained;
+  parts_.log("operators: host " + endpoint.value() + (is_drained ? " offline" : " online"));
+  apply_administrative_state(endpoint, state);
+  parts_.peer.notify_administrative_state(endpoint, state);
 }
 
 // The router hears of it first: what the pool gives back then goes elsewhere.
-void Dispatcher::apply_drain(const routing::EndpointId& endpoint, bool offline) {
-  parts_.engine.set_administrative_drain(endpoint, offline);
-  parts_.pool.set_administratively_drained(endpoint, offline);
+void Dispatcher::apply_administrative_state(const routing::EndpointId& endpoint,
+                                            routing::AdministrativeState state) {
+  parts_.engine.set_administrative_state(endpoint, state);
+  parts_.pool.set_administrative_state(endpoint, state);
 }
 
 // ---- the end ----
--- a/src/daemon/dispatcher.hpp
+++ b/src/daemon/dispatcher.hpp
@@ -43,19 +43,19 @@
   routing::LearnedState learned_state() override { return parts_.engine.learned_state(); }
   hot_restart::Json degradation_level() override { return parts_.levels.status(); }
   void on_handover(hot_restart::HandoverState handover) override;
-  void on_endpoint_drained(const routing::EndpointId& endpoint, bool offline) override {
-    change_drain(endpoint, offline);
+  void on_administrative_state(const routing::EndpointId& endpoint,
+                               routing::AdministrativeState state) override {
+    change_administrative_state(endpoint, state);
   }
-  void on_peer_request(const routing::RequestId& id, bool open) override {
-    parts_.engine.on_peer_request_progress(
-        id, open ? engine::RequestProgress::kInProgress : engine::RequestProgress::kCompleted);
+  void on_peer_request_progress(const routing::RequestId& id, engine::RequestProgress progress) override {
+    parts_.engine.on_peer_request_progress(id, progress);
   }
   void on_peer_forwarded(const routing::EndpointId& endpoint) override {
     parts_.engine.on_peer_attempt_started(endpoint);
   }
   void on_stream(const hot_restart::StreamTransfer& stream, net::UniqueFd client_socket,
                  net::UniqueFd upstream_socket) override;
-  void on_vrrp_left(bool was_active) override;
+  void on_vrrp_left(hot_restart::VrrpRole role) override;
   void on_peers_changed() override;
 
   ComponentCallbacks callbacks();
@@ -65,9 +65,10 @@
   void restore_endpoint_list(const hot_restart::Json& handed_over);
   void tick_levels();
   [[nodiscard]] bool is_ready();
-  [[nodiscard]] bool drain_endpoint(const routing::EndpointId& endpoint, bool offline);
-  void change_drain(const routing::EndpointId& endpoint, bool offline);
-  void apply_drain(const routing::EndpointId& endpoint, bool offline);
+  [[nodiscard]] bool set_administrative_state(const routing::EndpointId& endpoint,
+                                              routing::AdministrativeState state);
+  void change_administrative_state(const routing::EndpointId& endpoint, routing::AdministrativeState state);
+  void apply_administrative_state(const routing::EndpointId& endpoint, routing::AdministrativeState state);
   void stop_accepting();
   void finish_draining();
   [[nodiscard]] bool is_work_left();
--- a/src/daemon/main.cpp
+++ b/src/daemon/main.cpp
@@ -106,8 +106,9 @@
   std::vector<cue::File> files;
   files.reserve(command_line.rule_files.size());
   for (const std::string& path : command_line.rule_files) files.push_back(read_cue_file(path));
-  return daemon::rules_check(files, known_names(command_line.names_path), command_line.shows_costs, std::cout,
-                             std::cerr);
+  const daemon::RuleCosts costs =
+      command_line.shows_costs ? daemon::RuleCosts::kShown : daemon::RuleCosts::kHidden;
+  return daemon::rules_check(files, known_names(command_line.names_path), costs, std::cout, std::cerr);
 }
 
 int explain_rules(const CommandLine& command_line) {
--- a/src/daemon/rules_command.cpp
+++ b/src/daemon/rules_command.cpp
@@ -113,7 +113,7 @@
 
 }  // namespace
 
-int rules_check(const std::vector<cue::File>& files, const rate_limit::Vocabulary& names, bool costs,
+int rules_check(const std::vector<cue::File>& files, const rate_limit::Vocabulary& names, RuleCosts costs,
                 std::ostream& out, std::ostream& errors) {
   int status = 0;
   for (const cue::File& file : files) {
@@ -127,7 +127,7 @@
     out << file.name << ": ok, " << rules->rules().size() << " rules, at most "
         << std::llround(rules->worst_ns()) << " ns a request (budget " << std::llround(rules->budget_ns())
         << ")\n";
-    if (!costs) continue;
+    if (costs == RuleCosts::kHidden) continue;
     for (std::size_t i = 0; i < rules->rules().size(); ++i)
       out << std::setw(9) << std::llround(rules->worst_ns(i)) << " ns  " << rules->rules()[i].name << "\n";
   }
--- a/src/daemon/rules_command.hpp
+++ b/src/daemon/rules_command.hpp
@@ -11,8 +11,11 @@
 
 namespace dispatcher::daemon {
 
+// Whether `rules check` prints the worst cost of each rule.
+enum class RuleCosts { kHidden, kShown };
+
 // Each returns the exit status: 0, or 1 where a file is bad.
-int rules_check(const std::vector<cue::File>& files, const rate_limit::Vocabulary& names, bool costs,
+int rules_check(const std::vector<cue::File>& files, const rate_limit::Vocabulary& names, RuleCosts costs,
                 std::ostream& out, std::ostream& errors);
 int rules_explain(const cue::File& file, const cue::File& request, const rate_limit::Vocabulary& names,
                   std::ostream& out, std::ostream& errors);
--- a/src/degradation/degradation_controller.cpp
+++ b/src/degradation/degradation_controller.cpp
@@ -153,10 +153,8 @@
        " at the process before");
 }
 
-void DegradationController::on_first_token(const std::string& request_class, bool is_late) {
-  if (!active()) return;
-  const FirstTokenTiming timing = is_late ? FirstTokenTiming::kLate : FirstTokenTiming::kInTime;
-  signals_.first_token(request_class, timing, clock_());
+void DegradationController::on_first_token(const std::string& request_class, FirstTokenTiming timing) {
+  if (active()) signals_.first_token(request_class, timing, clock_());
 }
 
 void DegradationController::on_request_not_served(const std::string& request_class,
--- a/src/degradation/degradation_controller.hpp
+++ b/src/degradation/degradation_controller.hpp
@@ -60,7 +60,7 @@
   [[nodiscard]] const StateMachine& machine() const { return machine_; }
 
   // Events of the engine (RequestObserver).
-  void on_first_token(const std::string& request_class, bool is_late) override;
+  void on_first_token(const std::string& request_class, FirstTokenTiming timing) override;
   void on_request_not_served(const std::string& request_class, engine::NotServedReason reason) override;
 
  private:
--- a/src/degradation/signals.cpp
+++ b/src/degradation/signals.cpp
@@ -104,11 +104,10 @@
 }
 
 std::size_t Signals::count_ready(const ZoneRole& group) const {
-  const std::string& zone = group.first;
-  const Role role = group.second;
   const auto count = std::count_if(endpoints_.begin(), endpoints_.end(), [&](const auto& entry) {
     const Endpoint& endpoint = entry.second;
-    return endpoint.ready && serves_role(endpoint.role, role) && (zone == kAllZones || endpoint.zone == zone);
+    const bool is_in_zone = group.zone == kAllZones || endpoint.zone == group.zone;
+    return endpoint.ready && serves_role(endpoint.role, group.role) && is_in_zone;
   });
   return static_cast<std::size_t>(count);
 }
@@ -124,7 +123,7 @@
 Value Signals::min_zone_ready_fraction(Role role, Time now) {
   std::vector<ZoneRole> groups;
   for (const auto& [group, maximum] : ready_maxima_) {
-    if (group.second == role && group.first != kAllZones) groups.push_back(group);
+    if (group.role == role && group.zone != kAllZones) groups.push_back(group);
   }
   Value minimum = absent();
   for (const ZoneRole& group : groups) {
--- a/src/degradation/signals.hpp
+++ b/src/degradation/signals.hpp
@@ -4,6 +4,7 @@
 #ifndef DISPATCHER_DEGRADATION_SIGNALS_HPP_
 #define DISPATCHER_DEGRADATION_SIGNALS_HPP_
 
+#include <compare>
 #include <map>
 #include <optional>
 #include <string>
@@ -17,8 +18,7 @@
 
 namespace dispatcher::degradation {
 
-// Whether a first token met the latency objective of its request's class.
-enum class FirstTokenTiming { kInTime, kLate };
+using engine::FirstTokenTiming;
 
 // Collects events of requests and endpoint lists, and computes the signals from them. Owned by the
 // DegradationController and used on its event loop only.
@@ -59,7 +59,12 @@
     routing::Role role{};
     bool ready = false;
   };
-  using ZoneRole = std::pair<std::string, routing::Role>;  // kAllZones: the whole fleet
+  // The endpoints of a role in a zone. kAllZones: of the complete fleet.
+  struct ZoneRole {
+    std::string zone;
+    routing::Role role{};
+    auto operator<=>(const ZoneRole&) const = default;
+  };
 
   [[nodiscard]] bool has_class(const std::string& request_class) const;
   [[nodiscard]] std::size_t count_ready(const ZoneRole& group) const;
--- a/src/engine/active_request.hpp
+++ b/src/engine/active_request.hpp
@@ -21,7 +21,7 @@
   Time started{};
   bool is_active = true;
   bool at_reader = false;  ///< the endpoint is a reader, which may hold a state for the request
-  TimerQueue::Id deadline_timer;
+  TimerId deadline_timer;
 };
 
 /// Plain data, owned by the RequestTable; used on the event loop thread only.
@@ -41,7 +41,7 @@
   bool is_paused = false;                ///< the client's buffer is full
   bool has_timed_out = false;            ///< its last attempt to end did
   ReservationTracker reservations;
-  TimerQueue::Id overdue_timer, idle_timer, release_timer;
+  TimerId overdue_timer, idle_timer, release_timer;
 
   [[nodiscard]] Attempt& attempt(int number) { return attempts.at(static_cast<std::size_t>(number)); }
   [[nodiscard]] const Attempt& attempt(int number) const {
--- a/src/engine/attempt_manager.cpp
+++ b/src/engine/attempt_manager.cpp
@@ -90,7 +90,7 @@
   ActiveRequest& request = *requests_.find(id.request);
   Attempt& attempt = request.attempt(id.number);
   attempt.is_active = false;
-  const Time deadline = attempt.deadline_timer.first;
+  const Time deadline = attempt.deadline_timer.due;
   context_.timers.drop(attempt.deadline_timer);
 
   const AttemptStatus status = finish_stream(request, id, result.status);
--- a/src/engine/engine.cpp
+++ b/src/engine/engine.cpp
@@ -113,8 +113,8 @@
 
 bool Engine::is_known_endpoint(const EndpointId& endpoint) const { return endpoints_.is_known(endpoint); }
 
-void Engine::set_administrative_drain(const EndpointId& endpoint, bool is_offline) {
-  router_.handle(routing::AdministrativeDrain{endpoint, is_offline});
+void Engine::set_administrative_state(const EndpointId& endpoint, AdministrativeState state) {
+  router_.handle(routing::AdministrativeDrain{endpoint, state});
 }
 
 // ---- hot restart ----
@@ -157,10 +157,10 @@
   if (requests_.find_active(id)) attempts_.complete(id, result);
 }
 
-void Engine::on_reservation_result(AttemptId id, const EndpointId& endpoint, bool is_reserved) {
+void Engine::on_reservation_result(AttemptId id, const EndpointId& endpoint, ReservationOutcome outcome) {
   const ActiveAttempt active = requests_.find_active(id);
   if (!active) return;
-  router_.handle(routing::ReservationResult{active.request->id, endpoint, is_reserved});
+  router_.handle(routing::ReservationResult{active.request->id, endpoint, outcome});
 }
 
 bool Engine::is_still_needed(AttemptId id) {
--- a/src/engine/engine.hpp
+++ b/src/engine/engine.hpp
@@ -66,8 +66,8 @@
   /// Whether any list has named this endpoint, now or lately.
   [[nodiscard]] bool is_known_endpoint(const EndpointId& endpoint) const;
   [[nodiscard]] std::size_t endpoint_count() const { return endpoints_.size(); }
-  /// While an operator has it offline, an endpoint gets nothing new, whatever the lists say.
-  void set_administrative_drain(const EndpointId& endpoint, bool is_offline);
+  /// An endpoint that operators drained gets nothing new, whatever the lists say.
+  void set_administrative_state(const EndpointId& endpoint, AdministrativeState state);
 
   // ---- observers: optional, not owned ----
 
@@ -98,7 +98,7 @@
   void on_events(AttemptId attempt, std::string_view events);
   void on_attempt_completed(AttemptId attempt, const AttemptResult& result);
   /// The answer to UpstreamClient::reserve_slot().
-  void on_reservation_result(AttemptId attempt, const EndpointId& endpoint, bool is_reserved);
+  void on_reservation_result(AttemptId attempt, const EndpointId& endpoint, ReservationOutcome outcome);
   /// Asked right before an attempt's first byte. One that is not needed any more completes as kNeverSent.
   [[nodiscard]] bool is_still_needed(AttemptId attempt);
   /// The replicas have confirmed UpstreamClient::release_reservation().
--- a/src/engine/interfaces.hpp
+++ b/src/engine/interfaces.hpp
@@ -21,9 +21,11 @@
 namespace dispatcher::engine {
 
 using net::SlotId;
+using routing::AdministrativeState;
 using routing::AttemptStatus;
 using routing::EndpointId;
 using routing::RequestId;
+using routing::ReservationOutcome;
 
 /// Writes one line to the operators' log.
 using Log = std::function<void(std::string_view)>;
@@ -113,12 +115,14 @@
 /// Why a request got no first token.
 enum class NotServedReason { kRejected, kFailed };
 
+/// Whether a first token came within the latency objective of its request's class.
+enum class FirstTokenTiming { kInTime, kLate };
+
 /// Notified of how requests fare, for the degradation levels.
 class RequestObserver {
  public:
   virtual ~RequestObserver() = default;
-  /// `is_late`: after the latency objective of the request's class.
-  virtual void on_first_token(const std::string& request_class, bool is_late) = 0;
+  virtual void on_first_token(const std::string& request_class, FirstTokenTiming timing) = 0;
   virtual void on_request_not_served(const std::string& request_class, NotServedReason reason) = 0;
 };
 
--- a/src/engine/request_table.cpp
+++ b/src/engine/request_table.cpp
@@ -33,7 +33,7 @@
 void RequestTable::remove_if_complete(SlotId slot) {
   const ActiveRequest* request = requests_.find(slot);
   if (request == nullptr || !request->is_answered || request->has_active_attempt()) return;
-  if (request->release_timer != TimerQueue::Id{}) return;
+  if (request->release_timer.is_set()) return;
   if (context_.hot_restart_observer != nullptr)
     context_.hot_restart_observer->on_request_progress(request->id, RequestProgress::kCompleted);
   slots_by_id_.erase(request->id);
--- a/src/engine/reservation_cleanup.cpp
+++ b/src/engine/reservation_cleanup.cpp
@@ -17,7 +17,7 @@
 void ReservationCleanup::schedule_if_needed(SlotId slot, ScheduledRelease scheduled) {
   ActiveRequest* request = requests_.find(slot);
   if (request == nullptr || !request->reservations.may_hold() || has_connected_attempt(slot)) return;
-  const bool is_scheduled = request->release_timer != TimerQueue::Id{};
+  const bool is_scheduled = request->release_timer.is_set();
   if (is_scheduled && scheduled == ScheduledRelease::kKeep) return;
   context_.timers.drop(request->release_timer);
   const Time release_at = context_.clock() + release_delay(*request);
--- a/src/engine/stream_relay.cpp
+++ b/src/engine/stream_relay.cpp
@@ -37,8 +37,10 @@
   context_.timers.drop(request.overdue_timer);
   const Time now = context_.clock();
   const Duration elapsed = now - active.attempt->started;
+  const bool is_late = now > request.first_token_objective;
   if (context_.request_observer != nullptr)
-    context_.request_observer->on_first_token(request.request_class, now > request.first_token_objective);
+    context_.request_observer->on_first_token(request.request_class,
+                                              is_late ? FirstTokenTiming::kLate : FirstTokenTiming::kInTime);
   context_.request_log.log_first_token(request.id, active.attempt->endpoint, id.number, elapsed);
   // The router's actions may end the request.
   const SlotId client = request.client;
--- a/src/engine/timer_queue.hpp
+++ b/src/engine/timer_queue.hpp
@@ -3,6 +3,7 @@
 #define DISPATCHER_ENGINE_TIMER_QUEUE_HPP_
 
 #include <chrono>
+#include <compare>
 #include <cstddef>
 #include <cstdint>
 #include <functional>
@@ -16,34 +17,42 @@
 using Duration = std::chrono::microseconds;
 using Clock = std::function<Time()>;
 
+/// Names a timer of one TimerQueue; ordered by due time, then by age. The default value names none.
+struct TimerId {
+  Time due{};
+  std::uint64_t sequence = 0;  ///< of the queue's timers in the order in which they were added, from 1
+
+  /// Whether it names a timer, which may have run by now.
+  [[nodiscard]] bool is_set() const { return sequence != 0; }
+  auto operator<=>(const TimerId&) const = default;
+};
+
 /// Whoever drives it asks for the next deadline, sleeps until then and calls run(); the clock is the
 /// caller's. Used on the event loop thread only. Actions run inside run(), may add and drop timers, and must
 /// not call run() again.
 class TimerQueue {
  public:
-  using Id = std::pair<Time, std::uint64_t>;  ///< ordered by time, then by age; {} names none
-
   /// Has `action` run once, at `at` or as soon after it as run() is called.
-  Id add(Time at, std::function<void()> action) {
-    const Id id{at, ++last_};
+  TimerId add(Time at, std::function<void()> action) {
+    const TimerId id{at, ++last_sequence_};
     entries_.emplace(id, std::move(action));
     const bool is_earliest = entries_.begin()->first == id;
     if (is_earliest && on_earlier_deadline_) on_earlier_deadline_();
     return id;
   }
   /// Cancels the timer, if it is still to come, and clears the handle.
-  void drop(Id& id) { entries_.erase(std::exchange(id, {})); }
+  void drop(TimerId& id) { entries_.erase(std::exchange(id, {})); }
 
   /// The earliest deadline, if there is any.
   [[nodiscard]] std::optional<Time> next() const {
     if (entries_.empty()) return std::nullopt;
-    return entries_.begin()->first.first;
+    return entries_.begin()->first.due;
   }
   /// Runs what is due, in order. What an action adds for now or earlier is left to the next call.
   void run(Time now) {
-    const std::uint64_t newest = last_;
-    for (auto it = entries_.begin(); it != entries_.end() && it->first.first <= now;) {
-      if (it->first.second > newest) {
+    const std::uint64_t newest = last_sequence_;
+    for (auto it = entries_.begin(); it != entries_.end() && it->first.due <= now;) {
+      if (it->first.sequence > newest) {
         ++it;
         continue;
       }
@@ -60,8 +69,8 @@
   [[nodiscard]] std::size_t size() const { return entries_.size(); }
 
  private:
-  std::map<Id, std::function<void()>> entries_;
-  std::uint64_t last_ = 0;  // age of the newest timer
+  std::map<TimerId, std::function<void()>> entries_;
+  std::uint64_t last_sequence_ = 0;  // of the newest timer
   std::function<void()> on_earlier_deadline_;
 };
 
--- a/src/gossip/udp_transport.hpp
+++ b/src/gossip/udp_transport.hpp
@@ -52,7 +52,7 @@
   udp::socket socket_;
   udp::endpoint sender_address_;
   std::array<std::uint8_t, kMaxDatagramBytes + 1> receive_buffer_{};  // one more, to detect longer ones
-  engine::TimerQueue::Id timer_;
+  engine::TimerId timer_;
   std::shared_ptr<char> lifetime_ = std::make_shared<char>();  // expires with the transport
 };
 
--- a/src/hot_restart/drained_endpoint_store.cpp
+++ b/src/hot_restart/drained_endpoint_store.cpp
@@ -60,8 +60,10 @@
   }
 }
 
-bool DrainedEndpointStore::set_drained(const routing::EndpointId& endpoint, bool drained) {
-  const bool has_changed = drained ? endpoints_.insert(endpoint).second : endpoints_.erase(endpoint) > 0;
+bool DrainedEndpointStore::set_administrative_state(const routing::EndpointId& endpoint,
+                                                    routing::AdministrativeState state) {
+  const bool is_drained = state == routing::AdministrativeState::kDrained;
+  const bool has_changed = is_drained ? endpoints_.insert(endpoint).second : endpoints_.erase(endpoint) > 0;
   if (has_changed) save();
   return has_changed;
 }
--- a/src/hot_restart/drained_endpoint_store.hpp
+++ b/src/hot_restart/drained_endpoint_store.hpp
@@ -22,7 +22,8 @@
     return endpoints_.contains(endpoint);
   }
   // Takes effect also where the file can't be written, which is logged. False: nothing has changed.
-  [[nodiscard]] bool set_drained(const routing::EndpointId& endpoint, bool drained);
+  [[nodiscard]] bool set_administrative_state(const routing::EndpointId& endpoint,
+                                              routing::AdministrativeState state);
 
  private:
   void save() const;
--- a/src/hot_restart/handover_messages.cpp
+++ b/src/hot_restart/handover_messages.cpp
@@ -7,6 +7,8 @@
 
 namespace dispatcher::hot_restart {
 
+using engine::RequestProgress;
+using routing::AdministrativeState;
 using routing::LearnedState;
 using routing::MovingAverage;
 
@@ -28,7 +30,7 @@
 constexpr const char* kOpenRequestIds = "ids";
 constexpr const char* kLearnedState = "knowledge";
 constexpr const char* kDegradationLevel = "level";
-// ... of EndpointDrained and RequestStatusChanged.
+// ... of AdministrativeStateChanged and RequestStatusChanged.
 constexpr const char* kIsDrained = "offline";
 constexpr const char* kIsOpen = "open";
 // ... of StreamTransfer.
@@ -138,6 +140,24 @@
   return handover;
 }
 
+Message decode_administrative_state(const Json& object) {
+  const bool is_drained = flag_member(object, key::kIsDrained);
+  return AdministrativeStateChanged{
+      text_member(object, key::kDrainedEndpoint),
+      is_drained ? AdministrativeState::kDrained : AdministrativeState::kInService};
+}
+
+Message decode_request_status(const Json& object) {
+  const bool is_open = flag_member(object, key::kIsOpen);
+  return RequestStatusChanged{text_member(object, key::kRequest),
+                              is_open ? RequestProgress::kInProgress : RequestProgress::kCompleted};
+}
+
+Message decode_vrrp_left(const Json& object) {
+  const bool was_active = flag_member(object, key::kVrrp);
+  return VrrpLeft{was_active ? VrrpRole::kActive : VrrpRole::kBackup};
+}
+
 Message decode_stream(const Json& object) {
   try {
     StreamTransfer stream;
@@ -202,12 +222,14 @@
 
 Json encode(const SuccessorServing& /*message*/) { return {{key::kServing, true}}; }
 
-Json encode(const EndpointDrained& message) {
-  return {{key::kDrainedEndpoint, message.endpoint.value()}, {key::kIsDrained, message.drained}};
+Json encode(const AdministrativeStateChanged& message) {
+  const bool is_drained = message.state == AdministrativeState::kDrained;
+  return {{key::kDrainedEndpoint, message.endpoint.value()}, {key::kIsDrained, is_drained}};
 }
 
 Json encode(const RequestStatusChanged& message) {
-  return {{key::kRequest, message.id.value()}, {key::kIsOpen, message.is_open}};
+  const bool is_open = message.progress == RequestProgress::kInProgress;
+  return {{key::kRequest, message.id.value()}, {key::kIsOpen, is_open}};
 }
 
 Json encode(const RequestForwarded& message) { return {{key::kForwardedTo, message.endpoint.value()}}; }
@@ -222,22 +244,18 @@
             {key::kKeepAlive, message.keep_alive}}}};
 }
 
-Json encode(const VrrpLeft& message) { return {{key::kVrrp, message.was_active}}; }
+Json encode(const VrrpLeft& message) { return {{key::kVrrp, message.role == VrrpRole::kActive}}; }
 
 std::vector<Message> decode(const Json& object, PeerRole sender) {
   if (sender == PeerRole::kPredecessor && object.contains(key::kHandover)) return {decode_handover(object)};
   if (sender == PeerRole::kSuccessor && object.contains(key::kServing)) return {SuccessorServing{}};
   std::vector<Message> messages;
-  if (object.contains(key::kDrainedEndpoint))
-    messages.emplace_back(
-        EndpointDrained{text_member(object, key::kDrainedEndpoint), flag_member(object, key::kIsDrained)});
-  if (object.contains(key::kRequest))
-    messages.emplace_back(
-        RequestStatusChanged{text_member(object, key::kRequest), flag_member(object, key::kIsOpen)});
+  if (object.contains(key::kDrainedEndpoint)) messages.push_back(decode_administrative_state(object));
+  if (object.contains(key::kRequest)) messages.push_back(decode_request_status(object));
   if (object.contains(key::kForwardedTo))
     messages.emplace_back(RequestForwarded{text_member(object, key::kForwardedTo)});
   if (object.contains(key::kStream)) messages.push_back(decode_stream(object.at(key::kStream)));
-  if (object.contains(key::kVrrp)) messages.emplace_back(VrrpLeft{flag_member(object, key::kVrrp)});
+  if (object.contains(key::kVrrp)) messages.push_back(decode_vrrp_left(object));
   return messages;
 }
 
--- a/src/hot_restart/handover_messages.hpp
+++ b/src/hot_restart/handover_messages.hpp
@@ -9,6 +9,7 @@
 #include <variant>
 #include <vector>
 
+#include "engine/interfaces.hpp"
 #include "routing/router.hpp"
 
 namespace dispatcher::hot_restart {
@@ -31,16 +32,16 @@
 // From the successor: it accepts connections from now on.
 struct SuccessorServing {};
 
-// Operators drained an endpoint or put it back.
-struct EndpointDrained {
+// Operators drained an endpoint or returned it to service.
+struct AdministrativeStateChanged {
   routing::EndpointId endpoint;
-  bool drained = false;
+  routing::AdministrativeState state{};
 };
 
 // A request was accepted or completed.
 struct RequestStatusChanged {
   routing::RequestId id;
-  bool is_open = false;
+  engine::RequestProgress progress = engine::RequestProgress::kCompleted;
 };
 
 // A request was forwarded to an endpoint.
@@ -63,17 +64,20 @@
   std::string problem;
 };
 
+// What a dispatcher was in its VRRP group: the active router or a backup.
+enum class VrrpRole { kActive, kBackup };
+
 // From the predecessor: it has left the VRRP group.
 struct VrrpLeft {
-  bool was_active = false;
+  VrrpRole role = VrrpRole::kBackup;
 };
 
-using Message = std::variant<Handover, SuccessorServing, EndpointDrained, RequestStatusChanged,
+using Message = std::variant<Handover, SuccessorServing, AdministrativeStateChanged, RequestStatusChanged,
                              RequestForwarded, StreamTransfer, InvalidStreamTransfer, VrrpLeft>;
 
 [[nodiscard]] Json encode(const Handover& message);
 [[nodiscard]] Json encode(const SuccessorServing& message);
-[[nodiscard]] Json encode(const EndpointDrained& message);
+[[nodiscard]] Json encode(const AdministrativeStateChanged& message);
 [[nodiscard]] Json encode(const RequestStatusChanged& message);
 [[nodiscard]] Json encode(const RequestForwarded& message);
 [[nodiscard]] Json encode(const StreamTransfer& message);
--- a/src/hot_restart/hot_restart_peer.cpp
+++ b/src/hot_restart/hot_restart_peer.cpp
@@ -106,12 +106,12 @@
   owner_.on_peers_changed();
 }
 
-void HotRestartPeer::handle(const EndpointDrained& message, Descriptors& /*descriptors*/) {
-  owner_.on_endpoint_drained(message.endpoint, message.drained);
+void HotRestartPeer::handle(const AdministrativeStateChanged& message, Descriptors& /*descriptors*/) {
+  owner_.on_administrative_state(message.endpoint, message.state);
 }
 
 void HotRestartPeer::handle(const RequestStatusChanged& message, Descriptors& /*descriptors*/) {
-  owner_.on_peer_request(message.id, message.is_open);
+  owner_.on_peer_request_progress(message.id, message.progress);
 }
 
 void HotRestartPeer::handle(const RequestForwarded& message, Descriptors& /*descriptors*/) {
@@ -129,7 +129,7 @@
 }
 
 void HotRestartPeer::handle(const VrrpLeft& message, Descriptors& /*descriptors*/) {
-  owner_.on_vrrp_left(message.was_active);
+  owner_.on_vrrp_left(message.role);
 }
 
 void HotRestartPeer::on_channel_closed(Connection& connection) {
@@ -154,12 +154,13 @@
   }
 }
 
-void HotRestartPeer::notify_endpoint_drained(const routing::EndpointId& endpoint, bool drained) {
-  broadcast(encode(EndpointDrained{endpoint, drained}));
+void HotRestartPeer::notify_administrative_state(const routing::EndpointId& endpoint,
+                                                 routing::AdministrativeState state) {
+  broadcast(encode(AdministrativeStateChanged{endpoint, state}));
 }
 
-void HotRestartPeer::notify_vrrp_left(bool was_active) {
-  if (successor_.channel != nullptr) successor_.channel->send(encode(VrrpLeft{was_active}));
+void HotRestartPeer::notify_vrrp_left(VrrpRole role) {
+  if (successor_.channel != nullptr) successor_.channel->send(encode(VrrpLeft{role}));
 }
 
 void HotRestartPeer::transfer_stream(const StreamTransfer& stream, int client, int upstream) {
@@ -167,8 +168,7 @@
 }
 
 void HotRestartPeer::on_request_progress(const routing::RequestId& id, engine::RequestProgress progress) {
-  const bool is_open = progress == engine::RequestProgress::kInProgress;
-  if (has_peer()) broadcast(encode(RequestStatusChanged{id, is_open}));
+  if (has_peer()) broadcast(encode(RequestStatusChanged{id, progress}));
 }
 
 void HotRestartPeer::on_attempt_started(const routing::EndpointId& endpoint) {
--- a/src/hot_restart/hot_restart_peer.hpp
+++ b/src/hot_restart/hot_restart_peer.hpp
@@ -45,13 +45,14 @@
 
     // Called once, also where there is no predecessor or it hands nothing over: with an empty state then.
     virtual void on_handover(HandoverState state) = 0;
-    virtual void on_endpoint_drained(const routing::EndpointId& endpoint, bool drained) = 0;
-    virtual void on_peer_request(const routing::RequestId& id, bool is_open) = 0;
+    virtual void on_administrative_state(const routing::EndpointId& endpoint,
+                                         routing::AdministrativeState state) = 0;
+    virtual void on_peer_request_progress(const routing::RequestId& id, engine::RequestProgress progress) = 0;
     virtual void on_peer_forwarded(const routing::EndpointId& endpoint) = 0;
     virtual void on_stream(const StreamTransfer& stream, net::UniqueFd client_socket,
                            net::UniqueFd upstream_socket) = 0;
-    // The predecessor has left the VRRP group, where it was the active router or not.
-    virtual void on_vrrp_left(bool was_active) = 0;
+    // The predecessor has left the VRRP group, in which it had this role.
+    virtual void on_vrrp_left(VrrpRole role) = 0;
     // A predecessor or successor has connected, is serving, or is gone.
     virtual void on_peers_changed() = 0;
   };
@@ -74,9 +75,9 @@
   // The successor has read all. A process that ends before takes with it what it was handing over.
   [[nodiscard]] bool is_all_sent() const;
 
-  void notify_endpoint_drained(const routing::EndpointId& endpoint, bool drained);
+  void notify_administrative_state(const routing::EndpointId& endpoint, routing::AdministrativeState state);
   // To the successor only.
-  void notify_vrrp_left(bool was_active);
+  void notify_vrrp_left(VrrpRole role);
   // The stream goes on at the successor, which must be serving. The sockets stay the caller's.
   void transfer_stream(const StreamTransfer& stream, int client, int upstream);
   void on_request_progress(const routing::RequestId& id, engine::RequestProgress progress) override;
@@ -101,7 +102,7 @@
   void on_message(PeerRole sender, const Json& object, Descriptors descriptors);
   void handle(Handover& message, Descriptors& descriptors);
   void handle(const SuccessorServing& message, Descriptors& descriptors);
-  void handle(const EndpointDrained& message, Descriptors& descriptors);
+  void handle(const AdministrativeStateChanged& message, Descriptors& descriptors);
   void handle(const RequestStatusChanged& message, Descriptors& descriptors);
   void handle(const RequestForwarded& message, Descriptors& descriptors);
   void handle(const StreamTransfer& message, Descriptors& descriptors);
@@ -121,7 +122,7 @@
   Connection successor_{*this, PeerRole::kSuccessor};
   bool has_state_ = false;  // on_handover() was called
   bool is_successor_serving_ = false;
-  engine::TimerQueue::Id handover_timer_;
+  engine::TimerId handover_timer_;
 };
 
 }  // namespace dispatcher::hot_restart
--- a/src/http/client_table.hpp
+++ b/src/http/client_table.hpp
@@ -55,7 +55,7 @@
   /// When the connection was accepted, went idle or began to linger.
   Time state_since{};
   /// Of what the client or this side has to do next; see ServerOptions.
-  engine::TimerQueue::Id deadline;
+  engine::TimerId deadline;
 
   [[nodiscard]] bool is_chunked() const { return framing == StreamFraming::kChunked; }
   [[nodiscard]] Persistence persistence() const {
--- a/src/routing/endpoint.hpp
+++ b/src/routing/endpoint.hpp
@@ -28,13 +28,6 @@
   bool awaits_first_send = false;  // it was put back, and this router has sent nothing to it since
 };
 
-// A cell, whose number counts within its zone.
-struct CellId {
-  std::string zone;
-  int cell = 0;
-  auto operator<=>(const CellId&) const = default;
-};
-
 // Whose requests an endpoint rejects.
 struct RejectedGroup {
   std::string request_class, tenant;
--- a/src/routing/endpoint_table.cpp
+++ b/src/routing/endpoint_table.cpp
@@ -66,15 +66,16 @@
 }
 
 bool EndpointTable::apply(const AdministrativeDrain& drain, Time now) {
-  if (drain.offline == offline_.contains(drain.endpoint)) return false;
-  if (drain.offline) {
+  const bool is_drained = drain.state == AdministrativeState::kDrained;
+  if (is_drained == offline_.contains(drain.endpoint)) return false;
+  if (is_drained) {
     offline_.insert(drain.endpoint);
   } else {
     offline_.erase(drain.endpoint);
   }
   Endpoint* endpoint = find(drain.endpoint);
   if (endpoint == nullptr) return false;
-  if (!drain.offline) {  // what was done to it meanwhile is unknown: it counts as restarted
+  if (!is_drained) {  // what was done to it meanwhile is unknown: it counts as restarted
     reset_after_restart(*endpoint, now);
     endpoint->reinstated_at = now;
     endpoint->awaits_first_send = true;
--- a/src/service_discovery/endpoint_snapshot.cpp
+++ b/src/service_discovery/endpoint_snapshot.cpp
@@ -11,6 +11,7 @@
 
 using routing::EndpointInfo;
 using routing::EndpointState;
+using upstream::ListScope;
 using Json = nlohmann::json;
 
 namespace {
@@ -142,8 +143,9 @@
   if (!object.is_object()) throw SnapshotError(SnapshotProblem::kNotAnObject);
   EndpointSnapshot snapshot;
   snapshot.version = static_cast<std::uint64_t>(std::max(0.0, parse_number(object, key::kVersion, 0)));
-  snapshot.is_complete = parse_flag(object, key::kIsComplete);
-  snapshot.list.kind = snapshot.is_complete ? routing::ListKind::kFull : routing::ListKind::kDelta;
+  const bool is_complete = parse_flag(object, key::kIsComplete);
+  snapshot.scope = is_complete ? ListScope::kComplete : ListScope::kChanges;
+  snapshot.list.kind = is_complete ? routing::ListKind::kFull : routing::ListKind::kDelta;
   const auto endpoints = object.find(key::kEndpoints);
   if (endpoints == object.end() || !endpoints->is_array())
     throw SnapshotError(SnapshotProblem::kNotAnArray, key::kEndpoints);
@@ -170,12 +172,12 @@
                          {key::kStartedMs, static_cast<double>(info.started.count()) / kUsPerMs}});
   }
   return {{key::kVersion, snapshot.version},
-          {key::kIsComplete, snapshot.is_complete},
+          {key::kIsComplete, snapshot.scope == ListScope::kComplete},
           {key::kEndpoints, endpoints}};
 }
 
 void apply_update(EndpointSnapshot& snapshot, const EndpointSnapshot& update) {
-  if (update.is_complete) {
+  if (update.scope == ListScope::kComplete) {
     snapshot = update;
     return;
   }
--- a/src/service_discovery/endpoint_snapshot.hpp
+++ b/src/service_discovery/endpoint_snapshot.hpp
@@ -16,7 +16,7 @@
 // The endpoints, or those that changed, at one version of service discovery's list.
 struct EndpointSnapshot {
   std::uint64_t version = 0;  // grows with each change; 0: unknown
-  bool is_complete = false;   // all endpoints, else only those that changed
+  upstream::ListScope scope = upstream::ListScope::kChanges;
   routing::EndpointList list;
   std::vector<upstream::EndpointAddress> addresses;  // one for each of list.entries, in the same order
 };
--- a/src/service_discovery/endpoint_watcher.cpp
+++ b/src/service_discovery/endpoint_watcher.cpp
@@ -175,15 +175,15 @@
   }
   const bool is_keep_alive = !text.empty() && is_blank(text) && !was_inside_object;
   if (!call.requested_complete_list && is_keep_alive) mark_healthy();
-  update_object_timeout(id, call, !objects.empty());
+  update_object_timeout(id, call, objects.size());
 }
 
 // An object that has begun must end in time, and so must the wait for a complete list.
-void EndpointWatcher::update_object_timeout(CallId id, Call& call, bool completed_objects) {
+void EndpointWatcher::update_object_timeout(CallId id, Call& call, std::size_t completed_objects) {
   const bool awaits_complete_list = call.requested_complete_list && !call.has_complete_list;
   if (!call.framer.is_inside_object() && !awaits_complete_list) {
     call.object_started_at.reset();
-  } else if (!call.object_started_at || completed_objects) {
+  } else if (!call.object_started_at || completed_objects > 0) {
     call.object_started_at = clock_();
   }
   schedule_.on_data_received(id, clock_(), call.object_started_at);
@@ -193,7 +193,8 @@
 bool EndpointWatcher::handle_object(Call& call, const std::string& text) {
   try {
     const EndpointSnapshot snapshot = parse_endpoint_snapshot(nlohmann::json::parse(text, nullptr, false));
-    if (call.requested_complete_list && !call.has_complete_list && !snapshot.is_complete)
+    const bool is_complete = snapshot.scope == upstream::ListScope::kComplete;
+    if (call.requested_complete_list && !call.has_complete_list && !is_complete)
       throw SnapshotError(SnapshotProblem::kNotComplete);
     mark_healthy();
     report(call, snapshot);
@@ -206,7 +207,7 @@
 }
 
 void EndpointWatcher::report(Call& call, const EndpointSnapshot& snapshot) {
-  if (snapshot.is_complete) {
+  if (snapshot.scope == upstream::ListScope::kComplete) {
     needs_complete_list_ = false;
     call.has_complete_list = true;
   } else if (snapshot.version < version_) {
--- a/src/service_discovery/endpoint_watcher.hpp
+++ b/src/service_discovery/endpoint_watcher.hpp
@@ -8,6 +8,7 @@
 #define DISPATCHER_SERVICE_DISCOVERY_ENDPOINT_WATCHER_HPP_
 
 #include <boost/asio/io_context.hpp>
+#include <cstddef>
 #include <cstdint>
 #include <functional>
 #include <map>
@@ -86,7 +87,7 @@
   void handle_body(CallId id, Call& call, const std::string& text);
   [[nodiscard]] bool handle_object(Call& call, const std::string& text);  // false: it is no list
   void handle_end_of_response(CallId id, Call& call);
-  void update_object_timeout(CallId id, Call& call, bool completed_objects);
+  void update_object_timeout(CallId id, Call& call, std::size_t completed_objects);
   void report(Call& call, const EndpointSnapshot& snapshot);
   void fail_call(CallId id, FailureKind kind);
   void fail_call(CallId id, FailureKind kind, std::string_view reason);
@@ -108,7 +109,7 @@
   PollSchedule schedule_;
   std::map<CallId, std::shared_ptr<Call>> calls_;
   bool is_healthy_ = true;  // so that a loss is logged once
-  engine::TimerQueue::Id timer_;
+  engine::TimerId timer_;
   std::optional<engine::Time> last_response_at_;
   std::mt19937_64 random_;
 };
--- a/src/simulation/simulated_fleet.hpp
+++ b/src/simulation/simulated_fleet.hpp
@@ -68,7 +68,7 @@
     Callbacks callbacks;
     bool is_running = false;
     bool is_streaming = false;
-    engine::TimerQueue::Id next_step;
+    engine::TimerId next_step;
   };
   struct Endpoint {
     engine::EndpointId name;
--- a/src/upstream/connection_pool.cpp
+++ b/src/upstream/connection_pool.cpp
@@ -64,8 +64,8 @@
 
 // ---- endpoints ----
 
-void ConnectionPool::update_endpoints(const std::vector<EndpointAddress>& addresses, bool is_complete) {
-  if (is_complete) {
+void ConnectionPool::update_endpoints(const std::vector<EndpointAddress>& addresses, ListScope scope) {
+  if (scope == ListScope::kComplete) {
     for (auto& [name, endpoint] : endpoints_) {
       endpoint.is_listed = false;
       endpoint.is_removed = true;
@@ -84,8 +84,8 @@
   erase_removed_endpoints();
 }
 
-void ConnectionPool::set_administratively_drained(const EndpointId& name, bool is_drained) {
-  if (is_drained) {
+void ConnectionPool::set_administrative_state(const EndpointId& name, routing::AdministrativeState state) {
+  if (state == routing::AdministrativeState::kDrained) {
     administratively_drained_.insert(name);
   } else {
     administratively_drained_.erase(name);
--- a/src/upstream/connection_pool.hpp
+++ b/src/upstream/connection_pool.hpp
@@ -14,6 +14,7 @@
 #include "net/connection.hpp"
 #include "net/slot_table.hpp"
 #include "net/unique_fd.hpp"
+#include "routing/events.hpp"
 #include "upstream/connect_timeout_estimator.hpp"
 #include "upstream/endpoint.hpp"
 #include "upstream/exchange.hpp"
@@ -33,7 +34,7 @@
   bool is_reading_suspended = false;  // see StreamHandover
   bool is_parked = false;             // in its endpoint's idle list; only such a connection may be evicted
   Exchange exchange;
-  engine::TimerQueue::Id timer;  // limits connecting, the wait for a first event, or idleness
+  engine::TimerId timer;  // limits connecting, the wait for a first event, or idleness
 };
 
 // Who is notified of what happens on the pool's connections; called from the event loop's thread.
@@ -55,10 +56,10 @@
   // Limits and times for what is opened from now on; idle connections past the new limit are closed.
   void apply_options(const Options& options);
 
-  // Takes a change of service discovery's list, or, if `is_complete`, all of a new one.
-  void update_endpoints(const std::vector<EndpointAddress>& addresses, bool is_complete);
-  // By the operators' word, whether the endpoint is listed or not.
-  void set_administratively_drained(const EndpointId& name, bool is_drained);
+  // Takes a complete list of service discovery, or a change of it.
+  void update_endpoints(const std::vector<EndpointAddress>& addresses, ListScope scope);
+  // As operators set it, whether the endpoint is listed or not.
+  void set_administrative_state(const EndpointId& name, routing::AdministrativeState state);
 
   // The connection last used that is fit for reuse, else a new one that fails after `connect_timeout`.
   // Empty: none may be opened, or the endpoint is unknown.
--- a/src/upstream/endpoint.hpp
+++ b/src/upstream/endpoint.hpp
@@ -26,6 +26,10 @@
   int cell = 0;  // its failure domain within the zone
 };
 
+// What a list of addresses covers: all replicas, so that those it does not name have left, or only those that
+// changed.
+enum class ListScope { kComplete, kChanges };
+
 // The pool's state of one replica. Owned by ConnectionPool, which keeps it for as long as the replica is
 // listed or has open connections.
 struct Endpoint {
--- a/src/upstream/release_targets.cpp
+++ b/src/upstream/release_targets.cpp
@@ -32,7 +32,7 @@
 const ReleaseCandidate* ReleaseTargets::best(const std::vector<ReleaseCandidate>& candidates) const {
   const auto rank = [&](const ReleaseCandidate& candidate) {
     return std::tuple(-calls_to(calls_by_zone_, candidate.zone),
-                      -calls_to(calls_by_cell_, Cell(candidate.zone, candidate.cell)),
+                      -calls_to(calls_by_cell_, routing::CellId{candidate.zone, candidate.cell}),
                       !candidate.is_unresponsive, candidate.has_idle_connection, candidate.last_received);
   };
   const ReleaseCandidate* found = nullptr;
--- a/src/upstream/release_targets.hpp
+++ b/src/upstream/release_targets.hpp
@@ -5,7 +5,6 @@
 #include <map>
 #include <set>
 #include <string>
-#include <utility>
 #include <vector>
 
 #include "routing/identifiers.hpp"
@@ -44,8 +43,6 @@
   [[nodiscard]] int call_count() const { return call_count_; }
 
  private:
-  using Cell = std::pair<std::string, int>;  // a zone, and the cell within it
-
   [[nodiscard]] const ReleaseCandidate* best(const std::vector<ReleaseCandidate>& candidates) const;
   void note_call(const ReleaseCandidate& target);
 
@@ -57,7 +54,7 @@
   int round_count_ = 0;
   std::set<EndpointId> called_;  // endpoints called since all were last called
   std::map<std::string, int> calls_by_zone_;
-  std::map<Cell, int> calls_by_cell_;
+  std::map<routing::CellId, int> calls_by_cell_;
 };
 
 }  // namespace dispatcher::upstream
--- a/src/upstream/replica_client.cpp
+++ b/src/upstream/replica_client.cpp
@@ -17,13 +17,13 @@
   reservations_.attach(engine);
 }
 
-void ReplicaClient::update_endpoints(const std::vector<EndpointAddress>& addresses, bool is_complete) {
-  pool_.update_endpoints(addresses, is_complete);
+void ReplicaClient::update_endpoints(const std::vector<EndpointAddress>& addresses, ListScope scope) {
+  pool_.update_endpoints(addresses, scope);
 }
 
-void ReplicaClient::set_administratively_drained(const EndpointId& endpoint, bool is_drained) {
-  pool_.set_administratively_drained(endpoint, is_drained);
-  if (!is_drained) return;
+void ReplicaClient::set_administrative_state(const EndpointId& endpoint, routing::AdministrativeState state) {
+  pool_.set_administrative_state(endpoint, state);
+  if (state == routing::AdministrativeState::kInService) return;
   for (const SlotId id : pool_.ids()) {
     const PooledConnection* connection = pool_.find(id);  // an exchange that fails may end others
     if (connection == nullptr || connection->endpoint != endpoint || connection->is_connected) continue;
--- a/src/upstream/replica_client.hpp
+++ b/src/upstream/replica_client.hpp
@@ -30,10 +30,10 @@
   void attach(engine::Engine& engine);
 
   // See ConnectionPool::update_endpoints().
-  void update_endpoints(const std::vector<EndpointAddress>& addresses, bool is_complete);
+  void update_endpoints(const std::vector<EndpointAddress>& addresses, ListScope scope);
   // A drained endpoint gets no first byte of anything any more: exchanges that wait for a connection to it
   // fail as not sent. Those that run go on.
-  void set_administratively_drained(const EndpointId& endpoint, bool is_drained);
+  void set_administrative_state(const EndpointId& endpoint, routing::AdministrativeState state);
   // Limits and times for what is opened from now on.
   void apply_options(const Options& options);
 
--- a/src/upstream/reservation_client.cpp
+++ b/src/upstream/reservation_client.cpp
@@ -75,9 +75,12 @@
 }
 
 void ReservationClient::on_reservation_ended(const ExchangeOutcome& outcome) {
-  const bool is_granted = outcome.http_status == kHttpOk;
+  using engine::ReservationOutcome;
+  const bool is_reserved = outcome.http_status == kHttpOk;
   const bool is_denied = outcome.http_status == kHttpConflict;
-  if (is_granted || is_denied) engine_->on_reservation_result(outcome.attempt, outcome.endpoint, is_granted);
+  if (!is_reserved && !is_denied) return;
+  engine_->on_reservation_result(outcome.attempt, outcome.endpoint,
+                                 is_reserved ? ReservationOutcome::kReserved : ReservationOutcome::kDenied);
 }
 
 void ReservationClient::on_release_ended(const ExchangeOutcome& outcome) {
--- a/src/upstream/reservation_releaser.hpp
+++ b/src/upstream/reservation_releaser.hpp
@@ -65,7 +65,7 @@
     std::deque<SlotId> calls;  // under way, the oldest at the front
     Time until{};
     bool is_awaiting_repeat = false;  // answered, and to be repeated
-    engine::TimerQueue::Id timer;     // of the next round, or the repetition
+    engine::TimerId timer;            // of the next round, or the repetition
   };
   [[nodiscard]] ReleaseTargets new_targets(Time now) const;
   void restart(const RequestId& request_id, Release& release);
--- a/src/vrrp/vrrp_instance.hpp
+++ b/src/vrrp/vrrp_instance.hpp
@@ -73,7 +73,7 @@
   udp::socket socket_;
   udp::endpoint sender_;
   std::array<std::uint8_t, 1500> packet_{};  // an Ethernet frame's payload; the largest packet has 1028 bytes
-  engine::TimerQueue::Id timer_;
+  engine::TimerId timer_;
 };
 
 }  // namespace dispatcher::vrrp
--- a/tests/conformance/reference_scorer.cpp
+++ b/tests/conformance/reference_scorer.cpp
@@ -59,7 +59,7 @@
 }
 
 void ReferenceScorer::apply(const AdministrativeDrain& drain) {
-  if (drain.offline) {
+  if (drain.state == AdministrativeState::kDrained) {
     offline_.insert(drain.endpoint);
     return;
   }
--- a/tests/conformance/step_runner.cpp
+++ b/tests/conformance/step_runner.cpp
@@ -184,7 +184,9 @@
 
 void StepRunner::run_maintenance(const Json& step) {
   require_known_fields(step, {"maintenance", "offline"});
-  runner_.set_administrative_drain(step.at("maintenance").get<std::string>(), step.at("offline"));
+  const bool is_drained = step.at("offline");
+  const auto state = is_drained ? AdministrativeState::kDrained : AdministrativeState::kInService;
+  runner_.set_administrative_state(step.at("maintenance").get<std::string>(), state);
 }
 
 }  // namespace dispatcher::routing::conformance
--- a/tests/conformance/table_runner.cpp
+++ b/tests/conformance/table_runner.cpp
@@ -97,8 +97,8 @@
   handle(list);
 }
 
-void TableRunner::set_administrative_drain(const EndpointId& endpoint, bool is_offline) {
-  handle(AdministrativeDrain{endpoint, is_offline});
+void TableRunner::set_administrative_state(const EndpointId& endpoint, AdministrativeState state) {
+  handle(AdministrativeDrain{endpoint, state});
 }
 
 // ---- requests ----
--- a/tests/conformance/table_runner.hpp
+++ b/tests/conformance/table_runner.hpp
@@ -28,7 +28,7 @@
   TableRunner(const Settings& settings, std::uint64_t seed, const Bounds& bounds);
 
   void update_endpoints(const EndpointList& list);
-  void set_administrative_drain(const EndpointId& endpoint, bool is_offline);
+  void set_administrative_state(const EndpointId& endpoint, AdministrativeState state);
   // Lets time go on, with the timers that are due.
   void advance(Duration time);
 
--- a/tests/dispatcher/admin_test.cpp
+++ b/tests/dispatcher/admin_test.cpp
@@ -15,7 +15,8 @@
   AdminFixture()
       : server(io, loopback(), timers, clock(),
                {[this] { return is_ready; },
-                [this](const engine::EndpointId& endpoint, bool is_drained) {
+                [this](const engine::EndpointId& endpoint, engine::AdministrativeState state) {
+                  const bool is_drained = state == engine::AdministrativeState::kDrained;
                   commands.push_back(endpoint.value() + (is_drained ? " offline" : " online"));
                   return endpoint == "s-1";
                 }},
@@ -155,8 +156,8 @@
     for (int i = 0; i < requests; ++i) all.insert(reader_of_next());
     return all;
   }
-  void set_drained(const std::string& endpoint, bool is_drained) {
-    router.handle(now, routing::AdministrativeDrain{endpoint, is_drained});
+  void set_administrative_state(const std::string& endpoint, AdministrativeState state) {
+    router.handle(now, routing::AdministrativeDrain{endpoint, state});
   }
   routing::Router router;
   engine::Time now = seconds(1000);
@@ -169,15 +170,15 @@
   RouterFixture fixture;
   const std::string home = fixture.reader_of_next();
   const std::string other = home == "r1" ? "r2" : "r1";
-  fixture.set_drained(home, true);
-  fixture.set_drained(home, true);
+  fixture.set_administrative_state(home, AdministrativeState::kDrained);
+  fixture.set_administrative_state(home, AdministrativeState::kDrained);
   CHECK(fixture.readers(5) == std::set{other});
   fixture.list(ListKind::kFull, {"r1", "r2", "w1", "w2"});
   CHECK(fixture.readers(5) == std::set{other});
   fixture.list(ListKind::kDelta, {home}, EndpointState::kRemoved);
   fixture.list(ListKind::kDelta, {home});
   CHECK(fixture.readers(5) == std::set{other});
-  fixture.set_drained(home, false);  // one for any number
+  fixture.set_administrative_state(home, AdministrativeState::kInService);  // one for any number
   CHECK(fixture.readers(5).contains(home));
 }
 
@@ -186,10 +187,10 @@
   CHECK(fixture.readers(100).size() == 1);  // all go where the conversation's texts are
   const std::string home = fixture.reader_of_next();
   const std::string other = home == "r1" ? "r2" : "r1";
-  fixture.set_drained(other, true);
-  fixture.set_drained(other, false);
+  fixture.set_administrative_state(other, AdministrativeState::kDrained);
+  fixture.set_administrative_state(other, AdministrativeState::kInService);
   CHECK(fixture.reader_of_next() == other);  // at once, though nothing is kept there
-  fixture.set_drained(home, true);           // now the cold one is all there is
+  fixture.set_administrative_state(home, AdministrativeState::kDrained);  // now the cold one is all there is
   int served = 0;
   for (int i = 0; i < 20; ++i) served += fixture.reader_of_next() == other ? 1 : 0;
   // 10 requests a second, of which a cold host may have 4 times 0.3 of what a warm one was seen to do.
@@ -210,8 +211,8 @@
     fixture.io.restart();
     fixture.io.run_one();
   }
-  fixture.engine.set_administrative_drain(endpoint, true);
-  fixture.pool.set_administratively_drained(endpoint, true);
+  fixture.engine.set_administrative_state(endpoint, AdministrativeState::kDrained);
+  fixture.pool.set_administrative_state(endpoint, AdministrativeState::kDrained);
   REQUIRE(fixture.until([&] { return client->is_complete; }));
   CHECK(client->status == 200);
   CHECK(fixture.reader(left_out).received.empty());
--- a/tests/dispatcher/attempt_endings_fixture.hpp
+++ b/tests/dispatcher/attempt_endings_fixture.hpp
@@ -133,7 +133,8 @@
 };
 
 inline void DirectFixture::send_writes_to(const RawSocketPeer& peer) {
-  pool.update_endpoints({{"w1", peer.address(), true}, {"w2", peer.address(), true}}, false);
+  pool.update_endpoints({{"w1", peer.address(), true}, {"w2", peer.address(), true}},
+                        upstream::ListScope::kChanges);
 }
 }  // namespace dispatcher::testing
 
--- a/tests/dispatcher/attempt_endings_test.cpp
+++ b/tests/dispatcher/attempt_endings_test.cpp
@@ -97,7 +97,8 @@
   FakeReplica new_address(fixture, healthy_reader);
   fixture.submit("a1");
   fixture.pool.update_endpoints(
-      {{"r1", new_address.server.local(), true}, {"r2", new_address.server.local(), true}}, false);
+      {{"r1", new_address.server.local(), true}, {"r2", new_address.server.local(), true}},
+      upstream::ListScope::kChanges);
   fixture.advance(milliseconds(400));
   CHECK(fixture.request_count("POST", Role::kReader) == 0);
   CHECK(new_address.count("POST") == 1);
@@ -110,7 +111,8 @@
   fixture.submit("a1");
   REQUIRE(fixture.until([&] { return fixture.posts() == 1; }));
   fixture.pool.update_endpoints(
-      {{"r1", new_address.server.local(), true}, {"r2", new_address.server.local(), true}}, false);
+      {{"r1", new_address.server.local(), true}, {"r2", new_address.server.local(), true}},
+      upstream::ListScope::kChanges);
   for (const std::size_t index : {0U, 1U})
     for (const SlotId client : fixture.reader(index).pending_clients)
       fixture.reader(index).respond(client, 202, "{}");
@@ -130,7 +132,7 @@
   fixture.submit("a1");
   fixture.pool.update_endpoints(
       {{"r1", fixture.reader(0).server.local(), false}, {"r2", fixture.reader(1).server.local(), false}},
-      false);
+      upstream::ListScope::kChanges);
   fixture.now += grace * 3 / 5 + milliseconds(late ? 1 : 0);
   fixture.settle();
   fixture.settle();
@@ -217,7 +219,8 @@
       answer_head() + http::chunk("data: {\"a\":1}\n\n") + http::chunk("data: [DONE]\n\n") + "0\r\n\r\n";
   RawBytesReplica writer(fixture, answer,
                          answer_head() + http::chunk("data: {\"late\":1}\n\n") + "0\r\n\r\n");
-  fixture.pool.update_endpoints({{"w1", writer.address(), true}, {"w2", writer.address(), true}}, false);
+  fixture.pool.update_endpoints({{"w1", writer.address(), true}, {"w2", writer.address(), true}},
+                                upstream::ListScope::kChanges);
   auto first = fixture.platform_client();
   auto second = fixture.platform_client();
   first->post(platform_headers("a1", "command"), kBody);
@@ -240,7 +243,7 @@
     used.push_back(client);
     if (seen.target.ends_with("now")) replica.respond(client, 409);
   });
-  fixture.pool.update_endpoints({{"w1", one.server.local(), true}}, false);
+  fixture.pool.update_endpoints({{"w1", one.server.local(), true}}, upstream::ListScope::kChanges);
   const auto call = [&](int attempt, const std::string& id) {
     const std::size_t before = used.size();
     fixture.pool.reserve_slot({SlotId{}, attempt}, "w1", id);
--- a/tests/dispatcher/connection_pool_test.cpp
+++ b/tests/dispatcher/connection_pool_test.cpp
@@ -122,7 +122,7 @@
   ReleaseFixture fixture;
   auto addresses = fixture.unreachable_zone();
   addresses.push_back(ready_endpoint("reachable", fixture.replica.server.local(), "y"));
-  fixture.upstream_client.update_endpoints(addresses, true);
+  fixture.upstream_client.update_endpoints(addresses, upstream::ListScope::kComplete);
   fixture.upstream_client.release_reservation("5", {});
   fixture.advance(milliseconds(200));
   CHECK(fixture.calls() == 1);
@@ -137,7 +137,7 @@
   });
   fixture.upstream_client.update_endpoints({ready_endpoint("silent", fixture.replica.server.local(), "x"),
                                             ready_endpoint("other", other.server.local(), "x")},
-                                           true);
+                                           upstream::ListScope::kComplete);
   fixture.upstream_client.release_reservation("1", {});
   fixture.advance(milliseconds(100));
   REQUIRE(fixture.calls() + other.count("DELETE") >= 1);  // there are idle connections now
@@ -152,14 +152,14 @@
 
 TEST_CASE("with no replica reachable, a release is retried, and given up in the end", "[upstream]") {
   ReleaseFixture fixture;
-  fixture.upstream_client.update_endpoints(fixture.unreachable_zone(), true);
+  fixture.upstream_client.update_endpoints(fixture.unreachable_zone(), upstream::ListScope::kComplete);
   fixture.upstream_client.release_reservation("1", {});
   fixture.advance(milliseconds(400));
   CHECK(fixture.upstream_client.pending_releases() == 1);
   SECTION("a replica listed meanwhile is called") {
     auto addresses = fixture.unreachable_zone();
     addresses.push_back(ready_endpoint("new", fixture.replica.server.local(), "y"));
-    fixture.upstream_client.update_endpoints(addresses, true);
+    fixture.upstream_client.update_endpoints(addresses, upstream::ListScope::kComplete);
     fixture.advance(milliseconds(150));
     CHECK(fixture.calls() == 1);
   }
--- a/tests/dispatcher/daemon_test.cpp
+++ b/tests/dispatcher/daemon_test.cpp
@@ -47,11 +47,11 @@
       [&](const service_discovery::EndpointSnapshot& servers) { snapshots.push_back(servers); });
   watch.start(40);
   REQUIRE(work.until([&] { return snapshots.size() == 1; }));
-  CHECK(snapshots[0].is_complete);
+  CHECK(snapshots[0].scope == upstream::ListScope::kComplete);
   work.settle();
   work.advance(milliseconds(300));
   REQUIRE(work.until([&] { return snapshots.size() == 3; }));
-  CHECK(snapshots[1].is_complete);
+  CHECK(snapshots[1].scope == upstream::ListScope::kComplete);
   CHECK(snapshots[1].list.entries[0].state == routing::EndpointState::kDraining);
   CHECK(snapshots[2].version == 44);
   CHECK(agent.received[0].target == "/v1/servers?follow=1&since=40");
@@ -84,7 +84,7 @@
   REQUIRE(work.until([&] { return snapshots.size() == 1; }));
   watch.set_address(agent.server.local());
   REQUIRE(work.until([&] { return snapshots.size() == 3; }));
-  CHECK(snapshots[1].is_complete);
+  CHECK(snapshots[1].scope == upstream::ListScope::kComplete);
   CHECK(snapshots[1].list.entries[0].endpoint == "b");
   CHECK(snapshots[2].list.entries[0].state == routing::EndpointState::kDraining);
   CHECK(agent.received[1].target == "/v1/servers?follow=1&since=7");
--- a/tests/dispatcher/degradation_fleet_test.cpp
+++ b/tests/dispatcher/degradation_fleet_test.cpp
@@ -200,7 +200,7 @@
   CHECK(levels.controller.status()["signals"]["late.command"] == 0.0);
   CHECK(levels.controller.machine().level() == 0);
   for (int second = 0; second < 10; ++second) {
-    for (int i = 0; i < 10; ++i) levels.controller.on_first_token("command", true);
+    for (int i = 0; i < 10; ++i) levels.controller.on_first_token("command", FirstTokenTiming::kLate);
     fixture.now += seconds(1);
     levels.controller.tick(0, fixture.now);
   }
@@ -218,7 +218,7 @@
   ControllerFixture levels(kTwoLevels, work.clock());
   admin::AdminServer console(
       work.io, loopback(), work.timers, work.clock(),
-      {[] { return true; }, [](const engine::EndpointId&, bool) { return false; },
+      {[] { return true; }, [](const engine::EndpointId&, engine::AdministrativeState) { return false; },
        [&] { return levels.controller.status(); }, [&] { return levels.controller.history(); },
        [&](const std::string& name) { return levels.controller.set_override(name); }},
       {});
--- a/tests/dispatcher/drain_test.cpp
+++ b/tests/dispatcher/drain_test.cpp
@@ -16,7 +16,7 @@
     config.listen = config.discovery = loopback();
     config.discovery.port(1);  // nobody listens there
     config.settings = make_settings();
-    config.known.is_complete = true;
+    config.known.scope = upstream::ListScope::kComplete;
     config.known.list.kind = routing::ListKind::kFull;
     add("r", "reader", reader.server.local());
     add("w", "writer", writer.server.local());
--- a/tests/dispatcher/engine_digest_fixture.cpp
+++ b/tests/dispatcher/engine_digest_fixture.cpp
@@ -227,8 +227,10 @@
   if (process.attempts.empty()) return;
   const auto& [attempt, active] = *pick_in(process.attempts, dice_);
   count("hold_answer");
+  const auto outcome =
+      dice_.one_in(3) ? engine::ReservationOutcome::kDenied : engine::ReservationOutcome::kReserved;
   process.engine.on_reservation_result(engine::AttemptId(attempt), engine::EndpointId(active.endpoint),
-                                       !dice_.one_in(3));
+                                       outcome);
 }
 
 void EngineScript::confirm_release() {
@@ -248,7 +250,7 @@
   if (process.attempts.contains(attempt)) return;
   process.engine.on_events(attempt, "data: late\n\n");
   process.engine.on_attempt_completed(attempt, draw_result(static_cast<AttemptStatus>(dice_.below(9))));
-  process.engine.on_reservation_result(attempt, "h0", true);
+  process.engine.on_reservation_result(attempt, "h0", engine::ReservationOutcome::kReserved);
   record("wanted", attempt, process.engine.is_still_needed(attempt));
   process.engine.on_reservation_released("nobody");
   if (const Client* client = pick_client([](const Client& candidate) { return candidate.is_over; })) {
@@ -298,8 +300,9 @@
 
 void EngineScript::change_administrative_drain() {
   const engine::EndpointId endpoint = pick_in(endpoints_, dice_)->first;
-  const bool offline = dice_.one_in(2);
-  for (const auto& process : processes_) process->engine.set_administrative_drain(endpoint, offline);
+  const auto state =
+      dice_.one_in(2) ? engine::AdministrativeState::kDrained : engine::AdministrativeState::kInService;
+  for (const auto& process : processes_) process->engine.set_administrative_state(endpoint, state);
 }
 
 void EngineScript::change_settings() {
--- a/tests/dispatcher/engine_digest_parts.hpp
+++ b/tests/dispatcher/engine_digest_parts.hpp
@@ -86,7 +86,8 @@
     fixture_.record("tell_sent", number_, endpoint);
     fixture_.peer_messages_.push_back([this, endpoint] { other().engine.on_peer_attempt_started(endpoint); });
   }
-  void on_first_token(const std::string& request_class, bool is_late) override {
+  void on_first_token(const std::string& request_class, engine::FirstTokenTiming timing) override {
+    const bool is_late = timing == engine::FirstTokenTiming::kLate;
     fixture_.record("first_token", number_, request_class, is_late);
   }
   void on_request_not_served(const std::string& request_class, engine::NotServedReason reason) override {
--- a/tests/dispatcher/fixture.cpp
+++ b/tests/dispatcher/fixture.cpp
@@ -150,7 +150,7 @@
     list.entries.push_back({name, "here", is_reader ? "reader" : "writer", 0, EndpointState::kReady, 1, {}});
     addresses.push_back({name, replicas.back()->server.local(), true});
   }
-  pool.update_endpoints(addresses, true);
+  pool.update_endpoints(addresses, upstream::ListScope::kComplete);
   engine.update_endpoints(list);
   platform.server().open();
   if (chat_config.empty()) return;
--- a/tests/dispatcher/fixture.hpp
+++ b/tests/dispatcher/fixture.hpp
@@ -27,6 +27,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
+using routing::AdministrativeState;
 using routing::Role;
 
 // Settings with an idempotent class "ask", a non-idempotent class "command", and replicas of both roles.
--- a/tests/dispatcher/hot_restart_compatibility_test.cpp
+++ b/tests/dispatcher/hot_restart_compatibility_test.cpp
@@ -161,10 +161,12 @@
     return {{"level", "less"}, {"pinned", true}, {"shed", 3}, {"signals", {{"open", 12}}}};
   }
   void on_handover(hot_restart::HandoverState state) override { states.push_back(std::move(state)); }
-  void on_endpoint_drained(const routing::EndpointId& endpoint, bool drained) override {
-    events.push_back("drained " + endpoint.value() + (drained ? " yes" : " no"));
+  void on_administrative_state(const routing::EndpointId& endpoint, AdministrativeState state) override {
+    const bool is_drained = state == AdministrativeState::kDrained;
+    events.push_back("drained " + endpoint.value() + (is_drained ? " yes" : " no"));
   }
-  void on_peer_request(const routing::RequestId& id, bool is_open) override {
+  void on_peer_request_progress(const routing::RequestId& id, engine::RequestProgress progress) override {
+    const bool is_open = progress == engine::RequestProgress::kInProgress;
     events.push_back("request " + id.value() + (is_open ? " open" : " closed"));
   }
   void on_peer_forwarded(const routing::EndpointId& endpoint) override {
@@ -181,8 +183,8 @@
     CHECK(stream.keep_alive);
     events.emplace_back("stream");
   }
-  void on_vrrp_left(bool was_active) override {
-    events.emplace_back(was_active ? "vrrp active" : "vrrp backup");
+  void on_vrrp_left(hot_restart::VrrpRole role) override {
+    events.emplace_back(role == hot_restart::VrrpRole::kActive ? "vrrp active" : "vrrp backup");
   }
   void on_peers_changed() override { events.emplace_back("peers changed"); }
 
@@ -240,9 +242,9 @@
   fixture.expect(successor, kHandover, 2);
   successor.send(kServing);
   REQUIRE(fixture.work.until([&] { return fixture.peer->is_successor_serving(); }));
-  fixture.peer->notify_endpoint_drained("r1", true);
+  fixture.peer->notify_administrative_state("r1", AdministrativeState::kDrained);
   fixture.expect(successor, kOffline);
-  fixture.peer->notify_endpoint_drained("r1", false);
+  fixture.peer->notify_administrative_state("r1", AdministrativeState::kInService);
   fixture.expect(successor, kOnline);
   fixture.peer->on_request_progress("a1", engine::RequestProgress::kInProgress);
   fixture.expect(successor, kRequestOpened);
@@ -250,9 +252,9 @@
   fixture.expect(successor, kRequestClosed);
   fixture.peer->on_attempt_started("r1");
   fixture.expect(successor, kSent);
-  fixture.peer->notify_vrrp_left(true);
+  fixture.peer->notify_vrrp_left(hot_restart::VrrpRole::kActive);
   fixture.expect(successor, kVrrpActive);
-  fixture.peer->notify_vrrp_left(false);
+  fixture.peer->notify_vrrp_left(hot_restart::VrrpRole::kBackup);
   fixture.expect(successor, kVrrpBackup);
   fixture.peer->transfer_stream({"a1", "w1", "da\n\xff", 17, true}, 0, 1);
   fixture.expect(successor, kStream, 2);
@@ -264,13 +266,14 @@
   const RawSocket predecessor = fixture.take_over();
   fixture.peer->on_serving();
   fixture.expect(predecessor, kServing);
-  fixture.peer->notify_endpoint_drained("r1", true);
+  fixture.peer->notify_administrative_state("r1", AdministrativeState::kDrained);
   fixture.expect(predecessor, kOffline);
   fixture.peer->on_request_progress("a1", engine::RequestProgress::kInProgress);
   fixture.expect(predecessor, kRequestOpened);
   fixture.peer->on_attempt_started("r1");
   fixture.expect(predecessor, kSent);
-  fixture.peer->notify_vrrp_left(true);  // the predecessor has left the pair: it is not told
+  // The predecessor has left the VRRP group: it is not notified.
+  fixture.peer->notify_vrrp_left(hot_restart::VrrpRole::kActive);
   fixture.work.settle();
   CHECK_FALSE(predecessor.receive());
 }
@@ -367,8 +370,8 @@
   hot_restart::DrainedEndpointStore store(path, [](std::string_view) {});
   store.load();
   CHECK(store.endpoints() == std::set<routing::EndpointId>{"r\"1", "w1"});
-  CHECK(store.set_drained("a", true));  // written anew, twice
-  CHECK(store.set_drained("a", false));
+  CHECK(store.set_administrative_state("a", AdministrativeState::kDrained));  // written anew, twice
+  CHECK(store.set_administrative_state("a", AdministrativeState::kInService));
   std::ifstream file(path);
   const std::string text{std::istreambuf_iterator<char>(file), {}};
   CHECK(text == kDrainedEndpointsFile);
--- a/tests/dispatcher/hot_restart_state_test.cpp
+++ b/tests/dispatcher/hot_restart_state_test.cpp
@@ -25,10 +25,10 @@
   const std::string path = folder / "x.bans";
   hot_restart::DrainedEndpointStore first(path, ignore_log);
   first.load();
-  CHECK(first.set_drained("a", true));
-  CHECK(first.set_drained("b", true));
-  CHECK_FALSE(first.set_drained("b", true));
-  CHECK(first.set_drained("a", false));
+  CHECK(first.set_administrative_state("a", AdministrativeState::kDrained));
+  CHECK(first.set_administrative_state("b", AdministrativeState::kDrained));
+  CHECK_FALSE(first.set_administrative_state("b", AdministrativeState::kDrained));
+  CHECK(first.set_administrative_state("a", AdministrativeState::kInService));
   hot_restart::DrainedEndpointStore second(path, ignore_log);
   second.load();
   CHECK(second.endpoints() == std::set<routing::EndpointId>{"b"});
@@ -48,7 +48,8 @@
   fs::create_directory(path);
   hot_restart::DrainedEndpointStore hindered(path, ignore_log);
   hindered.load();
-  CHECK(hindered.set_drained("c", true));  // binds, though it can't be kept
+  // Takes effect, though it can't be stored.
+  CHECK(hindered.set_administrative_state("c", AdministrativeState::kDrained));
 }
 
 // Records what one end of a channel receives.
@@ -150,7 +151,8 @@
     router.handle(now, learned);
     router.handle(now, routing::PeerForwarded{"r2"});
   }
-  router.handle(now, routing::AdministrativeDrain{"r1", true});  // the cold one is all there is
+  // The endpoint that is warming up is the only one left.
+  router.handle(now, routing::AdministrativeDrain{"r1", AdministrativeState::kDrained});
   int sent = 0;
   for (int i = 0; i < 100; ++i) {
     routing::Request request;
--- a/tests/dispatcher/hot_restart_test.cpp
+++ b/tests/dispatcher/hot_restart_test.cpp
@@ -27,7 +27,7 @@
     const routing::EndpointInfo endpoint{"r1", "here", "reader", 0, routing::EndpointState::kReady, 1, {}};
     config.known.list.entries = {endpoint};
     config.known.addresses = {{"r1", loopback(), true}};
-    config.known.is_complete = true;
+    config.known.scope = upstream::ListScope::kComplete;
     daemon::FeatureFiles texts{{"chat.json", chat}, {"vrrp.json", vrrp}};
     if (!levels.empty()) texts.levels = cue::File{"levels.cue", levels};
     first.emplace(loop, config, texts, log("1 "));
--- a/tests/dispatcher/pooled_connections_test.cpp
+++ b/tests/dispatcher/pooled_connections_test.cpp
@@ -120,11 +120,13 @@
   Fixture fixture(healthy_reader, healthy_writer);
   for (int i = 0; i < 100; ++i) {
     const std::string name = "n" + std::to_string(i);
-    fixture.pool.update_endpoints({{name, fixture.writer().server.local(), true}}, false);
-    fixture.pool.update_endpoints({{name, fixture.writer().server.local(), false, true}}, false);
+    fixture.pool.update_endpoints({{name, fixture.writer().server.local(), true}},
+                                  upstream::ListScope::kChanges);
+    fixture.pool.update_endpoints({{name, fixture.writer().server.local(), false, true}},
+                                  upstream::ListScope::kChanges);
   }
   CHECK(fixture.pool.known_endpoints() == 4);
-  fixture.pool.update_endpoints({}, true);
+  fixture.pool.update_endpoints({}, upstream::ListScope::kComplete);
   CHECK(fixture.pool.known_endpoints() == 0);
 }
 
--- a/tests/dispatcher/replica_answers_test.cpp
+++ b/tests/dispatcher/replica_answers_test.cpp
@@ -21,7 +21,8 @@
 struct RawWriters {
   RawWriters(Fixture& fixture, const std::string& bytes, const std::string& more = {})
       : first(fixture, bytes, more), second(fixture, bytes, more) {
-    fixture.pool.update_endpoints({{"w1", first.address(), true}, {"w2", second.address(), true}}, false);
+    fixture.pool.update_endpoints({{"w1", first.address(), true}, {"w2", second.address(), true}},
+                                  upstream::ListScope::kChanges);
   }
   [[nodiscard]] int requests() const { return first.requests + second.requests; }
   RawBytesReplica first;
--- a/tests/dispatcher/reservation_release_test.cpp
+++ b/tests/dispatcher/reservation_release_test.cpp
@@ -28,7 +28,7 @@
                                  {"r2", peer.address(), true},
                                  {"w1", peer.address(), true},
                                  {"w2", peer.address(), true}},
-                                false);
+                                upstream::ListScope::kChanges);
   fixture.pool.release_reservation("a1", {});
   fixture.settle();
   CHECK(fixture.pool.pending_releases() == 1);
@@ -110,7 +110,8 @@
 struct PartitionFixture : TestEventLoop {
   PartitionFixture() {
     pool.update_endpoints(
-        {{"h1", peer.address(), true, false, "z"}, {"h2", peer.address(), true, false, "z"}}, true);
+        {{"h1", peer.address(), true, false, "z"}, {"h2", peer.address(), true, false, "z"}},
+        upstream::ListScope::kComplete);
   }
   RawSocketPeer peer{*this};  // takes connections and says nothing
   upstream::ReplicaClient pool{io,
--- a/tests/dispatcher/router_fixture.hpp
+++ b/tests/dispatcher/router_fixture.hpp
@@ -94,7 +94,7 @@
     Time sent_at{};
     bool in_flight = false;
     bool streaming = false;
-    engine::TimerQueue::Id timeout;
+    engine::TimerId timeout;
   };
   struct Process {
     std::unique_ptr<routing::Router> router;
--- a/tests/routing/model_dispatcher.cpp
+++ b/tests/routing/model_dispatcher.cpp
@@ -229,9 +229,9 @@
   handle(EndpointList{kind, std::move(endpoints)});
 }
 
-void ModelDispatcher::set_administrative_drain(const EndpointId& endpoint, bool is_offline) {
-  state_.endpoints.at(endpoint).is_offline = is_offline;
-  handle(AdministrativeDrain{endpoint, is_offline});
+void ModelDispatcher::set_administrative_state(const EndpointId& endpoint, AdministrativeState state) {
+  state_.endpoints.at(endpoint).is_offline = state == AdministrativeState::kDrained;
+  handle(AdministrativeDrain{endpoint, state});
 }
 
 // The list is sent again under the new settings, as their kinds may have other roles.
--- a/tests/routing/model_dispatcher.hpp
+++ b/tests/routing/model_dispatcher.hpp
@@ -49,7 +49,7 @@
   void send_first_token(const RequestId& id, std::size_t attempt_number);
   void complete_attempt(const RequestId& id, std::size_t attempt_number, AttemptOutcome outcome);
   void send_endpoint_list(ListKind kind, std::vector<EndpointInfo> endpoints);
-  void set_administrative_drain(const EndpointId& endpoint, bool is_offline);
+  void set_administrative_state(const EndpointId& endpoint, AdministrativeState state);
   void apply_next_settings();  // nothing happens where there is but one
   // Lets time go on to the next tick after it, with the timers and the attempts that end by then.
   void advance(Duration time);
--- a/tests/routing/request_lifecycle_test.cpp
+++ b/tests/routing/request_lifecycle_test.cpp
@@ -76,7 +76,7 @@
   harness.handle(FirstToken{"a", "nowhere", 3, {}});
   harness.handle(ClientGone{"unknown"});
   harness.handle(TimerExpired{12345});
-  harness.handle(ReservationResult{"unknown", "w1", true});
+  harness.handle(ReservationResult{"unknown", "w1", ReservationOutcome::kReserved});
   EXPECT_EQ(harness.started().size(), started);
   EXPECT_TRUE(harness.rejected().empty() && harness.failed().empty() && harness.released().empty());
 }
--- a/tests/routing/script_runner.cpp
+++ b/tests/routing/script_runner.cpp
@@ -238,7 +238,9 @@
 
 void ScriptRunner::change_administrative_drain(const Step& step) {
   const EndpointId endpoint = choose_endpoint(step.target).info.endpoint;
-  dispatcher_.set_administrative_drain(endpoint, step.variant % 2 == 0);
+  const bool is_drained = step.variant % 2 == 0;
+  dispatcher_.set_administrative_state(
+      endpoint, is_drained ? AdministrativeState::kDrained : AdministrativeState::kInService);
 }
 
 void ScriptRunner::send_peer_event(const Step& step) {
@@ -251,7 +253,9 @@
   const DispatcherState& state = dispatcher_.state();
   if (state.requests.empty()) return;
   const RequestId request = element(state.requests, step.target).first;
-  dispatcher_.handle(ReservationResult{request, state.endpoints.begin()->first, step.variant % 2 == 0});
+  const bool is_reserved = step.variant % 2 == 0;
+  const auto outcome = is_reserved ? ReservationOutcome::kReserved : ReservationOutcome::kDenied;
+  dispatcher_.handle(ReservationResult{request, state.endpoints.begin()->first, outcome});
 }
 
 // ---- the end ----
--- a/tests/routing/transcript.cpp
+++ b/tests/routing/transcript.cpp
@@ -49,7 +49,8 @@
 }
 
 void write(std::ostream& out, const ReservationResult& result) {
-  out << "reservation " << result.request << (result.held ? " held" : " not held");
+  out << "reservation " << result.request
+      << (result.outcome == ReservationOutcome::kReserved ? " held" : " not held");
 }
 
 void write(std::ostream& out, const ClientGone& gone) { out << "client gone " << gone.request; }
@@ -57,7 +58,8 @@
 void write(std::ostream& out, const TimerExpired& expired) { out << "timer " << expired.tag; }
 
 void write(std::ostream& out, const AdministrativeDrain& drain) {
-  out << "administrative drain " << drain.endpoint << (drain.offline ? " offline" : " online");
+  out << "administrative drain " << drain.endpoint
+      << (drain.state == AdministrativeState::kDrained ? " offline" : " online");
 }
 
 void write(std::ostream& out, const LearnedState&) { out << "learned state"; }
--- a/tests/simulator_adapter_test.cpp
+++ b/tests/simulator_adapter_test.cpp
@@ -108,9 +108,10 @@
     const Json message{{"req", "a"}, {"host", "h"}, {"verdict", name}, {"trial", 2}, {"note", 1}};
     EXPECT_EQ(std::get<AttemptCompleted>(*decode_event("closedAttempt", message)).status, status);
   }
-  EXPECT_TRUE(std::get<ReservationResult>(*decode("answerAhead", R"({"req":"a","host":"h","what":1})")).held);
-  EXPECT_FALSE(
-      std::get<ReservationResult>(*decode("answerAhead", R"({"req":"a","host":"h","what":2})")).held);
+  const auto reserved = decode("answerAhead", R"({"req":"a","host":"h","what":1})");
+  EXPECT_EQ(std::get<ReservationResult>(*reserved).outcome, ReservationOutcome::kReserved);
+  const auto denied = decode("answerAhead", R"({"req":"a","host":"h","what":2})");
+  EXPECT_EQ(std::get<ReservationResult>(*denied).outcome, ReservationOutcome::kDenied);
   EXPECT_EQ(std::get<ClientGone>(*decode("clientLeft", R"({"req":"a"})")).request, "a");
   EXPECT_EQ(std::get<TimerExpired>(*decode("tickDue", R"({"tag":77})")).tag, 77U);
   EXPECT_FALSE(decode("somethingNew", "{}"));
