--- a/src/engine/action_executor.hpp
+++ b/src/engine/action_executor.hpp
@@ -20,7 +20,7 @@
                  AttemptManager& attempts, ReservationCleanup& cleanup)
       : context_(context), requests_(requests), router_(router), attempts_(attempts), cleanup_(cleanup) {}
 
-  /// Called as the router wants the endpoint list anew.
+  /// `callback` is called when the router needs the complete endpoint list again.
   void set_subscribe_callback(std::function<void()> callback) { subscribe_ = std::move(callback); }
 
   /// Actions that name a request which has ended meanwhile have no effect.
--- a/src/engine/active_request.hpp
+++ b/src/engine/active_request.hpp
@@ -48,6 +48,18 @@
     return attempts.at(static_cast<std::size_t>(number));
   }
   [[nodiscard]] int attempt_count() const { return static_cast<int>(attempts.size()); }
+  /// The end of an attempt at `now`, as it is reported to the router; tokens, evidence and load are empty.
+  [[nodiscard]] routing::AttemptCompleted completion(int number, AttemptStatus status, Time now) const {
+    const Attempt& ended = attempt(number);
+    routing::AttemptCompleted completed;
+    completed.request = id;
+    completed.endpoint = ended.endpoint;
+    completed.attempt = number;
+    completed.status = status;
+    completed.elapsed = now - ended.started;
+    completed.finished = is_answered;
+    return completed;
+  }
   [[nodiscard]] bool has_active_attempt() const {
     return std::any_of(attempts.begin(), attempts.end(),
                        [](const Attempt& candidate) { return candidate.is_active; });
--- a/src/engine/attempt_manager.cpp
+++ b/src/engine/attempt_manager.cpp
@@ -32,15 +32,7 @@
   const Time deadline = has_own_deadline ? std::min(action.deadline, request->deadline) : request->deadline;
   if (!may_start(*request, deadline, now)) {
     attempt.is_active = false;
-    router_.handle(routing::AttemptCompleted{action.request,
-                                             action.endpoint,
-                                             id.number,
-                                             AttemptStatus::kNeverSent,
-                                             {},
-                                             request->is_answered,
-                                             0,
-                                             {},
-                                             {}});
+    router_.handle(request->completion(id.number, AttemptStatus::kNeverSent, now));
     return;
   }
   ++request->attempts_spent;
@@ -103,20 +95,15 @@
       {status, result.evidence, attempt.at_reader, may_run_until}, context_.clock());
   if (result.invalid_request) fail_invalid_request(request);
 
-  routing::AttemptCompleted outcome{request.id,
-                                    attempt.endpoint,
-                                    id.number,
-                                    status,
-                                    context_.clock() - attempt.started,
-                                    request.is_answered,
-                                    result.cached_prompt_tokens,
-                                    result.evidence,
-                                    result.report};
-  context_.request_log.log_attempt_completed(outcome);
+  routing::AttemptCompleted completed = request.completion(id.number, status, context_.clock());
+  completed.cached_prompt_tokens = result.cached_prompt_tokens;
+  completed.evidence = result.evidence;
+  completed.report = result.report;
+  context_.request_log.log_attempt_completed(completed);
   using ScheduledRelease = ReservationCleanup::ScheduledRelease;
   cleanup_.schedule_if_needed(id.request,
                               may_have_left_state ? ScheduledRelease::kPostpone : ScheduledRelease::kKeep);
-  router_.handle(std::move(outcome));
+  router_.handle(std::move(completed));
   requests_.remove_if_complete(id.request);
 }
 
--- a/src/engine/attempt_manager.hpp
+++ b/src/engine/attempt_manager.hpp
@@ -1,4 +1,4 @@
-/// The life of an attempt: its start, the ways it may end, and what its end means for its request.
+/// The life cycle of an attempt: its start, the ways it may end, and what its end means for its request.
 #ifndef DISPATCHER_ENGINE_ATTEMPT_MANAGER_HPP_
 #define DISPATCHER_ENGINE_ATTEMPT_MANAGER_HPP_
 
@@ -17,18 +17,19 @@
                  ReservationCleanup& cleanup, const EndpointRoles& endpoints)
       : context_(context), requests_(requests), router_(router), cleanup_(cleanup), endpoints_(endpoints) {}
 
-  /// Starts an attempt that the router asks for. One that the request can't have any more, by then answered,
-  /// out of attempts or past its deadline, is reported to the router as never sent.
+  /// Starts an attempt that the router decided on. If its request is answered, out of attempts or past its
+  /// deadline by now, the attempt is reported to the router as never sent.
   void start(const routing::StartAttempt& action);
   /// Cancels an attempt for the router, unless its response is the client's.
   void cancel(const routing::CancelAttempt& action);
-  /// Ends an active attempt from this side, e.g. at its deadline or as nobody reads its response any more.
+  /// Ends an active attempt from this side, e.g. at its deadline or because its response is not needed any
+  /// more.
   void terminate(AttemptId id, AttemptStatus status);
   /// Ends the attempts that still wait for a connection. They would be written after their client has
   /// disconnected, also where the settings don't let the router cancel anything.
   void terminate_unconnected(SlotId slot);
-  /// Takes the end of an active attempt: every attempt that was started ends here, or is released to another
-  /// process.
+  /// Handles the end of an active attempt: every attempt that was started ends here, or is released to
+  /// another process.
   void complete(AttemptId id, const AttemptResult& result);
 
  private:
--- a/src/engine/endpoint_roles.hpp
+++ b/src/engine/endpoint_roles.hpp
@@ -1,4 +1,4 @@
-/// Which endpoints the endpoint list names, or has named lately, and which of them are readers.
+/// Which endpoints the endpoint list names, or has named recently, and which of them are readers.
 #ifndef DISPATCHER_ENGINE_ENDPOINT_ROLES_HPP_
 #define DISPATCHER_ENGINE_ENDPOINT_ROLES_HPP_
 
@@ -17,7 +17,7 @@
   /// Applies a list or a change to it. `settings` names the role of each kind of endpoint.
   void update(const routing::EndpointList& list, const routing::Settings& settings);
 
-  /// Whether a list names the endpoint, or did so lately: one that was removed may return.
+  /// Whether a list names the endpoint, or did so recently: one that was removed may return.
   [[nodiscard]] bool is_known(const routing::EndpointId& endpoint) const;
   [[nodiscard]] bool is_reader(const routing::EndpointId& endpoint) const;
   /// The number of endpoints that the list names now.
--- a/src/engine/engine.cpp
+++ b/src/engine/engine.cpp
@@ -78,7 +78,7 @@
   context_.request_log.log_answered(id, "client-gone");
   attempts_.terminate_unconnected(slot);
   router_.handle(routing::ClientGone{id});
-  // The router leaves a running stream alone; nobody reads it any more, so its work must stop here.
+  // The router does not cancel a running stream; its client has disconnected, so it must be cancelled here.
   if (streaming_attempt) attempts_.terminate({slot, *streaming_attempt}, AttemptStatus::kCancelled);
   cleanup_.schedule_if_needed(slot, ReservationCleanup::ScheduledRelease::kKeep);
   requests_.remove_if_complete(slot);
--- a/src/engine/engine.hpp
+++ b/src/engine/engine.hpp
@@ -61,9 +61,9 @@
   /// Settings for the requests from now on; the router must accept them.
   void apply_settings(SettingsSnapshot settings);
   void update_endpoints(const routing::EndpointList& list);
-  /// Called as the router wants the endpoint list anew.
+  /// `callback` is called when the router needs the complete endpoint list again.
   void set_subscribe_callback(std::function<void()> callback);
-  /// Whether any list has named this endpoint, now or lately.
+  /// Whether any list has named this endpoint, now or recently.
   [[nodiscard]] bool is_known_endpoint(const EndpointId& endpoint) const;
   [[nodiscard]] std::size_t endpoint_count() const { return endpoints_.size(); }
   /// An endpoint that operators drained gets nothing new, whatever the lists say.
@@ -78,28 +78,33 @@
   // ---- hot restart: two processes, of which one takes over from the other ----
 
   [[nodiscard]] routing::LearnedState learned_state() const { return router_.learned_state(); }
+  /// Takes over what the router of the other process has learned.
   void restore_learned_state(const routing::LearnedState& learned_state);
   [[nodiscard]] std::vector<RequestId> open_request_ids() const { return requests_.ids(); }
   /// The streams of a frontend that can be handed over. Each goes on at the other process with adopt_stream()
   /// there, after release_stream() here.
   [[nodiscard]] std::vector<RunningStream> running_streams(const ResponseSink& sink);
+  /// The stream continues at the other process: nothing more is sent to its client from here.
   void release_stream(SlotId request);
-  /// The adopted stream's attempt has number 0.
+  /// Continues a stream of the other process. Its attempt has number 0.
   [[nodiscard]] SlotId adopt_stream(ResponseSink& sink, SlotId client, const RequestId& id,
                                     const EndpointId& endpoint);
-  /// As the other process notifies of its own requests and attempts.
+  /// What the other process reports of its own requests and attempts.
   void on_peer_request_progress(const RequestId& id, RequestProgress progress);
   void on_peer_attempt_started(const EndpointId& endpoint);
+  /// The other process has ended: its requests are not in progress any more.
   void on_peer_disconnected() { peer_request_ids_.clear(); }
 
   // ---- called by the upstream client ----
 
   /// Complete server-sent events of an attempt's response; the first call starts the client's stream.
   void on_events(AttemptId attempt, std::string_view events);
+  /// The one end of an attempt; ignored after UpstreamClient::cancel_attempt().
   void on_attempt_completed(AttemptId attempt, const AttemptResult& result);
   /// The answer to UpstreamClient::reserve_slot().
   void on_reservation_result(AttemptId attempt, const EndpointId& endpoint, ReservationOutcome outcome);
-  /// Asked right before an attempt's first byte. One that is not needed any more completes as kNeverSent.
+  /// To be called right before an attempt's first byte is written. An attempt that is not needed any more
+  /// completes as kNeverSent.
   [[nodiscard]] bool is_still_needed(AttemptId attempt);
   /// The replicas have confirmed UpstreamClient::release_reservation().
   void on_reservation_released(const RequestId& id);
@@ -108,7 +113,7 @@
 
   /// Requests whose clients still wait for something.
   [[nodiscard]] std::size_t unanswered_count() const { return requests_.unanswered_count(); }
-  /// Requests that are not over: unanswered, or with an attempt or a release ahead.
+  /// Requests that are not complete: unanswered, or with an attempt or a release still to come.
   [[nodiscard]] std::size_t open_request_count() const { return requests_.size(); }
 
  private:
--- a/src/engine/interfaces.hpp
+++ b/src/engine/interfaces.hpp
@@ -1,5 +1,5 @@
-/// What the engine and its neighbours say to each other: the types of a request's attempts, and the abstract
-/// sides that the engine calls (frontends, the upstream client, observers).
+/// The engine's interfaces to its neighbours: the types of a request's attempts, and the abstract classes
+/// that the engine calls (frontends, the upstream client, observers).
 ///
 /// Everything here runs on the one event loop thread. The engine owns none of the implementations; each has
 /// to outlive it. Unless an interface says otherwise, an implementation must not call the engine back from
@@ -33,7 +33,7 @@
 /// Immutable settings, shared by everything that still works under them.
 using SettingsSnapshot = std::shared_ptr<const routing::Settings>;
 
-/// The HTTP request that is forwarded to a replica. The engine passes it on unread.
+/// The HTTP request that is forwarded to a replica. The engine forwards it without parsing it.
 struct UpstreamRequest {
   RequestId id;
   std::string method, target;
@@ -66,7 +66,8 @@
 
 /// Where responses go: implemented by the frontends. `client` is the frontend's own handle of the client. A
 /// request gets one final call, finish_stream(), abort_stream(), reject() or fail(), unless its client
-/// disconnects first; a call that finds it so may call Engine::on_client_disconnected() from inside.
+/// disconnects first; a call that detects the disconnect may call Engine::on_client_disconnected() from
+/// inside.
 class ResponseSink {
  public:
   virtual ~ResponseSink() = default;
@@ -76,18 +77,20 @@
   /// Writes complete server-sent events. False: the client's buffer is full, and the frontend calls
   /// Engine::resume_stream() once it has capacity again.
   [[nodiscard]] virtual bool write_events(SlotId client, std::string_view events) = 0;
+  /// The response is complete.
   virtual void finish_stream(SlotId client) = 0;
   /// Ends an incomplete stream, in a way that lets the client detect it.
   virtual void abort_stream(SlotId client) = 0;
   /// Nothing of the request has run: the client may retry, after `retry_after` where it is given.
   virtual void reject(SlotId client, std::optional<Duration> retry_after) = 0;
+  /// The request has failed; it may or may not have run.
   virtual void fail(SlotId client, Failure why) = 0;
-  /// Asked right before an attempt is written: a disconnect may be known here before it is reported.
+  /// Called right before an attempt is written: a disconnect may be detected here before it is reported.
   [[nodiscard]] virtual bool is_client_connected(SlotId) { return true; }
 };
 
-/// The side of the replicas: connections, requests and the release of reservations. It never calls the engine
-/// back from inside a call, except for Engine::is_still_needed().
+/// The client of the replicas: connections, requests and the release of reservations. It never calls the
+/// engine back from inside a call, except for Engine::is_still_needed().
 class UpstreamClient {
  public:
   virtual ~UpstreamClient() = default;
@@ -102,7 +105,7 @@
   /// Backpressure: stops, and goes on with, reading an attempt's response.
   virtual void pause_reading(AttemptId attempt) = 0;
   virtual void resume_reading(AttemptId attempt) = 0;
-  /// Asks a writer to reserve a slot; answered by Engine::on_reservation_result().
+  /// Requests a reserved slot from a writer; answered by Engine::on_reservation_result().
   virtual void reserve_slot(AttemptId attempt, const EndpointId& endpoint, const RequestId& id) = 0;
   /// Releases all that replicas hold for a request; answered by Engine::on_reservation_released(). Until
   /// `until` an attempt may still leave a state behind, so that the release is repeated. The next attempt of
@@ -118,11 +121,12 @@
 /// Whether a first token came within the latency objective of its request's class.
 enum class FirstTokenTiming { kInTime, kLate };
 
-/// Notified of how requests fare, for the degradation levels.
+/// Notified of how requests are served, for the degradation levels.
 class RequestObserver {
  public:
   virtual ~RequestObserver() = default;
   virtual void on_first_token(const std::string& request_class, FirstTokenTiming timing) = 0;
+  /// The request ended without a first token.
   virtual void on_request_not_served(const std::string& request_class, NotServedReason reason) = 0;
 };
 
--- a/src/engine/request_log.hpp
+++ b/src/engine/request_log.hpp
@@ -1,5 +1,5 @@
-/// A line for each thing that happens to a request, for those who must find out afterwards why it went as it
-/// did, or count over a fleet. Off unless the command line asks for it: it costs a line or two an attempt.
+/// The request log: one line for each event of a request, for diagnosing single requests afterwards and for
+/// statistics over a fleet. Off unless the command line enables it: it costs a line or two per attempt.
 #ifndef DISPATCHER_ENGINE_REQUEST_LOG_HPP_
 #define DISPATCHER_ENGINE_REQUEST_LOG_HPP_
 
--- a/src/engine/router_runner.hpp
+++ b/src/engine/router_runner.hpp
@@ -1,4 +1,4 @@
-/// Passes events to the router, one at a time, and its actions to whoever executes them.
+/// Passes events to the router, one at a time, and its actions to a handler.
 #ifndef DISPATCHER_ENGINE_ROUTER_RUNNER_HPP_
 #define DISPATCHER_ENGINE_ROUTER_RUNNER_HPP_
 
--- a/src/engine/stream_handover.cpp
+++ b/src/engine/stream_handover.cpp
@@ -21,19 +21,10 @@
   if (request == nullptr || !request->streaming_attempt) return;
   requests_.mark_answered(*request);
   const int number = *request->streaming_attempt;
-  Attempt& attempt = request->attempt(number);
-  attempt.is_active = false;
-  // So that the router takes the end of the attempt for no sign of the endpoint's health.
+  request->attempt(number).is_active = false;
+  // The router must not count the end of the attempt against the endpoint's health.
   router_.handle(routing::ClientGone{request->id});
-  router_.handle(routing::AttemptCompleted{request->id,
-                                           attempt.endpoint,
-                                           number,
-                                           AttemptStatus::kCancelled,
-                                           context_.clock() - attempt.started,
-                                           true,
-                                           0,
-                                           {},
-                                           {}});
+  router_.handle(request->completion(number, AttemptStatus::kCancelled, context_.clock()));
   requests_.remove_if_complete(slot);
 }
 
--- a/src/engine/stream_handover.hpp
+++ b/src/engine/stream_handover.hpp
@@ -20,10 +20,10 @@
 
   /// The streams of a frontend that can be handed over: those that have started and aren't paused.
   [[nodiscard]] std::vector<RunningStream> running_streams(const ResponseSink& sink);
-  /// The stream goes on at the other process: here it ends without a word to its client.
+  /// The stream continues at the other process: here it ends, and nothing is sent to its client.
   void release(SlotId slot);
-  /// The stream goes on here; its attempt has number 0. The router isn't notified: it has nothing to decide
-  /// for a running stream.
+  /// Continues a stream of the other process; its attempt has number 0. The router isn't notified: it has
+  /// nothing to decide for a running stream.
   [[nodiscard]] SlotId adopt(ResponseSink& sink, SlotId client, const RequestId& id,
                              const EndpointId& endpoint, SettingsSnapshot settings);
 
--- a/src/engine/stream_relay.cpp
+++ b/src/engine/stream_relay.cpp
@@ -24,7 +24,7 @@
   request = requests_.find(id.request);
   if (request == nullptr) return;
   request->is_paused = true;
-  context_.timers.drop(request->idle_timer);  // the client is the one who is idle now
+  context_.timers.drop(request->idle_timer);  // now the client is idle, not the replica
   context_.upstream.pause_reading(id);
 }
 
--- a/src/engine/timer_queue.hpp
+++ b/src/engine/timer_queue.hpp
@@ -27,9 +27,8 @@
   auto operator<=>(const TimerId&) const = default;
 };
 
-/// Whoever drives it asks for the next deadline, sleeps until then and calls run(); the clock is the
-/// caller's. Used on the event loop thread only. Actions run inside run(), may add and drop timers, and must
-/// not call run() again.
+/// Its driver (daemon::Loop) sleeps until next() and then calls run(); the clock is the driver's. Used on the
+/// event loop thread only. Actions run inside run(), may add and drop timers, and must not call run() again.
 class TimerQueue {
  public:
   /// Has `action` run once, at `at` or as soon after it as run() is called.
@@ -40,7 +39,7 @@
     if (is_earliest && on_earlier_deadline_) on_earlier_deadline_();
     return id;
   }
-  /// Cancels the timer, if it is still to come, and clears the handle.
+  /// Cancels the timer, if it has not run yet, and clears the handle.
   void drop(TimerId& id) { entries_.erase(std::exchange(id, {})); }
 
   /// The earliest deadline, if there is any.
@@ -62,10 +61,11 @@
       it = entries_.begin();
     }
   }
-  /// Called as a timer is added that is due before all others.
+  /// Called when a timer is added that is due before all others.
   void set_earlier_deadline_callback(std::function<void()> callback) {
     on_earlier_deadline_ = std::move(callback);
   }
+  /// Timers that have not run yet.
   [[nodiscard]] std::size_t size() const { return entries_.size(); }
 
  private:
--- a/src/http/event_framer.hpp
+++ b/src/http/event_framer.hpp
@@ -28,7 +28,7 @@
 
   /// The bytes after the last complete event: at the stream's end, an event that was truncated.
   [[nodiscard]] const std::string& incomplete_event() const { return buffer_; }
-  /// Whether the incomplete event exceeds kMaxEventBytes: the stream is to be given up.
+  /// Whether the incomplete event exceeds kMaxEventBytes: the stream is to be abandoned.
   [[nodiscard]] bool is_too_long() const { return buffer_.size() > kMaxEventBytes; }
 
  private:
--- a/src/http/frontend.cpp
+++ b/src/http/frontend.cpp
@@ -58,8 +58,8 @@
       std::chrono::duration_cast<std::chrono::milliseconds>(request.client_deadline - now).count();
   facts.is_retry = request.client_retry;
   if (rate_limiter_->rules() == nullptr) return;
-  for (const rate_limit::Header& wanted : rate_limiter_->rules()->headers())
-    facts.headers.push_back(single_value(http_request, wanted.name));
+  for (const rate_limit::Header& field : rate_limiter_->rules()->headers())
+    facts.headers.push_back(single_value(http_request, field.name));
 }
 
 bool Frontend::admit(SlotId client, const Server::Request& http_request, routing::Request& request,
--- a/src/http/frontend.hpp
+++ b/src/http/frontend.hpp
@@ -37,7 +37,7 @@
 
   /// The server that the clients are connected to. Owned by the frontend.
   [[nodiscard]] Server& server() { return server_; }
-  /// By which the engine tells this frontend's requests from another's.
+  /// Identifies this frontend's requests to the engine.
   [[nodiscard]] const engine::ResponseSink& response_sink() const { return *this; }
 
   /// Continues a stream that began in another process: `socket` is its client's, `id` the request's id,
@@ -78,7 +78,7 @@
 
   /// Cancels the request of a client that disconnected, or that is answered without the engine.
   void cancel_request(SlotId client);
-  /// Drops what is kept for a client's request: it has its answer, or nobody waits for it any more.
+  /// Drops what is kept for a client's request: it is answered, or its client has disconnected.
   virtual void forget_request(SlotId client);
 
   engine::Clock clock_;
--- a/src/http/server.cpp
+++ b/src/http/server.cpp
@@ -238,8 +238,8 @@
   if (was_streaming && client->is_chunked()) client->connection->write(kLastChunk);
   client->is_backpressured = false;
   client->has_sent_continue = false;
-  // A stream whose head promised to keep the connection may end during a drain: nobody might be left to
-  // answer a further request.
+  // A stream whose head promised to keep the connection may end during a drain: there might be no
+  // process left to answer a further request.
   if (!client->keep_alive || is_draining_) return begin_lingering_close(id);
   await_next_request(id, *client);
 }
--- a/src/http/server.hpp
+++ b/src/http/server.hpp
@@ -88,7 +88,8 @@
   void end_response(SlotId client);
   /// Closes the connection without the stream's last chunk, by which the client sees that it is truncated.
   void abort(SlotId client) { begin_lingering_close(client); }
-  /// Whether a client that is owed an answer is still connected. Asks the kernel, past what was read.
+  /// Whether a client that is owed an answer is still connected. Queries the kernel, beyond the bytes read so
+  /// far.
   [[nodiscard]] bool is_connected(SlotId client);
 
   // ---- life cycle ----
--- a/src/net/connection.hpp
+++ b/src/net/connection.hpp
@@ -34,7 +34,7 @@
     virtual void on_data(SlotId) = 0;
     /// Bytes of output() were written to the socket.
     virtual void on_sent(SlotId) = 0;
-    /// End of input (asio::error::eof) or an error; the connection is of no more use but to close().
+    /// End of input (asio::error::eof) or an error; the connection can only be closed then.
     virtual void on_ended(SlotId, error_code) = 0;
   };
 
--- a/src/service_discovery/endpoint_watcher.cpp
+++ b/src/service_discovery/endpoint_watcher.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-constexpr std::size_t kMaxInputBytes =
-    256UL * 1024;                              // buffered of a response; the framer holds longer objects
+// Bytes of a response that are buffered; the framer holds longer objects.
+constexpr std::size_t kMaxInputBytes = 256UL * 1024;
 constexpr std::size_t kMaxOutputBytes = 4096;  // a request is far shorter
 constexpr unsigned kStatusOk = 200;
 
@@ -38,7 +38,7 @@
   execute(schedule_.restart(clock_()));
 }
 
-// The configured list may already have the router ask for a restart before start(): there is no watch yet.
+// The router may request a restart on the configured list already, before start(): there is no watch yet.
 void EndpointWatcher::restart() {
   if (schedule_.is_started()) execute(schedule_.restart(clock_()));
 }
--- a/src/service_discovery/json_framer.hpp
+++ b/src/service_discovery/json_framer.hpp
@@ -21,7 +21,7 @@
   [[nodiscard]] std::vector<std::string> append(std::string_view bytes);
   // An object has begun and not ended.
   [[nodiscard]] bool is_inside_object() const { return depth_ > 0; }
-  // Something other than white space stood between two objects, or an object was too long.
+  // There was something other than white space between two objects, or an object was too long.
   [[nodiscard]] bool is_malformed() const { return is_malformed_; }
 
  private:
--- a/src/service_discovery/poll_schedule.hpp
+++ b/src/service_discovery/poll_schedule.hpp
@@ -1,5 +1,5 @@
-// Decides when service discovery is called, which calls stay open and when one is given up. Pure: it is told
-// what happened, at what time and with which random number, and returns which calls to open and to close.
+// Decides when service discovery is called, which calls stay open and when one is closed. Pure: the time and
+// the random number of each event are passed in, and it returns which calls to open and to close.
 // The bounds that it keeps are in poll_timing.hpp.
 #ifndef DISPATCHER_SERVICE_DISCOVERY_POLL_SCHEDULE_HPP_
 #define DISPATCHER_SERVICE_DISCOVERY_POLL_SCHEDULE_HPP_
@@ -39,7 +39,7 @@
     std::vector<CallId> close;
     CallId open = kNoCall;
     bool has_timed_out = false;        // a call or the watch brought nothing within its timeout
-    bool needs_complete_list = false;  // a change was lost: the next call must ask for the complete list
+    bool needs_complete_list = false;  // a change was lost: the next call must request the complete list
   };
 
   // `dispatcher_count`: how many dispatchers call the same service discovery.
--- a/src/upstream/attempt_runner.cpp
+++ b/src/upstream/attempt_runner.cpp
@@ -20,8 +20,8 @@
 void AttemptRunner::start(const AttemptParameters& parameters) {
   const AttemptId attempt = parameters.attempt;
   const Duration usual = pool_.connect_timeout();
-  const Duration wanted = parameters.connect_by == Time{} ? usual : parameters.connect_by - clock_();
-  const SlotId id = pool_.acquire(parameters.endpoint, std::clamp(wanted, Duration(0), usual));
+  const Duration requested = parameters.connect_by == Time{} ? usual : parameters.connect_by - clock_();
+  const SlotId id = pool_.acquire(parameters.endpoint, std::clamp(requested, Duration(0), usual));
   if (!id) return fail_unsent(attempt, AttemptStatus::kConnectFailed);
   connections_[attempt] = id;
   const engine::UpstreamRequest& request = *parameters.request;
--- a/src/upstream/attempt_runner.hpp
+++ b/src/upstream/attempt_runner.hpp
@@ -19,21 +19,24 @@
   AttemptId attempt;
   EndpointId endpoint;
   std::shared_ptr<const engine::UpstreamRequest> request;
-  Time deadline{};    // of the request; the replica is notified of what is left of it
+  Time deadline{};    // of the request; the time left until then is sent to the replica
   Time connect_by{};  // when a new connection must be up; zero: within the usual time
 };
 
 // Starts, pauses and ends attempts. Owned by ReplicaClient; runs on the event loop's thread, and calls the
-// engine only from events and timers, but for Engine::wanted().
+// engine only from events and timers, except Engine::is_still_needed().
 class AttemptRunner : public ExchangeHandler {
  public:
   AttemptRunner(ConnectionPool& pool, ExchangeRunner& exchanges, ReservationClient& reservations,
                 engine::TimerQueue& timers, engine::Clock clock);
+  // Must be called before the first attempt; `engine` must outlive the last event.
   void attach(engine::Engine& engine) { engine_ = &engine; }
 
   void start(const AttemptParameters& parameters);
-  // Ends an attempt without notifying the engine. False: it can't have reached the replica as a whole.
+  // Ends an attempt without notifying the engine. False: the replica can't have received the complete
+  // request.
   [[nodiscard]] bool abandon(AttemptId attempt);
+  // Stops reading an attempt's response until resume().
   void pause(AttemptId attempt);
   void resume(AttemptId attempt);
   [[nodiscard]] bool is_connected(AttemptId attempt);
@@ -55,8 +58,8 @@
   engine::TimerQueue& timers_;
   engine::Clock clock_;
   engine::Engine* engine_ = nullptr;
-  std::map<AttemptId, SlotId>
-      connections_;  // an empty id: it has failed, and the engine is yet to be notified
+  // An empty id: the attempt has failed, and the engine has not been notified yet.
+  std::map<AttemptId, SlotId> connections_;
 };
 
 }  // namespace dispatcher::upstream
--- a/src/upstream/connect_timeout_estimator.hpp
+++ b/src/upstream/connect_timeout_estimator.hpp
@@ -7,7 +7,7 @@
 
 namespace dispatcher::upstream {
 
-// Estimates from the connections to all endpoints. One timeout tells only of its own endpoint, so the
+// Estimates from the connections to all endpoints. One timeout is evidence of its own endpoint only, so the
 // estimate doubles only after several in a row, and stays so until a connection has been established. Not
 // thread-safe; owned by ConnectionPool.
 class ConnectTimeoutEstimator {
--- a/src/upstream/connection_pool.cpp
+++ b/src/upstream/connection_pool.cpp
@@ -10,9 +10,9 @@
 
 namespace {
 
-// Bytes that one connection buffers: a response is read as fast as its client takes it ...
+// Bytes of a response that one connection buffers: it is read as fast as its client takes it.
 constexpr std::size_t kMaxInputBytes = std::size_t{64} * 1024;
-// ... and a request is written whole.
+// Bytes of requests that one connection buffers: a complete request is queued at once.
 constexpr std::size_t kMaxOutputBytes = http::kMaxBodyBytes + 2 * http::kMaxHeadBytes;
 
 // The part of the replica's idle timeout after which a connection is not used any more, so that no request
@@ -27,8 +27,8 @@
 // open connections stay silent. A new one never comes up then, so that nothing can have run.
 constexpr Duration kUnresponsiveAfter = milliseconds(400);
 
-// Where idle connections are reset at their next request, requests that may not be repeated are lost by it.
-// For so long after such a reset, new connections are worth their handshake.
+// Where idle connections are reset at their next request, requests that are not idempotent are lost. For so
+// long after such a reset, only new connections are used, at the cost of a handshake each.
 constexpr Duration kReuseQuarantine = milliseconds(10000);
 
 // The shortest connect timeout is this part of the longest: a busy machine accepts late.
--- a/src/upstream/connection_pool.hpp
+++ b/src/upstream/connection_pool.hpp
@@ -40,7 +40,7 @@
 // Who is notified of what happens on the pool's connections; called from the event loop's thread.
 class ConnectionHandler : public net::Connection::Owner {
  public:
-  // A new connection has not come up in time. It is still in the pool.
+  // A new connection was not established in time. It is still in the pool.
   virtual void on_connect_timeout(SlotId id) = 0;
 };
 
@@ -68,15 +68,16 @@
   [[nodiscard]] SlotId adopt(const EndpointId& name, net::UniqueFd socket);
   // Keeps a connection whose exchange has ended for the next one, or closes it where it can't be kept.
   void park(SlotId id);
-  // Closes a connection at once, whatever it carries; its handler hears nothing more. Unknown ids are
+  // Closes a connection at once, whatever it carries; its handler is not called any more. Unknown ids are
   // ignored.
   void close(SlotId id);
   // Closes the connection that has been idle for longest. False: none is idle.
   bool evict_idle();
 
+  // To be called when a new connection is established: ends its connect timeout.
   void on_connected(PooledConnection& connection);
-  // Must a connection that has just come up not be written to? Its endpoint has been draining for too long,
-  // or listens elsewhere by now, and the router chose it before it was notified of that.
+  // Whether a connection that was just established must not be written to: its endpoint has been draining for
+  // too long or has another address by now, and the router chose it before it was notified of that.
   [[nodiscard]] bool is_outdated(const PooledConnection& connection);
   // A reused connection broke without a response: for a while, only new connections are used.
   void quarantine_reuse() { last_reuse_failure_ = clock_(); }
@@ -91,7 +92,7 @@
   [[nodiscard]] std::size_t size() const { return connections_.size(); }
   // How long to wait for a new connection, by how long others took.
   [[nodiscard]] Duration connect_timeout() const { return connect_timeout_estimator_.timeout(); }
-  // Has the endpoint an idle connection that may be used again?
+  // Whether the endpoint has an idle connection that may be used again.
   [[nodiscard]] bool has_reusable_connection(const Endpoint& endpoint);
 
  private:
--- a/src/upstream/endpoint.hpp
+++ b/src/upstream/endpoint.hpp
@@ -46,7 +46,7 @@
   Time awaiting_since{};    // since when the next bytes from it are due; zero: none are
   std::deque<SlotId> idle;  // parked connections, the last used at the back
 
-  // Has it left bytes that are due unsent for longer than `limit`?
+  // Whether bytes that are due from it have not come for longer than `limit`.
   [[nodiscard]] bool is_unresponsive(Time now, Duration limit) const {
     return awaiting_since != Time{} && now - awaiting_since > limit;
   }
--- a/src/upstream/exchange.hpp
+++ b/src/upstream/exchange.hpp
@@ -20,13 +20,13 @@
 
 // What a connection is used for.
 enum class ExchangeKind {
-  kNone,         // idle, or being opened for nobody any more
+  kNone,         // idle, or being opened for an exchange that has been cancelled
   kAttempt,      // an attempt of a client's request
-  kReservation,  // a call that reserves a place for a request
+  kReservation,  // a call that reserves a slot for a request
   kRelease,      // a call that releases what is reserved for a request
 };
 
-// What is to be sent, and for whom.
+// The HTTP request of an exchange, and what it is for.
 struct ExchangeRequest {
   ExchangeKind kind = ExchangeKind::kNone;
   AttemptId attempt;     // of kAttempt and kReservation
@@ -45,12 +45,12 @@
   engine::AttemptResult result;    // of kAttempt only
 };
 
-// Whoever started an exchange. Must outlive it. All calls come from the event loop's thread and may start or
+// The starter of an exchange. Must outlive it. All calls come from the event loop's thread and may start or
 // end other exchanges.
 class ExchangeHandler {
  public:
   virtual ~ExchangeHandler() = default;
-  // Called right before the first byte is written. False: the exchange is no longer wanted; its connection
+  // Called right before the first byte is written. False: the exchange is no longer needed; its connection
   // goes back to the pool and no further call is made.
   [[nodiscard]] virtual bool confirm_write(const ExchangeRequest&) { return true; }
   // Complete server-sent events of a response, in order.
--- a/src/upstream/exchange_runner.cpp
+++ b/src/upstream/exchange_runner.cpp
@@ -17,7 +17,7 @@
 
 unsigned http_status(Exchange& exchange) { return exchange.reader.message().result_int(); }
 
-// Does the response carry the events of an attempt's stream?
+// Whether the response carries the events of an attempt's stream.
 bool is_event_stream(Exchange& exchange) {
   return exchange.request.kind == ExchangeKind::kAttempt && http_status(exchange) == kHttpOk;
 }
@@ -70,7 +70,7 @@
   pool_.on_connected(*connection);
   const ExchangeKind kind = connection->exchange.request.kind;
   const bool gives_work = kind == ExchangeKind::kAttempt || kind == ExchangeKind::kReservation;
-  // A release may go to any replica that runs, also to one that drains.
+  // A release may be sent to any replica that runs, also to one that is draining.
   if (gives_work && pool_.is_outdated(*connection)) return on_connection_broken(id);
   write_request(id, *connection);
 }
@@ -216,7 +216,7 @@
   if (connection != nullptr && connection->exchange.is_active()) complete_exchange(id);
 }
 
-// The connection failed, or was never made.
+// The connection failed, or was never established.
 void ExchangeRunner::on_connection_broken(SlotId id) {
   const PooledConnection* connection = pool_.find(id);
   if (connection == nullptr) return;
@@ -224,7 +224,7 @@
   fail_exchange(id, is_sent ? AttemptStatus::kReset : AttemptStatus::kConnectFailed);
 }
 
-// The replica runs, and its response can't be read: it may have done what was asked for.
+// The replica runs, but its response can't be parsed: it may have executed the request.
 void ExchangeRunner::on_malformed_response(SlotId id, std::string_view reason) {
   const PooledConnection* connection = pool_.find(id);
   if (connection == nullptr) return;
--- a/src/upstream/exchange_runner.hpp
+++ b/src/upstream/exchange_runner.hpp
@@ -11,10 +11,10 @@
 
 namespace dispatcher::upstream {
 
-// Does a failure count against the endpoint's health?
+// Whether a failure counts against the endpoint's health.
 enum class FailureAttribution { kEndpoint, kNone };
 
-// Where a response in chunks stands that another process began to read.
+// The position in a chunked response that another process began to read.
 struct ResponsePosition {
   std::uint64_t chunk_left = 0;  // bytes that the chunk being read still lacks
   bool keep_alive = true;        // the connection may be reused after the response
--- a/src/upstream/protocol.cpp
+++ b/src/upstream/protocol.cpp
@@ -29,7 +29,7 @@
   return request_head(method, "/kv/leases/" + request_id.value()) + "Content-Length: 0\r\n\r\n";
 }
 
-// Is the request itself at fault, whichever replica it is sent to, and not the time or the load?
+// Whether the status says that the request itself is invalid, at any replica and at any time or load.
 bool rejects_request(int status) {
   const bool is_temporary =
       status == kHttpRequestTimeout || status == kHttpTooEarly || status == kHttpTooManyRequests;
@@ -46,7 +46,7 @@
   return !value || (*value >= 0 && *value < kMaxReportedValue);
 }
 
-// An unreadable report counts as none: the response is good all the same.
+// An unreadable report counts as none: the response is valid all the same.
 routing::LoadReport parse_report(std::string_view text) {
   const Json fields = Json::parse(text, nullptr, false);
   if (!fields.is_object()) return {};
@@ -60,7 +60,8 @@
   }
 }
 
-// A stream that has ended: whole, or within an event. A comment needs no blank line at the very end.
+// Interprets the end of a stream: complete, or truncated within an event. A comment at the very end needs no
+// blank line after it.
 void interpret_stream_end(std::string_view unfinished_event, engine::AttemptResult& result) {
   if (unfinished_event.starts_with(kLoadComment)) {
     result.report = parse_report(unfinished_event.substr(kLoadComment.size()));
--- a/src/upstream/protocol.hpp
+++ b/src/upstream/protocol.hpp
@@ -27,7 +27,7 @@
 
 // The request of an attempt. `time_left`: until the deadline of the client's request.
 [[nodiscard]] std::string request_text(const engine::UpstreamRequest& request, engine::Duration time_left);
-// The calls that reserve a place for a request, and that release what is reserved for it.
+// The calls that reserve a slot for a request, and that release what is reserved for it.
 [[nodiscard]] std::string reserve_text(const engine::RequestId& request_id);
 [[nodiscard]] std::string release_text(const engine::RequestId& request_id);
 
@@ -38,7 +38,7 @@
 [[nodiscard]] engine::AttemptResult interpret_response(const http::ResponseReader::Message& response,
                                                        std::string_view unfinished_event,
                                                        engine::AttemptResult result);
-// Does the protocol provide for this status code of a replica?
+// Whether the protocol defines this status code for responses of replicas.
 [[nodiscard]] bool is_expected_status(int status);
 
 }  // namespace dispatcher::upstream
--- a/src/upstream/release_targets.cpp
+++ b/src/upstream/release_targets.cpp
@@ -10,7 +10,8 @@
 
 // Calls of one round: the other dispatchers of the fleet may be calling as well.
 constexpr std::size_t kMaxRoundWidth = 8;
-// Rounds at the first interval, two reservation limits' worth: what can be reached was found by then.
+// Rounds at the first interval: they cover two reservation limits, within which any reachable replica is
+// found.
 constexpr int kRoundsBeforeBackoff = 12;
 // After an outage, the next round must not be far.
 constexpr Duration kMaxInterval = std::chrono::seconds(1);
--- a/src/upstream/release_targets.hpp
+++ b/src/upstream/release_targets.hpp
@@ -36,7 +36,7 @@
   // The endpoints to call in this round: a single one where it is known to be reachable, then twice as many
   // in each round up to a limit. Empty: there are no candidates, or the time is over.
   [[nodiscard]] std::vector<EndpointId> next_round(Time now, const std::vector<ReleaseCandidate>& candidates);
-  // From the last round to the next: longer with each round once many have reached nobody.
+  // From the last round to the next: grows with each round once many have reached no replica.
   [[nodiscard]] Duration next_interval() const;
   [[nodiscard]] bool has_expired(Time now) const { return now >= started_ + give_up_after_; }
   [[nodiscard]] Time started() const { return started_; }
--- a/src/upstream/replica_client.hpp
+++ b/src/upstream/replica_client.hpp
@@ -1,4 +1,4 @@
-// The dispatcher's side towards the replicas: the engine's UpstreamClient over pooled HTTP/1.1 connections.
+// The client of the replicas: the engine's UpstreamClient over pooled HTTP/1.1 connections.
 #ifndef DISPATCHER_UPSTREAM_REPLICA_CLIENT_HPP_
 #define DISPATCHER_UPSTREAM_REPLICA_CLIENT_HPP_
 
@@ -19,7 +19,7 @@
 
 // Composes the connection pool, attempts, reservation calls and stream handover. Owned by the daemon's
 // Dispatcher; runs on the event loop's thread, and must outlive the loop's last event. Calls the engine from
-// events and timers only, but for Engine::wanted().
+// events and timers only, except Engine::is_still_needed().
 class ReplicaClient : public engine::UpstreamClient {
  public:
   ReplicaClient(boost::asio::io_context& io, engine::TimerQueue& timers, const engine::Clock& clock,
--- a/src/upstream/reservation_client.cpp
+++ b/src/upstream/reservation_client.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-// Release calls may have this part of all connections: a burst of them must leave room for attempts.
+// Release calls may have this part of all connections: a burst of them must leave capacity for attempts.
 constexpr std::size_t kReleaseConnectionsDivisor = 4;
 
 ReservationReleaser::Limits release_limits(const Options& options) {
@@ -54,7 +54,7 @@
   const SlotId id = pool_.acquire(endpoint, round_interval_);
   if (!id) return {};
   exchanges_.start(id, *this, {ExchangeKind::kRelease, {}, request_id, release_text(request_id)});
-  timers_.drop(pool_.find(id)->timer);  // its response counts also while further replicas are asked
+  timers_.drop(pool_.find(id)->timer);  // its response counts also while further replicas are called
   return id;
 }
 
--- a/src/upstream/reservation_client.hpp
+++ b/src/upstream/reservation_client.hpp
@@ -1,4 +1,4 @@
-// The calls to replicas that reserve a place for a request, or release what is reserved for it.
+// The calls to replicas that reserve a slot for a request, or release what is reserved for it.
 #ifndef DISPATCHER_UPSTREAM_RESERVATION_CLIENT_HPP_
 #define DISPATCHER_UPSTREAM_RESERVATION_CLIENT_HPP_
 
@@ -20,18 +20,19 @@
  public:
   ReservationClient(ConnectionPool& pool, ExchangeRunner& exchanges, engine::TimerQueue& timers,
                     const engine::Clock& clock, const engine::Log& log, const Options& options);
-  // Without an engine, results of calls go to nobody.
+  // Without an engine, results of calls are dropped.
   void attach(engine::Engine& engine) { engine_ = &engine; }
   void apply_options(const Options& options);
 
-  // Asks an endpoint to reserve a place for the request; Engine::hold_answer() is notified of its response.
+  // Requests a slot for the request from an endpoint; Engine::on_reservation_result() is called with its
+  // answer.
   void reserve(AttemptId attempt, const EndpointId& endpoint, const RequestId& request_id);
-  // As engine::UpstreamClient::release().
+  // As engine::UpstreamClient::release_reservation().
   void release(const RequestId& request_id, Time until);
   // Ends the calls of a release under way: they must not release what an attempt written now reserves.
   void cancel_release(const RequestId& request_id) { releaser_.cancel(request_id); }
 
-  // Releases that have not come to their end.
+  // Releases that have not ended.
   [[nodiscard]] std::size_t pending_releases() const { return releaser_.pending(); }
   // Those of them that the process's end must wait for.
   [[nodiscard]] std::size_t releases_blocking_shutdown() const { return releaser_.blocking_shutdown(); }
--- a/src/upstream/reservation_releaser.cpp
+++ b/src/upstream/reservation_releaser.cpp
@@ -8,11 +8,11 @@
 
 namespace {
 
-// A network partition may last for many seconds; a release that reached nobody for longer is given up.
+// A network partition may last for many seconds; a release that reached no replica for longer is abandoned.
 constexpr Duration kGiveUpAfter = std::chrono::seconds(30);
-// A process told to end waits for so long for a replica that can be reached.
+// A graceful shutdown waits this long for a replica that can be reached.
 constexpr Duration kMaxShutdownWait = std::chrono::seconds(3);
-// Calls under way at once for one request: what is older hardly comes through.
+// Calls under way at once for one request: older ones hardly succeed any more.
 constexpr std::size_t kMaxCallsPerRelease = 12;
 
 }  // namespace
@@ -95,7 +95,7 @@
   Release& release = it->second;
   if (std::erase(release.calls, call) == 0) return;
   --call_count_;
-  // Where all replicas refuse at once, the next round waits for its time.
+  // Where all replicas refuse the connection at once, the next round starts on schedule.
   const auto calls_made = static_cast<std::size_t>(release.targets.call_count());
   if (release.calls.empty() && calls_made < transport_.release_candidates().size()) start_round(request_id);
 }
--- a/src/upstream/reservation_releaser.hpp
+++ b/src/upstream/reservation_releaser.hpp
@@ -54,9 +54,9 @@
   void on_call_answered(const RequestId& request_id, SlotId call);
   void on_call_failed(const RequestId& request_id, SlotId call);
 
-  // Releases that have not come to their end.
+  // Releases that have not ended.
   [[nodiscard]] std::size_t pending() const { return releases_.size(); }
-  // Those that a process told to end waits for: not those that have reached nobody for long.
+  // Those that a graceful shutdown waits for: all but those that have reached no replica for long.
   [[nodiscard]] std::size_t blocking_shutdown() const;
 
  private:
--- a/src/upstream/stream_handover.hpp
+++ b/src/upstream/stream_handover.hpp
@@ -27,9 +27,10 @@
   StreamHandover(ConnectionPool& pool, ExchangeRunner& exchanges, AttemptRunner& attempts)
       : pool_(pool), exchanges_(exchanges), attempts_(attempts) {}
 
-  // Stops reading the attempt's response. True: it stands between two events with no read under way, and may
+  // Stops reading the attempt's response. True: it is between two events with no read under way, and may
   // be detached; else try again later.
   [[nodiscard]] bool suspend_stream(AttemptId attempt);
+  // Reads the response again, where suspend_stream() had stopped that.
   void resume_stream(AttemptId attempt);
   // Ends the attempt here without closing the connection itself. Only after suspend_stream() returned true.
   [[nodiscard]] DetachedStream detach_stream(AttemptId attempt);
