--- a/src/engine/active_request.hpp
+++ b/src/engine/active_request.hpp
@@ -21,7 +21,7 @@
   Time started{};
   bool is_active = true;
   bool at_reader = false;  ///< the endpoint is a reader, which may hold a state for the request
-  TimerQueue::Id deadline_timer;
+  TimerId deadline_timer;
 };
 
 /// Plain data, owned by the RequestTable; used on the event loop thread only.
@@ -41,13 +41,25 @@
   bool is_paused = false;                ///< the client's buffer is full
   bool has_timed_out = false;            ///< its last attempt to end did
   ReservationTracker reservations;
-  TimerQueue::Id overdue_timer, idle_timer, release_timer;
+  TimerId overdue_timer, idle_timer, release_timer;
 
   [[nodiscard]] Attempt& attempt(int number) { return attempts.at(static_cast<std::size_t>(number)); }
   [[nodiscard]] const Attempt& attempt(int number) const {
     return attempts.at(static_cast<std::size_t>(number));
   }
   [[nodiscard]] int attempt_count() const { return static_cast<int>(attempts.size()); }
+  /// The end of an attempt at `now`, as it is reported to the router; tokens, evidence and load are empty.
+  [[nodiscard]] routing::AttemptCompleted completion(int number, AttemptStatus status, Time now) const {
+    const Attempt& ended = attempt(number);
+    routing::AttemptCompleted completed;
+    completed.request = id;
+    completed.endpoint = ended.endpoint;
+    completed.attempt = number;
+    completed.status = status;
+    completed.elapsed = now - ended.started;
+    completed.finished = is_answered;
+    return completed;
+  }
   [[nodiscard]] bool has_active_attempt() const {
     return std::any_of(attempts.begin(), attempts.end(),
                        [](const Attempt& candidate) { return candidate.is_active; });
--- a/src/engine/engine.cpp
+++ b/src/engine/engine.cpp
@@ -78,7 +78,7 @@
   context_.request_log.log_answered(id, "client-gone");
   attempts_.terminate_unconnected(slot);
   router_.handle(routing::ClientGone{id});
-  // The router leaves a running stream alone; nobody reads it any more, so its work must stop here.
+  // The router does not cancel a running stream; its client has disconnected, so it must be cancelled here.
   if (streaming_attempt) attempts_.terminate({slot, *streaming_attempt}, AttemptStatus::kCancelled);
   cleanup_.schedule_if_needed(slot, ReservationCleanup::ScheduledRelease::kKeep);
   requests_.remove_if_complete(slot);
@@ -113,8 +113,8 @@
 
 bool Engine::is_known_endpoint(const EndpointId& endpoint) const { return endpoints_.is_known(endpoint); }
 
-void Engine::set_administrative_drain(const EndpointId& endpoint, bool is_offline) {
-  router_.handle(routing::AdministrativeDrain{endpoint, is_offline});
+void Engine::set_administrative_state(const EndpointId& endpoint, AdministrativeState state) {
+  router_.handle(routing::AdministrativeDrain{endpoint, state});
 }
 
 // ---- hot restart ----
@@ -157,10 +157,10 @@
   if (requests_.find_active(id)) attempts_.complete(id, result);
 }
 
-void Engine::on_reservation_result(AttemptId id, const EndpointId& endpoint, bool is_reserved) {
+void Engine::on_reservation_result(AttemptId id, const EndpointId& endpoint, ReservationOutcome outcome) {
   const ActiveAttempt active = requests_.find_active(id);
   if (!active) return;
-  router_.handle(routing::ReservationResult{active.request->id, endpoint, is_reserved});
+  router_.handle(routing::ReservationResult{active.request->id, endpoint, outcome});
 }
 
 bool Engine::is_still_needed(AttemptId id) {
--- a/src/upstream/endpoint.hpp
+++ b/src/upstream/endpoint.hpp
@@ -26,6 +26,10 @@
   int cell = 0;  // its failure domain within the zone
 };
 
+// What a list of addresses covers: all replicas, so that those it does not name have left, or only those that
+// changed.
+enum class ListScope { kComplete, kChanges };
+
 // The pool's state of one replica. Owned by ConnectionPool, which keeps it for as long as the replica is
 // listed or has open connections.
 struct Endpoint {
@@ -42,7 +46,7 @@
   Time awaiting_since{};    // since when the next bytes from it are due; zero: none are
   std::deque<SlotId> idle;  // parked connections, the last used at the back
 
-  // Has it left bytes that are due unsent for longer than `limit`?
+  // Whether bytes that are due from it have not come for longer than `limit`.
   [[nodiscard]] bool is_unresponsive(Time now, Duration limit) const {
     return awaiting_since != Time{} && now - awaiting_since > limit;
   }
--- a/src/upstream/release_targets.cpp
+++ b/src/upstream/release_targets.cpp
@@ -10,7 +10,8 @@
 
 // Calls of one round: the other dispatchers of the fleet may be calling as well.
 constexpr std::size_t kMaxRoundWidth = 8;
-// Rounds at the first interval, two reservation limits' worth: what can be reached was found by then.
+// Rounds at the first interval: they cover two reservation limits, within which any reachable replica is
+// found.
 constexpr int kRoundsBeforeBackoff = 12;
 // After an outage, the next round must not be far.
 constexpr Duration kMaxInterval = std::chrono::seconds(1);
@@ -32,7 +33,7 @@
 const ReleaseCandidate* ReleaseTargets::best(const std::vector<ReleaseCandidate>& candidates) const {
   const auto rank = [&](const ReleaseCandidate& candidate) {
     return std::tuple(-calls_to(calls_by_zone_, candidate.zone),
-                      -calls_to(calls_by_cell_, Cell(candidate.zone, candidate.cell)),
+                      -calls_to(calls_by_cell_, routing::CellId{candidate.zone, candidate.cell}),
                       !candidate.is_unresponsive, candidate.has_idle_connection, candidate.last_received);
   };
   const ReleaseCandidate* found = nullptr;
--- a/src/upstream/release_targets.hpp
+++ b/src/upstream/release_targets.hpp
@@ -5,7 +5,6 @@
 #include <map>
 #include <set>
 #include <string>
-#include <utility>
 #include <vector>
 
 #include "routing/identifiers.hpp"
@@ -37,15 +36,13 @@
   // The endpoints to call in this round: a single one where it is known to be reachable, then twice as many
   // in each round up to a limit. Empty: there are no candidates, or the time is over.
   [[nodiscard]] std::vector<EndpointId> next_round(Time now, const std::vector<ReleaseCandidate>& candidates);
-  // From the last round to the next: longer with each round once many have reached nobody.
+  // From the last round to the next: grows with each round once many have reached no replica.
   [[nodiscard]] Duration next_interval() const;
   [[nodiscard]] bool has_expired(Time now) const { return now >= started_ + give_up_after_; }
   [[nodiscard]] Time started() const { return started_; }
   [[nodiscard]] int call_count() const { return call_count_; }
 
  private:
-  using Cell = std::pair<std::string, int>;  // a zone, and the cell within it
-
   [[nodiscard]] const ReleaseCandidate* best(const std::vector<ReleaseCandidate>& candidates) const;
   void note_call(const ReleaseCandidate& target);
 
@@ -57,7 +54,7 @@
   int round_count_ = 0;
   std::set<EndpointId> called_;  // endpoints called since all were last called
   std::map<std::string, int> calls_by_zone_;
-  std::map<Cell, int> calls_by_cell_;
+  std::map<routing::CellId, int> calls_by_cell_;
 };
 
 }  // namespace dispatcher::upstream
--- a/src/upstream/replica_client.hpp
+++ b/src/upstream/replica_client.hpp
@@ -1,4 +1,4 @@
-// The dispatcher's side towards the replicas: the engine's UpstreamClient over pooled HTTP/1.1 connections.
+// The client of the replicas: the engine's UpstreamClient over pooled HTTP/1.1 connections.
 #ifndef DISPATCHER_UPSTREAM_REPLICA_CLIENT_HPP_
 #define DISPATCHER_UPSTREAM_REPLICA_CLIENT_HPP_
 
@@ -19,7 +19,7 @@
 
 // Composes the connection pool, attempts, reservation calls and stream handover. Owned by the daemon's
 // Dispatcher; runs on the event loop's thread, and must outlive the loop's last event. Calls the engine from
-// events and timers only, but for Engine::wanted().
+// events and timers only, except Engine::is_still_needed().
 class ReplicaClient : public engine::UpstreamClient {
  public:
   ReplicaClient(boost::asio::io_context& io, engine::TimerQueue& timers, const engine::Clock& clock,
@@ -30,10 +30,10 @@
   void attach(engine::Engine& engine);
 
   // See ConnectionPool::update_endpoints().
-  void update_endpoints(const std::vector<EndpointAddress>& addresses, bool is_complete);
+  void update_endpoints(const std::vector<EndpointAddress>& addresses, ListScope scope);
   // A drained endpoint gets no first byte of anything any more: exchanges that wait for a connection to it
   // fail as not sent. Those that run go on.
-  void set_administratively_drained(const EndpointId& endpoint, bool is_drained);
+  void set_administrative_state(const EndpointId& endpoint, routing::AdministrativeState state);
   // Limits and times for what is opened from now on.
   void apply_options(const Options& options);
 
--- a/src/upstream/reservation_client.cpp
+++ b/src/upstream/reservation_client.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-// Release calls may have this part of all connections: a burst of them must leave room for attempts.
+// Release calls may have this part of all connections: a burst of them must leave capacity for attempts.
 constexpr std::size_t kReleaseConnectionsDivisor = 4;
 
 ReservationReleaser::Limits release_limits(const Options& options) {
@@ -54,7 +54,7 @@
   const SlotId id = pool_.acquire(endpoint, round_interval_);
   if (!id) return {};
   exchanges_.start(id, *this, {ExchangeKind::kRelease, {}, request_id, release_text(request_id)});
-  timers_.drop(pool_.find(id)->timer);  // its response counts also while further replicas are asked
+  timers_.drop(pool_.find(id)->timer);  // its response counts also while further replicas are called
   return id;
 }
 
@@ -75,9 +75,12 @@
 }
 
 void ReservationClient::on_reservation_ended(const ExchangeOutcome& outcome) {
-  const bool is_granted = outcome.http_status == kHttpOk;
+  using engine::ReservationOutcome;
+  const bool is_reserved = outcome.http_status == kHttpOk;
   const bool is_denied = outcome.http_status == kHttpConflict;
-  if (is_granted || is_denied) engine_->on_reservation_result(outcome.attempt, outcome.endpoint, is_granted);
+  if (!is_reserved && !is_denied) return;
+  engine_->on_reservation_result(outcome.attempt, outcome.endpoint,
+                                 is_reserved ? ReservationOutcome::kReserved : ReservationOutcome::kDenied);
 }
 
 void ReservationClient::on_release_ended(const ExchangeOutcome& outcome) {
--- a/src/upstream/reservation_releaser.hpp
+++ b/src/upstream/reservation_releaser.hpp
@@ -54,9 +54,9 @@
   void on_call_answered(const RequestId& request_id, SlotId call);
   void on_call_failed(const RequestId& request_id, SlotId call);
 
-  // Releases that have not come to their end.
+  // Releases that have not ended.
   [[nodiscard]] std::size_t pending() const { return releases_.size(); }
-  // Those that a process told to end waits for: not those that have reached nobody for long.
+  // Those that a graceful shutdown waits for: all but those that have reached no replica for long.
   [[nodiscard]] std::size_t blocking_shutdown() const;
 
  private:
@@ -65,7 +65,7 @@
     std::deque<SlotId> calls;  // under way, the oldest at the front
     Time until{};
     bool is_awaiting_repeat = false;  // answered, and to be repeated
-    engine::TimerQueue::Id timer;     // of the next round, or the repetition
+    engine::TimerId timer;            // of the next round, or the repetition
   };
   [[nodiscard]] ReleaseTargets new_targets(Time now) const;
   void restart(const RequestId& request_id, Release& release);
