--- a/include/routing/events.hpp
+++ b/include/routing/events.hpp
@@ -73,7 +73,7 @@
 
 // An endpoint's report of its load; fields that it does not report are empty.
 struct LoadReport {
-  std::optional<double> in_hand, memory_share, prompt_kilotokens;
+  std::optional<double> in_flight, memory_share, prompt_kilotokens;
 };
 
 // The end of an attempt: exactly one for each StartAttempt. `finished`: the request got its final answer with
--- a/include/routing/settings.hpp
+++ b/include/routing/settings.hpp
@@ -28,7 +28,16 @@
 enum class ReportSource { kNone, kInAnswers, kInProbes };
 
 // The fields that load reports have.
-enum class LoadField { kInHand, kQueued, kBusy, kLatency, kRate, kFailRate, kMemoryShare, kPromptKilotokens };
+enum class LoadField {
+  kInFlight,
+  kQueued,
+  kBusy,
+  kLatency,
+  kRate,
+  kFailRate,
+  kMemoryShare,
+  kPromptKilotokens
+};
 
 // What EndpointInfo::weight stands for.
 enum class WeightMeaning { kNothing, kNominal, kRough, kLive };
--- a/src/json/load_report.cpp
+++ b/src/json/load_report.cpp
@@ -16,7 +16,7 @@
 
 routing::LoadReport parse_load_report(const Json& fields) {
   routing::LoadReport report;
-  report.in_hand = optional_number(fields, load_report_keys::kInFlight);
+  report.in_flight = optional_number(fields, load_report_keys::kInFlight);
   report.memory_share = optional_number(fields, load_report_keys::kMemoryShare);
   report.prompt_kilotokens = optional_number(fields, load_report_keys::kPromptKilotokens);
   return report;
--- a/src/routing/endpoint.hpp
+++ b/src/routing/endpoint.hpp
@@ -64,7 +64,7 @@
 
   // Takes a load report over; one without any known field is ignored.
   void record_report(const LoadReport& received, Time now) {
-    if (!received.in_hand && !received.memory_share && !received.prompt_kilotokens) return;
+    if (!received.in_flight && !received.memory_share && !received.prompt_kilotokens) return;
     report = received;
     reported_at = now;
     tokens_since_report = 0;
--- a/src/routing/load_estimate.cpp
+++ b/src/routing/load_estimate.cpp
@@ -36,7 +36,7 @@
 }
 
 double stream_load(const Context& context, const Endpoint& endpoint) {
-  const double streams = endpoint.report.in_hand ? *endpoint.report.in_hand : endpoint.active_streams;
+  const double streams = endpoint.report.in_flight ? *endpoint.report.in_flight : endpoint.active_streams;
   return (streams + 1) * slowdown(context, endpoint) / effective_capacity(context, endpoint);
 }
 
--- a/src/settings/parse.cpp
+++ b/src/settings/parse.cpp
@@ -46,7 +46,7 @@
                                                          {"piggyback", ReportSource::kInAnswers},
                                                          {"pull", ReportSource::kInProbes}};
 constexpr EnumName<LoadField> kLoadFieldNames[] = {
-    {json::load_report_keys::kInFlight, LoadField::kInHand},
+    {json::load_report_keys::kInFlight, LoadField::kInFlight},
     {json::load_report_keys::kQueued, LoadField::kQueued},
     {json::load_report_keys::kBusy, LoadField::kBusy},
     {json::load_report_keys::kLatency, LoadField::kLatency},
--- a/src/simulation/simulated_fleet.cpp
+++ b/src/simulation/simulated_fleet.cpp
@@ -178,7 +178,7 @@
 void SimulatedFleet::update_report(Endpoint& endpoint) {
   if (clock_() - endpoint.reported_at < parameters_.report_interval) return;
   endpoint.reported_at = clock_();
-  endpoint.report.in_hand = static_cast<double>(endpoint.busy_slots + endpoint.queue.size());
+  endpoint.report.in_flight = static_cast<double>(endpoint.busy_slots + endpoint.queue.size());
 }
 
 void SimulatedFleet::cancel(Work work) {
--- a/src/upstream/protocol.cpp
+++ b/src/upstream/protocol.cpp
@@ -52,7 +52,7 @@
   if (!fields.is_object()) return {};
   try {
     const routing::LoadReport report = json::parse_load_report(fields);
-    const bool are_plausible = is_plausible(report.in_hand) && is_plausible(report.memory_share) &&
+    const bool are_plausible = is_plausible(report.in_flight) && is_plausible(report.memory_share) &&
                                is_plausible(report.prompt_kilotokens);
     return are_plausible ? report : routing::LoadReport{};
   } catch (const json::ParseError&) {
--- a/tests/conformance/reference_scorer.cpp
+++ b/tests/conformance/reference_scorer.cpp
@@ -18,7 +18,7 @@
 double clamp_to_unit(double x) { return std::clamp(x, 0.0, 1.0); }
 
 bool has_load(const LoadReport& report) {
-  return report.in_hand || report.memory_share || report.prompt_kilotokens;
+  return report.in_flight || report.memory_share || report.prompt_kilotokens;
 }
 
 std::set<EndpointId> with_fewest(const std::map<EndpointId, double>& counts) {
@@ -286,7 +286,7 @@
   std::map<EndpointId, double> result;
   for (const auto& [id, endpoint] : endpoints_) {
     if (endpoint.role == Role::kWriter && is_ready(endpoint))
-      result[id] = endpoint.report.in_hand.value_or(own_streams(id));
+      result[id] = endpoint.report.in_flight.value_or(own_streams(id));
   }
   return result;
 }
--- a/tests/conformance/table_fields.cpp
+++ b/tests/conformance/table_fields.cpp
@@ -124,7 +124,7 @@
     return report;
   }
   require_known_fields(json, {"in_hand", "waiting", "memory"});
-  report.in_hand = parse_optional(json.value("in_hand", Json()));
+  report.in_flight = parse_optional(json.value("in_hand", Json()));
   report.prompt_kilotokens = parse_optional(json.value("waiting", Json()));
   report.memory_share = parse_optional(json.value("memory", Json()));
   return report;
--- a/tests/dispatcher/engine_digest_fixture.cpp
+++ b/tests/dispatcher/engine_digest_fixture.cpp
@@ -196,7 +196,7 @@
     result.evidence = status == AttemptStatus::kFull ? routing::AttemptEvidence::kStateNotFound
                                                      : routing::AttemptEvidence::kEndpointRunning;
   }
-  if (dice_.one_in(3)) result.report.in_hand = dice_.below(40);
+  if (dice_.one_in(3)) result.report.in_flight = dice_.below(40);
   if (dice_.one_in(3)) result.report.memory_share = dice_.below(100) / 128.0;
   if (dice_.one_in(3)) result.report.prompt_kilotokens = dice_.below(100) / 4.0;
   return result;
--- a/tests/routing/script_runner.cpp
+++ b/tests/routing/script_runner.cpp
@@ -27,7 +27,7 @@
   if (step.variant % 2 != 0) return report;
   report.memory_share = step.amount / 1000.0;
   report.prompt_kilotokens = step.target / 20.0;
-  if (step.variant % 4 == 0) report.in_hand = step.amount / 10.0;
+  if (step.variant % 4 == 0) report.in_flight = step.amount / 10.0;
   return report;
 }
 
--- a/tests/settings_parse_test.cpp
+++ b/tests/settings_parse_test.cpp
@@ -33,7 +33,7 @@
               settings.clients_mark_retries && settings.weight_by_work);
   EXPECT_EQ(settings.report_source, ReportSource::kInAnswers);
   EXPECT_EQ(settings.report_fields,
-            (std::vector<LoadField>{LoadField::kPromptKilotokens, LoadField::kInHand}));
+            (std::vector<LoadField>{LoadField::kPromptKilotokens, LoadField::kInFlight}));
   EXPECT_EQ(settings.weight_meaning, WeightMeaning::kRough);
   EXPECT_EQ(settings.zones, (std::vector<std::string>{"east", "west"}));
   EXPECT_EQ(settings.poll_interval, std::chrono::seconds(10));
