--- a/include/routing/actions.hpp
+++ b/include/routing/actions.hpp
@@ -1,4 +1,5 @@
-// Actions: what the router has a dispatcher do. See router.hpp for the order in which they are carried out.
+// Actions: what a dispatcher must do for the router. Plain values. See router.hpp for the order in which they
+// are carried out. All durations are microseconds, all times those of the dispatcher's steady clock.
 #ifndef DISPATCHER_ROUTING_ACTIONS_HPP_
 #define DISPATCHER_ROUTING_ACTIONS_HPP_
 
@@ -12,25 +13,25 @@
 
 namespace dispatcher::routing {
 
-// Sends a request to an endpoint. Attempts of a request are numbered from 0 in the order sent; the dispatcher
-// ends one that is not complete at its deadline (kTimeout).
+// Sends a request to an endpoint. Attempts of a request are numbered from 0 in the order sent; each ends with
+// one AttemptCompleted.
 struct StartAttempt {
   RequestId request;
   EndpointId endpoint;
-  Time deadline{};
+  Time deadline{};    // the dispatcher ends an attempt that is not complete by then (kTimeout)
   Time connect_by{};  // for dispatchers on sockets: a connection not made by then has failed; zero: no limit
 };
 
-// Cancels an attempt that is in flight; its AttemptCompleted still comes.
+// Cancels an attempt that is in flight; its AttemptCompleted still follows.
 struct CancelAttempt {
   RequestId request;
   int attempt{};
 };
 
-// Final answer: the request had no effect, retrying is harmless.
+// Final answer: the client may safely send the request again.
 struct Reject {
   RequestId request;
-  std::optional<Duration> retry_after;
+  std::optional<Duration> retry_after;  // advice on when (HTTP's Retry-After); empty: none
 };
 
 // Final answer: the request failed and may have had effects.
@@ -38,7 +39,7 @@
   RequestId request;
 };
 
-// Ends a running stream in good order; its client returns and continues elsewhere.
+// Ends a running stream so that its client sends the request again and continues at another endpoint.
 struct MigrateStream {
   RequestId request;
 };
@@ -49,18 +50,18 @@
   EndpointId endpoint;
 };
 
-// Releases all that is reserved for the request.
+// Releases all that endpoints have reserved for the request: prompt states and slots.
 struct ReleaseReservation {
   RequestId request;
 };
 
-// Asks for TimerExpired{tag} in the first batch of events after this time.
+// Requests TimerExpired{tag} in the first batch of events after this time.
 struct SetTimer {
-  Duration after{};
+  Duration after{};  // from the time of the event that is being handled
   std::uint64_t tag{};
 };
 
-// Asks for the endpoint list, and for its changes from then on.
+// Requests the endpoint list, and its changes from then on.
 struct Subscribe {};
 
 // A change of state, for the operators' log.
--- a/include/routing/events.hpp
+++ b/include/routing/events.hpp
@@ -1,4 +1,5 @@
-// Events: what a dispatcher tells the router. See router.hpp for the order in which they are passed.
+// Events: what a dispatcher reports to the router. Plain values. See router.hpp for the order
+// in which they are passed. All durations are microseconds, all times those of the dispatcher's steady clock.
 #ifndef DISPATCHER_ROUTING_EVENTS_HPP_
 #define DISPATCHER_ROUTING_EVENTS_HPP_
 
@@ -16,26 +17,34 @@
 namespace dispatcher::routing {
 
 // An endpoint's state as service discovery has it.
-enum class EndpointState { kRemoved, kDraining, kReady };
+enum class EndpointState {
+  kRemoved,   // no longer listed: gets no attempts, its running ones may still complete
+  kDraining,  // listed, but gets no new attempts
+  kReady
+};
 
-// How an endpoint list is to be read: kFull and kCached replace all that was known, kDelta changes only the
-// endpoints that it names, kFailed has none and says that a request for the list failed.
-enum class ListKind { kFull, kFailed, kCached, kDelta };
+// How an endpoint list is applied to the endpoints that are already known.
+enum class ListKind {
+  kFull,    // replaces them: endpoints that it does not name are removed
+  kFailed,  // a poll of the list failed; has no entries, and nothing changes
+  kCached,  // as kFull, but stored at an earlier time: it may be outdated
+  kDelta    // changes only the endpoints that it names
+};
 
-// How an attempt ended. kRead: the reader holds the prompt's state now.
+// How an attempt ended.
 enum class AttemptStatus {
-  kServed,
-  kError,
-  kFull,
-  kTimeout,
-  kConnectFailed,
-  kReset,
-  kCancelled,
-  kNeverSent,
-  kRead
-};
-
-// What the end of an attempt shows beyond its status.
+  kServed,         // the complete answer was received
+  kError,          // the endpoint answered with an error
+  kFull,           // the endpoint rejected it for lack of capacity, or of the prompt's state
+  kTimeout,        // not complete at its deadline
+  kConnectFailed,  // no connection could be made: nothing was sent
+  kReset,          // the connection broke after the request, or a part of it, was sent
+  kCancelled,      // cancelled on a CancelAttempt
+  kNeverSent,      // the dispatcher did not send it
+  kRead            // the reader processed the prompt and keeps its state (KV cache) for a writer
+};
+
+// What the end of an attempt shows beyond its status; the comments name the statuses that it is set with.
 enum class AttemptEvidence {
   kNone,
   kStateNotFound,    // kFull: the writer found no prompt state to fetch
@@ -46,11 +55,12 @@
 // One endpoint as service discovery describes it.
 struct EndpointInfo {
   EndpointId endpoint;
-  std::string zone, kind;
-  int cell{};  // endpoints of one zone and cell share a fast network
+  std::string zone;
+  std::string kind;  // name of an EndpointKind of the settings; an endpoint of an unknown kind is ignored
+  int cell{};        // endpoints of one zone and cell share a fast network
   EndpointState state{};
-  double weight{};  // see Settings::weight_meaning
-  Time started{};   // start of its process; zero: long ago
+  double weight{};  // relative capacity, see Settings::weight_meaning; 0 or less counts as 1
+  Time started{};   // start of its process; zero: long ago. Another value than before: it restarted
 };
 
 // The list of endpoints, or a change of it.
@@ -59,32 +69,39 @@
   std::vector<EndpointInfo> entries;
 };
 
-// A request that the router now owes exactly one final answer. A known id is ignored; an unknown class is
-// answered with Fail at once. The answer comes by client_deadline if timers are delivered on time.
+// A request was received. The router gives it exactly one final answer: an attempt that is served, Reject or
+// Fail, by client_deadline if timers are delivered on time. The id of a request that is still open is
+// ignored; an unknown class is answered with Fail at once.
 struct Request {
   RequestId id;
-  std::string request_class, tenant;
-  std::uint64_t session{}, shared_prefix{};  // zero: none
-  int prompt_tokens{}, prefix_tokens{}, max_tokens{};
-  Time client_deadline{};
+  std::string request_class;            // name of a RequestClass of the settings
+  std::string tenant;                   // name of a Tenant of the settings; others have no quota
+  std::uint64_t session{};              // hash that identifies its conversation; zero: none
+  std::uint64_t shared_prefix{};        // hash that identifies a prompt prefix of many sessions; zero: none
+  int prompt_tokens{};                  // the complete prompt ...
+  int prefix_tokens{};                  // ... and its part that is the shared prefix
+  int max_tokens{};                     // upper bound of the answer's length
+  Time client_deadline{};               // within which it must be answered
   std::optional<Duration> length_hint;  // expected answer tokens times the class's token objective
-  bool client_retry{}, resubmitted{};
+  bool client_retry{};                  // the client marks it as a retry (Settings::clients_mark_retries)
+  bool resubmitted{};                   // the client continues an answer whose stream broke or was migrated
 };
 
 // An endpoint's report of its load; fields that it does not report are empty.
 struct LoadReport {
-  std::optional<double> in_flight, memory_share, prompt_kilotokens;
+  std::optional<double> in_flight;          // requests that it has received and not answered yet
+  std::optional<double> memory_share;       // used part of its prefix cache, 0 to 1
+  std::optional<double> prompt_kilotokens;  // prompt tokens that wait to be processed, in thousands
 };
 
-// The end of an attempt: exactly one for each StartAttempt. `finished`: the request got its final answer with
-// this result or before.
+// The end of an attempt: exactly one for each StartAttempt.
 struct AttemptCompleted {
   RequestId request;
   EndpointId endpoint;
-  int attempt{};
+  int attempt{};  // its number: see StartAttempt
   AttemptStatus status{};
-  Duration elapsed{};  // since the attempt was sent
-  bool finished{};
+  Duration elapsed{};          // since the attempt was sent
+  bool finished{};             // the request got its final answer with this result or before
   int cached_prompt_tokens{};  // kRead, kServed: how much of the prompt the endpoint had cached
   AttemptEvidence evidence{};
   LoadReport report;
@@ -105,7 +122,7 @@
   bool held{};
 };
 
-// The client closed its connection: no answer is owed any more.
+// The client closed its connection: the request needs no answer any more.
 struct ClientGone {
   RequestId request;
 };
@@ -139,7 +156,7 @@
   std::array<MovingAverage, 3> starts;  // microseconds per token of start work, by Role
   MovingAverage far;                    // ... and for a state fetched from another cell
   std::array<int, 3> served{};          // results of the last seconds, by Role
-  Time since{};                         // when counting those began
+  Time since{};                         // when counting of those began
   std::vector<EndpointHistory> endpoints;
 };
 
--- a/include/routing/settings.hpp
+++ b/include/routing/settings.hpp
@@ -1,7 +1,7 @@
-// Settings of the router: what a deployment is like, what it promises and what it permits.
+// Settings of the router: the properties of a deployment, its service-level objectives and what it permits.
 //
-// Plain values without behaviour. settings/check.hpp says which values are valid; the constructor of Router
-// rejects the others. All durations are microseconds.
+// Plain values without behaviour. settings/check.hpp defines which values are valid; the constructor of
+// Router rejects the others. All durations are microseconds.
 #ifndef DISPATCHER_ROUTING_SETTINGS_HPP_
 #define DISPATCHER_ROUTING_SETTINGS_HPP_
 
@@ -24,10 +24,14 @@
 // The endpoints that discard each other's repeats of a keyed request.
 enum class DeduplicationScope { kAll, kZone, kCell };
 
-// Where load reports are carried; kInAnswers: in answers and in health checks.
-enum class ReportSource { kNone, kInAnswers, kInProbes };
+// Where load reports are carried.
+enum class ReportSource {
+  kNone,
+  kInAnswers,  // in answers and in health checks
+  kInProbes    // in health checks only
+};
 
-// The fields that load reports have.
+// The fields that load reports may have; LoadReport has those that the router uses.
 enum class LoadField {
   kInFlight,
   kQueued,
@@ -39,21 +43,26 @@
   kPromptKilotokens
 };
 
-// What EndpointInfo::weight stands for.
-enum class WeightMeaning { kNothing, kNominal, kRough, kLive };
+// How EndpointInfo::weight relates to an endpoint's capacity.
+enum class WeightMeaning {
+  kNothing,  // not at all
+  kNominal,  // the capacity that it should have
+  kRough,    // an estimate
+  kLive      // measured, and updated with the list
+};
 
 // A class of requests and its service-level objectives.
 struct RequestClass {
-  std::string name;
+  std::string name;  // unique among the classes
   Idempotency idempotency{};
   DeduplicationScope deduplication_scope{};
   Duration deduplication_window{};               // keyed: how long repeats are discarded, from the first send
   Duration latency_objective{};                  // a first token within this time has its full value ...
   Duration latency_objective_per_1000_tokens{};  // ... plus this for each 1,000 prompt tokens
-  Duration deadline{};
-  Duration token_latency_objective{};  // wanted mean time between tokens
-  double priority_weight{};            // value of a request that is answered in time
-  double late_weight{};                // value of one that is answered after its objective
+  Duration deadline{};                           // from its arrival, within which a request must be answered
+  Duration token_latency_objective{};            // wanted mean time between tokens
+  double priority_weight{};                      // value of a request that is answered in time
+  double late_weight{};                          // value of one that is answered after its objective
   double latency_objective_stretch{};  // the objective grows by this multiple of the request's own work
 };
 
@@ -70,7 +79,8 @@
   double memory_tokens{};  // size of the prefix cache; 0: unknown
 };
 
-// Costs that are subtracted from the score, each multiplied by a share or rate; 0: not priced.
+// Costs that are subtracted from the score by which a deployment is judged, each multiplied by a share or
+// rate; 0: not priced. Parsed and checked; no decision of the router depends on them.
 struct Prices {
   double wasted_work{};          // endpoint work that served no answer, as a share of the work asked for
   double probe{};                // health checks and reservations, per first attempt
@@ -84,36 +94,37 @@
   double endpoint_list_entry{};  // lines of endpoint lists sent / (100 x first attempts)
 };
 
-// Weights of the parts of the score.
+// Weights of the parts of that score: over all requests, in the worst time window, of the worst request class
+// and of the worst tenant. Parsed and checked; no decision of the router depends on them.
 struct Goal {
   double total{}, worst_window{}, worst_class{}, worst_tenant{};
 };
 
-// All settings of one router. `router_number` and `router_count` tell the routers of a fleet apart.
+// All settings of one router.
 struct Settings {
-  int router_number{};
-  int router_count{};
+  int router_number{};             // of this router in its fleet: 0 to router_count - 1
+  int router_count{};              // routers of the fleet, which share endpoints and quotas
   std::string zone;                // the router's own zone ...
   std::vector<std::string> zones;  // ... among these; may be empty
   std::vector<RequestClass> classes;
   std::vector<Tenant> tenants;  // may be empty
   std::vector<EndpointKind> kinds;
-  bool polls_endpoint_list{};  // endpoint lists come only after Subscribe
+  bool polls_endpoint_list{};  // endpoint lists are delivered only after Subscribe
   Duration poll_interval{};    // of that poll; a list older than this counts as delivered
   WeightMeaning weight_meaning{};
   ReportSource report_source{};
   std::vector<LoadField> report_fields;
-  bool writers_can_prefill{};  // a writer that gets no state processes the prompt itself
-  bool may_reserve_slots{};    // ReserveSlot is allowed
-  bool may_migrate_streams{};  // MigrateStream is allowed; the client of a broken stream returns
-  bool may_cancel{};
-  bool may_probe{};
+  bool writers_can_prefill{};   // a writer that gets no state processes the prompt itself
+  bool may_reserve_slots{};     // ReserveSlot is allowed
+  bool may_migrate_streams{};   // MigrateStream is allowed; the client of a broken stream returns
+  bool may_cancel{};            // CancelAttempt is allowed
+  bool may_probe{};             // endpoints may be sent health checks
   bool may_hedge{};             // two attempts of one request may be in flight together (hedging)
   bool may_message_peers{};     // routers may send each other messages
   bool clients_mark_retries{};  // clients mark their retries: see Request::client_retry
-  bool retry_advice{};          // Reject may carry retry_after
-  Duration max_retry_after{};
-  int max_attempts{};
+  bool retry_advice{};          // Reject may carry retry_after ...
+  Duration max_retry_after{};   // ... up to this
+  int max_attempts{};           // of one request, at least 1
   int free_connect_failures{};  // so many attempts that end as kConnectFailed do not count as attempts
   bool reservation_expires_while_connecting{};  // failing connections do not extend the reservation limit
   int max_open_requests{};                      // received and not answered yet; 0: unlimited
