--- a/src/settings/consistency_checks.cpp
+++ b/src/settings/consistency_checks.cpp
@@ -18,8 +18,12 @@
 using routing::Settings;
 using routing::Tenant;
 
-// The module checks waiting requests at this interval, rounded up to whole ticks.
-constexpr Duration kWaitingCheckInterval = std::chrono::milliseconds(20);
+// The router revisits waiting requests at this interval, rounded up to a multiple of the tick: kTimerInterval
+// of src/routing/retry_policy.cpp.
+constexpr Duration kTimerInterval = std::chrono::milliseconds(20);
+// Part of the reservation limit after which the router releases a waiting state: kReservationShare there. In
+// tenths, as integers keep the minimum exact.
+constexpr int kReservationTenths = 7;
 constexpr double kMicrosecondsPerSecond = 1e6;
 
 bool has_kind(const Settings& settings, Role role) {
@@ -27,7 +31,7 @@
                      [&](const EndpointKind& kind) { return kind.role == role; });
 }
 
-// The smallest value of a time over all classes, of which there must be at least one.
+// The smallest value of a duration over all classes, of which there must be at least one.
 Duration shortest(const Settings& settings, Duration RequestClass::*time) {
   const auto is_shorter = [&](const auto& one, const auto& other) { return one.*time < other.*time; };
   return *std::min_element(settings.classes.begin(), settings.classes.end(), is_shorter).*time;
@@ -39,11 +43,12 @@
   return sum;
 }
 
-// The shortest reservation limit under which a reserved state can wait for a writer. The module releases a
-// state when 0.7 of the limit is over, so that the remaining 0.3 must cover one check of what waits.
+// The shortest reservation limit under which a prompt's state can wait for a writer: what remains of the
+// limit after kReservationTenths must cover one timer interval.
 Duration min_reservation_limit(const Settings& settings) {
   const Duration tick = std::max(settings.tick, Duration(1));
-  return (kWaitingCheckInterval + tick - Duration(1)) / tick * tick * 10 / 3;
+  const Duration next_timer = (kTimerInterval + tick - Duration(1)) / tick * tick;
+  return next_timer * 10 / (10 - kReservationTenths);
 }
 
 // Whether one endpoint can both read a request's prompt and write its answer.
@@ -56,7 +61,8 @@
   if (has_single_stage_kind(settings)) return;
   if (!has_kind(settings, Role::kReader))
     findings.add_error(path(keys::kRoles), "no kind reads a prompt",
-                       "one of duty 'read' or 'both', or writersRead with one that writes");
+                       std::string("one of duty 'read' or 'both', or ") + keys::kWritersCanPrefill.name +
+                           " with one that writes");
   if (!has_kind(settings, Role::kWriter))
     findings.add_error(path(keys::kRoles), "no kind writes an answer", "one of duty 'write' or 'both'");
   if (settings.max_attempts == 1)
@@ -74,11 +80,11 @@
                          "false, or a kind of duty 'write'");
   if (settings.may_reserve_slots && (!has_reader || !(has_writer || has_mixed)))
     findings.add_warning(path(keys::kMayReserveSlots),
-                         "true, but without a kind that reads and one that writes no place is held ahead",
+                         "true, but without a kind that reads and one that writes no slot is reserved ahead",
                          "false");
   if (settings.may_hedge && settings.max_attempts == 1)
-    findings.add_warning(path(keys::kMayHedge), "true, but of one attempt there is no second copy",
-                         "mostTries above 1");
+    findings.add_warning(path(keys::kMayHedge), "true, but with one attempt there is no hedged request",
+                         std::string(keys::kMaxAttempts.name) + " above 1");
 }
 
 void check_service(const Settings& settings, FindingCollector& findings) {
@@ -106,7 +112,7 @@
 void check_class_deadlines(const Settings& settings, FindingCollector& findings) {
   for (std::size_t i = 0; i < settings.classes.size(); ++i) {
     const RequestClass& request_class = settings.classes[i];
-    if (request_class.deadline.count() <= 0) continue;  // an error of its own
+    if (request_class.deadline.count() <= 0) continue;  // reported by the checks of single values
     const std::string field = path_in_element(keys::kDeadline, i);
     const std::string deadline = format_ms(request_class.deadline);
     if (request_class.deadline < request_class.latency_objective)
@@ -115,7 +121,7 @@
           "at least the objective");
     if (request_class.deadline <= 2 * settings.tick)
       findings.add_warning(field,
-                           deadline + ", within two ticks: every request of the class is refused at once",
+                           deadline + ", within two ticks: every request of the class is rejected at once",
                            "well above two ticks of " + format_ms(settings.tick));
   }
 }
@@ -140,7 +146,7 @@
     findings.add_warning(field, limit + ", longer than the shortest deadline",
                          "at most " + format_ms(shortest_deadline));
   if (settings.reservation_limit.count() >= 0 && settings.reservation_limit < minimum)
-    findings.add_warning(field, limit + ": a state that finds no writer at once is let go of",
+    findings.add_warning(field, limit + ": a state that finds no writer at once is released",
                          "at least " + format_ms(minimum));
 }
 
@@ -155,9 +161,9 @@
                          "at least " + format_ms(settings.tick));
 }
 
-// How many requests overload a replica depends on its capacity, which the settings don't contain. The quotas
-// are a part of what all replicas together can do, and one replica can do less: a budget that is below one
-// request even by the quotas is too small.
+// How many requests overload an endpoint depends on its capacity, which the settings don't contain. The sum
+// of the quotas is an upper bound of it, as they are a part of what all endpoints together can do: a budget
+// that is below one request even by that bound is too small.
 void check_overload_budget(const Settings& settings, FindingCollector& findings) {
   const auto window = static_cast<double>(settings.overload_window.count());
   const double budget_per_rps =
@@ -166,14 +172,15 @@
   if (!(max_budget > 0 && max_budget < 1)) return;
   findings.add_warning(
       path(keys::kOverloadWindow),
-      "with tipMultiple and coldShare " + format_number(max_budget) +
-          " requests, even if one replica did the work of all quotas: a single one may fell it",
+      std::string("with ") + keys::kOverloadMultiple.name + " and " + keys::kWarmupInitialShare.name + " " +
+          format_number(max_budget) +
+          " requests, even if one endpoint served all quotas: a single request may overload it",
       "at least " + format_ms(Duration(std::llround(window / max_budget))));
 }
 
 void check_warmup(const Settings& settings, FindingCollector& findings) {
-  if (settings.warmup_time.count() <= 0) return;  // no replica ever warms up
-  const std::string no_traffic = "0: a cold replica gets nothing until it is warm";
+  if (settings.warmup_time.count() <= 0) return;  // endpoints have their full capacity from the start
+  const std::string no_traffic = "0: an endpoint gets no requests while it warms up";
   if (settings.overload_multiple == 0)
     findings.add_warning(path(keys::kOverloadMultiple), no_traffic, "above 0");
   if (settings.warmup_initial_share == 0)
@@ -181,10 +188,10 @@
   if (settings.overload_window.count() == 0)
     findings.add_warning(path(keys::kOverloadWindow), no_traffic, "above 0");
   if (settings.overload_multiple > 0 && settings.overload_multiple < 1)
-    findings.add_warning(
-        path(keys::kOverloadMultiple),
-        format_number(settings.overload_multiple) + ": a cold replica falls below its capacity",
-        "at least 1");
+    findings.add_warning(path(keys::kOverloadMultiple),
+                         format_number(settings.overload_multiple) +
+                             ": an endpoint that warms up is overloaded below its capacity",
+                         "at least 1");
   check_overload_budget(settings, findings);
 }
 
@@ -192,7 +199,7 @@
   if (settings.report_source == ReportSource::kInProbes && !settings.may_probe)
     findings.add_warning(path(keys::kReportSource),
                          "reports come in probes, which are not allowed: there is none",
-                         "mayProbe, or reports in answers");
+                         std::string(keys::kMayProbe.name) + ", or reports in answers");
   if (settings.report_source != ReportSource::kNone && settings.report_fields.empty())
     findings.add_warning(path(keys::kReportFields), "reports come, but none of their values is known here",
                          "at least one value");
@@ -202,22 +209,22 @@
   const auto& zones = settings.zones;
   if (!zones.empty() && std::find(zones.begin(), zones.end(), settings.zone) == zones.end())
     findings.add_warning(path(keys::kZone),
-                         "'" + settings.zone + "' is none of the zones: every replica is far",
-                         "one of 'dcs'");
+                         "'" + settings.zone + "' is none of the zones: every endpoint is in another one",
+                         "one of '" + std::string(keys::kZones.name) + "'");
 }
 
 void check_quotas(const Settings& settings, FindingCollector& findings) {
   if (!settings.tenants.empty() && total_quota(settings) == 0)
     findings.add_warning(keys::kTenants,
                          "the quotas add up to nothing: every request is over its tenant's share",
-                         "a quotaRps above 0");
+                         std::string("a ") + keys::kTenantQuota.name + " above 0");
 }
 
 void check_retry_advice(const Settings& settings, FindingCollector& findings) {
   if (settings.retry_advice && settings.max_retry_after.count() == 0)
     findings.add_warning(path(keys::kMaxRetryAfter),
-                         "0, but advice on when to come again is allowed: none can be given",
-                         "above 0, or retryAfter false");
+                         "0, but advice on when to retry is allowed: none can be given",
+                         std::string("above 0, or ") + keys::kRetryAdvice.name + " false");
 }
 
 }  // namespace
@@ -241,10 +248,11 @@
   if (settings.classes.empty()) return;
   const Duration shortest_objective = shortest(settings, &RequestClass::latency_objective);
   if (settings.connect_timeout > shortest_objective)
-    findings.add_warning(path(keys::kConnectTimeout),
-                         format_ms(settings.connect_timeout) +
-                             ", longer than the shortest objective: who meets a dead replica is late",
-                         "at most " + format_ms(shortest_objective));
+    findings.add_warning(
+        path(keys::kConnectTimeout),
+        format_ms(settings.connect_timeout) +
+            ", longer than the shortest objective: a request whose first endpoint is down is late",
+        "at most " + format_ms(shortest_objective));
 }
 
 }  // namespace dispatcher::settings
--- a/src/settings/consistency_checks.hpp
+++ b/src/settings/consistency_checks.hpp
@@ -8,10 +8,11 @@
 
 namespace dispatcher::settings {
 
-// Adds what is wrong with combinations of values to `findings`.
+// Adds what is wrong with combinations of values to `findings`. Values that are out of bounds by themselves
+// are not reported again.
 void check_consistency(const routing::Settings& settings, FindingCollector& findings);
 
-// Adds what would keep a dispatcher on sockets from making and reusing connections.
+// Adds what would prevent a dispatcher on sockets from making and reusing connections.
 void check_connection_times(const routing::Settings& settings, FindingCollector& findings);
 
 }  // namespace dispatcher::settings
--- a/src/settings/finding.hpp
+++ b/src/settings/finding.hpp
@@ -1,4 +1,4 @@
-// One thing that is wrong with a configuration, as a value that callers can test, sort and print.
+// A finding: one error or warning about a configuration, as a value that callers can test, sort and print.
 #ifndef DISPATCHER_SETTINGS_FINDING_HPP_
 #define DISPATCHER_SETTINGS_FINDING_HPP_
 
@@ -7,10 +7,10 @@
 
 namespace dispatcher::settings {
 
-// What a finding means for the settings that it is about.
+// What a finding means for the settings.
 enum class Severity {
   kError,   // meaningless, contradictory, or no request could be served: the settings are rejected
-  kWarning  // absurd, but its effects are known and break no rule: the settings are accepted
+  kWarning  // unreasonable, but with known and permitted effects: the settings are accepted
 };
 
 // A field, what is wrong with it and what was expected instead.
--- a/src/settings/finding_collector.cpp
+++ b/src/settings/finding_collector.cpp
@@ -8,7 +8,8 @@
 using routing::Duration;
 
 namespace {
-constexpr int kSignificantDigits = 10;
+constexpr int kSignificantDigits = 10;  // enough for a day in microseconds
+constexpr double kMicrosecondsPerMillisecond = 1000;
 }  // namespace
 
 std::string format_number(double value) {
@@ -19,7 +20,7 @@
 }
 
 std::string format_ms(Duration time) {
-  return format_number(static_cast<double>(time.count()) / 1000) + " ms";
+  return format_number(static_cast<double>(time.count()) / kMicrosecondsPerMillisecond) + " ms";
 }
 
 void FindingCollector::add_error(std::string field, std::string problem, std::string expected) {
--- a/src/settings/finding_collector.hpp
+++ b/src/settings/finding_collector.hpp
@@ -11,13 +11,13 @@
 
 namespace dispatcher::settings {
 
-// The number as it stands in messages: at most ten significant digits.
+// The number as messages show it: at most ten significant digits.
 [[nodiscard]] std::string format_number(double value);
-// "12.5 ms".
+// The duration as messages show it: "12.5 ms".
 [[nodiscard]] std::string format_ms(routing::Duration time);
 
-// Longer times are typing errors, and their multiples would overflow: a latency objective is multiplied by
-// the length of a prompt, which the client chooses.
+// The longest valid duration of a setting. Longer ones are typing errors, and their multiples would overflow:
+// a latency objective is multiplied by the length of a prompt, which the client chooses.
 inline constexpr routing::Duration kMaxTime = std::chrono::hours(24);
 
 // The findings of one check, in the order in which they were added. Lives for one call, on its stack.
@@ -32,12 +32,12 @@
   void require_positive(std::string field, routing::Duration time);
   void require_no_longer_than(std::string field, routing::Duration time, routing::Duration maximum);
 
-  // The bounds of numbers are worded so that NaN is out of bounds too.
+  // Errors and warnings for numbers that are out of bounds; NaN always is.
   void require_not_negative(std::string field, double value);
   void warn_if_negative(std::string field, double value);
   void warn_if_not_fraction(std::string field, double value);  // outside 0 to 1
 
-  // Hands over all findings and leaves none.
+  // Returns all findings and clears the collector.
   [[nodiscard]] std::vector<Finding> release();
 
  private:
--- a/src/settings/json_line_index.cpp
+++ b/src/settings/json_line_index.cpp
@@ -10,8 +10,8 @@
 
 using Json = nlohmann::json;
 
-// Settings aren't nested more deeply. For fields that are, the line number of the object or array at this
-// depth is enough.
+// Levels of nesting that are indexed: more than settings have. A field below them gets the line number of the
+// object or array at this depth.
 constexpr std::size_t kMaxDepth = 12;
 
 // Counts the lines of the text while the parser reads it. `last_token` is the line number of the last
@@ -27,7 +27,7 @@
   }
 };
 
-// Iterates over the text and counts each character that it goes past. Copies share the counter.
+// Iterates over the text and counts each character that it passes. Copies share the counter.
 class CountingIterator {
  public:
   using iterator_category = std::forward_iterator_tag;
--- a/src/settings/json_line_index.hpp
+++ b/src/settings/json_line_index.hpp
@@ -11,11 +11,11 @@
 // Line numbers of one JSON text, computed when it is constructed; the text isn't needed afterwards.
 class JsonLineIndex {
  public:
-  // Of text that isn't JSON it has the line numbers of what comes before the syntax error.
+  // Indexes the text; of invalid JSON, the part before the syntax error.
   explicit JsonLineIndex(std::string_view json);
 
-  // The line number, from 1, of a field such as settings.categories[1].deadlineMs: of its key or, in an
-  // array, of its value. Of a field that is missing, that of the innermost object or array that contains it.
+  // The line number, from 1, of a field such as settings.categories[1].deadlineMs: that of its key or, in an
+  // array, of its value. For a missing field, that of the innermost object or array that would contain it.
   [[nodiscard]] int line_number(std::string path) const;
 
  private:
--- a/src/settings/keys.hpp
+++ b/src/settings/keys.hpp
@@ -19,11 +19,11 @@
 [[nodiscard]] inline std::string path(const Key& key) {
   return *key.object == '\0' ? key.name : std::string(key.object) + "." + key.name;
 }
-// Of a setting in an array of objects: "categories[1].deadlineMs".
+// The path of a setting in an array of objects: "categories[1].deadlineMs".
 [[nodiscard]] inline std::string path_in_element(const Key& key, std::size_t index) {
   return std::string(key.object) + "[" + std::to_string(index) + "]." + key.name;
 }
-// Of an element of a setting that is an array: "familyInfo.tokenAimMs[1]".
+// The path of an element of a setting that is an array: "familyInfo.tokenAimMs[1]".
 [[nodiscard]] inline std::string path_of_element(const Key& key, std::size_t index) {
   return path(key) + "[" + std::to_string(index) + "]";
 }
@@ -66,6 +66,7 @@
 inline constexpr Key kLatencyObjectivePer1000Tokens{kServingGroup, "aimUsPer1000PromptTokens"};
 inline constexpr Key kTokenLatencyObjective{kServingGroup, "tokenAimMs"};
 
+// Tenants.
 inline constexpr Key kTenantName{kTenants, "name"};
 inline constexpr Key kTenantQuota{kTenants, "quotaRps"};
 
@@ -78,11 +79,14 @@
 inline constexpr Key kReservationLimit{kServingGroup, "pinLimitMs"};
 inline constexpr Key kRemoteTransferPrice{kServingGroup, "moveFee"};
 
+// Load reports.
 inline constexpr Key kReportSource{kLoadReports, "source"};
 inline constexpr Key kReportFields{kLoadReports, "fields"};
 
+// Behavior of clients.
 inline constexpr Key kClientsMarkRetries{kClientBehavior, "marksRetry"};
 
+// Limits and permissions.
 inline constexpr Key kConnectTimeout{kLimits, "connectTimeoutMs"};
 inline constexpr Key kIdleTimeout{kLimits, "idleCloseMs"};
 inline constexpr Key kMayCancel{kLimits, "mayCancel"};
@@ -94,6 +98,7 @@
 inline constexpr Key kMaxAttempts{kLimits, "mostTries"};
 inline constexpr Key kMaxOpenRequests{kLimits, "openCap"};
 
+// Times and rates that the deployment guarantees.
 inline constexpr Key kPollInterval{kGuarantees, "askEveryMs"};
 inline constexpr Key kAnswerSlack{kGuarantees, "answerSlackMs"};
 inline constexpr Key kDrainGrace{kGuarantees, "drainGraceMs"};
@@ -102,6 +107,7 @@
 inline constexpr Key kOverloadMultiple{kGuarantees, "tipMultiple"};
 inline constexpr Key kOverloadWindow{kGuarantees, "tipAfterMs"};
 
+// Prices; that of remote transfers belongs to the serving group.
 inline constexpr Key kWastedWorkPrice{kPrices, "waste"};
 inline constexpr Key kProbePrice{kPrices, "probe"};
 inline constexpr Key kCrossZonePrice{kPrices, "crossZone"};
@@ -112,6 +118,7 @@
 inline constexpr Key kHandshakePrice{kPrices, "handshake"};
 inline constexpr Key kEndpointListEntryPrice{kPrices, "registryMode"};
 
+// Weights of the goal.
 inline constexpr Key kGoalTotal{kGoal, "whole"};
 inline constexpr Key kGoalWorstWindow{kGoal, "worstWindow"};
 inline constexpr Key kGoalWorstClass{kGoal, "worstClass"};
--- a/src/settings/object_reader.cpp
+++ b/src/settings/object_reader.cpp
@@ -8,14 +8,15 @@
 
 using routing::Duration;
 
-constexpr std::size_t kMaxExcerptBytes = 40;
+constexpr std::size_t kMaxExcerptBytes = 40;  // of a quoted value: messages are one line each
 
-// The value as messages quote it, abridged where it is long.
+// The value as messages quote it, truncated where it is long.
 std::string excerpt(const Json& value) {
   const std::string text = value.dump(-1, ' ', false, Json::error_handler_t::replace);
   return text.size() > kMaxExcerptBytes ? text.substr(0, kMaxExcerptBytes) + "..." : text;
 }
 
+// The key of an array's element: "key[1]".
 std::string element_key(const std::string& key, std::size_t index) {
   return key + "[" + std::to_string(index) + "]";
 }
--- a/src/settings/object_reader.hpp
+++ b/src/settings/object_reader.hpp
@@ -1,5 +1,5 @@
-// Typed access to the settings' JSON that collects what is wrong instead of throwing at the first error, so
-// that operators see all of it at once. Internal to the package.
+// Typed access to the settings' JSON that collects findings instead of throwing at the first error, so that
+// operators see all errors at once. Internal to the package.
 #ifndef DISPATCHER_SETTINGS_OBJECT_READER_HPP_
 #define DISPATCHER_SETTINGS_OBJECT_READER_HPP_
 
@@ -32,7 +32,8 @@
 
 // Reads one object of the settings. A value that is missing or wrong becomes a finding, and its type's
 // default. Where the object itself is missing, that is the only finding: its members are all defaults.
-// Refers to the JSON and to the findings, which must outlive it.
+// Refers to the JSON and to the findings, which must outlive it. Lives on the
+// stack of one call to parse_settings().
 class ObjectReader {
  public:
   // `path` is the object's own, empty at the top level.
@@ -70,12 +71,12 @@
   [[nodiscard]] Enum optional_enum(const std::string& key, EnumNames<Enum> names) const {
     return parse_enum(key, optional<std::string>(key, names.front().name), names, Severity::kError);
   }
-  // An unknown name is a warning, as the setting only informs and the name may be newer than this program.
+  // An unknown name is a warning, as the setting is informative only and a newer version may define the name.
   template <class Enum>
   [[nodiscard]] Enum informative_enum(const std::string& key, EnumNames<Enum> names) const {
     return parse_enum(key, optional<std::string>(key, names.front().name), names, Severity::kWarning);
   }
-  // The enumerator of a name that was read from `key`. Of an unknown name the default, and a finding.
+  // The enumerator of a name that was read from `key`; the default, with a finding, if the name is unknown.
   template <class Enum>
   [[nodiscard]] Enum parse_enum(const std::string& key, const std::string& given, EnumNames<Enum> names,
                                 Severity severity) const {
@@ -99,7 +100,7 @@
   void add_error(const std::string& key, std::string problem, std::string expected) const;
 
  private:
-  // Adds a finding, one for each field: later ones only follow from the first.
+  // Adds a finding unless its field has one already: later ones are consequences of the first.
   void add(Finding finding) const;
   // Adds an error about a member whose value is not of the type, or is null and required.
   void add_type_error(const std::string& key, const Json* value, Presence presence,
--- a/src/settings/parse.cpp
+++ b/src/settings/parse.cpp
@@ -3,11 +3,13 @@
 #include <algorithm>
 #include <limits>
 #include <string>
+#include <string_view>
 #include <utility>
 
 #include "json/load_report.hpp"
 #include "settings/keys.hpp"
 #include "settings/object_reader.hpp"
+#include "settings/score_settings.hpp"
 
 namespace dispatcher::settings {
 namespace {
@@ -55,8 +57,9 @@
     {json::load_report_keys::kMemoryShare, LoadField::kMemoryShare},
     {json::load_report_keys::kPromptKilotokens, LoadField::kPromptKilotokens}};
 
+// Units of numbers in arrays, in microseconds.
 constexpr double kMicrosecond = 1;
-constexpr double kMillisecond = 1000;  // in microseconds
+constexpr double kMillisecond = json::kMicrosecondsPerMillisecond;
 
 // ---- the parts of the settings ----
 
@@ -101,10 +104,10 @@
   const std::vector<std::string> names = top.strings(keys::kEndpointKinds.name, Presence::kRequired);
   const std::vector<std::string> roles = group.strings(keys::kRoles.name, Presence::kRequired);
   if (roles.size() != names.size())
-    group.add_error(
-        keys::kRoles.name,
-        std::to_string(roles.size()) + " duties for " + std::to_string(names.size()) + " hostTypes",
-        "one for each");
+    group.add_error(keys::kRoles.name,
+                    std::to_string(roles.size()) + " duties for " + std::to_string(names.size()) + " " +
+                        keys::kEndpointKinds.name,
+                    "one for each");
   std::vector<EndpointKind> kinds;
   for (std::size_t i = 0; i < names.size(); ++i) {
     EndpointKind kind;
@@ -118,7 +121,7 @@
   return kinds;
 }
 
-// Names that are unknown may be newer than this program and are ignored.
+// Unknown names are ignored: a newer version of the format may define them.
 std::vector<LoadField> parse_load_fields(const ObjectReader& reports) {
   std::vector<LoadField> fields;
   for (const std::string& given : reports.strings(keys::kReportFields.name, Presence::kOptional)) {
@@ -167,31 +170,23 @@
   settings.overload_window = guarantees.required_duration(keys::kOverloadWindow.name);
 }
 
+// One price belongs to the serving group, the others have an object of their own.
 Prices parse_prices(const ObjectReader& source, const ObjectReader& group) {
   Prices prices;
-  prices.wasted_work = source.optional<double>(keys::kWastedWorkPrice.name);
-  prices.probe = source.optional<double>(keys::kProbePrice.name);
-  prices.cross_zone = source.optional<double>(keys::kCrossZonePrice.name);
-  prices.late_failure = source.optional<double>(keys::kLateFailurePrice.name);
-  prices.peer_message = source.optional<double>(keys::kPeerMessagePrice.name);
-  prices.remote_transfer = group.optional<double>(keys::kRemoteTransferPrice.name);
-  prices.migration = source.optional<double>(keys::kMigrationPrice.name);
-  prices.connection = source.optional<double>(keys::kConnectionPrice.name);
-  prices.handshake = source.optional<double>(keys::kHandshakePrice.name);
-  prices.endpoint_list_entry = source.optional<double>(keys::kEndpointListEntryPrice.name);
+  for (const auto& [key, field] : kPriceSettings) {
+    const bool is_in_group = std::string_view(key.object) == keys::kServingGroup;
+    prices.*field = (is_in_group ? group : source).optional<double>(key.name);
+  }
   return prices;
 }
 
 Goal parse_goal(const ObjectReader& source) {
   Goal goal;
-  goal.total = source.optional<double>(keys::kGoalTotal.name);
-  goal.worst_window = source.optional<double>(keys::kGoalWorstWindow.name);
-  goal.worst_class = source.optional<double>(keys::kGoalWorstClass.name);
-  goal.worst_tenant = source.optional<double>(keys::kGoalWorstTenant.name);
+  for (const auto& [key, field] : kGoalSettings) goal.*field = source.optional<double>(key.name);
   return goal;
 }
 
-// Findings are in the order of the reads, which messages keep.
+// Findings are reported in the order in which the members are read here.
 Settings read_settings(const ObjectReader& top) {
   const ObjectReader group = top.object(keys::kServingGroup, Presence::kRequired);
   Settings settings;
--- a/src/settings/parse.hpp
+++ b/src/settings/parse.hpp
@@ -1,5 +1,5 @@
-// The one parser of the decision module's settings from their JSON form, which the configuration file of the
-// daemon and the start message of the simulator share.
+// The parser of the decision module's settings from their JSON form, which the daemon's configuration file
+// and the simulator's start message share.
 #ifndef DISPATCHER_SETTINGS_PARSE_HPP_
 #define DISPATCHER_SETTINGS_PARSE_HPP_
 
@@ -11,19 +11,19 @@
 
 namespace dispatcher::settings {
 
-// Settings that can't be parsed, with everything that is wrong with them; what() names the errors.
+// Settings that can't be parsed, with all findings about them; what() names the errors.
 struct SettingsError : json::ParseError {
   explicit SettingsError(std::vector<Finding> all);
   std::vector<Finding> findings;  // errors and warnings, in the order of the reads
 };
 
-// Settings of which all members could be parsed.
+// Settings whose members could all be parsed.
 struct ParsedSettings {
   routing::Settings settings;
-  std::vector<Finding> warnings;  // such as names that are unknown and only inform
+  std::vector<Finding> warnings;  // such as unknown names of informative settings
 };
 
-// Converts types and names only; whether the values make sense is for check(). Unknown members are ignored.
+// Converts types and names only; check() validates the values. Unknown members are ignored.
 // Throws SettingsError.
 [[nodiscard]] ParsedSettings parse_settings(const json::Json& source);
 
--- a/src/settings/report.hpp
+++ b/src/settings/report.hpp
@@ -1,4 +1,4 @@
-// Formats findings for operators, each with its place in the configuration file.
+// Formats findings for operators, each with its line number in the configuration file.
 #ifndef DISPATCHER_SETTINGS_REPORT_HPP_
 #define DISPATCHER_SETTINGS_REPORT_HPP_
 
--- a/src/settings/value_checks.cpp
+++ b/src/settings/value_checks.cpp
@@ -2,10 +2,10 @@
 
 #include <set>
 #include <string>
-#include <utility>
 #include <vector>
 
 #include "settings/keys.hpp"
+#include "settings/score_settings.hpp"
 
 namespace dispatcher::settings {
 namespace {
@@ -16,7 +16,7 @@
 using routing::Settings;
 using routing::Tenant;
 
-constexpr Duration kMaxTick = std::chrono::hours(1);  // timers reach 71 minutes (32 bits of microseconds)
+constexpr Duration kMaxTick = std::chrono::hours(1);  // timers hold 32 bits of microseconds: 71 minutes
 
 void check_counts(const Settings& settings, FindingCollector& findings) {
   if (settings.kinds.empty())
@@ -25,7 +25,7 @@
   if (settings.router_count < 1) {
     findings.add_error(path(keys::kRouterCount), std::to_string(settings.router_count), "at least 1");
   } else if (settings.router_number < 0 || settings.router_number >= settings.router_count) {
-    // Quotas and limits are divided by router number: one beyond the count would get a second part.
+    // Quotas and limits are divided among the router numbers: one beyond the count would get an extra part.
     findings.add_error(path(keys::kRouterNumber),
                        std::to_string(settings.router_number) + " among " +
                            std::to_string(settings.router_count) + " dispatchers",
@@ -57,22 +57,9 @@
 }
 
 void check_prices_and_goal(const Settings& settings, FindingCollector& findings) {
-  const std::pair<Key, double> values[] = {
-      {keys::kRemoteTransferPrice, settings.prices.remote_transfer},
-      {keys::kConnectionPrice, settings.prices.connection},
-      {keys::kCrossZonePrice, settings.prices.cross_zone},
-      {keys::kHandshakePrice, settings.prices.handshake},
-      {keys::kLateFailurePrice, settings.prices.late_failure},
-      {keys::kMigrationPrice, settings.prices.migration},
-      {keys::kPeerMessagePrice, settings.prices.peer_message},
-      {keys::kProbePrice, settings.prices.probe},
-      {keys::kEndpointListEntryPrice, settings.prices.endpoint_list_entry},
-      {keys::kWastedWorkPrice, settings.prices.wasted_work},
-      {keys::kGoalTotal, settings.goal.total},
-      {keys::kGoalWorstClass, settings.goal.worst_class},
-      {keys::kGoalWorstTenant, settings.goal.worst_tenant},
-      {keys::kGoalWorstWindow, settings.goal.worst_window}};
-  for (const auto& [key, value] : values) findings.warn_if_negative(path(key), value);
+  for (const auto& [key, field] : kPriceSettings)
+    findings.warn_if_negative(path(key), settings.prices.*field);
+  for (const auto& [key, field] : kGoalSettings) findings.warn_if_negative(path(key), settings.goal.*field);
 }
 
 void check_numbers(const Settings& settings, FindingCollector& findings) {
@@ -100,8 +87,8 @@
   findings.warn_if_not_fraction(field(keys::kLateWeight), request_class.late_weight);
 }
 
-// Of two entries with one name the first would apply, which may be the one that allows retries. `field` gives
-// the path of an entry's name by its index.
+// Names must be unique: of two entries with one name only the first would apply, which may be the one that
+// allows retries. `field(index)` returns the path of an entry's name.
 template <class Entry, class Field>
 void check_unique_names(const std::vector<Entry>& entries, Field field, FindingCollector& findings) {
   std::set<std::string> names;
