--- a/adapter/action_encoder.cpp
+++ b/adapter/action_encoder.cpp
@@ -10,11 +10,13 @@
 
 using json::Json;
 
-double milliseconds_of(routing::Duration time) {
+// The wire's unit of times and durations.
+double to_milliseconds(routing::Duration time) {
   return static_cast<double>(time.count()) / json::kMicrosecondsPerMillisecond;
 }
 
-// Visits an action: sets the members of its reply that are its own and returns the reply's name.
+// Visits an action: sets the members of its reply, other than the dispatcher's name, and returns the reply's
+// name.
 class ReplyWriter {
  public:
   explicit ReplyWriter(Json& reply) : reply_(reply) {}
@@ -22,7 +24,7 @@
   const char* operator()(const routing::StartAttempt& action) const {
     reply_[fields::kRequest] = action.request.value();
     reply_[fields::kEndpoint] = action.endpoint.value();
-    if (action.deadline != routing::Time{}) reply_[fields::kDeadline] = milliseconds_of(action.deadline);
+    if (action.deadline != routing::Time{}) reply_[fields::kDeadline] = to_milliseconds(action.deadline);
     return replies::kStartAttempt;
   }
   const char* operator()(const routing::CancelAttempt& action) const {
@@ -32,7 +34,7 @@
   }
   const char* operator()(const routing::Reject& action) const {
     reply_[fields::kRequest] = action.request.value();
-    if (action.retry_after) reply_[fields::kRetryAfter] = milliseconds_of(*action.retry_after);
+    if (action.retry_after) reply_[fields::kRetryAfter] = to_milliseconds(*action.retry_after);
     return replies::kReject;
   }
   const char* operator()(const routing::Fail& action) const {
@@ -53,7 +55,7 @@
     return replies::kReleaseReservation;
   }
   const char* operator()(const routing::SetTimer& action) const {
-    reply_[fields::kTimerDelay] = milliseconds_of(action.after);
+    reply_[fields::kTimerDelay] = to_milliseconds(action.after);
     reply_[fields::kTimerTag] = action.tag;
     return replies::kSetTimer;
   }
--- a/adapter/event_decoder.cpp
+++ b/adapter/event_decoder.cpp
@@ -1,7 +1,8 @@
 #include "adapter/event_decoder.hpp"
 
+#include <cstddef>
 #include <cstdint>
-#include <utility>
+#include <string_view>
 
 #include "adapter/protocol_names.hpp"
 #include "json/load_report.hpp"
@@ -28,14 +29,22 @@
 using routing::Request;
 using routing::ReservationResult;
 
-// Bits of a request's flags; the others are of no use to the module.
+// Bits of a request's flags; the router uses no others.
 constexpr std::uint64_t kHasLengthHintFlag = 1;
 constexpr std::uint64_t kClientRetryFlag = 2;
 constexpr std::uint64_t kResubmittedFlag = 16;
 
-constexpr int kReservationHeld = 1;  // other values: not held
+constexpr int kReservationHeld = 1;  // every other value: not reserved
+constexpr int kEvidenceNote = 1;     // of a note about a failed attempt; every other value: no evidence
 
-constexpr std::pair<const char*, AttemptStatus> kAttemptStatusNames[] = {
+// A value of the wire and the enumerator that it stands for.
+template <class Wire, class Enum>
+struct WireValue {
+  Wire wire;
+  Enum value;
+};
+
+constexpr WireValue<std::string_view, AttemptStatus> kAttemptStatuses[] = {
     {"S", AttemptStatus::kServed},
     {"E", AttemptStatus::kError},
     {"F", AttemptStatus::kFull},
@@ -45,40 +54,36 @@
     {"X", AttemptStatus::kCancelled},
     {"N", AttemptStatus::kNeverSent},
     {"ready_to_answer", AttemptStatus::kRead}};
-
-AttemptStatus decode_attempt_status(const std::string& given) {
-  for (const auto& [name, status] : kAttemptStatusNames) {
-    if (given == name) return status;
+constexpr WireValue<int, ListKind> kListKinds[] = {
+    {0, ListKind::kFull}, {1, ListKind::kFailed}, {2, ListKind::kCached}, {3, ListKind::kDelta}};
+constexpr WireValue<int, EndpointState> kEndpointStates[] = {
+    {1, EndpointState::kRemoved}, {2, EndpointState::kDraining}, {3, EndpointState::kReady}};
+
+// The enumerator of a wire value. Empty: the value is unknown.
+template <class Wire, class Enum, std::size_t size>
+std::optional<Enum> find_enumerator(const WireValue<Wire, Enum> (&known)[size], const Wire& wire) {
+  for (const WireValue<Wire, Enum>& candidate : known) {
+    if (candidate.wire == wire) return candidate.value;
   }
-  throw ParseError(ParseProblem::kInvalidValue, fields::kStatus, "unknown word '" + given + "'");
+  return std::nullopt;
+}
+
+AttemptStatus decode_attempt_status(const std::string& name) {
+  const auto status = find_enumerator(kAttemptStatuses, std::string_view(name));
+  if (!status) throw ParseError(ParseProblem::kInvalidValue, fields::kStatus, "unknown word '" + name + "'");
+  return *status;
 }
 
 ListKind decode_list_kind(int number) {
-  switch (number) {
-    case 0:
-      return ListKind::kFull;
-    case 1:
-      return ListKind::kFailed;
-    case 2:
-      return ListKind::kCached;
-    case 3:
-      return ListKind::kDelta;
-    default:
-      json::throw_unexpected(fields::kListKind, "0 to 3");
-  }
+  const auto kind = find_enumerator(kListKinds, number);
+  if (!kind) json::throw_unexpected(fields::kListKind, "0 to 3");
+  return *kind;
 }
 
 EndpointState decode_endpoint_state(int number) {
-  switch (number) {
-    case 1:
-      return EndpointState::kRemoved;
-    case 2:
-      return EndpointState::kDraining;
-    case 3:
-      return EndpointState::kReady;
-    default:
-      json::throw_unexpected(fields::kEndpointState, "1 to 3");
-  }
+  const auto state = find_enumerator(kEndpointStates, number);
+  if (!state) json::throw_unexpected(fields::kEndpointState, "1 to 3");
+  return *state;
 }
 
 EndpointInfo decode_endpoint(const Json& source) {
@@ -100,7 +105,7 @@
   return json::parse_load_report(*report);
 }
 
-// A tenant that isn't text counts as none.
+// The tenant's name; empty where the member is no string.
 std::string decode_tenant(const Json& message) {
   const Json* tenant = json::find_member(message, fields::kTenant);
   return tenant != nullptr && tenant->is_string() ? tenant->get<std::string>() : std::string();
@@ -125,9 +130,8 @@
   return request;
 }
 
-// The wire's note is a number whose meaning depends on how the attempt ended.
+// Decodes the wire's note, a number whose meaning depends on the attempt's status.
 void decode_note(int note, AttemptCompleted& completed) {
-  constexpr int kEvidenceNote = 1;
   switch (completed.status) {
     case AttemptStatus::kRead:
     case AttemptStatus::kServed:
--- a/adapter/event_decoder.hpp
+++ b/adapter/event_decoder.hpp
@@ -12,12 +12,12 @@
 
 using json::Json;
 
-// The endpoint list that a message announces; `page` has its entries and must be an array. Of a list whose
-// retrieval failed only the kind is set. Throws json::ParseError.
+// The endpoint list of a message; its entries are those of `page`, which must be an array. A list of kind
+// kFailed has none. Throws json::ParseError.
 [[nodiscard]] routing::EndpointList decode_endpoint_list(const Json& message, const Json& page);
 
-// The event of any other message. Empty: the name is unknown, and the message to be ignored. Throws
-// json::ParseError.
+// The event of any other message, by the message's name. Empty: the name is unknown, and the message must be
+// ignored. Throws json::ParseError.
 [[nodiscard]] std::optional<routing::Event> decode_event(const std::string& name, const Json& message);
 
 }  // namespace dispatcher::simulator_adapter
--- a/adapter/protocol_names.hpp
+++ b/adapter/protocol_names.hpp
@@ -1,11 +1,12 @@
-// Names of the simulator's JSON protocol, which stay as the simulator writes them; each constant maps one of
-// them to the term that the code uses.
+// Names of the simulator's JSON protocol. They are part of that format and stay as they are; each constant
+// maps one of them to the term that the code uses. Names of load reports' members: json/load_report.hpp; of
+// settings: settings/keys.hpp.
 #ifndef DISPATCHER_ADAPTER_PROTOCOL_NAMES_HPP_
 #define DISPATCHER_ADAPTER_PROTOCOL_NAMES_HPP_
 
 namespace dispatcher::simulator_adapter {
 
-// Messages of the simulator to the process as a whole.
+// Messages of the simulator to the process, about no single dispatcher.
 namespace control_messages {
 inline constexpr const char* kSetTime = "turn";
 inline constexpr const char* kEndOfBatch = "flush";
@@ -41,7 +42,7 @@
 inline constexpr const char* kEndOfBatch = "eor";
 }  // namespace replies
 
-// Members of messages and replies.
+// Members of messages and replies. Names that end in Ms are numbers of milliseconds.
 namespace fields {
 inline constexpr const char* kDispatcher = "dispatcher";
 inline constexpr const char* kRequest = "req";
--- a/adapter/simulator_session.hpp
+++ b/adapter/simulator_session.hpp
@@ -1,4 +1,4 @@
-// Runs decision modules for the simulator: one process serves any number of dispatchers by lines of JSON.
+// Runs routers for the simulator: one process serves any number of simulated dispatchers, by lines of JSON.
 // Makes no decision itself.
 #ifndef DISPATCHER_ADAPTER_SIMULATOR_SESSION_HPP_
 #define DISPATCHER_ADAPTER_SIMULATOR_SESSION_HPP_
@@ -21,23 +21,23 @@
 // callbacks. The same input gives the same output, byte for byte.
 class SimulatorSession {
  public:
-  // Handles one line of input, without its line break. Returns the replies to a batch, each with its line
-  // break, once its last line has come; blank lines are ignored. Throws json::ParseError where the line is
-  // malformed; the session can't go on then.
+  // Handles one line of input, without its line break. After the last line of a batch, returns the replies to
+  // the batch, each with its line break. Blank lines are ignored. Throws json::ParseError where the line is
+  // malformed; the session must not be used afterwards.
   [[nodiscard]] std::optional<std::string> handle_line(std::string_view input);
 
  private:
-  static constexpr std::size_t kMaxPages = 16;  // of the protocol
+  static constexpr std::size_t kMaxPages = 16;  // the protocol numbers them from 0 to 15
 
   void handle_dispatcher_message(const std::string& name, const Json& message);
   void start(const std::string& dispatcher, const Json& message);
   void deliver(const std::string& dispatcher, const routing::Event& event);
-  // The page of an endpoint list that a message refers to. Throws json::ParseError.
+  // The page of endpoint list entries that a message refers to by its number. Throws json::ParseError.
   [[nodiscard]] Json& page_of(const Json& message);
   [[nodiscard]] std::string take_replies();
 
   routing::Time now_{};
-  std::array<Json, kMaxPages> pages_;               // entries of endpoint lists that later messages refer to
+  std::array<Json, kMaxPages> pages_;               // endpoint list entries that later messages refer to
   std::map<std::string, routing::Router> routers_;  // by the name of the dispatcher; stopped ones have none
   std::string replies_;                             // to the batch so far
 };
--- a/src/json/load_report.cpp
+++ b/src/json/load_report.cpp
@@ -1,4 +1,4 @@
-// Load reports: the values that the dispatcher uses.
+// Load reports: the members that the dispatcher uses.
 #include "json/load_report.hpp"
 
 #include <optional>
--- a/src/json/load_report.hpp
+++ b/src/json/load_report.hpp
@@ -1,5 +1,4 @@
-// Parses the load reports of replicas, which come in answers, in health checks and in the simulator's
-// messages.
+// Parses the load reports of endpoints, which answers, health checks and the simulator's messages contain.
 #ifndef DISPATCHER_JSON_LOAD_REPORT_HPP_
 #define DISPATCHER_JSON_LOAD_REPORT_HPP_
 
@@ -8,7 +7,7 @@
 
 namespace dispatcher::json {
 
-/// Names of a report's values in the replicas' JSON, which stay as they are.
+/// Names of a report's members. They are part of the endpoints' format and stay as they are.
 namespace load_report_keys {
 inline constexpr const char* kInFlight = "rif";
 inline constexpr const char* kQueued = "q";
@@ -20,8 +19,8 @@
 inline constexpr const char* kPromptKilotokens = "x1";
 }  // namespace load_report_keys
 
-/// The values that the dispatcher uses; those which `fields` doesn't have are empty, and unknown ones are
-/// ignored. Throws ParseError where one is no number.
+/// The report in the members of `fields`: those that the dispatcher uses. Absent ones are empty, unknown ones
+/// are ignored. Throws ParseError where one is not a number.
 [[nodiscard]] routing::LoadReport parse_load_report(const Json& fields);
 
 }  // namespace dispatcher::json
--- a/src/json/members.hpp
+++ b/src/json/members.hpp
@@ -1,5 +1,5 @@
 // Typed access to the members of a JSON object that throws at the first one that is missing or of a wrong
-// type: for messages, of which a malformed one is rejected as a whole.
+// type: for messages, which are rejected completely when one member is malformed.
 #ifndef DISPATCHER_JSON_MEMBERS_HPP_
 #define DISPATCHER_JSON_MEMBERS_HPP_
 
@@ -15,7 +15,7 @@
   throw ParseError(ParseProblem::kMissingField, key);
 }
 
-/// Throws the ParseError of a field whose value is another than `expected`, such as "number".
+/// Throws the ParseError of a field whose value is not what is `expected`, such as "number".
 [[noreturn]] inline void throw_unexpected(const std::string& key, const std::string& expected) {
   throw ParseError(ParseProblem::kUnexpectedValue, key, expected);
 }
--- a/src/json/parse_error.hpp
+++ b/src/json/parse_error.hpp
@@ -9,17 +9,17 @@
 
 /// What is wrong with a message.
 enum class ParseProblem {
-  kInvalidDocument,  // the message as a whole, not one field; the detail says how
+  kInvalidDocument,  // the message, not one field of it; the detail describes how
   kMissingField,     // a required field is absent or null
   kUnexpectedValue,  // a field has another type, or is out of range; the detail is what was expected
   kWrongType,        // a field that must be an object or an array has another type
-  kInvalidValue,     // a field has the right type and an unusable value; the detail says why
+  kInvalidValue,     // a field has the right type and an unusable value; the detail describes why
 };
 
-/// The text of an error, which names the field. `detail`: see ParseProblem; unused where it says nothing.
+/// The text of an error, which names the field. `detail`: see ParseProblem; ignored where that has none.
 [[nodiscard]] std::string describe(ParseProblem problem, const std::string& field, const std::string& detail);
 
-/// A malformed message, which is rejected as a whole. what() is the text of describe().
+/// A malformed message, which must be rejected completely. what() is the text of describe().
 class ParseError : public std::runtime_error {
  public:
   /// `field`: its key; empty for kInvalidDocument.
--- a/src/json/typed_value.hpp
+++ b/src/json/typed_value.hpp
@@ -19,7 +19,7 @@
 
 /// Times are numbers of milliseconds below this one; longer ones would overflow as microseconds.
 inline constexpr double kMaxMilliseconds = 1e15;
-/// Durations are held in microseconds.
+/// Durations are stored in microseconds.
 inline constexpr double kMicrosecondsPerMillisecond = 1000;
 
 /// What error messages call a value of this type.
