--- a/src/routing/attempt_lifecycle.cpp
+++ b/src/routing/attempt_lifecycle.cpp
@@ -2,15 +2,16 @@
 
 #include <algorithm>
 
+#include "routing/cached_prompts.hpp"
 #include "routing/load_estimate.hpp"
 #include "routing/prefix_affinity.hpp"
 #include "routing/retry_policy.hpp"
-#include "routing/slow_start.hpp"
+#include "routing/warmup.hpp"
 
 namespace dispatcher::routing {
 namespace {
 
-// The endpoint's counter of attempts in this phase.
+// The endpoint's counter of this router's attempts in this phase.
 int& active_attempts(Endpoint& endpoint, Phase phase) {
   return phase == Phase::kReading ? endpoint.active_reads : endpoint.active_streams;
 }
@@ -19,15 +20,15 @@
   endpoint.pending_prompt_tokens = std::max(0.0, endpoint.pending_prompt_tokens - state.tokens_to_read);
 }
 
-// Whether the attempt processes the prompt there, rather than fetching its state.
+// Whether the attempt processes the prompt, rather than fetching its state from the reader.
 bool reads_prompt(const RequestState& state, Phase phase) {
-  return phase == Phase::kReading || !state.holds_state;
+  return phase == Phase::kReading || !state.has_prompt_state;
 }
 
-// Sets what the request's state says about the attempt that starts.
+// Sets the members of the request's state that describe the attempt that starts.
 void describe_attempt(const EndpointTable& endpoints, RequestState& state, const Endpoint& endpoint,
                       bool fills_cache) {
-  const Endpoint* source = state.holds_state ? endpoints.find(state.reader) : nullptr;
+  const Endpoint* source = state.has_prompt_state ? endpoints.find(state.reader) : nullptr;
   state.is_in_flight = true;
   state.is_cancelled = false;
   state.later_sends_answered = 0;
@@ -61,7 +62,7 @@
   ++active_attempts(endpoint, phase);
   record_send(context, endpoint);
   endpoint.awaits_first_send = false;
-  if (fills_cache) record_cached_prompt(endpoint, state);
+  if (fills_cache) record_cached_prompt(endpoint, state, max_cached_blocks(endpoint));
   return {state.request.id, endpoint.endpoint, limits.deadline, limits.connect_by};
 }
 
@@ -85,29 +86,29 @@
     if (state.phase == Phase::kStreaming)
       endpoint->started_streams = std::max(0, endpoint->started_streams - 1);
     subtract_pending_tokens(*endpoint, state);
-    endpoint->queue_delay_ratio = 0;  // the timer finds the next oldest attempt
+    endpoint->queue_delay_ratio = 0;  // the next timer measures the oldest of the other attempts
   }
   state.tokens_to_read = 0;
   state.is_in_flight = false;
   if (retry_policy::renews_reservation(state, status)) state.idle_since = context.now;
 }
 
-void hold_prompt_state(RequestState& state, Endpoint* reader, const AttemptCompleted& completed) {
-  state.holds_state = true;
+void record_prompt_state(RequestState& state, Endpoint* reader, const AttemptCompleted& completed) {
+  state.has_prompt_state = true;
   state.reader = completed.endpoint;
   state.read_time = completed.elapsed;
   if (reader != nullptr) ++reader->waiting_states;
 }
 
 void forget_prompt_state(EndpointTable& endpoints, RequestState& state) {
-  if (!state.holds_state) return;
-  state.holds_state = false;
+  if (!state.has_prompt_state) return;
+  state.has_prompt_state = false;
   if (Endpoint* reader = endpoints.find(state.reader); reader != nullptr)
     reader->waiting_states = std::max(0, reader->waiting_states - 1);
 }
 
 std::optional<ReleaseReservation> release_prompt_state(EndpointTable& endpoints, RequestState& state) {
-  if (!state.holds_state) return std::nullopt;
+  if (!state.has_prompt_state) return std::nullopt;
   forget_prompt_state(endpoints, state);
   return ReleaseReservation{state.request.id};
 }
@@ -124,7 +125,7 @@
   }
   if (retry_policy::excludes_endpoint(status)) state.failed_endpoints.push_back(completed.endpoint);
   if (retry_policy::loses_state(completed)) forget_prompt_state(endpoints, state);
-  state.phase = state.holds_state ? Phase::kNeedsWriter : Phase::kNeedsRead;
+  state.phase = state.has_prompt_state ? Phase::kNeedsWriter : Phase::kNeedsRead;
 }
 
 CancelAttempt cancel_attempt(RequestState& state) {
--- a/src/routing/dispatch.cpp
+++ b/src/routing/dispatch.cpp
@@ -7,6 +7,7 @@
 namespace dispatcher::routing {
 namespace {
 
+// For a request that no endpoint can serve now.
 DispatchDecision wait_or_give_up(bool can_wait) { return {can_wait ? NextStep::kWait : NextStep::kGiveUp}; }
 
 DispatchDecision dispatch_to_writer(const SelectionContext& selection, const RequestState& state) {
--- a/src/routing/dispatch.hpp
+++ b/src/routing/dispatch.hpp
@@ -1,4 +1,4 @@
-// Dispatch: which stage an open request enters next, or with which answer the router ends it. Holds no
+// Dispatch: which stage an open request enters next, or with which answer the router ends it. Has no
 // threshold: the selection modules and the retry policy choose.
 #ifndef DISPATCHER_ROUTING_DISPATCH_HPP_
 #define DISPATCHER_ROUTING_DISPATCH_HPP_
@@ -15,12 +15,12 @@
 // The next step of a request.
 struct DispatchDecision {
   NextStep step = NextStep::kWait;
-  Endpoint* endpoint = nullptr;  // kStartAttempt: where; never null then
-  Phase phase{};                 // kStartAttempt: what the attempt does
+  Endpoint* endpoint = nullptr;  // kStartAttempt: where to, never null
+  Phase phase{};                 // kStartAttempt: kReading or kWriting
 };
 
-// The next attempt, if there can be one now; giving up, if there never can be. May let the request return to
-// endpoints that have failed it: see choose_reader().
+// The next attempt, if an endpoint can take it now; giving up, if no later one can succeed; else waiting. May
+// clear RequestState::failed_endpoints: see choose_reader().
 [[nodiscard]] DispatchDecision decide_next_step(const SelectionContext& selection, const RoleBalance& balance,
                                                 RequestState& state);
 
--- a/src/routing/endpoint_table.cpp
+++ b/src/routing/endpoint_table.cpp
@@ -5,11 +5,12 @@
 
 #include "routing/hashing.hpp"
 #include "routing/locality.hpp"
+#include "routing/region_capacity.hpp"
 
 namespace dispatcher::routing {
 namespace {
 
-// Forgets what is void when the endpoint's process is another one.
+// Resets what is no longer valid when the endpoint's process has been replaced.
 void reset_after_restart(Endpoint& endpoint, Time now) {
   Endpoint fresh;
   static_cast<EndpointInfo&>(fresh) = endpoint;
@@ -18,13 +19,22 @@
   endpoint = std::move(fresh);
 }
 
-// Adds what one endpoint shows; reported values are added up.
+constexpr double kTokensPerKilotoken = 1000;
+
+// The settings of a kind. Null: there is no such kind.
+const EndpointKind* find_kind(const Settings& settings, const std::string& name) {
+  const auto found = std::find_if(settings.kinds.begin(), settings.kinds.end(),
+                                  [&](const EndpointKind& known) { return known.name == name; });
+  return found != settings.kinds.end() ? &*found : nullptr;
+}
+
+// Adds one endpoint to its role's statistics; reported values are added up here and divided later.
 void add_endpoint(RoleStatistics& role, const Endpoint& endpoint) {
   role.ready += 1;
   role.ejected += endpoint.is_ejected ? 1 : 0;
   role.queue_delay_ratio_sum += endpoint.queue_delay_ratio;
   role.delayed += endpoint.queue_delay_ratio > 0 ? 1 : 0;
-  role.prompt_tokens += 1000 * endpoint.report.prompt_kilotokens.value_or(0);
+  role.prompt_tokens += kTokensPerKilotoken * endpoint.report.prompt_kilotokens.value_or(0);
   role.memory_share += endpoint.report.memory_share.value_or(0);
 }
 
@@ -32,37 +42,44 @@
 
 std::vector<EndpointId> EndpointTable::apply(const EndpointList& list, const Settings& settings, Time now) {
   std::vector<EndpointId> restarted;
-  if (list.kind != ListKind::kDelta) {
-    for (auto& [name, endpoint] : endpoints_) {
-      endpoint.listed_state = EndpointState::kRemoved;
-      endpoint.state = EndpointState::kRemoved;
-    }
-  }
+  if (list.kind != ListKind::kDelta) mark_all_removed();
   for (const EndpointInfo& info : list.entries) {
-    const auto kind = std::find_if(settings.kinds.begin(), settings.kinds.end(),
-                                   [&](const EndpointKind& known) { return known.name == info.kind; });
-    if (kind == settings.kinds.end()) continue;
-    Endpoint& endpoint = endpoints_[info.endpoint];
-    const bool is_new = endpoint.endpoint.empty();
-    if (!is_new && endpoint.started != info.started) {
-      restarted.push_back(info.endpoint);
-      reset_after_restart(endpoint, now);
-    }
-    if (is_new) endpoint.last_response_at = now;
-    static_cast<EndpointInfo&>(endpoint) = info;
-    endpoint.listed_state = info.state;
-    endpoint.state = effective_state(endpoint);
-    if (endpoint.weight <= 0) endpoint.weight = 1;
-    endpoint.name_hash = hash_text(endpoint.endpoint.value());
-    endpoint.role = kind->role;
-    endpoint.memory_tokens = kind->memory_tokens;
+    const EndpointKind* kind = find_kind(settings, info.kind);
+    if (kind != nullptr && update_entry(info, *kind, now)) restarted.push_back(info.endpoint);
+  }
+  erase_unused();
+  update_locality();
+  return restarted;
+}
+
+void EndpointTable::mark_all_removed() {
+  for (auto& [name, endpoint] : endpoints_) {
+    endpoint.listed_state = EndpointState::kRemoved;
+    endpoint.state = EndpointState::kRemoved;
   }
+}
+
+bool EndpointTable::update_entry(const EndpointInfo& info, const EndpointKind& kind, Time now) {
+  Endpoint& endpoint = endpoints_[info.endpoint];
+  const bool is_new = endpoint.endpoint.empty();
+  const bool is_restarted = !is_new && endpoint.started != info.started;
+  if (is_restarted) reset_after_restart(endpoint, now);
+  if (is_new) endpoint.last_response_at = now;
+  static_cast<EndpointInfo&>(endpoint) = info;
+  endpoint.listed_state = info.state;
+  endpoint.state = effective_state(endpoint);
+  if (endpoint.weight <= 0) endpoint.weight = 1;
+  endpoint.name_hash = hash_text(endpoint.endpoint.value());
+  endpoint.role = kind.role;
+  endpoint.memory_tokens = kind.memory_tokens;
+  return is_restarted;
+}
+
+void EndpointTable::erase_unused() {
   std::erase_if(endpoints_, [](const auto& entry) {
     const Endpoint& endpoint = entry.second;
     return endpoint.state == EndpointState::kRemoved && endpoint.is_idle() && endpoint.waiting_states == 0;
   });
-  update_locality();
-  return restarted;
 }
 
 bool EndpointTable::apply(const AdministrativeDrain& drain, Time now) {
@@ -74,7 +91,7 @@
   }
   Endpoint* endpoint = find(drain.endpoint);
   if (endpoint == nullptr) return false;
-  if (!drain.offline) {  // what was done to it meanwhile is unknown: it counts as restarted
+  if (!drain.offline) {  // it may have been restarted meanwhile, and counts as such
     reset_after_restart(*endpoint, now);
     endpoint->reinstated_at = now;
     endpoint->awaits_first_send = true;
@@ -123,9 +140,9 @@
   return endpoint.listed_state;
 }
 
-// All that a reader's cell cannot write crosses the cell's one link, which is slower to another zone: states
-// from cells without writers waited 2 s where others waited 40 ms. No router sees a link often enough to
-// measure it, so the list of endpoints says how much must cross it.
+// Prompt states that a reader's cell cannot write cross the cell's only link, which is slower to another
+// zone: states from cells without writers waited 2 s where others waited 40 ms. No router uses a link often
+// enough to measure it, so that its load is computed from the endpoint list.
 void EndpointTable::update_locality() {
   CellCapacities cells;
   std::map<std::string, RegionCapacity> zones;
@@ -139,7 +156,7 @@
   for (auto& [name, endpoint] : endpoints_) {
     const RegionCapacity& cell = cells[{endpoint.zone, endpoint.cell}];
     const double in_cell = cell.local_write_share(all);
-    endpoint.cell_reader_share = cell.readers / std::max(all.readers, 1e-9);
+    endpoint.cell_reader_share = share_of(cell.readers, all.readers);
     endpoint.local_write_share =
         in_cell + (1 - in_cell) * kOtherZoneWeight * zones[endpoint.zone].local_write_share(all);
   }
--- a/src/routing/endpoint_table.hpp
+++ b/src/routing/endpoint_table.hpp
@@ -13,24 +13,25 @@
 
 namespace dispatcher::routing {
 
-// What a role's ready endpoints show together: one endpoint alone shows one router too little.
+// Sums and means over a role's ready endpoints: one router sees too little of a single endpoint.
 struct RoleStatistics {
-  double ready = 0, ejected = 0;
+  double ready = 0, ejected = 0;  // numbers of endpoints
   double queue_delay_ratio_sum = 0;
   double delayed = 0;        // endpoints with a queue delay
-  double prompt_tokens = 0;  // mean of the reported ones
-  double memory_share = 0;   // mean of the reported ones
+  double prompt_tokens = 0;  // mean over the endpoints that report
+  double memory_share = 0;   // mean over the endpoints that report
 };
 
-// Owned by one Router and used on its thread. Pointers and references to entries stay valid until the
-// next list or drain is applied.
+// The endpoints that service discovery lists, and removed ones with attempts in flight or waiting states.
+// Owned by one Router and used on its thread. Pointers and references to entries stay valid until the next
+// list or drain is applied.
 class EndpointTable {
  public:
   using Map = std::map<EndpointId, Endpoint>;
 
-  // Returns the names of the endpoints that have restarted.
+  // Applies an endpoint list that was received. Returns the names of the endpoints that have restarted.
   [[nodiscard]] std::vector<EndpointId> apply(const EndpointList& list, const Settings& settings, Time now);
-  // Returns whether this changed an endpoint that is known.
+  // Applies an operators' drain. Returns whether this changed an endpoint that is known.
   [[nodiscard]] bool apply(const AdministrativeDrain& drain, Time now);
 
   [[nodiscard]] Endpoint* find(const EndpointId& name);
@@ -38,18 +39,25 @@
   [[nodiscard]] Map& entries() { return endpoints_; }
   [[nodiscard]] const Map& entries() const { return endpoints_; }
   [[nodiscard]] RoleStatistics statistics(Role role) const;
-  // Of all roles, by role_index(), in one pass over the endpoints.
+  // The same of all roles, by role_index(), in one pass over the endpoints.
   [[nodiscard]] std::array<RoleStatistics, kRoles> statistics_by_role() const;
-  // Ready endpoints that read prompts.
+  // Number of ready endpoints that read prompts: readers and mixed ones.
   [[nodiscard]] double reader_count() const { return reader_count_; }
   [[nodiscard]] bool has_mixed_endpoint() const;
 
  private:
+  void mark_all_removed();
+  // Adds or updates the endpoint of a list entry. Returns whether it has restarted.
+  bool update_entry(const EndpointInfo& info, const EndpointKind& kind, Time now);
+  // Erases removed endpoints that no attempt and no waiting state refers to.
+  void erase_unused();
+  // The listed state, or draining if operators took the endpoint out of service.
   [[nodiscard]] EndpointState effective_state(const Endpoint& endpoint) const;
+  // Computes local_write_share, cell_reader_share and the reader count anew.
   void update_locality();
 
   Map endpoints_;
-  std::set<EndpointId> offline_;  // by the operators' word, whether listed or not
+  std::set<EndpointId> offline_;  // drained by operators, whether listed or not
   double reader_count_ = 0;
 };
 
--- a/src/routing/prefix_affinity.cpp
+++ b/src/routing/prefix_affinity.cpp
@@ -7,18 +7,20 @@
 namespace dispatcher::routing {
 namespace {
 
-constexpr std::size_t kDefaultMaxBlocks = 31250;  // of a reader's cache, where its size is unknown
-constexpr std::uint64_t kMinCopies = 2;           // places of a shared prefix: one reader may fail
-constexpr std::uint64_t kMaxCopies = 64;          // more would push other prompts out of the caches
-constexpr double kCopiesPerReaderShare = 4;       // a prefix of half of all requests: twice all readers
+constexpr std::size_t kDefaultMaxBlocks = 31250;  // 500,000 tokens: of a cache whose size is unknown
+constexpr std::uint64_t kMinCopies = 2;           // keys of a shared prefix: one reader may fail
+constexpr std::uint64_t kMaxCopies = 64;          // more would evict other prompts from the caches
+constexpr double kCopiesPerReaderShare = 4;       // a prefix of half the requests gets twice all readers
 constexpr double kPopularityWindow = 64;          // requests after which all counts are halved
-constexpr double kMinPopularity = 0.5;            // smaller counts are forgotten
+constexpr double kMinPopularity = 0.5;            // smaller counts are erased
 
 }  // namespace
 
-// What a count of one is worth follows from how many prefixes were seen once and twice (absolute discounting:
-// Ney, Essen, Kneser, 1994). Where most are rare a single request shows no popularity, and copies of rare
-// prefixes would push all else out of the caches.
+// Counts are reduced by a discount that follows from how many prefixes were seen once and twice (absolute
+// discounting: Ney, Essen, Kneser, "On structuring probabilistic dependences in stochastic language
+// modelling", 1994). Where most prefixes are rare, a single request shows no popularity, and copies of rare
+// prefixes would evict all else from the caches. Counts are fractions after a halving, so that once and twice
+// are intervals.
 void PrefixAffinity::record(std::uint64_t shared_prefix) {
   if (shared_prefix == 0) return;
   popularity_[shared_prefix] += 1;
@@ -39,9 +41,10 @@
   total_ /= 2;
 }
 
-// A shared prefix has several places, more the more popular it is, and a session has one of them. So routers
-// that share nothing send a session and its prefix to the same reader, and a popular prefix finds enough
-// readers. Requests without a key go where the router's number leads them.
+// A shared prefix has several keys, more the more popular it is, and each session uses one of them. So
+// routers that share nothing send a session and its prefix to the same reader, and a popular prefix is cached
+// by enough readers. Requests with neither session nor prefix are spread by a hash of their id and the
+// router's number.
 std::uint64_t PrefixAffinity::affinity_key(const Request& request, int router_number,
                                            double reader_count) const {
   if (request.shared_prefix == 0) {
@@ -57,30 +60,9 @@
   return mix_bits(request.shared_prefix ^ mix_bits(mix_bits(request.session) % copies));
 }
 
-std::uint64_t session_key(const Request& request) {
-  return mix_bits(request.session) ^ mix_bits(mix_bits(request.shared_prefix));
-}
-
-int cached_tokens(const Endpoint& endpoint, const RequestState& state) {
-  const Request& request = state.request;
-  const PrefixIndex& index = endpoint.prefix_index;
-  const int session = request.session != 0 ? index.cached_tokens(session_prompt(state.session_key)) : 0;
-  const int shared = request.shared_prefix != 0 ? index.cached_tokens(shared_prompt(state.affinity_key)) : 0;
-  return std::min(std::max(session, std::min(shared, request.prefix_tokens)), request.prompt_tokens);
-}
-
-void record_cached_prompt(Endpoint& endpoint, const RequestState& state) {
-  const Request& request = state.request;
-  const bool has_prefix = request.shared_prefix != 0;
-  const int own_tokens = request.prompt_tokens - (has_prefix ? request.prefix_tokens : 0);
-  std::size_t max_blocks = kDefaultMaxBlocks;
-  if (endpoint.memory_tokens > 0)
-    max_blocks = static_cast<std::size_t>(endpoint.memory_tokens / kBlockTokens);
-  PrefixIndex& index = endpoint.prefix_index;
-  if (request.session != 0)
-    index.insert(session_prompt(state.session_key), request.prompt_tokens, own_tokens, max_blocks);
-  if (has_prefix)
-    index.insert(shared_prompt(state.affinity_key), request.prefix_tokens, request.prefix_tokens, max_blocks);
+std::size_t max_cached_blocks(const Endpoint& endpoint) {
+  if (endpoint.memory_tokens <= 0) return kDefaultMaxBlocks;
+  return static_cast<std::size_t>(endpoint.memory_tokens / kBlockTokens);
 }
 
 }  // namespace dispatcher::routing
--- a/src/routing/reader_selection.cpp
+++ b/src/routing/reader_selection.cpp
@@ -3,42 +3,48 @@
 #include <algorithm>
 #include <array>
 #include <cmath>
+#include <limits>
 #include <optional>
 #include <vector>
 
+#include "routing/cached_prompts.hpp"
 #include "routing/hashing.hpp"
 #include "routing/load_estimate.hpp"
-#include "routing/prefix_affinity.hpp"
 #include "routing/retry_policy.hpp"
+#include "routing/slow_start.hpp"
 
 namespace dispatcher::routing {
 namespace {
 
-constexpr double kPrefixWeight = 3;  // of the cached part of the prompt in the score
+constexpr double kPrefixWeight = 3;  // of the cached fraction of the prompt in the score
 constexpr double kLoadWeight = 2;    // of the free capacity in the score
 constexpr double kMemoryWeight = 2;  // of the free memory in the score
 constexpr double kTotalWeight = kPrefixWeight + kLoadWeight + kMemoryWeight;
 constexpr double kMinLoadSpread = 0.5;       // of the mean load: smaller differences are not stretched
-constexpr double kMaxLoadSpread = 2;         // one jammed endpoint must not hide the others' differences
-constexpr double kMinMeanLoadTokens = 5000;  // the noise of idle endpoints is no load
+constexpr double kMaxLoadSpread = 2;         // an overloaded endpoint must not hide the others' differences
+constexpr double kMinMeanLoadTokens = 5000;  // smaller loads are noise of idle endpoints
 constexpr double kMinFullStates = 8;         // fewer states at the fullest reader are no shortage
-constexpr double kTieBand = 0.05;            // scores this near the best are ties, settled by hash
-constexpr double kMixedTieShare = 0.8;       // of a mixed endpoint in ties
-constexpr double kRemoteTieShare = 0.4;      // in ties, of a reader with no writer near
-constexpr double kWarmupDrawBonus = 0.3;     // score added where slow start has drawn this request
+constexpr double kTieBand = 0.05;            // scores this close to the best are ties, resolved by hash
+constexpr double kMixedTieShare = 0.8;       // weight in ties of a mixed endpoint, relative to a reader
+constexpr double kRemoteTieShare = 0.4;      // the same of a reader with no writer in its zone
+constexpr double kWarmupDrawBonus = 0.3;     // added to the score where slow start has drawn the request
 
+// An eligible endpoint.
 struct Candidate {
   Endpoint* endpoint;
-  double load, memory, score;
+  double load;    // in tokens; once normalized, a multiple of its role's mean
+  double memory;  // once normalized, the used fraction
+  double score;
 };
 
+// Loads of the ready endpoints, eligible or not; arrays are by role_index().
 struct RoleLoads {
   std::array<RoleStatistics, kRoles> statistics;
   std::array<double, kRoles> sum{}, count{};
-  double max_states = kMinFullStates;  // at the fullest reader
+  double max_states = kMinFullStates;  // at the reader with the most waiting states
 };
 
-// Ties go to the highest of a weighted hash of key and endpoint, the same for all routers.
+// Ties go to the highest of a weighted hash of key and endpoint, which is the same for all routers.
 double tie_break(const SelectionContext& selection, const RoleBalance& balance, const Endpoint& endpoint,
                  std::uint64_t key) {
   const double share = endpoint.role == Role::kMixed
@@ -50,7 +56,8 @@
   return weighted_rendezvous(key, endpoint.name_hash, endpoint.weight * capacity * share);
 }
 
-// The eligible endpoints with their loads. A reader is one only while an attempt at a writer is left too.
+// The eligible endpoints with their loads. A reader is eligible only while an attempt at a writer is left
+// too.
 std::vector<Candidate> find_candidates(const SelectionContext& selection, const RequestState& state,
                                        RoleLoads& loads) {
   std::vector<Candidate> candidates;
@@ -75,7 +82,7 @@
   return candidates;
 }
 
-// Expresses load as a multiple of the role's own mean, and memory as the used share.
+// Expresses load as a multiple of the mean of its role, and memory as the used fraction.
 void normalize(const SelectionContext& selection, const RoleBalance& balance, const RoleLoads& loads,
                Candidate& candidate) {
   const Endpoint& endpoint = *candidate.endpoint;
@@ -89,10 +96,10 @@
                : endpoint.waiting_states / loads.max_states;
 }
 
-// Sets the scores, and returns the highest.
-double score(const SelectionContext& selection, const RequestState& state,
-             std::vector<Candidate>& candidates) {
-  double min_load = 1e300;
+// Sets the scores. Returns the highest.
+double set_scores(const SelectionContext& selection, const RequestState& state,
+                  std::vector<Candidate>& candidates) {
+  double min_load = std::numeric_limits<double>::max();
   double max_load = 0;
   for (const Candidate& candidate : candidates) {
     min_load = std::min(min_load, candidate.load);
@@ -114,24 +121,24 @@
   return max_score;
 }
 
-// Normalized weighted sum of prefix match, min-max load and free memory; the highest wins.
+// The candidate with the highest weighted sum of prefix match, free capacity and free memory, each from 0 to
+// 1.
 Endpoint* choose_best(const SelectionContext& selection, const RoleBalance& balance,
                       const RequestState& state) {
   RoleLoads loads{selection.endpoints.statistics_by_role()};
   std::vector<Candidate> candidates = find_candidates(selection, state, loads);
   for (Candidate& candidate : candidates) normalize(selection, balance, loads, candidate);
-  const double max_score = score(selection, state, candidates);
+  const double max_score = set_scores(selection, state, candidates);
   Endpoint* best = nullptr;
   double best_tie_break = 0;
   for (const Candidate& candidate : candidates) {
-    // Its cache is empty as far as is known here, so that no score would find it soon.
+    // Its prefix cache counts as empty, so that its score would hardly ever be the highest.
     if (candidate.endpoint->awaits_first_send) return candidate.endpoint;
     if (candidate.score < max_score - kTieBand) continue;
-    const double own = tie_break(selection, balance, *candidate.endpoint, state.affinity_key);
-    if (best == nullptr || own > best_tie_break) {
-      best = candidate.endpoint;
-      best_tie_break = own;
-    }
+    const double own_tie_break = tie_break(selection, balance, *candidate.endpoint, state.affinity_key);
+    if (best != nullptr && own_tie_break <= best_tie_break) continue;
+    best = candidate.endpoint;
+    best_tie_break = own_tie_break;
   }
   return best;
 }
@@ -141,7 +148,7 @@
 Endpoint* choose_reader(const SelectionContext& selection, const RoleBalance& balance, RequestState& state) {
   Endpoint* reader = choose_best(selection, balance, state);
   if (reader != nullptr || state.failed_endpoints.empty()) return reader;
-  state.failed_endpoints.clear();  // a second attempt is better than none
+  state.failed_endpoints.clear();  // a second attempt at one of them is better than none
   return choose_best(selection, balance, state);
 }
 
--- a/src/routing/reader_selection.hpp
+++ b/src/routing/reader_selection.hpp
@@ -8,8 +8,8 @@
 namespace dispatcher::routing {
 
 // A reader, a mixed endpoint or, where Settings::writers_can_prefill allows it and there is no other, a
-// writer. Endpoints that have failed the request are chosen only when there is no other; all of them are
-// forgiven then (RequestState::failed_endpoints is cleared). Null: none is eligible now.
+// writer. Endpoints at which an attempt of the request has failed are chosen only when there is no other
+// (RequestState::failed_endpoints is cleared then). Null: none is eligible now.
 [[nodiscard]] Endpoint* choose_reader(const SelectionContext& selection, const RoleBalance& balance,
                                       RequestState& state);
 
--- a/src/routing/request_admission.cpp
+++ b/src/routing/request_admission.cpp
@@ -1,5 +1,7 @@
 #include "routing/request_admission.hpp"
 
+#include "routing/cached_prompts.hpp"
+
 namespace dispatcher::routing {
 
 RequestState RequestAdmission::admit(const Context& context, const Request& request,
--- a/src/routing/request_admission.hpp
+++ b/src/routing/request_admission.hpp
@@ -1,4 +1,4 @@
-// Admission: what is settled about a request when it arrives.
+// Admission: what is determined about a request when it arrives.
 #ifndef DISPATCHER_ROUTING_REQUEST_ADMISSION_HPP_
 #define DISPATCHER_ROUTING_REQUEST_ADMISSION_HPP_
 
@@ -9,7 +9,7 @@
 
 namespace dispatcher::routing {
 
-// Counts what arrives, by tenant and by shared prefix. Owned by one Router and used on its thread.
+// Counts arriving requests, by tenant and by shared prefix. Owned by one Router and used on its thread.
 class RequestAdmission {
  public:
   void apply_settings(const Settings& settings, Time now) { quota_.apply_settings(settings, now); }
--- a/src/routing/request_state.hpp
+++ b/src/routing/request_state.hpp
@@ -1,4 +1,5 @@
-// What a router knows of one open request. Support: data only.
+// What a router knows of one open request. The prompt's "state" is its KV cache at the reader, which a writer
+// fetches. Support: data only.
 #ifndef DISPATCHER_ROUTING_REQUEST_STATE_HPP_
 #define DISPATCHER_ROUTING_REQUEST_STATE_HPP_
 
@@ -14,44 +15,50 @@
 namespace dispatcher::routing {
 
 // What a request waits for, or what its attempt in flight does.
-enum class Phase { kNeedsRead, kReading, kNeedsWriter, kWriting, kStreaming };
+enum class Phase {
+  kNeedsRead,    // waits for an endpoint that reads its prompt
+  kReading,      // a reader processes the prompt
+  kNeedsWriter,  // the prompt's state waits at its reader
+  kWriting,      // sent to an endpoint that generates the answer; no token has arrived
+  kStreaming     // the first token has arrived
+};
 
 // One open request and its attempts.
 struct RequestState {
   Request request;
-  std::shared_ptr<const Settings> settings;     // those that it was admitted under
-  const RequestClass* request_class = nullptr;  // among them
+  std::shared_ptr<const Settings> settings;     // that it was admitted under
+  const RequestClass* request_class = nullptr;  // in these settings
   Phase phase = Phase::kNeedsRead;
-  bool is_in_flight = false;     // an attempt is out
-  bool is_ended = false;         // no answer is owed any more
-  bool is_cancelled = false;     // the attempt in flight is being cancelled
-  bool is_over_quota = false;    // its tenant had used its quota up
-  bool is_counted_late = false;  // counted as late before its first token
-  bool holds_state = false;      // its prompt's state waits at `reader`
-  bool may_have_run = false;     // an effect may have taken place
+  bool is_in_flight = false;      // an attempt is in flight
+  bool is_ended = false;          // it has its final answer, or needs none
+  bool is_cancelled = false;      // the attempt in flight is being cancelled
+  bool is_over_quota = false;     // its tenant's quota was used up when it arrived
+  bool is_counted_late = false;   // counted as late before its first token
+  bool has_prompt_state = false;  // its prompt's state waits at `reader`
+  bool may_have_run = false;      // it may have been executed, with an effect
   int attempt_count = 0;
-  int charged_attempts = 0;      // of max_attempts
-  int later_sends_answered = 0;  // later own sends to the same endpoint that were answered first
+  int charged_attempts = 0;      // those that count against max_attempts
+  int later_sends_answered = 0;  // later sends of this router to the same endpoint that were answered first
   EndpointId endpoint;           // of the attempt in flight
-  EndpointId reader;
-  std::vector<EndpointId> failed_endpoints;
-  Time sent_at{};              // of the attempt in flight
-  Time idle_since{};           // when the last attempt ended
+  EndpointId reader;             // that read the prompt last
+  std::vector<EndpointId> failed_endpoints;  // which further attempts avoid
+  Time sent_at{};                            // when the attempt in flight was sent
+  Time idle_since{};           // when the last attempt ended; from then its reservation limit counts
   Time first_run_sent_at{};    // of the first attempt that may have had an effect ...
   std::string first_run_zone;  // ... and where it was sent
   int first_run_cell = 0;
-  std::uint64_t affinity_key = 0;        // of its shared prefix, or of its session: see prefix_affinity.hpp
-  std::uint64_t session_key = 0;         // of its session and shared prefix together
-  bool fetches_from_other_cell = false;  // the attempt in flight does, for the prompt's state
-  double start_work_tokens = 0;          // expected work of that attempt up to its first token
-  double tokens_to_read = 0;             // prompt tokens that it still has to read
-  int predicted_cached_tokens = 0;       // that the reader is expected to have in its prefix cache
-  Duration read_time{};                  // that the reader took
-  Time stream_started_at{};
+  std::uint64_t affinity_key = 0;        // see PrefixAffinity::affinity_key()
+  std::uint64_t session_key = 0;         // see session_key() of cached_prompts.hpp
+  bool fetches_from_other_cell = false;  // the attempt in flight fetches the prompt's state from another cell
+  double start_work_tokens = 0;     // expected work of that attempt up to its first token: see start_work()
+  double tokens_to_read = 0;        // prompt tokens that it still has to read
+  int predicted_cached_tokens = 0;  // prompt tokens that its endpoint is expected to have cached
+  Duration read_time{};             // from the reader's attempt to its result; zero: not read by a reader
+  Time stream_started_at{};         // when the first token arrived
 
   // The number of the attempt in flight, or of the last one.
   [[nodiscard]] int current_attempt() const { return attempt_count - 1; }
-  // Time within which its first token is wanted.
+  // Time from arrival within which its first token is wanted.
   [[nodiscard]] Duration latency_objective() const {
     return request_class->latency_objective +
            scaled(request_class->latency_objective_per_1000_tokens, request.prompt_tokens / 1000.0);
--- a/src/routing/retry_policy.cpp
+++ b/src/routing/retry_policy.cpp
@@ -6,31 +6,37 @@
 namespace dispatcher::routing::retry_policy {
 namespace {
 
-constexpr Duration kTimerInterval = Milliseconds(20);  // unless the settings' tick is longer
+// Timer interval, unless the settings' tick is longer. src/settings/consistency_checks.cpp has it, too.
+constexpr Duration kTimerInterval = Milliseconds(20);
 constexpr int kLeadIntervals = 2;       // before the client's deadline: an answer may wait for the next timer
-constexpr double kTimeoutMultiple = 3;  // of the expected time, for an attempt ...
-constexpr double kTimeoutDeviations = 3;         // ... plus so many relative deviations
-constexpr double kMinTimeoutObjectives = 1.0;    // of the objective, that an attempt has at least
-constexpr double kOverdueMultiple = 3;           // of the time-out, at an endpoint that still answers others
-constexpr int kLostAfterLaterSends = 2;          // later sends answered first: the attempt is lost
-constexpr double kLostTimeoutShare = 0.35;       // of the time-out, for such an attempt
-constexpr double kMigrateQuietObjectives = 0.5;  // of the objective in silence, at an unresponsive endpoint
-constexpr double kReservationShare = 0.7;  // of the reservation limit after which a state is not tried again
-
+constexpr double kTimeoutMultiple = 3;  // time-out of an attempt: of the expected time ...
+constexpr double kTimeoutDeviations = 3;       // ... plus so many relative deviations
+constexpr double kMinTimeoutObjectives = 1.0;  // least time-out, in latency objectives
+constexpr double kOverdueMultiple = 3;         // of the time-out, at an endpoint that answers other requests
+constexpr int kLostAfterLaterSends = 2;        // later sends answered first: the attempt is lost
+constexpr double kLostTimeoutShare = 0.35;     // of the time-out, for such an attempt
+constexpr double kMigrateQuietObjectives = 0.5;  // silence in objectives, at an unresponsive endpoint
+// Part of the reservation limit after which a state gets no further attempts.
+// src/settings/consistency_checks.cpp has it, too.
+constexpr double kReservationShare = 0.7;
+
+// Whether another attempt may follow one at the endpoint whose outcome is unknown.
 bool may_repeat(const RequestState& state, const Endpoint& endpoint) {
   return state.charged_attempts < state.settings->max_attempts &&
          (endpoint.role == Role::kReader || state.request_class->idempotency == Idempotency::kIdempotent);
 }
 
-// When repeats of the request are no longer discarded.
+// From then on endpoints no longer recognize and discard repeats of the request.
 Time deduplication_end(const RequestState& state) {
   return state.first_run_sent_at + state.request_class->deduplication_window;
 }
 
+// From then on endpoints release what they have reserved for the request.
 Time reservation_end(const RequestState& state) {
   return state.idle_since + state.settings->reservation_limit;
 }
 
+// Time within which the attempt should have its first token or its read prompt.
 Duration attempt_timeout(const OutlierDetection& outliers, const Endpoint& endpoint,
                          const RequestState& state) {
   const MovingAverage* average = outliers.start_average(endpoint, state);
@@ -40,6 +46,21 @@
   return std::max(Duration(std::llround(expected)), scaled(state.latency_objective(), kMinTimeoutObjectives));
 }
 
+// Whether the attempt has passed its time-out, which is longer at an endpoint that answers other requests.
+bool is_overdue(const Endpoint& endpoint, const RequestState& state, Duration age, Duration timeout) {
+  const bool is_silent = endpoint.last_response_at < state.sent_at;
+  return age > (is_silent ? timeout : scaled(timeout, kOverdueMultiple));
+}
+
+// Whether the endpoint's queue delay is far above that of its role's other endpoints. While all are late,
+// sending attempts elsewhere would only add load.
+bool has_unusual_delay(const EndpointTable& endpoints, const Endpoint& endpoint) {
+  const RoleStatistics role = endpoints.statistics(endpoint.role);
+  const double own = endpoint.queue_delay_ratio;
+  const double others_sum = role.queue_delay_ratio_sum - own;
+  return own > kStandsOutMultiple * others_sum / std::max(1.0, role.delayed - 1);
+}
+
 }  // namespace
 
 Duration timer_interval(const Settings& settings) { return std::max(kTimerInterval, settings.tick); }
@@ -50,19 +71,19 @@
 
 bool is_likely_lost(const RequestState& state) { return state.later_sends_answered >= kLostAfterLaterSends; }
 
-// Where attempts may be cancelled, should_cancel() ends them instead, knowing more by then.
+// Where attempts may be cancelled, should_cancel() replaces the time-out: more is known by then.
 AttemptLimits attempt_limits(const Context& context, const OutlierDetection& outliers,
                              const Endpoint& endpoint, const RequestState& state) {
   const Settings& settings = *context.settings;
   Time deadline = state.request.client_deadline;
   if (!settings.may_cancel && may_repeat(state, endpoint))
     deadline = context.now + attempt_timeout(outliers, endpoint, state);
-  // A time-out is learned of up to a tick later, and must still be answered within the slack then.
+  // A time-out is reported up to a tick later; the answer to it must still be within the slack.
   const Duration answer_time = std::max(Duration(0), settings.tick - state.settings->answer_slack);
   deadline = std::min(state.request.client_deadline - answer_time, deadline);
 
-  Time connect_by = state.holds_state ? reservation_end(state) : Time{};
-  // A repeat counts when it arrives: one whose connection is late may arrive outside the window.
+  Time connect_by = state.has_prompt_state ? reservation_end(state) : Time{};
+  // A repeat is recognized when it arrives: one whose connection takes long may arrive after the window.
   if (needs_deduplication(state)) {
     const Time end = deduplication_end(state);
     connect_by = connect_by == Time{} ? end : std::min(connect_by, end);
@@ -71,7 +92,7 @@
 }
 
 bool is_exhausted(const Context& context, const RequestState& state) {
-  // A repeat after its window is no repeat: the effect would take place again.
+  // A repeat after its window would not be recognized: the effect would take place twice.
   const bool is_window_over = needs_deduplication(state) && context.now >= deduplication_end(state);
   const Duration lead = kLeadIntervals * timer_interval(*context.settings);
   return state.charged_attempts >= state.settings->max_attempts ||
@@ -95,7 +116,7 @@
 
 bool is_reservation_expired(const Context& context, const RequestState& state) {
   const Duration limit = scaled(state.settings->reservation_limit, kReservationShare);
-  return state.holds_state && context.now >= state.idle_since + limit;
+  return state.has_prompt_state && context.now >= state.idle_since + limit;
 }
 
 bool may_retry(const Context& context, const RequestState& state, AttemptStatus status) {
@@ -125,7 +146,8 @@
   return is_lost && completed.evidence != AttemptEvidence::kNone;
 }
 
-// Three writers in a row that never came up, 250 ms each, had states outlive their limit.
+// Three writers in a row that could not be connected to, 250 ms each, kept states reserved beyond their
+// limit.
 bool renews_reservation(const RequestState& state, AttemptStatus status) {
   return status != AttemptStatus::kConnectFailed || !state.settings->reservation_expires_while_connecting;
 }
@@ -142,22 +164,14 @@
   return std::min(state.settings->max_retry_after, state.latency_objective());
 }
 
-// An endpoint that answers nobody while its role's average has long passed hangs. In a jam, when all are
-// late, moving on would only make it worse.
 bool should_cancel(const Context& context, const OutlierDetection& outliers, const LoadShedding& shedding,
                    const EndpointTable& endpoints, const Endpoint& endpoint, const RequestState& state) {
-  const Duration age = context.now - state.sent_at;
   const Duration timeout = attempt_timeout(outliers, endpoint, state);
+  const Duration age = context.now - state.sent_at;
   const bool is_lost = is_likely_lost(state) && age > scaled(timeout, kLostTimeoutShare);
-  if (!is_lost) {
-    const bool is_silent = endpoint.last_response_at < state.sent_at;
-    if (age <= (is_silent ? timeout : scaled(timeout, kOverdueMultiple))) return false;
-    const RoleStatistics role = endpoints.statistics(endpoint.role);
-    const double own = endpoint.queue_delay_ratio;
-    const double others_sum = role.queue_delay_ratio_sum - own;
-    const bool is_alone = own > kStandsOutMultiple * others_sum / std::max(1.0, role.delayed - 1);
-    if (!is_alone || !shedding.stands_out(state, age)) return false;
-  }
+  if (!is_lost && !(is_overdue(endpoint, state, age, timeout) && has_unusual_delay(endpoints, endpoint) &&
+                    shedding.stands_out(state, age)))
+    return false;
   return context.settings->may_cancel && !state.is_cancelled && may_repeat(state, endpoint) &&
          context.now + timeout < state.request.client_deadline;
 }
--- a/src/routing/retry_policy.hpp
+++ b/src/routing/retry_policy.hpp
@@ -1,4 +1,5 @@
-// Retry policy: time-outs of attempts, windows of idempotency, when to retry and when to give up.
+// Retry policy: time-outs of attempts, deduplication windows, when to retry and when to give up. Pure
+// functions.
 #ifndef DISPATCHER_ROUTING_RETRY_POLICY_HPP_
 #define DISPATCHER_ROUTING_RETRY_POLICY_HPP_
 
@@ -16,54 +17,56 @@
   Time connect_by{};  // zero: no limit
 };
 
-// Time between two looks at the open requests.
+// Interval at which the open requests are checked.
 [[nodiscard]] Duration timer_interval(const Settings& settings);
 
-// Whether an effect may have taken place whose repeats are discarded for a while only.
+// Whether the request may have been executed, so that it may only be sent where and while a repeat is
+// discarded.
 [[nodiscard]] bool needs_deduplication(const RequestState& state);
-// Whether the endpoint has answered so many later requests first that the attempt in flight is lost.
+// Whether the endpoint has answered so many later sends first that the attempt in flight is probably lost.
 [[nodiscard]] bool is_likely_lost(const RequestState& state);
-// Limits for an attempt that is sent now; the state already describes it.
+// Limits for an attempt that is sent now; `state` already describes it.
 [[nodiscard]] AttemptLimits attempt_limits(const Context& context, const OutlierDetection& outliers,
                                            const Endpoint& endpoint, const RequestState& state);
 // Whether no further attempt can help: none is left, or there is no time.
 [[nodiscard]] bool is_exhausted(const Context& context, const RequestState& state);
-// Whether a reader can come up for a request that finds none now: not while its last attempt must both read
-// and write and no endpoint does both.
+// Whether a request that finds no reader now may find one later: not if its last attempt must both read and
+// write and no endpoint does both.
 [[nodiscard]] bool can_wait_for_reader(const Context& context, const EndpointTable& endpoints,
                                        const RequestState& state);
-// Whether the state that waits at the reader can wait for the next timer.
+// Whether the prompt's state is still reserved at its reader at the next timer.
 [[nodiscard]] bool can_wait_for_writer(const Context& context, const RequestState& state);
-// Whether there are attempts left for both reading and writing.
+// Whether enough attempts are left for one that reads and one that writes.
 [[nodiscard]] bool has_attempts_for_both_stages(const RequestState& state);
-// Whether the state has waited at its reader for too long to be tried again.
+// Whether the prompt's state has waited at its reader too long for another attempt at a writer.
 [[nodiscard]] bool is_reservation_expired(const Context& context, const RequestState& state);
 // Whether a request may be tried again after an attempt that ended like this.
 [[nodiscard]] bool may_retry(const Context& context, const RequestState& state, AttemptStatus status);
 // Whether an attempt that ended like this counts against max_attempts.
 [[nodiscard]] bool is_charged(const RequestState& state, AttemptStatus status);
-// Whether an attempt that ended like this, in this phase, can't have had an effect.
+// Whether an attempt that ended like this in this phase can't have had an effect.
 [[nodiscard]] bool has_no_effect(AttemptStatus status, Phase phase);
-// Whether the endpoint of an attempt that ended like this is to be avoided by the request.
+// Whether the request must avoid the endpoint of an attempt that ended like this.
 [[nodiscard]] bool excludes_endpoint(AttemptStatus status);
-// Whether the prompt's state is gone, so that it must be read again.
+// Whether such an attempt consumed or lost the prompt's state, so that the prompt must be read again.
 [[nodiscard]] bool loses_state(const AttemptCompleted& completed);
-// Whether the end of such an attempt starts the time anew that a state may wait at its reader.
+// Whether the end of such an attempt restarts the reservation limit of the prompt's state at its reader.
 [[nodiscard]] bool renews_reservation(const RequestState& state, AttemptStatus status);
 // Whether the client may safely send the request again after a final rejection.
 [[nodiscard]] bool is_retry_safe(const RequestState& state);
-// What a rejected client is told to wait, if anything.
+// After what time a rejected client should retry. Empty: no advice is given.
 [[nodiscard]] std::optional<Duration> retry_after(const RequestState& state);
-// Whether the attempt in flight has waited for its first token so long that it should move elsewhere.
+// Whether to cancel the attempt in flight and send another one elsewhere: it is probably lost, or its
+// endpoint hangs while others answer.
 [[nodiscard]] bool should_cancel(const Context& context, const OutlierDetection& outliers,
                                  const LoadShedding& shedding, const EndpointTable& endpoints,
                                  const Endpoint& endpoint, const RequestState& state);
-// Whether a running stream should move away from its endpoint.
+// Whether a running stream should be migrated, as its endpoint no longer responds.
 [[nodiscard]] bool should_migrate(const Context& context, const Endpoint& endpoint,
                                   const RequestState& state);
 // Whether the attempt in flight has become late: no first token within the objective.
 [[nodiscard]] bool has_become_late(Time now, const RequestState& state);
-// What the end of an attempt says against its endpoint.
+// The failure of the endpoint that the end of an attempt is evidence of. Empty: none.
 [[nodiscard]] std::optional<Failure> failure_of(const AttemptCompleted& completed, Phase phase,
                                                 const LoadShedding& shedding, const Endpoint& endpoint,
                                                 const RequestState& state);
--- a/src/routing/router.cpp
+++ b/src/routing/router.cpp
@@ -1,5 +1,5 @@
-// Takes events one at a time, has the other modules of this folder decide, and collects the actions that
-// follow. Holds no threshold and no choice.
+// Receives events one at a time, delegates decisions to the other modules of this folder, and collects the
+// resulting actions. Has no threshold and makes no choice.
 #include "routing/router.hpp"
 
 #include <algorithm>
@@ -18,7 +18,7 @@
 namespace dispatcher::routing {
 namespace {
 
-constexpr std::uint64_t kTimerTag = 0;  // the router has one timer only
+constexpr std::uint64_t kTimerTag = 0;  // the router has a single timer
 
 }  // namespace
 
@@ -50,8 +50,9 @@
   }
 
  private:
-  // ---- events that concern the router as a whole ----
+  // ---- events that concern no single request ----
 
+  // The first event's time is the origin of all counting.
   void start(Time now) {
     is_started_ = true;
     observer_.start(now);
@@ -64,6 +65,7 @@
     admission_.apply_settings(*context_.settings, context_.now);
   }
 
+  // The timer runs while requests are open or the endpoint list must be requested again.
   void set_timer_if_needed() {
     if (is_timer_set_ || (requests_.is_empty() && !needs_subscription_)) return;
     is_timer_set_ = true;
@@ -96,7 +98,7 @@
       record_send(context_, *endpoint);
   }
 
-  void handle(const ReservationResult& /*result*/) {}  // the router makes no reservations at writers yet
+  void handle(const ReservationResult& /*result*/) {}  // the router does not reserve slots yet
 
   void handle(const TimerExpired& timer) {
     if (timer.tag != kTimerTag || !is_timer_set_) return;
@@ -104,7 +106,7 @@
     if (needs_subscription_ && context_.settings->polls_endpoint_list) emit(Subscribe{});
     needs_subscription_ = false;
     observer_.update(context_, endpoints_);
-    requests_.for_each_unanswered([this](RequestState& state) { revisit(state); });
+    requests_.for_each_unanswered([this](RequestState& state) { check_request(state); });
   }
 
   // ---- events of one request ----
@@ -138,10 +140,9 @@
     const Phase phase = state->phase;
     end_attempt(context_, endpoints_, *state, completed.status);
     if (endpoint != nullptr) observe_completion(*endpoint, *state, completed, phase);
-    if (completed.status == AttemptStatus::kRead) hold_prompt_state(*state, endpoint, completed);
-    if (completed.finished || state->is_ended) {  // no answer is owed any more
-      state->is_ended = true;
-      emit_if_present(release_prompt_state(endpoints_, *state));
+    if (completed.status == AttemptStatus::kRead) record_prompt_state(*state, endpoint, completed);
+    if (completed.finished || state->is_ended) {
+      end_request(*state);
     } else {
       record_unanswered(endpoints_, *state, endpoint, completed, phase);
       continue_after(*state, completed.status);
@@ -179,11 +180,11 @@
     }
   }
 
-  // Looks at an open request when the timer has expired.
-  void revisit(RequestState& state) {
+  // Checks an open request when the timer has expired.
+  void check_request(RequestState& state) {
     observer_.record_if_late(context_, state);
     if (state.is_in_flight) {
-      watch_attempt(state);
+      check_attempt(state);
     } else if (retry_policy::is_reservation_expired(context_, state)) {
       give_up(state);
     } else {
@@ -192,21 +193,31 @@
     requests_.erase_if_settled(state);
   }
 
-  void watch_attempt(RequestState& state) {
+  // Migrates or cancels the attempt in flight if its endpoint no longer responds.
+  void check_attempt(RequestState& state) {
     Endpoint* endpoint = endpoints_.find(state.endpoint);
     if (endpoint == nullptr) return;
     if (state.phase == Phase::kStreaming) {
-      if (!retry_policy::should_migrate(context_, *endpoint, state)) return;
-      state.is_ended = true;
-      emit(MigrateStream{state.request.id});
-      return;
+      check_stream(*endpoint, state);
+    } else {
+      check_first_token(*endpoint, state);
     }
-    observer_.record_wait(context_, *endpoint, state);
+  }
+
+  void check_stream(const Endpoint& endpoint, RequestState& state) {
+    if (!retry_policy::should_migrate(context_, endpoint, state)) return;
+    state.is_ended = true;
+    emit(MigrateStream{state.request.id});
+  }
+
+  void check_first_token(Endpoint& endpoint, RequestState& state) {
+    observer_.record_wait(context_, endpoint, state);
     if (retry_policy::should_cancel(context_, observer_.outliers(), observer_.shedding(), endpoints_,
-                                    *endpoint, state))
+                                    endpoint, state))
       emit(cancel_attempt(state));
   }
 
+  // Starts the request's next attempt, gives it up, or leaves it waiting for the next timer.
   void dispatch(RequestState& state) {
     const SelectionContext selection{context_, endpoints_, observer_.slow_start()};
     const DispatchDecision decision = decide_next_step(selection, observer_.balance(), state);
@@ -224,11 +235,16 @@
   }
 
   void give_up(RequestState& state) {
-    emit_if_present(release_prompt_state(endpoints_, state));
-    state.is_ended = true;
+    end_request(state);
     emit(final_answer(state));
   }
 
+  // The request needs no further attempt.
+  void end_request(RequestState& state) {
+    state.is_ended = true;
+    emit_if_present(release_prompt_state(endpoints_, state));
+  }
+
   // ---- actions ----
 
   void emit(Action action) { actions_.push_back(std::move(action)); }
@@ -241,7 +257,7 @@
   Context context_;
   bool is_started_ = false;
   bool is_timer_set_ = false;
-  bool needs_subscription_ = false;  // the endpoint list could not be had
+  bool needs_subscription_ = false;  // the last poll of the endpoint list failed
   EndpointTable endpoints_;
   OpenRequests requests_;
   RequestAdmission admission_;
--- /dev/null
+++ b/src/routing/warmup.hpp
@@ -0,0 +1,19 @@
+// Warm-up: the capacity that the settings ascribe to an endpoint that has started, or returned to service, a
+// short time ago. Support: no threshold and no choice.
+#ifndef DISPATCHER_ROUTING_WARMUP_HPP_
+#define DISPATCHER_ROUTING_WARMUP_HPP_
+
+#include "routing/context.hpp"
+#include "routing/endpoint.hpp"
+
+namespace dispatcher::routing {
+
+// Whether the endpoint's warm-up, which lasts Settings::warmup_time, is not over yet.
+[[nodiscard]] bool is_warming_up(const Context& context, const Endpoint& endpoint);
+
+// The part of its capacity that an endpoint has now. Grows linearly from Settings::warmup_initial_share to 1.
+[[nodiscard]] double warmup_fraction(const Context& context, const Endpoint& endpoint);
+
+}  // namespace dispatcher::routing
+
+#endif  // DISPATCHER_ROUTING_WARMUP_HPP_
--- a/src/routing/writer_selection.cpp
+++ b/src/routing/writer_selection.cpp
@@ -6,7 +6,7 @@
 #include "routing/hashing.hpp"
 #include "routing/load_estimate.hpp"
 #include "routing/locality.hpp"
-#include "routing/outlier_detection.hpp"
+#include "routing/region_capacity.hpp"
 
 namespace dispatcher::routing {
 namespace {
@@ -14,110 +14,115 @@
 constexpr double kLeaveCellLoad = 1.2;   // multiple of the mean load at which the reader's cell is left
 constexpr double kLeaveCellStreams = 2;  // ... and at least this many streams above the mean
 
-struct Capacities {
-  CellCapacities cells;
-  RegionCapacity all;
-};
+// What the endpoint's cell can write beyond what its own readers need, as a share of its writers.
+double spare_share(const FleetCapacities& capacities, const Endpoint& endpoint, const Endpoint& reader) {
+  const RegionCapacity cell = capacities.cell_of(endpoint);
+  const RegionCapacity& all = capacities.all;
+  const double spare = 1 - share_of(share_of(cell.readers, all.readers), share_of(cell.writers, all.writers));
+  return std::max(0.0, spare) * (endpoint.zone == reader.zone ? 1.0 : kOtherZoneWeight);
+}
 
-double share_of(double part, double total) { return part / std::max(total, 1e-9); }
-
-// What endpoints can do now, by cell: readers, and writers of this role.
-Capacities measure_capacities(const SelectionContext& selection, Role role) {
-  const Context& context = selection.context;
-  Capacities capacities;
-  for (const auto& [name, endpoint] : selection.endpoints.entries()) {
-    if (endpoint.state != EndpointState::kReady || endpoint.is_ejected) continue;
-    const double weight =
-        endpoint.weight / slowdown(context, endpoint) * effective_capacity(context, endpoint);
-    for (RegionCapacity* region : {&capacities.cells[{endpoint.zone, endpoint.cell}], &capacities.all}) {
-      if (endpoint.role == Role::kReader) region->readers += weight;
-      if (endpoint.role == role) region->writers += weight;
+// One choice of a writer among the eligible endpoints of one role: that with the fewest streams, in the
+// reader's cell unless that cell's best endpoint has well above the mean load of all. No router sees how many
+// requests all routers together send to a cell: no more than the cell's share of all writers can take stays
+// there.
+class WriterChoice {
+ public:
+  WriterChoice(const SelectionContext& selection, const RequestState& state, Role role)
+      : selection_(selection),
+        role_(role),
+        reader_(selection.endpoints.find(state.reader)),
+        salt_(hash_text(state.request.id.value()) ^
+              mix_bits(static_cast<std::uint64_t>(selection.context.settings->router_number))) {
+    for (auto& [name, endpoint] : selection.endpoints.entries()) {
+      if (endpoint.role != role || !is_eligible(selection, endpoint, state, Step::kExecute)) continue;
+      candidates_.push_back(&endpoint);
+      load_sum_ += stream_load(selection.context, endpoint);
     }
   }
-  return capacities;
-}
 
-// The candidate with the fewest streams. Ties go by hash, each weighed by the share that `share_for` gives
-// it; one with no share is left out.
-template <typename ShareFor>
-Endpoint* least_loaded(const Context& context, const std::vector<Endpoint*>& candidates, std::uint64_t salt,
-                       const ShareFor& share_for) {
-  Endpoint* best = nullptr;
-  double min_load = 0;
-  double best_tie_break = 0;
-  for (Endpoint* endpoint : candidates) {
-    const double share = share_for(*endpoint);
-    if (share <= 0) continue;
-    const double load = stream_load(context, *endpoint);
-    const double tie_break = weighted_rendezvous(salt, endpoint->name_hash, endpoint->weight * share);
-    if (best != nullptr && (load > min_load || (load == min_load && tie_break <= best_tie_break))) continue;
-    best = endpoint;
-    min_load = load;
-    best_tie_break = tie_break;
+  // Null: there is no candidate.
+  [[nodiscard]] Endpoint* choose() const {
+    Endpoint* preferred =
+        least_loaded([&](const Endpoint& endpoint) { return is_preferred(endpoint) ? 1.0 : 0.0; });
+    if (preferred != nullptr) return preferred;
+    Endpoint* best = least_loaded([](const Endpoint&) { return 1.0; });
+    Endpoint* local = least_loaded([&](const Endpoint& endpoint) { return is_local(endpoint) ? 1.0 : 0.0; });
+    if (local == nullptr || is_overloaded(*local)) return best;
+
+    const FleetCapacities capacities = measure_capacities(selection_.context, selection_.endpoints, role_);
+    if (stays_in_cell(capacities)) return local;
+    Endpoint* remote = least_loaded([&](const Endpoint& endpoint) {
+      return is_local(endpoint) ? 0.0 : spare_share(capacities, endpoint, *reader_);
+    });
+    return remote != nullptr ? remote : local;
   }
-  return best;
-}
 
-// What the endpoint's cell can write beyond what its own readers bring, as a share of its writers.
-double spare_share(const Capacities& capacities, const Endpoint& endpoint, const Endpoint& reader) {
-  const auto found = capacities.cells.find({endpoint.zone, endpoint.cell});
-  const RegionCapacity cell = found != capacities.cells.end() ? found->second : RegionCapacity{};
-  const RegionCapacity& all = capacities.all;
-  const double spare = 1 - share_of(share_of(cell.readers, all.readers), share_of(cell.writers, all.writers));
-  return std::max(0.0, spare) * (endpoint.zone == reader.zone ? 1.0 : kOtherZoneWeight);
-}
+ private:
+  [[nodiscard]] bool is_local(const Endpoint& endpoint) const {
+    return reader_ != nullptr && in_same_cell(endpoint, *reader_);
+  }
 
-// Fewest streams, in the reader's cell unless its best stands well above the mean of all writers. What many
-// routers together bring a cell, none of them counts: only as much stays as its share of all writing takes.
-Endpoint* choose_in_role(const SelectionContext& selection, const RequestState& state, Role role) {
-  const Context& context = selection.context;
-  const Settings& settings = *context.settings;
-  const Endpoint* reader = selection.endpoints.find(state.reader);
-  double load_sum = 0;
-  std::vector<Endpoint*> candidates;
-  for (auto& [name, endpoint] : selection.endpoints.entries()) {
-    if (endpoint.role != role || !is_eligible(selection, endpoint, state, Step::kExecute)) continue;
-    candidates.push_back(&endpoint);
-    load_sum += stream_load(context, endpoint);
+  // Whether the endpoint needs this request in order to be measured, or slow start has drawn it.
+  [[nodiscard]] bool is_preferred(const Endpoint& endpoint) const {
+    return endpoint.awaits_first_send ||
+           (selection_.slow_start.admits_by_draw(selection_.context, endpoint) && is_local(endpoint));
   }
-  const std::uint64_t salt =
-      hash_text(state.request.id.value()) ^ mix_bits(static_cast<std::uint64_t>(settings.router_number));
-  const auto choose = [&](const auto& share_for) {
-    return least_loaded(context, candidates, salt, share_for);
-  };
-  const auto is_local = [&](const Endpoint& endpoint) {
-    return reader != nullptr && in_same_cell(endpoint, *reader);
-  };
-
-  Endpoint* preferred = choose([&](const Endpoint& endpoint) {
-    const bool is_drawn = selection.slow_start.admits_by_draw(context, endpoint) && is_local(endpoint);
-    return endpoint.awaits_first_send || is_drawn ? 1.0 : 0.0;
-  });
-  if (preferred != nullptr) return preferred;
-  Endpoint* best = choose([](const Endpoint&) { return 1.0; });
-  Endpoint* local = choose([&](const Endpoint& endpoint) { return is_local(endpoint) ? 1.0 : 0.0; });
-  if (local == nullptr) return best;
-
-  const double leave = kLeaveCellLoad + 1.0 / settings.router_count;  // few routers: own counts see the rest
-  const double mean_load = load_sum / static_cast<double>(candidates.size());
-  if (stream_load(context, *local) > std::max(leave * mean_load, mean_load + kLeaveCellStreams)) return best;
-
-  Capacities capacities = measure_capacities(selection, role);
-  const RegionCapacity& all = capacities.all;
-  const RegionCapacity& cell = capacities.cells[{reader->zone, reader->cell}];
-  const double stay = leave * share_of(cell.writers, all.writers) / share_of(cell.readers, all.readers);
-  if (cell.readers <= 0 || unit_interval(mix_bits(salt)) < stay) return local;
-  Endpoint* remote = choose([&](const Endpoint& endpoint) {
-    return is_local(endpoint) ? 0.0 : spare_share(capacities, endpoint, *reader);
-  });
-  return remote != nullptr ? remote : local;
-}
+
+  // Multiple of its share up to which a cell is used. Few routers see most of the load themselves.
+  [[nodiscard]] double leave_threshold() const {
+    return kLeaveCellLoad + 1.0 / selection_.context.settings->router_count;
+  }
+
+  [[nodiscard]] bool is_overloaded(const Endpoint& local) const {
+    const double mean_load = load_sum_ / static_cast<double>(candidates_.size());
+    const double max_load = std::max(leave_threshold() * mean_load, mean_load + kLeaveCellStreams);
+    return stream_load(selection_.context, local) > max_load;
+  }
+
+  // Whether the request is among those that the writers of its reader's cell can take, by hash.
+  [[nodiscard]] bool stays_in_cell(const FleetCapacities& capacities) const {
+    const RegionCapacity cell = capacities.cell_of(*reader_);
+    if (cell.readers <= 0) return true;
+    const RegionCapacity& all = capacities.all;
+    const double stay =
+        leave_threshold() * share_of(cell.writers, all.writers) / share_of(cell.readers, all.readers);
+    return unit_interval(mix_bits(salt_)) < stay;
+  }
+
+  // The candidate with the fewest streams. Ties go by hash, each weighed by the share from 0 to 1 that
+  // `share_for` gives it. One with no share is left out; null: none has any.
+  template <typename ShareFor>
+  [[nodiscard]] Endpoint* least_loaded(const ShareFor& share_for) const {
+    Endpoint* best = nullptr;
+    double min_load = 0;
+    double best_tie_break = 0;
+    for (Endpoint* endpoint : candidates_) {
+      const double share = share_for(*endpoint);
+      if (share <= 0) continue;
+      const double load = stream_load(selection_.context, *endpoint);
+      const double tie_break = weighted_rendezvous(salt_, endpoint->name_hash, endpoint->weight * share);
+      if (best != nullptr && (load > min_load || (load == min_load && tie_break <= best_tie_break))) continue;
+      best = endpoint;
+      min_load = load;
+      best_tie_break = tie_break;
+    }
+    return best;
+  }
+
+  const SelectionContext& selection_;
+  const Role role_;
+  const Endpoint* reader_;  // of the request's prompt; null: it is no longer known
+  const std::uint64_t salt_;
+  std::vector<Endpoint*> candidates_;
+  double load_sum_ = 0;  // of the candidates, in streams
+};
 
 }  // namespace
 
 Endpoint* choose_writer(const SelectionContext& selection, const RequestState& state) {
-  Endpoint* writer = choose_in_role(selection, state, Role::kWriter);
-  return writer != nullptr ? writer : choose_in_role(selection, state, Role::kMixed);
+  Endpoint* writer = WriterChoice(selection, state, Role::kWriter).choose();
+  return writer != nullptr ? writer : WriterChoice(selection, state, Role::kMixed).choose();
 }
 
 }  // namespace dispatcher::routing
