--- a/src/routing/context.hpp
+++ b/src/routing/context.hpp
@@ -1,4 +1,4 @@
-// What every decision depends on beside the tables.
+// The inputs of every decision other than the tables of endpoints and requests.
 #ifndef DISPATCHER_ROUTING_CONTEXT_HPP_
 #define DISPATCHER_ROUTING_CONTEXT_HPP_
 
@@ -8,7 +8,7 @@
 
 namespace dispatcher::routing {
 
-// The settings in force and the present time. A request may have come in under other settings.
+// The current settings and time. A request may have been admitted under earlier settings: see RequestState.
 struct Context {
   std::shared_ptr<const Settings> settings;
   Time now{};
--- a/src/routing/eligibility.cpp
+++ b/src/routing/eligibility.cpp
@@ -8,21 +8,22 @@
 namespace {
 
 constexpr Duration kFullPause = Milliseconds(300);      // of a full endpoint, for all requests
-constexpr Duration kRejectPause = Milliseconds(20000);  // for a class and tenant that it rejected
+constexpr Duration kRejectPause = Milliseconds(20000);  // for one class and tenant that it rejected
 
+// Whether the endpoint has recently rejected a request of this class and tenant.
 bool rejects(const Endpoint& endpoint, const RequestState& state, Time now) {
   if (endpoint.rejects_until.empty()) return false;
   const auto found = endpoint.rejects_until.find({state.request_class->name, state.request.tenant});
   return found != endpoint.rejects_until.end() && now < found->second;
 }
 
-// An ejected endpoint returns by single requests that may be repeated elsewhere.
+// An ejected endpoint is tried by single requests, which must be safe to retry elsewhere.
 bool may_try_ejected(const Endpoint& endpoint, const RequestState& state, Step step, Time now) {
   if (now < endpoint.ejected_until || endpoint.has_unanswered_attempt()) return false;
   return step == Step::kRead || state.request_class->idempotency == Idempotency::kIdempotent;
 }
 
-// Whether a repeat is discarded there if the request was executed before. Reads count as well.
+// Whether the endpoint recognizes a repeat of what may have been executed before, and discards it.
 bool is_in_deduplication_scope(const Endpoint& endpoint, const RequestState& state) {
   const bool same_zone = endpoint.zone == state.first_run_zone;
   switch (state.request_class->deduplication_scope) {
@@ -50,7 +51,7 @@
   return !retry_policy::needs_deduplication(state) || is_in_deduplication_scope(endpoint, state);
 }
 
-// The endpoint pauses for all requests only when it rejected several classes or tenants: one rejection may
+// The endpoint is full for all requests only when it rejected several classes or tenants: one rejection may
 // concern that class or tenant alone.
 void record_rejection(Time now, Endpoint& endpoint, const RequestState& state) {
   std::erase_if(endpoint.rejects_until, [&](const auto& entry) { return entry.second <= now; });
--- a/src/routing/eligibility.hpp
+++ b/src/routing/eligibility.hpp
@@ -1,4 +1,4 @@
-// Eligibility: which endpoints a request may go to at all.
+// Eligibility: which endpoints may be chosen for a request at all.
 #ifndef DISPATCHER_ROUTING_ELIGIBILITY_HPP_
 #define DISPATCHER_ROUTING_ELIGIBILITY_HPP_
 
@@ -9,20 +9,23 @@
 
 namespace dispatcher::routing {
 
-// What an endpoint would do for a request: only its execution can have an effect.
+// What an endpoint would do for a request. Reading a prompt has no effect that a client can see; execution
+// may have.
 enum class Step { kRead, kExecute };
 
-// What the selection of an endpoint depends on; refers to the Router's own parts.
+// What the selection of an endpoint depends on. Refers to parts of the Router, for one call.
 struct SelectionContext {
   const Context& context;
   EndpointTable& endpoints;
   const SlowStart& slow_start;
 };
 
+// Whether the endpoint may be sent the request now, for this step: it is ready, not full, not ejected, has
+// not failed or rejected the request, and slow start and the request's idempotency allow it.
 [[nodiscard]] bool is_eligible(const SelectionContext& selection, const Endpoint& endpoint,
                                const RequestState& state, Step step);
 
-// An endpoint rejected the request for lack of capacity.
+// Records that the endpoint rejected the request for lack of capacity.
 void record_rejection(Time now, Endpoint& endpoint, const RequestState& state);
 
 }  // namespace dispatcher::routing
--- a/src/routing/hashing.hpp
+++ b/src/routing/hashing.hpp
@@ -17,22 +17,27 @@
   return x ^ (x >> 31U);
 }
 
-// A number in the open interval (0, 1), evenly spread over all x.
+// A number in the open interval (0, 1), uniformly distributed over all x.
 [[nodiscard]] inline double unit_interval(std::uint64_t x) {
-  return (static_cast<double>(mix_bits(x) >> 11U) + 0.5) / 9007199254740992.0;  // 2^53
+  constexpr double kDoublePrecision = 9007199254740992.0;  // 2^53: a double has 53 bits of precision
+  return (static_cast<double>(mix_bits(x) >> 11U) + 0.5) / kDoublePrecision;
 }
 
-// FNV-1a, 64 bits.
+// FNV-1a, 64 bits (Fowler, Noll, Vo). The offset basis lacks the last digit of the standard's,
+// 14695981039346656037; it stays as it is, since all routers of a fleet must choose alike.
 [[nodiscard]] inline std::uint64_t hash_text(const std::string& text) {
-  std::uint64_t hash = 1469598103934665603ULL;
+  constexpr std::uint64_t kOffsetBasis = 1469598103934665603ULL;
+  constexpr std::uint64_t kPrime = 1099511628211ULL;
+  std::uint64_t hash = kOffsetBasis;
   for (const char character : text) {
-    hash = (hash ^ static_cast<unsigned char>(character)) * 1099511628211ULL;
+    hash = (hash ^ static_cast<unsigned char>(character)) * kPrime;
   }
   return hash;
 }
 
-// How strongly `key` is drawn to the node with this hash: of several nodes the highest has the key, each with
-// a probability in proportion to its weight (weighted rendezvous hashing: Schindelhauer, Schomaker, 2005).
+// The score of a node for `key`: of several nodes the one with the highest score gets the key, each with a
+// probability in proportion to its weight (weighted rendezvous hashing: Schindelhauer, Schomaker, "Weighted
+// distributed hash tables", SPAA 2005). The weight must be positive.
 [[nodiscard]] inline double weighted_rendezvous(std::uint64_t key, std::uint64_t node_hash, double weight) {
   return std::log(unit_interval(key ^ node_hash)) / weight;
 }
--- a/src/routing/learned_state.hpp
+++ b/src/routing/learned_state.hpp
@@ -1,4 +1,4 @@
-// What a router hands over in a hot restart, and how its successor takes it over.
+// Transfer of what a router has learned to its successor in a hot restart.
 #ifndef DISPATCHER_ROUTING_LEARNED_STATE_HPP_
 #define DISPATCHER_ROUTING_LEARNED_STATE_HPP_
 
@@ -8,11 +8,12 @@
 
 namespace dispatcher::routing {
 
-// What a successor process needs in order to continue.
+// What a successor process needs in order to continue: averages, result counts, and sends to endpoints that
+// warm up.
 [[nodiscard]] LearnedState save_learned_state(const Context& context, const ResponseObserver& observer,
                                               const EndpointTable& endpoints);
 
-// Takes it over; endpoints that are not in the table are passed over.
+// Continues from a predecessor's state; endpoints that are not in the table are ignored.
 void restore_learned_state(const LearnedState& learned_state, const Context& context,
                            ResponseObserver& observer, EndpointTable& endpoints);
 
--- a/src/routing/load_estimate.cpp
+++ b/src/routing/load_estimate.cpp
@@ -9,8 +9,9 @@
 namespace dispatcher::routing {
 namespace {
 
-constexpr double kAttemptTokens = 600;                    // the fixed cost of an attempt, in prompt tokens
-constexpr Duration kReportHalfLife = Milliseconds(3000);  // the mean of all says more about old ones
+constexpr double kAttemptTokens = 600;  // fixed cost of an attempt, in prompt tokens
+constexpr double kTokensPerKilotoken = 1000;
+constexpr Duration kReportHalfLife = Milliseconds(3000);  // of a report's deviation from the mean of all
 
 }  // namespace
 
@@ -20,17 +21,17 @@
 }
 
 double aged_report(const Context& context, const Endpoint& endpoint, double value, double mean) {
-  return mean + (value - mean) *
-                    std::exp2(-to_seconds(context.now - endpoint.reported_at) / to_seconds(kReportHalfLife));
+  const double age = to_seconds(context.now - endpoint.reported_at);
+  return mean + (value - mean) * std::exp2(-age / to_seconds(kReportHalfLife));
 }
 
-// An endpoint that never reported counts as idle but for own sends: counted as the average, 300 routers that
-// hear little found out less.
+// An endpoint that never reported counts as idle but for what this router sent. Counting it as average kept
+// 300 routers, each of which receives few reports, from finding idle endpoints.
 double prompt_load(const Context& context, const Endpoint& endpoint, const RoleStatistics& role) {
   double tokens = endpoint.pending_prompt_tokens;
   if (const auto& reported = endpoint.report.prompt_kilotokens; reported)
-    tokens =
-        aged_report(context, endpoint, 1000 * *reported, role.prompt_tokens) + endpoint.tokens_since_report;
+    tokens = aged_report(context, endpoint, kTokensPerKilotoken * *reported, role.prompt_tokens) +
+             endpoint.tokens_since_report;
   if (endpoint.role == Role::kMixed) tokens += endpoint.active_streams * kAttemptTokens;
   return (tokens / effective_capacity(context, endpoint) + kAttemptTokens) * slowdown(context, endpoint);
 }
--- a/src/routing/load_shedding.cpp
+++ b/src/routing/load_shedding.cpp
@@ -10,17 +10,17 @@
 namespace {
 
 constexpr Duration kPressureTime = Milliseconds(4000);  // time constant of the pressure's mean
-constexpr double kPunctualPrior = 2;        // punctual samples assumed: one late answer is no overload
-constexpr double kMaxObjectiveRatio = 1.5;  // that one sample counts for, and that a late attempt counts for
+constexpr double kPunctualPrior = 2;        // samples without delay assumed: one late answer is no overload
+constexpr double kMaxObjectiveRatio = 1.5;  // that a sample counts for at most, and a late attempt always
 constexpr double kSheddingPressure = 0.6;   // pressure at which the queue is bounded
 constexpr Duration kStartWindow = Milliseconds(3000);  // in which first tokens are counted for their rate
-constexpr double kStalledMultiple = 2;  // of its objective: what waits longer is not in a queue that moves
-constexpr double kMinTimeMultiple = 2;  // of the present first-token time, that the client must have left
-constexpr double kQueueShare = 0.8;     // of the objective, that an admitted request may wait
-constexpr double kOverQuotaQueueShare = 0.3;  // the same over quota: such requests give way first
+constexpr double kStalledMultiple = 2;        // of its objective: a request that waits longer is not queued
+constexpr double kMinTimeMultiple = 2;        // of the present first-token time, left until the deadline
+constexpr double kQueueShare = 0.8;           // of the objective, that an admitted request may wait
+constexpr double kOverQuotaQueueShare = 0.3;  // the same over quota: such requests are shed first
 
-// Whether the request waits for its first token in a queue that moves. Two silent endpoints, counted as
-// queues, had kept all other requests out.
+// Whether the request waits for its first token in a queue that moves. When the requests at two silent
+// endpoints counted as queued, all other requests were rejected.
 bool is_queued(Time now, const RequestState& state) {
   const bool is_stalled =
       retry_policy::is_likely_lost(state) ||
@@ -58,16 +58,17 @@
   return age > scaled(state.latency_objective(), kStandsOutMultiple * latency_pressure());
 }
 
-// A queue that grows past the objective serves nobody in time, and never drains while clients retry. So while
-// first tokens are late, only what should start within the shortest objective at their present rate is
-// admitted. A hash settles the fractions of a request that many routers have. A request whose client leaves
-// before first tokens come now is work for nobody: such requests had half of all reads cancelled.
+// In a queue that is longer than the objective every request is late, and it never drains while clients
+// retry. So while first tokens are late, only requests that should start within the shortest objective at the
+// present rate are admitted. Many routers have capacity for a fraction of a request each: a hash rounds it. A
+// request whose client would leave before its first token is wasted work: half of all reads were cancelled
+// for that reason.
 bool LoadShedding::should_shed(Time now, const RequestState& state, const RequestTable& requests) {
   add_sample(now, 0, 0);  // fades the mean to the present
   const double pressure = latency_pressure();
   while (!starts_.empty() && starts_.front() < now - kStartWindow) starts_.pop_front();
 
-  // The pressure comes from queues: the time for a long prompt's own reading does not grow with it.
+  // Pressure is caused by queues: the time for reading a long prompt itself does not grow with it.
   const Duration queue_time = scaled(state.request_class->latency_objective, pressure);
   const Duration own_time = state.latency_objective() - state.request_class->latency_objective;
   const Duration start_time = queue_time + scaled(own_time, std::min(1.0, pressure));
--- a/src/routing/moving_average.hpp
+++ b/src/routing/moving_average.hpp
@@ -12,14 +12,14 @@
 
 // Parameters of an average.
 struct Smoothing {
-  int min_samples;      // samples before the mean is trusted
+  int min_samples;      // number of samples before the mean is trusted
   double min_gain;      // weight of a new sample, once there are many
-  double max_multiple;  // of a trusted mean, at which a sample is cut
+  double max_multiple;  // of a trusted mean, to which a larger sample is reduced
 };
 
-// The average itself; a plain MovingAverage as it is handed over in a hot restart.
+// The average itself. Its base is the part that a hot restart transfers.
 struct ExponentialMovingAverage : MovingAverage {
-  // Until there are 1 / min_gain samples this is their plain mean.
+  // Adds a sample. Until there are 1 / min_gain of them, the mean is their arithmetic mean.
   void add(double sample, const Smoothing& smoothing) {
     if (is_trusted(smoothing)) sample = std::min(sample, smoothing.max_multiple * mean);
     const double gain = std::max(smoothing.min_gain, 1.0 / ++n);
--- a/src/routing/open_requests.hpp
+++ b/src/routing/open_requests.hpp
@@ -1,4 +1,4 @@
-// The table of open requests: those that are owed an answer or have an attempt in flight.
+// The table of open requests: those that have no final answer yet or have an attempt in flight.
 #ifndef DISPATCHER_ROUTING_OPEN_REQUESTS_HPP_
 #define DISPATCHER_ROUTING_OPEN_REQUESTS_HPP_
 
@@ -12,20 +12,21 @@
 // Owned by one Router and used on its thread. References to a request stay valid until it is erased.
 class OpenRequests {
  public:
-  // Adds a request whose id is not in the table yet.
+  // Adds a request, whose id must not be in the table yet.
   RequestState& insert(RequestState state);
   // Null: no such request is open.
   [[nodiscard]] RequestState* find(const RequestId& id);
   // The request, if this attempt of it is in flight. Null: it is not.
   [[nodiscard]] RequestState* find_in_flight(const RequestId& id, int attempt);
-  // Erases the request if it is owed no answer and has no attempt in flight; `state` is void then.
+  // Erases the request if it needs no answer and has no attempt in flight; `state` dangles then.
   void erase_if_settled(const RequestState& state);
 
-  // Counts, at each attempt that waits at the endpoint, that it was passed: endpoints answer in order, so
-  // that attempts sent before the answered one and still waiting may be lost.
+  // Counts, for each attempt that still waits at the endpoint and was sent before the answered one, that a
+  // later one was answered first: endpoints answer roughly in order, so that such an attempt may be lost.
   void count_later_send_answered(const Endpoint& endpoint, const RequestState& answered);
 
-  // Calls `visit(state)` for each request that is owed an answer, by id; it may erase that request.
+  // Calls `visit(state)` for each request without a final answer, in the order of ids; it may erase that
+  // request.
   template <typename Visit>
   void for_each_unanswered(const Visit& visit) {
     for (auto it = requests_.begin(); it != requests_.end();) {
--- a/src/routing/outlier_detection.cpp
+++ b/src/routing/outlier_detection.cpp
@@ -8,47 +8,48 @@
 namespace dispatcher::routing {
 namespace {
 
-constexpr int kMinSamples = 8;         // observations before an average is trusted
-constexpr double kRoleGain = 0.15;     // of a role's averages: many endpoints, so slowly
-constexpr double kMaxSampleRatio = 3;  // multiple of the average at which an observation is cut
+constexpr int kMinSamples = 8;         // number of samples before an average is trusted
+constexpr double kRoleGain = 0.15;     // weight of a sample in a role's averages: many endpoints, so low
+constexpr double kMaxSampleRatio = 3;  // multiple of the average to which a larger sample is reduced
 constexpr Smoothing kSmoothing{kMinSamples, kRoleGain, kMaxSampleRatio};
-constexpr double kEndpointGain = 0.25;  // of one endpoint's ratio: few samples, so faster
-constexpr double kMaxLatencyRatio = 8;  // that one sample counts for
-constexpr Duration kLatencyRatioHalfLife = Milliseconds(10000);  // what was seen long ago says little
+constexpr double kEndpointGain = 0.25;  // weight of a sample in one endpoint's ratio: few samples, so higher
+constexpr double kMaxLatencyRatio = 8;  // that one sample counts for at most
+constexpr Duration kLatencyRatioHalfLife = Milliseconds(10000);  // of the ratio's distance from 1
 constexpr double kFreeQueueDelayRatio = 4;        // a queue up to this multiple of the average is ordinary
-constexpr double kMaxQueueDelayFactor = 3;        // most that a queue counts for
+constexpr double kMaxQueueDelayFactor = 3;        // that a queue counts for at most
 constexpr double kEjectionScore = 2;              // failures that eject ...
 constexpr double kReliableRoleEjectionScore = 1;  // ... where the role's endpoints hardly ever fail
-constexpr double kReliableFailureRate = 0.15;     // failure rate under which they hardly ever do
+constexpr double kReliableFailureRate = 0.15;     // failures per attempt under which they hardly ever do
 constexpr double kMaxEjectedShare = 0.5;          // of a role's endpoints: the rest must not be overloaded
 constexpr Duration kBaseEjectionTime = Milliseconds(1000);  // doubled for each ejection in a row
-constexpr Duration kMaxEjectionTime = Milliseconds(8000);   // it must be tried again in time
-constexpr int kMaxEjectionDoublings = 4;                    // past these the maximum applies anyway
+constexpr Duration kMaxEjectionTime = Milliseconds(8000);   // a recovered endpoint must be found in time
+constexpr int kMaxEjectionDoublings = 4;                    // with more the maximum applies anyway
 
-// Of the start averages: that of the endpoint's role, or that of states from another cell.
+// Which of the start averages applies: that of the endpoint's role, or that of states from another cell.
 std::size_t average_index(const Endpoint& endpoint, const RequestState& state) {
   return state.fetches_from_other_cell ? kRoles : role_index(endpoint.role);
 }
 
-// The latency ratio, less what has faded of its distance from 1.
-double faded_latency_ratio(const Context& context, const Endpoint& endpoint) {
-  return 1 + (endpoint.latency_ratio - 1) * std::exp2(-to_seconds(context.now - endpoint.latency_ratio_at) /
-                                                      to_seconds(kLatencyRatioHalfLife));
+// The latency ratio, whose distance from 1 decays with the time since it was updated.
+double decayed_latency_ratio(const Context& context, const Endpoint& endpoint) {
+  const double age = to_seconds(context.now - endpoint.latency_ratio_at);
+  return 1 + (endpoint.latency_ratio - 1) * std::exp2(-age / to_seconds(kLatencyRatioHalfLife));
 }
 
 void record_latency_ratio(const Context& context, Endpoint& endpoint, double ratio) {
-  endpoint.latency_ratio = faded_latency_ratio(context, endpoint);
+  endpoint.latency_ratio = decayed_latency_ratio(context, endpoint);
   endpoint.latency_ratio += kEndpointGain * (std::min(ratio, kMaxLatencyRatio) - endpoint.latency_ratio);
   endpoint.latency_ratio_at = context.now;
 }
 
+// The reason of an ejection, as the operators' log has it.
 const char* describe(AttemptStatus status) {
   if (status == AttemptStatus::kConnectFailed || status == AttemptStatus::kReset) return "unreachable";
   return status == AttemptStatus::kTimeout ? "silent" : "errors";
 }
 
-// Takes an endpoint out of the choice for a while. It returns by single idempotent requests: see
-// eligibility.cpp.
+// Excludes an endpoint from selection for a while, unless too many of its role are excluded already.
+// Afterwards single idempotent requests try it: see eligibility.cpp.
 std::optional<LogMessage> eject(const Context& context, const EndpointTable& endpoints, Endpoint& endpoint,
                                 AttemptStatus status) {
   std::optional<LogMessage> log;
@@ -71,7 +72,7 @@
 }  // namespace
 
 double slowdown(const Context& context, const Endpoint& endpoint) {
-  return std::max(1.0, faded_latency_ratio(context, endpoint)) *
+  return std::max(1.0, decayed_latency_ratio(context, endpoint)) *
          std::clamp(endpoint.queue_delay_ratio / kFreeQueueDelayRatio, 1.0, kMaxQueueDelayFactor);
 }
 
@@ -88,11 +89,11 @@
   const double ratio = average.is_trusted(kSmoothing) ? per_token / average.mean : 1;
   const bool warming_up = is_warming_up(context, endpoint);
   if (!warming_up) average.add(per_token, kSmoothing);
-  // That a link or a warm-up takes long is no fault of the endpoint.
+  // A slow link or a warm-up must not count against the endpoint.
   return state.fetches_from_other_cell || warming_up ? std::min(1.0, ratio) : ratio;
 }
 
-// A slow writer still starts streams fast: only how long its streams take shows it.
+// A slow writer still starts streams fast: only the duration of its streams reveals it.
 void OutlierDetection::record_stream(const Context& context, Endpoint& endpoint, const RequestState& state) {
   ExponentialMovingAverage& average = stream_averages_[state.request_class->name];
   const double time = to_seconds(context.now - state.stream_started_at);
@@ -122,8 +123,8 @@
 }
 
 // Two failures in a row eject. While the role's endpoints hardly ever fail, the first one is enough, and so
-// is a new connection that never comes up. An endpoint that is alive is given one more: ejecting such
-// endpoints took half of a fleet out and overloaded the others.
+// is a connection that can't be made. An endpoint that is alive may fail once more: ejecting such endpoints
+// removed half of a fleet and overloaded the others.
 std::optional<LogMessage> OutlierDetection::record_failure(const Context& context,
                                                            const EndpointTable& endpoints, Endpoint& endpoint,
                                                            Failure failure) {
@@ -132,10 +133,10 @@
   const bool is_broken =
       failure.status == AttemptStatus::kConnectFailed || failure.status == AttemptStatus::kReset;
   const bool is_role_reliable = failure_rate < kReliableFailureRate;
-  const double enough =
+  const double ejection_score =
       (is_role_reliable ? kReliableRoleEjectionScore : kEjectionScore) + (failure.is_alive ? 1 : 0);
   std::optional<LogMessage> log;
-  if ((is_broken && !failure.is_alive) || endpoint.is_ejected || endpoint.failure_score >= enough)
+  if ((is_broken && !failure.is_alive) || endpoint.is_ejected || endpoint.failure_score >= ejection_score)
     log = eject(context, endpoints, endpoint, failure.status);
   failure_rate += kRoleGain * (1 - failure_rate);
   return log;
--- a/src/routing/prefix_index.hpp
+++ b/src/routing/prefix_index.hpp
@@ -11,7 +11,8 @@
 
 namespace dispatcher::routing {
 
-constexpr int kBlockTokens = 16;  // caches hold whole blocks of so many tokens
+constexpr int kBlockTokens =
+    16;  // tokens of a cache block: caches store complete blocks only (vLLM's default size)
 
 // What a cached prompt is found by.
 enum class PrefixKind { kSession, kShared };
@@ -36,14 +37,15 @@
 // Prompts by key, least recently used evicted first.
 class PrefixIndex {
  public:
-  // Tokens held for this key; 0: none.
+  // Cached tokens for this key; 0: none.
   [[nodiscard]] int cached_tokens(const PrefixKey& key) const {
     const auto it = entries_.find(key);
     return it == entries_.end() ? 0 : it->second->tokens;
   }
 
-  // Adds a prompt, or renews it. `own_tokens`: those that no other key accounts for. A shorter prompt than
-  // the one known does not shorten it. Evicts what exceeds `max_blocks`.
+  // Adds a prompt, or makes it the most recent. `own_tokens`: those that no other key accounts for, which
+  // occupy blocks. A prompt shorter than the known one does not shorten it. Evicts prompts while there are
+  // more than `max_blocks` blocks.
   void insert(const PrefixKey& key, int tokens, int own_tokens, std::size_t max_blocks) {
     Entry entry{key, tokens / kBlockTokens * kBlockTokens, std::size_t(own_tokens / kBlockTokens) + 1};
     if (cached_tokens(key) > entry.tokens) entry = *entries_[key];
--- a/src/routing/response_observer.cpp
+++ b/src/routing/response_observer.cpp
@@ -18,12 +18,12 @@
   slow_start_.update(context, endpoints);
 }
 
-// Only the attempts that led to the token count: the time of lost attempts is no queue.
+// Only the attempts that led to the token count: the time of failed attempts was not spent in a queue.
 std::optional<LogMessage> ResponseObserver::record_first_token(const Context& context, OpenRequests& requests,
                                                                Endpoint* endpoint, const RequestState& state,
                                                                Duration elapsed) {
-  const double took = to_seconds(state.read_time + elapsed);
-  const double objective_ratio = took / to_seconds(state.latency_objective());
+  const double total_time = to_seconds(state.read_time + elapsed);
+  const double objective_ratio = total_time / to_seconds(state.latency_objective());
   shedding_.record_start(context.now, objective_ratio);
   balance_.record_start(state, objective_ratio);
   if (endpoint == nullptr) return std::nullopt;
@@ -38,7 +38,7 @@
   std::vector<LogMessage> logs;
   if (completed.status == AttemptStatus::kRead) {
     append(logs, record_start(context, requests, endpoint, state, completed.elapsed));
-    // Logged only: the index is not cleared, as the reader caches the prompt again from now on.
+    // The index is not cleared, as the reader has the prompt cached from now on.
     if (completed.cached_prompt_tokens + kBlockTokens < state.predicted_cached_tokens)
       logs.push_back({"endpoint " + endpoint.endpoint.value() + " lost cached prompts"});
   } else if (completed.status == AttemptStatus::kServed) {
--- a/src/routing/response_observer.hpp
+++ b/src/routing/response_observer.hpp
@@ -1,4 +1,4 @@
-// Observation: what the answers of endpoints, and the lack of answers, teach a router.
+// Observation: passes the results of attempts, and the lack of results, to the modules that learn from them.
 #ifndef DISPATCHER_ROUTING_RESPONSE_OBSERVER_HPP_
 #define DISPATCHER_ROUTING_RESPONSE_OBSERVER_HPP_
 
@@ -15,7 +15,7 @@
 
 namespace dispatcher::routing {
 
-// Feeds the modules that learn, which decisions read. Owned by one Router and used on its thread.
+// Owns the modules that learn, which decisions depend on. Owned by one Router and used on its thread.
 class ResponseObserver {
  public:
   // `seed`: see LoadShedding.
@@ -24,15 +24,16 @@
   // Counting begins.
   void start(Time now) { slow_start_.start(now); }
   void apply_settings(const Settings& settings) { shedding_.apply_settings(settings); }
-  // Time has passed, or the endpoints have changed.
+  // To be called when time has passed or the endpoints have changed.
   void update(const Context& context, const EndpointTable& endpoints);
 
-  // The first token of a request's answer came, so long after its attempt was sent. `endpoint` is null if it
-  // is no longer known. Returns what operators are to be told.
+  // The first token of a request's answer arrived, so long after its attempt was sent. `endpoint` is null if
+  // it is no longer known. Returns the message for the operators' log; empty: none.
   [[nodiscard]] std::optional<LogMessage> record_first_token(const Context& context, OpenRequests& requests,
                                                              Endpoint* endpoint, const RequestState& state,
                                                              Duration elapsed);
-  // An attempt at the endpoint ended; it was in this phase. Returns what operators are to be told, in order.
+  // An attempt at the endpoint ended; it was in this phase. Returns the messages for the operators' log, in
+  // order.
   [[nodiscard]] std::vector<LogMessage> record_completion(const Context& context,
                                                           const EndpointTable& endpoints,
                                                           OpenRequests& requests, Endpoint& endpoint,
@@ -43,7 +44,7 @@
   // Counts a request once that has passed its objective without a first token.
   void record_if_late(const Context& context, RequestState& state);
 
-  // Whether a request that has just come must be rejected. `requests` includes it.
+  // Whether a request that has just arrived must be rejected. `requests` includes it.
   [[nodiscard]] bool should_shed(const Context& context, const RequestState& state,
                                  const OpenRequests& requests);
   [[nodiscard]] const OutlierDetection& outliers() const { return outliers_; }
--- a/src/routing/tenant_quota.cpp
+++ b/src/routing/tenant_quota.cpp
@@ -8,8 +8,8 @@
 namespace dispatcher::routing {
 namespace {
 
-constexpr double kBurstSeconds = 2;      // of quota that may be used at once
-constexpr double kMinBurstRequests = 3;  // that may come at once also where the quota is tiny
+constexpr double kBurstSeconds = 2;      // bucket size, in seconds of quota ...
+constexpr double kMinBurstRequests = 3;  // ... but at least so many requests, also for tiny quotas
 
 }  // namespace
 
--- a/src/routing/tenant_quota.hpp
+++ b/src/routing/tenant_quota.hpp
@@ -1,4 +1,4 @@
-// Tenant quotas: a token bucket for each tenant.
+// Tenant quotas: a token bucket for each tenant. Each router has its part of every quota.
 #ifndef DISPATCHER_ROUTING_TENANT_QUOTA_HPP_
 #define DISPATCHER_ROUTING_TENANT_QUOTA_HPP_
 
@@ -9,20 +9,20 @@
 
 namespace dispatcher::routing {
 
-// Owned by one Router and used on its thread.
+// Counts the requests of tenants against their quotas. Owned by one Router and used on its thread.
 class TenantQuota {
  public:
-  // Tenants that were known before keep what is left in their buckets.
+  // Applies the quotas of these settings. Tenants that were known before keep the tokens in their buckets.
   void apply_settings(const Settings& settings, Time now);
-  // Takes a request's token. Returns whether there was none left: the request is over its tenant's quota. An
-  // unknown tenant has no quota and is never over it.
+  // Takes a token for a request. Returns whether there was none left: the request is over its tenant's quota.
+  // A tenant that is not in the settings has no quota and is never over it.
   [[nodiscard]] bool is_over_quota(const std::string& tenant, Time now);
 
  private:
   struct TokenBucket {
     double rate = 0;    // requests per second, of this router
-    double tokens = 0;  // requests that may come at once
-    Time updated_at{};
+    double tokens = 0;  // requests that may arrive at once
+    Time updated_at{};  // when tokens were added last
   };
   std::map<std::string, TokenBucket> buckets_;
 };
--- a/src/routing/units.hpp
+++ b/src/routing/units.hpp
@@ -11,14 +11,17 @@
 
 using Milliseconds = std::chrono::milliseconds;
 
-constexpr std::size_t kRoles = 3;
+constexpr std::size_t kRoles = 3;  // number of enumerators of Role
 
+// Index of a role in arrays of kRoles elements.
 [[nodiscard]] inline std::size_t role_index(Role role) { return static_cast<std::size_t>(role); }
 
 [[nodiscard]] inline double to_seconds(Duration duration) {
-  return static_cast<double>(duration.count()) / 1e6;
+  constexpr double kMicrosecondsPerSecond = 1e6;
+  return static_cast<double>(duration.count()) / kMicrosecondsPerSecond;
 }
 
+// A multiple of a duration, rounded to the nearest microsecond.
 [[nodiscard]] inline Duration scaled(Duration duration, double factor) {
   return Duration(std::llround(static_cast<double>(duration.count()) * factor));
 }
