--- a/bench/routing_bench.cpp
+++ b/bench/routing_bench.cpp
@@ -1,6 +1,6 @@
-// What a decision costs: one router with 100 endpoints in steady state, 100 requests open, each of which is
+// Cost of decisions: one router with 100 endpoints in steady state and 100 open requests, each of which is
 // received, read, answered with a first token and served. Times are per request, over its four events, in ns;
-// the counters have each event and the router's timer apart.
+// the counters show each event and the router's timer separately.
 //   cmake -B build-bench -DCMAKE_BUILD_TYPE=Release -DDISPATCHER_BENCH=ON && cmake --build build-bench
 //   build-bench/bench/dispatcher_routing_bench --benchmark_repetitions=5
 //   --benchmark_report_aggregates_only=true
@@ -27,16 +27,17 @@
 constexpr int kMixed = 10;
 constexpr int kCells = 5;
 
-// The stages of a request, in steps of the arriving requests: so many requests are open at once.
+// The stages of a request, counted in arrivals after its own: kServedAfter requests are open at once.
 constexpr Duration kArrivalInterval = milliseconds(2);
 constexpr std::size_t kReadAfter = 25;
 constexpr std::size_t kFirstTokenAfter = 50;
 constexpr std::size_t kServedAfter = 100;
-constexpr std::size_t kTimerEvery = 10;  // arrivals
+constexpr std::size_t kTimerInterval = 10;  // in arrivals
 
 constexpr std::uint64_t kSessions = 500;
 constexpr std::uint64_t kSharedPrefixes = 20;
 constexpr std::uint64_t kSeed = 1;
+constexpr double kSecondsPerNanosecond = 1e-9;
 
 Settings make_settings() {
   RequestClass request_class;
@@ -94,11 +95,12 @@
   }
 };
 
+// Times of each kind of event.
 struct EventTimes {
   EventTime requests, reads, first_tokens, answers, timers;
 };
 
-// Plays requests to a router, the n-th in all its stages at fixed times after its arrival.
+// Drives a router with requests that each pass their stages at fixed times after their arrival.
 class Driver {
  public:
   Driver() : router_(make_settings(), kSeed) { router_.handle(now_, make_endpoint_list()); }
@@ -106,7 +108,7 @@
   // One more request arrives, and one enters each of the other stages. Returns the time of the four events.
   std::chrono::nanoseconds step() {
     now_ += kArrivalInterval;
-    if (arrived_ % kTimerEvery == 0) measure(times_.timers, TimerExpired{});
+    if (arrived_ % kTimerInterval == 0) measure(times_.timers, TimerExpired{});
     std::chrono::nanoseconds took = receive();
     if (arrived_ > kReadAfter) took += read(arrived_ - kReadAfter);
     if (arrived_ > kFirstTokenAfter) took += begin_stream(arrived_ - kFirstTokenAfter);
@@ -127,8 +129,10 @@
     int number = -1;  // -1: none yet
   };
 
+  // The attempt of the request of this number. Slots are reused once a request has been served.
   Attempt& attempt_of(std::size_t number) { return attempts_[number % attempts_.size()]; }
 
+  // Passes the event to the router. Returns the time that it took.
   std::chrono::nanoseconds measure(EventTime& time, const Event& event) {
     const auto begin = std::chrono::steady_clock::now();
     std::vector<Action> actions = router_.handle(now_, event);
@@ -139,7 +143,8 @@
     return took;
   }
 
-  void take_attempt(Attempt& attempt) {
+  // Updates the attempt by the actions of the last event.
+  void apply_actions(Attempt& attempt) {
     for (const Action& action : actions_) {
       if (const auto* start = std::get_if<StartAttempt>(&action)) {
         attempt.start = *start;
@@ -163,18 +168,18 @@
     Attempt& attempt = attempt_of(arrived_);
     attempt = {};
     const auto took = measure(times_.requests, request);
-    take_attempt(attempt);
+    apply_actions(attempt);
     return took;
   }
 
-  // Mixed endpoints, which write as well, are not done yet.
+  // Completes the read of an attempt at a reader; mixed endpoints go on to write.
   std::chrono::nanoseconds read(std::size_t number) {
     Attempt& attempt = attempt_of(number);
     if (attempt.number < 0) return {};
     const AttemptCompleted completed = completion(attempt, AttemptStatus::kRead);
-    if (completed.endpoint.rfind("reader", 0) != 0) return {};
+    if (completed.endpoint.value().rfind("reader", 0) != 0) return {};
     const auto took = measure(times_.reads, completed);
-    take_attempt(attempt);
+    apply_actions(attempt);
     return took;
   }
 
@@ -217,7 +222,8 @@
   Driver driver;
   for (std::size_t i = 0; i < kWarmUpSteps; ++i) driver.step();
   driver.reset_times();
-  for (auto _ : state) state.SetIterationTime(static_cast<double>(driver.step().count()) * 1e-9);
+  for ([[maybe_unused]] const auto iteration : state)
+    state.SetIterationTime(static_cast<double>(driver.step().count()) * kSecondsPerNanosecond);
   const EventTimes& times = driver.times();
   state.counters["request_ns"] = times.requests.mean_ns();
   state.counters["read_ns"] = times.reads.mean_ns();
--- a/bench/rules_bench.cpp
+++ b/bench/rules_bench.cpp
@@ -1,6 +1,6 @@
-// What rules cost: deciding requests, the computed worst cost against the slowest requests that can be made,
-// reading a large file, and the table under a million keys. Times are per request, in ns, a million requests
-// each.
+// Costs of rules: of deciding requests, with the computed worst cost beside the slowest requests that can be
+// made; of parsing a large file; and of the counter table under a million keys. Times are per request, in ns,
+// over a million requests each.
 //   cmake -B build-bench -DCMAKE_BUILD_TYPE=Release -DDISPATCHER_BENCH=ON && cmake --build build-bench -j4
 //   build-bench/bench/dispatcher_rules_bench
 #include <benchmark/benchmark.h>
@@ -8,6 +8,7 @@
 #include <algorithm>
 #include <chrono>
 #include <functional>
+#include <limits>
 #include <random>
 #include <string>
 #include <vector>
@@ -20,14 +21,16 @@
 using rate_limit::RequestAttributes;
 using rate_limit::RuleSet;
 
-constexpr std::size_t kRequests = 1'000'000;
+constexpr std::size_t kRequests = 1'000'000;  // decided by each measurement
+constexpr double kSecondsPerNanosecond = 1e-9;
 
-std::shared_ptr<const RuleSet> read(const std::string& text) {
+std::shared_ptr<const RuleSet> parse(const std::string& text) {
   return RuleSet::read({"bench.cue", text}, {});
 }
 
-// Rules as operators write them: by account and class, a header, a pattern, lengths; the last ones for all.
-std::string usual(int rules) {
+// Rules as operators write them: by account and class, a header, a pattern, lengths; the last ones match all
+// requests.
+std::string usual_rules_text(int rules) {
   std::string text = "headers: tier: {name: \"X-Tier\", longest: 32}\nrules: [\n";
   for (int i = 0; i < rules - 3; ++i) {
     const std::string account = "account-" + std::to_string(i);
@@ -47,7 +50,7 @@
          "{name: \"rest\", limits: [{key: \"request.account\", rate: 5, burst: 10}]}]\n";
 }
 
-// As slow as the default budget lets in: every condition is tried, and each reads all of a long text.
+// The slowest conditions that the default budget of costs admits: each processes all of a long text.
 const std::vector<std::string>& slow_conditions() {
   static const std::vector<std::string> all = {
       "header.a.matches('(x+x+)+[yz]$')",
@@ -61,7 +64,8 @@
   return all;
 }
 
-std::string slow(const std::vector<std::string>& conditions) {
+// Rules with these conditions, all of which are evaluated.
+std::string slow_rules_text(const std::vector<std::string>& conditions) {
   std::string text =
       "headers: {a: {name: \"X-A\", longest: 128}, b: {name: \"X-B\", longest: 128}}\nrules: [\n";
   for (std::size_t i = 0; i < conditions.size(); ++i)
@@ -69,14 +73,14 @@
   return text + "]\n";
 }
 
-// One more of each kind, in turn, for as long as any still fits.
+// A rule of each condition in turn, as long as any of them still fits into the budget.
 std::shared_ptr<const RuleSet> slowest_allowed() {
   std::shared_ptr<const RuleSet> last;
   std::vector<std::string> conditions;
   for (std::size_t failed = 0, i = 0; failed < slow_conditions().size(); ++i) {
     conditions.push_back(slow_conditions()[i % slow_conditions().size()]);
     try {
-      last = read(slow(conditions));
+      last = parse(slow_rules_text(conditions));
       failed = 0;
     } catch (const cue::Errors&) {
       conditions.pop_back();
@@ -86,47 +90,62 @@
   return last;
 }
 
+// The duration of one call, in ns.
+template <class Call>
+float measure_ns(const Call& call) {
+  const auto begin = std::chrono::steady_clock::now();
+  benchmark::DoNotOptimize(call());
+  return std::chrono::duration<float, std::nano>(std::chrono::steady_clock::now() - begin).count();
+}
+
+// The time below which this fraction of the sorted, non-empty times lies.
+float quantile(const std::vector<float>& sorted_times, double fraction) {
+  const double index = fraction * static_cast<double>(sorted_times.size() - 1);
+  return sorted_times[static_cast<std::size_t>(index)];
+}
+
+// The shortest time of a few decisions on each request, sorted: the rules' own cost, without interruptions.
+std::vector<float> measure_shortest_times(const RuleSet& rules,
+                                          const std::vector<RequestAttributes>& requests,
+                                          expression::Scratch& scratch) {
+  constexpr int kAttempts = 5;
+  std::vector<float> times;
+  times.reserve(requests.size());
+  for (const RequestAttributes& attributes : requests) {
+    float shortest = std::numeric_limits<float>::max();
+    for (int attempt = 0; attempt < kAttempts; ++attempt)
+      shortest = std::min(shortest, measure_ns([&] { return rules.decide(attributes, scratch); }));
+    times.push_back(shortest);
+  }
+  std::sort(times.begin(), times.end());
+  return times;
+}
+
 using MakeAttributes = std::function<RequestAttributes(std::size_t)>;
 
-void decide(benchmark::State& state, const RuleSet& rules, const MakeAttributes& make_attributes) {
+// Decides requests, `make_attributes(i)` being the i-th, and sets the counters from the times taken.
+void measure_decisions(benchmark::State& state, const RuleSet& rules, const MakeAttributes& make_attributes) {
+  constexpr std::size_t kDistinctRequests = 4096;
   expression::Scratch scratch;
   rules.reserve(scratch);
   std::vector<RequestAttributes> requests;
-  for (std::size_t i = 0; i < 4096; ++i) requests.push_back(make_attributes(i));
+  for (std::size_t i = 0; i < kDistinctRequests; ++i) requests.push_back(make_attributes(i));
   std::vector<float> times;
   times.reserve(kRequests);
   for ([[maybe_unused]] const auto iteration : state) {
     const RequestAttributes& attributes = requests[times.size() % requests.size()];
-    const auto begin = std::chrono::steady_clock::now();
-    benchmark::DoNotOptimize(rules.decide(attributes, scratch));
-    const std::chrono::duration<float, std::nano> took = std::chrono::steady_clock::now() - begin;
-    times.push_back(took.count());
-    state.SetIterationTime(static_cast<double>(took.count()) * 1e-9);
+    times.push_back(measure_ns([&] { return rules.decide(attributes, scratch); }));
+    state.SetIterationTime(static_cast<double>(times.back()) * kSecondsPerNanosecond);
   }
   std::sort(times.begin(), times.end());
-  const auto quantile = [&](double fraction) {
-    return times[static_cast<std::size_t>(fraction * static_cast<double>(times.size() - 1))];
-  };
-  state.counters["p99"] = quantile(0.99);
-  state.counters["p99.9"] = quantile(0.999);
+  state.counters["p99"] = quantile(times, 0.99);
+  state.counters["p99.9"] = quantile(times, 0.999);
   state.counters["most"] = times.back();
   state.counters["computed"] = rules.worst_ns();
-  // Each request by the best of five tries: what is left is the rules' own cost, without the interruptions.
-  times.clear();
-  for (const RequestAttributes& attributes : requests) {
-    float best = 1e9;
-    for (int attempt = 0; attempt < 5; ++attempt) {
-      const auto begin = std::chrono::steady_clock::now();
-      benchmark::DoNotOptimize(rules.decide(attributes, scratch));
-      best = std::min(
-          best, std::chrono::duration<float, std::nano>(std::chrono::steady_clock::now() - begin).count());
-    }
-    times.push_back(best);
-  }
-  std::sort(times.begin(), times.end());
-  state.counters["best5_p99.9"] = quantile(0.999);
+  state.counters["best5_p99.9"] = quantile(measure_shortest_times(rules, requests, scratch), 0.999);
 }
 
+// Names of accounts; more than have rules of their own.
 const std::vector<std::string>& accounts() {
   static const std::vector<std::string> all = [] {
     constexpr int kAccounts = 2500;
@@ -139,9 +158,9 @@
 }
 
 void usual_rules(benchmark::State& state) {
-  const auto rules = read(usual(static_cast<int>(state.range(0))));
+  const auto rules = parse(usual_rules_text(static_cast<int>(state.range(0))));
   std::mt19937_64 random(1);
-  decide(state, *rules, [&](std::size_t) {
+  measure_decisions(state, *rules, [&](std::size_t) {
     RequestAttributes attributes;
     attributes.request_class = random() % 4 == 0 ? "command" : "ask";
     attributes.account =
@@ -157,7 +176,7 @@
 
 void slow_rules(benchmark::State& state) {
   static const auto rules = slowest_allowed();
-  constexpr std::size_t kLength = 128;  // the most that the headers and the account may have
+  constexpr std::size_t kLength = 128;  // maximum length of the headers and the account, in bytes
   static const std::string repeated(kLength, 'x');
   static const std::string random_text = [] {
     std::mt19937 random(2);
@@ -166,7 +185,7 @@
     return text;
   }();
   state.counters["rules"] = static_cast<double>(rules->rules().size());
-  decide(state, *rules, [&](std::size_t index) {
+  measure_decisions(state, *rules, [&](std::size_t index) {
     RequestAttributes attributes;
     attributes.request_class = "ask";
     attributes.account = repeated;
@@ -177,7 +196,7 @@
   });
 }
 
-// One expression on the longest texts it may meet, over and over, against its computed worst cost.
+// One expression on texts of the maximum length, repeatedly, with its computed worst cost beside.
 void one_expression(benchmark::State& state, const std::string& expression) {
   expression::Environment fields;
   fields.add({"a", expression::Kind::kString, false, 1024, {}});
@@ -199,12 +218,14 @@
   state.counters["computed/measured"] = program.worst_ns() / mean;
 }
 
+// Parses and compiles a file of ten thousand rules.
 void load(benchmark::State& state) {
-  const std::string text = usual(10'000);
-  for ([[maybe_unused]] const auto iteration : state) benchmark::DoNotOptimize(read(text));
+  const std::string text = usual_rules_text(10'000);
+  for ([[maybe_unused]] const auto iteration : state) benchmark::DoNotOptimize(parse(text));
   state.counters["bytes"] = static_cast<double>(text.size());
 }
 
+// Admits a million requests of a million keys.
 void million_keys(benchmark::State& state) {
   for ([[maybe_unused]] const auto iteration : state) {
     rate_limit::CounterTable table(1'000'000);
@@ -219,24 +240,26 @@
     state.counters["bytes"] = static_cast<double>(table.bytes());
     state.counters["keys"] = static_cast<double>(table.active_keys(std::chrono::nanoseconds(kRequests)));
     state.counters["shared"] = static_cast<double>(table.overflow_count());
-    state.counters["ns/key"] = benchmark::Counter(static_cast<double>(kRequests) * 1e-9,
+    state.counters["ns/key"] = benchmark::Counter(static_cast<double>(kRequests) * kSecondsPerNanosecond,
                                                   benchmark::Counter::kIsRate | benchmark::Counter::kInvert);
   }
 }
 
-// As long as a slow request, but arithmetic alone: what the machine itself adds at the far end.
+// Control: about as long as a slow request, but arithmetic only, so that the longest times are caused by the
+// machine.
 void control(benchmark::State& state) {
+  // Knuth's linear congruential generator (MMIX).
+  constexpr std::uint64_t kMultiplier = 6364136223846793005ULL;
+  constexpr std::uint64_t kIncrement = 1442695040888963407ULL;
   std::vector<float> times;
   times.reserve(kRequests);
   for ([[maybe_unused]] const auto iteration : state) {
-    const auto begin = std::chrono::steady_clock::now();
-    std::uint64_t number = times.size() | 1U;
-    for (int i = 0; i < state.range(0); ++i)
-      number = number * 6364136223846793005ULL + 1442695040888963407ULL;
-    benchmark::DoNotOptimize(number);
-    const std::chrono::duration<float, std::nano> took = std::chrono::steady_clock::now() - begin;
-    times.push_back(took.count());
-    state.SetIterationTime(static_cast<double>(took.count()) * 1e-9);
+    times.push_back(measure_ns([&] {
+      std::uint64_t number = times.size() | 1U;
+      for (int i = 0; i < state.range(0); ++i) number = number * kMultiplier + kIncrement;
+      return number;
+    }));
+    state.SetIterationTime(static_cast<double>(times.back()) * kSecondsPerNanosecond);
   }
   std::sort(times.begin(), times.end());
   state.counters["p99.9"] = times[times.size() - times.size() / 1000];
