--- a/src/json/load_report.cpp
+++ b/src/json/load_report.cpp
@@ -1,4 +1,4 @@
-// Load reports: the values that the dispatcher uses.
+// Load reports: the members that the dispatcher uses.
 #include "json/load_report.hpp"
 
 #include <optional>
@@ -16,7 +16,7 @@
 
 routing::LoadReport parse_load_report(const Json& fields) {
   routing::LoadReport report;
-  report.in_hand = optional_number(fields, load_report_keys::kInFlight);
+  report.in_flight = optional_number(fields, load_report_keys::kInFlight);
   report.memory_share = optional_number(fields, load_report_keys::kMemoryShare);
   report.prompt_kilotokens = optional_number(fields, load_report_keys::kPromptKilotokens);
   return report;
