--- a/src/daemon/chat_address.cpp
+++ b/src/daemon/chat_address.cpp
@@ -22,16 +22,16 @@
 
 ChatAddress::ChatAddress(Components& parts, const cue::File& vrrp_file)
     : parts_(parts), pair_(parse_pair(vrrp_file)) {
-  if (pair_ && !parts_.chat)
+  if (pair_ && !parts_.chat_frontend)
     throw ConfigError("vrrp: field 'listen': set, but the chat front that it is for is off");
 }
 
 void ChatAddress::serve(net::UniqueFd listening) {
   listening_ = std::move(listening);
   if (pair_) {
-    if (!parts_.peer.has_predecessor()) join_pair(vrrp::StartMode::kNormal);
-  } else if (parts_.chat) {
-    parts_.chat->server().open(std::move(listening_));
+    if (!parts_.hot_restart_peer.has_predecessor()) join_pair(vrrp::StartMode::kNormal);
+  } else if (parts_.chat_frontend) {
+    parts_.chat_frontend->server().open(std::move(listening_));
   }
   is_serving_ = true;
 }
@@ -58,16 +58,16 @@
 void ChatAddress::leave_pair() {
   has_left_ = true;
   if (!vrrp_) return;
-  if (!parts_.peer.is_successor_serving()) return vrrp_->stop();
+  if (!parts_.hot_restart_peer.is_successor_serving()) return vrrp_->stop();
   const bool was_active = vrrp_->state() == vrrp::State::kActive;
   vrrp_->hand_over();
   is_active_ = false;
-  parts_.peer.notify_vrrp_left(was_active);
+  parts_.hot_restart_peer.notify_vrrp_left(was_active);
 }
 
 // The other of the pair may still be closing its listener at the shared address: tried until it is free.
 void ChatAddress::set_active(bool is_active) {
-  http::Server& server = parts_.chat->server();
+  http::Server& server = parts_.chat_frontend->server();
   is_active_ = is_active && !has_left_;
   if (!is_active_) {
     server.stop_accepting();  // what was accepted is still answered
--- a/src/daemon/components.cpp
+++ b/src/daemon/components.cpp
@@ -9,10 +9,10 @@
 
 namespace {
 
-// Keeps the watch's jitter apart from the other draws of the configuration's seed.
-constexpr std::uint64_t kWatchSeedMask = 0x5bd1e995;
+// Makes the watcher's jitter independent of the other random numbers drawn from the configuration's seed.
+constexpr std::uint64_t kWatcherSeedMask = 0x5bd1e995;
 
-// One file of this dispatcher in the folder that its processes share; empty where there is none.
+// A file of this dispatcher in the directory that its processes share; empty where there is no directory.
 std::string shared_path(const Config& config, const char* suffix) {
   if (config.scratch.empty()) return {};
   std::string name = config.name;
@@ -39,81 +39,99 @@
       initial_rules(parse_rules(files, config.settings)),
       rate_limiter(config.seed, log),
       random(config.seed),
-      levels(config.settings, parse_levels(files, config.settings), loop.clock(), log,
-             [this] { return std::uniform_real_distribution<double>(0, 1)(random); }),
-      pool(loop.io(), loop.timers(), loop.clock(), log, upstream_options(config, ProcessCount::kOne)),
-      engine(settings, config.seed, pool, loop.timers(), loop.clock(), log),
-      platform(http::FrontendContext{loop.io(), engine, loop.timers(), loop.clock(),
-                                     server_options(config, chat_config ? 2 : 1, ProcessCount::kOne),
-                                     [this] { return pool.evict_idle(); }},
-               config.listen, settings),
-      watch(loop.io(), config.discovery, loop.timers(), loop.clock(), log, callbacks.on_endpoints,
-            {config.settings.router_count, config.seed ^ kWatchSeedMask, list_delivery(config.settings)}),
+      degradation_controller(config.settings, parse_levels(files, config.settings), loop.clock(), log,
+                             [this] { return std::uniform_real_distribution<double>(0, 1)(random); }),
+      replica_client(loop.io(), loop.timers(), loop.clock(), log,
+                     upstream_options(config, ProcessCount::kOne)),
+      engine(settings, config.seed, replica_client, loop.timers(), loop.clock(), log),
+      platform_frontend(frontend_context(), config.listen, settings),
+      endpoint_watcher(
+          loop.io(), config.discovery, loop.timers(), loop.clock(), log, callbacks.on_endpoints,
+          {config.settings.router_count, config.seed ^ kWatcherSeedMask, list_delivery(config.settings)}),
       drained_endpoints(shared_path(config, ".bans"), log),
-      peer(loop.io(), shared_path(config, ".sock"), loop.timers(), loop.clock(), log,
-           callbacks.hot_restart_owner) {
-  pool.attach(engine);
+      hot_restart_peer(loop.io(), shared_path(config, ".sock"), loop.timers(), loop.clock(), log,
+                       callbacks.hot_restart_owner) {
+  replica_client.attach(engine);
   rate_limiter.replace_rules(std::exchange(initial_rules, nullptr), loop.now());
-  platform.attach(rate_limiter);
-  platform.attach(levels);
-  engine.set_request_observer(&levels);
-  engine.set_subscribe_callback([this] { watch.restart(); });
-  if (chat_config) build_chat();
-  if (config.console) build_admin(callbacks);
-  engine.set_hot_restart_observer(&peer);
+  attach_admission(platform_frontend);
+  if (chat_config) build_chat_frontend();
+  if (config.console) build_admin_server(callbacks);
+  engine.set_request_observer(&degradation_controller);
+  engine.set_hot_restart_observer(&hot_restart_peer);
+  engine.set_subscribe_callback([this] { endpoint_watcher.restart(); });
 }
 
-void Components::build_chat() {
-  chat.emplace(http::FrontendContext{loop.io(), engine, loop.timers(), loop.clock(),
-                                     server_options(config, 2, ProcessCount::kOne),
-                                     [this] { return pool.evict_idle(); }},
-               *chat_config, config.seed);
-  chat->attach(rate_limiter);
-  chat->attach(levels);
+http::FrontendContext Components::frontend_context() {
+  return {loop.io(),
+          engine,
+          loop.timers(),
+          loop.clock(),
+          server_options(config, frontend_count(), ProcessCount::kOne),
+          descriptor_reclaimer()};
 }
 
-void Components::build_admin(const ComponentCallbacks& callbacks) {
-  admin::AdminCallbacks calls;
-  calls.is_ready = callbacks.is_ready;
-  calls.set_endpoint_drained = callbacks.drain_endpoint;
-  calls.current_level = [this] { return levels.status(); };
-  calls.level_changes = [this] { return levels.history(); };
-  calls.pin_level = [this](const std::string& name) { return levels.set_override(name); };
-  admin.emplace(loop.io(), *config.console, loop.timers(), loop.clock(), std::move(calls),
-                [this] { return pool.evict_idle(); });
+// Where descriptors run short, an idle connection to an endpoint is closed for the new connection.
+http::DescriptorReclaimer Components::descriptor_reclaimer() {
+  return [this] { return replica_client.evict_idle(); };
+}
+
+// All frontends share the counters of rate limits and the degradation level.
+void Components::attach_admission(http::Frontend& frontend) {
+  frontend.attach(rate_limiter);
+  frontend.attach(degradation_controller);
+}
+
+void Components::build_chat_frontend() {
+  chat_frontend.emplace(frontend_context(), *chat_config, config.seed);
+  attach_admission(*chat_frontend);
+}
+
+void Components::build_admin_server(const ComponentCallbacks& callbacks) {
+  admin::AdminCallbacks admin_callbacks;
+  admin_callbacks.is_ready = callbacks.is_ready;
+  admin_callbacks.set_endpoint_drained = callbacks.drain_endpoint;
+  admin_callbacks.current_level = [this] { return degradation_controller.status(); };
+  admin_callbacks.level_changes = [this] { return degradation_controller.history(); };
+  admin_callbacks.pin_level = [this](const std::string& name) {
+    return degradation_controller.set_override(name);
+  };
+  admin_server.emplace(loop.io(), *config.console, loop.timers(), loop.clock(), std::move(admin_callbacks),
+                       descriptor_reclaimer());
 }
 
 std::vector<http::Server*> Components::client_servers() {
-  std::vector<http::Server*> servers{&platform.server()};
-  if (chat) servers.push_back(&chat->server());
+  std::vector<http::Server*> servers{&platform_frontend.server()};
+  if (chat_frontend) servers.push_back(&chat_frontend->server());
   return servers;
 }
 
 ProcessCount Components::processes() const {
-  return peer.has_peer() ? ProcessCount::kTwo : ProcessCount::kOne;
+  return hot_restart_peer.has_peer() ? ProcessCount::kTwo : ProcessCount::kOne;
 }
 
 void Components::apply_resource_limits() {
-  share_rate_limits();
-  pool.apply_options(upstream_options(config, processes()));
-  const http::ServerOptions options = server_options(config, client_servers().size(), processes());
+  apply_rate_limit_share();
+  replica_client.apply_options(upstream_options(config, processes()));
+  const http::ServerOptions options = server_options(config, frontend_count(), processes());
   for (http::Server* server : client_servers())
     server->set_limits(options.max_clients, options.max_body_bytes);
 }
 
-// Two processes of one instance keep half of its part each.
-void Components::share_rate_limits() {
-  const std::size_t each = processes() == ProcessCount::kTwo ? 2 : 1;
-  const auto number = static_cast<std::size_t>(std::max(0, config.settings.router_number));
-  const auto count = static_cast<std::size_t>(std::max(1, config.settings.router_count));
-  rate_limiter.set_instance(each * number + (peer.has_predecessor() ? 1 : 0), each * count);
+// Two processes of one dispatcher count as two instances: each enforces half of the dispatcher's part.
+void Components::apply_rate_limit_share() {
+  const std::size_t processes_per_dispatcher = count_of(processes());
+  const auto dispatcher = static_cast<std::size_t>(std::max(0, config.settings.router_number));
+  const auto dispatchers = static_cast<std::size_t>(std::max(1, config.settings.router_count));
+  const std::size_t process = hot_restart_peer.has_predecessor() ? 1 : 0;
+  rate_limiter.set_instance(processes_per_dispatcher * dispatcher + process,
+                            processes_per_dispatcher * dispatchers);
 }
 
 void Components::update_endpoints(const service_discovery::EndpointSnapshot& snapshot) {
   service_discovery::apply_update(endpoints, snapshot);
-  pool.update_endpoints(snapshot.addresses, snapshot.is_complete);
+  replica_client.update_endpoints(snapshot.addresses, snapshot.is_complete);
   engine.update_endpoints(snapshot.list);
-  levels.update_endpoints(snapshot.list);
+  degradation_controller.update_endpoints(snapshot.list);
 }
 
 }  // namespace dispatcher::daemon
--- a/src/daemon/configuration_reloader.cpp
+++ b/src/daemon/configuration_reloader.cpp
@@ -43,7 +43,8 @@
   check_keys(parts_.config.source, next.source);
   const auto settings = std::make_shared<const routing::Settings>(next.settings);
   const std::optional<openai_api::Config> chat = parse_chat(files.features, *settings);
-  if (parts_.chat && !chat) throw ConfigError("the chat front's file no longer says where to listen");
+  if (parts_.chat_frontend && !chat)
+    throw ConfigError("the chat front's file no longer says where to listen");
   const auto rules = parse_rules(files.features, *settings);
   const auto levels = parse_levels(files.features, *settings);
   // Nothing below throws: the new configuration is taken whole.
@@ -51,10 +52,10 @@
   const bool discovery_moved = next.discovery != parts_.config.discovery;
   parts_.settings = settings;
   parts_.engine.apply_settings(settings);
-  parts_.platform.adopt(settings);
-  if (parts_.chat) parts_.chat->adopt(*chat);
+  parts_.platform_frontend.adopt(settings);
+  if (parts_.chat_frontend) parts_.chat_frontend->adopt(*chat);
   parts_.rate_limiter.replace_rules(rules, parts_.loop.now());
-  parts_.levels.apply_settings(*settings, levels);
+  parts_.degradation_controller.apply_settings(*settings, levels);
   parts_.config.settings = next.settings;
   parts_.config.source = next.source;
   parts_.config.sockets = next.sockets;
@@ -63,7 +64,7 @@
   parts_.apply_resource_limits();
   // Kinds of endpoints may be new: the list is read by the new ones.
   parts_.engine.update_endpoints(parts_.endpoints.list);
-  if (discovery_moved) parts_.watch.set_address(parts_.config.discovery);
+  if (discovery_moved) parts_.endpoint_watcher.set_address(parts_.config.discovery);
 }
 
 void ConfigurationReloader::log_deferred_changes(const Config& next,
--- a/src/daemon/dispatcher.cpp
+++ b/src/daemon/dispatcher.cpp
@@ -25,7 +25,7 @@
       reloader_(parts_, std::move(read_files)),
       stream_handover_(parts_),
       signals_(loop.io(), SIGTERM, SIGINT, SIGHUP) {
-  parts_.share_rate_limits();
+  parts_.apply_rate_limit_share();
 }
 
 ComponentCallbacks Dispatcher::callbacks() {
@@ -38,11 +38,11 @@
 
 void Dispatcher::start() {
   await_signal();
-  if (parts_.admin) {
-    parts_.admin->open();
-    parts_.log("console on " + to_text(parts_.admin->local()));
+  if (parts_.admin_server) {
+    parts_.admin_server->open();
+    parts_.log("console on " + to_text(parts_.admin_server->local()));
   }
-  parts_.peer.start();
+  parts_.hot_restart_peer.start();
 }
 
 void Dispatcher::await_signal() {
@@ -65,18 +65,18 @@
   restore_drained_endpoints();  // before any list
   restore_endpoint_list(handover.endpoint_list);
   parts_.engine.restore_learned_state(handover.learned_state);
-  parts_.levels.restore(handover.degradation_level);
+  parts_.degradation_controller.restore(handover.degradation_level);
   for (const routing::RequestId& id : handover.open_request_ids)
     parts_.engine.on_peer_request_progress(id, engine::RequestProgress::kInProgress);
-  parts_.watch.start(parts_.endpoints.version);
-  parts_.platform.server().open(std::move(handover.listening_sockets["platform"]));
+  parts_.endpoint_watcher.start(parts_.endpoints.version);
+  parts_.platform_frontend.server().open(std::move(handover.listening_sockets["platform"]));
   chat_address_.serve(std::move(handover.listening_sockets["chat"]));
   parts_.log("serving on " + to_text(parts_.config.listen) + " as " + parts_.config.name);
-  if (parts_.chat && !chat_address_.is_paired())
-    parts_.log("chat front on " + to_text(parts_.chat->server().local()));
+  if (parts_.chat_frontend && !chat_address_.is_paired())
+    parts_.log("chat front on " + to_text(parts_.chat_frontend->server().local()));
   is_serving_ = true;
   tick_levels();
-  parts_.peer.on_serving();
+  parts_.hot_restart_peer.on_serving();
 }
 
 void Dispatcher::restore_drained_endpoints() {
@@ -99,7 +99,8 @@
 }
 
 void Dispatcher::tick_levels() {
-  parts_.levels.tick(parts_.engine.open_request_count(), parts_.watch.last_response_at());
+  parts_.degradation_controller.tick(parts_.engine.open_request_count(),
+                                     parts_.endpoint_watcher.last_response_at());
   parts_.loop.timers().add(parts_.loop.now() + degradation::DegradationController::kTick,
                            [this] { tick_levels(); });
 }
@@ -108,10 +109,10 @@
 
 std::map<std::string, int> Dispatcher::listening_sockets() {
   std::map<std::string, int> sockets;
-  http::Server& platform = parts_.platform.server();
+  http::Server& platform = parts_.platform_frontend.server();
   if (platform.is_open()) sockets["platform"] = platform.listening_socket();
-  if (parts_.chat && parts_.chat->server().is_open())
-    sockets["chat"] = parts_.chat->server().listening_socket();
+  if (parts_.chat_frontend && parts_.chat_frontend->server().is_open())
+    sockets["chat"] = parts_.chat_frontend->server().listening_socket();
   return sockets;
 }
 
@@ -127,15 +128,16 @@
 
 void Dispatcher::on_peers_changed() {
   parts_.apply_resource_limits();
-  if (!parts_.peer.has_peer()) parts_.engine.on_peer_disconnected();
-  if (!parts_.peer.has_predecessor() && is_serving_) chat_address_.join_pair(vrrp::StartMode::kNormal);
-  if (is_draining_ && parts_.peer.is_successor_serving()) stop_accepting();
+  if (!parts_.hot_restart_peer.has_peer()) parts_.engine.on_peer_disconnected();
+  if (!parts_.hot_restart_peer.has_predecessor() && is_serving_)
+    chat_address_.join_pair(vrrp::StartMode::kNormal);
+  if (is_draining_ && parts_.hot_restart_peer.is_successor_serving()) stop_accepting();
 }
 
 // ---- operators ----
 
 bool Dispatcher::is_ready() {
-  return parts_.platform.server().is_open() && !is_draining_ && parts_.engine.endpoint_count() > 0;
+  return parts_.platform_frontend.server().is_open() && !is_draining_ && parts_.engine.endpoint_count() > 0;
 }
 
 bool Dispatcher::drain_endpoint(const routing::EndpointId& endpoint, bool offline) {
@@ -149,13 +151,13 @@
   if (!parts_.drained_endpoints.set_drained(endpoint, offline)) return;
   parts_.log("operators: host " + endpoint.value() + (offline ? " offline" : " online"));
   apply_drain(endpoint, offline);
-  parts_.peer.notify_endpoint_drained(endpoint, offline);
+  parts_.hot_restart_peer.notify_endpoint_drained(endpoint, offline);
 }
 
 // The router hears of it first: what the pool gives back then goes elsewhere.
 void Dispatcher::apply_drain(const routing::EndpointId& endpoint, bool offline) {
   parts_.engine.set_administrative_drain(endpoint, offline);
-  parts_.pool.set_administratively_drained(endpoint, offline);
+  parts_.replica_client.set_administratively_drained(endpoint, offline);
 }
 
 // ---- the end ----
@@ -166,7 +168,7 @@
   parts_.log("draining: " + std::to_string(parts_.engine.unanswered_count()) + " requests unanswered");
   for (http::Server* server : parts_.client_servers()) server->drain();
   chat_address_.leave_pair();
-  if (parts_.peer.is_successor_serving()) {
+  if (parts_.hot_restart_peer.is_successor_serving()) {
     stop_accepting();
   } else {
     parts_.loop.timers().add(parts_.loop.now() + kAcceptAfterTerm, [this] { stop_accepting(); });
@@ -195,16 +197,16 @@
     return;
   }
   parts_.log("drained");
-  parts_.peer.close();
+  parts_.hot_restart_peer.close();
   parts_.loop.stop();
 }
 
 bool Dispatcher::is_work_left() {
   std::size_t clients = 0;
   for (const http::Server* server : parts_.client_servers()) clients += server->client_count();
-  const bool is_owed =
-      parts_.engine.open_request_count() > 0 || clients > 0 || parts_.pool.releases_blocking_shutdown() > 0;
-  return !has_stopped_accepting_ || !parts_.peer.is_all_sent() || is_owed;
+  const bool is_owed = parts_.engine.open_request_count() > 0 || clients > 0 ||
+                       parts_.replica_client.releases_blocking_shutdown() > 0;
+  return !has_stopped_accepting_ || !parts_.hot_restart_peer.is_all_sent() || is_owed;
 }
 
 }  // namespace dispatcher::daemon
--- a/src/daemon/dispatcher.hpp
+++ b/src/daemon/dispatcher.hpp
@@ -31,9 +31,9 @@
   void reload() { reloader_.reload(); }
   // As SIGTERM asks: accepts what still comes for a while, finishes everything, ends the loop.
   void drain();
-  [[nodiscard]] net::tcp::endpoint address() { return parts_.platform.server().local(); }
+  [[nodiscard]] net::tcp::endpoint address() { return parts_.platform_frontend.server().local(); }
   // Only where the configuration has an admin address.
-  [[nodiscard]] net::tcp::endpoint console() const { return parts_.admin->local(); }
+  [[nodiscard]] net::tcp::endpoint console() const { return parts_.admin_server->local(); }
 
  private:
   // hot_restart::HotRestartPeer::Owner
@@ -41,7 +41,7 @@
   std::map<std::string, int> listening_sockets() override;
   std::vector<routing::RequestId> open_request_ids() override { return parts_.engine.open_request_ids(); }
   routing::LearnedState learned_state() override { return parts_.engine.learned_state(); }
-  hot_restart::Json degradation_level() override { return parts_.levels.status(); }
+  hot_restart::Json degradation_level() override { return parts_.degradation_controller.status(); }
   void on_handover(hot_restart::HandoverState handover) override;
   void on_endpoint_drained(const routing::EndpointId& endpoint, bool offline) override {
     change_drain(endpoint, offline);
--- a/src/daemon/resource_limits.cpp
+++ b/src/daemon/resource_limits.cpp
@@ -11,23 +11,25 @@
 
 namespace {
 
-// Rounds of calls that release a reservation: several must fit into its limit.
+// Rounds of calls that release a reservation: several must fit into the time that it may last.
 constexpr int kReleaseRounds = 6;
-constexpr engine::Duration kMinReleasePause = milliseconds(20);
+// Between two rounds at least, however short that time: endpoints must not be flooded with calls.
+constexpr engine::Duration kMinReleaseInterval = milliseconds(20);
 // Of the descriptors that are left for connections.
 constexpr std::size_t kEndpointPercent = 46;
 constexpr std::size_t kClientPercent = 54;
 constexpr std::size_t kBytesPerMegabyte = std::size_t{1024} * 1024;
-// Of the memory, for request bodies. A body stands in memory up to three times: as it came, to be sent again,
-// and on its way out.
+// Divides the memory for request bodies. A body is in memory up to three times: as received, kept for a
+// retry, and in the send buffer.
 constexpr std::size_t kBodyMemoryDivisor = 8;
-// Descriptors for all that is neither a client nor an endpoint: the operators' callers have theirs however
-// many of the others there are.
-constexpr std::size_t kSpareDescriptors = 32 + admin::kMaxConnections;
+// Descriptors for all that is neither a client nor an endpoint: listeners, files, the event loop's own.
+constexpr std::size_t kInternalDescriptors = 32;
+// Operators must be able to connect however many clients and endpoints are connected.
+constexpr std::size_t kSpareDescriptors = kInternalDescriptors + admin::kMaxConnections;
 
 std::size_t connection_descriptors(const Config& config, ProcessCount processes) {
   const std::size_t spare = std::min(kSpareDescriptors, config.sockets / 2);
-  return (config.sockets - spare) / (processes == ProcessCount::kTwo ? 2 : 1);
+  return (config.sockets - spare) / count_of(processes);
 }
 
 }  // namespace
@@ -38,10 +40,10 @@
   options.connect_timeout = settings.connect_timeout;
   options.idle_timeout = settings.idle_timeout;
   options.release_round_interval =
-      std::max<engine::Duration>(kMinReleasePause, settings.reservation_limit / kReleaseRounds);
+      std::max<engine::Duration>(kMinReleaseInterval, settings.reservation_limit / kReleaseRounds);
   options.drain_grace = settings.drain_grace;
   options.release_repeat_interval =
-      std::max<engine::Duration>(kMinReleasePause, settings.reservation_limit * 2 / 3);
+      std::max<engine::Duration>(kMinReleaseInterval, settings.reservation_limit * 2 / 3);
   const std::size_t descriptors = connection_descriptors(config, processes) * kEndpointPercent / 100;
   options.max_connections = std::min<std::size_t>(options.max_connections, descriptors);
   options.max_idle_total = std::min(options.max_idle_total, options.max_connections / 2);
--- a/src/daemon/resource_limits.hpp
+++ b/src/daemon/resource_limits.hpp
@@ -1,5 +1,4 @@
-// How the descriptors and the memory of the configuration are divided between clients, endpoints and other
-// uses.
+// How the configured descriptors and memory are divided between clients, endpoints and other uses.
 #ifndef DISPATCHER_DAEMON_RESOURCE_LIMITS_HPP_
 #define DISPATCHER_DAEMON_RESOURCE_LIMITS_HPP_
 
@@ -11,12 +10,17 @@
 
 namespace dispatcher::daemon {
 
-// Whether another process of the same dispatcher runs beside this one, as during a hot restart: each then
-// keeps to half of what one may have.
+// How many processes of one dispatcher run. There are two during a hot restart, and each then uses half of
+// the limits of one.
 enum class ProcessCount { kOne, kTwo };
 
+[[nodiscard]] constexpr std::size_t count_of(ProcessCount processes) {
+  return processes == ProcessCount::kTwo ? 2 : 1;
+}
+
+// Limits and times of the connections to endpoints.
 [[nodiscard]] upstream::Options upstream_options(const Config& config, ProcessCount processes);
-// `frontends`: client fronts of this process, which share its part equally.
+// Limits of one client frontend. `frontends`: how many this process has; they divide its part equally.
 [[nodiscard]] http::ServerOptions server_options(const Config& config, std::size_t frontends,
                                                  ProcessCount processes);
 
--- a/src/daemon/stream_handover.cpp
+++ b/src/daemon/stream_handover.cpp
@@ -16,29 +16,30 @@
 }  // namespace
 
 void StreamHandover::hand_over() {
-  if (!parts_.peer.is_successor_serving()) return;
-  for (const engine::RunningStream& stream : parts_.engine.running_streams(parts_.platform.response_sink()))
+  if (!parts_.hot_restart_peer.is_successor_serving()) return;
+  for (const engine::RunningStream& stream :
+       parts_.engine.running_streams(parts_.platform_frontend.response_sink()))
     hand_over(stream);
   ++passes_;
 }
 
 // Both reads are taken back first; the stream is given once they are, unless more came in between.
 void StreamHandover::hand_over(const engine::RunningStream& stream) {
-  http::Server& server = parts_.platform.server();
+  http::Server& server = parts_.platform_frontend.server();
   const engine::AttemptId attempt{stream.request, stream.attempt};
   const bool is_client_still = server.suspend_reading(stream.client);
-  const bool is_endpoint_still = parts_.pool.suspend_stream(attempt);
+  const bool is_endpoint_still = parts_.replica_client.suspend_stream(attempt);
   if (is_client_still && is_endpoint_still) {
-    const upstream::DetachedStream state = parts_.pool.detach_stream(attempt);
+    const upstream::DetachedStream state = parts_.replica_client.detach_stream(attempt);
     const net::UniqueFd client_socket = server.detach(stream.client);
-    parts_.platform.forget_detached_stream(stream.client);
-    parts_.peer.transfer_stream(
+    parts_.platform_frontend.forget_detached_stream(stream.client);
+    parts_.hot_restart_peer.transfer_stream(
         {stream.id, state.endpoint, state.unread, state.position.chunk_left, state.position.keep_alive},
         client_socket.get(), state.socket.get());
     parts_.engine.release_stream(stream.request);
   } else if (passes_ % kPassesPerResume == kPassesPerResume - 1) {
     server.resume_reading(stream.client);
-    parts_.pool.resume_stream(attempt);
+    parts_.replica_client.resume_stream(attempt);
   }
 }
 
@@ -49,8 +50,8 @@
         std::move(endpoint), transfer.endpoint, transfer.unread, {transfer.chunk_left, transfer.keep_alive}};
     parts_.engine.on_peer_request_progress(transfer.request_id, engine::RequestProgress::kCompleted);
     const net::SlotId request =
-        parts_.platform.adopt_stream(std::move(client), transfer.request_id, state.endpoint);
-    parts_.pool.adopt_stream({request, 0}, std::move(state));
+        parts_.platform_frontend.adopt_stream(std::move(client), transfer.request_id, state.endpoint);
+    parts_.replica_client.adopt_stream({request, 0}, std::move(state));
   } catch (const std::exception& error) {
     parts_.log(std::string("upgrade: a stream can't go on here: ") + error.what());
   }
