--- a/src/daemon/components.cpp
+++ b/src/daemon/components.cpp
@@ -14,12 +14,12 @@
 
 // A file of this dispatcher in the directory that its processes share; empty where there is no directory.
 std::string shared_path(const Config& config, const char* suffix) {
-  if (config.scratch.empty()) return {};
+  if (config.shared_directory.empty()) return {};
   std::string name = config.name;
   for (char& letter : name) {
     if (std::isalnum(static_cast<unsigned char>(letter)) == 0) letter = '_';
   }
-  return config.scratch + "/bitternferry-" + name + suffix;
+  return config.shared_directory + "/bitternferry-" + name + suffix;
 }
 
 service_discovery::ListDelivery list_delivery(const routing::Settings& settings) {
@@ -55,7 +55,7 @@
   rate_limiter.replace_rules(std::exchange(initial_rules, nullptr), loop.now());
   attach_admission(platform_frontend);
   if (chat_config) build_chat_frontend();
-  if (config.console) build_admin_server(callbacks);
+  if (config.admin_address) build_admin_server(callbacks);
   engine.set_request_observer(&degradation_controller);
   engine.set_hot_restart_observer(&hot_restart_peer);
   engine.set_subscribe_callback([this] { endpoint_watcher.restart(); });
@@ -95,8 +95,8 @@
   admin_callbacks.pin_level = [this](const std::string& name) {
     return degradation_controller.set_override(name);
   };
-  admin_server.emplace(loop.io(), *config.console, loop.timers(), loop.clock(), std::move(admin_callbacks),
-                       descriptor_reclaimer());
+  admin_server.emplace(loop.io(), *config.admin_address, loop.timers(), loop.clock(),
+                       std::move(admin_callbacks), descriptor_reclaimer());
 }
 
 std::vector<http::Server*> Components::client_servers() {
--- a/src/daemon/config.cpp
+++ b/src/daemon/config.cpp
@@ -22,76 +22,117 @@
 
 namespace {
 
+// Names of the configuration's fields in its JSON file.
+namespace key {
+constexpr const char* kName = "name";
+constexpr const char* kListen = "listen";
+constexpr const char* kDiscovery = "discovery";
+constexpr const char* kAdminAddress = "console";
+constexpr const char* kSeed = "seed";
+constexpr const char* kLimits = "limits";
+constexpr const char* kMaxDescriptors = "sockets";
+constexpr const char* kMaxMemoryMb = "memory_mb";
+constexpr const char* kSettings = "settings";
+constexpr const char* kInitialEndpoints = "known";
+}  // namespace key
+
+// Names of environment variables.
+namespace variable {
+constexpr const char* kConfig = "PROXY_CONFIG";
+constexpr const char* kName = "PROXY_NAME";
+constexpr const char* kListen = "PROXY_LISTEN";
+constexpr const char* kDiscovery = "PROXY_DISCOVERY";
+constexpr const char* kAdminAddress = "PROXY_CONSOLE";
+constexpr const char* kSharedDirectory = "TMPDIR";
+}  // namespace variable
+
+constexpr int kHexadecimal = 16;
+// Largest value of a resource limit: conversions from floating point stay exact.
+constexpr double kMaxLimit = 1e9;
+// On sockets an attempt counts once its last byte is written. Failed connections do not, but there are at
+// most this many for each attempt, so that a request does not try unreachable endpoints until its deadline.
+constexpr int kConnectFailuresPerAttempt = 4;
+
+// Null where the field is absent or null.
 const Json* member(const Json& object, const char* field) {
   const auto it = object.find(field);
   return it == object.end() || it->is_null() ? nullptr : &*it;
 }
 
-// The file's top level. What is wrong is gathered.
-class Top {
+// Reads fields of the file's top level. Problems are added to `findings`; a field that has one gets its
+// default.
+class FieldReader {
  public:
-  Top(const Json& object, const Environment& environment, std::vector<Finding>& findings)
+  FieldReader(const Json& object, const Environment& environment, std::vector<Finding>& findings)
       : object_(object), environment_(environment), findings_(findings) {}
 
-  void wrong(std::string field, std::string what, std::string wanted) const {
-    findings_.push_back({Severity::kError, std::move(field), std::move(what), std::move(wanted)});
-  }
-  std::string text(const char* field, const char* variable) const {
+  // The text of an environment variable or, where it is not set, of a field; empty where neither is.
+  [[nodiscard]] std::string text(const char* field, const char* variable) const {
     if (const auto it = environment_.find(variable); it != environment_.end()) return it->second;
     const Json* value = member(object_, field);
     if (value == nullptr) return {};
     if (value->is_string()) return value->get<std::string>();
-    wrong(field, "no text", "text");
+    add_error(field, "no text", "text");
     return {};
   }
-  net::tcp::endpoint endpoint(const char* field, const char* variable) const {
+  // As text(), an address and port.
+  [[nodiscard]] net::tcp::endpoint endpoint(const char* field, const char* variable) const {
     const std::size_t before = findings_.size();
     const std::string value = text(field, variable);
     if (const auto result = net::parse_endpoint(value)) return *result;
     const std::string from = environment_.contains(variable) ? std::string(" (") + variable + ")" : "";
-    if (findings_.size() == before) wrong(field, "'" + value + "'" + from, "address and port");
+    if (findings_.size() == before) add_error(field, "'" + value + "'" + from, "address and port");
     return {};
   }
   // Hexadecimal text, or a number.
   [[nodiscard]] std::uint64_t seed() const {
-    const Json* value = member(object_, "seed");
+    const Json* value = member(object_, key::kSeed);
     if (value == nullptr) return 0;
     if (value->is_number_unsigned()) return value->get<std::uint64_t>();
     std::uint64_t seed = 0;
     const std::string digits = value->is_string() ? value->get<std::string>() : "";
     const char* const end = digits.data() + digits.size();
-    const auto [last, error] = std::from_chars(digits.data(), end, seed, 16);
-    if (error != std::errc() || last != end) wrong("seed", "no number", "hexadecimal text");
+    const auto [last, error] = std::from_chars(digits.data(), end, seed, kHexadecimal);
+    if (error != std::errc() || last != end) add_error(key::kSeed, "no number", "hexadecimal text");
     return seed;
   }
-  // The object of this name; none where it is missing or no object.
-  const Json* object(const char* field, bool needed) const {
+  // Null, which is an error, where the field is missing or not an object.
+  [[nodiscard]] const Json* required_object(const char* field) const {
+    if (member(object_, field) != nullptr) return optional_object(field);
+    add_error(field, "missing", "object");
+    return nullptr;
+  }
+  // Null where the field is missing or, which is an error, not an object.
+  [[nodiscard]] const Json* optional_object(const char* field) const {
     const Json* value = member(object_, field);
-    if (value != nullptr && value->is_object()) return value;
-    if (value != nullptr || needed) wrong(field, value == nullptr ? "missing" : "no object", "object");
+    if (value == nullptr || value->is_object()) return value;
+    add_error(field, "no object", "object");
     return nullptr;
   }
-  std::size_t limit(const Json& limits, const char* field, std::size_t absent) const {
+  // A field of key::kLimits.
+  [[nodiscard]] std::size_t limit(const Json& limits, const char* field, std::size_t default_value) const {
     const Json* value = member(limits, field);
-    if (value == nullptr) return absent;
-    if (value->is_number() && value->get<double>() >= 1 && value->get<double>() <= 1e9)
-      return static_cast<std::size_t>(value->get<double>());
-    wrong(std::string("limits.") + field, value->dump(), "number above 0");
-    return absent;
+    if (value == nullptr) return default_value;
+    const double number = value->is_number() ? value->get<double>() : 0;
+    if (number >= 1 && number <= kMaxLimit) return static_cast<std::size_t>(number);
+    add_error(std::string(key::kLimits) + "." + field, value->dump(), "number above 0");
+    return default_value;
   }
 
  private:
+  void add_error(std::string field, std::string what, std::string wanted) const {
+    findings_.push_back({Severity::kError, std::move(field), std::move(what), std::move(wanted)});
+  }
+
   const Json& object_;
   const Environment& environment_;
   std::vector<Finding>& findings_;
 };
 
-// A request may knock at dead readers for so many sends, not for ever.
-constexpr int kConnectsPerAttempt = 4;
-
-void add_all(std::vector<Finding>& findings, std::vector<Finding> more) {
-  for (Finding& finding : more) {
-    finding.field.insert(0, "settings.");
+// Adds findings of the settings, whose fields are named within the settings.
+void add_settings_findings(std::vector<Finding>& findings, std::vector<Finding> settings_findings) {
+  for (Finding& finding : settings_findings) {
+    finding.field.insert(0, std::string(key::kSettings) + ".");
     findings.push_back(std::move(finding));
   }
 }
@@ -100,46 +141,47 @@
   try {
     dispatcher::settings::ParsedSettings parsed = dispatcher::settings::parse_settings(source);
     routing::Settings settings = std::move(parsed.settings);
-    // On sockets an attempt counts once its last byte has come.
-    settings.free_connect_failures = kConnectsPerAttempt * settings.max_attempts;
-    settings.reservation_expires_while_connecting = true;  // and what is held waits on while connections fail
-    add_all(findings, std::move(parsed.warnings));
-    add_all(findings, dispatcher::settings::check(settings));
-    add_all(findings, dispatcher::settings::check_socket_settings(settings));
+    settings.free_connect_failures = kConnectFailuresPerAttempt * settings.max_attempts;
+    settings.reservation_expires_while_connecting = true;
+    add_settings_findings(findings, std::move(parsed.warnings));
+    add_settings_findings(findings, dispatcher::settings::check(settings));
+    add_settings_findings(findings, dispatcher::settings::check_socket_settings(settings));
     return settings;
   } catch (const dispatcher::settings::SettingsError& e) {
-    add_all(findings, e.findings);
+    add_settings_findings(findings, e.findings);
     return {};
   }
 }
 
-service_discovery::EndpointSnapshot read_known(const Json& source, std::vector<Finding>& findings) {
-  service_discovery::EndpointSnapshot known;
+service_discovery::EndpointSnapshot read_initial_endpoints(const Json& source,
+                                                           std::vector<Finding>& findings) {
+  service_discovery::EndpointSnapshot endpoints;
   try {
-    known = service_discovery::parse_endpoint_snapshot(source);
-    known.is_complete = true;
-    known.list.kind = routing::ListKind::kCached;
+    endpoints = service_discovery::parse_endpoint_snapshot(source);
+    endpoints.is_complete = true;
+    endpoints.list.kind = routing::ListKind::kCached;
   } catch (const std::exception& e) {
-    findings.push_back({Severity::kError, "known", e.what(), ""});
+    findings.push_back({Severity::kError, key::kInitialEndpoints, e.what(), ""});
   }
-  return known;
+  return endpoints;
 }
 
+// Throws ConfigError, with the line where the text is not JSON.
 Json parse_json(const std::string& file, const std::string& source) {
   try {
     Json object = Json::parse(source);
     if (object.is_object()) return object;
   } catch (const Json::parse_error& e) {
-    const auto upto = source.begin() + static_cast<std::ptrdiff_t>(std::min(e.byte, source.size()));
-    throw ConfigError(file + ":" + std::to_string(1 + std::count(source.begin(), upto, '\n')) +
-                      ": the configuration is not JSON");
+    const auto error_at = source.begin() + static_cast<std::ptrdiff_t>(std::min(e.byte, source.size()));
+    const auto line = 1 + std::count(source.begin(), error_at, '\n');
+    throw ConfigError(file + ":" + std::to_string(line) + ": the configuration is not JSON");
   } catch (const Json::exception& e) {
     throw ConfigError(file + ": the configuration can't be read: " + e.what());
   }
   throw ConfigError(file + ":1: the configuration is not a JSON object");
 }
 
-std::string joined(const std::vector<std::string>& lines) {
+std::string join_lines(const std::vector<std::string>& lines) {
   std::string all;
   for (const std::string& line : lines) all += (all.empty() ? "" : "\n") + line;
   return all;
@@ -147,7 +189,7 @@
 
 }  // namespace
 
-ConfigError::ConfigError(const std::vector<std::string>& all) : std::runtime_error(joined(all)) {}
+ConfigError::ConfigError(const std::vector<std::string>& lines) : std::runtime_error(join_lines(lines)) {}
 
 std::vector<std::string> ConfigError::lines() const {
   std::vector<std::string> all;
@@ -158,8 +200,8 @@
 
 Environment read_environment() {
   Environment environment;
-  for (const char* name :
-       {"PROXY_NAME", "PROXY_LISTEN", "PROXY_DISCOVERY", "PROXY_CONSOLE", "PROXY_CONFIG", "TMPDIR"}) {
+  for (const char* name : {variable::kConfig, variable::kName, variable::kListen, variable::kDiscovery,
+                           variable::kAdminAddress, variable::kSharedDirectory}) {
     if (const char* value = std::getenv(name); value != nullptr && *value != '\0') environment[name] = value;
   }
   return environment;
@@ -172,40 +214,54 @@
   return text.str();
 }
 
-Config parse_config(const std::string& source, const Environment& environment) {
-  const auto named = environment.find("PROXY_CONFIG");
-  const std::string file = named == environment.end() ? "configuration" : named->second;
-  const Json object = parse_json(file, source);
+namespace {
+
+// Fields of the top level that the environment may override.
+void read_addresses(const FieldReader& reader, Config& config) {
+  config.name = reader.text(key::kName, variable::kName);
+  config.listen = reader.endpoint(key::kListen, variable::kListen);
+  config.discovery = reader.endpoint(key::kDiscovery, variable::kDiscovery);
+  const bool has_admin_address = !reader.text(key::kAdminAddress, variable::kAdminAddress).empty();
+  if (has_admin_address) config.admin_address = reader.endpoint(key::kAdminAddress, variable::kAdminAddress);
+}
+
+void read_limits(const FieldReader& reader, Config& config) {
+  const Json* limits = reader.optional_object(key::kLimits);
+  if (limits == nullptr) return;
+  config.max_descriptors = reader.limit(*limits, key::kMaxDescriptors, config.max_descriptors);
+  config.max_memory_mb = reader.limit(*limits, key::kMaxMemoryMb, config.max_memory_mb);
+}
+
+}  // namespace
+
+Config parse_config(const std::string& text, const Environment& environment) {
+  const auto path = environment.find(variable::kConfig);
+  const std::string file = path == environment.end() ? "configuration" : path->second;
+  const Json object = parse_json(file, text);
   std::vector<Finding> findings;
-  const Top top(object, environment, findings);
+  const FieldReader reader(object, environment, findings);
   Config config;
-  config.name = top.text("name", "PROXY_NAME");
-  config.listen = top.endpoint("listen", "PROXY_LISTEN");
-  config.discovery = top.endpoint("discovery", "PROXY_DISCOVERY");
-  if (!top.text("console", "PROXY_CONSOLE").empty())
-    config.console = top.endpoint("console", "PROXY_CONSOLE");
-  if (const auto it = environment.find("TMPDIR"); it != environment.end()) config.scratch = it->second;
-  config.seed = top.seed();
-  if (const Json* limits = top.object("limits", false)) {
-    config.sockets = top.limit(*limits, "sockets", config.sockets);
-    config.memory_mb = top.limit(*limits, "memory_mb", config.memory_mb);
-  }
+  read_addresses(reader, config);
+  const auto shared_directory = environment.find(variable::kSharedDirectory);
+  if (shared_directory != environment.end()) config.shared_directory = shared_directory->second;
+  config.seed = reader.seed();
+  read_limits(reader, config);
+  const Json* endpoints = member(object, key::kInitialEndpoints);
   config.source = object;
-  if (member(object, "known") != nullptr) config.source["known"] = Json::object();
-  if (const Json* settings = top.object("settings", true))
-    config.settings = read_settings(*settings, findings);
-  if (const Json* known = member(object, "known")) config.known = read_known(*known, findings);
-  std::vector<std::string> lines = dispatcher::settings::format_report(file, source, findings);
-  if (std::any_of(findings.begin(), findings.end(),
-                  [](const Finding& finding) { return finding.severity == Severity::kError; }))
-    throw ConfigError(lines);
+  if (endpoints != nullptr) config.source[key::kInitialEndpoints] = Json::object();
+  const Json* settings = reader.required_object(key::kSettings);
+  if (settings != nullptr) config.settings = read_settings(*settings, findings);
+  if (endpoints != nullptr) config.initial_endpoints = read_initial_endpoints(*endpoints, findings);
+  std::vector<std::string> lines = dispatcher::settings::format_report(file, text, findings);
+  if (dispatcher::settings::has_error(findings)) throw ConfigError(lines);
   config.warnings = std::move(lines);
   return config;
 }
 
 namespace {
-// The keys that all objects of an array have; of anything else, itself.
-Json common(const Json& array) {
+
+// An object with the keys that all elements of an array have. Null where one of them is not an object.
+Json common_keys(const Json& array) {
   Json keys;
   for (const Json& element : array) {
     if (!element.is_object()) return nullptr;
@@ -215,11 +271,12 @@
   }
   return keys;
 }
+
 }  // namespace
 
 void check_keys(const Json& before, const Json& after, const std::string& path) {
   if (before.is_array() && after.is_array()) {
-    const Json keys = common(before);
+    const Json keys = common_keys(before);
     for (const Json& element : after) check_keys(keys, element, path);
   }
   if (!before.is_object()) return;
@@ -233,11 +290,13 @@
 }
 
 namespace {
+
 std::string read_config(const Environment& environment) {
-  const auto it = environment.find("PROXY_CONFIG");
-  if (it == environment.end()) throw ConfigError("PROXY_CONFIG is not set");
-  return read_file(it->second);
+  const auto path = environment.find(variable::kConfig);
+  if (path == environment.end()) throw ConfigError(std::string(variable::kConfig) + " is not set");
+  return read_file(path->second);
 }
+
 }  // namespace
 
 Config load_config(const Environment& environment) {
@@ -247,7 +306,8 @@
 Config reload_config(Environment environment) {
   const std::string source = read_config(environment);
   const Json object = Json::parse(source, nullptr, false);
-  if (object.is_object() && member(object, "discovery") != nullptr) environment.erase("PROXY_DISCOVERY");
+  if (object.is_object() && member(object, key::kDiscovery) != nullptr)
+    environment.erase(variable::kDiscovery);
   return parse_config(source, environment);
 }
 
--- a/src/daemon/config_commands.cpp
+++ b/src/daemon/config_commands.cpp
@@ -52,28 +52,28 @@
   const bool is_paired = !files.vrrp.text.empty() && vrrp::parse_config(files.vrrp).has_value();
   for (const std::string& line : config.warnings) out << line << "\n";
   out << "ok: " << config.name << ", " << config.settings.classes.size() << " classes, "
-      << config.known.list.entries.size() << " replicas known, chat front " << (has_chat ? "on" : "off")
-      << ", VRRP " << (is_paired ? "on" : "off") << ", rules " << (files.rules ? "read" : "none")
-      << ", levels " << (files.levels ? "read" : "none") << "\n";
+      << config.initial_endpoints.list.entries.size() << " replicas known, chat front "
+      << (has_chat ? "on" : "off") << ", VRRP " << (is_paired ? "on" : "off") << ", rules "
+      << (files.rules ? "read" : "none") << ", levels " << (files.levels ? "read" : "none") << "\n";
 }
 
 void show_config(const Config& config, const std::optional<cue::File>& rules, std::ostream& out) {
   const routing::Settings& settings = config.settings;
   out << "name " << config.name << "\nlisten " << config.listen << "\ndiscovery " << config.discovery
       << "\nconsole ";
-  if (config.console) {
-    out << *config.console;
+  if (config.admin_address) {
+    out << *config.admin_address;
   } else {
     out << "off";
   }
-  out << "\nsockets " << config.sockets << "\nmemory_mb " << config.memory_mb << "\nconnect timeout "
-      << milliseconds_text(settings.connect_timeout) << "\nidle close "
+  out << "\nsockets " << config.max_descriptors << "\nmemory_mb " << config.max_memory_mb
+      << "\nconnect timeout " << milliseconds_text(settings.connect_timeout) << "\nidle close "
       << milliseconds_text(settings.idle_timeout) << "\npin limit "
       << milliseconds_text(settings.reservation_limit) << "\n";
   for (const routing::RequestClass& request_class : settings.classes)
     out << "class " << request_class.name << ": aim " << milliseconds_text(request_class.latency_objective)
         << ", deadline " << milliseconds_text(request_class.deadline) << "\n";
-  for (const auto& known : config.known.addresses)
+  for (const auto& known : config.initial_endpoints.addresses)
     out << "replica " << known.endpoint << " at " << known.address << (known.is_ready ? ": up" : ": not up")
         << "\n";
   if (rules) show_rules(*rules, settings, out);
--- a/src/daemon/configuration_reloader.cpp
+++ b/src/daemon/configuration_reloader.cpp
@@ -58,8 +58,8 @@
   parts_.degradation_controller.apply_settings(*settings, levels);
   parts_.config.settings = next.settings;
   parts_.config.source = next.source;
-  parts_.config.sockets = next.sockets;
-  parts_.config.memory_mb = next.memory_mb;
+  parts_.config.max_descriptors = next.max_descriptors;
+  parts_.config.max_memory_mb = next.max_memory_mb;
   parts_.config.discovery = next.discovery;
   parts_.apply_resource_limits();
   // Kinds of endpoints may be new: the list is read by the new ones.
@@ -79,7 +79,7 @@
   };
   add(next.listen != current.listen, "listen");
   add(next.name != current.name, "name");
-  add(next.console != current.console, "console");
+  add(next.admin_address != current.admin_address, "console");
   add(chat_listen_changed, "the chat front's listen");
   if (!fields.empty()) parts_.log("reload: changed, but taking effect at the next start only: " + fields);
 }
--- a/src/daemon/dispatcher.cpp
+++ b/src/daemon/dispatcher.cpp
@@ -89,7 +89,7 @@
 
 // Discovery may be silent for long: the list that was last known serves until it speaks.
 void Dispatcher::restore_endpoint_list(const hot_restart::Json& handed_over) {
-  parts_.update_endpoints(parts_.config.known);
+  parts_.update_endpoints(parts_.config.initial_endpoints);
   if (handed_over.is_null()) return;
   try {
     parts_.update_endpoints(service_discovery::parse_endpoint_snapshot(handed_over));
--- a/src/daemon/dispatcher.hpp
+++ b/src/daemon/dispatcher.hpp
@@ -33,7 +33,7 @@
   void drain();
   [[nodiscard]] net::tcp::endpoint address() { return parts_.platform_frontend.server().local(); }
   // Only where the configuration has an admin address.
-  [[nodiscard]] net::tcp::endpoint console() const { return parts_.admin_server->local(); }
+  [[nodiscard]] net::tcp::endpoint admin_address() const { return parts_.admin_server->local(); }
 
  private:
   // hot_restart::HotRestartPeer::Owner
--- a/src/daemon/resource_limits.cpp
+++ b/src/daemon/resource_limits.cpp
@@ -28,8 +28,8 @@
 constexpr std::size_t kSpareDescriptors = kInternalDescriptors + admin::kMaxConnections;
 
 std::size_t connection_descriptors(const Config& config, ProcessCount processes) {
-  const std::size_t spare = std::min(kSpareDescriptors, config.sockets / 2);
-  return (config.sockets - spare) / count_of(processes);
+  const std::size_t spare = std::min(kSpareDescriptors, config.max_descriptors / 2);
+  return (config.max_descriptors - spare) / count_of(processes);
 }
 
 }  // namespace
@@ -54,7 +54,7 @@
   http::ServerOptions options;
   const std::size_t descriptors = connection_descriptors(config, processes) * kClientPercent / 100;
   options.max_clients = std::min<std::size_t>(options.max_clients, descriptors) / frontends;
-  options.max_body_bytes = config.memory_mb * kBytesPerMegabyte / kBodyMemoryDivisor / frontends;
+  options.max_body_bytes = config.max_memory_mb * kBytesPerMegabyte / kBodyMemoryDivisor / frontends;
   return options;
 }
 
--- a/tests/dispatcher/degradation_fleet_test.cpp
+++ b/tests/dispatcher/degradation_fleet_test.cpp
@@ -269,7 +269,7 @@
   daemon::Loop loop;
   daemon::Config config;
   config.name = "n1";
-  config.listen = config.discovery = config.console.emplace(loopback());
+  config.listen = config.discovery = config.admin_address.emplace(loopback());
   config.discovery.port(1);
   config.settings = make_settings();
   std::vector<std::string> logs;
--- a/tests/dispatcher/drain_test.cpp
+++ b/tests/dispatcher/drain_test.cpp
@@ -16,8 +16,8 @@
     config.listen = config.discovery = loopback();
     config.discovery.port(1);  // nobody listens there
     config.settings = make_settings();
-    config.known.is_complete = true;
-    config.known.list.kind = routing::ListKind::kFull;
+    config.initial_endpoints.is_complete = true;
+    config.initial_endpoints.list.kind = routing::ListKind::kFull;
     add("r", "reader", reader.server.local());
     add("w", "writer", writer.server.local());
     dispatcher.emplace(loop, config, daemon::FeatureFiles{},
@@ -25,8 +25,8 @@
     dispatcher->start();
   }
   void add(const std::string& endpoint, const std::string& kind, const net::tcp::endpoint& at) {
-    config.known.list.entries.push_back({endpoint, "here", kind, 0, routing::EndpointState::kReady, 1, {}});
-    config.known.addresses.push_back({endpoint, at, true, false, "here", 0});
+    config.initial_endpoints.list.entries.push_back({endpoint, "here", kind, 0, routing::EndpointState::kReady, 1, {}});
+    config.initial_endpoints.addresses.push_back({endpoint, at, true, false, "here", 0});
   }
   // Runs both sides until the condition holds; the timeout only ends a test that has failed.
   template <class Condition>
--- a/tests/dispatcher/hot_restart_compatibility_test.cpp
+++ b/tests/dispatcher/hot_restart_compatibility_test.cpp
@@ -383,7 +383,7 @@
   config.name = "n-1.x";
   config.listen = config.discovery = loopback();
   config.discovery.port(1);  // nobody listens there
-  config.scratch = folder.path;
+  config.shared_directory = folder.path;
   config.settings = make_settings();
   std::vector<std::string> logs;
   daemon::Dispatcher dispatcher(loop, config, {}, [&](std::string_view text) { logs.emplace_back(text); });
--- a/tests/dispatcher/hot_restart_test.cpp
+++ b/tests/dispatcher/hot_restart_test.cpp
@@ -21,19 +21,19 @@
     config.name = "n1";
     config.listen = config.discovery = loopback();
     config.discovery.port(1);  // silent
-    config.console = loopback();
-    config.scratch = folder.path;
+    config.admin_address = loopback();
+    config.shared_directory = folder.path;
     config.settings = make_settings();
     const routing::EndpointInfo endpoint{"r1", "here", "reader", 0, routing::EndpointState::kReady, 1, {}};
-    config.known.list.entries = {endpoint};
-    config.known.addresses = {{"r1", loopback(), true}};
-    config.known.is_complete = true;
+    config.initial_endpoints.list.entries = {endpoint};
+    config.initial_endpoints.addresses = {{"r1", loopback(), true}};
+    config.initial_endpoints.is_complete = true;
     daemon::FeatureFiles texts{{"chat.json", chat}, {"vrrp.json", vrrp}};
     if (!levels.empty()) texts.levels = cue::File{"levels.cue", levels};
     first.emplace(loop, config, texts, log("1 "));
     first->start();
     config.listen = first->address();
-    config.known = {};  // the second is told by the first
+    config.initial_endpoints = {};  // the second is told by the first
     if (between) between(*this);
     second.emplace(loop, config, texts, log("2 "));
     second->start();
@@ -87,12 +87,12 @@
   CHECK(pair.logged("1 upgrade: another process takes over"));
   CHECK(pair.logged("2 upgrade: taking over"));
   CHECK(pair.second->address() == pair.first->address());
-  CHECK(pair.call(pair.second->console(), "GET", "/control/ready") == 200);  // it has the list: r1
-  CHECK(pair.call(pair.first->console(), "POST", "/control/replicas/r1/offline") == 200);
+  CHECK(pair.call(pair.second->admin_address(), "GET", "/control/ready") == 200);  // it has the list: r1
+  CHECK(pair.call(pair.first->admin_address(), "POST", "/control/replicas/r1/offline") == 200);
   pair.run_until("2 operators: host r1 offline");
-  CHECK(pair.call(pair.second->console(), "POST", "/control/replicas/r1/online") == 200);
+  CHECK(pair.call(pair.second->admin_address(), "POST", "/control/replicas/r1/online") == 200);
   pair.run_until("1 operators: host r1 online");
-  CHECK(pair.call(pair.second->console(), "POST", "/control/replicas/r2/offline") == 404);
+  CHECK(pair.call(pair.second->admin_address(), "POST", "/control/replicas/r2/offline") == 404);
   pair.first->drain();  // at once: nobody is owed anything, and the socket is the second one's too
   pair.loop.run();
   CHECK(pair.logs.back() == "1 drained");
@@ -107,12 +107,12 @@
   const std::string levels =
       "levels: [{name: \"less\", enter: \"open > 1000\", leave: \"open < 5\", shed: [{classes: [\"ask\"]}]}]";
   DispatcherPair pair({}, {}, levels, [](DispatcherPair& started) {
-    CHECK(started.call(started.first->console(), "POST", "/control/level/less") == 200);
-    CHECK(started.call(started.first->console(), "POST", "/control/level/zz") == 404);
+    CHECK(started.call(started.first->admin_address(), "POST", "/control/level/less") == 200);
+    CHECK(started.call(started.first->admin_address(), "POST", "/control/level/zz") == 404);
   });
   CHECK(pair.logged("1 level normal -> less: pinned"));
   CHECK(pair.logged("2 level less: pinned at the process before"));
-  CHECK(pair.call(pair.second->console(), "POST", "/control/level/auto") == 200);
+  CHECK(pair.call(pair.second->admin_address(), "POST", "/control/level/auto") == 200);
   CHECK(pair.logged("2 level less: no longer pinned by operators"));
 }
 
@@ -152,7 +152,7 @@
   config.name = "n1";
   config.listen = config.discovery = loopback();
   config.discovery.port(1);
-  config.scratch = folder.path;
+  config.shared_directory = folder.path;
   config.settings = make_settings();
   std::vector<std::string> logs;
   daemon::Dispatcher dispatcher(loop, config, {}, [&](std::string_view text) { logs.emplace_back(text); });
