--- a/src/daemon/chat_address.hpp
+++ b/src/daemon/chat_address.hpp
@@ -1,5 +1,5 @@
-// Who listens at the address of the OpenAI-style front: this instance alone, or the active one of a VRRP
-// pair.
+// Listening at the address of the chat frontend (openai_api): by this instance alone, or by whichever
+// instance of a VRRP pair is active.
 #ifndef DISPATCHER_DAEMON_CHAT_ADDRESS_HPP_
 #define DISPATCHER_DAEMON_CHAT_ADDRESS_HPP_
 
@@ -11,22 +11,25 @@
 
 namespace dispatcher::daemon {
 
-// Used on the event loop thread only; refers to the components, which outlive it.
+// Opens and closes the chat frontend's listener. Owned by the Dispatcher and used on its event loop only; the
+// components outlive it.
 class ChatAddress {
  public:
-  // Throws ConfigError where `pair` is set and the chat front is off, cue::Errors where the file is bad.
+  // Throws ConfigError where the file configures a pair but the chat frontend is off, and cue::Errors where
+  // the file is invalid.
   ChatAddress(Components& parts, const cue::File& vrrp_file);
   ChatAddress(const ChatAddress&) = delete;
   ChatAddress& operator=(const ChatAddress&) = delete;
 
-  // The process begins to serve. `listening`: the chat socket that the process before this one handed over,
-  // if any. Throws where VRRP can't start.
-  void serve(net::UniqueFd listening);
+  // To be called when the process begins to serve. `listening_socket`: the one that the predecessor handed
+  // over, if any. Throws boost::system::system_error where an address can't be bound.
+  void serve(net::UniqueFd listening_socket);
   [[nodiscard]] bool is_paired() const { return pair_.has_value(); }
-  // Joins the pair, if there is one and this process has not yet. Tried again where the socket is still
-  // taken.
+  // Joins the pair, if there is one and this process has not joined or left it yet. Once serve() has returned
+  // this is retried until the VRRP address can be bound.
   void join_pair(vrrp::StartMode mode);
-  // The process ends: the other of the pair takes over at once, or the process that replaces this one does.
+  // To be called when the process shuts down: its successor or, without one, the other instance of the pair
+  // takes over at once.
   void leave_pair();
 
  private:
@@ -36,9 +39,9 @@
   Components& parts_;
   std::optional<vrrp::Config> pair_;
   std::optional<vrrp::VrrpInstance> vrrp_;
-  net::UniqueFd listening_;  // handed over, for when this instance is the active one
+  net::UniqueFd listening_socket_;  // handed over by the predecessor, until the listener opens
   bool is_serving_ = false;
-  bool is_active_ = false;  // this instance of the pair listens at the chat address
+  bool is_active_ = false;  // this instance of the pair is to listen at the chat address
   bool has_left_ = false;
 };
 
--- a/src/daemon/command_line.cpp
+++ b/src/daemon/command_line.cpp
@@ -5,7 +5,7 @@
 namespace dispatcher::daemon {
 namespace {
 
-constexpr int kMaxBenchRequests = 100'000'000;
+constexpr int kMaxBenchRequests = 100'000'000;  // their times are kept in memory, 4 bytes each
 
 CLI::App* add_command(CLI::App& parent, CommandLine& command_line, Command command, const std::string& name,
                       const std::string& description) {
--- a/src/daemon/command_line.hpp
+++ b/src/daemon/command_line.hpp
@@ -9,10 +9,11 @@
 
 namespace dispatcher::daemon {
 
-// What the program is to do. kServe is also the default, without a sub-command.
+// The sub-command. kServe is the default, without one.
 enum class Command { kServe, kVersion, kCheckConfig, kShowConfig, kRulesCheck, kRulesExplain, kRulesBench };
 
-// A file with a usual place. `is_named`: the command line or the environment names it, so that it must exist.
+// A file with a default path. `is_named`: the command line or the environment names it, so that it must
+// exist.
 struct OptionalFile {
   std::string path;
   bool is_named = false;
--- a/src/daemon/config.hpp
+++ b/src/daemon/config.hpp
@@ -49,7 +49,7 @@
 // Parses the text of a configuration file. PROXY_NAME, PROXY_LISTEN, PROXY_DISCOVERY and PROXY_CONSOLE
 // override its fields; PROXY_CONFIG is the name that errors give the file. Throws ConfigError, which reports
 // all problems with file and line.
-[[nodiscard]] Config parse_config(const std::string& text, const Environment& environment);
+Config parse_config(const std::string& text, const Environment& environment);
 // Reads and parses the file that PROXY_CONFIG names. Throws ConfigError.
 [[nodiscard]] Config load_config(const Environment& environment);
 // Reads the same file again in a running process. Here the file's discovery address overrides the
--- a/src/daemon/config_commands.cpp
+++ b/src/daemon/config_commands.cpp
@@ -1,6 +1,7 @@
 #include "daemon/config_commands.hpp"
 
 #include <algorithm>
+#include <chrono>
 #include <ostream>
 #include <string>
 #include <tuple>
@@ -16,9 +17,11 @@
 constexpr double kNanosecondsPerMillisecond = 1e6;
 
 std::string milliseconds_text(engine::Duration duration) {
-  return std::to_string(duration.count() / 1000) + " ms";
+  const auto milliseconds = std::chrono::duration_cast<std::chrono::milliseconds>(duration);
+  return std::to_string(milliseconds.count()) + " ms";
 }
 
+// Prints this instance's part of a limit.
 void show_limit(const rate_limit::Limit& limit, const routing::Settings& settings, std::ostream& out) {
   const auto instances = static_cast<std::size_t>(std::max(1, settings.router_count));
   const auto instance = static_cast<std::size_t>(settings.router_number);
@@ -45,7 +48,7 @@
 void check_config(const Config& config, const FeatureFiles& files, std::ostream& out) {
   const bool has_chat =
       !files.chat.text.empty() && openai_api::parse_config(files.chat, config.settings).has_value();
-  // Read for their errors, which are thrown.
+  // Parsed for their errors, which are thrown.
   if (files.rules)
     std::ignore = rate_limit::RuleSet::read(*files.rules, rate_limit::vocabulary_of(config.settings));
   if (files.levels) std::ignore = degradation::DegradationController::read(*files.levels, config.settings);
@@ -59,23 +62,27 @@
 
 void show_config(const Config& config, const std::optional<cue::File>& rules, std::ostream& out) {
   const routing::Settings& settings = config.settings;
-  out << "name " << config.name << "\nlisten " << config.listen << "\ndiscovery " << config.discovery
-      << "\nconsole ";
+  out << "name " << config.name << "\n";
+  out << "listen " << config.listen << "\n";
+  out << "discovery " << config.discovery << "\n";
   if (config.admin_address) {
-    out << *config.admin_address;
+    out << "console " << *config.admin_address << "\n";
   } else {
-    out << "off";
+    out << "console off\n";
   }
-  out << "\nsockets " << config.max_descriptors << "\nmemory_mb " << config.max_memory_mb
-      << "\nconnect timeout " << milliseconds_text(settings.connect_timeout) << "\nidle close "
-      << milliseconds_text(settings.idle_timeout) << "\npin limit "
-      << milliseconds_text(settings.reservation_limit) << "\n";
-  for (const routing::RequestClass& request_class : settings.classes)
+  out << "sockets " << config.max_descriptors << "\n";
+  out << "memory_mb " << config.max_memory_mb << "\n";
+  out << "connect timeout " << milliseconds_text(settings.connect_timeout) << "\n";
+  out << "idle close " << milliseconds_text(settings.idle_timeout) << "\n";
+  out << "pin limit " << milliseconds_text(settings.reservation_limit) << "\n";
+  for (const routing::RequestClass& request_class : settings.classes) {
     out << "class " << request_class.name << ": aim " << milliseconds_text(request_class.latency_objective)
         << ", deadline " << milliseconds_text(request_class.deadline) << "\n";
-  for (const auto& known : config.initial_endpoints.addresses)
-    out << "replica " << known.endpoint << " at " << known.address << (known.is_ready ? ": up" : ": not up")
-        << "\n";
+  }
+  for (const upstream::EndpointAddress& endpoint : config.initial_endpoints.addresses) {
+    out << "replica " << endpoint.endpoint << " at " << endpoint.address
+        << (endpoint.is_ready ? ": up" : ": not up") << "\n";
+  }
   if (rules) show_rules(*rules, settings, out);
 }
 
--- a/src/daemon/config_commands.hpp
+++ b/src/daemon/config_commands.hpp
@@ -1,4 +1,4 @@
-// `llm-dispatcher check-config` and `show-config`: what a configuration says, without serving by it.
+// `llm-dispatcher check-config` and `show-config`: check and print a configuration without serving.
 #ifndef DISPATCHER_DAEMON_CONFIG_COMMANDS_HPP_
 #define DISPATCHER_DAEMON_CONFIG_COMMANDS_HPP_
 
@@ -12,11 +12,11 @@
 namespace dispatcher::daemon {
 
 // Checks the files against the configuration and prints a summary. Throws ConfigError or cue::Errors where a
-// file is bad.
+// file is invalid.
 void check_config(const Config& config, const FeatureFiles& files, std::ostream& out);
 
-// Prints the configuration as it is understood, and this instance's part of the limits of `rules`, if given.
-// Throws cue::Errors where that file is bad.
+// Prints the parsed configuration, and this instance's part of the limits of `rules`, if given. Throws
+// cue::Errors where that file is invalid.
 void show_config(const Config& config, const std::optional<cue::File>& rules, std::ostream& out);
 
 }  // namespace dispatcher::daemon
--- a/src/daemon/configuration_reloader.cpp
+++ b/src/daemon/configuration_reloader.cpp
@@ -15,7 +15,7 @@
 
 constexpr const char* kReloadFailed = "reload failed, the old configuration stays: ";
 
-// One line of a text that has several.
+// The lines of a text as one line.
 std::string join_lines(std::string text) {
   for (std::size_t at = text.find('\n'); at != std::string::npos; at = text.find('\n', at))
     text.replace(at, 1, "; ");
@@ -28,7 +28,9 @@
   if (!read_files_) return;
   try {
     const ConfigurationFiles files = read_files_();
-    apply(files);
+    const ParsedFiles parsed = parse(files);
+    log_deferred_changes(files.config, parsed.chat);
+    apply(files.config, parsed);
     for (const std::string& warning : files.config.warnings) parts_.log(warning);
     log_reloaded();
   } catch (const ConfigError& error) {
@@ -38,33 +40,35 @@
   }
 }
 
-void ConfigurationReloader::apply(const ConfigurationFiles& files) {
-  const Config& next = files.config;
-  check_keys(parts_.config.source, next.source);
-  const auto settings = std::make_shared<const routing::Settings>(next.settings);
-  const std::optional<openai_api::Config> chat = parse_chat(files.features, *settings);
-  if (parts_.chat_frontend && !chat)
+ConfigurationReloader::ParsedFiles ConfigurationReloader::parse(const ConfigurationFiles& files) const {
+  check_keys(parts_.config.source, files.config.source);
+  ParsedFiles parsed;
+  parsed.settings = std::make_shared<const routing::Settings>(files.config.settings);
+  parsed.chat = parse_chat(files.features, *parsed.settings);
+  if (parts_.chat_frontend && !parsed.chat)
     throw ConfigError("the chat front's file no longer says where to listen");
-  const auto rules = parse_rules(files.features, *settings);
-  const auto levels = parse_levels(files.features, *settings);
-  // Nothing below throws: the new configuration is taken whole.
-  log_deferred_changes(next, chat);
-  const bool discovery_moved = next.discovery != parts_.config.discovery;
-  parts_.settings = settings;
-  parts_.engine.apply_settings(settings);
-  parts_.platform_frontend.adopt(settings);
-  if (parts_.chat_frontend) parts_.chat_frontend->adopt(*chat);
-  parts_.rate_limiter.replace_rules(rules, parts_.loop.now());
-  parts_.degradation_controller.apply_settings(*settings, levels);
+  parsed.rules = parse_rules(files.features, *parsed.settings);
+  parsed.levels = parse_levels(files.features, *parsed.settings);
+  return parsed;
+}
+
+void ConfigurationReloader::apply(const Config& next, const ParsedFiles& parsed) {
+  const bool has_discovery_moved = next.discovery != parts_.config.discovery;
+  parts_.settings = parsed.settings;
+  parts_.engine.apply_settings(parsed.settings);
+  parts_.platform_frontend.apply_settings(parsed.settings);
+  if (parts_.chat_frontend) parts_.chat_frontend->apply_config(*parsed.chat);
+  parts_.rate_limiter.replace_rules(parsed.rules, parts_.loop.now());
+  parts_.degradation_controller.apply_settings(*parsed.settings, parsed.levels);
   parts_.config.settings = next.settings;
   parts_.config.source = next.source;
   parts_.config.max_descriptors = next.max_descriptors;
   parts_.config.max_memory_mb = next.max_memory_mb;
   parts_.config.discovery = next.discovery;
   parts_.apply_resource_limits();
-  // Kinds of endpoints may be new: the list is read by the new ones.
+  // The new settings may define other kinds of endpoints, by which the router interprets the list.
   parts_.engine.update_endpoints(parts_.endpoints.list);
-  if (discovery_moved) parts_.endpoint_watcher.set_address(parts_.config.discovery);
+  if (has_discovery_moved) parts_.endpoint_watcher.set_address(parts_.config.discovery);
 }
 
 void ConfigurationReloader::log_deferred_changes(const Config& next,
--- a/src/daemon/dispatcher.cpp
+++ b/src/daemon/dispatcher.cpp
@@ -1,5 +1,6 @@
 #include "daemon/dispatcher.hpp"
 
+#include <algorithm>
 #include <csignal>
 #include <exception>
 #include <utility>
@@ -12,9 +13,11 @@
 
 namespace {
 
-// New connections come for up to 0.4 s after SIGTERM; what comes more than 0.7 s after it may be lost.
+// How long a draining process without a successor still accepts connections. The platform directs new ones to
+// it for up to 0.4 s after SIGTERM, and may lose what is accepted more than 0.7 s after it.
 constexpr engine::Duration kAcceptAfterTerm = milliseconds(550);
-constexpr engine::Duration kDrainCheckPeriod = milliseconds(20);
+// How often a draining process checks whether its work is done: short beside the time that it takes.
+constexpr engine::Duration kDrainCheckInterval = milliseconds(20);
 
 }  // namespace
 
@@ -48,21 +51,21 @@
 void Dispatcher::await_signal() {
   signals_.async_wait([this](boost::system::error_code error, int number) {
     if (error) return;
-    if (number != SIGHUP) return drain();  // what is signalled from here on changes nothing
+    if (number != SIGHUP) return drain();  // no signal is handled from here on
     reload();
     await_signal();
   });
 }
 
-// ---- taking over and serving ----
+// ---- take-over and start of service ----
 
 void Dispatcher::on_handover(hot_restart::HandoverState handover) {
-  if (is_draining_) return;  // told to end before it began
+  if (is_draining_) return;  // SIGTERM came before this process served
   serve(std::move(handover));
 }
 
 void Dispatcher::serve(hot_restart::HandoverState handover) {
-  restore_drained_endpoints();  // before any list
+  restore_drained_endpoints();  // first: no endpoint of a list may be used before its drain is known
   restore_endpoint_list(handover.endpoint_list);
   parts_.engine.restore_learned_state(handover.learned_state);
   parts_.degradation_controller.restore(handover.degradation_level);
@@ -82,19 +85,20 @@
 void Dispatcher::restore_drained_endpoints() {
   parts_.drained_endpoints.load();
   for (const routing::EndpointId& endpoint : parts_.drained_endpoints.endpoints()) {
-    parts_.log("operators: host " + endpoint.value() + " still offline");
+    parts_.log("operators: endpoint " + endpoint.value() + " still offline");
     apply_drain(endpoint, true);
   }
 }
 
-// Discovery may be silent for long: the list that was last known serves until it speaks.
+// Service discovery may not answer for long: until then the predecessor's list is in use, or else the
+// configuration's.
 void Dispatcher::restore_endpoint_list(const hot_restart::Json& handed_over) {
   parts_.update_endpoints(parts_.config.initial_endpoints);
   if (handed_over.is_null()) return;
   try {
     parts_.update_endpoints(service_discovery::parse_endpoint_snapshot(handed_over));
   } catch (const std::exception& error) {
-    parts_.log(std::string("upgrade: the list can't be read: ") + error.what());
+    parts_.log(std::string("upgrade: the endpoint list can't be parsed: ") + error.what());
   }
 }
 
@@ -149,18 +153,18 @@
 
 void Dispatcher::change_drain(const routing::EndpointId& endpoint, bool offline) {
   if (!parts_.drained_endpoints.set_drained(endpoint, offline)) return;
-  parts_.log("operators: host " + endpoint.value() + (offline ? " offline" : " online"));
+  parts_.log("operators: endpoint " + endpoint.value() + (offline ? " offline" : " online"));
   apply_drain(endpoint, offline);
   parts_.hot_restart_peer.notify_endpoint_drained(endpoint, offline);
 }
 
-// The router hears of it first: what the pool gives back then goes elsewhere.
+// The router is notified first: attempts that the replica client then fails are retried at other endpoints.
 void Dispatcher::apply_drain(const routing::EndpointId& endpoint, bool offline) {
   parts_.engine.set_administrative_drain(endpoint, offline);
   parts_.replica_client.set_administratively_drained(endpoint, offline);
 }
 
-// ---- the end ----
+// ---- graceful shutdown ----
 
 void Dispatcher::drain() {
   if (is_draining_) return;
@@ -176,8 +180,8 @@
   finish_draining();
 }
 
-// Another process accepts what comes now, or nobody does: clients that are told so by a close come again
-// there.
+// New connections are the successor's or, without one, are refused. Closing idle connections makes their
+// clients reconnect.
 void Dispatcher::stop_accepting() {
   has_stopped_accepting_ = true;
   for (http::Server* server : parts_.client_servers()) {
@@ -186,14 +190,15 @@
   }
 }
 
-// Everything accepted is answered, every stream handed over and every reservation released before the end.
+// Ends the loop once every accepted request is answered, every stream handed over or complete, and every
+// reservation released; until then checks again after kDrainCheckInterval.
 void Dispatcher::finish_draining() {
   stream_handover_.hand_over();
   if (has_stopped_accepting_) {
     for (http::Server* server : parts_.client_servers()) server->close_idle();
   }
   if (is_work_left()) {
-    parts_.loop.timers().add(parts_.loop.now() + kDrainCheckPeriod, [this] { finish_draining(); });
+    parts_.loop.timers().add(parts_.loop.now() + kDrainCheckInterval, [this] { finish_draining(); });
     return;
   }
   parts_.log("drained");
@@ -202,11 +207,13 @@
 }
 
 bool Dispatcher::is_work_left() {
-  std::size_t clients = 0;
-  for (const http::Server* server : parts_.client_servers()) clients += server->client_count();
-  const bool is_owed = parts_.engine.open_request_count() > 0 || clients > 0 ||
-                       parts_.replica_client.releases_blocking_shutdown() > 0;
-  return !has_stopped_accepting_ || !parts_.hot_restart_peer.is_all_sent() || is_owed;
+  if (!has_stopped_accepting_) return true;
+  if (!parts_.hot_restart_peer.is_all_sent()) return true;
+  if (parts_.engine.open_request_count() > 0) return true;
+  if (parts_.replica_client.releases_blocking_shutdown() > 0) return true;
+  const std::vector<http::Server*> servers = parts_.client_servers();
+  return std::any_of(servers.begin(), servers.end(),
+                     [](const http::Server* server) { return server->client_count() > 0; });
 }
 
 }  // namespace dispatcher::daemon
--- a/src/daemon/dispatcher.hpp
+++ b/src/daemon/dispatcher.hpp
@@ -1,5 +1,5 @@
-// The life of a dispatcher process: start (or take-over from the process before it), serving, reload, drain,
-// end.
+// The life cycle of a dispatcher process: start or take-over from a predecessor, service, reload, graceful
+// shutdown.
 #ifndef DISPATCHER_DAEMON_DISPATCHER_HPP_
 #define DISPATCHER_DAEMON_DISPATCHER_HPP_
 
@@ -16,23 +16,26 @@
 
 namespace dispatcher::daemon {
 
-// Everything runs on the thread that runs the loop; the loop outlives the dispatcher.
+// One dispatcher process. Owned by main(); runs on the thread that runs the loop, which outlives it.
 class Dispatcher : private hot_restart::HotRestartPeer::Owner {
  public:
-  // `read_files`: what SIGHUP reads anew. Throws ConfigError or cue::Errors where a file is bad.
+  // `read_files`: reads the files again on SIGHUP; may be empty. Throws ConfigError or cue::Errors where a
+  // file is invalid.
   Dispatcher(Loop& loop, const Config& config, const FeatureFiles& files, const engine::Log& log,
              ConfigurationReloader::ReadFiles read_files = {});
 
-  // Looks for a process to take over from, then serves. Throws where the admin address can't be listened at.
+  // Takes over from a running process, if there is one, then serves. Throws boost::system::system_error where
+  // an address can't be bound.
   void start();
-  // From here on a log line for each thing that happens to a request.
+  // Logs each event of each request from now on: docs/on-call.md.
   void log_requests() { parts_.engine.set_request_log(engine::RequestLog(parts_.log)); }
-  // As SIGHUP asks: all of the new files takes effect or, where one is bad, nothing.
+  // What SIGHUP does: reads all files again. Where one of them is invalid, nothing changes.
   void reload() { reloader_.reload(); }
-  // As SIGTERM asks: accepts what still comes for a while, finishes everything, ends the loop.
+  // What SIGTERM does: accepts connections for a while longer, finishes all work, then ends the loop.
   void drain();
+  // The bound address of the platform's frontend.
   [[nodiscard]] net::tcp::endpoint address() { return parts_.platform_frontend.server().local(); }
-  // Only where the configuration has an admin address.
+  // The bound admin address. Call it only where the configuration has one.
   [[nodiscard]] net::tcp::endpoint admin_address() const { return parts_.admin_server->local(); }
 
  private:
--- a/src/daemon/feature_files.hpp
+++ b/src/daemon/feature_files.hpp
@@ -1,4 +1,4 @@
-// The files of optional features, as they were read, and what they say under given settings.
+// The files of optional features: their texts, and their parsers for given settings.
 #ifndef DISPATCHER_DAEMON_FEATURE_FILES_HPP_
 #define DISPATCHER_DAEMON_FEATURE_FILES_HPP_
 
@@ -14,27 +14,27 @@
 
 namespace dispatcher::daemon {
 
-// Texts of the feature files. An empty text, or no file: the feature is off.
+// Contents of the feature files. Without a file, or with an empty one, the feature is off.
 struct FeatureFiles {
   cue::File chat = {}, vrrp = {};
   std::optional<cue::File> rules = {}, levels = {};
 };
 
-// All that a reload reads anew.
+// Everything that a reload reads again.
 struct ConfigurationFiles {
   Config config;
   FeatureFiles features;
 };
 
-// Each throws cue::Errors where its file is bad.
+// All of these throw cue::Errors where the file is invalid.
 
-// No value: the OpenAI-style front is off.
+// Nullopt: the chat frontend is off.
 [[nodiscard]] std::optional<openai_api::Config> parse_chat(const FeatureFiles& files,
                                                            const routing::Settings& settings);
-// Null: there are no rules.
+// Rate limiting rules. Null: there are none.
 [[nodiscard]] std::shared_ptr<const rate_limit::RuleSet> parse_rules(const FeatureFiles& files,
                                                                      const routing::Settings& settings);
-// Never null; without a file there are no levels in it.
+// Degradation levels. Never null; without a file the set is empty.
 [[nodiscard]] std::shared_ptr<const degradation::LevelSet> parse_levels(const FeatureFiles& files,
                                                                         const routing::Settings& settings);
 
--- a/src/daemon/loop.hpp
+++ b/src/daemon/loop.hpp
@@ -1,4 +1,4 @@
-// The event loop: Asio's, the clock and the one timer behind all deadlines.
+// The event loop: an Asio context, the clock, and the one timer that drives the timer queue.
 #ifndef DISPATCHER_DAEMON_LOOP_HPP_
 #define DISPATCHER_DAEMON_LOOP_HPP_
 
@@ -10,7 +10,7 @@
 
 namespace dispatcher::daemon {
 
-// Runs everything of one process, on the thread that calls run(). Owns the timer queue.
+// Runs all handlers and timers of one process, on the thread that calls run(). Owns the timer queue.
 class Loop {
  public:
   Loop() : timer_(io_), anchor_(system_now() - steady_now()) {
@@ -18,8 +18,8 @@
   }
   boost::asio::io_context& io() { return io_; }
   engine::TimerQueue& timers() { return timers_; }
-  // Steady, yet with the origin of Unix time, in which discovery tells the replicas' starts: read once, so
-  // that a step of the system's clock moves no deadline.
+  // A steady clock that counts from the Unix epoch, since service discovery reports start times in Unix time.
+  // The system clock is read once, at the start: later adjustments of it move no deadline.
   [[nodiscard]] engine::Time now() const { return anchor_ + steady_now(); }
   engine::Clock clock() {
     return [this] { return now(); };
@@ -39,7 +39,7 @@
     if (!next) return;
     timer_.expires_at(std::chrono::steady_clock::time_point(*next - anchor_));
     timer_.async_wait([this](boost::system::error_code error) {
-      if (error) return;  // armed anew for an earlier one
+      if (error) return;  // cancelled, as it was armed again for an earlier deadline
       timers_.run(now());
       arm();
     });
@@ -48,7 +48,7 @@
   boost::asio::io_context io_{1};
   boost::asio::steady_timer timer_;
   engine::TimerQueue timers_;
-  engine::Time anchor_;
+  engine::Time anchor_;  // Unix time minus steady time, at construction
 };
 
 }  // namespace dispatcher::daemon
--- a/src/daemon/main.cpp
+++ b/src/daemon/main.cpp
@@ -1,5 +1,6 @@
 // llm-dispatcher: the daemon and its sub-commands.
 #include <CLI/CLI.hpp>
+#include <chrono>
 #include <cstdio>
 #include <exception>
 #include <filesystem>
@@ -26,10 +27,13 @@
 constexpr int kExitFailure = 1;
 constexpr const char* kVersion = "bitternferry 0.1.0";
 
+// Writes one line to standard error: Unix time in seconds, then the text.
 void log_line(engine::Time now, std::string_view text) {
-  const auto ms = now.count() / 1000;
-  std::fprintf(stderr, "%lld.%03lld %.*s\n", static_cast<long long>(ms / 1000),
-               static_cast<long long>(ms % 1000), static_cast<int>(text.size()), text.data());
+  const auto since_epoch = std::chrono::duration_cast<std::chrono::milliseconds>(now);
+  const auto seconds = std::chrono::duration_cast<std::chrono::seconds>(since_epoch);
+  const auto milliseconds = since_epoch - seconds;
+  std::fprintf(stderr, "%lld.%03lld %.*s\n", static_cast<long long>(seconds.count()),
+               static_cast<long long>(milliseconds.count()), static_cast<int>(text.size()), text.data());
 }
 
 // The configuration that PROXY_CONFIG names, or the one at `path` where that is not empty.
@@ -41,7 +45,7 @@
 
 cue::File read_cue_file(const std::string& path) { return {path, daemon::read_file(path)}; }
 
-// A file that was named must be there; the one at the usual place need not be: its text is empty then.
+// A file that was named must exist. One at its default path need not: its text is empty then.
 cue::File read_if_present(const OptionalFile& file) {
   if (file.is_named || std::filesystem::exists(file.path)) return read_cue_file(file.path);
   return {file.path, ""};
@@ -52,13 +56,14 @@
   return read_cue_file(file.path);
 }
 
-// A check reads the file at the usual place as well, which is not served by until it is named.
+// A check also reads a file at its default path, which is not in use until it is named.
 std::optional<cue::File> read_for_check(const OptionalFile& file) {
   if (!file.is_named && !std::filesystem::exists(file.path)) return std::nullopt;
   return read_cue_file(file.path);
 }
 
-daemon::FeatureFiles read_served_files(const CommandLine& command_line) {
+// The files that the dispatcher serves with.
+daemon::FeatureFiles read_feature_files(const CommandLine& command_line) {
   return {read_if_present(command_line.chat), read_if_present(command_line.vrrp),
           read_if_named(command_line.rules), read_if_named(command_line.levels)};
 }
@@ -68,11 +73,11 @@
   daemon::Loop loop;
   for (const std::string& line : config.warnings) log_line(loop.now(), line);
   daemon::Dispatcher dispatcher(
-      loop, config, read_served_files(command_line),
+      loop, config, read_feature_files(command_line),
       [&loop](std::string_view text) { log_line(loop.now(), text); },
       [&command_line] {
         return daemon::ConfigurationFiles{daemon::reload_config(daemon::read_environment()),
-                                          read_served_files(command_line)};
+                                          read_feature_files(command_line)};
       });
   if (command_line.logs_requests) dispatcher.log_requests();
   dispatcher.start();
@@ -90,16 +95,16 @@
   daemon::show_config(load(command_line.config_path), rules, std::cout);
 }
 
-// The names that the configuration knows, where there is one.
+// The names that the configuration defines; without a configuration, none.
 rate_limit::Vocabulary known_names(const std::string& config_path) {
   const bool has_config = !config_path.empty() || daemon::read_environment().contains("PROXY_CONFIG");
   return has_config ? rate_limit::vocabulary_of(load(config_path).settings) : rate_limit::Vocabulary{};
 }
 
-// A file's name, or a record itself.
-cue::File read_sample(const std::string& given) {
-  if (given.starts_with('{')) return {"request", given};
-  return read_cue_file(given);
+// A request that is given as a record, or as the path of a file that has one.
+cue::File read_sample(const std::string& record_or_path) {
+  if (record_or_path.starts_with('{')) return {"request", record_or_path};
+  return read_cue_file(record_or_path);
 }
 
 int check_rules(const CommandLine& command_line) {
@@ -122,7 +127,7 @@
                              std::cout, std::cerr);
 }
 
-// Returns the exit status. Throws what the configuration's readers throw.
+// Returns the exit status. Throws ConfigError or cue::Errors where a file is invalid.
 int execute(const CommandLine& command_line) {
   switch (command_line.command) {
     case Command::kVersion:
--- a/src/daemon/rules_command.cpp
+++ b/src/daemon/rules_command.cpp
@@ -16,31 +16,36 @@
 
 namespace {
 
-// Values of one text field: those that conditions compare it with, and some that none does.
-class Values {
+// Possible values of each text field: those that conditions compare it with, and one that none does.
+class FieldValues {
  public:
-  explicit Values(const RuleSet& rules) : by_field_(rules.fields().fields().size()) {
+  explicit FieldValues(const RuleSet& rules) : by_field_(rules.fields().fields().size()) {
     for (std::size_t i = 0; i < rules.rules().size(); ++i)
-      collect(rules.conditions().condition(i).tree(), -1);
+      collect(rules.conditions().condition(i).tree(), kNoField);
     for (auto& values : by_field_) values.emplace_back("another");
   }
-  const std::string& any(std::size_t field, std::mt19937_64& random) const {
+  // A random value of the field with this index.
+  [[nodiscard]] const std::string& draw(std::size_t field, std::mt19937_64& random) const {
     return by_field_[field][random() % by_field_[field].size()];
   }
 
  private:
+  static constexpr int kNoField = -1;
+
+  // Adds the string literals under `node`. `field`: the one that an enclosing node compares them with.
   void collect(const expression::Node& node, int field) {
     if (node.op == expression::Op::kField) return;
     for (const expression::Node& child : node.children) {
       if (child.op == expression::Op::kField) field = static_cast<int>(child.integer);
     }
-    if (node.op == expression::Op::kLiteral && node.type.kind == expression::Kind::kString && field >= 0)
-      by_field_[static_cast<std::size_t>(field)].push_back(node.text);
+    const bool is_text = node.op == expression::Op::kLiteral && node.type.kind == expression::Kind::kString;
+    if (is_text && field != kNoField) by_field_[static_cast<std::size_t>(field)].push_back(node.text);
     for (const expression::Node& child : node.children) collect(child, field);
   }
   std::vector<std::vector<std::string>> by_field_;
 };
 
+// Null where the file is invalid, which is reported to `errors`.
 std::shared_ptr<const RuleSet> load(const cue::File& file, const rate_limit::Vocabulary& names,
                                     std::ostream& errors) {
   try {
@@ -51,30 +56,36 @@
   }
 }
 
-// Draws a request made of the values that the rules ask for, and a few others.
-rate_limit::RequestAttributes draw_request(const RuleSet& rules, const Values& values,
+// Bounds of the numbers that requests are drawn with.
+constexpr std::uint64_t kPromptTokensBound = 32'768;
+constexpr std::uint64_t kTimeLeftMsBound = 10'000;
+
+// Draws a request, with text fields mostly of values that the rules name.
+rate_limit::RequestAttributes draw_request(const RuleSet& rules, const FieldValues& values,
                                            std::mt19937_64& random) {
-  constexpr std::size_t kHeaderFields = rate_limit::kRequestFields;  // the first one after the fixed fields
   rate_limit::RequestAttributes attributes;
-  attributes.request_class = values.any(0, random);
-  attributes.account = values.any(1, random);
-  attributes.model = values.any(2, random);
+  attributes.request_class = values.draw(rate_limit::kClassField, random);
+  attributes.account = values.draw(rate_limit::kAccountField, random);
+  attributes.model = values.draw(rate_limit::kModelField, random);
   attributes.session = random();
   attributes.is_openai_api = random() % 2 == 0;
-  attributes.prompt_tokens = static_cast<std::int64_t>(random() % 32'768);
-  attributes.time_left_ms = static_cast<std::int64_t>(random() % 10'000);
+  attributes.prompt_tokens = static_cast<std::int64_t>(random() % kPromptTokensBound);
+  attributes.time_left_ms = static_cast<std::int64_t>(random() % kTimeLeftMsBound);
   for (std::size_t i = 0; i < rules.headers().size(); ++i) {
     const bool is_absent = random() % 2 == 0;
-    attributes.headers.push_back(
-        is_absent ? std::nullopt : std::optional<std::string_view>(values.any(kHeaderFields + i, random)));
+    std::optional<std::string_view> header;
+    if (!is_absent) header = values.draw(rate_limit::kRequestFields + i, random);
+    attributes.headers.push_back(header);
   }
   return attributes;
 }
 
+// The result of a benchmark, of at least one decision.
 struct Measurement {
   std::vector<float> times_ns;  // of each decision, ascending
-  std::size_t matched = 0;      // requests that met a rule
+  std::size_t matched = 0;      // requests that matched a rule
 
+  // `share`: from 0 to 1.
   [[nodiscard]] float quantile(double share) const {
     return times_ns[static_cast<std::size_t>(share * static_cast<double>(times_ns.size() - 1))];
   }
@@ -84,8 +95,8 @@
 };
 
 Measurement measure(const RuleSet& rules, std::size_t requests) {
-  const Values values(rules);
-  std::mt19937_64 random(1);
+  const FieldValues values(rules);
+  std::mt19937_64 random(1);  // the same requests in every run
   expression::Scratch scratch;
   rules.reserve(scratch);
   Measurement measurement;
@@ -104,11 +115,22 @@
 
 void print(const Measurement& measurement, const RuleSet& rules, std::ostream& out) {
   out << measurement.times_ns.size() << " requests, " << measurement.matched << " matched a rule of "
-      << rules.rules().size() << "\n"
-      << std::fixed << std::setprecision(0) << "mean " << measurement.mean_ns() << " ns, median "
-      << measurement.quantile(0.5) << ", p99 " << measurement.quantile(0.99) << ", p99.9 "
-      << measurement.quantile(0.999) << ", most " << measurement.times_ns.back() << "; computed worst "
-      << rules.worst_ns() << "\n";
+      << rules.rules().size() << "\n";
+  out << std::fixed << std::setprecision(0);
+  out << "mean " << measurement.mean_ns() << " ns";
+  out << ", median " << measurement.quantile(0.5);
+  out << ", p99 " << measurement.quantile(0.99);
+  out << ", p99.9 " << measurement.quantile(0.999);
+  out << ", most " << measurement.times_ns.back();
+  out << "; computed worst " << rules.worst_ns() << "\n";
+}
+
+// One line for each rule: its worst cost.
+void print_costs(const RuleSet& rules, std::ostream& out) {
+  constexpr int kCostWidth = 9;
+  for (std::size_t i = 0; i < rules.rules().size(); ++i)
+    out << std::setw(kCostWidth) << std::llround(rules.worst_ns(i)) << " ns  " << rules.rules()[i].name
+        << "\n";
 }
 
 }  // namespace
@@ -127,9 +149,7 @@
     out << file.name << ": ok, " << rules->rules().size() << " rules, at most "
         << std::llround(rules->worst_ns()) << " ns a request (budget " << std::llround(rules->budget_ns())
         << ")\n";
-    if (!costs) continue;
-    for (std::size_t i = 0; i < rules->rules().size(); ++i)
-      out << std::setw(9) << std::llround(rules->worst_ns(i)) << " ns  " << rules->rules()[i].name << "\n";
+    if (costs) print_costs(*rules, out);
   }
   return status;
 }
--- a/src/daemon/rules_command.hpp
+++ b/src/daemon/rules_command.hpp
@@ -1,4 +1,4 @@
-// `llm-dispatcher rules ...`: files of rules, checked, explained and measured without a dispatcher.
+// `llm-dispatcher rules ...`: checks, explains and benchmarks files of rate limiting rules.
 #ifndef DISPATCHER_DAEMON_RULES_COMMAND_HPP_
 #define DISPATCHER_DAEMON_RULES_COMMAND_HPP_
 
@@ -11,12 +11,17 @@
 
 namespace dispatcher::daemon {
 
-// Each returns the exit status: 0, or 1 where a file is bad.
+// All of these return the exit status: 0, or 1 where a file is invalid, which is reported to `errors`.
+// `names`: the classes and accounts that rules may use.
+
+// Checks files and prints their worst costs: one line a file and, with `costs`, one line a rule.
 int rules_check(const std::vector<cue::File>& files, const rate_limit::Vocabulary& names, bool costs,
                 std::ostream& out, std::ostream& errors);
+// Prints which rule matches a request, and why no earlier one does.
 int rules_explain(const cue::File& file, const cue::File& request, const rate_limit::Vocabulary& names,
                   std::ostream& out, std::ostream& errors);
-// Decides `requests` random requests that are made of the values the rules ask for.
+// Measures the time of decisions over `requests` random requests, drawn mostly from values that the rules
+// name.
 int rules_bench(const cue::File& file, std::size_t requests, const rate_limit::Vocabulary& names,
                 std::ostream& out, std::ostream& errors);
 
--- a/src/daemon/stream_handover.cpp
+++ b/src/daemon/stream_handover.cpp
@@ -10,7 +10,8 @@
 
 namespace {
 
-// Passes for which a stream's reads stay suspended when it could not be handed over yet.
+// A stream that can't be handed over yet reads on during one pass of this many, so that it comes to an end of
+// an event.
 constexpr int kPassesPerResume = 3;
 
 }  // namespace
@@ -23,13 +24,14 @@
   ++passes_;
 }
 
-// Both reads are taken back first; the stream is given once they are, unless more came in between.
+// Cancels the pending reads of both sockets first. The stream is handed over once both are cancelled and no
+// bytes have arrived since.
 void StreamHandover::hand_over(const engine::RunningStream& stream) {
   http::Server& server = parts_.platform_frontend.server();
   const engine::AttemptId attempt{stream.request, stream.attempt};
-  const bool is_client_still = server.suspend_reading(stream.client);
-  const bool is_endpoint_still = parts_.replica_client.suspend_stream(attempt);
-  if (is_client_still && is_endpoint_still) {
+  const bool is_client_suspended = server.suspend_reading(stream.client);
+  const bool is_endpoint_suspended = parts_.replica_client.suspend_stream(attempt);
+  if (is_client_suspended && is_endpoint_suspended) {
     const upstream::DetachedStream state = parts_.replica_client.detach_stream(attempt);
     const net::UniqueFd client_socket = server.detach(stream.client);
     parts_.platform_frontend.forget_detached_stream(stream.client);
@@ -53,7 +55,7 @@
         parts_.platform_frontend.adopt_stream(std::move(client), transfer.request_id, state.endpoint);
     parts_.replica_client.adopt_stream({request, 0}, std::move(state));
   } catch (const std::exception& error) {
-    parts_.log(std::string("upgrade: a stream can't go on here: ") + error.what());
+    parts_.log(std::string("upgrade: can't continue a stream: ") + error.what());
   }
 }
 
--- a/src/degradation/degradation_controller.cpp
+++ b/src/degradation/degradation_controller.cpp
@@ -150,7 +150,7 @@
   machine_.set_override(*level, clock_());
   if (!is_overridden) machine_.clear_override();
   log_("level " + machine_.level_name() + (is_overridden ? ": pinned" : ": in force") +
-       " at the process before");
+       " at the predecessor");
 }
 
 void DegradationController::on_first_token(const std::string& request_class, bool is_late) {
--- a/src/hot_restart/drained_endpoint_store.cpp
+++ b/src/hot_restart/drained_endpoint_store.cpp
@@ -21,8 +21,8 @@
 
 namespace {
 
-constexpr std::uintmax_t kMaxFileBytes = 1024UL * 1024;  // far more than any fleet's names take
-constexpr mode_t kFileMode = 0600;
+constexpr std::uintmax_t kMaxFileBytes = 1024UL * 1024;  // far more than the ids of any fleet need
+constexpr mode_t kFileMode = 0600;  // read and written by this dispatcher's processes only
 constexpr const char* kEndpointsKey = "offline";
 
 bool write_all(int fd, std::string_view text) {
@@ -34,7 +34,7 @@
   return true;
 }
 
-// Empty where it can't be read.
+// Empty where the file can't be read.
 std::string read_file(const std::string& path) {
   std::error_code error;
   const bool is_readable = std::filesystem::is_regular_file(path, error) &&
@@ -75,8 +75,8 @@
   log_("drained endpoints: '" + path_ + "' can't be written: a restarted process will not know of them");
 }
 
-// Written beside the file and renamed over it: a reader finds the old content or the new one, complete,
-// whenever this process dies.
+// Writes a new file and renames it over the old one: readers find the complete old or new content, whenever
+// this process is killed.
 bool DrainedEndpointStore::replace_file(const std::string& text) const {
   const std::string new_path = path_ + "." + std::to_string(::getpid());
   const net::UniqueFd file(::open(new_path.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, kFileMode));
--- a/src/hot_restart/drained_endpoint_store.hpp
+++ b/src/hot_restart/drained_endpoint_store.hpp
@@ -1,4 +1,4 @@
-// The endpoints that operators drained, in a file that outlives the process.
+// The endpoints that operators drained, in a file that survives restarts of the process.
 #ifndef DISPATCHER_HOT_RESTART_DRAINED_ENDPOINT_STORE_HPP_
 #define DISPATCHER_HOT_RESTART_DRAINED_ENDPOINT_STORE_HPP_
 
@@ -10,18 +10,21 @@
 
 namespace dispatcher::hot_restart {
 
-// Owned by the daemon, used on its event loop only; reads and writes block, but are rare. A missing, stale or
-// damaged file is no error: it is logged, and no endpoint is drained by it.
+// The set of drained endpoints, written to a file with each change. Owned by the daemon and used on its event
+// loop only; file operations block, but are rare. A missing file is an empty set; a damaged one is logged,
+// and drains no endpoint.
 class DrainedEndpointStore {
  public:
-  // `path` empty: nothing is stored.
+  // Empty `path`: nothing is stored.
   DrainedEndpointStore(std::string path, engine::Log log) : path_(std::move(path)), log_(std::move(log)) {}
+  // Adds the endpoints of the file.
   void load();
   [[nodiscard]] const std::set<routing::EndpointId>& endpoints() const { return endpoints_; }
   [[nodiscard]] bool contains(const routing::EndpointId& endpoint) const {
     return endpoints_.contains(endpoint);
   }
-  // Takes effect also where the file can't be written, which is logged. False: nothing has changed.
+  // Drains an endpoint or returns it to service, also where the file can't be written, which is logged.
+  // Returns false where nothing changed.
   [[nodiscard]] bool set_drained(const routing::EndpointId& endpoint, bool drained);
 
  private:
--- a/src/hot_restart/handover_channel.cpp
+++ b/src/hot_restart/handover_channel.cpp
@@ -12,7 +12,8 @@
 
 namespace {
 
-constexpr std::size_t kMaxQueuedMessages = 10000;  // to a process that does not read
+// To a process that does not read: far more than a working one ever leaves unread, and bounded memory.
+constexpr std::size_t kMaxQueuedMessages = 10000;
 
 }  // namespace
 
@@ -90,7 +91,7 @@
   }
   const char* text = receive_buffer_.data();
   const Json message = Json::parse(text, text + packet.size, nullptr, false);
-  // Anything but an object would be a later release's, and is ignored.
+  // Messages of later releases may be of other kinds, and are ignored.
   if (message.is_object()) owner_->on_message(message, std::move(packet.descriptors));
   return true;
 }
@@ -99,7 +100,7 @@
   Owner* owner = std::exchange(owner_, nullptr);
   if (owner == nullptr) return;
   asio::post(socket_.get_executor(), [self = shared_from_this(), owner] {
-    if (!self->socket_.is_open()) return;  // closed by its owner meanwhile
+    if (!self->socket_.is_open()) return;  // closed by its owner since
     self->close();
     owner->on_channel_closed();
   });
--- a/src/hot_restart/handover_channel.hpp
+++ b/src/hot_restart/handover_channel.hpp
@@ -1,5 +1,5 @@
-// The connection between two processes of one dispatcher during a hot restart: JSON messages, and descriptors
-// with them, over a Unix socket in $TMPDIR.
+// The connection between two processes of one dispatcher during a hot restart: JSON messages with attached
+// file descriptors, over a Unix socket in $TMPDIR.
 #ifndef DISPATCHER_HOT_RESTART_HANDOVER_CHANNEL_HPP_
 #define DISPATCHER_HOT_RESTART_HANDOVER_CHANNEL_HPP_
 
@@ -19,31 +19,32 @@
 
 using Json = nlohmann::json;
 
-// One end of the connection. Used on the event loop's thread only, and kept alive by its own pending reads
-// and writes besides its holder. The owner must call close() before it goes.
+// One end of the connection. Used on the event loop's thread only. Its pending reads and writes keep it
+// alive, as its holder does; the owner must call close() before it is destroyed.
 class HandoverChannel : public std::enable_shared_from_this<HandoverChannel> {
  public:
   // Called from the event loop only, never from inside a call to the channel, and not after close().
   class Owner {
    public:
     virtual ~Owner() = default;
+    // A message with the descriptors that were attached to it.
     virtual void on_message(const Json& message, Descriptors descriptors) = 0;
-    // The other side has closed, or does not read. Called once, as the last.
+    // The other side has closed the connection, or does not read. Called once, after all other calls.
     virtual void on_channel_closed() = 0;
   };
   HandoverChannel(boost::asio::io_context& io, net::UniqueFd socket, Owner& owner);
-  // Null where nobody listens at the path.
+  // Null where no process listens at the path.
   [[nodiscard]] static std::shared_ptr<HandoverChannel> connect(boost::asio::io_context& io,
                                                                 const std::string& path, Owner& owner);
-  // Begins to read.
+  // Starts reading.
   void start() { wait_for_packet(); }
-  // Sends the message, now or once the other side has read what was sent before. The descriptors stay the
-  // caller's; the other side gets copies. A side that has too much left to read is given up, and the channel
-  // closes. False: this message is too long to be sent, and nothing is.
+  // Sends the message, now or once the other side has read earlier ones. The descriptors stay the caller's;
+  // the other side gets copies. Where too many messages are queued the channel closes. Returns false where
+  // the message is too long for a packet: it is not sent then.
   bool send(const Json& message, const std::vector<int>& descriptors = {});
-  // Nothing waits in this process for the other side to read.
+  // Whether no message is queued in this process.
   [[nodiscard]] bool is_all_sent() const { return outgoing_.empty(); }
-  // The owner is not called any more.
+  // Disconnects. The owner is not called any more.
   void close();
 
  private:
@@ -56,23 +57,23 @@
   void send_queued();
   void wait_for_packet();
   void receive_all();
-  [[nodiscard]] bool receive_one();  // false: there is no more for now
+  [[nodiscard]] bool receive_one();  // false: no packet is available
   void disconnect();
 
   boost::asio::posix::stream_descriptor socket_;
-  Owner* owner_;  // null once closed or lost
+  Owner* owner_;  // null once closed or disconnected
   std::deque<OutgoingMessage> outgoing_;
   std::vector<char> receive_buffer_;  // allocated once, since it is large
   bool is_waiting_until_writable_ = false;
 };
 
-// Waits for a process that is to take over. Owned by HotRestartPeer, on the event loop's thread.
+// Accepts connections of successors. Owned by HotRestartPeer and used on the event loop's thread only.
 class HandoverListener {
  public:
   // Called from the event loop for each process that connects.
   using OnConnected = std::function<void(net::UniqueFd)>;
   HandoverListener(boost::asio::io_context& io, std::string path, OnConnected on_connected);
-  // Takes the path over from whichever process listened there. False: it can't listen there.
+  // Replaces whichever process listened at the path. Returns false where listening fails.
   [[nodiscard]] bool open();
   void close();
 
--- a/src/hot_restart/handover_messages.cpp
+++ b/src/hot_restart/handover_messages.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-// The names of JSON members. They are read and written by processes of other releases: never change one.
+// The names of JSON members. Processes of other releases read and write them: never change one.
 namespace key {
 // The member by which each kind of message is recognized.
 constexpr const char* kHandover = "estate";
@@ -47,13 +47,13 @@
 constexpr const char* kBackSince = "back";
 }  // namespace key
 
-// Bounds of what is believed of another process.
-constexpr int kMaxServed = 20000;        // results in the few seconds that are counted
+// Plausible values of another process's statistics; others are ignored or clamped.
+constexpr int kMaxServed = 20000;        // results in the few seconds that they are counted over
 constexpr double kMaxMean = 1e12;        // microseconds
 constexpr double kMaxDeviation = 1e6;    // of MovingAverage::dev
 constexpr double kMaxSampleCount = 1e9;  // fits into an int
 
-// Null where there is none.
+// The member's value; null where there is none.
 const Json& member(const Json& object, const char* name) {
   static const Json none;
   const auto it = object.find(name);
@@ -132,7 +132,7 @@
   handover.degradation_level = member(object, key::kDegradationLevel);
   const Json& names = member(object, key::kListenerNames);
   if (!names.is_array()) return handover;
-  // A name that can't be parsed keeps its place: the descriptors are in the same order.
+  // A name that is not a string becomes an empty one: the descriptors are in the same order as the names.
   for (const Json& name : names)
     handover.listener_names.push_back(name.is_string() ? name.get<std::string>() : std::string());
   return handover;
--- a/src/hot_restart/handover_messages.hpp
+++ b/src/hot_restart/handover_messages.hpp
@@ -15,23 +15,23 @@
 
 using Json = nlohmann::json;
 
-// Which of the two processes: the one that serves and is to end, or the one that takes over.
+// One of the two processes: the one that serves and is to end, or the one that takes over.
 enum class PeerRole { kPredecessor, kSuccessor };
 
-// From the predecessor, at first: all that the successor starts from. Descriptors of the listening sockets
-// come with it, in the order of `listener_names`.
+// From the predecessor, as its first message: the state that the successor starts from. The descriptors of
+// the listening sockets are attached, in the order of `listener_names`.
 struct Handover {
   Json endpoint_list;  // see service_discovery::to_json(); null: none
   std::vector<routing::RequestId> open_request_ids;
   routing::LearnedState learned_state;
-  Json degradation_level;  // see DegradationController::level()
+  Json degradation_level;  // see DegradationController::status(); null: none
   std::vector<std::string> listener_names;
 };
 
 // From the successor: it accepts connections from now on.
 struct SuccessorServing {};
 
-// Operators drained an endpoint or put it back.
+// Operators drained an endpoint or returned it to service.
 struct EndpointDrained {
   routing::EndpointId endpoint;
   bool drained = false;
@@ -48,19 +48,19 @@
   routing::EndpointId endpoint;
 };
 
-// From the predecessor: a stream that goes on at the successor. The descriptors of the client's and the
-// replica's sockets come with it, in this order.
+// From the predecessor: a stream that the successor is to continue. The descriptors of the client's and the
+// endpoint's sockets are attached, in this order.
 struct StreamTransfer {
   routing::RequestId request_id;
   routing::EndpointId endpoint;
-  std::string unread;            // bytes of the replica's response that were received but not parsed
-  std::uint64_t chunk_left = 0;  // bytes of the current chunk that are still to come
-  bool keep_alive = true;        // the replica's connection may be reused
+  std::string unread;            // bytes of the endpoint's response that were received but not parsed
+  std::uint64_t chunk_left = 0;  // bytes of the current HTTP chunk that are not received yet
+  bool keep_alive = true;        // the endpoint's connection may be reused after the response
 };
 
-// A StreamTransfer that can't be parsed, and why.
+// A StreamTransfer that can't be parsed.
 struct InvalidStreamTransfer {
-  std::string problem;
+  std::string problem;  // for the log
 };
 
 // From the predecessor: it has left the VRRP group.
@@ -68,9 +68,11 @@
   bool was_active = false;
 };
 
+// Any message.
 using Message = std::variant<Handover, SuccessorServing, EndpointDrained, RequestStatusChanged,
                              RequestForwarded, StreamTransfer, InvalidStreamTransfer, VrrpLeft>;
 
+// The JSON form of each message.
 [[nodiscard]] Json encode(const Handover& message);
 [[nodiscard]] Json encode(const SuccessorServing& message);
 [[nodiscard]] Json encode(const EndpointDrained& message);
@@ -80,13 +82,14 @@
 [[nodiscard]] Json encode(const VrrpLeft& message);
 [[nodiscard]] Json encode(const routing::LearnedState& learned_state);
 
-// A hand-over that was too long to be sent, without what the successor gets elsewhere: it reads the list from
-// service discovery, and learns of requests as they complete.
+// The shorter form of a Handover that is too long for one packet. It lacks what the successor gets elsewhere:
+// the endpoint list from service discovery, and open requests as they complete.
 [[nodiscard]] Json encode_without_lists(const Handover& message);
 
-// What a JSON object of the other process says; nothing where no key is known. Does not throw: members that
-// can't be parsed are left at their defaults.
+// The messages in a JSON object of the other process; none where no key is known. Does not throw: members
+// that can't be parsed keep their defaults.
 [[nodiscard]] std::vector<Message> decode(const Json& object, PeerRole sender);
+// As above.
 [[nodiscard]] routing::LearnedState decode_learned_state(const Json& object);
 
 }  // namespace dispatcher::hot_restart
--- a/src/hot_restart/hot_restart_peer.cpp
+++ b/src/hot_restart/hot_restart_peer.cpp
@@ -10,7 +10,8 @@
 
 namespace {
 
-// A predecessor that is overloaded or hangs must not keep this process from serving.
+// How long this process waits for the predecessor's Handover: one that is overloaded or hangs must not keep
+// this process from serving.
 constexpr engine::Duration kHandoverTimeout = std::chrono::milliseconds(1500);
 constexpr std::size_t kStreamDescriptors = 2;  // the client's socket and the replica's
 
@@ -30,7 +31,7 @@
   if (!path_.empty()) predecessor_.channel = HandoverChannel::connect(io_, path_, predecessor_);
   if (!has_predecessor()) return start_without_handover();
   handover_timer_ = timers_.add(clock_() + kHandoverTimeout, [this] {
-    log_("upgrade: the serving process hands nothing over: starting beside it");
+    log_("upgrade: the serving process sent no hand-over: starting beside it");
     start_without_handover();
   });
   owner_.on_peers_changed();
@@ -55,7 +56,7 @@
 }
 
 void HotRestartPeer::on_successor_connected(net::UniqueFd socket) {
-  if (successor_.channel != nullptr) successor_.channel->close();  // that one failed, and here is the next
+  if (successor_.channel != nullptr) successor_.channel->close();  // that one failed, and was started again
   is_successor_serving_ = false;
   successor_.channel = std::make_shared<HandoverChannel>(io_, std::move(socket), successor_);
   successor_.channel->start();
@@ -85,7 +86,7 @@
 }
 
 void HotRestartPeer::handle(Handover& message, Descriptors& descriptors) {
-  if (std::exchange(has_state_, true)) return;  // too late: this process has opened sockets of its own
+  if (std::exchange(has_state_, true)) return;  // too late: this process started without a hand-over
   timers_.drop(handover_timer_);
   HandoverState state;
   state.endpoint_list = std::move(message.endpoint_list);
@@ -125,7 +126,7 @@
 
 void HotRestartPeer::handle(const InvalidStreamTransfer& message, Descriptors& descriptors) {
   if (descriptors.size() != kStreamDescriptors) return;
-  log_("upgrade: a stream can't go on here: " + message.problem);
+  log_("upgrade: can't continue a stream: " + message.problem);
 }
 
 void HotRestartPeer::handle(const VrrpLeft& message, Descriptors& /*descriptors*/) {
@@ -136,9 +137,9 @@
   connection.channel.reset();
   if (connection.role == PeerRole::kSuccessor) {
     is_successor_serving_ = false;
-    log_("upgrade: the process that was to take over has ended");
+    log_("upgrade: the successor has ended");
   } else {
-    log_("upgrade: the process before this one has ended");
+    log_("upgrade: the predecessor has ended");
   }
   start_without_handover();
   owner_.on_peers_changed();
--- a/src/hot_restart/hot_restart_peer.hpp
+++ b/src/hot_restart/hot_restart_peer.hpp
@@ -1,8 +1,9 @@
-// The other process of this dispatcher during a hot restart: finds it, exchanges messages with it and follows
-// whether it is there. What binds which of the two is in docs/architecture.md, "Upgrade".
+// The other process of this dispatcher during a hot restart: finds it, exchanges messages with it and tracks
+// whether it is connected. docs/upgrade.md describes the procedure for operators.
 //
-// The life of a process: it looks for a predecessor and gets a HandoverState from it, or starts without one;
-// it serves, and tells the predecessor so; it listens for a successor, hands over to it and ends.
+// The life cycle of a process: it looks for a predecessor and receives a HandoverState from it, or starts
+// without one; it serves, and notifies the predecessor; it listens for a successor, hands over to it and
+// ends.
 #ifndef DISPATCHER_HOT_RESTART_HOT_RESTART_PEER_HPP_
 #define DISPATCHER_HOT_RESTART_HOT_RESTART_PEER_HPP_
 
@@ -24,46 +25,53 @@
   Json endpoint_list;  // see service_discovery::to_json(); null: none
   std::vector<routing::RequestId> open_request_ids;
   routing::LearnedState learned_state;
-  Json degradation_level;                                  // see DegradationController::resume(); null: none
+  Json degradation_level;                                  // see DegradationController::restore(); null: none
   std::map<std::string, net::UniqueFd> listening_sockets;  // by the name that the predecessor gave them
 };
 
-// Owned by the daemon, used on its event loop's thread only.
+// Both sides of a hot restart: towards the predecessor and towards the successor. Owned by the daemon and
+// used on its event loop's thread only.
 class HotRestartPeer : public engine::HotRestartObserver {
  public:
-  // The daemon. The getters are called when a successor connects; the rest from the event loop, but for
-  // on_handover(), which start() may call before it returns.
+  // The daemon. The getters are called when a successor connects, the other functions from the event loop;
+  // on_handover() may also be called by start() before it returns.
   class Owner {
    public:
     virtual ~Owner() = default;
+    // See service_discovery::to_json().
     [[nodiscard]] virtual Json endpoint_list() = 0;
-    // The sockets stay the owner's: copies are sent.
+    // By the names under which the successor gets them. The sockets stay the owner's: copies are sent.
     [[nodiscard]] virtual std::map<std::string, int> listening_sockets() = 0;
     [[nodiscard]] virtual std::vector<routing::RequestId> open_request_ids() = 0;
     [[nodiscard]] virtual routing::LearnedState learned_state() = 0;
     [[nodiscard]] virtual Json degradation_level() = 0;
 
-    // Called once, also where there is no predecessor or it hands nothing over: with an empty state then.
+    // Called once. The state is empty where there is no predecessor or it sent none in time.
     virtual void on_handover(HandoverState state) = 0;
+    // Operators drained an endpoint at the other process, or returned it to service there.
     virtual void on_endpoint_drained(const routing::EndpointId& endpoint, bool drained) = 0;
+    // The other process accepted a request, or completed it.
     virtual void on_peer_request(const routing::RequestId& id, bool is_open) = 0;
+    // The other process forwarded a request to this endpoint.
     virtual void on_peer_forwarded(const routing::EndpointId& endpoint) = 0;
+    // The predecessor handed over a running stream with the sockets of its client and of its endpoint.
     virtual void on_stream(const StreamTransfer& stream, net::UniqueFd client_socket,
                            net::UniqueFd upstream_socket) = 0;
-    // The predecessor has left the VRRP group, where it was the active router or not.
+    // The predecessor has left the VRRP group. `was_active`: it was the group's active router.
     virtual void on_vrrp_left(bool was_active) = 0;
-    // A predecessor or successor has connected, is serving, or is gone.
+    // A predecessor or successor has connected, begun to serve, or disconnected.
     virtual void on_peers_changed() = 0;
   };
 
-  // `path`: of the socket by which processes find each other; empty: there never is another process.
+  // `path`: of the Unix socket by which processes find each other; empty: no hot restart. The references must
+  // outlive this.
   HotRestartPeer(boost::asio::io_context& io, const std::string& path, engine::TimerQueue& timers,
                  engine::Clock clock, engine::Log log, Owner& owner);
-  // Looks for a predecessor.
+  // Connects to the predecessor, if there is one; on_handover() follows.
   void start();
-  // To be called once this process serves: tells the predecessor, and listens for a successor.
+  // To be called once this process serves: notifies the predecessor, and listens for a successor.
   void on_serving();
-  // The owner is not called any more.
+  // Disconnects. The owner is not called any more.
   void close();
 
   [[nodiscard]] bool has_peer() const { return has_predecessor() || successor_.channel != nullptr; }
@@ -71,14 +79,17 @@
   [[nodiscard]] bool is_successor_serving() const {
     return successor_.channel != nullptr && is_successor_serving_;
   }
-  // The successor has read all. A process that ends before takes with it what it was handing over.
+  // Whether the kernel has taken everything that was sent to the successor: a process must not end before, or
+  // the rest of its hand-over is lost.
   [[nodiscard]] bool is_all_sent() const;
 
+  // Notifies the other processes of an operator's command.
   void notify_endpoint_drained(const routing::EndpointId& endpoint, bool drained);
-  // To the successor only.
+  // Notifies the successor, which may then join the VRRP group.
   void notify_vrrp_left(bool was_active);
-  // The stream goes on at the successor, which must be serving. The sockets stay the caller's.
+  // Hands a stream to the successor, which must be serving. The sockets stay the caller's: copies are sent.
   void transfer_stream(const StreamTransfer& stream, int client, int upstream);
+  // engine::HotRestartObserver
   void on_request_progress(const routing::RequestId& id, engine::RequestProgress progress) override;
   void on_attempt_started(const routing::EndpointId& endpoint) override;
 
@@ -92,7 +103,7 @@
     void on_channel_closed() override { peer.on_channel_closed(*this); }
     HotRestartPeer& peer;
     PeerRole role;                             // of the other process
-    std::shared_ptr<HandoverChannel> channel;  // null: there is no such process
+    std::shared_ptr<HandoverChannel> channel;  // null: not connected
   };
 
   void start_without_handover();
--- a/src/hot_restart/packet_socket.cpp
+++ b/src/hot_restart/packet_socket.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-constexpr int kSendBufferBytes = 1024 * 1024;  // asked of the kernel; twice the longest packet
+constexpr int kSendBufferBytes = 1024 * 1024;  // requested of the kernel; twice the longest packet
 constexpr int kBacklog = 4;                    // one process connects at a time
 
 struct AncillaryData {
@@ -31,7 +31,7 @@
   return socket;
 }
 
-// Empty where the path is too long for an address.
+// Nullopt where the path is empty or too long for an address.
 std::optional<sockaddr_un> address_of(const std::string& path) {
   sockaddr_un address{};
   address.sun_family = AF_UNIX;
@@ -56,7 +56,7 @@
   }
 }
 
-Descriptors take_descriptors(msghdr& header) {
+Descriptors extract_descriptors(msghdr& header) {
   Descriptors descriptors;
   for (cmsghdr* control = CMSG_FIRSTHDR(&header); control != nullptr;
        control = CMSG_NXTHDR(&header, control)) {
@@ -104,9 +104,9 @@
 }
 
 SendStatus send_packet(int socket, std::string_view text, const Descriptors& descriptors) {
-  iovec piece{const_cast<char*>(text.data()), text.size()};
+  iovec text_part{const_cast<char*>(text.data()), text.size()};
   msghdr header{};
-  header.msg_iov = &piece;
+  header.msg_iov = &text_part;
   header.msg_iovlen = 1;
   AncillaryData ancillary;
   if (!descriptors.empty()) attach_descriptors(header, ancillary, descriptors);
@@ -117,17 +117,17 @@
 
 ReceivedPacket receive_packet(int socket, std::vector<char>& buffer) {
   buffer.resize(kMaxPacketBytes);
-  iovec piece{buffer.data(), buffer.size()};
+  iovec buffer_part{buffer.data(), buffer.size()};
   AncillaryData ancillary;
   msghdr header{};
-  header.msg_iov = &piece;
+  header.msg_iov = &buffer_part;
   header.msg_iovlen = 1;
   header.msg_control = ancillary.bytes.data();
   header.msg_controllen = ancillary.bytes.size();
   const auto size = ::recvmsg(socket, &header, MSG_DONTWAIT | MSG_CMSG_CLOEXEC);
   if (size < 0 && (would_block(errno) || errno == EINTR)) return {ReceiveStatus::kWouldBlock, 0, {}};
   if (size <= 0) return {ReceiveStatus::kClosed, 0, {}};
-  return {ReceiveStatus::kReceived, static_cast<std::size_t>(size), take_descriptors(header)};
+  return {ReceiveStatus::kReceived, static_cast<std::size_t>(size), extract_descriptors(header)};
 }
 
 }  // namespace dispatcher::hot_restart
--- a/src/hot_restart/packet_socket.hpp
+++ b/src/hot_restart/packet_socket.hpp
@@ -1,5 +1,5 @@
 // Unix sockets of sequenced packets (unix(7), SOCK_SEQPACKET), which keep each message and the descriptors
-// sent with it (SCM_RIGHTS) together. Thin wrappers round the system calls; none of them blocks.
+// sent with it (SCM_RIGHTS) together. Thin wrappers around the system calls; none of them blocks.
 #ifndef DISPATCHER_HOT_RESTART_PACKET_SOCKET_HPP_
 #define DISPATCHER_HOT_RESTART_PACKET_SOCKET_HPP_
 
@@ -14,18 +14,20 @@
 
 using Descriptors = std::vector<net::UniqueFd>;
 
+// Bounds of one packet. At most two descriptors are sent today, of listening sockets or of a stream; where a
+// message is longer, send_packet() returns kTooLong.
 constexpr std::size_t kMaxPacketDescriptors = 8;
 constexpr std::size_t kMaxPacketBytes = 512UL * 1024;
 
-// What became of a packet that was to be sent.
+// The result of sending a packet.
 enum class SendStatus {
   kSent,
   kWouldBlock,  // the other side has to read first
-  kTooLong,     // more than the kernel takes in one packet
+  kTooLong,     // longer than the kernel accepts
   kBroken,      // the connection is lost
 };
 
-// What became of an attempt to receive.
+// The result of receiving.
 enum class ReceiveStatus {
   kReceived,
   kWouldBlock,  // there is no packet yet
@@ -39,10 +41,11 @@
   Descriptors descriptors;
 };
 
-// In all of these an empty descriptor means that the system call failed.
+// All of these return an empty descriptor where a system call failed.
 
 [[nodiscard]] net::UniqueFd connect_packet_socket(const std::string& path);
-// Replaces whatever stands at the path in one step: who connects finds the old socket or the new one.
+// Replaces whatever file is at the path atomically: a process that connects finds the old socket or the new
+// one.
 [[nodiscard]] net::UniqueFd listen_packet_socket(const std::string& path);
 [[nodiscard]] net::UniqueFd accept_packet_socket(int listener);
 
--- a/src/openai_api/frontend.hpp
+++ b/src/openai_api/frontend.hpp
@@ -1,5 +1,5 @@
-// The OpenAI-compatible frontend: chat completions, whole or streamed, over the same engine as the
-// platform's.
+// The OpenAI-compatible frontend: chat completions, complete or streamed, over the same engine as the
+// platform's API.
 #ifndef DISPATCHER_OPENAI_API_FRONTEND_HPP_
 #define DISPATCHER_OPENAI_API_FRONTEND_HPP_
 
@@ -27,12 +27,12 @@
   /// `seed`: of the request ids, which must differ between the dispatchers of a platform.
   Frontend(const http::FrontendContext& context, const Config& config, std::uint64_t seed);
 
-  /// Changes models, keys, accounts and limits for the requests from now on. The address stays; requests in
+  /// Replaces models, keys, accounts and limits for all later requests. The address stays; requests in
   /// progress continue with what they began with.
-  void adopt(const Config& config) { config_ = config; }
+  void apply_config(const Config& config) { config_ = config; }
 
  private:
-  // A request that the engine has.
+  // The response to a request that was submitted to the engine.
   struct PendingResponse {
     ResponseTranslator translator;
     routing::Idempotency idempotency;  // whether the client may send it again after it may have run
@@ -52,7 +52,7 @@
   void reject_overloaded(SlotId client, engine::Duration retry_after) override;
   void forget_request(SlotId client) override;
 
-  // The account that the request may use; nullopt: its key is unknown.
+  // The account that the request is charged to. Nullopt: its API key is missing or unknown.
   [[nodiscard]] std::optional<std::string> authenticate(const http::Server::Request& request) const;
   void handle_models(SlotId client);
   void handle_model(SlotId client, std::string_view id);
--- a/src/platform_api/frontend.hpp
+++ b/src/platform_api/frontend.hpp
@@ -15,12 +15,12 @@
 /// Serves POST /v1/chat/completions and GET /healthz. Owned by the daemon and used on its event loop only.
 class Frontend : public http::Frontend {
  public:
-  /// `settings`: the request classes by which headers are parsed, and the advice on retries.
+  /// `settings`: the request classes that headers may name, and whether rejections carry a Retry-After.
   Frontend(const http::FrontendContext& context, const net::tcp::endpoint& address,
            engine::SettingsSnapshot settings);
 
-  /// Changes the settings for the requests from now on.
-  void adopt(engine::SettingsSnapshot settings) { settings_ = std::move(settings); }
+  /// Replaces the settings for all later requests.
+  void apply_settings(engine::SettingsSnapshot settings) { settings_ = std::move(settings); }
 
  private:
   void on_request(SlotId client, http::Server::Request& request, engine::Time arrival) override;
--- a/src/rate_limit/rate_limiter.cpp
+++ b/src/rate_limit/rate_limiter.cpp
@@ -9,11 +9,11 @@
 
 namespace {
 
-// Rejections come in floods: one log line for all of this time.
+// There may be thousands of rejections a second: one log line reports all of an interval.
 constexpr routing::Duration kLogInterval = std::chrono::seconds(10);
 
-// Whether a request of one class may be treated as one of another without being retried where it must not be.
-// Null: a class that the settings don't have.
+// Whether a request of class `from` may be treated as one of class `to` without being retried where it must not
+// be. Null: a class that the settings don't define.
 bool may_change_class(const routing::RequestClass* from, const routing::RequestClass* to) {
   using routing::Idempotency;
   if (to == nullptr) return false;
@@ -25,7 +25,7 @@
 
 void RateLimiter::replace_rules(std::shared_ptr<const RuleSet> rules, routing::Time now) {
   rules_ = std::move(rules);
-  if (rules_ == nullptr) return;  // the table stays: what is in progress is still counted
+  if (rules_ == nullptr) return;  // the table stays: requests in progress are still counted
   rules_->reserve(scratch_);
   const bool has_limits = std::any_of(rules_->rules().begin(), rules_->rules().end(),
                                       [](const Rule& rule) { return !rule.limits.empty(); });
@@ -92,7 +92,7 @@
   if (!log_ || now < next_log_) return;
   next_log_ = now + kLogInterval;
   log_("limits: " + std::to_string(std::exchange(unlogged_rejections_, 0)) +
-       " refused since the last such line, now by rule '" + rule + "'");
+       " rejected since the last such line, last by rule '" + rule + "'");
 }
 
 void RateLimiter::release(Ticket& ticket) {
--- a/src/rate_limit/request_attributes.cpp
+++ b/src/rate_limit/request_attributes.cpp
@@ -8,16 +8,22 @@
 
 namespace {
 
-// Bytes of a class, an account or a model: the worst cost of an expression is computed from it.
+// Bytes of a class, an account or a model; a longer one counts as absent. The worst cost of an expression is
+// computed from it.
 constexpr std::size_t kMaxNameLength = 128;
 
 // The values of request.front.
-constexpr const char* kPlatformFrontend = "platform";
-constexpr const char* kOpenAiFrontend = "chat";
+constexpr std::string_view kPlatformFrontend = "platform";  // the longer one
+constexpr std::string_view kOpenAiFrontend = "chat";
 
 SessionText hexadecimal(std::uint64_t session) {
+  constexpr std::string_view kDigits = "0123456789abcdef";
+  constexpr unsigned kBitsPerDigit = 4;
   SessionText text{};
-  for (std::size_t i = 0; i < text.size(); ++i) text[i] = "0123456789abcdef"[(session >> (60 - 4 * i)) & 15U];
+  for (auto digit = text.rbegin(); digit != text.rend(); ++digit) {
+    *digit = kDigits[session % kDigits.size()];
+    session >>= kBitsPerDigit;
+  }
   return text;
 }
 
@@ -39,7 +45,8 @@
   fields.add({"request.account", Kind::kString, true, kMaxNameLength, {}});
   fields.add({"request.model", Kind::kString, true, kMaxNameLength, {}});
   fields.add({"request.session", Kind::kString, true, std::tuple_size_v<SessionText>, {}});
-  fields.add({"request.front", Kind::kString, false, 8, Names{kPlatformFrontend, kOpenAiFrontend}});
+  fields.add({"request.front", Kind::kString, false, kPlatformFrontend.size(),
+              Names{std::string(kPlatformFrontend), std::string(kOpenAiFrontend)}});
   fields.add({"request.retry", Kind::kBool, false, 0, {}});
   fields.add({"request.prompt_tokens", Kind::kInt, false, 0, {}});
   fields.add({"request.shared_tokens", Kind::kInt, false, 0, {}});
@@ -61,17 +68,16 @@
   const Value session = attributes.session == 0
                             ? Value::of(expression::EvaluationError::kAbsent)
                             : Value::of(std::string_view(session_text.data(), session_text.size()));
-  std::size_t index = 0;
-  values[index++] = text_value(attributes.request_class, kMaxNameLength);
-  values[index++] = text_value(attributes.account, kMaxNameLength);
-  values[index++] = text_value(attributes.model, kMaxNameLength);
-  values[index++] = session;
-  values[index++] = Value::of(attributes.is_openai_api ? kOpenAiFrontend : kPlatformFrontend);
-  values[index++] = Value::of(attributes.is_retry);
-  values[index++] = Value::of(attributes.prompt_tokens);
-  values[index++] = Value::of(attributes.shared_tokens);
-  values[index++] = Value::of(attributes.max_tokens);
-  values[index++] = Value::of(attributes.time_left_ms);
+  values[kClassField] = text_value(attributes.request_class, kMaxNameLength);
+  values[kAccountField] = text_value(attributes.account, kMaxNameLength);
+  values[kModelField] = text_value(attributes.model, kMaxNameLength);
+  values[kSessionField] = session;
+  values[kFrontendField] = Value::of(attributes.is_openai_api ? kOpenAiFrontend : kPlatformFrontend);
+  values[kRetryField] = Value::of(attributes.is_retry);
+  values[kPromptTokensField] = Value::of(attributes.prompt_tokens);
+  values[kSharedTokensField] = Value::of(attributes.shared_tokens);
+  values[kMaxTokensField] = Value::of(attributes.max_tokens);
+  values[kTimeLeftField] = Value::of(attributes.time_left_ms);
 }
 
 }  // namespace dispatcher::rate_limit
--- a/src/rate_limit/request_attributes.hpp
+++ b/src/rate_limit/request_attributes.hpp
@@ -1,5 +1,5 @@
-// The attributes of a request that expressions of rules may use: the fields, and their values for one
-// request.
+// The attributes of a request that expressions of rules may use: their fields, and the values of these for
+// one request.
 #ifndef DISPATCHER_RATE_LIMIT_REQUEST_ATTRIBUTES_HPP_
 #define DISPATCHER_RATE_LIMIT_REQUEST_ATTRIBUTES_HPP_
 
@@ -16,7 +16,7 @@
 
 namespace dispatcher::rate_limit {
 
-// The names that the settings know. An empty list: any name may occur.
+// The names that the settings define. An empty list: any name may occur.
 struct Vocabulary {
   std::vector<std::string> classes, accounts;
 };
@@ -24,24 +24,39 @@
 // The names of the settings' classes and tenants.
 [[nodiscard]] Vocabulary vocabulary_of(const routing::Settings& settings);
 
-// What is known of a request before anything is reserved or sent for it. The views need to be valid only
-// while the request is decided.
+// What is known of a request on its arrival. The views need to be valid only while the request is decided.
 struct RequestAttributes {
   std::string_view request_class, account;
   std::optional<std::string_view> model;
   std::uint64_t session = 0;  // 0: none
-  std::int64_t prompt_tokens = 0, shared_tokens = 0, max_tokens = 0, time_left_ms = 0;
-  bool is_openai_api = false;  // else it came by the platform's own API
-  bool is_retry = false;
+  std::int64_t prompt_tokens = 0;
+  std::int64_t shared_tokens = 0;  // of the prompt, the prefix that it shares with other requests
+  std::int64_t max_tokens = 0;     // of the answer
+  std::int64_t time_left_ms = 0;   // until the client's deadline
+  bool is_openai_api = false;      // else the platform's own API
+  bool is_retry = false;           // by the client, of a request that it sent before
   std::vector<std::optional<std::string_view>> headers;  // in the order of RuleSet::headers()
 };
 
-// The number of fields that add_request_fields() adds: request.class, request.account and so on.
-inline constexpr std::size_t kRequestFields = 10;
-// Declares them, in the order of fill_request_fields().
+// Indices of the fields that add_request_fields() adds, in its order: request.class, request.account and so
+// on.
+enum RequestField : std::size_t {
+  kClassField,
+  kAccountField,
+  kModelField,
+  kSessionField,
+  kFrontendField,
+  kRetryField,
+  kPromptTokensField,
+  kSharedTokensField,
+  kMaxTokensField,
+  kTimeLeftField,
+  kRequestFields  // their number
+};
+// Declares the fields of a request.
 void add_request_fields(expression::Environment& fields, const Vocabulary& vocabulary);
 
-// A session in hexadecimal.
+// A session's 64 bits as hexadecimal digits.
 using SessionText = std::array<char, 16>;
 
 // The values of the fields of add_request_fields(), in the same order. `session_text` is written, and must
--- a/tests/dispatcher/hot_restart_test.cpp
+++ b/tests/dispatcher/hot_restart_test.cpp
@@ -89,9 +89,9 @@
   CHECK(pair.second->address() == pair.first->address());
   CHECK(pair.call(pair.second->admin_address(), "GET", "/control/ready") == 200);  // it has the list: r1
   CHECK(pair.call(pair.first->admin_address(), "POST", "/control/replicas/r1/offline") == 200);
-  pair.run_until("2 operators: host r1 offline");
+  pair.run_until("2 operators: endpoint r1 offline");
   CHECK(pair.call(pair.second->admin_address(), "POST", "/control/replicas/r1/online") == 200);
-  pair.run_until("1 operators: host r1 online");
+  pair.run_until("1 operators: endpoint r1 online");
   CHECK(pair.call(pair.second->admin_address(), "POST", "/control/replicas/r2/offline") == 404);
   pair.first->drain();  // at once: nobody is owed anything, and the socket is the second one's too
   pair.loop.run();
@@ -99,7 +99,7 @@
   pair.first.reset();
   pair.loop.io().restart();
   CHECK(pair.call(pair.second->address(), "GET", "/healthz") == 200);
-  CHECK(pair.logged("2 upgrade: the process before this one has ended"));
+  CHECK(pair.logged("2 upgrade: the predecessor has ended"));
 }
 
 TEST_CASE("a level that operators pinned is in force at the process that takes over, until they let go",
@@ -111,7 +111,7 @@
     CHECK(started.call(started.first->admin_address(), "POST", "/control/level/zz") == 404);
   });
   CHECK(pair.logged("1 level normal -> less: pinned"));
-  CHECK(pair.logged("2 level less: pinned at the process before"));
+  CHECK(pair.logged("2 level less: pinned at the predecessor"));
   CHECK(pair.call(pair.second->admin_address(), "POST", "/control/level/auto") == 200);
   CHECK(pair.logged("2 level less: no longer pinned by operators"));
 }
--- a/tests/dispatcher/rate_limit_test.cpp
+++ b/tests/dispatcher/rate_limit_test.cpp
@@ -83,8 +83,8 @@
     CHECK(rate_limiter.admit(request, attributes, fixture.settings, fixture.now).is_rejected());
     fixture.now += milliseconds(100);
   }
-  CHECK(logs == Strings{"limits: 1 refused since the last such line, now by rule 'a'",
-                        "limits: 100 refused since the last such line, now by rule 'a'"});
+  CHECK(logs == Strings{"limits: 1 rejected since the last such line, last by rule 'a'",
+                        "limits: 100 rejected since the last such line, last by rule 'a'"});
 }
 
 TEST_CASE("requests in progress are counted to their end, and a rejection by one limit charges none",
--- a/tests/dispatcher/settings_test.cpp
+++ b/tests/dispatcher/settings_test.cpp
@@ -91,7 +91,7 @@
   before->post(platform_headers("a1", "command"), "{}");
   REQUIRE(fixture.until([&] { return writes("a1") == 1; }));
   fixture.engine.apply_settings(changed_settings());
-  fixture.platform.adopt(changed_settings());
+  fixture.platform.apply_settings(changed_settings());
   after->post(platform_headers("a2", "more"), "{}");
   REQUIRE(fixture.until([&] { return writes("a2") == 1; }));
   old->post(platform_headers("a3", "ask"), "{}");
@@ -114,7 +114,7 @@
   const auto client = fixture.platform_client();
   if (is_changed_before) {
     fixture.engine.apply_settings(changed_settings());
-    fixture.platform.adopt(changed_settings());
+    fixture.platform.apply_settings(changed_settings());
   }
   client->post(platform_headers("a1", "command"), "{}");
   REQUIRE(fixture.until([&] { return fixture.request_count("POST", Role::kReader, "a1") == 1; }));
@@ -135,7 +135,7 @@
       R"({"listen":"127.0.0.1:0","account":"acme","models":[{"id":"more","class":"more"}]})";
   CHECK_THROWS(openai_api::parse_config({"chat.json", next}, make_settings()));
   fixture.engine.apply_settings(changed_settings());
-  fixture.chat->adopt(*openai_api::parse_config(
+  fixture.chat->apply_config(*openai_api::parse_config(
       {"chat.json", next}, *changed_settings()));  // the frontend keeps the settings that its models refer to
   const auto client = fixture.chat_client();
   const auto old = fixture.chat_client();
