--- a/src/openai_api/api_error.cpp
+++ b/src/openai_api/api_error.cpp
@@ -1,4 +1,4 @@
-// Names and JSON of error answers.
+// Names and JSON of error responses.
 #include "openai_api/api_error.hpp"
 
 #include <nlohmann/json.hpp>
--- a/src/openai_api/api_error.hpp
+++ b/src/openai_api/api_error.hpp
@@ -1,4 +1,4 @@
-// Error answers in the form of the OpenAI API.
+// Error responses in the form of the OpenAI API.
 #ifndef DISPATCHER_OPENAI_API_API_ERROR_HPP_
 #define DISPATCHER_OPENAI_API_API_ERROR_HPP_
 
@@ -8,10 +8,10 @@
 
 namespace dispatcher::openai_api {
 
-/// Whose fault an error is, as the API's clients distinguish it.
+/// The kind of an error, as the API's clients distinguish it.
 enum class ErrorType { kInvalidRequest, kRateLimit, kServer };
 
-/// Errors that have a name of their own.
+/// Errors that have a code of their own in the API.
 enum class ErrorCode {
   kInvalidApiKey,
   kModelNotFound,
@@ -27,20 +27,20 @@
 [[nodiscard]] std::string_view to_text(ErrorType type);
 [[nodiscard]] std::string_view to_text(ErrorCode code);
 
-/// An answer that is an error. Made by the functions below; parse_request() throws it.
+/// An error response. Created by the functions below; parse_request() throws it.
 struct ApiError {
   /// The HTTP status.
   int status = 400;
   ErrorType type = ErrorType::kInvalidRequest;
   std::string message;
-  /// The request's field that is wrong.
+  /// The request's invalid field, if it is about one.
   std::optional<std::string> param = std::nullopt;
   std::optional<ErrorCode> code = std::nullopt;
 };
 
-/// A request that can't be served as it is, for a reason outside any one of its fields.
+/// An invalid request, for a reason that is not about one of its fields.
 [[nodiscard]] ApiError invalid_request(std::string message, int status = 400);
-/// A request of which one field is wrong. Its status is 400.
+/// A request with one invalid field. Its status is 400.
 [[nodiscard]] ApiError invalid_field(std::string_view field, std::string message);
 /// A request for a model that is not configured. Its status is 404.
 [[nodiscard]] ApiError model_not_found(std::string_view id);
@@ -48,12 +48,12 @@
 [[nodiscard]] ApiError invalid_api_key();
 /// A request above a limit. Its status is 429.
 [[nodiscard]] ApiError rate_limit_exceeded(std::string message);
-/// A failure on this side.
+/// A failure of the dispatcher or its endpoints.
 [[nodiscard]] ApiError server_error(int status, ErrorCode code, std::string message);
 /// An error of the HTTP server, with the type that its status implies.
 [[nodiscard]] ApiError http_error(int status, std::string message);
 
-/// The JSON of the answer's body. Invalid UTF-8 is replaced.
+/// The JSON of the response's body. Invalid UTF-8 is replaced.
 [[nodiscard]] std::string to_body(const ApiError& error);
 
 }  // namespace dispatcher::openai_api
--- a/src/openai_api/config.hpp
+++ b/src/openai_api/config.hpp
@@ -15,11 +15,12 @@
 
 /// A model that clients may name.
 struct Model {
-  /// The name by which clients ask for it.
+  /// The name by which clients request it.
   std::string id;
   /// The class of the model's requests; points into Config::settings.
   const routing::RequestClass* request_class = nullptr;
-  /// To the first token, before the allowance for the prompt's length; nullopt: the class's deadline.
+  /// From a request's arrival to its first token, before the allowance for the prompt's length. Nullopt: the
+  /// class's deadline.
   std::optional<routing::Duration> deadline;
 };
 
@@ -34,13 +35,14 @@
   /// The platform's settings that the file was checked against.
   std::shared_ptr<const routing::Settings> settings;
   net::tcp::endpoint listen;
+  /// At least one.
   std::vector<Model> models;
-  /// Empty: every client is served, on `account`.
+  /// Empty: every client is served, and charged to `account`.
   std::vector<ApiKey> keys;
   std::string account;
   /// Requests in progress at once; more are rejected with a Retry-After.
   std::size_t max_concurrent_requests = 256;
-  /// For a request that names no maximum of its own.
+  /// Tokens of the answer to a request that names no maximum.
   int default_max_tokens = 300;
 };
 
--- a/src/openai_api/frontend.cpp
+++ b/src/openai_api/frontend.cpp
@@ -1,4 +1,4 @@
-// Requests and answers of the OpenAI-compatible API.
+// Requests and responses of the OpenAI-compatible API.
 #include "openai_api/frontend.hpp"
 
 #include <algorithm>
@@ -19,10 +19,10 @@
 constexpr std::string_view kModelsPath = "/v1/models";
 constexpr std::string_view kModelPathPrefix = "/v1/models/";
 constexpr std::string_view kHealthPath = "/healthz";
-// Advice to clients where the router gives none.
+// The Retry-After of rejections for which the router gives none.
 constexpr engine::Duration kDefaultRetryAfter = milliseconds(500);
 
-// What a path leads to.
+// The resource that a path names.
 enum class Route { kCompletion, kModels, kModel, kHealth };
 
 std::optional<Route> find_route(std::string_view path) {
@@ -81,7 +81,7 @@
   if (!token.starts_with(kScheme)) return std::nullopt;
   token.remove_prefix(kScheme.size());
   std::optional<std::string> account;
-  for (const ApiKey& key : config_.keys) {  // all are compared, for the time taken to tell nothing
+  for (const ApiKey& key : config_.keys) {  // all of them, so that the time does not depend on which matches
     if (is_same_secret(key.key, token)) account = key.account;
   }
   return account;
@@ -159,7 +159,7 @@
   return admitted != nullptr ? *admitted : *model.request_class;
 }
 
-// ---- answers from the engine ----
+// ---- responses of the engine ----
 
 void Frontend::forget_request(SlotId client) {
   pending_responses_.erase(client);
@@ -198,8 +198,8 @@
   server_.respond(client, 200, "application/json", translator.completion());
 }
 
-// After the first token nothing is retried, and nothing may look like a regular end: a streaming client is
-// told by an error event and by its connection's end, any other by its status.
+// After the first token nothing is retried, and the response must not look complete: a streaming client gets
+// an error event and its connection is closed, any other gets an error status.
 void Frontend::abort_stream(SlotId client) {
   const auto pending = pending_responses_.find(client);
   if (pending == pending_responses_.end()) return;
@@ -239,7 +239,7 @@
   }
 }
 
-// ---- answers of the frontend's own ----
+// ---- responses of the frontend's own ----
 
 void Frontend::reject_rate_limited(SlotId client, engine::Duration retry_after) {
   respond_retry_later(client, rate_limit_exceeded("a limit is reached: nothing was done, try again later"),
@@ -252,8 +252,8 @@
       retry_after);
 }
 
-// The API's client libraries retry these statuses by themselves, unless told not to: a request that may have
-// run must not run twice.
+// The API's client libraries retry these statuses unless X-Should-Retry is "false". A request that may have
+// been executed must not be executed twice.
 void Frontend::respond_possibly_executed(SlotId client, const ApiError& error,
                                          routing::Idempotency idempotency) {
   if (idempotency == routing::Idempotency::kIdempotent) return respond_error(client, error);
--- a/src/openai_api/request.cpp
+++ b/src/openai_api/request.cpp
@@ -12,16 +12,18 @@
 
 namespace {
 
+// Levels of nesting: far above what requests need.
 constexpr int kMaxJsonDepth = 64;
 // The usual estimate for English text where there is no tokenizer.
 constexpr std::size_t kCharactersPerToken = 4;
+// Largest number of tokens or choices: above any model's context length.
 constexpr std::int64_t kMaxCount = 1'000'000;
 
 [[noreturn]] void throw_invalid(const char* field, std::string message) {
   throw invalid_field(field, std::move(message));
 }
 
-// ---- typed fields: absent and null are the same ----
+// ---- typed fields; null counts as absent ----
 
 const Json* find_member(const Json& object, const char* field) {
   const auto member = object.find(field);
@@ -45,14 +47,16 @@
 std::optional<int> read_count(const Json& object, const char* field) {
   const Json* value = find_member(object, field);
   if (value == nullptr) return std::nullopt;
-  const bool is_valid = value->is_number_integer() && value->get<std::int64_t>() >= 1 &&
-                        value->get<std::int64_t>() <= kMaxCount;
+  const std::int64_t count = value->is_number_integer() ? value->get<std::int64_t>() : 0;
+  const bool is_valid = count >= 1 && count <= kMaxCount;
   if (!is_valid) throw_invalid(field, std::string(field) + " must be a whole number above 0");
   return value->get<int>();
 }
 
 // ---- prompts ----
 
+// Of FNV-1a (Fowler, Noll, Vo), 64 bits. The basis is not the published one (14695981039346656037): it stays,
+// as other dispatchers of a fleet compute the same keys with it.
 constexpr std::uint64_t kFnvOffsetBasis = 1469598103934665603ULL;
 constexpr std::uint64_t kFnvPrime = 1099511628211ULL;
 
@@ -65,12 +69,12 @@
   return state == 0 ? 1 : state;
 }
 
-// What is known of a conversation's messages.
+// Lengths and keys of a conversation's messages.
 struct Prompt {
   std::size_t characters = 0;
   std::size_t system_characters = 0;   // of the system message, which conversations share
-  std::uint64_t system_key = 0;        // of its text
-  std::uint64_t conversation_key = 0;  // of all up to the first user message
+  std::uint64_t system_key = 0;        // hash of its text; 0: there is none
+  std::uint64_t conversation_key = 0;  // hash of all messages up to the first of the user
 };
 
 // A message's text: a string, or an array of parts of which some are text.
@@ -150,14 +154,14 @@
   return max_tokens.value_or(config.default_max_tokens);
 }
 
-// Clients that name their conversation know best; for others its first messages identify it.
+// A conversation is identified by the client's own name for it or, without one, by its first messages.
 std::uint64_t session_key(const Json& object, const std::string& account, const Prompt& prompt) {
   const std::string cache_key = read_text(object, "prompt_cache_key");
   const std::uint64_t conversation_key = cache_key.empty() ? prompt.conversation_key : hash(cache_key);
   return hash(account, conversation_key);
 }
 
-// The client's own request, streamed with the usage at its end.
+// The client's request, changed to be streamed with the usage at the stream's end.
 std::string upstream_body(Json object) {
   object["stream"] = true;
   object["stream_options"] = {{"include_usage", true}};
--- a/src/openai_api/request_id_generator.hpp
+++ b/src/openai_api/request_id_generator.hpp
@@ -8,7 +8,7 @@
 
 namespace dispatcher::openai_api {
 
-/// Generates request ids of sixteen hexadecimal digits, the form that replicas expect. No two ids of one
+/// Generates request ids of sixteen hexadecimal digits, the form that endpoints expect. No two ids of one
 /// generator are equal: splitmix64 (Steele, Lea and Flood, "Fast Splittable Pseudorandom Number Generators",
 /// 2014) is a bijection of its counter. Not thread-safe.
 class RequestIdGenerator {
--- a/src/openai_api/response_translator.cpp
+++ b/src/openai_api/response_translator.cpp
@@ -1,4 +1,4 @@
-// Translation of single events and collection of whole completions.
+// Translation of single events and collection of complete responses.
 #include "openai_api/response_translator.hpp"
 
 #include <utility>
@@ -13,7 +13,7 @@
 
 constexpr std::string_view kEndOfStream = "[DONE]";
 
-// Invalid UTF-8 from a replica is replaced, as dumping it would throw.
+// Invalid UTF-8 from an endpoint is replaced, as dumping it would throw.
 std::string dump(const Json& object) { return object.dump(-1, ' ', false, Json::error_handler_t::replace); }
 
 std::string data_event(std::string_view data) {
@@ -33,7 +33,7 @@
   return object.contains(field) && object[field].is_number_integer();
 }
 
-// Adds the total, which clients read and a replica may leave out.
+// Adds the total, which clients read and an endpoint may leave out.
 void add_total_tokens(Json& usage) {
   if (usage.contains("total_tokens")) return;
   if (!has_integer(usage, "prompt_tokens") || !has_integer(usage, "completion_tokens")) return;
@@ -88,7 +88,7 @@
   collected_bytes_ += text.size();
 }
 
-// Adds the fields that the API's clients read and a replica may leave out; changes none that is there.
+// Adds the fields that the API's clients read and an endpoint may leave out; changes none that exists.
 std::string ResponseTranslator::complete_chunk(Json chunk) {
   const bool has_choices = chunk.contains("choices") && chunk["choices"].is_array();
   const bool is_only_usage = has_choices && chunk["choices"].empty() && chunk.contains("usage");
--- a/src/openai_api/response_translator.hpp
+++ b/src/openai_api/response_translator.hpp
@@ -1,4 +1,4 @@
-// Translation of a replica's event stream into the OpenAI API's chunks or into one completion object.
+// Translation of an endpoint's event stream into the OpenAI API's chunks or into one completion object.
 #ifndef DISPATCHER_OPENAI_API_RESPONSE_TRANSLATOR_HPP_
 #define DISPATCHER_OPENAI_API_RESPONSE_TRANSLATOR_HPP_
 
@@ -11,7 +11,7 @@
 
 namespace dispatcher::openai_api {
 
-/// What a client is owed, as named in its answer.
+/// The form of a client's response, and the values of its fixed fields.
 struct ResponseFormat {
   /// Of the completion, "chatcmpl-" and the request's id.
   std::string id;
@@ -25,8 +25,8 @@
   bool include_usage = false;
 };
 
-/// Translates one answer: chunks of the OpenAI API pass with the fields that a replica left out filled in.
-/// Owned by the frontend's record of the request; not thread-safe.
+/// Translates one response: forwards chunks of the OpenAI API, with the fields added that an endpoint left
+/// out. Owned by the frontend's record of the request; not thread-safe.
 class ResponseTranslator {
  public:
   explicit ResponseTranslator(ResponseFormat format);
@@ -34,17 +34,18 @@
   /// Takes complete events. Returns the events to send to a streaming client; empty for any other, whose
   /// completion is collected.
   [[nodiscard]] std::string translate(std::string_view events);
-  /// Whether the stream has said itself that it is complete. Its mere end proves nothing.
+  /// Whether the stream's own end marker has arrived. A stream that ends without it was truncated.
   [[nodiscard]] bool is_complete() const { return is_complete_; }
   /// The completion object, for a client that does not stream.
   [[nodiscard]] std::string completion() const;
   /// Whether the client reads a stream.
   [[nodiscard]] bool is_stream() const { return format_.is_stream; }
-  /// Whether the collected text exceeds what any limit on tokens allows: a replica that does not stop must
+  /// Whether the collected text exceeds what any limit on tokens allows: an endpoint that does not stop must
   /// not exhaust the memory.
   [[nodiscard]] bool is_too_long() const { return collected_bytes_ > kMaxCollectedBytes; }
 
  private:
+  // 4 MiB: about a million tokens.
   static constexpr std::size_t kMaxCollectedBytes = std::size_t{4} * 1024 * 1024;
 
   std::string translate_event(std::string_view event);
@@ -56,6 +57,7 @@
   bool is_complete_ = false;
   std::size_t collected_bytes_ = 0;
   http::EventFramer framer_;
+  // Of the completion object, as collected so far.
   nlohmann::json message_;
   nlohmann::json finish_reason_;
   nlohmann::json usage_;
--- a/src/platform_api/frontend.cpp
+++ b/src/platform_api/frontend.cpp
@@ -1,4 +1,4 @@
-// Requests and answers of the platform's API.
+// Requests and responses of the platform's API.
 #include "platform_api/frontend.hpp"
 
 #include <algorithm>
@@ -53,7 +53,7 @@
   submit(client, parsed, std::move(message));
 }
 
-// ---- answers ----
+// ---- responses ----
 
 std::string Frontend::error_body(int, std::string_view message) {
   return nlohmann::json{{"error", {{"message", message}}}}.dump(-1, ' ', false,
--- a/src/platform_api/header_error.cpp
+++ b/src/platform_api/header_error.cpp
@@ -1,4 +1,4 @@
-// Texts of the errors that clients are told.
+// Messages of header errors.
 #include "platform_api/header_error.hpp"
 
 namespace dispatcher::platform_api {
--- a/src/platform_api/header_error.hpp
+++ b/src/platform_api/header_error.hpp
@@ -1,4 +1,4 @@
-// The platform's request header fields, and the error of one that can't be used.
+// The platform's request header fields, and the error of an invalid one.
 #ifndef DISPATCHER_PLATFORM_API_HEADER_ERROR_HPP_
 #define DISPATCHER_PLATFORM_API_HEADER_ERROR_HPP_
 
@@ -22,13 +22,13 @@
 /// What is wrong with a header field's value.
 enum class HeaderProblem { kNotAlphanumeric, kUnknownClass, kNotANumber, kOutOfRange, kIdInProgress };
 
-/// The text that a client is told, such as "X-Time-Left-Ms: out of range".
+/// The error message for the client, such as "X-Time-Left-Ms: out of range".
 [[nodiscard]] std::string describe(HeaderProblem problem, std::string_view header);
 
-/// A request whose header field can't be used. what() is the text of describe(), fit for the client.
+/// A request with an invalid header field. what() is the message of describe(), for the client.
 class HeaderError : public std::runtime_error {
  public:
-  /// `header`: the field's name; for a part of X-Facts, with the part's name behind it ("X-Facts prefix").
+  /// `header`: the field's name; for a part of X-Facts, followed by the part's name ("X-Facts prefix").
   HeaderError(HeaderProblem problem, std::string_view header)
       : std::runtime_error(describe(problem, header)), problem_(problem), header_(header) {}
 
--- a/src/platform_api/request.cpp
+++ b/src/platform_api/request.cpp
@@ -16,9 +16,11 @@
 
 namespace {
 
+// Characters of a request id: it is kept, logged and sent to endpoints with each attempt.
 constexpr std::size_t kMaxIdLength = 64;
 // Far above any context length, and far enough from overflow for sums of counts.
 constexpr int kMaxTokens = 100'000'000;
+// Far above any deadline, and far enough from overflow for sums with the clock.
 constexpr std::chrono::milliseconds kMaxTimeLeft = std::chrono::hours(24);
 // Values of X-Repeat, for Request::client_retry and Request::resubmitted.
 constexpr std::string_view kRetryValue = "1";
@@ -26,7 +28,7 @@
 constexpr int kDecimal = 10;
 constexpr int kHexadecimal = 16;
 
-// A part of X-Facts: its name there, and what an error calls it.
+// A part of X-Facts: its name there, and its name in errors.
 struct FactName {
   std::string_view key;
   std::string_view header;
@@ -36,6 +38,7 @@
 constexpr FactName kPrefixLengthFact{"prefix_len", "X-Facts prefix_len"};
 constexpr FactName kMaxOutputFact{"max_out", "X-Facts max_out"};
 
+// The number that the complete text is. Throws HeaderError.
 template <class T>
 T parse_number(std::string_view text, std::string_view header, int base = kDecimal) {
   T value{};
@@ -64,6 +67,7 @@
   if (name == kMaxOutputFact.key) request.max_tokens = parse_tokens(value, kMaxOutputFact.header);
 }
 
+// NAME=VALUE parts, separated by commas with optional spaces after them.
 void parse_facts(std::string_view facts, routing::Request& request) {
   while (!facts.empty()) {
     const std::size_t comma = facts.find(',');
--- a/src/platform_api/request.hpp
+++ b/src/platform_api/request.hpp
@@ -9,8 +9,8 @@
 
 namespace dispatcher::platform_api {
 
-/// The routing request that the headers describe; its deadline counts from `arrival`. Throws
-/// HeaderError at the first field that can't be used.
+/// The routing request that the headers describe; its deadline counts from `arrival`. Throws HeaderError at
+/// the first invalid field.
 [[nodiscard]] routing::Request parse_request(const http::RequestReader::Message& request,
                                              const routing::Settings& settings, engine::Time arrival);
 
