--- a/src/admin/admin_server.cpp
+++ b/src/admin/admin_server.cpp
@@ -1,7 +1,6 @@
 // Routing of the operators' requests to the daemon's callbacks.
 #include "admin/admin_server.hpp"
 
-#include <algorithm>
 #include <chrono>
 #include <optional>
 #include <utility>
@@ -15,19 +14,22 @@
 constexpr std::string_view kReadyPath = "/control/ready";
 constexpr std::string_view kLevelPath = "/control/level";
 constexpr std::string_view kLevelsPath = "/control/levels";
+constexpr std::string_view kLevelPrefix = "/control/level/";  // and the name of a level
 
-// Callers wait for a second at most: one that takes longer to send its request has no use for the answer.
+// Operators' tools wait for a response for one second at most: a caller that takes longer to send its request
+// no longer waits.
 http::ServerOptions server_options() {
   using std::chrono::milliseconds;
   constexpr milliseconds kCallerTimeout{1000};
+  constexpr milliseconds kLingerTimeout{200};
+  constexpr std::size_t kMaxBodyBytes = std::size_t{64} * 1024;  // no request needs a body: little, yet not 0
   http::ServerOptions options;
   options.max_clients = kMaxConnections;
-  options.max_body_bytes =
-      std::size_t{64} * 1024;  // no request has a body; one sent all the same must cost little
+  options.max_body_bytes = kMaxBodyBytes;
   options.first_byte_timeout = kCallerTimeout;
   options.request_timeout = kCallerTimeout;
   options.write_timeout = kCallerTimeout;
-  options.linger_timeout = milliseconds(200);
+  options.linger_timeout = kLingerTimeout;
   options.is_single_request = true;
   return options;
 }
@@ -47,7 +49,7 @@
 void AdminServer::on_request(net::SlotId client, http::Server::Request& request, engine::Time) {
   const std::string_view method = http::to_view(request.method_string());
   const std::string_view path = http::to_view(request.target());
-  if (callbacks_.current_level && path.starts_with(kLevelPath)) return handle_level(client, method, path);
+  if (callbacks_.level_status && path.starts_with(kLevelPath)) return handle_level(client, method, path);
   if (path == kReadyPath) {
     if (method != "GET") return respond_wrong_method(client, "GET");
     return handle_ready(client);
@@ -70,14 +72,20 @@
 }
 
 void AdminServer::handle_level(net::SlotId client, std::string_view method, std::string_view path) {
-  const bool is_query = path == kLevelPath || path == kLevelsPath;
-  const std::string level_name(path.substr(std::min(path.size(), kLevelPath.size() + 1)));
-  const bool is_command = !is_query && path[kLevelPath.size()] == '/' && !level_name.empty();
-  if (!is_query && !is_command) return respond_not_found(client, "no such call");
-  const std::string allowed = is_query ? "GET" : "POST";
-  if (method != allowed) return respond_wrong_method(client, allowed);
-  if (is_command && !callbacks_.pin_level(level_name)) return respond_not_found(client, "no such level");
-  respond_json(client, 200, path == kLevelsPath ? callbacks_.level_changes() : callbacks_.current_level());
+  if (path == kLevelPath) return handle_level_query(client, method, callbacks_.level_status);
+  if (path == kLevelsPath) return handle_level_query(client, method, callbacks_.level_history);
+  if (path.size() <= kLevelPrefix.size() || !path.starts_with(kLevelPrefix))
+    return respond_not_found(client, "no such call");
+  if (method != "POST") return respond_wrong_method(client, "POST");
+  const std::string level_name(path.substr(kLevelPrefix.size()));
+  if (!callbacks_.set_level_override(level_name)) return respond_not_found(client, "no such level");
+  respond_json(client, 200, callbacks_.level_status());
+}
+
+void AdminServer::handle_level_query(net::SlotId client, std::string_view method,
+                                     const std::function<nlohmann::json()>& query) {
+  if (method != "GET") return respond_wrong_method(client, "GET");
+  respond_json(client, 200, query());
 }
 
 void AdminServer::respond_json(net::SlotId client, int status, const nlohmann::json& body) {
--- a/src/admin/admin_server.hpp
+++ b/src/admin/admin_server.hpp
@@ -15,17 +15,18 @@
 /// Connections at once. One too many replaces the one that has been open longest without finishing a request.
 inline constexpr std::size_t kMaxConnections = 12;
 
-/// What the requests are answered from. Called on the event loop, from inside a request.
+/// The daemon's functions that requests call. Called on the event loop, from inside a request.
 struct AdminCallbacks {
+  /// Whether this process accepts clients and knows an endpoint.
   std::function<bool()> is_ready;
   /// Drains an endpoint or returns it to service. Returns false where the endpoint is unknown.
   std::function<bool(const engine::EndpointId& endpoint, bool is_drained)> set_endpoint_drained;
   /// The degradation level in force, and the latest changes of it. Empty: there are no levels.
-  std::function<nlohmann::json()> current_level = {};
-  std::function<nlohmann::json()> level_changes = {};
-  /// Pins the degradation level by its name, or lets it follow its signals again ("auto"). Returns false
-  /// where there is no such level.
-  std::function<bool(const std::string& name)> pin_level = {};
+  std::function<nlohmann::json()> level_status = {};
+  std::function<nlohmann::json()> level_history = {};
+  /// Overrides the degradation level by its name, or clears the override ("auto"). Returns false where there
+  /// is no such level.
+  std::function<bool(const std::string& name)> set_level_override = {};
 };
 
 /// Serves GET /control/ready, POST /control/replicas/ID/offline and .../online, GET /control/level and
@@ -33,6 +34,7 @@
 /// event loop only.
 class AdminServer : private http::Server::Handler {
  public:
+  /// Listens at `address` once open() is called. The references must outlive the server.
   AdminServer(boost::asio::io_context& io, const net::tcp::endpoint& address, engine::TimerQueue& timers,
               engine::Clock clock, AdminCallbacks callbacks, http::DescriptorReclaimer reclaim_descriptor);
   AdminServer(const AdminServer&) = delete;
@@ -40,6 +42,7 @@
 
   /// Throws boost::system::system_error where the address can't be bound.
   void open() { server_.open(); }
+  /// The bound address, with the port that the system chose where the configured one is 0.
   [[nodiscard]] net::tcp::endpoint local() const { return server_.local(); }
 
  private:
@@ -51,6 +54,8 @@
   void handle_ready(net::SlotId client);
   void handle_endpoint(net::SlotId client, const engine::EndpointId& endpoint, bool is_drained);
   void handle_level(net::SlotId client, std::string_view method, std::string_view path);
+  void handle_level_query(net::SlotId client, std::string_view method,
+                          const std::function<nlohmann::json()>& query);
   void respond_json(net::SlotId client, int status, const nlohmann::json& body);
   void respond_not_found(net::SlotId client, std::string_view message);
   void respond_wrong_method(net::SlotId client, const std::string& allowed);
--- a/src/admin/endpoint_command.cpp
+++ b/src/admin/endpoint_command.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr std::string_view kEndpointsPrefix = "/control/replicas/";
-constexpr std::size_t kMaxIdLength = 128;
+constexpr std::size_t kMaxIdLength = 128;  // characters: longer than any endpoint's
 
 bool is_id_character(unsigned char byte) {
   constexpr std::string_view kPunctuation = "-_.:~";
--- a/src/daemon/components.cpp
+++ b/src/daemon/components.cpp
@@ -90,9 +90,9 @@
   admin::AdminCallbacks admin_callbacks;
   admin_callbacks.is_ready = callbacks.is_ready;
   admin_callbacks.set_endpoint_drained = callbacks.drain_endpoint;
-  admin_callbacks.current_level = [this] { return degradation_controller.status(); };
-  admin_callbacks.level_changes = [this] { return degradation_controller.history(); };
-  admin_callbacks.pin_level = [this](const std::string& name) {
+  admin_callbacks.level_status = [this] { return degradation_controller.status(); };
+  admin_callbacks.level_history = [this] { return degradation_controller.history(); };
+  admin_callbacks.set_level_override = [this](const std::string& name) {
     return degradation_controller.set_override(name);
   };
   admin_server.emplace(loop.io(), *config.admin_address, loop.timers(), loop.clock(),
--- a/src/daemon/dispatcher.cpp
+++ b/src/daemon/dispatcher.cpp
@@ -16,6 +16,9 @@
 // How long a draining process without a successor still accepts connections. The platform directs new ones to
 // it for up to 0.4 s after SIGTERM, and may lose what is accepted more than 0.7 s after it.
 constexpr engine::Duration kAcceptAfterTerm = milliseconds(550);
+// Names of listening sockets in a hand-over: processes of other releases use the same ones.
+constexpr const char* kPlatformListener = "platform";
+constexpr const char* kChatListener = "chat";
 // How often a draining process checks whether its work is done: short beside the time that it takes.
 constexpr engine::Duration kDrainCheckInterval = milliseconds(20);
 
@@ -72,8 +75,8 @@
   for (const routing::RequestId& id : handover.open_request_ids)
     parts_.engine.on_peer_request_progress(id, engine::RequestProgress::kInProgress);
   parts_.endpoint_watcher.start(parts_.endpoints.version);
-  parts_.platform_frontend.server().open(std::move(handover.listening_sockets["platform"]));
-  chat_address_.serve(std::move(handover.listening_sockets["chat"]));
+  parts_.platform_frontend.server().open(std::move(handover.listening_sockets[kPlatformListener]));
+  chat_address_.serve(std::move(handover.listening_sockets[kChatListener]));
   parts_.log("serving on " + to_text(parts_.config.listen) + " as " + parts_.config.name);
   if (parts_.chat_frontend && !chat_address_.is_paired())
     parts_.log("chat front on " + to_text(parts_.chat_frontend->server().local()));
@@ -114,9 +117,9 @@
 std::map<std::string, int> Dispatcher::listening_sockets() {
   std::map<std::string, int> sockets;
   http::Server& platform = parts_.platform_frontend.server();
-  if (platform.is_open()) sockets["platform"] = platform.listening_socket();
+  if (platform.is_open()) sockets[kPlatformListener] = platform.listening_socket();
   if (parts_.chat_frontend && parts_.chat_frontend->server().is_open())
-    sockets["chat"] = parts_.chat_frontend->server().listening_socket();
+    sockets[kChatListener] = parts_.chat_frontend->server().listening_socket();
   return sockets;
 }
 
--- a/src/vrrp/packet.hpp
+++ b/src/vrrp/packet.hpp
@@ -11,7 +11,7 @@
 
 namespace dispatcher::vrrp {
 
-/// An IPv4 address in network byte order, so that comparing two compares them as RFC 9568 asks.
+/// An IPv4 address in network byte order, so that two compare as RFC 9568 requires.
 using Address = std::array<std::uint8_t, 4>;
 
 /// Priority of an active router that stops: the backups need not wait for its silence.
@@ -38,7 +38,7 @@
   kZeroVrid,
   kZeroInterval
 };
-/// The error in words, for the log.
+/// The error's description for the log.
 [[nodiscard]] std::string_view to_text(DecodeError error);
 
 /// The packet of an advertisement. It is carried over UDP, where no IP header is at hand for a pseudo-header;
--- a/src/vrrp/vrrp_instance.cpp
+++ b/src/vrrp/vrrp_instance.cpp
@@ -58,10 +58,10 @@
 }
 
 void VrrpInstance::receive() {
-  socket_.async_receive_from(boost::asio::buffer(packet_), sender_,
+  socket_.async_receive_from(boost::asio::buffer(receive_buffer_), sender_,
                              [this](boost::system::error_code error, std::size_t size) {
                                if (!socket_.is_open()) return;
-                               // A peer that is down causes an error here: the ICMP answer to what was sent.
+                               // An error here is the ICMP error of an advertisement to a peer that is down.
                                if (!error) handle_packet(size);
                                receive();
                              });
@@ -70,7 +70,7 @@
 void VrrpInstance::handle_packet(std::size_t size) {
   const auto& peers = config_.peers;
   if (std::find(peers.begin(), peers.end(), sender_) == peers.end()) return;
-  const auto result = decode({packet_.data(), size});
+  const auto result = decode({receive_buffer_.data(), size});
   if (const auto* error = std::get_if<DecodeError>(&result))
     return log_("vrrp: bad packet: " + std::string(vrrp::to_text(*error)));
   const auto& advertisement = std::get<Advertisement>(result);
--- a/src/vrrp/vrrp_instance.hpp
+++ b/src/vrrp/vrrp_instance.hpp
@@ -18,9 +18,9 @@
 
 using boost::asio::ip::udp;
 
-/// Where an instance exchanges advertisements, and the virtual router that they are about.
+/// The addresses by which an instance exchanges advertisements, and its virtual router.
 struct Config {
-  udp::endpoint listen;              // also the source of what is sent
+  udp::endpoint listen;              // also the source address of advertisements
   std::vector<udp::endpoint> peers;  // packets of any other sender are ignored
   Parameters parameters;
 };
@@ -29,9 +29,9 @@
 /// Throws cue::Errors with every problem of the file.
 [[nodiscard]] std::optional<Config> parse_config(const cue::File& file);
 
-/// This process's part in one virtual router. Used on the event loop's thread only. The event loop's context
-/// and the timer queue must outlive it, and it must outlive its pending operations: stop() or hand_over(),
-/// then run the loop until the cancelled receive has completed.
+/// This process as a member of one virtual router. Used on the event loop's thread only. The event loop's
+/// context and the timer queue must outlive it, and it must outlive its pending operations: stop() or
+/// hand_over(), then run the loop until the cancelled receive has completed.
 class VrrpInstance {
  public:
   /// Called after each change of state.
@@ -52,9 +52,13 @@
   [[nodiscard]] State state() const { return machine_.state(); }
   /// The bound endpoint, with the port that the system chose where the configured port is 0.
   [[nodiscard]] udp::endpoint local() const { return socket_.local_endpoint(); }
+  /// Advertises to one more peer, and accepts its advertisements.
   void add_peer(const udp::endpoint& peer) { config_.peers.push_back(peer); }
 
  private:
+  // The payload of an Ethernet frame; the largest valid packet has 1028 bytes.
+  static constexpr std::size_t kReceiveBufferBytes = 1500;
+
   void receive();
   void handle_packet(std::size_t size);
   void apply(const StateMachine::Advertisements& advertisements);
@@ -69,10 +73,10 @@
   engine::Log log_;
   OnState on_state_;
   StateMachine machine_;
-  State reported_state_ = State::kInitialize;
+  State reported_state_ = State::kInitialize;  // the last one that on_state_ was called with
   udp::socket socket_;
-  udp::endpoint sender_;
-  std::array<std::uint8_t, 1500> packet_{};  // an Ethernet frame's payload; the largest packet has 1028 bytes
+  udp::endpoint sender_;  // of the packet in receive_buffer_
+  std::array<std::uint8_t, kReceiveBufferBytes> receive_buffer_{};
   engine::TimerQueue::Id timer_;
 };
 
