--- a/src/rate_limit/counter_table.cpp
+++ b/src/rate_limit/counter_table.cpp
@@ -10,14 +10,17 @@
 
 __extension__ using Uint128 = unsigned __int128;
 
-// 2^64 over the golden ratio: multiplied by it, a key selects a set that is independent of its first one.
+// A fifth more entries than keys: hardly any set is full then before the table is.
+constexpr std::size_t kSpareDivisor = 5;
+
+// 2^64 over the golden ratio: multiplied by it, a key selects a set that is independent of its primary one.
 constexpr std::uint64_t kGoldenRatio = 0x9E3779B97F4A7C15ULL;
 
 }  // namespace
 
 CounterTable::CounterTable(std::size_t keys) {
-  // With a fifth more entries than keys, hardly one set is full before the table is.
-  const std::size_t sets = std::max<std::size_t>(1, (keys + keys / 5 + kWays - 1) / kWays);
+  const std::size_t entries = keys + keys / kSpareDivisor;
+  const std::size_t sets = std::max<std::size_t>(1, (entries + kWays - 1) / kWays);
   entries_.resize(sets * kWays);
 }
 
@@ -29,8 +32,8 @@
   return std::span(entries_).subspan(index * kWays, kWays);
 }
 
-// Each key may stand in either of two sets: with one only, one key in thirteen found no entry in a table that
-// was five sixths full.
+// Each key may be in either of two sets: with a single one, one key in thirteen found no entry in a table
+// that was five sixths full.
 std::span<CounterTable::Entry> CounterTable::secondary_set(std::uint64_t key) {
   return primary_set(key * kGoldenRatio);
 }
@@ -44,7 +47,7 @@
   return nullptr;
 }
 
-// The entry of a set that is the least ahead of its rate.
+// The entry of a set that is least ahead of its rate.
 CounterTable::Victim CounterTable::choose_victim(std::span<Entry> set, std::int64_t now) {
   Victim victim;
   for (Entry& entry : set) {
@@ -55,8 +58,8 @@
   return victim;
 }
 
-// The key's entry. Where there is none it replaces one that is free or idle, in the set that has more of
-// them; else the one that is furthest from its limit. A protected entry is never replaced.
+// The key's entry. A new one replaces an entry that is free or idle, in the set that has more of these, or
+// else the one that is furthest from its limit. A protected entry is never replaced.
 CounterTable::Entry& CounterTable::find_or_insert(const Charge& charge, std::int64_t now) {
   if (Entry* existing = find(charge.key)) return *existing;
   Victim victim = choose_victim(primary_set(charge.key), now);
@@ -70,7 +73,7 @@
   return *victim.entry;
 }
 
-// Where the table has no entry for one more key, all such keys of a limit count as one.
+// Keys for which the table has no entry left count as one key for each limit.
 CounterTable::Entry& CounterTable::overflow_entry(std::uint64_t limit_id, std::int64_t now) {
   ++overflow_count_;
   std::erase_if(overflow_,
@@ -122,7 +125,7 @@
   std::vector<Entry> active;
   std::copy_if(entries_.begin(), entries_.end(), std::back_inserter(active),
                [&](const Entry& entry) { return entry.key != 0 && !entry.is_idle(now.count()); });
-  // The most charged first: what finds no entry is what matters least.
+  // The most charged first, so that only the least charged may find no entry.
   std::sort(active.begin(), active.end(), [](const Entry& left, const Entry& right) {
     return std::pair(left.in_progress, left.theoretical_arrival) >
            std::pair(right.in_progress, right.theoretical_arrival);
--- a/src/rate_limit/counter_table.hpp
+++ b/src/rate_limit/counter_table.hpp
@@ -17,11 +17,11 @@
 // The part of a limit that one instance enforces, in the terms of GCRA.
 struct InstanceLimit {
   static constexpr std::uint32_t kUnlimited = std::numeric_limits<std::uint32_t>::max();
-  std::uint64_t id = 0;             // of the limit: the same for as long as its definition is
+  std::uint64_t id = 0;             // of the limit: the same as long as its definition is
   Nanoseconds emission_interval{};  // between two requests at the rate; 0: no rate
   Nanoseconds burst_tolerance{};    // how far ahead of the rate a burst may run
   std::uint32_t max_in_progress = kUnlimited;
-  Nanoseconds retry_after{};  // of requests that are rejected as too many are in progress
+  Nanoseconds retry_after{};  // of requests that are rejected because too many are in progress
 };
 
 // A request under one limit.
@@ -30,10 +30,10 @@
   std::uint64_t key = 0;  // hash of the limit and of the key's text together; not 0
 };
 
-// The counter of an admitted request, to be given back to CounterTable::release().
+// The counter of an admitted request, for CounterTable::release().
 struct ChargeHandle {
   std::uint64_t key = 0, limit_id = 0;
-  bool is_overflow = false;  // counted under the limit's one entry for keys that the table has no entry for
+  bool is_overflow = false;  // counted in the limit's overflow entry, as the table had none left for the key
 };
 
 // A set-associative hash table. Not synchronized: its RateLimiter uses it on one event loop.
@@ -42,20 +42,21 @@
   // Enough for about `keys` keys at once, in 32 bytes each.
   explicit CounterTable(std::size_t keys);
 
-  // Zero: the request is admitted and counted under all charges, and `handles`, as many, are filled in. Else
-  // nothing is counted, and the request may be retried after this time.
+  // Returns zero where the request is admitted: it is counted under all charges, and as many `handles` are
+  // filled in. Otherwise nothing is counted, and the request may be retried after the returned time.
   [[nodiscard]] Nanoseconds admit(std::span<const Charge> charges, Nanoseconds now,
                                   std::span<ChargeHandle> handles);
-  // An admitted request has ended. Once for each handle.
+  // To be called once for each handle when an admitted request has ended.
   void release(const ChargeHandle& handle);
 
-  // Moves the counters to a table of another size. Where that is too small the least charged ones are lost.
+  // Moves the counters to a table of another size. Where that is too small the least charged ones are
+  // dropped.
   void resize(std::size_t keys, Nanoseconds now);
 
   [[nodiscard]] std::size_t bytes() const { return entries_.size() * sizeof(Entry); }
   // Keys that have requests in progress or are ahead of their rate.
   [[nodiscard]] std::size_t active_keys(Nanoseconds now) const;
-  // How often, so far, a key found no entry in a full table and shared its limit's overflow entry.
+  // How often so far a key had to be counted in its limit's overflow entry.
   [[nodiscard]] std::uint64_t overflow_count() const { return overflow_count_; }
 
  private:
@@ -71,7 +72,7 @@
     [[nodiscard]] bool is_protected(std::int64_t now) const {
       return in_progress > 0 || theoretical_arrival - burst_tolerance > now;
     }
-    // How far it is ahead of its rate, ns; 0: it may be replaced at no loss.
+    // How far it is ahead of its rate, ns; 0: it may be replaced without loss of information.
     [[nodiscard]] std::int64_t ahead(std::int64_t now) const {
       return key == 0 || is_idle(now) ? 0 : theoretical_arrival - now;
     }
--- a/src/rate_limit/explain.cpp
+++ b/src/rate_limit/explain.cpp
@@ -26,6 +26,8 @@
 }
 )cue";
 
+constexpr int kHexadecimal = 16;
+
 // Names of headers are compared without regard to case (RFC 9110, 5.1).
 bool is_same_header(std::string_view left, std::string_view right) {
   return std::equal(left.begin(), left.end(), right.begin(), right.end(),
@@ -50,7 +52,8 @@
   return program.run(values, scratch);
 }
 
-// The first part of a rule's condition that is false; where none is, the first that has no value.
+// Why a rule does not match: the first part of its condition that is false or, where none is, the first that
+// has no value.
 std::string mismatch_reason(const RuleSet& rules, std::size_t rule,
                             std::span<const expression::Value> values) {
   std::string without_value;
@@ -63,12 +66,14 @@
   return without_value;
 }
 
+// One line on a result of a rule. `is_used`: the result replaces the request's own value.
 std::string explain_result(const char* what, const expression::Value& value, bool is_used) {
   std::string text = std::string("      ") + what + " = " + expression::to_text(value);
   if (!is_used) text += ": not known, its own stays";
   return text;
 }
 
+// One line on a limit and its key.
 std::string explain_limit(const Limit& limit, const expression::Value& key) {
   std::string text = "      limit " + limit.name + ": key ";
   if (key.failed()) {
@@ -100,7 +105,7 @@
   attributes.account = sample->account;
   attributes.model = sample->model;
   const std::string& session = data["session"].text();
-  std::from_chars(session.data(), session.data() + session.size(), attributes.session, 16);
+  std::from_chars(session.data(), session.data() + session.size(), attributes.session, kHexadecimal);
   attributes.is_openai_api = data["front"].text() == "chat";
   attributes.is_retry = data["retry"].flag();
   attributes.prompt_tokens = data["prompt_tokens"].integer();
@@ -112,6 +117,24 @@
   return sample;
 }
 
+namespace {
+
+// What a rule computes for the request: one line for each result and limit.
+void explain_match(const Rule& rule, const Decision& decision, std::span<const expression::Value> values,
+                   expression::Scratch& scratch, std::vector<std::string>& report) {
+  const auto add_result = [&](const char* what, const std::optional<expression::Program>& program,
+                              bool is_used) {
+    if (program) report.push_back(explain_result(what, program->run(values, scratch), is_used));
+  };
+  add_result("class", rule.request_class, decision.request_class != nullptr);
+  add_result("account", rule.account, decision.account.has_value());
+  add_result("session", rule.session, decision.session.has_value());
+  for (const Limit& limit : rule.limits)
+    report.push_back(explain_limit(limit, limit.key.run(values, scratch)));
+}
+
+}  // namespace
+
 std::vector<std::string> explain(const RuleSet& rules, const RequestAttributes& attributes,
                                  std::size_t max_rules) {
   std::vector<std::string> report;
@@ -133,15 +156,7 @@
 
   const Rule& rule = rules.rules()[*decision.rule];
   report.push_back("yes   " + rule.name + ": " + rule.when);
-  const auto add_result = [&](const char* what, const std::optional<expression::Program>& program,
-                              bool is_used) {
-    if (program) report.push_back(explain_result(what, program->run(values, scratch), is_used));
-  };
-  add_result("class", rule.request_class, decision.request_class != nullptr);
-  add_result("account", rule.account, decision.account.has_value());
-  add_result("session", rule.session, decision.session.has_value());
-  for (const Limit& limit : rule.limits)
-    report.push_back(explain_limit(limit, limit.key.run(values, scratch)));
+  explain_match(rule, decision, values, scratch, report);
   return report;
 }
 
--- a/src/rate_limit/explain.hpp
+++ b/src/rate_limit/explain.hpp
@@ -1,4 +1,4 @@
-// Why a request matches the rule that it matches: for operators who wonder about a file.
+// An explanation of why a request matches a rule and no earlier one, for operators.
 #ifndef DISPATCHER_RATE_LIMIT_EXPLAIN_HPP_
 #define DISPATCHER_RATE_LIMIT_EXPLAIN_HPP_
 
@@ -11,8 +11,8 @@
 
 namespace dispatcher::rate_limit {
 
-// A request as a file describes it: a record with the names that expressions use. Not to be moved, as the
-// attributes are views into its own texts.
+// A request that is read from a file: a record with the names that expressions use. It must not be moved,
+// since the attributes are views of its own members.
 struct SampleRequest {
   std::string request_class, account;
   std::optional<std::string> model;
@@ -20,7 +20,7 @@
   RequestAttributes attributes;
 };
 
-// Throws cue::Errors. `rules`: whose headers the sample may give.
+// Throws cue::Errors where the file is invalid. `rules`: their headers are those that the sample may have.
 [[nodiscard]] std::unique_ptr<SampleRequest> read_sample(const cue::File& file, const RuleSet& rules);
 
 // A line of text for each rule up to the one that matches (of more than `max_rules` only the last ones), then
--- a/src/rate_limit/rate_limiter.cpp
+++ b/src/rate_limit/rate_limiter.cpp
@@ -12,8 +12,8 @@
 // There may be thousands of rejections a second: one log line reports all of an interval.
 constexpr routing::Duration kLogInterval = std::chrono::seconds(10);
 
-// Whether a request of class `from` may be treated as one of class `to` without being retried where it must not
-// be. Null: a class that the settings don't define.
+// Whether a request of class `from` may be treated as one of class `to` without being retried where it must
+// not be. Null: a class that the settings don't define.
 bool may_change_class(const routing::RequestClass* from, const routing::RequestClass* to) {
   using routing::Idempotency;
   if (to == nullptr) return false;
--- a/src/rate_limit/rate_limiter.hpp
+++ b/src/rate_limit/rate_limiter.hpp
@@ -1,5 +1,5 @@
-// Rate limiting of requests before anything is reserved or sent for them: the rules decide, the counter table
-// counts. No I/O; the clock is passed in.
+// Rate limiting of requests before anything is reserved or sent for them: the rules determine the limits of a
+// request, the counter table enforces them. No I/O; the clock is passed in.
 #ifndef DISPATCHER_RATE_LIMIT_RATE_LIMITER_HPP_
 #define DISPATCHER_RATE_LIMIT_RATE_LIMITER_HPP_
 
@@ -17,8 +17,8 @@
 
 namespace dispatcher::rate_limit {
 
-// What an admitted request counts for until RateLimiter::release(). One that is dropped unreleased goes on
-// counting; a copy stands for the same request, and only one of them is to be released.
+// The counters of an admitted request, to be passed to RateLimiter::release() when it ends. A request whose
+// ticket is dropped stays counted. A copy refers to the same request: only one of them may be released.
 class Ticket {
  public:
   [[nodiscard]] bool empty() const { return count_ == 0; }
@@ -41,19 +41,20 @@
   // first rejection at once, then at most every ten seconds how many there were.
   explicit RateLimiter(std::uint64_t seed, Log log = {}) : seed_(seed), log_(std::move(log)), table_(0) {}
 
-  // Other rules for the requests from now on; null: every request is admitted as it is. Counters of limits
-  // that stay the same go on.
+  // Replaces the rules for all later requests. Null: every request is admitted unchanged. Limits whose
+  // definition stays the same keep their counters.
   void replace_rules(std::shared_ptr<const RuleSet> rules, routing::Time now);
-  // Whose part of the limits this enforces: that of `instance`, from 0, of `instances`.
+  // This enforces the part of the limits that `instance`, from 0, of `instances` has.
   void set_instance(std::size_t instance, std::size_t instances) {
     instance_ = instance;
     instances_ = instances;
   }
   [[nodiscard]] const RuleSet* rules() const { return rules_.get(); }
 
+  // Whether a request is admitted.
   struct Admission {
     std::optional<routing::Duration> retry_after;  // set: the request is rejected
-    const Rule* rule = nullptr;                    // that matched, if any
+    const Rule* rule = nullptr;                    // the one that matched, if any
     Ticket ticket;
     [[nodiscard]] bool is_rejected() const { return retry_after.has_value(); }
   };
@@ -66,14 +67,15 @@
   [[nodiscard]] Admission admit(routing::Request& request, const RequestAttributes& attributes,
                                 const routing::Settings& settings, routing::Time now,
                                 const ShedCheck& shed_check = {});
-  // The request has ended. The ticket is empty afterwards.
+  // To be called when an admitted request has ended. The ticket is empty afterwards.
   void release(Ticket& ticket);
 
+  // Of requests since the start.
   struct Counts {
     std::uint64_t admitted = 0;
     std::uint64_t rejected = 0;                // by a limit
     std::uint64_t evaluation_faults = 0;       // Decision::evaluation_faults of all requests
-    std::uint64_t rejected_class_changes = 0;  // computed ones that would have made a request retryable
+    std::uint64_t rejected_class_changes = 0;  // to a class that would have made the request retryable
   };
   [[nodiscard]] const Counts& counts() const { return counts_; }
   [[nodiscard]] const CounterTable& table() const { return table_; }
--- a/src/rate_limit/rule_reader.cpp
+++ b/src/rate_limit/rule_reader.cpp
@@ -1,4 +1,4 @@
-// Reads a file of rules: the part of RuleSet that runs once.
+// Parsing of a file of rules: RuleSet::read().
 #include <algorithm>
 #include <cctype>
 #include <cmath>
@@ -43,12 +43,12 @@
 }
 )cue";
 
-// Bounds on a file, so that reading it ends in time and a decision's values have a fixed size.
-constexpr std::size_t kMaxHeaders = 32;
+// Bounds on a file, so that parsing it takes bounded time and memory.
 constexpr std::size_t kMaxRules = 20'000;
 constexpr double kMaxProgramBytes = 64e6;  // programs and automata of all conditions together
-// The key of a limit is built for each request.
-constexpr std::size_t kMaxKeyLength = 1024;  // bytes
+constexpr double kBytesPerMegabyte = 1e6;
+// Bytes of a limit's key, which is built for each request.
+constexpr std::size_t kMaxKeyLength = 1024;
 
 // A field is part of an expression, as header.FIELD.
 bool is_field_name(const std::string& name) {
@@ -57,7 +57,8 @@
                      [](unsigned char letter) { return std::isalnum(letter) != 0 || letter == '_'; });
 }
 
-// Reads one file. Problems collect, so that operators see all of them at once; what has one is left out.
+// Reads one file. Collects all problems, so that operators see them at once; items that have one are left
+// out.
 class RuleReader {
  public:
   explicit RuleReader(const Vocabulary& vocabulary) : vocabulary_(vocabulary) {
@@ -92,13 +93,14 @@
       }
       if (program_bytes > kMaxProgramBytes) {
         add_problem(item, "the rules take more than " +
-                              std::to_string(static_cast<int>(kMaxProgramBytes / 1e6)) + " MB from here on");
+                              std::to_string(static_cast<int>(kMaxProgramBytes / kBytesPerMegabyte)) +
+                              " MB from here on");
         return;
       }
     }
   }
 
-  // What is read. The conditions are as many as the rules where there is no problem.
+  // The parsed file. There are as many conditions as rules where there is no problem.
   std::vector<Header> headers;
   expression::Environment fields;
   std::vector<Rule> rules;
@@ -143,7 +145,7 @@
     return limit;
   }
 
-  // Its counters go on through a reload only as long as all of this is the same.
+  // A hash of the limit's definition: its counters survive a reload only where all of it stays the same.
   static std::uint64_t limit_id(const Limit& limit, const std::string& key_text) {
     const std::string max_in_progress = limit.max_in_progress ? std::to_string(*limit.max_in_progress) : "-";
     const std::string definition = limit.name + " " + std::to_string(limit.rate) + " " +
@@ -151,7 +153,7 @@
     return text_hash(definition, 0);
   }
 
-  // A constant result must be a name that the settings know; a computed one is checked with each request.
+  // A constant result must be a name that the settings define; a computed one is checked with each request.
   void check_constant(const cue::Data& data, const std::optional<expression::Program>& program,
                       const std::vector<std::string>& known_names, const char* what) {
     if (!program || known_names.empty() || program->tree().op != expression::Op::kLiteral) return;
@@ -172,7 +174,7 @@
 std::shared_ptr<const RuleSet> RuleSet::read(const cue::File& file, const Vocabulary& vocabulary) {
   static const cue::Schema schema(kSchema, "#Rules");
   const cue::Data data = schema.read(file);
-  // An empty file, or one cut before its rules, must not pass for one that has none.
+  // An empty file, or one truncated before its rules, must not be mistaken for one that has none.
   if (!data["rules"].where().in_file())
     throw cue::Errors(file.name, {{{}, "rules", "missing: a file without rules says rules: []"}});
   RuleReader reader(vocabulary);
--- a/src/rate_limit/rule_warnings.cpp
+++ b/src/rate_limit/rule_warnings.cpp
@@ -1,5 +1,5 @@
 // Finds rules that can never match, because their condition is false of any request or an earlier rule
-// matches whatever they do.
+// matches all of their requests.
 #include <algorithm>
 #include <map>
 #include <set>
@@ -10,8 +10,8 @@
 
 namespace {
 
-// What must hold for a rule to match. Conditions are conjunctions; a part that tests whether a field has one
-// of some values is kept by its values, any other by its text.
+// The requirements for a rule to match. Conditions are conjunctions: a part that tests whether a field has
+// one of several values is recorded by field and values, any other by its text.
 struct Requirements {
   std::set<std::string> parts;
   std::map<int, std::set<std::string>> values_by_field;
@@ -58,8 +58,8 @@
   });
 }
 
-// Earlier rules, each filed under one thing that it requires: a rule is compared only with those that could
-// match whenever it does, so that ten thousand rules take no hundred million comparisons.
+// Earlier rules, each indexed by one of its requirements. A rule is compared only with those that could match
+// whenever it does: comparing all pairs of ten thousand rules would take a hundred million comparisons.
 class RuleIndex {
  public:
   void add(std::size_t rule, const Requirements& requirements) {
--- a/src/rate_limit/rules.cpp
+++ b/src/rate_limit/rules.cpp
@@ -9,10 +9,13 @@
 
 namespace {
 
-// Measured by the benchmark of rules, with a margin; ns.
-constexpr double kFixedNs = 300;  // what a decision costs besides its expressions
-constexpr double kHeaderNs = 60, kHeaderByteNs = 1;
-constexpr double kKeyNs = 200, kKeyByteNs = 0.5;
+// Costs in nanoseconds, as measured by the benchmark of rules, with a margin.
+constexpr double kFixedNs = 300;  // of a decision besides its expressions
+constexpr double kHeaderNs = 60;
+constexpr double kHeaderByteNs = 1;
+constexpr double kKeyNs = 200;
+constexpr double kKeyByteNs = 0.5;
+constexpr double kNanosecondsPerSecond = 1e9;
 
 // Keeps emission intervals, and sums of them with the clock, within 64 bits.
 constexpr Nanoseconds kMaxInterval = std::chrono::hours(240);
@@ -22,19 +25,20 @@
       static_cast<std::int64_t>(std::min(nanoseconds, static_cast<double>(kMaxInterval.count()))));
 }
 
+// The part of `total` that `instance`, from 0, of `instances` gets: at least one, unless the total is 0.
 std::uint32_t share_of(std::int64_t total, std::int64_t instance, std::int64_t instances) {
   if (total == 0) return 0;
   const std::int64_t share = total / instances + (instance < total % instances ? 1 : 0);
   return static_cast<std::uint32_t>(std::max<std::int64_t>(1, share));
 }
 
-// Runs the programs of one rule on one request, and counts what had no usable value.
+// Runs the programs of one rule on one request, and counts the results that can't be used.
 class Evaluation {
  public:
   Evaluation(std::span<const expression::Value> values, expression::Scratch& scratch)
       : values_(values), scratch_(scratch) {}
 
-  // nullopt: it is not computed, or has no value.
+  // Nullopt: there is no program, or its result has no value.
   std::optional<std::string_view> text(const std::optional<expression::Program>& program) {
     if (!program) return std::nullopt;
     const expression::Value value = program->run(values_, scratch_);
@@ -43,7 +47,7 @@
     return std::nullopt;
   }
 
-  // Null: it is none of the names.
+  // Null: `name` is none of `names`.
   const std::string* known_name(const std::vector<std::string>& names, std::string_view name) {
     const auto it = std::find(names.begin(), names.end(), name);
     if (it != names.end()) return &*it;
@@ -51,7 +55,7 @@
     return nullptr;
   }
 
-  // Requests that lack what the key is made of share one: to leave it out frees nobody of the limit.
+  // Requests for which the key has no value share one, so that leaving out a header does not evade the limit.
   std::uint64_t key_hash(const Limit& limit) {
     const expression::Value key = limit.key.run(values_, scratch_);
     if (key.failed()) ++faults;
@@ -74,7 +78,7 @@
   part.id = limit.id;
   const auto count = static_cast<double>(std::max<std::size_t>(1, instances));
   if (limit.rate > 0) {
-    const double interval = 1e9 * count / limit.rate;
+    const double interval = kNanosecondsPerSecond * count / limit.rate;
     part.emission_interval = std::max(bounded_interval(interval), Nanoseconds(1));
     part.burst_tolerance = bounded_interval(interval * (std::max(1.0, limit.burst / count) - 1));
   }
--- a/src/rate_limit/rules.hpp
+++ b/src/rate_limit/rules.hpp
@@ -21,8 +21,10 @@
 
 namespace dispatcher::rate_limit {
 
-// Limits of one rule: a request is charged for all of them without an allocation.
+// Limits of one rule: few, so that a request is charged for all of them without an allocation.
 inline constexpr std::size_t kMaxLimits = 4;
+// Headers that the rules of one file may use: few, so that the values of a decision have a fixed size.
+inline constexpr std::size_t kMaxHeaders = 32;
 
 // A header that rules may use.
 struct Header {
@@ -42,11 +44,12 @@
   expression::Program key;
 };
 
-// The part of a limit that one of `instances` enforces. The parts of requests in progress add up to the
-// limit, but none is below one; rates and bursts are divided evenly, a burst again not below one.
+// The part of a limit that `instance`, from 0, of `instances` enforces. Requests in progress are divided into
+// parts of at least one that otherwise add up to the limit; rates and bursts are divided evenly, bursts into
+// parts of at least one.
 [[nodiscard]] InstanceLimit instance_limit(const Limit& limit, std::size_t instance, std::size_t instances);
 
-// One rule. Results that are not computed leave the request as it is.
+// One rule. What it computes no result for stays as it is in the request.
 struct Rule {
   std::string name;
   std::string when;  // its condition, as the file has it
@@ -69,7 +72,7 @@
   std::optional<std::uint64_t> session;
   std::array<MatchedLimit, kMaxLimits> limits{};
   std::size_t limit_count = 0;
-  // Results that had no value, or were a name that the settings don't know: the request keeps its own.
+  // Results that had no value, or were a name that the settings don't define: the request keeps its own.
   std::uint64_t evaluation_faults = 0;
 };
 
@@ -79,7 +82,7 @@
   // Throws cue::Errors with all problems, also where a decision could take longer than the file's budget.
   static std::shared_ptr<const RuleSet> read(const cue::File& file, const Vocabulary& vocabulary);
 
-  // `scratch`: of its caller, after reserve().
+  // `scratch`: the caller's, after reserve().
   [[nodiscard]] Decision decide(const RequestAttributes& attributes, expression::Scratch& scratch) const;
   // Makes the scratch large enough for all programs of the rules.
   void reserve(expression::Scratch& scratch) const;
@@ -89,20 +92,20 @@
   [[nodiscard]] const std::vector<Header>& headers() const { return headers_; }
   [[nodiscard]] const expression::Environment& fields() const { return fields_; }
   [[nodiscard]] const Vocabulary& vocabulary() const { return vocabulary_; }
-  // Keys that the counter table is made for.
+  // Keys that the counter table has entries for.
   [[nodiscard]] std::size_t max_keys() const { return max_keys_; }
-  // The computed worst cost of a decision, and the bound that the file sets for it; ns.
+  // The computed worst cost of a decision, and the bound that the file sets for it; nanoseconds.
   [[nodiscard]] double worst_ns() const { return worst_ns_; }
   [[nodiscard]] double budget_ns() const { return budget_ns_; }
-  // The same for one rule: of its condition and all that it computes.
+  // The worst cost of one rule, with its condition and all results; nanoseconds.
   [[nodiscard]] double worst_ns(std::size_t rule) const;
   // The values that expressions see, in the order of fields(). `session_text` must outlive them.
   [[nodiscard]] std::vector<expression::Value> values(const RequestAttributes& attributes,
                                                       SessionText& session_text) const;
 
  private:
-  // Not more than the fields of a request and kMaxHeaders.
-  using Values = std::array<expression::Value, 64>;
+  // The values of all fields: those of a request, then its headers.
+  using Values = std::array<expression::Value, kRequestFields + kMaxHeaders>;
   std::span<const expression::Value> fill(const RequestAttributes& attributes, SessionText& session_text,
                                           Values& values) const;
   [[nodiscard]] double result_ns(std::size_t rule) const;
@@ -118,7 +121,7 @@
   double worst_ns_ = 0, budget_ns_ = 0;
 };
 
-// What is no error and yet hardly meant: rules that can never match.
+// Warnings about rules that can never match: valid, but probably not intended.
 [[nodiscard]] std::vector<cue::Problem> warnings(const RuleSet& rules);
 
 }  // namespace dispatcher::rate_limit
--- a/src/rate_limit/text_hash.hpp
+++ b/src/rate_limit/text_hash.hpp
@@ -1,4 +1,4 @@
-// The hash that limits and their keys are told apart by (XXH3, https://xxhash.com).
+// The hash that identifies limits and their keys (XXH3, https://xxhash.com).
 #ifndef DISPATCHER_RATE_LIMIT_TEXT_HASH_HPP_
 #define DISPATCHER_RATE_LIMIT_TEXT_HASH_HPP_
 
