--- a/src/degradation/degradation_controller.hpp
+++ b/src/degradation/degradation_controller.hpp
@@ -1,5 +1,5 @@
 // Degradation levels in a running dispatcher: collects the signals, drives the state machine, and decides
-// whether a request is shed. No I/O; whoever owns it calls tick() and passes the clock in.
+// whether a request is shed. No I/O; its owner calls tick() and passes the clock in.
 #ifndef DISPATCHER_DEGRADATION_DEGRADATION_CONTROLLER_HPP_
 #define DISPATCHER_DEGRADATION_DEGRADATION_CONTROLLER_HPP_
 
@@ -28,22 +28,23 @@
   DegradationController(const routing::Settings& settings, std::shared_ptr<const LevelSet> levels,
                         engine::Clock clock, engine::Log log, std::function<double()> random);
 
-  // Reads a file of levels for these settings. Throws cue::Errors with all problems, which is all that
-  // callers need who only check a file.
+  // Parses a file of levels for these settings. Throws cue::Errors with all problems; to check a file it is
+  // enough to call this.
   static std::shared_ptr<const LevelSet> read(const cue::File& file, const routing::Settings& settings);
 
-  // False where the file has no level: no request is shed and no signal collected.
+  // Whether there are levels. Without them no request is shed and no signal collected.
   [[nodiscard]] bool active() const { return !machine_.levels().levels().empty(); }
   // The level in force stays where the new set has it (StateMachine::replace_levels).
   void apply_settings(const routing::Settings& settings, std::shared_ptr<const LevelSet> levels);
-  // Evaluates the signals and changes the level where it is time. `in_progress`: requests.
+  // Evaluates the signals and changes the level where due. `in_progress`: open requests.
   // `endpoints_updated_at`: when service discovery last confirmed the endpoint list, if it has.
   void tick(std::size_t in_progress, std::optional<Time> endpoints_updated_at);
   // Takes a complete endpoint list or a change to the last one.
   void update_endpoints(const routing::EndpointList& list) { signals_.update_endpoints(list, clock_()); }
 
-  // Whether the request is shed: the Retry-After then, else nullopt. Counts it, too. `request`: as the rate
-  // limiting rules left it; its class, account and session replace those of `attributes`.
+  // Decides whether the request is shed: returns its Retry-After then, else nullopt. Also counts the
+  // request's arrival. `request`: after the rate limiting rules; its class, account and session replace those
+  // of `attributes`.
   [[nodiscard]] std::optional<Duration> shed(const routing::Request& request,
                                              rate_limit::RequestAttributes attributes);
 
@@ -53,7 +54,7 @@
   [[nodiscard]] nlohmann::json history() const;
   // An operator's override: the name of a level, or "auto" to clear it. False: there is no such level.
   [[nodiscard]] bool set_override(const std::string& name);
-  // Takes over the level of another process's status(); what is malformed is ignored.
+  // Adopts the level of the predecessor's status(). A malformed status is ignored.
   void restore(const nlohmann::json& status);
 
   // The level in force, its history and the levels.
--- a/src/degradation/levels.cpp
+++ b/src/degradation/levels.cpp
@@ -5,6 +5,7 @@
 #include <map>
 #include <random>
 #include <set>
+#include <utility>
 
 #include "cue/schema.hpp"
 #include "expression/from_cue.hpp"
@@ -42,12 +43,16 @@
 
 // ---- conditions that contradict each other ----
 
-// The values of each field, by its index, at which a condition may change.
+// The values of each field, by the field's index, at which a condition may change.
 using SamplePoints = std::map<std::int64_t, std::set<double>>;
 
-// Combinations of sample points that are tried at most: a few milliseconds.
+// Combinations of sample points that are tried at most, which takes a few milliseconds.
 constexpr std::size_t kMaxSamples = 4096;
 
+// How far beside a floating-point number its neighbouring sample points are.
+constexpr double kRelativeStep = 1e-3;
+constexpr double kMinStep = 1e-6;
+
 // Adds the numbers that a condition compares each signal with, and a value a little to either side of each.
 void collect_sample_points(const expression::Node& node, SamplePoints& points) {
   for (const expression::Node& field : node.children) {
@@ -56,14 +61,14 @@
       if (literal.op != expression::Op::kLiteral) continue;
       const bool is_integer = literal.type.kind == Kind::kInt;
       const double value = is_integer ? static_cast<double>(literal.integer) : literal.real;
-      const double step = is_integer ? 1 : std::max(1e-6, std::abs(value) * 1e-3);
+      const double step = is_integer ? 1 : std::max(kMinStep, std::abs(value) * kRelativeStep);
       points[field.integer].insert({value - step, value, value + step});
     }
   }
   for (const expression::Node& child : node.children) collect_sample_points(child, points);
 }
 
-// The product of the numbers of points, or kMaxSamples + 1 where it is more.
+// The number of combinations of sample points, or kMaxSamples + 1 where there are more.
 std::size_t count_combinations(const SamplePoints& points) {
   std::size_t combinations = 1;
   for (const auto& [field, values] : points)
@@ -77,8 +82,20 @@
   return Value::of(number);
 }
 
+// Sets each field to one of its sample points. `choose` gets the number of points and returns an index.
+template <class Choose>
+void set_fields(const SamplePoints& points, const expression::Environment& signals, const Choose& choose,
+                std::vector<Value>& values) {
+  for (const auto& [field, candidates] : points) {
+    const auto chosen = static_cast<std::ptrdiff_t>(choose(candidates.size()));
+    const double point = *std::next(candidates.begin(), chosen);
+    const auto index = static_cast<std::size_t>(field);
+    values[index] = value_of_kind(signals.fields()[index].kind, point);
+  }
+}
+
 // Whether both conditions of a level can hold at once. Tries every combination of the points at which either
-// changes; where there are too many, a random sample of them (the same each time).
+// changes or, where there are too many, a random sample of them, the same in each run.
 bool conditions_overlap(const Level& level, const expression::Environment& signals) {
   SamplePoints points;
   collect_sample_points(level.enter.tree(), points);
@@ -90,19 +107,16 @@
   expression::Scratch scratch;
   for (const auto* program : {&level.enter, &level.leave})
     scratch.reserve(program->max_values(), program->max_text());
-
   const std::size_t combinations = count_combinations(points);
   const bool is_exhaustive = combinations <= kMaxSamples;
   std::mt19937 random(1);
   for (std::size_t sample = 0; sample < std::min(combinations, kMaxSamples); ++sample) {
     std::size_t remaining = sample;  // the combination's number, in a mixed radix
-    for (const auto& [field, candidates] : points) {
-      const std::size_t which = is_exhaustive ? remaining % candidates.size() : random() % candidates.size();
-      remaining /= candidates.size();
-      const double point = *std::next(candidates.begin(), static_cast<std::ptrdiff_t>(which));
-      const auto index = static_cast<std::size_t>(field);
-      values[index] = value_of_kind(signals.fields()[index].kind, point);
-    }
+    const auto choose = [&](std::size_t count) -> std::size_t {
+      if (!is_exhaustive) return random() % count;
+      return std::exchange(remaining, remaining / count) % count;
+    };
+    set_fields(points, signals, choose, values);
     if (level.enter.run(values, scratch).is(true) && level.leave.run(values, scratch).is(true)) return true;
   }
   return false;
@@ -112,8 +126,8 @@
 
 Duration milliseconds_of(const cue::Data& data) { return std::chrono::milliseconds(data.integer()); }
 
-// Reads the levels of one file. Problems collect, so that operators see all of them at once; what has one is
-// left out.
+// Reads the levels of one file. Collects all problems, so that operators see them at once; items that have
+// one are left out.
 class LevelReader {
  public:
   LevelReader(const expression::Environment& signals, const expression::Environment& request,
@@ -136,7 +150,7 @@
   std::vector<cue::Problem> take_problems() { return std::move(problems_); }
 
  private:
-  // nullopt: a condition does not compile.
+  // Nullopt: a condition does not compile.
   std::optional<Level> read_level(const cue::Data& data) {
     Level level;
     level.name = data["name"].text();
@@ -159,7 +173,7 @@
     return level;
   }
 
-  // nullopt: its condition does not compile.
+  // Nullopt: its condition does not compile.
   std::optional<SheddingRule> read_shedding_rule(const cue::Data& data) {
     SheddingRule rule;
     for (const cue::Data& name : data["classes"].items()) {
@@ -194,7 +208,7 @@
                                                const std::vector<std::string>& classes) {
   static const cue::Schema schema(kSchema, "#Levels");
   const cue::Data data = schema.read(file);
-  // An empty file, or one cut before its levels, must not pass for one that has none.
+  // An empty file, or one truncated before its levels, must not be mistaken for one that has none.
   if (!data["levels"].where().in_file())
     throw cue::Errors(file.name, {{{}, "levels", "missing: a file without levels says levels: []"}});
   LevelReader reader(signals, request, classes);
--- a/src/degradation/levels.hpp
+++ b/src/degradation/levels.hpp
@@ -16,7 +16,7 @@
 using routing::Duration;
 using routing::Time;
 
-// Besides normal service. With more the limits on changes could not be guaranteed (state_machine.hpp).
+// Levels besides normal service. With more the limits on changes could not be guaranteed (state_machine.hpp).
 inline constexpr std::size_t kMaxLevels = 3;
 
 // Level 0, at which nothing is shed. Its name is reserved.
@@ -25,8 +25,8 @@
 
 // Which requests a level sheds, and the range that their Retry-After is drawn from.
 struct SheddingRule {
-  std::vector<std::string> classes;  // by name, and no others
-  expression::Program when;          // over the signals and the request
+  std::vector<std::string> classes;  // the names of the classes that it applies to
+  expression::Program when;          // its condition, over the signals and the request
   Duration min_retry_after{}, max_retry_after{};
 };
 
@@ -34,10 +34,10 @@
 struct Level {
   std::string name;
   expression::Program enter, leave;
-  std::string enter_text, leave_text;  // as the file has them
+  std::string enter_text, leave_text;  // the conditions' texts in the file
   Duration enter_for{}, leave_for{};   // how long the condition must hold
-  // How long the level stays in force at least. It starts at the first and doubles up to the second as long
-  // as the level is entered again soon after it was left.
+  // How long the level stays in force at least: min_stay, doubled up to max_stay each time that the level is
+  // entered again soon after it was left.
   Duration min_stay{}, max_stay{};
   std::vector<SheddingRule> shedding_rules;
 };
@@ -47,8 +47,8 @@
 class LevelSet {
  public:
   // Reads and checks a file. `signals`: the fields that conditions may use. `request`: the fields that
-  // `shed.when` may use, the signals first. `classes`: the names that the settings know; none: any name goes.
-  // Throws cue::Errors with all problems.
+  // `shed.when` may use, the signals first. `classes`: those that the settings define; none: any name is
+  // valid. Throws cue::Errors with all problems.
   [[nodiscard]] static std::shared_ptr<const LevelSet> read(const cue::File& file,
                                                             const expression::Environment& signals,
                                                             const expression::Environment& request,
@@ -57,7 +57,7 @@
   [[nodiscard]] const std::vector<Level>& levels() const { return levels_; }
   // `number`: above kNormalLevel.
   [[nodiscard]] const Level& level(std::size_t number) const { return levels_[number - 1]; }
-  // The level's number; nullopt: there is none of this name.
+  // The level's number. Nullopt: there is no level of this name.
   [[nodiscard]] std::optional<std::size_t> find(const std::string& name) const;
   // The name of any level, kNormalLevel too.
   [[nodiscard]] std::string name(std::size_t number) const {
--- a/src/degradation/signals.cpp
+++ b/src/degradation/signals.cpp
@@ -13,11 +13,11 @@
 
 namespace {
 
-// Service discovery polls every second or so: an older list says nothing about the present.
+// The endpoint list is polled about once a second: one that is older than this may be outdated.
 constexpr Duration kMaxListAge = std::chrono::seconds(10);
-// Of fewer events a fraction would be chance.
+// With fewer events a fraction would be mostly chance.
 constexpr std::size_t kMinEvents = 20;
-// Zones have names, so that the empty one is free to stand for all of them.
+// Represents all zones together: no zone has an empty name.
 constexpr const char* kAllZones = "";
 constexpr std::array kRoles = {Role::kReader, Role::kWriter};
 
@@ -143,7 +143,7 @@
   for (const Role role : kRoles)
     values.push_back(is_list_fresh ? ready_fraction({kAllZones, role}, now) : absent());
   for (const Role role : kRoles) {
-    // Computed also of a list that is too old: the maxima go on observing.
+    // Also computed from a list that is too old, so that the maxima are updated.
     const Value minimum = min_zone_ready_fraction(role, now);
     values.push_back(is_list_fresh ? minimum : absent());
   }
@@ -151,7 +151,7 @@
   values.push_back(Value::of(static_cast<std::int64_t>(in_progress)));
   for (const std::string& request_class : classes_)
     values.push_back(value_or_absent(late_[request_class].ratio(kMinEvents, now)));
-  // Zones without a ready endpoint in both periods: what they have lost is no longer a loss.
+  // Zones that had no ready endpoint in both periods are regarded as removed.
   std::erase_if(ready_maxima_, [](const auto& entry) { return entry.second.maximum() == 0; });
   return values;
 }
--- a/src/degradation/signals.hpp
+++ b/src/degradation/signals.hpp
@@ -1,6 +1,6 @@
 // The signals that conditions of degradation levels are evaluated on: how this dispatcher served requests
-// over the last seconds, and how much of the fleet is ready. No I/O; the clock is passed in. A signal that is
-// not known, or no longer, is absent.
+// over the last seconds, and how much of the fleet is ready. No I/O; the clock is passed in. A signal without
+// a current value is absent.
 #ifndef DISPATCHER_DEGRADATION_SIGNALS_HPP_
 #define DISPATCHER_DEGRADATION_SIGNALS_HPP_
 
@@ -34,12 +34,12 @@
 
   explicit Signals(const routing::Settings& settings) { apply_settings(settings); }
 
-  // Classes, accounts and endpoint kinds that the settings no longer name are dropped.
+  // Drops classes, accounts and endpoint kinds that the settings no longer define.
   void apply_settings(const routing::Settings& settings);
 
   // Takes a complete endpoint list or a change to the last one.
   void update_endpoints(const routing::EndpointList& list, Time now);
-  // A request got its first token. Classes that the settings don't have are ignored here and below.
+  // A request got its first token. Classes that the settings don't define are ignored here and below.
   void first_token(const std::string& request_class, FirstTokenTiming timing, Time now);
   // A request ended without a first token.
   void request_not_served(const std::string& request_class, engine::NotServedReason reason, Time now);
@@ -59,7 +59,7 @@
     routing::Role role{};
     bool ready = false;
   };
-  using ZoneRole = std::pair<std::string, routing::Role>;  // kAllZones: the whole fleet
+  using ZoneRole = std::pair<std::string, routing::Role>;  // kAllZones: the complete fleet
 
   [[nodiscard]] bool has_class(const std::string& request_class) const;
   [[nodiscard]] std::size_t count_ready(const ZoneRole& group) const;
--- a/src/degradation/state_machine.cpp
+++ b/src/degradation/state_machine.cpp
@@ -7,10 +7,11 @@
 
 namespace {
 
-// Doublings of a level's least stay; from then on `max_stay` has long been reached.
+// Doublings of a level's min_stay that are counted at most: max_stay is reached by then, and the shift below
+// does not overflow.
 constexpr unsigned kMaxReentries = 16;
 
-// A condition that has no value does not hold: nothing is decided by what is not known.
+// Records since when a condition has held without interruption.
 void update_since(std::optional<Time>& since, bool holds, Time now) {
   if (!holds) {
     since.reset();
@@ -23,7 +24,8 @@
   return since && now - *since >= duration;
 }
 
-// The level of `next` that takes the place of `level` of `current`: by name, else the next milder one.
+// The level of `next` that replaces `level` of `current`: that of the same name, or else of the next milder
+// level.
 std::size_t matching_level(const LevelSet& current, std::size_t level, const LevelSet& next) {
   for (std::size_t i = level; i > kNormalLevel; --i) {
     if (const auto same_name = next.find(current.name(i))) return *same_name;
@@ -34,7 +36,7 @@
 }  // namespace
 
 const char* name(LevelChange::Cause cause) {
-  // Operators' scripts read these words: an override is "pinned" to them.
+  // Operators' scripts parse these names, in which an override is "pinned".
   constexpr std::array<const char*, 4> kNames = {"entered", "left", "pinned", "reloaded"};
   return kNames[static_cast<std::size_t>(cause)];
 }
@@ -51,6 +53,7 @@
   return step_up(signals, now) || step_down(signals, now);
 }
 
+// A condition without a value, as of an absent signal, does not hold.
 void StateMachine::update_timers(std::span<const expression::Value> signals, Time now) {
   for (std::size_t i = kNormalLevel + 1; i < timers_.size(); ++i) {
     const Level& level = levels_->level(i);
@@ -133,8 +136,16 @@
   const std::string previous_name = level_name();
   const std::size_t level = matching_level(*previous, level_, *next);
   install(std::move(next));
+  restore_timers(*previous, previous_timers);
+  level_ = level;
+  if (level_name() == previous_name) return;
+  record({now, previous_name, level_name(), LevelChange::Cause::kReloaded, {}, {}});
+  entered_at_ = now;
+}
+
+void StateMachine::restore_timers(const LevelSet& previous, const std::vector<LevelTimers>& previous_timers) {
   for (std::size_t i = kNormalLevel + 1; i < previous_timers.size(); ++i) {
-    const Level& before = previous->level(i);
+    const Level& before = previous.level(i);
     const auto same_name = levels_->find(before.name);
     if (!same_name) continue;
     const Level& after = levels_->level(*same_name);
@@ -143,10 +154,6 @@
     if (after.enter_text != before.enter_text) timers.enter_since.reset();
     if (after.leave_text != before.leave_text) timers.leave_since.reset();
   }
-  level_ = level;
-  if (level_name() == previous_name) return;
-  record({now, previous_name, level_name(), LevelChange::Cause::kReloaded, {}, {}});
-  entered_at_ = now;
 }
 
 std::optional<Duration> StateMachine::shed(const std::string& request_class,
--- a/src/degradation/state_machine.hpp
+++ b/src/degradation/state_machine.hpp
@@ -29,8 +29,8 @@
   Time at{};
   std::string from, to;
   Cause cause{};
-  std::string condition;  // that held; empty where an operator or a new file made the change
-  // As they were, in the environment's order; texts are left out (absent), as they don't outlive the request.
+  std::string condition;  // the one that held; empty for kOverridden and kReloaded
+  // At the time of the change, in the environment's order. Texts are absent, as their memory is the caller's.
   std::vector<expression::Value> signals;
 };
 
@@ -63,14 +63,15 @@
   [[nodiscard]] std::size_t level() const { return level_; }  // kNormalLevel: normal service
   [[nodiscard]] std::string level_name() const { return levels_->name(level_); }
 
-  // An operator's override holds whatever the signals are, until it is cleared; the conditions then apply to
-  // the level that it set.
+  // An operator's override: the level stays in force, whatever the signals are, until the override is
+  // cleared. From then on the conditions decide again, starting from this level.
   void set_override(std::size_t level, Time now);
   void clear_override() { overridden_ = false; }
   [[nodiscard]] bool is_overridden() const { return overridden_; }
 
-  // Other levels: the one in force stays where the new set has one of the same name; else the next milder one
-  // that it has takes its place. Conditions that stay the same keep the time that they have held.
+  // Replaces the levels. The level in force stays where the new set has one of the same name; otherwise it is
+  // replaced by the next milder one that the new set has. Unchanged conditions keep the time that they have
+  // held.
   void replace_levels(std::shared_ptr<const LevelSet> levels, Time now);
 
   // Whether the level in force sheds a request: the Retry-After then, else nullopt. `request`: the values of
@@ -84,11 +85,13 @@
  private:
   struct LevelTimers {
     std::optional<Time> enter_since, leave_since;  // since when the condition has held
-    std::optional<Time> left_at;                   // when it was last left for a milder one
-    unsigned reentries = 0;                        // how often in a row it was soon entered again
+    std::optional<Time> left_at;                   // when the level was last left for a milder one
+    unsigned reentries = 0;                        // how often in a row it was entered again soon after
   };
 
   void install(std::shared_ptr<const LevelSet> levels);
+  // Takes over the timers of levels that the set before had by the same name.
+  void restore_timers(const LevelSet& previous, const std::vector<LevelTimers>& previous_timers);
   void update_timers(std::span<const expression::Value> signals, Time now);
   bool step_up(std::span<const expression::Value> signals, Time now);
   bool step_down(std::span<const expression::Value> signals, Time now);
@@ -105,7 +108,7 @@
   std::size_t level_ = kNormalLevel;
   Time entered_at_{};  // the level in force
   bool overridden_ = false;
-  std::deque<Time> recent_changes_;  // of the longest window; without overrides and reloads
+  std::deque<Time> recent_changes_;  // within the longest window; without overrides and reloads
   std::deque<LevelChange> history_;
 };
 
--- a/tests/dispatcher/drain_test.cpp
+++ b/tests/dispatcher/drain_test.cpp
@@ -25,7 +25,8 @@
     dispatcher->start();
   }
   void add(const std::string& endpoint, const std::string& kind, const net::tcp::endpoint& at) {
-    config.initial_endpoints.list.entries.push_back({endpoint, "here", kind, 0, routing::EndpointState::kReady, 1, {}});
+    config.initial_endpoints.list.entries.push_back(
+        {endpoint, "here", kind, 0, routing::EndpointState::kReady, 1, {}});
     config.initial_endpoints.addresses.push_back({endpoint, at, true, false, "here", 0});
   }
   // Runs both sides until the condition holds; the timeout only ends a test that has failed.
