--- a/src/daemon/dispatcher.cpp
+++ b/src/daemon/dispatcher.cpp
@@ -1,5 +1,6 @@
 #include "daemon/dispatcher.hpp"
 
+#include <algorithm>
 #include <csignal>
 #include <exception>
 #include <utility>
@@ -12,9 +13,14 @@
 
 namespace {
 
-// New connections come for up to 0.4 s after SIGTERM; what comes more than 0.7 s after it may be lost.
+// How long a draining process without a successor still accepts connections. The platform directs new ones to
+// it for up to 0.4 s after SIGTERM, and may lose what is accepted more than 0.7 s after it.
 constexpr engine::Duration kAcceptAfterTerm = milliseconds(550);
-constexpr engine::Duration kDrainCheckPeriod = milliseconds(20);
+// Names of listening sockets in a hand-over: processes of other releases use the same ones.
+constexpr const char* kPlatformListener = "platform";
+constexpr const char* kChatListener = "chat";
+// How often a draining process checks whether its work is done: short beside the time that it takes.
+constexpr engine::Duration kDrainCheckInterval = milliseconds(20);
 
 }  // namespace
 
@@ -25,7 +31,7 @@
       reloader_(parts_, std::move(read_files)),
       stream_handover_(parts_),
       signals_(loop.io(), SIGTERM, SIGINT, SIGHUP) {
-  parts_.share_rate_limits();
+  parts_.apply_rate_limit_share();
 }
 
 ComponentCallbacks Dispatcher::callbacks() {
@@ -39,68 +45,70 @@
 
 void Dispatcher::start() {
   await_signal();
-  if (parts_.admin) {
-    parts_.admin->open();
-    parts_.log("console on " + to_text(parts_.admin->local()));
+  if (parts_.admin_server) {
+    parts_.admin_server->open();
+    parts_.log("console on " + to_text(parts_.admin_server->local()));
   }
-  parts_.peer.start();
+  parts_.hot_restart_peer.start();
 }
 
 void Dispatcher::await_signal() {
   signals_.async_wait([this](boost::system::error_code error, int number) {
     if (error) return;
-    if (number != SIGHUP) return drain();  // what is signalled from here on changes nothing
+    if (number != SIGHUP) return drain();  // no signal is handled from here on
     reload();
     await_signal();
   });
 }
 
-// ---- taking over and serving ----
+// ---- take-over and start of service ----
 
 void Dispatcher::on_handover(hot_restart::HandoverState handover) {
-  if (is_draining_) return;  // told to end before it began
+  if (is_draining_) return;  // SIGTERM came before this process served
   serve(std::move(handover));
 }
 
 void Dispatcher::serve(hot_restart::HandoverState handover) {
-  restore_drained_endpoints();  // before any list
+  restore_drained_endpoints();  // first: no endpoint of a list may be used before its drain is known
   restore_endpoint_list(handover.endpoint_list);
   parts_.engine.restore_learned_state(handover.learned_state);
-  parts_.levels.restore(handover.degradation_level);
+  parts_.degradation_controller.restore(handover.degradation_level);
   for (const routing::RequestId& id : handover.open_request_ids)
     parts_.engine.on_peer_request_progress(id, engine::RequestProgress::kInProgress);
-  parts_.watch.start(parts_.endpoints.version);
-  parts_.platform.server().open(std::move(handover.listening_sockets["platform"]));
-  chat_address_.serve(std::move(handover.listening_sockets["chat"]));
+  parts_.endpoint_watcher.start(parts_.endpoints.version);
+  parts_.platform_frontend.server().open(std::move(handover.listening_sockets[kPlatformListener]));
+  chat_address_.serve(std::move(handover.listening_sockets[kChatListener]));
   parts_.log("serving on " + to_text(parts_.config.listen) + " as " + parts_.config.name);
-  if (parts_.chat && !chat_address_.is_paired())
-    parts_.log("chat front on " + to_text(parts_.chat->server().local()));
+  if (parts_.chat_frontend && !chat_address_.is_paired())
+    parts_.log("chat front on " + to_text(parts_.chat_frontend->server().local()));
   is_serving_ = true;
   tick_levels();
-  parts_.peer.on_serving();
+  parts_.hot_restart_peer.on_serving();
 }
 
 void Dispatcher::restore_drained_endpoints() {
   parts_.drained_endpoints.load();
   for (const routing::EndpointId& endpoint : parts_.drained_endpoints.endpoints()) {
-    parts_.log("operators: host " + endpoint.value() + " still offline");
+    parts_.log("operators: endpoint " + endpoint.value() + " still offline");
     apply_administrative_state(endpoint, routing::AdministrativeState::kDrained);
   }
 }
 
-// Discovery may be silent for long: the list that was last known serves until it speaks.
+// Service discovery may not answer for long: until then the predecessor's list is in use, or else the
+// configuration's.
 void Dispatcher::restore_endpoint_list(const hot_restart::Json& handed_over) {
-  parts_.update_endpoints(parts_.config.known);
+  parts_.update_endpoints(parts_.config.initial_endpoints);
   if (handed_over.is_null()) return;
   try {
     parts_.update_endpoints(service_discovery::parse_endpoint_snapshot(handed_over));
   } catch (const std::exception& error) {
-    parts_.log(std::string("upgrade: the list can't be read: ") + error.what());
+    parts_.log(std::string("upgrade: the endpoint list can't be parsed: ") + error.what());
   }
 }
 
 void Dispatcher::tick_levels() {
-  parts_.levels.tick(parts_.engine.open_request_count(), parts_.watch.last_response_at());
+  parts_.degradation_controller.tick(parts_.engine.open_request_count(),
+                                     parts_.endpoint_watcher.last_response_at());
   parts_.loop.timers().add(parts_.loop.now() + degradation::DegradationController::kTick,
                            [this] { tick_levels(); });
 }
@@ -109,10 +117,10 @@
 
 std::map<std::string, int> Dispatcher::listening_sockets() {
   std::map<std::string, int> sockets;
-  http::Server& platform = parts_.platform.server();
-  if (platform.is_open()) sockets["platform"] = platform.listening_socket();
-  if (parts_.chat && parts_.chat->server().is_open())
-    sockets["chat"] = parts_.chat->server().listening_socket();
+  http::Server& platform = parts_.platform_frontend.server();
+  if (platform.is_open()) sockets[kPlatformListener] = platform.listening_socket();
+  if (parts_.chat_frontend && parts_.chat_frontend->server().is_open())
+    sockets[kChatListener] = parts_.chat_frontend->server().listening_socket();
   return sockets;
 }
 
@@ -129,15 +137,16 @@
 
 void Dispatcher::on_peers_changed() {
   parts_.apply_resource_limits();
-  if (!parts_.peer.has_peer()) parts_.engine.on_peer_disconnected();
-  if (!parts_.peer.has_predecessor() && is_serving_) chat_address_.join_pair(vrrp::StartMode::kNormal);
-  if (is_draining_ && parts_.peer.is_successor_serving()) stop_accepting();
+  if (!parts_.hot_restart_peer.has_peer()) parts_.engine.on_peer_disconnected();
+  if (!parts_.hot_restart_peer.has_predecessor() && is_serving_)
+    chat_address_.join_pair(vrrp::StartMode::kNormal);
+  if (is_draining_ && parts_.hot_restart_peer.is_successor_serving()) stop_accepting();
 }
 
 // ---- operators ----
 
 bool Dispatcher::is_ready() {
-  return parts_.platform.server().is_open() && !is_draining_ && parts_.engine.endpoint_count() > 0;
+  return parts_.platform_frontend.server().is_open() && !is_draining_ && parts_.engine.endpoint_count() > 0;
 }
 
 bool Dispatcher::set_administrative_state(const routing::EndpointId& endpoint,
@@ -152,19 +161,19 @@
                                              routing::AdministrativeState state) {
   if (!parts_.drained_endpoints.set_administrative_state(endpoint, state)) return;
   const bool is_drained = state == routing::AdministrativeState::kDrained;
-  parts_.log("operators: host " + endpoint.value() + (is_drained ? " offline" : " online"));
+  parts_.log("operators: endpoint " + endpoint.value() + (is_drained ? " offline" : " online"));
   apply_administrative_state(endpoint, state);
-  parts_.peer.notify_administrative_state(endpoint, state);
+  parts_.hot_restart_peer.notify_administrative_state(endpoint, state);
 }
 
-// The router hears of it first: what the pool gives back then goes elsewhere.
+// The router is notified first: attempts that the replica client then fails are retried at other endpoints.
 void Dispatcher::apply_administrative_state(const routing::EndpointId& endpoint,
                                             routing::AdministrativeState state) {
   parts_.engine.set_administrative_state(endpoint, state);
-  parts_.pool.set_administrative_state(endpoint, state);
+  parts_.replica_client.set_administrative_state(endpoint, state);
 }
 
-// ---- the end ----
+// ---- graceful shutdown ----
 
 void Dispatcher::drain() {
   if (is_draining_) return;
@@ -172,7 +181,7 @@
   parts_.log("draining: " + std::to_string(parts_.engine.unanswered_count()) + " requests unanswered");
   for (http::Server* server : parts_.client_servers()) server->drain();
   chat_address_.leave_pair();
-  if (parts_.peer.is_successor_serving()) {
+  if (parts_.hot_restart_peer.is_successor_serving()) {
     stop_accepting();
   } else {
     parts_.loop.timers().add(parts_.loop.now() + kAcceptAfterTerm, [this] { stop_accepting(); });
@@ -180,8 +189,8 @@
   finish_draining();
 }
 
-// Another process accepts what comes now, or nobody does: clients that are told so by a close come again
-// there.
+// New connections are the successor's or, without one, are refused. Closing idle connections makes their
+// clients reconnect.
 void Dispatcher::stop_accepting() {
   has_stopped_accepting_ = true;
   for (http::Server* server : parts_.client_servers()) {
@@ -190,27 +199,30 @@
   }
 }
 
-// Everything accepted is answered, every stream handed over and every reservation released before the end.
+// Ends the loop once every accepted request is answered, every stream handed over or complete, and every
+// reservation released; until then checks again after kDrainCheckInterval.
 void Dispatcher::finish_draining() {
   stream_handover_.hand_over();
   if (has_stopped_accepting_) {
     for (http::Server* server : parts_.client_servers()) server->close_idle();
   }
   if (is_work_left()) {
-    parts_.loop.timers().add(parts_.loop.now() + kDrainCheckPeriod, [this] { finish_draining(); });
+    parts_.loop.timers().add(parts_.loop.now() + kDrainCheckInterval, [this] { finish_draining(); });
     return;
   }
   parts_.log("drained");
-  parts_.peer.close();
+  parts_.hot_restart_peer.close();
   parts_.loop.stop();
 }
 
 bool Dispatcher::is_work_left() {
-  std::size_t clients = 0;
-  for (const http::Server* server : parts_.client_servers()) clients += server->client_count();
-  const bool is_owed =
-      parts_.engine.open_request_count() > 0 || clients > 0 || parts_.pool.releases_blocking_shutdown() > 0;
-  return !has_stopped_accepting_ || !parts_.peer.is_all_sent() || is_owed;
+  if (!has_stopped_accepting_) return true;
+  if (!parts_.hot_restart_peer.is_all_sent()) return true;
+  if (parts_.engine.open_request_count() > 0) return true;
+  if (parts_.replica_client.releases_blocking_shutdown() > 0) return true;
+  const std::vector<http::Server*> servers = parts_.client_servers();
+  return std::any_of(servers.begin(), servers.end(),
+                     [](const http::Server* server) { return server->client_count() > 0; });
 }
 
 }  // namespace dispatcher::daemon
