--- a/src/cue/evaluation_context.cpp
+++ b/src/cue/evaluation_context.cpp
@@ -70,7 +70,7 @@
 
 void EvaluationContext::report(Position position, std::string what) {
   if (problems_.size() >= kMaxProblems)
-    stop(position, "more than " + std::to_string(kMaxProblems) + " problems: the rest is not told");
+    stop(position, "more than " + std::to_string(kMaxProblems) + " problems; further ones are not reported");
   // The path of a problem that a trial discards would be built in vain.
   problems_.push_back({position, in_trial() ? std::string() : path(), std::move(what)});
 }
--- a/src/cue/evaluation_context.hpp
+++ b/src/cue/evaluation_context.hpp
@@ -11,7 +11,8 @@
 
 namespace dispatcher::cue {
 
-/// Thrown where an evaluation reaches a limit. The problem that says so has been reported.
+/// Thrown where an evaluation reaches a limit, after the problem that names the limit has been reported. Schema
+/// catches it, so that it leaves no file of this package; it is deliberately no std::exception.
 struct LimitReached {};
 
 /// The state of one evaluation. Not thread-safe.
--- a/src/cue/evaluator.hpp
+++ b/src/cue/evaluator.hpp
@@ -19,7 +19,8 @@
 /// and report what is wrong to the context.
 class Evaluator {
  public:
-  /// Takes the file as parse() returned it.
+  /// Takes the file as parse() returned it. Reports definitions that are repeated, so that it, too, may throw
+  /// LimitReached.
   Evaluator(EvaluationContext& context, Expression file);
 
   /// The struct that the file is, without its definitions, which are evaluated even if nothing uses them.
--- a/src/cue/grammar.hpp
+++ b/src/cue/grammar.hpp
@@ -117,9 +117,10 @@
 struct EndOfDeclaration : sor<Separator, seq<WhiteSpace, eof>> {};
 struct TopLevelDeclaration : if_must<success, Declaration, EndOfDeclaration> {};
 
-// The error where a rule must match and does not; nullptr: PEGTL's own.
+// The error where a rule must match and does not. Each rule that can fail there has its own message below; the
+// general one only ensures that no error ever names a rule of this grammar.
 template <typename Rule>
-inline constexpr const char* kMessage = nullptr;
+inline constexpr const char* kMessage = "syntax error";
 template <>
 inline constexpr const char* kMessage<Value> = "a value expected";
 template <>
@@ -148,19 +149,19 @@
 inline constexpr const char* kMessage<RawMultilineStringTail> = "the text is not closed";
 template <>
 inline constexpr const char* kMessage<EndOfDeclaration> = "a comma or the line's end expected";
+template <>
+inline constexpr const char* kMessage<eof> = "expected end of file";
 
-/// PEGTL's control class: raises the message of a rule as tao::pegtl::parse_error.
-template <typename Rule>
-struct Control : normal<Rule> {
-  template <typename ParseInput, typename... States>
-  [[noreturn]] static void raise(const ParseInput& input, States&&... states) {
-    if constexpr (kMessage<Rule> != nullptr) {
-      throw parse_error(kMessage<Rule>, input);
-    } else {
-      normal<Rule>::raise(input, states...);
-    }
-  }
+/// PEGTL's control class: raises the message of a rule that must match as tao::pegtl::parse_error.
+struct ErrorMessages {
+  template <typename Rule>
+  static constexpr const char* message = kMessage<Rule>;
+  // Where a rule need not match, its failure is no error.
+  template <typename Rule>
+  static constexpr bool raise_on_failure = false;
 };
+template <typename Rule>
+struct Control : must_if<ErrorMessages>::control<Rule> {};
 
 /// PEGTL's action class: limits how deeply recursive rules nest, so that no file exhausts the stack.
 template <typename Rule>
--- a/src/cue/schema.cpp
+++ b/src/cue/schema.cpp
@@ -1,6 +1,7 @@
 #include "cue/schema.hpp"
 
 #include <algorithm>
+#include <type_traits>
 #include <utility>
 
 #include "cue/data_builder.hpp"
@@ -29,38 +30,45 @@
   throw Errors(name, std::move(problems));
 }
 
-// The data of a file that satisfies `root`. Problems are left in the context.
-Data evaluate_against(const ValuePtr& root, Evaluator& evaluator, EvaluationContext& context) {
+// Applies `evaluate` to an evaluator of the file and returns its result; a default-constructed one where a
+// limit was reached. The only place that makes an Evaluator, as already its constructor may throw
+// LimitReached. Problems are left in the context.
+template <class Evaluate>
+auto evaluate_within_limits(EvaluationContext& context, Expression file, Evaluate evaluate)
+    -> std::invoke_result_t<Evaluate, Evaluator&> {
   try {
-    const ValuePtr value = evaluator.evaluate_file();
-    if (value == nullptr) return {};
-    const ValuePtr unified = Unifier(context).unify(root, value);
-    if (unified == nullptr) return {};
-    return DataBuilder(context).build(unified);
+    Evaluator evaluator(context, std::move(file));
+    return evaluate(evaluator);
   } catch (const LimitReached&) {
     return {};
   }
 }
 
+// The data of a file that satisfies `root`; null where a problem was reported.
+Data unify_with_schema(EvaluationContext& context, const ValuePtr& root, const ValuePtr& value) {
+  if (value == nullptr) return {};
+  const ValuePtr unified = Unifier(context).unify(root, value);
+  if (unified == nullptr) return {};
+  return DataBuilder(context).build(unified);
+}
+
 }  // namespace
 
 Schema::Schema(std::string_view cue, const std::string& root) {
   Expression definitions = parse({"schema", std::string(cue)});
   clear_positions(definitions);
   EvaluationContext context;
-  Evaluator evaluator(context, std::move(definitions));
-  try {
-    root_ = evaluator.evaluate_definition(root);
-  } catch (const LimitReached&) {
-    root_ = nullptr;
-  }
+  root_ = evaluate_within_limits(context, std::move(definitions), [&](Evaluator& evaluator) {
+    return evaluator.evaluate_definition(root);
+  });
   throw_if_any("schema", context.problems());
 }
 
 Data Schema::read(const File& file) const {
   EvaluationContext context;
-  Evaluator evaluator(context, parse(file));
-  Data data = evaluate_against(root_, evaluator, context);
+  Data data = evaluate_within_limits(context, parse(file), [&](Evaluator& evaluator) {
+    return unify_with_schema(context, root_, evaluator.evaluate_file());
+  });
   throw_if_any(file.name, context.problems());
   return data;
 }
--- a/src/expression/grammar.hpp
+++ b/src/expression/grammar.hpp
@@ -95,7 +95,7 @@
 struct Conditional : seq<Disjunction, opt<Space, Branches>> {};
 struct Expression : must<Space, Operand, Space, eof> {};
 
-// What an error says where a rule was expected.
+// The error where a rule must match and does not.
 template <typename Rule>
 inline constexpr const char* kExpected = "an operand expected";
 template <>
@@ -113,13 +113,16 @@
 template <char Quote>
 inline constexpr const char* kExpected<ClosingQuote<Quote>> = "the text is not closed";
 
-template <typename Rule>
-struct Control : normal<Rule> {
-  template <typename Input, typename... States>
-  [[noreturn]] static void raise(const Input& input, States&&... /*states*/) {
-    throw parse_error(kExpected<Rule>, input);
-  }
+// PEGTL's control class: raises the message of a rule that must match as tao::pegtl::parse_error.
+struct ErrorMessages {
+  template <typename Rule>
+  static constexpr const char* message = kExpected<Rule>;
+  // Where a rule need not match, its failure is no error.
+  template <typename Rule>
+  static constexpr bool raise_on_failure = false;
 };
+template <typename Rule>
+struct Control : must_if<ErrorMessages>::control<Rule> {};
 
 // Bounds the parser's recursion.
 template <typename Rule>
--- a/tests/dispatcher/cue_test.cpp
+++ b/tests/dispatcher/cue_test.cpp
@@ -139,6 +139,13 @@
   CHECK(lines[0] == "f:2:9: a comma or the line's end expected, found '5'");
 }
 
+TEST_CASE("text after the closing brace of a file in braces is an error at its place", "[record]") {
+  const std::string schema = "#File: {...}";
+  CHECK(problems("{a: 1}\nb: 2\n", schema) == Lines{"f:2:1: expected end of file, found 'b:'"});
+  CHECK(problems("{\"a\": 1}}", schema) == Lines{"f:1:9: expected end of file, found '}'"});
+  CHECK(problems("{a: 1} // a comment\n\n", schema) == Lines{});
+}
+
 TEST_CASE("what CUE rejects is rejected", "[record]") {
   const std::string schema = "#File: {...}";
   for (const char* good :
@@ -216,6 +223,16 @@
   CHECK(problems(many, "#File: {}").size() == 101);  // and no more
 }
 
+TEST_CASE("definitions that are repeated beyond the limit of problems are rejected as Errors", "[record]") {
+  std::string repeated;
+  for (int i = 0; i < 150; ++i) repeated += "#A: 1\n";
+  const Lines lines = problems(repeated, "#File: {...}");
+  REQUIRE(lines.size() == 101);
+  CHECK(lines.front() == "f:2:1: #A: defined twice");
+  CHECK(lines.back() == "f:102:1: more than 100 problems; further ones are not reported");
+  CHECK_THROWS_AS(cue::Schema(repeated + "#File: {...}", "#File"), cue::Errors);
+}
+
 TEST_CASE("files cut and changed at random are read or rejected", "[record]") {
   std::mt19937 random(29);
   const std::string good =
