--- a/src/expression/ast.hpp
+++ b/src/expression/ast.hpp
@@ -12,7 +12,7 @@
 
 namespace dispatcher::expression {
 
-// What a node does. The children of operators are their operands, from left to right.
+// The operation of a node. The children of operators are their operands, from left to right.
 enum class Op : std::uint8_t {
   kLiteral,  // a constant of the node's type, in `integer`, `real` or `text`
   kName,     // text: an identifier
@@ -43,23 +43,27 @@
   kPresent,  // has(); integer and text: as of kField
 };
 
-// A node, which owns its children.
-struct Node {
+// A node's own data, without its children.
+struct NodeAttributes {
   Op op{};
-  std::size_t at = 0;        // the byte of the expression's text where it begins, or its operator stands
+  std::size_t at = 0;        // offset in the expression's text, in bytes: of its begin or of its operator
   Type type;                 // set by the type checker; of literals by the parser
   bool is_method = false;    // of kCall: object.function()
   std::int64_t integer = 0;  // also of a bool: 0 or 1
   double real = 0;
   std::string text;
+};
+
+// A node, which owns its children.
+struct Node : NodeAttributes {
   std::vector<Node> children;
 };
 
 // The symbol of an operator, such as "&&"; empty for nodes that are none.
 [[nodiscard]] std::string_view symbol(Op operation);
 
-// The tree as text, in one form whatever its spacing and parentheses were. Parsing that gives the same tree,
-// apart from the places.
+// The tree as text, in one canonical form whatever its spacing and parentheses were. Parsing it gives the same
+// tree, apart from the offsets.
 [[nodiscard]] std::string to_text(const Node& node);
 
 }  // namespace dispatcher::expression
--- a/src/expression/automaton.hpp
+++ b/src/expression/automaton.hpp
@@ -1,5 +1,4 @@
-// Regular expressions that are matched in a time known beforehand: one table lookup for each byte of the
-// text.
+// Regular expressions with a predictable matching time: one table lookup for each byte of the text.
 #ifndef DISPATCHER_EXPRESSION_AUTOMATON_HPP_
 #define DISPATCHER_EXPRESSION_AUTOMATON_HPP_
 
@@ -21,7 +20,7 @@
   // pattern, where it uses a feature that is not supported, or where the automaton grows too large.
   explicit Automaton(const std::string& pattern);
 
-  // Whether the text, which must be UTF-8, holds a match anywhere.
+  // Whether the text, which must be UTF-8, contains a match.
   [[nodiscard]] bool matches(std::string_view text) const noexcept {
     const std::uint32_t accepting = Dfa::kAccepting * dfa_.row_width;
     const std::uint32_t rejecting = Dfa::kRejecting * dfa_.row_width;
--- a/src/expression/bytecode.hpp
+++ b/src/expression/bytecode.hpp
@@ -50,7 +50,7 @@
   kToString
 };
 
-// The operand of a comparison whose sides are exchanged: a > b is computed as b < a, though a is evaluated
+// The operand of a comparison with exchanged sides: a > b is computed as b < a, while a is still evaluated
 // first.
 inline constexpr std::int32_t kReversed = 1;
 
@@ -61,21 +61,22 @@
   std::int32_t second_operand = 0;
 };
 
-// A constant list, sorted where only membership is asked for; or a map's keys, sorted, with their values.
+// A constant list, sorted where it is used for membership tests only; or a map's keys, sorted, with their
+// values.
 struct LookupTable {
   std::vector<Value> keys;
   std::vector<Value> values;
 };
 
-// Instructions with all that they refer to.
+// Instructions with the constants, tables and automata that they refer to.
 struct Bytecode {
   std::vector<Instruction> instructions;
   std::vector<Value> constants;
   std::vector<LookupTable> tables;
   std::vector<Automaton> automata;
-  std::vector<std::unique_ptr<std::string>> strings;  // that constants and tables are views of
-  std::size_t max_stack = 0;                          // values
-  std::size_t max_text = 0;                           // bytes of the strings that one evaluation makes
+  std::vector<std::unique_ptr<std::string>> strings;  // owns what constants and tables are views of
+  std::size_t max_stack = 0;                          // values on the stack at a time
+  std::size_t max_text = 0;                           // bytes of the strings that one evaluation creates
 };
 
 // The longest texts that numbers are converted to, in bytes.
--- a/src/expression/character_class_parser.cpp
+++ b/src/expression/character_class_parser.cpp
@@ -60,7 +60,7 @@
   Escape item = parse_bracket_item(cursor, case_mode);
   CharacterSet& set = item.characters;
   const bool is_single = set.size() == 1 && set[0].low == set[0].high && !item.is_perl_class;
-  // A '-' before the closing bracket stands for itself.
+  // A '-' before the closing bracket is a literal.
   const bool is_range =
       is_single && cursor.peek() == '-' && cursor.remaining().size() > 1 && cursor.peek(1) != ']';
   if (is_range) {
@@ -93,7 +93,7 @@
 CharacterSet parse_bracket_expression(PatternCursor& cursor, CaseMode case_mode) {
   CharacterSet set;
   const bool is_negated = cursor.consume("^");
-  bool is_first = true;  // a ']' in front stands for itself
+  bool is_first = true;  // a ']' in front is a literal
   while (cursor.at_end() || cursor.peek() != ']' || is_first) {
     if (cursor.at_end()) throw PatternError("']' expected");
     is_first = false;
--- a/src/expression/character_set.hpp
+++ b/src/expression/character_set.hpp
@@ -17,20 +17,21 @@
   std::uint32_t high = 0;
 };
 
-// The union of its ranges, which may overlap and stand in any order until normalized() is applied.
+// The union of its ranges, which may overlap and are in any order until normalized() is applied.
 using CharacterSet = std::vector<CodePointRange>;
 
 // The same set as sorted ranges that neither overlap nor touch.
 [[nodiscard]] CharacterSet normalized(CharacterSet set);
 
-// All code points that `set` does not hold, normalized.
+// All code points that `set` does not contain, normalized.
 [[nodiscard]] CharacterSet complement(CharacterSet set);
 
 // Adds the other case of each letter in `set`. Only the letters of ASCII are known, and the two characters
 // beyond ASCII that fold to one of them: U+017F (long s) and U+212A (the Kelvin sign).
 void add_other_cases(CharacterSet& set);
 
-// The same. Throws PatternError where the set holds letters beyond ASCII, whose cases are not known.
+// As add_other_cases(). Throws PatternError where the set contains letters beyond ASCII, whose cases are not
+// known.
 void add_other_cases_or_throw(CharacterSet& set);
 
 // The set of \d, \s or \w, named by its lower-case letter. Only ASCII, as in RE2.
--- a/src/expression/code_generator.cpp
+++ b/src/expression/code_generator.cpp
@@ -57,7 +57,7 @@
 }
 
 // One pass over the tree. Each generate function appends the code that leaves the node's value on the stack,
-// and returns how long that value is at most where it is a string, in bytes.
+// and returns the maximum length of that value in bytes; 0 where it is not a string.
 class CodeGenerator {
  public:
   explicit CodeGenerator(const Environment& fields) : fields_(fields) {}
@@ -74,7 +74,7 @@
   }
 
  private:
-  // Returns the index of the instruction. `stack_change`: how many values it pushes more than it pops.
+  // Appends an instruction and returns its index. `stack_change`: values pushed minus values popped.
   std::size_t emit(Opcode opcode, double cost_ns, int stack_change, std::int32_t operand = 0) {
     code_.instructions.push_back({opcode, operand, 0});
     costs_.push_back(cost_ns);
@@ -88,7 +88,7 @@
     return static_cast<std::int32_t>(code_.instructions.size());
   }
 
-  // Lets a jump lead to the instruction that is emitted next.
+  // Sets the target of a jump to the instruction that is emitted next.
   void set_target(std::size_t jump) { code_.instructions[jump].operand = next_index(); }
   void set_error_target(std::size_t branch) { code_.instructions[branch].second_operand = next_index(); }
 
@@ -153,7 +153,7 @@
 
   // ---- Operators ----
 
-  // A chain of conditions ends at the first one that decides it.
+  // Short-circuit evaluation: the first condition that decides the result ends the chain.
   std::size_t generate_logic(const Node& node, Opcode jump_if_decided, Opcode combine) {
     std::vector<std::size_t> jumps;
     generate(node.children[0]);
@@ -210,6 +210,13 @@
     return table;
   }
 
+  // For binary searches.
+  LookupTable sorted_list_table(const Node& list) {
+    LookupTable table = list_table(list);
+    std::sort(table.keys.begin(), table.keys.end(), is_less);
+    return table;
+  }
+
   LookupTable map_table(const Node& map) {
     std::vector<std::pair<Value, Value>> entries;
     entries.reserve(map.children.size() / 2);
@@ -243,13 +250,9 @@
     const Node& value = node.children[0];
     const Node& collection = node.children[1];
     const std::size_t length = generate(value);
-    if (collection.op == Op::kList) {
-      LookupTable table = list_table(collection);
-      std::sort(table.keys.begin(), table.keys.end(), is_less);
-      generate_lookup(Opcode::kInList, value.type.kind, length, std::move(table));
-    } else {
-      generate_lookup(Opcode::kInMap, value.type.kind, length, map_table(collection));
-    }
+    const bool is_list = collection.op == Op::kList;
+    LookupTable table = is_list ? sorted_list_table(collection) : map_table(collection);
+    generate_lookup(is_list ? Opcode::kInList : Opcode::kInMap, value.type.kind, length, std::move(table));
     return 0;
   }
 
--- a/src/expression/cost_model.cpp
+++ b/src/expression/cost_model.cpp
@@ -8,18 +8,18 @@
 
 namespace {
 
-constexpr double kStringNs = 15;       // of reading a string, besides its bytes
+constexpr double kStringNs = 15;       // of reading a string, in addition to its bytes
 constexpr double kByteNs = 0.5;        // of a byte that is compared or copied
-constexpr double kSizeFactor = 3;      // of a byte that is counted, against one that is compared
-constexpr double kSearchNs = 150;      // of a search, besides its bytes
+constexpr double kSizeFactor = 3;      // cost of counting a byte, relative to comparing it
+constexpr double kSearchNs = 150;      // of a search, in addition to its bytes
 constexpr double kSearchByteNs = 10;   // of a byte that is searched
-constexpr double kSearchPairNs = 0.2;  // of a byte that is searched, for each byte of the part
+constexpr double kSearchPairNs = 0.2;  // of a byte that is searched, for each byte of the substring
 constexpr double kIntToStringNs = 100;
 constexpr double kDoubleToStringNs = 600;
 constexpr double kStringToIntNs = 200;
 constexpr double kStringToDoubleNs = 1500;
 
-// Of a byte that is matched: a large automaton does not stay in the first caches.
+// Of a byte that is matched: a larger automaton does not fit into the L1 cache (32 KiB).
 constexpr std::size_t kSmallAutomatonBytes = std::size_t{32} * 1024;
 constexpr double kSmallAutomatonNs = 5;
 constexpr double kLargeAutomatonNs = 15;
--- a/src/expression/cost_model.hpp
+++ b/src/expression/cost_model.hpp
@@ -1,6 +1,6 @@
-// What instructions cost at most, in ns on a core of 2 GHz or more with cold caches: some three times what
-// the benchmark measures (bench/rules_bench.cpp). A computed cost must never be less than the true one:
-// better a rule that is rejected than a slow request.
+// The worst-case cost of instructions, in ns on a core of 2 GHz or more with cold caches: about three times
+// what the benchmark measures (bench/rules_bench.cpp). A computed cost must never be less than the true one:
+// rejecting a rule is better than delaying requests.
 #ifndef DISPATCHER_EXPRESSION_COST_MODEL_HPP_
 #define DISPATCHER_EXPRESSION_COST_MODEL_HPP_
 
@@ -11,11 +11,11 @@
 
 namespace dispatcher::expression {
 
-inline constexpr double kProgramNs = 20;      // of a program, besides its instructions
+inline constexpr double kProgramNs = 20;      // fixed cost of a program, in addition to its instructions
 inline constexpr double kInstructionNs = 10;  // of an instruction that reads no string
-inline constexpr double kDivisionNs = 30;     // of a division, in addition
+inline constexpr double kDivisionNs = 30;     // of a division, in addition to kInstructionNs
 
-// All lengths are the most bytes that a string may have.
+// All lengths are the maximum lengths of strings, in bytes.
 
 [[nodiscard]] double comparison_ns(Kind kind, std::size_t left_length, std::size_t right_length);
 // Reads both strings up to the length of the shorter one.
@@ -25,7 +25,7 @@
 [[nodiscard]] double lookup_ns(Kind kind, std::size_t key_length, std::size_t max_key_length,
                                std::size_t count);
 [[nodiscard]] double size_ns(std::size_t length);
-// Searching a part that is not constant.
+// Searching for a substring that is not constant.
 [[nodiscard]] double search_ns(std::size_t length, std::size_t part_length);
 [[nodiscard]] double match_ns(const Automaton& automaton, std::size_t length);
 // Conversion from a value of kind `from`; to a number, or to a string.
--- a/src/expression/dfa.cpp
+++ b/src/expression/dfa.cpp
@@ -58,7 +58,7 @@
     return std::binary_search(set.begin(), set.end(), nfa_.match);
   }
 
-  // Both lead to themselves on every byte.
+  // The rejecting and the accepting state, whose transitions all lead back to themselves.
   void add_decided_states() {
     sets_.resize(Dfa::kFirstUndecided);
     dfa_.accepts_at_end = {0, 1};
@@ -66,8 +66,8 @@
     dfa_.transitions.insert(dfa_.transitions.end(), dfa_.row_width, Dfa::kAccepting * dfa_.row_width);
   }
 
-  // A state of its own, never reached again: what holds at the text's begin holds nowhere else. The text may
-  // be at its end there, too, if it is empty.
+  // A separate state that is never reached again, as ^ matches at the text's begin only. That is also its end
+  // where the text is empty.
   std::uint32_t add_start_state() {
     StateSet start = closure_.of({nfa_.start}, {.is_begin = true, .is_end = false});
     if (is_match(start)) return Dfa::kAccepting;
--- a/src/expression/dfa.hpp
+++ b/src/expression/dfa.hpp
@@ -12,25 +12,25 @@
 
 namespace dispatcher::expression {
 
-inline constexpr std::size_t kMaxDfaStates = 1000;
+inline constexpr std::size_t kMaxDfaStates = 1000;  // bounds the memory of one pattern
 
 // A transition table. A state is denoted by the offset of its row in `transitions`, so that a transition is
 // one addition and one load.
 struct Dfa {
-  // The first two states: no text matches any more, or the text has matched, whatever follows.
+  // The first two states decide: no continuation matches, or each one does.
   static constexpr std::uint32_t kRejecting = 0;
   static constexpr std::uint32_t kAccepting = 1;
   static constexpr std::uint32_t kFirstUndecided = 2;
 
-  std::array<std::uint8_t, 256> byte_class{};  // of each byte; the states tell no bytes of a class apart
+  std::array<std::uint8_t, 256> byte_class{};  // by byte; all states treat the bytes of one class alike
   std::uint32_t row_width = 1;                 // the number of byte classes
   std::uint32_t start = 0;                     // offset of the start state's row
   std::vector<std::uint32_t> transitions;      // by state and byte class: the offset of the next state's row
   std::vector<std::uint8_t> accepts_at_end;    // by state: 1 where a text that ends in it matches
 };
 
-// The automaton of all texts that hold a match anywhere. Throws PatternError where there would be more than
-// kMaxDfaStates states, or where building them takes too much work.
+// The automaton that accepts the texts which contain a match. Throws PatternError where it would have more than
+// kMaxDfaStates states, or where building it takes too much work.
 [[nodiscard]] Dfa build_dfa(const Nfa& nfa);
 
 }  // namespace dispatcher::expression
--- a/src/expression/errors.hpp
+++ b/src/expression/errors.hpp
@@ -1,4 +1,4 @@
-// What is wrong with an expression.
+// The problems of an expression, and the exception that carries them.
 #ifndef DISPATCHER_EXPRESSION_ERRORS_HPP_
 #define DISPATCHER_EXPRESSION_ERRORS_HPP_
 
@@ -9,17 +9,17 @@
 
 namespace dispatcher::expression {
 
-// One thing that is wrong.
+// One error in an expression.
 struct Problem {
-  std::size_t at = 0;  // the byte of the expression's text, from 0
+  std::size_t at = 0;  // offset in the expression's text, in bytes from 0
   std::string what;
 };
 
-// Thrown where an expression is rejected, with all that was found. what() has all of it as one text, in which
-// places count from 1.
+// Thrown where an expression is rejected, with all problems that were found. what() joins them into one line, in
+// which offsets count from 1.
 struct Errors : std::runtime_error {
   explicit Errors(std::vector<Problem> all);
-  std::vector<Problem> problems;  // one at least
+  std::vector<Problem> problems;  // at least one
 };
 
 // Throws Errors with one problem.
--- a/src/expression/first_match.cpp
+++ b/src/expression/first_match.cpp
@@ -9,9 +9,9 @@
 namespace {
 
 // Worst costs, ns.
-constexpr double kLookupNs = 40;  // of a field's value in its index, besides its bytes
-constexpr double kLookupByteNs = 1;
-constexpr double kTryNs = 15;  // of a condition, besides its own cost
+constexpr double kLookupNs = 40;     // of a field's value in its index, in addition to its bytes
+constexpr double kLookupByteNs = 1;  // of a byte of that value
+constexpr double kTryNs = 15;        // of evaluating a condition, in addition to its own cost
 
 // A membership of more values is not indexed: each of them takes an entry.
 constexpr std::size_t kMaxIndexedValues = 64;
@@ -41,7 +41,7 @@
   compute_worst_ns(fields);
 }
 
-// Null: there are too many already.
+// The index of the field; null where kMaxIndexedFields other fields are indexed already.
 FirstMatch::FieldIndex* FirstMatch::find_or_add_index(int field) {
   const auto it = std::find_if(field_indices_.begin(), field_indices_.end(),
                                [&](const FieldIndex& index) { return index.field == field; });
@@ -51,12 +51,12 @@
   return &field_indices_.back();
 }
 
-// Of several memberships the one whose largest group is the smallest so far.
+// The membership to index a condition by: of several, the one whose largest group is the smallest so far.
 std::optional<Membership> FirstMatch::choose_membership(const Node& condition) {
   std::optional<Membership> best;
   std::size_t smallest = SIZE_MAX;
-  for (const Node* part : parts(condition)) {
-    auto candidate = membership(*part);
+  for (const Node* conjunct : conjuncts(condition)) {
+    auto candidate = membership(*conjunct);
     if (!candidate || candidate->values.size() > kMaxIndexedValues) continue;
     const FieldIndex* index = find_or_add_index(candidate->field);
     if (index == nullptr) continue;
@@ -81,7 +81,7 @@
   FieldIndex& index = *find_or_add_index(membership->field);
   for (const Value& value : membership->values) {
     Indices& group = index.find_or_add(value);
-    const bool is_repeated = !group.empty() && group.back() == condition;  // a value that stands twice
+    const bool is_repeated = !group.empty() && group.back() == condition;  // of a repeated value
     if (!is_repeated) group.push_back(condition);
   }
 }
--- a/src/expression/first_match.hpp
+++ b/src/expression/first_match.hpp
@@ -1,4 +1,4 @@
-// Ordered lists of conditions, of which the first one that holds counts.
+// Ordered lists of conditions, of which the first one that is true decides.
 #ifndef DISPATCHER_EXPRESSION_FIRST_MATCH_HPP_
 #define DISPATCHER_EXPRESSION_FIRST_MATCH_HPP_
 
@@ -15,20 +15,22 @@
 
 namespace dispatcher::expression {
 
-// Finds the first of its conditions that holds. Conditions that can hold only for some values of a field are
-// indexed by these values, so that the worst cost grows with the largest group of one value and not with the
-// list. Immutable once made, so that threads may share it.
+// Finds the first condition that is true. Conditions that can be true only for some values of a field are
+// indexed by these values, so that the worst-case cost grows with the largest group of one value rather than
+// with the list. Immutable, so that threads may share it.
 class FirstMatch {
  public:
   FirstMatch() = default;
   // Owns the conditions, which must be compiled for `fields` with a bool as their result.
   FirstMatch(std::vector<Program> conditions, const Environment& fields);
 
-  // The index of the first condition that holds, -1: none. A condition that ends in an error does not hold.
+  // The index of the first condition that is true; -1 where there is none. A condition that ends in an error
+  // is not true.
   // `fields` and `scratch` as in Program::run(), the scratch after reserve(). Allocates nothing.
   [[nodiscard]] int find(std::span<const Value> fields, Scratch& scratch) const noexcept;
 
-  // A bound on the time that find() takes, in ns, and the condition whose own cost is the highest; -1: none.
+  // An upper bound on the time that find() takes, in ns, and the index of the condition with the highest cost
+  // of its own; -1 where there are no conditions.
   [[nodiscard]] double worst_ns() const { return worst_ns_; }
   [[nodiscard]] int costliest() const { return costliest_; }
 
@@ -44,25 +46,25 @@
  private:
   using Indices = std::vector<std::uint32_t>;  // of conditions, in ascending order
 
-  // The conditions that can hold only for some values of one field, by these values.
+  // The conditions that can be true only for some values of one field, by these values.
   struct FieldIndex {
     int field = -1;
     std::unordered_map<std::string_view, Indices> by_string;
     std::unordered_map<std::int64_t, Indices> by_integer;
 
-    // Null: no condition can hold for this value.
+    // Null where no condition can be true for this value.
     [[nodiscard]] const Indices* find(const Value& value) const;
     Indices& find_or_add(const Value& value);
   };
 
-  // Looking up more fields than these would cost more than it saves.
+  // Looking up more fields would cost more than it saves.
   static constexpr std::size_t kMaxIndexedFields = 8;
 
   FieldIndex* find_or_add_index(int field);
   std::optional<Membership> choose_membership(const Node& condition);
   void add_to_index(std::uint32_t condition);
   void compute_worst_ns(const Environment& fields);
-  // The cost of trying all of these, which also updates the costliest one.
+  // The worst-case cost of evaluating all of these, ns. Also updates the costliest condition.
   double group_ns(const Indices& indices);
 
   std::vector<Program> conditions_;
--- a/src/expression/from_cue.cpp
+++ b/src/expression/from_cue.cpp
@@ -6,11 +6,11 @@
 
 namespace dispatcher::expression {
 
-std::optional<Program> compile(const cue::Data& field, const Environment& fields, Kind wanted,
+std::optional<Program> compile(const cue::Data& field, const Environment& fields, Kind expected,
                                std::vector<cue::Problem>& problems) {
   if (field.is_null()) return std::nullopt;
   try {
-    return Program::compile(field.text(), fields, wanted);
+    return Program::compile(field.text(), fields, expected);
   } catch (const Errors& errors) {
     for (const Problem& problem : errors.problems) {
       problems.push_back(cue::problem(
--- a/src/expression/from_cue.hpp
+++ b/src/expression/from_cue.hpp
@@ -10,9 +10,10 @@
 
 namespace dispatcher::expression {
 
-// Compiles the text of `field`. nullopt: the record lacks it, or it is wrong; then `problems` has got all
-// that is wrong, at the field's place in the file.
-[[nodiscard]] std::optional<Program> compile(const cue::Data& field, const Environment& fields, Kind wanted,
+// Compiles the text of `field`, whose result must be of kind `expected`. nullopt where the record lacks the
+// field, or where it does not compile; all problems are then appended to `problems`, at the field's position
+// in the file.
+[[nodiscard]] std::optional<Program> compile(const cue::Data& field, const Environment& fields, Kind expected,
                                              std::vector<cue::Problem>& problems);
 
 }  // namespace dispatcher::expression
--- a/src/expression/grammar.hpp
+++ b/src/expression/grammar.hpp
@@ -11,7 +11,7 @@
 
 namespace dispatcher::expression::grammar {
 
-// Qualified names of each rule would hide the grammar; the namespace holds nothing else.
+// Unqualified names of PEGTL's rules keep the grammar readable; the namespace contains nothing else.
 using namespace tao::pegtl;
 
 struct Comment : seq<string<'/', '/'>, star<not_at<eolf>, any>> {};
@@ -70,7 +70,7 @@
     : if_must<one<'{'>, Space, opt<Entry, Space, star<Comma, Entry, Space>, opt<Comma>>, ClosingBrace> {};
 struct Parenthesized : if_must<one<'('>, Space, Operand, Space, ClosingParenthesis> {};
 struct Call : seq<Name, Space, Arguments> {};
-// What stands alone as an operand.
+// An operand without operators.
 struct Primary : sor<Boolean, Null, RawString, LongString, PlainString, Double, Integer, Call, Name,
                      Parenthesized, List, Map> {};
 struct Select : if_must<seq<one<'.'>, not_at<digit>>, Space, MemberName, opt<Space, Arguments>> {};
@@ -124,7 +124,7 @@
 template <typename Rule>
 struct Control : must_if<ErrorMessages>::control<Rule> {};
 
-// Bounds the parser's recursion.
+// PEGTL's action class: limits how deeply recursive rules nest, so that no expression exhausts the stack.
 template <typename Rule>
 struct Action : nothing<Rule> {};
 template <>
--- a/src/expression/literals.cpp
+++ b/src/expression/literals.cpp
@@ -56,7 +56,7 @@
   return code_point;
 }
 
-// The character that a letter after the backslash stands for; nullopt: it is no such letter.
+// The character of an escape sequence of one letter; nullopt where the letter has none.
 std::optional<char> simple_escape(char letter) {
   constexpr std::string_view kLetters = "abfnrtv\\?\"'`";
   constexpr std::string_view kCharacters = "\a\b\f\n\r\t\v\\?\"'`";
@@ -110,7 +110,7 @@
       result += content.text[i++];
       continue;
     }
-    // The grammar has made sure that something stands after a backslash.
+    // The grammar ensures that a character follows each backslash.
     const std::size_t length = append_escape(content.text.substr(i + 1), result);
     if (length == 0) fail(content.at + i, "unknown escape in the text");
     i += 1 + length;
--- a/src/expression/literals.hpp
+++ b/src/expression/literals.hpp
@@ -10,7 +10,7 @@
 
 namespace dispatcher::expression {
 
-// A literal and the byte of the expression's text where it begins.
+// A literal, and its offset in the expression's text in bytes.
 struct Token {
   std::string_view text;
   std::size_t at = 0;
@@ -18,15 +18,16 @@
 
 enum class Sign { kPositive, kNegative };
 
-// The value of decimal or 0x digits, negated for kNegative: only so can the least integer be written. Throws
-// Errors where it does not fit into 64 bits.
+// The value of decimal or 0x digits, negated for kNegative: the smallest integer has no positive counterpart.
+// Throws Errors where it does not fit into 64 bits.
 [[nodiscard]] std::int64_t parse_integer(const Token& digits, Sign sign);
 
 // Throws Errors where the value is not finite.
 [[nodiscard]] double parse_double(const Token& number);
 
-// What stands between the quotes of a string literal, with its escapes replaced. `at`: of the first character
-// between the quotes. Throws Errors at an escape that is not known.
+// The content of a string literal, which is the text between its quotes, with its escape sequences replaced.
+// `content.at`: offset of the first character after the opening quote. Throws Errors at an unknown escape
+// sequence.
 [[nodiscard]] std::string unescape(const Token& content);
 
 }  // namespace dispatcher::expression
--- a/src/expression/membership.cpp
+++ b/src/expression/membership.cpp
@@ -25,25 +25,25 @@
 
 }  // namespace
 
-std::vector<const Node*> parts(const Node& condition) {
+std::vector<const Node*> conjuncts(const Node& condition) {
   if (condition.op != Op::kAnd) return {&condition};
   std::vector<const Node*> all;
   for (const Node& child : condition.children) {
-    const std::vector<const Node*> inner = parts(child);
+    const std::vector<const Node*> inner = conjuncts(child);
     all.insert(all.end(), inner.begin(), inner.end());
   }
   return all;
 }
 
-std::optional<Membership> membership(const Node& part) {
-  if (part.op == Op::kEqual) {
-    const Node& left = part.children[0];
-    const Node& right = part.children[1];
+std::optional<Membership> membership(const Node& conjunct) {
+  if (conjunct.op == Op::kEqual) {
+    const Node& left = conjunct.children[0];
+    const Node& right = conjunct.children[1];
     if (left.op == Op::kLiteral) return field_membership(right, {&left, 1});
     return field_membership(left, {&right, 1});
   }
-  if (part.op == Op::kIn && part.children[1].op == Op::kList)
-    return field_membership(part.children[0], part.children[1].children);
+  if (conjunct.op == Op::kIn && conjunct.children[1].op == Op::kList)
+    return field_membership(conjunct.children[0], conjunct.children[1].children);
   return std::nullopt;
 }
 
--- a/src/expression/membership.hpp
+++ b/src/expression/membership.hpp
@@ -1,4 +1,5 @@
-// Finds what must hold of single fields for a condition to hold.
+// Analysis of conditions: their conjuncts, and which of these test a single field against constants. Used to
+// index conditions by field values.
 #ifndef DISPATCHER_EXPRESSION_MEMBERSHIP_HPP_
 #define DISPATCHER_EXPRESSION_MEMBERSHIP_HPP_
 
@@ -10,18 +11,18 @@
 
 namespace dispatcher::expression {
 
-// A test whether the value of one field, a string or an int, is one of some constants.
+// A test whether the value of one field, a string or an int, is in a set of constants.
 struct Membership {
   int field = -1;             // its number in the environment
   std::vector<Value> values;  // views of the condition's tree
 };
 
-// The parts of a condition that must all hold for it to hold. Pointers into `condition`.
-[[nodiscard]] std::vector<const Node*> parts(const Node& condition);
+// The operands of the conjunction that a condition is, nested ones included; the condition itself where it is
+// no conjunction. Pointers into `condition`.
+[[nodiscard]] std::vector<const Node*> conjuncts(const Node& condition);
 
-// What a part tests, where it is nothing but the membership of one field: field == constant, or field in
-// [constants]; else nullopt.
-[[nodiscard]] std::optional<Membership> membership(const Node& part);
+// The test of a conjunct of the form field == constant or field in [constants]; nullopt for any other.
+[[nodiscard]] std::optional<Membership> membership(const Node& conjunct);
 
 }  // namespace dispatcher::expression
 
--- a/src/expression/nfa.cpp
+++ b/src/expression/nfa.cpp
@@ -99,7 +99,7 @@
     return begin;
   }
 
-  // A counted repetition is written out: its child is built as often as it may match.
+  // A counted repetition is unrolled: its child is built as often as it may match.
   NfaStateId build_repetition(const PatternNode& node, NfaStateId next) {
     const PatternNode& child = node.children.front();
     if (node.max_count == PatternNode::kUnbounded) {
@@ -124,7 +124,7 @@
         begin = begin == kNoState ? bytes : add_split(begin, bytes);
       }
     }
-    // An empty set: a range of bytes that holds none.
+    // An empty set: a byte range without bytes.
     return begin == kNoState ? add_byte_range(1, 0, next) : begin;
   }
 
--- a/src/expression/nfa.hpp
+++ b/src/expression/nfa.hpp
@@ -12,7 +12,7 @@
 
 namespace dispatcher::expression {
 
-inline constexpr std::size_t kMaxNfaStates = 5000;
+inline constexpr std::size_t kMaxNfaStates = 5000;  // bounds the work of building the deterministic automaton
 
 // Index of a state in Nfa::states.
 using NfaStateId = int;
@@ -21,10 +21,10 @@
 // A state with its outgoing transitions.
 struct NfaState {
   enum class Kind : std::uint8_t {
-    kByteRange,  // consumes a byte from `low` to `high`, then goes on at `next`
-    kSplit,      // goes on at `next` and at `alternative`
-    kTextBegin,  // goes on at `next` where no byte has been consumed
-    kTextEnd,    // goes on at `next` where no byte is left
+    kByteRange,  // consumes a byte from `low` to `high`, then continues at `next`
+    kSplit,      // continues at `next` and at `alternative`
+    kTextBegin,  // continues at `next` where no byte has been consumed
+    kTextEnd,    // continues at `next` where no byte is left
     kMatch
   };
   Kind kind = Kind::kSplit;
@@ -33,7 +33,7 @@
   NfaStateId next = kNoState;
   NfaStateId alternative = kNoState;
 
-  // Whether it is a byte range that holds `byte`.
+  // Whether it is a byte range that contains `byte`.
   [[nodiscard]] bool consumes(std::uint8_t byte) const {
     return kind == Kind::kByteRange && low <= byte && byte <= high;
   }
@@ -52,7 +52,7 @@
 // States that are active at one place of a text, sorted.
 using StateSet = std::vector<NfaStateId>;
 
-// Where in a text an epsilon closure is computed: what assertions hold there.
+// The place in a text at which an epsilon closure is computed, which decides whether ^ and $ match.
 struct TextPlace {
   bool is_begin = false;
   bool is_end = false;
@@ -63,8 +63,8 @@
  public:
   explicit EpsilonClosure(const Nfa& nfa) : states_(nfa.states), is_visited_(nfa.states.size()) {}
 
-  // All states that are reached from `from` without consuming a byte. States that wait for the text's end
-  // are kept in the set, but passed only where it is the end.
+  // All states that are reached from `from` without consuming a byte. kTextEnd states are always in the set,
+  // but followed only at the text's end.
   [[nodiscard]] StateSet of(const StateSet& from, TextPlace place);
 
  private:
--- a/src/expression/parser.cpp
+++ b/src/expression/parser.cpp
@@ -106,7 +106,7 @@
   [[nodiscard]] Node build_negation(const ParseTree& tree, int depth) const {
     const ParseTree& operand = *tree.children.back();
     const bool is_minus = tree.string_view().front() == '-';
-    // The least integer cannot be written as a positive one that is negated.
+    // The smallest integer has no positive counterpart, so a sign is a part of its literal.
     const bool is_integer = operand.is_type<grammar::Member>() && operand.children.size() == 1 &&
                             operand.children.front()->is_type<grammar::Integer>();
     if (!is_minus || !is_integer) return build_with_children(is_minus ? Op::kNegate : Op::kNot, tree, depth);
--- a/src/expression/parser.hpp
+++ b/src/expression/parser.hpp
@@ -10,8 +10,8 @@
 
 namespace dispatcher::expression {
 
-inline constexpr std::size_t kMaxExpressionBytes = std::size_t{16} * 1024;
-inline constexpr int kMaxDepth = 64;  // of the syntax tree
+inline constexpr std::size_t kMaxExpressionBytes = std::size_t{16} * 1024;  // bounds the parser's work
+inline constexpr int kMaxDepth = 64;  // of the syntax tree: bounds the recursion
 
 // The syntax tree of `text`, which it does not refer to. Throws Errors with the first problem. Work and stack
 // are bounded by kMaxExpressionBytes and kMaxDepth.
--- a/src/expression/pattern_cursor.hpp
+++ b/src/expression/pattern_cursor.hpp
@@ -1,4 +1,4 @@
-// The place in a pattern up to which it has been read.
+// A reading position in a pattern.
 #ifndef DISPATCHER_EXPRESSION_PATTERN_CURSOR_HPP_
 #define DISPATCHER_EXPRESSION_PATTERN_CURSOR_HPP_
 
@@ -32,7 +32,7 @@
     position_ += count < left ? count : left;
   }
 
-  // Skips `token` where it stands here.
+  // Skips `token` and returns true where it comes next.
   bool consume(std::string_view token) {
     if (!remaining().starts_with(token)) return false;
     position_ += token.size();
--- a/src/expression/pattern_parser.cpp
+++ b/src/expression/pattern_parser.cpp
@@ -14,9 +14,9 @@
 
 namespace {
 
-constexpr int kMaxNesting = 100;  // of groups
-constexpr int kMaxCount =
-    100'000;  // a larger count of a repetition is cut: the automaton is too large anyway
+constexpr int kMaxNesting = 100;  // of groups: bounds the recursion
+// A larger count of a repetition is reduced to this, which exceeds the limit of the automaton anyway.
+constexpr int kMaxCount = 100'000;
 
 // How often a repetition matches.
 struct CountRange {
@@ -36,7 +36,7 @@
   }
 
  private:
-  // Set by (?i) and (?s) for the rest of their group.
+  // Set by (?i) and (?s) for the remainder of their group.
   struct Flags {
     CaseMode case_mode = CaseMode::kSensitive;
     bool dot_matches_newline = false;
@@ -75,7 +75,7 @@
     last = parse_repetitions(std::move(last));
   }
 
-  // nullopt: flags for the rest of the group, which match nothing by themselves.
+  // nullopt where there are only flags for the remainder of the group, which match nothing by themselves.
   std::optional<PatternNode> parse_atom(int depth) {
     if (cursor_.consume("(")) return parse_group(depth);
     if (cursor_.consume("^") || cursor_.consume("\\A")) return assertion(PatternNode::Kind::kTextBegin);
@@ -125,7 +125,7 @@
     return {{0, '\n' - 1}, {'\n' + 1, kMaxCodePoint}};
   }
 
-  // After "(". nullopt: it holds flags alone.
+  // Called after "(". nullopt where the parentheses contain only flags.
   std::optional<PatternNode> parse_group(int depth) {
     const Flags outer = flags_;
     if (cursor_.consume("?P<")) {
@@ -141,7 +141,7 @@
     return group;
   }
 
-  // After "(?": true where a group follows, false where the flags are for the rest of the outer one.
+  // Called after "(?". True where a group follows, false where the flags are for the remainder of the outer one.
   bool parse_flags() {
     bool is_set = true;
     while (!cursor_.at_end()) {
@@ -188,7 +188,7 @@
     return parse_counts();
   }
 
-  // {2}, {2,} or {2,5}; anything else in braces stands for itself.
+  // {2}, {2,} or {2,5}; anything else in braces is literal text.
   std::optional<CountRange> parse_counts() {
     const PatternCursor begin = cursor_;
     if (!cursor_.consume("{")) return std::nullopt;
--- a/src/expression/pattern_parser.hpp
+++ b/src/expression/pattern_parser.hpp
@@ -1,5 +1,5 @@
 // Parses regular expressions, in the syntax of RE2 (https://github.com/google/re2/wiki/Syntax), into a syntax
-// tree. Offered is what an automaton over bytes can match: no word boundaries, no Unicode classes.
+// tree. Supports what an automaton over bytes can match: no word boundaries, no Unicode classes.
 #ifndef DISPATCHER_EXPRESSION_PATTERN_PARSER_HPP_
 #define DISPATCHER_EXPRESSION_PATTERN_PARSER_HPP_
 
@@ -30,7 +30,7 @@
 };
 
 // Parses a pattern that RE2 has accepted; its groups capture nothing, as only whether a text matches counts.
-// Throws PatternError where the pattern uses what is not offered.
+// Throws PatternError where the pattern uses an unsupported feature.
 [[nodiscard]] PatternNode parse_pattern(std::string_view pattern);
 
 }  // namespace dispatcher::expression
--- a/src/expression/program.cpp
+++ b/src/expression/program.cpp
@@ -7,9 +7,9 @@
 
 namespace dispatcher::expression {
 
-Program Program::compile(std::string_view text, const Environment& fields, Kind wanted) {
+Program Program::compile(std::string_view text, const Environment& fields, Kind expected) {
   Program program;
-  program.tree_ = check(text, fields, wanted);
+  program.tree_ = check(text, fields, expected);
   GeneratedCode generated = generate_code(program.tree_, fields);
   program.code_ = std::move(generated.bytecode);
   program.max_length_ = generated.max_length;
--- a/src/expression/program.hpp
+++ b/src/expression/program.hpp
@@ -18,9 +18,9 @@
 // may share it, each with its own Scratch. A default-constructed one must not be run.
 class Program {
  public:
-  // `wanted`: the kind that the result must have. Throws Errors with all that is wrong, also where a pattern
-  // or the strings that an evaluation makes grow too large.
-  static Program compile(std::string_view text, const Environment& fields, Kind wanted);
+  // `expected`: the kind that the result must have. Throws Errors with all problems, also where a pattern or
+  // the strings that an evaluation makes grow too large.
+  static Program compile(std::string_view text, const Environment& fields, Kind expected);
 
   // The expression's value. `fields`: the values in the environment's order, an error in place of one that is
   // absent. `scratch` must have been reserved for max_values() and max_text(). Allocates and throws nothing.
--- a/src/expression/type_checker.cpp
+++ b/src/expression/type_checker.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-// Ends a check whose tree grows beyond kMaxNodes.
+// Ends a check whose tree grows beyond kMaxNodes. Thrown and caught in this file.
 struct TooManyNodes {};
 
 bool is_literal(const Node& node) { return node.op == Op::kLiteral; }
@@ -32,13 +32,7 @@
 
 Node copy_without_children(const Node& node) {
   Node copy;
-  copy.op = node.op;
-  copy.at = node.at;
-  copy.type = node.type;
-  copy.is_method = node.is_method;
-  copy.integer = node.integer;
-  copy.real = node.real;
-  copy.text = node.text;
+  static_cast<NodeAttributes&>(copy) = node;
   return copy;
 }
 
@@ -64,8 +58,8 @@
   return make_bool(operation, at, std::move(conditions));
 }
 
-// Checks one tree. Problems collect, so that all of them are told at once; what has one gets the type kError
-// and is not complained of again.
+// Checks one tree. Problems are collected, so that all of them are reported at once. A node with a problem gets
+// the type kError, and nodes above it report no further problem because of it.
 class TypeChecker {
  public:
   explicit TypeChecker(const Environment& fields) : fields_(fields) {}
@@ -132,7 +126,7 @@
   Node check_select(const Node& node) {
     const std::string path = field_path(node);
     if (!path.empty()) return make_field(node, path);
-    // On a map it is another way to write an index.
+    // CEL: map.key is the same as map["key"].
     Node key;
     key.op = Op::kLiteral;
     key.at = node.at;
@@ -144,7 +138,7 @@
     return check_operator(index);
   }
 
-  // a.b.c, where the node is names only; else empty.
+  // The path a.b.c of a node that consists of names only; empty for any other.
   [[nodiscard]] std::string field_path(const Node& node) const {
     if (node.op == Op::kName) return bound_names_.contains(node.text) ? std::string() : node.text;
     if (node.op != Op::kSelect) return {};
@@ -154,7 +148,7 @@
 
   Node make_field(const Node& node, const std::string& path) {
     if (node.op == Op::kSelect)
-      return make_field(node.children[0], path);  // its place is where the path begins
+      return make_field(node.children[0], path);  // a field's offset is where its path begins
     const int number = fields_.find(path);
     if (number < 0) {
       const auto path_of = [](const Field& field) { return std::string_view(field.path); };
@@ -171,7 +165,7 @@
 
   // ---- Lists and maps ----
 
-  // Only right of `in` and as the object of a macro may a list be computed.
+  // A list literal has constant elements, except right of `in` and as the object of a macro.
   Node check_list(const Node& node) {
     Node checked = check_elements(node);
     if (has_failed_child(checked)) return as_failed(std::move(checked));
@@ -293,7 +287,7 @@
     if (node.children[0].op != Op::kList)
       return report(node, "'" + node.text + "' is offered for lists that are written out");
     const Node list = check_elements(node.children[0]);
-    if (has_failed_child(list)) return report(node, "its list is not sound");
+    if (has_failed_child(list)) return report(node, "its list has errors");
     const std::string& name = node.children[1].text;
     const Node& condition = node.children[2];
     std::vector<Node> conditions;
@@ -325,7 +319,7 @@
 
 }  // namespace
 
-Node check(std::string_view text, const Environment& fields, Kind wanted) {
+Node check(std::string_view text, const Environment& fields, Kind expected) {
   const Node parsed = parse(text);
   TypeChecker checker(fields);
   Node checked;
@@ -334,9 +328,9 @@
   } catch (const TooManyNodes&) {
     fail(parsed.at, "more than " + std::to_string(kMaxNodes) + " operations");
   }
-  if (checker.problems.empty() && checked.type.kind != wanted)
+  if (checker.problems.empty() && checked.type.kind != expected)
     checker.problems.push_back(
-        {parsed.at, std::string("expected ") + name(wanted) + ", found " + to_text(checked.type)});
+        {parsed.at, std::string("expected ") + name(expected) + ", found " + to_text(checked.type)});
   if (!checker.problems.empty()) throw Errors(std::move(checker.problems));
   return checked;
 }
--- a/src/expression/type_checker.hpp
+++ b/src/expression/type_checker.hpp
@@ -11,12 +11,13 @@
 
 namespace dispatcher::expression {
 
-inline constexpr std::size_t kMaxNodes = 20'000;  // of one expression, its macros expanded
+// Nodes of one expression, its macros expanded: bounds the time and memory that compiling it takes.
+inline constexpr std::size_t kMaxNodes = 20'000;
 
-// Parses and checks an expression whose result must be of kind `wanted`. Each node of the returned tree has
-// its type, and no names, selections, macros or computed lists are left in it. Throws Errors with all that is
-// wrong.
-[[nodiscard]] Node check(std::string_view text, const Environment& fields, Kind wanted);
+// Parses and checks an expression whose result must be of kind `expected`. Each node of the returned tree has
+// its type, and no names, selections, macros or computed lists are left in it. Throws Errors with all
+// problems.
+[[nodiscard]] Node check(std::string_view text, const Environment& fields, Kind expected);
 
 }  // namespace dispatcher::expression
 
--- a/src/expression/value.hpp
+++ b/src/expression/value.hpp
@@ -14,10 +14,10 @@
 
 namespace dispatcher::expression {
 
-// kError: of a value, that there is none; of a type, that the expression is ill-typed.
+// The kinds of values and types. kError: an evaluation without a value, or an ill-typed expression.
 enum class Kind : std::uint8_t { kError, kBool, kInt, kDouble, kString, kList, kMap };
 
-// As error messages have it.
+// The kind's name in error messages.
 [[nodiscard]] const char* name(Kind kind);
 
 // The type of an expression. Lists and maps hold scalars only, so that it needs no nesting.
@@ -28,12 +28,12 @@
   bool operator==(const Type&) const = default;
 };
 
-// As error messages have it: map(string, int).
+// The type as error messages show it, such as map(string, int).
 [[nodiscard]] std::string to_text(const Type& type);
 
 // Why an evaluation has no value.
 enum class EvaluationError : std::uint8_t {
-  kAbsent,  // of a field
+  kAbsent,  // a field that the request lacks
   kOverflow,
   kDivisionByZero,
   kNoSuchKey,
@@ -41,7 +41,7 @@
   kInvalidNumber  // a string that is to be converted to a number
 };
 
-// As it is shown to operators.
+// The error's description, as operators see it.
 [[nodiscard]] const char* name(EvaluationError error);
 
 // A scalar, or the error in its place. A string is not owned: it is a view of the request, of a program's
@@ -58,27 +58,23 @@
   };
   Value() : integer(0) {}
   static Value of(bool given) {
-    Value value;
-    value.kind = Kind::kBool;
+    Value value(Kind::kBool);
     value.boolean = given;
     return value;
   }
   static Value of(std::int64_t given) {
-    Value value;
-    value.kind = Kind::kInt;
+    Value value(Kind::kInt);
     value.integer = given;
     return value;
   }
   static Value of(double given) {
-    Value value;
-    value.kind = Kind::kDouble;
+    Value value(Kind::kDouble);
     value.real = given;
     return value;
   }
-  // Of less than 4 GiB.
+  // A view of `given`, which must be shorter than 4 GiB.
   static Value of(std::string_view given) {
-    Value value;
-    value.kind = Kind::kString;
+    Value value(Kind::kString);
     value.size = static_cast<std::uint32_t>(given.size());
     value.bytes = given.data();
     return value;
@@ -94,9 +90,12 @@
   [[nodiscard]] std::string_view text() const { return {bytes, size}; }
   [[nodiscard]] bool is(bool given) const { return kind == Kind::kBool && boolean == given; }
   [[nodiscard]] bool failed() const { return kind == Kind::kError; }
+
+ private:
+  explicit Value(Kind of_kind) : kind(of_kind), integer(0) {}
 };
 
-// Equality as the language has it; values of different kinds never are equal, nor are two errors.
+// Equality in the expression language: values of different kinds are unequal, and so are two errors.
 [[nodiscard]] bool same(const Value& left, const Value& right);
 
 // Three-way comparison of two values of one scalar kind: negative, zero or positive. nullopt: unordered, as
@@ -138,19 +137,19 @@
   }
 }
 
-// The value as an expression would write it, for people: strings are quoted, but not escaped.
+// The value in the notation of expressions, for diagnostics: strings are quoted, but not escaped.
 [[nodiscard]] std::string to_text(const Value& value);
 
-// A field that expressions may use, such as request.class.
+// The declaration of a field that expressions may use, such as request.class.
 struct Field {
   std::string path;  // as expressions write it
   Kind kind{};
-  bool optional = false;       // some requests lack it
+  bool optional = false;       // whether a request may lack it
   std::size_t max_length = 0;  // of a string, in bytes; a longer one counts as absent
   std::optional<std::vector<std::string>> domain = {};  // of a string: it is always one of these
 };
 
-// The fields by number: an evaluation is given their values in this order.
+// The declared fields by number: an evaluation gets their values in this order.
 class Environment {
  public:
   // Returns the field's number.
@@ -158,7 +157,7 @@
     fields_.push_back(std::move(field));
     return static_cast<int>(fields_.size()) - 1;
   }
-  // The number of the field with this path; -1: there is none.
+  // The number of the field with this path; -1 where there is none.
   [[nodiscard]] int find(std::string_view path) const;
   [[nodiscard]] const std::vector<Field>& fields() const { return fields_; }
 
--- a/src/rate_limit/explain.cpp
+++ b/src/rate_limit/explain.cpp
@@ -54,7 +54,7 @@
 std::string mismatch_reason(const RuleSet& rules, std::size_t rule,
                             std::span<const expression::Value> values) {
   std::string without_value;
-  for (const expression::Node* part : expression::parts(rules.conditions().condition(rule).tree())) {
+  for (const expression::Node* part : expression::conjuncts(rules.conditions().condition(rule).tree())) {
     const expression::Value value = evaluate(*part, rules, values);
     if (value.is(false)) return expression::to_text(*part) + " is false";
     if (value.failed() && without_value.empty())
--- a/src/rate_limit/rule_warnings.cpp
+++ b/src/rate_limit/rule_warnings.cpp
@@ -34,7 +34,7 @@
 
 Requirements requirements_of(const expression::Node& condition, const expression::Environment& fields) {
   Requirements requirements;
-  for (const expression::Node* part : expression::parts(condition)) {
+  for (const expression::Node* part : expression::conjuncts(condition)) {
     if (part->op == expression::Op::kLiteral) {
       if (part->integer == 0) requirements.is_contradiction = true;
     } else if (const auto membership = expression::membership(*part)) {
