--- a/src/cue/data.cpp
+++ b/src/cue/data.cpp
@@ -6,7 +6,7 @@
 namespace dispatcher::cue {
 
 void Data::throw_wrong_kind(const char* expected) const {
-  throw std::logic_error("record: " + path_ + " is not " + expected);
+  throw std::logic_error("configuration value " + path_ + " is not " + expected);
 }
 
 const Data& Data::operator[](std::string_view field) const {
@@ -19,9 +19,9 @@
 }
 
 bool Data::is_null() const { return scalar_if<Null>() != nullptr; }
-const std::string& Data::text() const { return scalar<std::string>("text"); }
-std::int64_t Data::integer() const { return scalar<std::int64_t>("a whole number"); }
-bool Data::flag() const { return scalar<bool>("true or false"); }
+const std::string& Data::text() const { return scalar<std::string>("a string"); }
+std::int64_t Data::integer() const { return scalar<std::int64_t>("an integer"); }
+bool Data::flag() const { return scalar<bool>("a bool"); }
 const Data::Items& Data::items() const { return require(std::get_if<Items>(&content_), "a list"); }
 const Data::Fields& Data::fields() const { return require(std::get_if<Fields>(&content_), "a struct"); }
 
--- a/src/cue/data.hpp
+++ b/src/cue/data.hpp
@@ -1,4 +1,4 @@
-// A configuration that has been checked against its schema: plain values, each with its place in the file.
+// A configuration that has been checked against its schema: plain values, each with its position in the file.
 #ifndef DISPATCHER_CUE_DATA_HPP_
 #define DISPATCHER_CUE_DATA_HPP_
 
@@ -16,7 +16,7 @@
 namespace dispatcher::cue {
 
 /// A scalar, list or struct that Schema::read() returned. What the schema guarantees is accessed without a
-/// check: an accessor of the wrong kind is an error of the program, whatever the file says, and throws
+/// check: calling an accessor of the wrong kind is a bug in the program, whatever the file contains, and throws
 /// std::logic_error. References that accessors return live as long as the Data they were taken from.
 class Data {
  public:
@@ -24,7 +24,7 @@
   using Items = std::vector<Data>;
   using Content = std::variant<Scalar, Items, Fields>;
 
-  /// A null without a place.
+  /// A null without a position.
   Data() = default;
   Data(Position position, std::string path, Content content)
       : position_(position), path_(std::move(path)), content_(std::move(content)) {}
@@ -40,12 +40,17 @@
   [[nodiscard]] bool has(std::string_view field) const { return !(*this)[field].is_null(); }
 
   [[nodiscard]] bool is_null() const;
+  /// The value of a string.
   [[nodiscard]] const std::string& text() const;
+  /// The value of an integer.
   [[nodiscard]] std::int64_t integer() const;
-  /// The value of a number of either kind.
+  /// The value of an integer or a floating-point number.
   [[nodiscard]] double real() const;
+  /// The value of a bool.
   [[nodiscard]] bool flag() const;
+  /// The elements of a list.
   [[nodiscard]] const Items& items() const;
+  /// The fields of a struct.
   [[nodiscard]] const Fields& fields() const;
 
  private:
--- a/src/cue/data_builder.cpp
+++ b/src/cue/data_builder.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-constexpr std::size_t kMaxValues = 500'000;  // of one file
+constexpr std::size_t kMaxValues = 500'000;  // of one file: references may repeat values exponentially
 
 Position position_or(const Value& value, Position enclosing) {
   return value.position.in_file() ? value.position : enclosing;
@@ -21,7 +21,7 @@
 Data DataBuilder::build(const Value& value, Position enclosing) {
   ++values_;
   if (values_ > kMaxValues)
-    context_.stop(enclosing, "holds more than " + std::to_string(kMaxValues) + " values");
+    context_.stop(enclosing, "contains more than " + std::to_string(kMaxValues) + " values");
   if (!value.disjuncts.empty()) return build_default(value, enclosing);
   if (value.scalar) return {value.position, context_.path(), *value.scalar};
   if (value.kinds == kStructKind && value.bounds.empty()) return build_struct(value, enclosing);
--- a/src/cue/data_builder.hpp
+++ b/src/cue/data_builder.hpp
@@ -1,4 +1,4 @@
-// Turns a value into plain data: takes the defaults, and reports what is still undecided.
+// Turns a value into plain data: applies the defaults, and reports what is not concrete.
 #ifndef DISPATCHER_CUE_DATA_BUILDER_HPP_
 #define DISPATCHER_CUE_DATA_BUILDER_HPP_
 
--- a/src/cue/disjunction_unification.cpp
+++ b/src/cue/disjunction_unification.cpp
@@ -51,7 +51,7 @@
     if (value != nullptr) add_disjunct({value, is_default(expected, found)});
   }
 
-  // Adds a disjunct; of equal scalars only one is kept.
+  // Adds a disjunct, unless the same scalar is one already.
   void add_disjunct(const Value::Disjunct& added) {
     Disjuncts& disjuncts = unified_->disjuncts;
     const auto same = std::find_if(disjuncts.begin(), disjuncts.end(), [&](const Value::Disjunct& disjunct) {
@@ -71,7 +71,8 @@
     return (!expected_has_default_ || expected.is_default) && (!found_has_default_ || found.is_default);
   }
 
-  // No pair fits. Where only one disjunct has the right kind, its own problems say most.
+  // No pair can be unified. Where only one disjunct has the right kind, its own problems are the most specific
+  // report.
   ValuePtr report_failure() {
     if (found_disjuncts_.size() != 1) return unifier_.report_conflict(expected_, found_);
     ValuePtr similar;
--- a/src/cue/errors.hpp
+++ b/src/cue/errors.hpp
@@ -10,17 +10,17 @@
 
 namespace dispatcher::cue {
 
-/// One thing that is wrong with a file.
+/// One error in a file.
 struct Problem {
   Position at;
   std::string path;  // of the field, as `rules[2].limit.rate`; empty where there is none
-  std::string what;
+  std::string what;  // the message, without position and path
 };
 
 /// The problem as one line: `file:line:column: path: what`, without the parts that are not known.
 [[nodiscard]] std::string to_text(const std::string& file, const Problem& problem);
 
-/// Everything that is wrong with a file. what() has one line for each problem.
+/// All errors of a file, at least one. what() has one line for each problem.
 struct Errors : std::runtime_error {
   Errors(const std::string& file, std::vector<Problem> all);
   std::vector<Problem> problems;
--- a/src/cue/evaluation_context.cpp
+++ b/src/cue/evaluation_context.cpp
@@ -12,9 +12,9 @@
 
 namespace {
 
-constexpr std::size_t kMaxSteps = 6'000'000;  // enough for files of kMaxBytes
-constexpr std::size_t kMaxDepth = 3 * kMaxNesting;
-constexpr std::size_t kMaxProblems = 100;
+constexpr std::size_t kMaxSteps = 6'000'000;        // enough for files of kMaxBytes
+constexpr std::size_t kMaxDepth = 3 * kMaxNesting;  // of the path: definitions may nest values more deeply
+constexpr std::size_t kMaxProblems = 100;           // more are of no use to a reader
 constexpr std::size_t kMaxLabelBytes = 60;  // of a quoted label in a path
 
 bool is_identifier(std::string_view label) {
@@ -71,7 +71,7 @@
 void EvaluationContext::report(Position position, std::string what) {
   if (problems_.size() >= kMaxProblems)
     stop(position, "more than " + std::to_string(kMaxProblems) + " problems; further ones are not reported");
-  // The path of a problem that a trial discards would be built in vain.
+  // A trial discards its problems, so their paths are not built.
   problems_.push_back({position, in_trial() ? std::string() : path(), std::move(what)});
 }
 
--- a/src/cue/evaluation_context.hpp
+++ b/src/cue/evaluation_context.hpp
@@ -1,5 +1,5 @@
-// What the steps of one evaluation share: the problems found, the path of the field at hand, and the limits
-// on work.
+// The state that the steps of one evaluation share: the problems found, the path of the current field, and the
+// limits on work.
 #ifndef DISPATCHER_CUE_EVALUATION_CONTEXT_HPP_
 #define DISPATCHER_CUE_EVALUATION_CONTEXT_HPP_
 
@@ -70,7 +70,7 @@
   [[noreturn]] void stop(Position position, std::string what);
 
   [[nodiscard]] bool in_trial() const { return trial_depth_ > 0; }
-  /// The path of the field at hand, as `rules[2].limit.rate`.
+  /// The path of the current field, as `rules[2].limit.rate`.
   [[nodiscard]] std::string path() const;
   [[nodiscard]] const std::vector<Problem>& problems() const { return problems_; }
 
--- a/src/cue/evaluator.cpp
+++ b/src/cue/evaluator.cpp
@@ -8,8 +8,8 @@
 
 namespace {
 
-constexpr std::size_t kMaxReferenceDepth = 64;    // definitions that refer to one another in a chain
-constexpr std::int64_t kMaxRegexBytes = 1 << 20;  // of one compiled regular expression
+constexpr std::size_t kMaxReferenceDepth = 64;    // definitions in a chain of references: bounds the recursion
+constexpr std::int64_t kMaxRegexBytes = 1 << 20;  // memory of one compiled regular expression
 
 KindSet kinds_of_type(const std::string& name) {
   static const std::map<std::string, KindSet> kinds = {{"bool", kBoolKind},     {"int", kIntKind},
@@ -18,7 +18,7 @@
   return kinds.at(name);
 }
 
-// The kinds of the scalars that a bound can hold for.
+// The kinds of the scalars that can satisfy a bound.
 KindSet kinds_of_bound(BoundOperator bound_operator, const Value& operand) {
   if (bound_operator == BoundOperator::kNotEqual) return kAllKinds;
   return (operand.kinds & kNumberKinds) != 0 ? kNumberKinds : operand.kinds;
@@ -193,7 +193,7 @@
   const bool is_pattern = field.kind == Kind::kPattern;
   const EvaluationContext::PathElement element(context_, is_pattern ? "[string]" : field.label);
   if (field.kind == Kind::kDefinition) {
-    context_.report(field.position, "definitions stand at the top of the file");
+    context_.report(field.position, "definitions are allowed at the top level of the file only");
     return false;
   }
   const ValuePtr value = evaluate(field.value.front(), openness);
@@ -205,7 +205,7 @@
   return add_field(field, value, structure, index);
 }
 
-// Adds the field, or unifies it with the one of the same label that is there. Returns false where that fails.
+// Adds the field, or unifies it with an existing one of the same label. Returns false where that fails.
 bool Evaluator::add_field(const Expression::Field& field, const ValuePtr& value, Value& structure,
                           FieldIndex& index) {
   const bool is_optional = field.kind == Expression::Field::Kind::kOptional;
@@ -222,7 +222,7 @@
   return true;
 }
 
-// A struct's patterns hold for its own fields as well.
+// A struct's patterns constrain its own fields as well.
 ValuePtr Evaluator::apply_own_patterns(const Value& structure) {
   const auto patterns = make_value(structure.position, kStructKind);
   patterns->patterns = structure.patterns;
--- a/src/cue/evaluator.hpp
+++ b/src/cue/evaluator.hpp
@@ -16,7 +16,7 @@
 namespace dispatcher::cue {
 
 /// Evaluates one file. Refers to the context, which must outlive it. All functions may throw LimitReached,
-/// and report what is wrong to the context.
+/// and report problems to the context.
 class Evaluator {
  public:
   /// Takes the file as parse() returned it. Reports definitions that are repeated, so that it, too, may throw
@@ -51,8 +51,8 @@
   Unifier unifier_;
   Expression file_;                                // without the definitions
   std::map<std::string, Expression> definitions_;  // by name
-  std::map<std::string, ValuePtr> evaluated_;      // definitions that are done; null: they have no value
-  std::set<std::string> evaluating_;               // definitions that refer to one another
+  std::map<std::string, ValuePtr> evaluated_;      // values of definitions; null where one has no value
+  std::set<std::string> evaluating_;               // the current chain of references, to detect cycles
 };
 
 }  // namespace dispatcher::cue
--- a/src/cue/nearest.hpp
+++ b/src/cue/nearest.hpp
@@ -27,13 +27,13 @@
   return row.back();
 }
 
-/// "; 'name' is known" for the name that is most similar to `given`, or nothing where none is similar.
-/// `name_of` gives an element's name as std::string_view. The work is bounded.
+/// "; 'name' is known" for the name that is most similar to `given`, or an empty string where none is similar.
+/// `name_of` returns an element's name as std::string_view. The work is bounded.
 template <class Names, class NameOf>
 [[nodiscard]] std::string nearest(std::string_view given, const Names& names, NameOf name_of) {
-  constexpr std::size_t kMaxLength = 64;
-  constexpr std::size_t kMaxDistance = 2;
-  constexpr std::size_t kMaxNames = 1000;
+  constexpr std::size_t kMaxLength = 64;   // bytes of `given`: bounds the work of one comparison
+  constexpr std::size_t kMaxDistance = 2;  // a typing error or two; more is another word
+  constexpr std::size_t kMaxNames = 1000;  // bounds the number of comparisons
   if (given.size() > kMaxLength) return {};
   std::size_t minimum = kMaxDistance + 1;
   std::string_view best;
--- a/src/cue/scalar.cpp
+++ b/src/cue/scalar.cpp
@@ -12,7 +12,7 @@
 
 constexpr std::size_t kMaxDescribedBytes = 60;  // of a string
 
-// long double holds each std::int64_t exactly.
+// long double represents each std::int64_t exactly on x86-64 and AArch64.
 std::optional<long double> number_in(const Scalar& scalar) {
   if (const auto* integer = std::get_if<std::int64_t>(&scalar)) return static_cast<long double>(*integer);
   if (const auto* real = std::get_if<double>(&scalar)) return static_cast<long double>(*real);
--- a/src/cue/schema.cpp
+++ b/src/cue/schema.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-// Positions within the schema mean nothing to the author of a file.
+// Positions within the schema are of no use to the author of a file.
 void clear_positions(Expression& expression) {
   expression.position = {};
   for (Expression& child : expression.children) clear_positions(child);
--- a/src/cue/schema.hpp
+++ b/src/cue/schema.hpp
@@ -16,21 +16,20 @@
 /// What a file may contain, and its defaults. Immutable; may be used by several threads at once.
 class Schema {
  public:
-  /// `cue`: definitions; `root`: the name of the one that a file as a whole must satisfy. Throws Errors where
-  /// the schema itself is invalid.
+  /// `cue`: definitions; `root`: the name of the definition that a complete file must satisfy. Throws Errors
+  /// where the schema itself is invalid.
   Schema(std::string_view cue, const std::string& root);
 
   /// The file's data, unified with the schema: each field that is not optional is present, checked, and the
-  /// schema's default where the file leaves it out. Throws Errors with everything that is wrong, in the order
-  /// of the file. Nesting depth and work are bounded, whatever the file holds.
+  /// schema's default where the file leaves it out. Throws Errors with all problems in the
+  /// order of the file, up to a limit. Nesting depth and work are bounded, whatever the file contains.
   [[nodiscard]] Data read(const File& file) const;
 
  private:
   std::shared_ptr<const Value> root_;
 };
 
-/// A problem at a place in well-formed data, for what no schema can check, such as a name that is declared
-/// nowhere.
+/// A problem at a value of well-formed data, for what no schema can check, such as an undeclared name.
 [[nodiscard]] Problem problem(const Data& at, std::string what);
 
 }  // namespace dispatcher::cue
--- a/src/cue/source.hpp
+++ b/src/cue/source.hpp
@@ -8,7 +8,7 @@
 
 namespace dispatcher::cue {
 
-inline constexpr std::size_t kMaxBytes = 8U << 20U;  // of one file
+inline constexpr std::size_t kMaxBytes = 8U << 20U;  // of one file: bounds the memory that a reload takes
 
 /// A place in a file. Lines and columns count from 1, columns in bytes. Line 0 is a place in the program's
 /// own schema rather than in the file.
--- a/src/cue/syntax.hpp
+++ b/src/cue/syntax.hpp
@@ -14,7 +14,7 @@
 
 namespace dispatcher::cue {
 
-inline constexpr std::size_t kMaxNesting = 48;  // of values in one another, brackets included
+inline constexpr std::size_t kMaxNesting = 48;  // of values, brackets included: bounds the recursion
 
 /// What an expression is; the comment names the members of Expression that it uses.
 enum class ExpressionKind {
--- a/src/cue/syntax_error.hpp
+++ b/src/cue/syntax_error.hpp
@@ -6,7 +6,7 @@
 
 namespace dispatcher::cue {
 
-/// Ends the parsing of one declaration. parse() catches it and adds line and column, so it leaves no file of
+/// Ends the parsing of one declaration. Parser in parser.cpp catches it and adds line and column, so it leaves no file of
 /// this package. `at` points into the text that is parsed.
 struct SyntaxError {
   const char* at;
--- a/src/cue/tree_builder.cpp
+++ b/src/cue/tree_builder.cpp
@@ -215,7 +215,7 @@
   if (is_optional) field.kind = Kind::kOptional;
 }
 
-// The value of a field; a field in place of a value (a: b: 1) stands for a struct of it.
+// The value of a field; a field in place of a value (a: b: 1) is short for a struct with that field.
 Expression TreeBuilder::build_field_value(const ParseNode& node) const {
   if (!is_field(node)) return build(node);
   Expression structure = make_expression(ExpressionKind::kStruct, node);
--- a/src/cue/unifier.cpp
+++ b/src/cue/unifier.cpp
@@ -40,7 +40,7 @@
 }
 
 ValuePtr Unifier::report_conflict(const ValuePtr& expected, const ValuePtr& found) {
-  // What the schema says is the expectation, on whichever side it is.
+  // The schema's value is the expectation, on whichever side it is.
   const bool is_swapped = expected->position.in_file() && !found->position.in_file();
   const Value& expectation = is_swapped ? *found : *expected;
   const Value& finding = is_swapped ? *expected : *found;
--- a/src/cue/unifier.hpp
+++ b/src/cue/unifier.hpp
@@ -7,7 +7,7 @@
 
 namespace dispatcher::cue {
 
-inline constexpr std::size_t kMaxDisjuncts = 1024;  // of one value
+inline constexpr std::size_t kMaxDisjuncts = 1024;  // of one value: unifying two multiplies their numbers
 
 /// Unifies values within one evaluation. Refers to the context, which must outlive it. All functions may
 /// throw LimitReached.
--- a/src/cue/utf8.hpp
+++ b/src/cue/utf8.hpp
@@ -78,7 +78,7 @@
   }
 }
 
-/// The longest prefix of at most `maximum` bytes that ends with a whole, well-formed character.
+/// The longest prefix of at most `maximum` bytes that ends with a complete, well-formed character.
 [[nodiscard]] inline std::string clip_utf8(std::string_view text, std::size_t maximum) {
   std::size_t end = 0;
   while (end < text.size()) {
--- a/src/cue/value.cpp
+++ b/src/cue/value.cpp
@@ -8,8 +8,8 @@
 
 namespace {
 
-constexpr std::size_t kMaxDisjunctionBytes =
-    240;  // of a disjunction in an error; further disjuncts are left out
+// Of a disjunction in an error message; further disjuncts are omitted.
+constexpr std::size_t kMaxDisjunctionBytes = 240;
 
 void append_alternative(std::string& text, std::string_view alternative) {
   if (!text.empty()) text += " | ";
--- a/src/membership/indirect_probes.cpp
+++ b/src/membership/indirect_probes.cpp
@@ -10,7 +10,7 @@
   probe.origin_sequence = request.sequence;
   probe.sequence = sequence;
   probe.target = request.target;
-  // The nack must reach the prober within its timeout: a fifth is left for the way.
+  // The nack must reach the origin within its timeout: the last fifth is reserved for network latency.
   probe.nack_at = now + parameters_.probe_timeout * 4 / 5;
   probe.deadline = now + parameters_.probe_interval;
   probes_.push_back(probe);
--- a/src/membership/member.hpp
+++ b/src/membership/member.hpp
@@ -1,5 +1,5 @@
-// What members of a fleet say about one another. Their indexes and their count come from the settings, so
-// that the set is fixed; what changes is who is alive, and in which incarnation.
+// The values that members of a fleet exchange about one another. The members' indexes and their count come from
+// the settings, so that the set is fixed; only their states and incarnations change.
 #ifndef DISPATCHER_MEMBERSHIP_MEMBER_HPP_
 #define DISPATCHER_MEMBERSHIP_MEMBER_HPP_
 
@@ -18,10 +18,10 @@
 using MemberIndex = std::uint32_t;     // a dispatcher's in its fleet, from 0
 using Random = boost::random::taus88;  // small and reproducible; seeded by the owner
 
-// Orders what is said about one member. `incarnation` is when its process started, in ms since the Unix epoch
+// Orders updates about one member. `incarnation` is when its process started, in ms since the Unix epoch
 // by its own clock. It is compared with other incarnations of the same member only, so that skew between
-// hosts does not matter; where a host's clock was set back, the member hears of its later incarnation and
-// takes the next one. `refutations` counts the suspicions that this process has refuted; SWIM's incarnation
+// hosts does not matter; where a host's clock was set back, the member receives an update with its later
+// incarnation and takes the next one. `refutations` counts the suspicions that this process has refuted; SWIM's incarnation
 // number is both together.
 struct MemberVersion {
   std::uint64_t incarnation = 0;  // 0: unknown
@@ -34,9 +34,8 @@
 // In the order of precedence. kUnknown: nothing has been received about the member.
 enum class MemberState : std::uint8_t { kUnknown, kAlive, kSuspect, kDead };
 
-// What somebody believes about a member. Of two updates the one with the higher version holds, and within one
-// version the one with the graver state: merging takes the greater, so that order, loss and repetition do not
-// matter.
+// A member's view of another member. Of two updates the one with the higher version wins, and within one version
+// the one with the higher state: merging takes the maximum, so that order, loss and repetition do not matter.
 struct MemberUpdate {
   MemberIndex member = 0;
   MemberVersion version;
@@ -49,7 +48,7 @@
 
 // One message of SWIM's failure detector. Times are measured by its sender alone, so none is in it.
 struct Probe {
-  // kPingRequest asks a helper for an indirect probe. kNack: the helper was reached, but its target has not
+  // kPingRequest requests an indirect probe from a helper. kNack: the helper was reached, but its target has not
   // answered it yet (Lifeguard).
   enum class Type : std::uint8_t { kPing, kPingRequest, kAck, kNack };
   Type type{};
--- a/src/membership/member_table.cpp
+++ b/src/membership/member_table.cpp
@@ -46,8 +46,8 @@
 
 void MemberTable::start_suspicion(Time now, Member& member, MemberIndex accuser) {
   ++counts_.suspicions;
-  const unsigned possible_confirmations =
-      count() > 2 ? count() - 2 : 0;  // all but the accused and its accuser
+  // By all members but the accused and its accuser.
+  const unsigned possible_confirmations = count() > 2 ? count() - 2 : 0;
   const Duration min_timeout = min_suspicion_timeout();
   const double max_timeout = static_cast<double>(min_timeout.count()) * parameters_.suspicion_max_multiplier;
   member.suspicion.emplace(now, accuser,
@@ -74,7 +74,7 @@
   MemberUpdate& own = members_[self_].update;
   if (update.version < own.version) return MergeOutcome::kMerged;
   if (update.version.incarnation > own.version.incarnation) {
-    // An earlier process of this member, on a clock that has been set back since. Ours comes after it.
+    // An earlier process of this member; the clock has been set back since. This process takes the next one.
     if (update.version.incarnation + 1 > kMaxIncarnation) return MergeOutcome::kMerged;
     own.version = {update.version.incarnation + 1, 0};
     changes_.push_back({self_, MemberState::kAlive, MemberState::kAlive, true});
@@ -144,9 +144,9 @@
   std::vector<const Member*> found;
   for (const Member& member : members_) {
     const MemberState state = member.update.state;
-    // Each message bears its sender's version; about itself a member has more to say only when it leaves.
+    // Each message carries its sender's version, so an own update is needed only when this member leaves.
     const bool is_implied = member.update.member == self_ && state == MemberState::kAlive;
-    // Lifeguard's buddy system: a suspect must hear of the suspicion to refute it.
+    // Lifeguard's buddy system: a suspect must be notified of the suspicion to refute it.
     const bool is_accused_receiver = member.update.member == to && state >= MemberState::kSuspect;
     const bool passes_filter = filter == UpdateFilter::kAll || state == MemberState::kSuspect;
     const bool is_due = member.remaining_sends > 0 && passes_filter;
@@ -161,7 +161,8 @@
   for (const Member* member : found) {
     updates.push_back(member->update);
     if (!member->suspicion) continue;
-    const auto& accusers = member->suspicion->accusers();  // in turn: each is a confirmation to somebody
+    // The accusers take turns: each is a new confirmation to some receiver.
+    const auto& accusers = member->suspicion->accusers();
     updates.back().accuser = accusers[member->remaining_sends % accusers.size()];
   }
   return updates;
--- a/src/membership/member_table.hpp
+++ b/src/membership/member_table.hpp
@@ -31,8 +31,8 @@
 
   // Whether this member had to refute the update, as it is about itself.
   enum class MergeOutcome : std::uint8_t { kMerged, kRefuted };
-  // Takes the update where it goes before what is known: see MemberUpdate. Updates in any order, repeated,
-  // give one view.
+  // Merges the update into the view, see MemberUpdate: any order and repetition of the same updates gives the
+  // same view.
   MergeOutcome merge(Time now, const MemberUpdate& update);
   // This process suspects the member, where it is live.
   void suspect(Time now, MemberIndex member);
@@ -45,16 +45,16 @@
   // Marks this member as dead, for its last messages.
   void leave();
 
-  // Updates worth sending to `to`, the most valuable first: what it must know about itself, then what was
-  // sent the least often. The caller reports by mark_sent() which ones were packed.
+  // Updates worth sending to `to`, the most valuable first: those about itself that it must refute, then those
+  // that were sent the least often. The caller reports by mark_sent() which ones it sent.
   [[nodiscard]] std::vector<MemberUpdate> update_queue(MemberIndex to, UpdateFilter filter) const;
   void mark_sent(MemberIndex member);
-  // At most `max_updates` updates about known members, from where the last page ended on, for a receiver
+  // At most `max_updates` updates about known members, continuing after the last page, for a receiver
   // whose view_hash() differs.
   [[nodiscard]] std::vector<MemberUpdate> next_page(std::size_t max_updates);
   // Equal where the same members are alive, in the same incarnations.
   [[nodiscard]] std::uint32_t view_hash() const;
-  // Somebody's view_hash() equals ours: what it covers needs one transmission less.
+  // Another member's view_hash() equals ours: the updates that it covers need one transmission less.
   void mark_view_agreed();
 
   [[nodiscard]] MemberIndex self() const { return self_; }
@@ -73,7 +73,7 @@
 
   // Totals since the start of the process.
   struct Counts {
-    std::uint64_t suspicions = 0;   // of others, by whomever
+    std::uint64_t suspicions = 0;   // of others, by any accuser
     std::uint64_t refutations = 0;  // of this member's suspicions and earlier incarnations
     std::uint64_t deaths = 0;       // of others
   };
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -21,7 +21,7 @@
       last_seen_(now) {
   probe_rotation_.shuffle(random_);
   reconnect_rotation_.shuffle(random_);
-  // A fleet that starts together must not probe in step.
+  // Members that start at the same time must not probe at the same time.
   boost::random::uniform_int_distribution<Duration::rep> draw(0, parameters_.probe_interval.count() - 1);
   probe_at_ = now + Duration(draw(random_));
 }
@@ -40,7 +40,7 @@
   return found;
 }
 
-// As many as help with an indirect probe.
+// A random choice of as many members as help with an indirect probe.
 std::vector<MemberIndex> Membership::draw_some(std::vector<MemberIndex> members) {
   shuffle(members, random_);
   members.resize(std::min<std::size_t>(members.size(), parameters_.indirect_probes));
@@ -61,7 +61,7 @@
 void Membership::detect_pause(Time now) {
   const Duration gap = now - std::max(last_seen_, next_deadline());
   last_seen_ = std::max(last_seen_, now);
-  if (gap < parameters_.probe_interval) return;  // a loop that is only busy is a matter for LocalHealth
+  if (gap < parameters_.probe_interval) return;  // a busy event loop; LocalHealth accounts for it
   ++pauses_;
   pending_probe_.reset();
   indirect_probes_.clear();
@@ -104,7 +104,7 @@
   out.push_back({request.target, Probe::ping(sequence_)});
 }
 
-// By the target, or by a helper on its behalf.
+// Whether the pending probe is acked by this message: from the target, or from a helper on its behalf.
 bool Membership::is_acked_by(MemberIndex from, std::uint32_t sequence) const {
   if (!pending_probe_ || sequence != pending_probe_->sequence) return false;
   return from == pending_probe_->target || pending_probe_->is_indirect;
@@ -125,7 +125,7 @@
   const PendingProbe probe = *std::exchange(pending_probe_, std::nullopt);
   if (probe.is_acked) return health_.improve();
   ++failed_probes_;
-  // Helpers that say nothing either make it more likely that the fault is our own.
+  // Lifeguard: helpers that send no nack either make it more likely that this member is the faulty one.
   if (probe.helpers == 0) {
     health_.degrade();
   } else if (probe.nacks < probe.helpers) {
--- a/src/membership/membership.hpp
+++ b/src/membership/membership.hpp
@@ -1,17 +1,16 @@
-// Who of the fleet is alive: SWIM (Das, Gupta, Motivala, "SWIM: scalable weakly-consistent infection-style
+// Which members of the fleet are alive: SWIM (Das, Gupta, Motivala, "SWIM: scalable weakly-consistent infection-style
 // process group membership protocol", 2002) with suspicion, and Lifeguard's local health. No I/O: time,
 // randomness and messages are passed in, and what is to be sent is returned. Whoever carries the messages
 // puts this member's version on each of them and fills them with updates (update_queue(), next_page()).
 //
 // Differences from the papers, as the set of members is fixed and their addresses are known:
-// - A member is unknown until a message of it, or an update about it, arrives. Unknown and dead members are
-//   pinged now and then, so that the parts of a partitioned fleet meet again; such a ping that isn't acked
-//   means nothing new.
-// - A ping that is not acked is repeated each time the timeout passes again, beside the indirect probes: a
-//   direct path has two chances to lose a message, one by a helper four. This costs bytes only where
-//   something is wrong.
-// - A process that was stopped detects the pause by its own clock: its probe from before is void, suspicions
-//   wait longer by the pause, and it lowers its local health.
+// - A member is unknown until a message from it, or an update about it, arrives. Unknown and dead members are
+//   pinged every few intervals, so that the parts of a partitioned fleet reconnect; where such a ping isn't
+//   acked, nothing changes.
+// - A ping that is not acked is repeated after each further timeout, in addition to the indirect probes: on a
+//   direct path two messages can be lost, on one by a helper four. This costs bytes only after a failure.
+// - A process that was stopped detects the pause by its own clock: its pending probe is discarded, suspicions
+//   are extended by the pause, and its local health degrades.
 #ifndef DISPATCHER_MEMBERSHIP_MEMBERSHIP_HPP_
 #define DISPATCHER_MEMBERSHIP_MEMBERSHIP_HPP_
 
@@ -94,10 +93,10 @@
     std::uint32_t sequence = 0;
     Time retry_at{};           // of the direct ping
     Time deadline{};           // the end of the interval
-    bool is_indirect = false;  // helpers were asked
+    bool is_indirect = false;  // ping requests were sent to helpers
     bool is_acked = false;
-    unsigned helpers = 0;  // that were asked
-    unsigned nacks = 0;    // that they sent
+    unsigned helpers = 0;  // that got a ping request
+    unsigned nacks = 0;    // received from helpers
   };
 
   void detect_pause(Time now);
--- a/src/membership/parameters.hpp
+++ b/src/membership/parameters.hpp
@@ -1,4 +1,4 @@
-// The figures of SWIM and Lifeguard, with the defaults of deploy/fleet.cue.
+// The parameters of SWIM and Lifeguard, with the defaults of deploy/fleet.cue.
 #ifndef DISPATCHER_MEMBERSHIP_PARAMETERS_HPP_
 #define DISPATCHER_MEMBERSHIP_PARAMETERS_HPP_
 
@@ -8,14 +8,14 @@
 
 namespace dispatcher::membership {
 
-// Figures of the protocol. The multipliers scale with log10 of the count of members (at least 1).
+// Parameters of the protocol. The multipliers scale with log10 of the count of members (at least 1).
 struct Parameters {
   Duration probe_interval = std::chrono::seconds(1);
   Duration probe_timeout = std::chrono::milliseconds(250);  // of a direct ping; below a third of the interval
-  unsigned indirect_probes = 3;         // helpers that are asked to ping a member that has not answered
-  double suspicion_multiplier = 3;      // the shortest suspicion, in scaled probe intervals
-  double suspicion_max_multiplier = 4;  // the longest suspicion, in shortest ones
-  unsigned required_confirmations = 3;  // that shorten a suspicion to the shortest
+  unsigned indirect_probes = 3;         // helpers that get a ping request for a member that has not answered
+  double suspicion_multiplier = 3;      // the minimum suspicion timeout, in scaled probe intervals
+  double suspicion_max_multiplier = 4;  // the maximum suspicion timeout, in minimum ones
+  unsigned required_confirmations = 3;  // that shorten a suspicion timeout to the minimum
   unsigned max_health_score = 8;        // of LocalHealth
   double retransmit_multiplier = 4;     // an update is sent so many times, scaled and rounded up
   unsigned reconnect_every = 4;         // probe intervals between two pings of unknown or dead members
--- a/src/membership/probe_rotation.hpp
+++ b/src/membership/probe_rotation.hpp
@@ -19,14 +19,14 @@
 // The order, and the position in it. Part of a Membership; used on its thread.
 class ProbeRotation {
  public:
-  // Takes the members in the order given, until shuffle().
+  // The first round has the members in the order given, until shuffle().
   explicit ProbeRotation(std::vector<MemberIndex> members) : order_(std::move(members)) {}
 
   // Draws the order of the current round.
   void shuffle(Random& random) { membership::shuffle(order_, random); }
-  // The next member that is wanted, of this round or the next one; none: no member is.
+  // The next eligible member, of this round or the next one; none where no member is eligible.
   [[nodiscard]] std::optional<MemberIndex> next(Random& random,
-                                                const std::function<bool(MemberIndex)>& is_wanted);
+                                                const std::function<bool(MemberIndex)>& is_eligible);
 
   [[nodiscard]] const std::vector<MemberIndex>& order() const { return order_; }
   [[nodiscard]] std::size_t position() const { return position_; }
--- a/src/membership/suspicion.hpp
+++ b/src/membership/suspicion.hpp
@@ -1,5 +1,4 @@
-// How long a suspicion awaits its member's refutation, and how healthy a member takes itself to be: from
-// Lifeguard (Dadgar, Phillips, Currey, "Lifeguard: local health awareness for more accurate failure
+// The timeout of a suspicion, and a member's estimate of its own health: from Lifeguard (Dadgar, Phillips, Currey, "Lifeguard: local health awareness for more accurate failure
 // detection", 2018).
 #ifndef DISPATCHER_MEMBERSHIP_SUSPICION_HPP_
 #define DISPATCHER_MEMBERSHIP_SUSPICION_HPP_
@@ -11,22 +10,23 @@
 namespace dispatcher::membership {
 
 // The timer of one suspicion. It starts with the longest timeout and shortens it, logarithmically, with each
-// other member that confirms the suspicion on its own: a slow accuser alone waits long enough to be refuted.
+// other member that confirms the suspicion independently: the suspicion of a single, slow accuser lasts long
+// enough to be refuted.
 // Part of a MemberTable; used on its thread.
 class Suspicion {
  public:
   // `required_confirmations` bring the timeout down to the shortest; 0 (a fleet too small for any): at once.
   Suspicion(Time since, MemberIndex accuser, unsigned required_confirmations, Duration min_timeout,
             Duration max_timeout);
-  // True: the accuser is a new one, and its confirmation still counts.
+  // Records a confirmation. False where the accuser is known already, or no more confirmations count.
   bool confirm(MemberIndex accuser);
-  // From its start on, by the confirmations so far.
+  // Since its start, for the confirmations so far.
   [[nodiscard]] Duration timeout() const;
   // When its member is to be declared dead.
   [[nodiscard]] Time deadline() const { return since_ + timeout(); }
   // Adds time in which this process did not run.
   void extend(Duration pause) { since_ += pause; }
-  // Who suspects the member, the first accuser first.
+  // The members that confirmed the suspicion, the first accuser first.
   [[nodiscard]] const std::vector<MemberIndex>& accusers() const { return accusers_; }
 
  private:
@@ -37,8 +37,8 @@
   std::vector<MemberIndex> accusers_;  // at most required_confirmations_ + 1
 };
 
-// Lifeguard's local health: a score from 0 (healthy) to `max_score`, raised by probes that fail without a
-// sign of their helpers and by suspicions of this member, lowered by probes that succeed. This member's probe
+// Lifeguard's local health: a score from 0 (healthy) to `max_score`, raised by failed probes without
+// nacks from the helpers and by suspicions of this member, lowered by probes that succeed. This member's probe
 // interval and timeout are (1 + score) times as long. Part of a Membership; used on its thread.
 class LocalHealth {
  public:
@@ -50,7 +50,7 @@
   // A probe has succeeded.
   void improve() { score_ -= score_ > 0 ? 1 : 0; }
   [[nodiscard]] unsigned score() const { return score_; }
-  // A probe's interval or timeout as it is to be at this health.
+  // A probe interval or timeout, extended for the current score.
   [[nodiscard]] Duration scaled(Duration time) const {
     return time * (1 + static_cast<Duration::rep>(score_));
   }
