--- a/src/replicated_state/anti_entropy.cpp
+++ b/src/replicated_state/anti_entropy.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-constexpr Duration kSettleTime = std::chrono::seconds(8);  // younger entries still spread by themselves
+constexpr Duration kSettleTime = std::chrono::seconds(8);  // younger entries are still being disseminated
 
 std::uint32_t fold(std::uint64_t hash) { return static_cast<std::uint32_t>(hash ^ (hash >> 32U)); }
 
@@ -21,8 +21,8 @@
 
 MemberIndex OwnerGroups::size() const { return (owner_count + count() - 1) / count(); }
 
-// Counting entries that still spread would make every hash differ. Those near the end of their time are not
-// worth a repair, and some members drop them before others.
+// Hashes must not cover entries that are still being disseminated, as they would always differ. Nor those near
+// their max_age, which are not worth a repair, and which some members drop earlier than others.
 bool AntiEntropy::is_settled(const EntryKey& key, const StoredEntry& stored) const {
   const Duration age = now_ - stored.written_at;
   return age >= kSettleTime && age < kinds_.find(key.kind)->max_age * 3 / 4;
--- a/src/replicated_state/anti_entropy.hpp
+++ b/src/replicated_state/anti_entropy.hpp
@@ -1,9 +1,10 @@
 // Anti-entropy between two replicas (Demers et al., "Epidemic algorithms for replicated database
-// maintenance", 1987): they compare digests, and send one another the delta, which is only what the other
-// lacks (Almeida, Shoker, Baquero, "Delta state replicated data types", 2018).
+// maintenance", 1987): they compare digests and send each other deltas, which contain only the entries that
+// the other one lacks (Almeida, Shoker, Baquero, "Delta state replicated data types", 2018).
 //
-// Owners form groups. A group's hash goes along with a probe, and where it differs, the group's digests are
-// sent back. A datagram holds the digests of about 16 owners; in larger groups they take turns.
+// Owners are divided into groups. A probe carries the hash of one group; where it differs, the receiver answers
+// with the group's digests. A datagram has space for the digests of about 16 owners; in larger groups the owners
+// take turns.
 #ifndef DISPATCHER_REPLICATED_STATE_ANTI_ENTROPY_HPP_
 #define DISPATCHER_REPLICATED_STATE_ANTI_ENTROPY_HPP_
 
@@ -14,25 +15,25 @@
 
 namespace dispatcher::replicated_state {
 
-// What a member has of one owner; members whose digests are equal have nothing to exchange.
+// A summary of a member's entries of one owner; members whose digests are equal have nothing to exchange.
 struct Digest {
   MemberIndex owner = 0;
   std::uint64_t max_version = 0;  // the highest that the member has seen
   std::uint32_t hash = 0;         // of the owner's incarnation and its settled entries
 };
 
-// How `owner_count` owners are divided: groups of at least kMinGroupSize, and at most kMaxGroups of them.
+// How `owner_count` owners are divided into groups: at most kMaxGroups, of at least kMinGroupSize owners.
 struct OwnerGroups {
-  static constexpr MemberIndex kMinGroupSize = 10;
-  static constexpr MemberIndex kMaxGroups = 10;
+  static constexpr MemberIndex kMinGroupSize = 10;  // their digests fit one datagram
+  static constexpr MemberIndex kMaxGroups = 10;     // so that ten probes cover all groups
   MemberIndex owner_count = 1;
 
   [[nodiscard]] MemberIndex count() const;
   [[nodiscard]] MemberIndex size() const;  // of each but the last, which may have fewer owners
 };
 
-// The state of a store at one time, as digests and deltas. A local of whoever asks: the store and the kinds
-// outlive it and do not change meanwhile.
+// The digests and deltas of a store at one time. Created for a single call: the store and the kinds must outlive
+// it and must not change meanwhile.
 class AntiEntropy {
  public:
   AntiEntropy(const EntryStore& store, const EntryKinds& kinds, Time now)
@@ -40,7 +41,7 @@
 
   // `owner` is below the store's owner_count().
   [[nodiscard]] Digest digest(MemberIndex owner) const;
-  // Of a group's owners whose incarnations are known, in turn from its `first` one on, counted round.
+  // Of a group's owners whose incarnations are known, starting at its `first` one (modulo the group's size).
   [[nodiscard]] std::vector<Digest> digests(MemberIndex group, MemberIndex first) const;
   // Equal where the group's digests are.
   [[nodiscard]] std::uint32_t group_hash(MemberIndex group) const;
--- a/src/replicated_state/bounded_counter.cpp
+++ b/src/replicated_state/bounded_counter.cpp
@@ -11,8 +11,9 @@
 
 namespace {
 
-constexpr Duration kMaxBurst = std::chrono::minutes(10);         // bounds the accrual within 64 bits
-constexpr Duration kClosedRetention = std::chrono::minutes(10);  // a closed budget of units stays closed
+constexpr Duration kMaxBurst = std::chrono::minutes(10);  // keeps the accrual within 64 bits
+// How long a closed consumable budget is remembered, so that a late open() cannot give it units again.
+constexpr Duration kClosedRetention = std::chrono::minutes(10);
 
 bool is_within_bounds(const Budget& budget) {
   return budget.amount <= kMaxAmount && budget.max_burst >= Duration::zero() && budget.max_burst <= kMaxBurst;
@@ -122,7 +123,7 @@
 std::uint64_t BoundedCounter::rate(Time now, const BudgetId& id) const {
   const QuotaAllocation* allocation = find(id);
   if (allocation == nullptr || allocation->is_closed || allocation->is_consumable()) return 0;
-  return allocation->held(now);
+  return allocation->total(now);
 }
 
 std::uint64_t BoundedCounter::available(Time now, const BudgetId& id) const {
--- a/src/replicated_state/entry.hpp
+++ b/src/replicated_state/entry.hpp
@@ -26,10 +26,10 @@
   std::uint64_t incarnation = 0;  // the owner's
   std::uint64_t version = 0;      // from 1 to kMaxVersion, by one counter of the owner's incarnation
   bool is_tombstone = false;      // the owner has erased it
-  Duration age{};                 // since the owner wrote it, by the sender's reckoning
+  Duration age{};                 // since the owner wrote it, as estimated by the sender
   Payload payload;
 };
-inline constexpr std::uint64_t kMaxVersion = std::uint64_t{1} << 48U;  // out of reach for real writers
+inline constexpr std::uint64_t kMaxVersion = std::uint64_t{1} << 48U;  // no writer counts this far; higher ones are invalid
 
 }  // namespace dispatcher::replicated_state
 
--- a/src/replicated_state/entry_kinds.cpp
+++ b/src/replicated_state/entry_kinds.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-// What is wrong with the kind's own bounds, if anything is.
+// The error in the kind's own bounds; none where they are valid.
 std::optional<EntryKindErrorCode> check_bounds(const EntryKind& kind) {
   if (kind.id == 0 || kind.id > kMaxKindId) return EntryKindErrorCode::kInvalidId;
   if (kind.max_payload_bytes > kMaxPayloadBytes) return EntryKindErrorCode::kPayloadTooLong;
--- a/src/replicated_state/entry_kinds.hpp
+++ b/src/replicated_state/entry_kinds.hpp
@@ -31,10 +31,10 @@
   std::size_t max_payload_bytes = 8;
   Duration max_age = std::chrono::seconds(60);            // an older entry is dropped
   Duration half_life = std::chrono::seconds(10);          // of an entry's weight once its owner is silent
-  Duration min_write_interval = std::chrono::seconds(2);  // earlier writes of a key wait; the last one wins
+  Duration min_write_interval = std::chrono::seconds(2);  // earlier writes of a key are deferred; the last wins
   unsigned max_transmissions = 4;                         // by each member that accepted the entry
-  double priority = 1;                                    // the higher goes first
-  bool is_broadcast = false;               // worth a datagram to all members, where the byte budget allows it
+  double priority = 1;                                    // higher values are sent first
+  bool is_broadcast = false;               // sent to all members at once, where the byte budget allows it
   std::function<bool(ByteView)> is_valid;  // checks a payload; others are rejected
 };
 
@@ -56,7 +56,7 @@
 };
 [[nodiscard]] std::string to_text(const EntryKindProblem& problem);  // one line
 
-// A mistake of the program, which it finds at its start; what() is the problem's text.
+// A programming error that is detected at start-up; what() is the problem's text.
 struct EntryKindError : std::logic_error {
   explicit EntryKindError(const EntryKindProblem& cause) : std::logic_error(to_text(cause)), problem(cause) {}
   EntryKindProblem problem;
--- a/src/replicated_state/entry_store.hpp
+++ b/src/replicated_state/entry_store.hpp
@@ -1,5 +1,5 @@
-// What one replica stores: of each owner the entries of one incarnation, with the highest versions first, up
-// to a limit. It decides nothing about what may be stored: ReplicatedMap does.
+// The storage of one replica: of each owner the entries of one incarnation, up to a limit, beyond which those
+// with the lowest versions are evicted. ReplicatedMap decides which entries may be stored.
 #ifndef DISPATCHER_REPLICATED_STATE_ENTRY_STORE_HPP_
 #define DISPATCHER_REPLICATED_STATE_ENTRY_STORE_HPP_
 
@@ -17,12 +17,12 @@
   std::uint64_t version = 0;
   bool is_tombstone = false;
   Time written_at{};             // by this process's clock
-  unsigned remaining_sends = 0;  // with datagrams to single members
+  unsigned remaining_sends = 0;  // in datagrams to single members
   bool was_broadcast = false;
   Payload payload;
 };
 
-// What is stored of one owner.
+// The state of one owner's entries.
 struct OwnerState {
   std::uint64_t incarnation = 0;      // 0: unknown, and nothing is stored
   std::uint64_t max_version = 0;      // the highest ever stored of this incarnation
@@ -43,9 +43,9 @@
   [[nodiscard]] bool contains(const EntryKey& key) const { return entries_.contains(key); }
   // Stores an entry in place of an earlier one with its key, and evicts its owner's oldest beyond the limit.
   void store(const EntryKey& key, StoredEntry stored);
-  // Drops all entries of an owner: those of its later incarnation follow.
+  // Removes all entries of an owner, and sets the incarnation of those that follow.
   void begin_incarnation(MemberIndex owner, std::uint64_t incarnation);
-  // Drops entries that have reached their kind's max_age. Each kind that is stored is in `kinds`.
+  // Removes entries that have reached their kind's max_age. `kinds` has the kinds of all stored entries.
   void drop_expired(Time now, const EntryKinds& kinds);
 
   // The form in which an entry is sent now.
--- a/src/replicated_state/failure_evidence.hpp
+++ b/src/replicated_state/failure_evidence.hpp
@@ -1,5 +1,5 @@
-// A member's evidence that an endpoint fails: how many of its latest attempts there did. A hint to others, to
-// be weighed by its age and by its owner's silence.
+// A member's evidence that an endpoint fails: how many of its latest attempts there failed. Only a hint to other
+// members, which weigh it by its age and by how long its owner has been silent.
 #ifndef DISPATCHER_REPLICATED_STATE_FAILURE_EVIDENCE_HPP_
 #define DISPATCHER_REPLICATED_STATE_FAILURE_EVIDENCE_HPP_
 
@@ -12,7 +12,7 @@
 namespace dispatcher::replicated_state {
 
 inline constexpr std::uint32_t kFailureEvidenceKind = 1;  // its id on the wire
-inline constexpr std::uint32_t kMaxAttempts = 1000;       // keeps the payload within its bytes
+inline constexpr std::uint32_t kMaxAttempts = 1000;       // keeps the payload within max_payload_bytes
 
 // The payload of one entry, whose id is entry_id(the endpoint's name).
 struct FailureEvidence {
--- a/src/replicated_state/quota_allocation.hpp
+++ b/src/replicated_state/quota_allocation.hpp
@@ -1,4 +1,4 @@
-// One member's quota of one budget: its own part, what it lent and borrowed, and what accrued of a rate.
+// One member's quota of one budget: its own part, its loans to and from others, and what has accrued of a rate.
 #ifndef DISPATCHER_REPLICATED_STATE_QUOTA_ALLOCATION_HPP_
 #define DISPATCHER_REPLICATED_STATE_QUOTA_ALLOCATION_HPP_
 
@@ -15,7 +15,7 @@
   std::uint64_t incarnation = 0;  // the borrower's
   std::uint32_t sequence = 0;     // of its request
   std::uint64_t amount = 0;
-  std::optional<Time> until;  // kRate: when the lender has it back; none: the loan is over
+  std::optional<Time> until;  // kRate: when the lender may use it again; none where the loan has ended
   [[nodiscard]] bool is_running(Time at) const { return until && *until > at; }
 };
 
@@ -26,7 +26,7 @@
   Time until{};
 };
 
-// A request whose answer is awaited.
+// A request that is not answered yet.
 struct PendingRequest {
   MemberIndex lender = 0;
   QuotaRequest request;
@@ -35,18 +35,18 @@
   Duration backoff{};  // before the next repetition; doubled each time
 };
 
-// The accounts of one budget. Owned by a BoundedCounter and changed by it alone; no thread safety of its own.
+// The account of one budget. Owned by a BoundedCounter and changed by it alone; no thread safety of its own.
 struct QuotaAllocation {
   Budget budget;
-  std::uint64_t units = 0;           // kConsumable: left; kRate: the own quota, lent parts included
+  std::uint64_t units = 0;           // kConsumable: unused units; kRate: the own quota, lent parts included
   std::uint64_t reserved_units = 0;  // kRate: the part of `units` that is never lent
   bool lending_enabled = true;
   Time lending_starts_at{};   // before it, an earlier process of this member may have lent quota
-  std::uint64_t demand = 0;   // what the owner of this process would like to have
+  std::uint64_t demand = 0;   // see BoundedCounter::set_demand()
   std::uint64_t accrued = 0;  // kRate: unused quota, in millionths of a unit
   Time accrued_at{};
   bool is_closed = false;
-  Time forget_at{};                               // once closed
+  Time forget_at{};                               // when a closed budget is removed
   std::map<MemberIndex, LentQuota> lent;          // by borrower
   std::map<MemberIndex, BorrowedQuota> borrowed;  // kRate, by lender
   std::optional<PendingRequest> pending;
@@ -57,13 +57,13 @@
   [[nodiscard]] std::uint64_t lent_total(Time at) const;
   // kRate: the own rate that isn't lent out.
   [[nodiscard]] std::uint64_t own_rate(Time at) const;
-  // Units, or the rate with loans included.
-  [[nodiscard]] std::uint64_t held(Time now) const;
+  // The quota now: units, or for kRate the rate with borrowed quota included.
+  [[nodiscard]] std::uint64_t total(Time now) const;
   // What may be lent now, in units or units a second.
   [[nodiscard]] std::uint64_t lendable(Time now) const;
   // What may be used now, in units.
   [[nodiscard]] std::uint64_t available(Time now) const;
-  // kRate: brings `accrued` up to date and drops borrowed loans that have ended. Returns how many ended.
+  // kRate: updates `accrued` and removes borrowed loans that have ended. Returns how many ended.
   std::uint64_t accrue(Time now);
   // Uses units, after accrue(); the caller has checked available().
   void consume(std::uint64_t amount);
--- a/src/replicated_state/quota_borrower.cpp
+++ b/src/replicated_state/quota_borrower.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-constexpr int kMaxBackoffFactor = 16;  // of the first pause between repetitions
+constexpr int kMaxBackoffFactor = 16;  // of the initial backoff: caps the exponential growth
 
 }  // namespace
 
@@ -41,8 +41,8 @@
   return_loans(now, allocation, out);
 }
 
-// A loan that has not arrived is awaited for half its lease at most. The lender may have it back at once,
-// unless the request would have renewed one that is in use.
+// A request is pending for half a lease at most. Its loan, which may be granted already, is then returned, unless
+// the request was to renew a loan that is in use.
 void QuotaBorrower::abandon_request(Time now, QuotaAllocation& allocation,
                                     std::vector<QuotaMessage>& out) const {
   if (!allocation.pending || allocation.is_consumable()) return;
@@ -53,12 +53,12 @@
   out.push_back({pending.lender, QuotaReturn{allocation.budget.id, pending.request.sequence}});
 }
 
-// Loans that have expired were dropped by accrue().
+// Expired loans have been removed by accrue().
 void QuotaBorrower::return_loans(Time now, QuotaAllocation& allocation, std::vector<QuotaMessage>& out) {
   for (auto it = allocation.borrowed.begin(); it != allocation.borrowed.end();) {
     const auto& [lender, loan] = *it;
-    const std::uint64_t held_without = allocation.held(now) - loan.amount;
-    if (!allocation.is_closed && held_without < allocation.demand) {
+    const std::uint64_t total_without_loan = allocation.total(now) - loan.amount;
+    if (!allocation.is_closed && total_without_loan < allocation.demand) {
       ++it;
       continue;
     }
@@ -108,9 +108,9 @@
     request.renews = loan.sequence;
     request.amount = loan.amount;
   } else {
-    const std::uint64_t held = allocation.held(now);
-    if (held >= allocation.demand) return std::nullopt;
-    request.amount = allocation.demand - held;
+    const std::uint64_t total = allocation.total(now);
+    if (total >= allocation.demand) return std::nullopt;
+    request.amount = allocation.demand - total;
     lender = draw_new_lender(allocation, live_members);
   }
   if (!lender) {
@@ -127,7 +127,7 @@
   if (allocation.pending) return allocation.pending->retry_at;
   if (allocation.is_closed || !policy_.lending_enabled) return std::nullopt;
   std::optional<Time> earliest;
-  if (allocation.demand > allocation.held(allocation.accrued_at)) earliest = allocation.next_request_at;
+  if (allocation.demand > allocation.total(allocation.accrued_at)) earliest = allocation.next_request_at;
   for (const auto& [lender, loan] : allocation.borrowed) {
     const Time renewal_at = std::max(allocation.next_request_at, loan.until - policy_.lease / 2);
     earliest = earliest ? std::min(*earliest, renewal_at) : renewal_at;
--- a/src/replicated_state/quota_borrower.hpp
+++ b/src/replicated_state/quota_borrower.hpp
@@ -1,5 +1,5 @@
-// The borrower's side of the lending protocol (see bounded_counter.hpp): when quota is requested and from
-// whom, when a loan is renewed or returned, and which grants count.
+// The borrower's side of the lending protocol (see bounded_counter.hpp): when quota is requested and from which
+// member, when a loan is renewed or returned, and which grants are accepted.
 #ifndef DISPATCHER_REPLICATED_STATE_QUOTA_BORROWER_HPP_
 #define DISPATCHER_REPLICATED_STATE_QUOTA_BORROWER_HPP_
 
@@ -23,20 +23,20 @@
   // Whether the grant answers the allocation's pending request.
   [[nodiscard]] static bool is_expected(const QuotaAllocation& allocation, MemberIndex from,
                                         const QuotaGrant& grant);
-  // What became of a grant. kExpired: it was so late that its lease has ended.
+  // The result of a grant. kExpired: it arrived after the end of its lease.
   enum class GrantResult : std::uint8_t { kDenied, kBorrowed, kExpired };
   // Ends the pending request by the grant, which is_expected().
   GrantResult accept_grant(Time now, QuotaAllocation& allocation, const QuotaGrant& grant) const;
 
-  // Gives up a request that was unanswered for too long, and returns loans that are no longer needed.
+  // Abandons a request that was unanswered for too long, and returns loans that are no longer needed.
   void return_unneeded(Time now, QuotaAllocation& allocation, std::vector<QuotaMessage>& out) const;
   // Repeats the pending request if that is due, with backoff.
   void retry_request(Time now, PendingRequest& pending, std::vector<QuotaMessage>& out) const;
-  // A new request, where a loan is to be renewed or some demand is unmet; it is pending from now on. For the
-  // latter, a lender is drawn from the live members.
+  // A new request, where a loan must be renewed or where the demand exceeds the quota; it is pending from now on.
+  // In the latter case a random live member is the lender.
   [[nodiscard]] std::optional<QuotaMessage> make_request(Time now, QuotaAllocation& allocation,
                                                          const std::vector<MemberIndex>& live_members);
-  // When a request or its repetition is due next; none: neither is.
+  // When a request or its repetition is due next; none where neither is.
   [[nodiscard]] std::optional<Time> next_deadline(const QuotaAllocation& allocation) const;
 
   // Of the latest request; 0 before the first.
--- a/src/replicated_state/quota_lender.cpp
+++ b/src/replicated_state/quota_lender.cpp
@@ -19,7 +19,7 @@
   return amount;
 }
 
-// The same amount for another lease, unless the lender has come to want it itself.
+// Grants the same amount for another lease, unless the lender's own demand exceeds its quota by now.
 std::uint64_t renew_loan(Time now, const QuotaAllocation& allocation, LentQuota& loan,
                          const Borrower& borrower, const QuotaRequest& request, Time until) {
   const bool is_same_loan = loan.is_running(now) && borrower.incarnation == loan.incarnation &&
--- a/src/replicated_state/replicated_map.cpp
+++ b/src/replicated_state/replicated_map.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-constexpr int kRefreshDivisor = 3;  // an unchanged entry is written again after this part of its max_age
+constexpr int kRefreshDivisor = 3;  // an unchanged entry is refreshed after max_age divided by this
 
 Payload copy(ByteView bytes) { return {bytes.begin(), bytes.end()}; }
 
@@ -107,10 +107,10 @@
 MergeResult ReplicatedMap::classify(const Entry& entry) const {
   const EntryKey& key = entry.key;
   if (key.owner >= store_.owner_count()) return MergeResult::kInvalid;
-  if (key.owner == self_) return MergeResult::kOwnEntry;  // this process knows best
+  if (key.owner == self_) return MergeResult::kOwnEntry;
   const OwnerState& owner = store_.owner(key.owner);
   if (entry.incarnation < owner.incarnation) return MergeResult::kStaleIncarnation;
-  // Incarnations are learnt from the membership; the entry will be sent again.
+  // The membership announces incarnations; the entry will be sent again.
   if (entry.incarnation > owner.incarnation) return MergeResult::kUnknownIncarnation;
   const EntryKind* kind = kinds_.find(key.kind);
   if (kind == nullptr) return MergeResult::kUnknownKind;
@@ -146,7 +146,7 @@
 void ReplicatedMap::merge_known(const Entry& entry, Time written_at) {
   StoredEntry* stored = store_.find(entry.key);
   if (stored == nullptr || stored->version != entry.version) return;
-  // Travel makes an entry look younger than it is, never older: of two times the earlier is more exact.
+  // Network latency makes an entry look younger than it is, never older: the earlier time is more exact.
   stored->written_at = std::min(stored->written_at, written_at);
   // An owner never writes two payloads under one version; should a faulty one do, all members still agree.
   if (std::tie(stored->is_tombstone, stored->payload) >= std::tie(entry.is_tombstone, entry.payload)) return;
--- a/src/replicated_state/replicated_map.hpp
+++ b/src/replicated_state/replicated_map.hpp
@@ -2,12 +2,12 @@
 // state-based CRDT: Shapiro et al., "Conflict-free replicated data types", 2011), so that loss, order and
 // repetition of messages do not matter. No I/O; the clock is passed in.
 //
-// An owner's entries belong to one of its incarnations and bear versions from one counter of that
-// incarnation. What is known of an owner is ordered by incarnation; within it each key has its highest
-// version, and of all keys those with the highest versions are stored, up to the owner's limit. An entry
-// beyond the limit has as many newer ones above it, whose versions only grow, so it would never return: the
-// limit is a part of the join. `evicted_version` is the highest version that was evicted; nothing at or below
-// it is accepted.
+// An owner's entries belong to one of its incarnations and have versions from one counter of that incarnation.
+// The join takes the higher incarnation; within one incarnation it takes the highest version of each key, and
+// of all keys those with the highest versions, up to the owner's limit. An entry beyond the limit has as many
+// newer ones above it, whose versions only grow, so it can never be among the stored ones again: the limit is a
+// part of the join. `evicted_version` is the highest version that was evicted; no entry at or below it is
+// accepted.
 #ifndef DISPATCHER_REPLICATED_STATE_REPLICATED_MAP_HPP_
 #define DISPATCHER_REPLICATED_STATE_REPLICATED_MAP_HPP_
 
@@ -24,7 +24,7 @@
 
 namespace dispatcher::replicated_state {
 
-// What became of a received entry.
+// The result of merging a received entry.
 enum class MergeResult : std::uint8_t {
   kAccepted,
   kAlreadyKnown,
@@ -33,7 +33,7 @@
   kUnknownKind,
   kExpired,
   kInvalid,
-  kOwnEntry,  // of this process, which knows best
+  kOwnEntry,  // only this process itself writes its entries
 };
 inline constexpr std::size_t kMergeResultCount = 8;
 
@@ -42,13 +42,13 @@
   MemberIndex owner = 0;
   std::uint64_t id = 0;
   ByteView payload;   // valid during the call only
-  Duration age{};     // since its owner wrote it; too low by some tens of ms for each hop
+  Duration age{};     // since its owner wrote it; underestimated by some tens of ms for each hop
   double weight = 1;  // 1 while its owner is alive; halved with each half-life of its silence
 };
 
-// How an entry goes out.
+// How an entry is sent.
 enum class Delivery : std::uint8_t {
-  kUnicast,    // with the datagrams to single members
+  kUnicast,    // in datagrams to single members
   kBroadcast,  // in a datagram to all members
 };
 
@@ -67,23 +67,23 @@
   bool set(Time now, std::uint32_t kind, std::uint64_t id, ByteView payload);
   // Replaces an own entry by a tombstone, or defers that; no effect where there is no such entry.
   void erase(Time now, std::uint32_t kind, std::uint64_t id);
-  // Shows entries that are not expired, own ones included, ordered by id and owner.
+  // Calls `visit` with each entry that is not expired, own ones included, ordered by id and owner.
   void for_each(Time now, std::uint32_t kind, const std::function<void(const EntryView&)>& visit) const;
 
-  // Joins a received entry into the map. An entry that isn't accepted changes nothing, but one that is known
-  // already may make its age more exact.
+  // Joins a received entry into the map. An entry that isn't accepted changes nothing, except that a known one
+  // may correct the stored age.
   MergeResult merge(Time now, const Entry& entry);
-  // An owner's incarnation as the membership knows it: entries of earlier ones are dropped.
+  // Sets an owner's incarnation, as the membership has it: entries of earlier ones are removed.
   void adopt_incarnation(MemberIndex owner, std::uint64_t incarnation);
   // This process's own incarnation has changed: its entries are written again under the new one.
   void set_own_incarnation(std::uint64_t incarnation);
-  // Since when an owner has been silent; none: it is alive.
+  // Since when an owner has been suspect or dead; none where it is alive.
   void set_silent_since(MemberIndex owner, std::optional<Time> since) { silent_since_[owner] = since; }
-  // Makes deferred writes that are due, and drops expired entries.
+  // Makes deferred writes that are due, and removes expired entries.
   void tick(Time now);
 
   // Entries to send, the most urgent first; for kBroadcast only own ones of broadcast kinds. The caller
-  // reports by mark_sent() which ones went out.
+  // reports by mark_sent() which ones it sent.
   [[nodiscard]] std::vector<Entry> send_queue(Time now, Delivery delivery) const;
   void mark_sent(const EntryKey& key, Delivery delivery);
 
@@ -92,7 +92,7 @@
   [[nodiscard]] std::uint32_t group_hash(Time now, MemberIndex group) const {
     return anti_entropy(now).group_hash(group);
   }
-  // Of the group's owners, in turn from the `first` one on, counted round.
+  // Of the group's owners, starting at the `first` one (modulo the group's size).
   [[nodiscard]] std::vector<Digest> digests(Time now, MemberIndex group, MemberIndex first = 0) const {
     return anti_entropy(now).digests(group, first);
   }
@@ -111,7 +111,7 @@
   }
 
  private:
-  // What an owner writes under a key.
+  // The value that an owner writes under a key.
   struct EntryValue {
     Payload payload;
     bool is_tombstone = false;
