--- a/fuzz/cue_fuzz.cpp
+++ b/fuzz/cue_fuzz.cpp
@@ -9,8 +9,8 @@
 
 namespace {
 
-constexpr std::int64_t kMaxSize = 100;             // as the schema below has it
-constexpr std::size_t kMaxReportedProblems = 101;  // the reader's limit and the problem that says so
+constexpr std::int64_t kMaxSize = 100;             // of the schema below
+constexpr std::size_t kMaxReportedProblems = 101;  // the limit of problems, and the problem that reports it
 
 }  // namespace
 
--- a/fuzz/expression_fuzz.cpp
+++ b/fuzz/expression_fuzz.cpp
@@ -1,5 +1,5 @@
-// Any bytes as an expression: it is compiled or rejected; what is compiled runs within its bounds, and has
-// the value that its own text form has.
+// Fuzz target of the expression compiler: any bytes are compiled or rejected. A compiled expression runs
+// within its bounds, and has the same value as the expression that its canonical text compiles to.
 #include <cstddef>
 #include <cstdint>
 #include <cstdlib>
--- a/fuzz/gossip_fuzz.cpp
+++ b/fuzz/gossip_fuzz.cpp
@@ -1,5 +1,5 @@
-// Any bytes as a datagram between dispatchers: dropped or accepted within the bounds, and never answered with
-// a longer one than the platform allows.
+// Fuzz target of a gossip node: any bytes as a datagram from another dispatcher are dropped or accepted
+// within the bounds, and never answered with a longer datagram than the platform allows.
 #include <cstddef>
 #include <cstdint>
 #include <cstdlib>
--- a/src/cue/data.hpp
+++ b/src/cue/data.hpp
@@ -16,8 +16,8 @@
 namespace dispatcher::cue {
 
 /// A scalar, list or struct that Schema::read() returned. What the schema guarantees is accessed without a
-/// check: calling an accessor of the wrong kind is a bug in the program, whatever the file contains, and throws
-/// std::logic_error. References that accessors return live as long as the Data they were taken from.
+/// check: calling an accessor of the wrong kind is a bug in the program, whatever the file contains, and
+/// throws std::logic_error. References that accessors return live as long as the Data they were taken from.
 class Data {
  public:
   using Fields = std::vector<std::pair<std::string, Data>>;  // in the file's order
--- a/src/cue/disjunction_unification.cpp
+++ b/src/cue/disjunction_unification.cpp
@@ -71,8 +71,8 @@
     return (!expected_has_default_ || expected.is_default) && (!found_has_default_ || found.is_default);
   }
 
-  // No pair can be unified. Where only one disjunct has the right kind, its own problems are the most specific
-  // report.
+  // No pair can be unified. Where only one disjunct has the right kind, its own problems are the most
+  // specific report.
   ValuePtr report_failure() {
     if (found_disjuncts_.size() != 1) return unifier_.report_conflict(expected_, found_);
     ValuePtr similar;
--- a/src/cue/evaluation_context.cpp
+++ b/src/cue/evaluation_context.cpp
@@ -15,7 +15,7 @@
 constexpr std::size_t kMaxSteps = 6'000'000;        // enough for files of kMaxBytes
 constexpr std::size_t kMaxDepth = 3 * kMaxNesting;  // of the path: definitions may nest values more deeply
 constexpr std::size_t kMaxProblems = 100;           // more are of no use to a reader
-constexpr std::size_t kMaxLabelBytes = 60;  // of a quoted label in a path
+constexpr std::size_t kMaxLabelBytes = 60;          // of a quoted label in a path
 
 bool is_identifier(std::string_view label) {
   return !label.empty() && std::all_of(label.begin(), label.end(), [](unsigned char character) {
--- a/src/cue/evaluation_context.hpp
+++ b/src/cue/evaluation_context.hpp
@@ -1,5 +1,5 @@
-// The state that the steps of one evaluation share: the problems found, the path of the current field, and the
-// limits on work.
+// The state that the steps of one evaluation share: the problems found, the path of the current field, and
+// the limits on work.
 #ifndef DISPATCHER_CUE_EVALUATION_CONTEXT_HPP_
 #define DISPATCHER_CUE_EVALUATION_CONTEXT_HPP_
 
@@ -11,8 +11,8 @@
 
 namespace dispatcher::cue {
 
-/// Thrown where an evaluation reaches a limit, after the problem that names the limit has been reported. Schema
-/// catches it, so that it leaves no file of this package; it is deliberately no std::exception.
+/// Thrown where an evaluation reaches a limit, after the problem that names the limit has been reported.
+/// Schema catches it, so that it leaves no file of this package; it is deliberately no std::exception.
 struct LimitReached {};
 
 /// The state of one evaluation. Not thread-safe.
--- a/src/cue/evaluator.cpp
+++ b/src/cue/evaluator.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-constexpr std::size_t kMaxReferenceDepth = 64;    // definitions in a chain of references: bounds the recursion
+constexpr std::size_t kMaxReferenceDepth = 64;  // definitions in a chain of references: bounds the recursion
 constexpr std::int64_t kMaxRegexBytes = 1 << 20;  // memory of one compiled regular expression
 
 KindSet kinds_of_type(const std::string& name) {
--- a/src/cue/grammar.hpp
+++ b/src/cue/grammar.hpp
@@ -117,8 +117,8 @@
 struct EndOfDeclaration : sor<Separator, seq<WhiteSpace, eof>> {};
 struct TopLevelDeclaration : if_must<success, Declaration, EndOfDeclaration> {};
 
-// The error where a rule must match and does not. Each rule that can fail there has its own message below; the
-// general one only ensures that no error ever names a rule of this grammar.
+// The error where a rule must match and does not. Each rule that can fail there has its own message below;
+// the general one only ensures that no error ever names a rule of this grammar.
 template <typename Rule>
 inline constexpr const char* kMessage = "syntax error";
 template <>
--- a/src/cue/nearest.hpp
+++ b/src/cue/nearest.hpp
@@ -27,8 +27,8 @@
   return row.back();
 }
 
-/// "; 'name' is known" for the name that is most similar to `given`, or an empty string where none is similar.
-/// `name_of` returns an element's name as std::string_view. The work is bounded.
+/// "; 'name' is known" for the name that is most similar to `given`, or an empty string where none is
+/// similar. `name_of` returns an element's name as std::string_view. The work is bounded.
 template <class Names, class NameOf>
 [[nodiscard]] std::string nearest(std::string_view given, const Names& names, NameOf name_of) {
   constexpr std::size_t kMaxLength = 64;   // bytes of `given`: bounds the work of one comparison
--- a/src/cue/schema.cpp
+++ b/src/cue/schema.cpp
@@ -58,9 +58,8 @@
   Expression definitions = parse({"schema", std::string(cue)});
   clear_positions(definitions);
   EvaluationContext context;
-  root_ = evaluate_within_limits(context, std::move(definitions), [&](Evaluator& evaluator) {
-    return evaluator.evaluate_definition(root);
-  });
+  root_ = evaluate_within_limits(context, std::move(definitions),
+                                 [&](Evaluator& evaluator) { return evaluator.evaluate_definition(root); });
   throw_if_any("schema", context.problems());
 }
 
--- a/src/cue/syntax_error.hpp
+++ b/src/cue/syntax_error.hpp
@@ -6,8 +6,8 @@
 
 namespace dispatcher::cue {
 
-/// Ends the parsing of one declaration. Parser in parser.cpp catches it and adds line and column, so it leaves no file of
-/// this package. `at` points into the text that is parsed.
+/// Ends the parsing of one declaration. Parser in parser.cpp catches it and adds line and column, so it
+/// leaves no file of this package. `at` points into the text that is parsed.
 struct SyntaxError {
   const char* at;
   std::string what;
--- a/src/expression/ast.hpp
+++ b/src/expression/ast.hpp
@@ -62,8 +62,8 @@
 // The symbol of an operator, such as "&&"; empty for nodes that are none.
 [[nodiscard]] std::string_view symbol(Op operation);
 
-// The tree as text, in one canonical form whatever its spacing and parentheses were. Parsing it gives the same
-// tree, apart from the offsets.
+// The tree as text, in one canonical form whatever its spacing and parentheses were. Parsing it gives the
+// same tree, apart from the offsets.
 [[nodiscard]] std::string to_text(const Node& node);
 
 }  // namespace dispatcher::expression
--- a/src/expression/dfa.hpp
+++ b/src/expression/dfa.hpp
@@ -29,8 +29,8 @@
   std::vector<std::uint8_t> accepts_at_end;    // by state: 1 where a text that ends in it matches
 };
 
-// The automaton that accepts the texts which contain a match. Throws PatternError where it would have more than
-// kMaxDfaStates states, or where building it takes too much work.
+// The automaton that accepts the texts which contain a match. Throws PatternError where it would have more
+// than kMaxDfaStates states, or where building it takes too much work.
 [[nodiscard]] Dfa build_dfa(const Nfa& nfa);
 
 }  // namespace dispatcher::expression
--- a/src/expression/pattern_parser.cpp
+++ b/src/expression/pattern_parser.cpp
@@ -141,7 +141,8 @@
     return group;
   }
 
-  // Called after "(?". True where a group follows, false where the flags are for the remainder of the outer one.
+  // Called after "(?". True where a group follows, false where the flags are for the remainder of the outer
+  // one.
   bool parse_flags() {
     bool is_set = true;
     while (!cursor_.at_end()) {
--- a/src/expression/type_checker.cpp
+++ b/src/expression/type_checker.cpp
@@ -58,8 +58,8 @@
   return make_bool(operation, at, std::move(conditions));
 }
 
-// Checks one tree. Problems are collected, so that all of them are reported at once. A node with a problem gets
-// the type kError, and nodes above it report no further problem because of it.
+// Checks one tree. Problems are collected, so that all of them are reported at once. A node with a problem
+// gets the type kError, and nodes above it report no further problem because of it.
 class TypeChecker {
  public:
   explicit TypeChecker(const Environment& fields) : fields_(fields) {}
--- a/src/gossip/byte_budget.hpp
+++ b/src/gossip/byte_budget.hpp
@@ -1,5 +1,5 @@
-// How many bytes a member may send, over all receivers: a token bucket. Answers to probes may run it into
-// debt up to a bound; what can wait asks how much is available. No I/O; the clock is passed in.
+// Limits the bytes that a member sends to all receivers together: a token bucket. Answers to probes may
+// overdraw it up to a bound; messages that can wait check available() first. No I/O; the clock is passed in.
 #ifndef DISPATCHER_GOSSIP_BYTE_BUDGET_HPP_
 #define DISPATCHER_GOSSIP_BYTE_BUDGET_HPP_
 
@@ -31,7 +31,8 @@
     return level_ / kMicrosPerByte;
   }
 
-  // Takes the bytes, as debt where need be. False: they would exceed the debt's bound.
+  // Spends the bytes, as debt where necessary. False, and nothing is spent, where the debt would exceed its
+  // bound.
   [[nodiscard]] bool try_spend(Time now, std::int64_t bytes) {
     refill(now);
     if (level_ - bytes * kMicrosPerByte < -debt_) return false;
--- a/src/gossip/codec.cpp
+++ b/src/gossip/codec.cpp
@@ -24,7 +24,7 @@
   return is_valid_incarnation(incarnation) && refutations <= membership::kMaxRefutations;
 }
 
-// Each from_wire() returns none where a value is beyond its bounds.
+// Each from_wire() returns none where a value exceeds its bounds.
 
 std::optional<Probe> from_wire(const wire::Probe& probe, MemberIndex member_count) {
   if (probe.type() > kMaxProbeType || probe.target() >= member_count) return std::nullopt;
@@ -80,7 +80,7 @@
   return QuotaReturn{{returned.kind(), returned.key()}, returned.sequence()};
 }
 
-// Appends the list's entries that are within their bounds, and counts the others.
+// Appends the list's elements that are within their bounds, and counts the others.
 template <class List, class T, class... Context>
 void read_list(const List& list, std::vector<T>& into, unsigned& invalid_entries, const Context&... context) {
   for (const auto& message : list) {
@@ -92,9 +92,9 @@
   }
 }
 
-// Why the head of a datagram is wrong, if it is.
-std::optional<DropReason> check_head(const wire::Envelope& envelope, MemberIndex from, std::uint32_t tier,
-                                     MemberIndex member_count) {
+// The error in the header of a datagram; none where it is valid.
+std::optional<DropReason> check_header(const wire::Envelope& envelope, MemberIndex from, std::uint32_t tier,
+                                       MemberIndex member_count) {
   if (envelope.protocol_version() != kProtocolVersion) return DropReason::kUnsupportedVersion;
   if (envelope.tier() != tier) return DropReason::kWrongTier;
   if (envelope.member_count() != member_count) return DropReason::kWrongCount;
@@ -112,7 +112,7 @@
   wire::Envelope envelope;
   if (bytes.empty() || !envelope.ParseFromArray(bytes.data(), static_cast<int>(bytes.size())))
     return DropReason::kMalformed;
-  if (const auto reason = check_head(envelope, from, tier, member_count)) return *reason;
+  if (const auto reason = check_header(envelope, from, tier, member_count)) return *reason;
   Message message;
   const MemberVersion version{envelope.incarnation(), envelope.refutations()};
   message.sender = {tier, member_count, from, version, envelope.serial()};
--- a/src/gossip/codec.hpp
+++ b/src/gossip/codec.hpp
@@ -1,4 +1,4 @@
-// Reads datagrams. Nothing of protobuf is visible outside this file and DatagramBuilder.
+// Decodes datagrams. Protobuf is visible only to the implementations of this file and of DatagramBuilder.
 #ifndef DISPATCHER_GOSSIP_CODEC_HPP_
 #define DISPATCHER_GOSSIP_CODEC_HPP_
 
@@ -10,9 +10,9 @@
 
 namespace dispatcher::gossip {
 
-// Decodes what came from the address of `from`. An entry beyond its bounds is skipped and counted; the
-// datagram is dropped where its head or its probe is wrong, for the reason returned. `tier` and
-// `member_count` are this process's. It checks nothing against earlier datagrams: see ReplayWindow.
+// Decodes a datagram that was received from the address of `from`. Returns the reason to drop the datagram
+// where its header or its probe is invalid; other invalid parts are skipped and counted. `tier` and
+// `member_count` are this process's. Does not detect replays: see ReplayWindow.
 [[nodiscard]] std::variant<Message, DropReason> decode(std::span<const std::uint8_t> bytes, MemberIndex from,
                                                        std::uint32_t tier, MemberIndex member_count);
 
--- a/src/gossip/config.cpp
+++ b/src/gossip/config.cpp
@@ -8,16 +8,17 @@
 
 namespace {
 
-// deploy/fleet.cue; its keys are older than the names in the code.
+// The schema of deploy/fleet.cue. read_members(), read_lending() and read_options() map its keys to the terms
+// of the code.
 constexpr std::string_view kSchema = R"cue(
 #Fleet: {
-	share: *false | bool // false: each dispatcher works alone
+	share: *false | bool // false: no gossip
 	members: {
 		period_ms:           *1_000 | (int & >=100 & <=60_000)
 		probe_timeout_ms:    *250 | (int & >=60 & <=10_000) // at least a round trip; below a third of the period
 		helpers:             *3 | (int & >=0 & <=8)
-		suspicion_periods:   *3.0 | (number & >=1 & <=20)   // times log10 of the count: the shortest wait
-		suspicion_stretch:   *4.0 | (number & >=1 & <=20)   // the longest wait, in shortest ones
+		suspicion_periods:   *3.0 | (number & >=1 & <=20)   // times log10 of the count: minimum suspicion
+		suspicion_stretch:   *4.0 | (number & >=1 & <=20)   // the maximum suspicion, in minimum ones
 		confirmations:       *3 | (int & >=0 & <=8)
 		spread:              *4.0 | (number & >=1 & <=16)
 		call_every_periods:  *4 | (int & >=1 & <=60)
@@ -26,12 +27,12 @@
 		per_second: *768 | (int & >=64 & <=65_536) // sent by one member; each receiver counts
 		burst:      *16_384 | (int & >=1_024 & <=1_048_576)
 	}
-	rows: *4_096 | (int & >=64 & <=65_536) // kept, of all members together
+	rows: *4_096 | (int & >=64 & <=65_536) // stored, of all members together
 	rights: {
 		lend:     *true | bool
 		lease_ms: *10_000 | (int & >=1_000 & <=15_000)
-		kept:     *0.5 | (number & >=0 & <=1)        // part of its share that a member never lends
-		drift:    *0.001 | (number & >=0 & <=0.05)   // most by which a clock's rate is off
+		kept:     *0.5 | (number & >=0 & <=1)        // fraction of its quota that a member never lends
+		drift:    *0.001 | (number & >=0 & <=0.05)   // maximum relative error of a clock's rate
 	}
 }
 )cue";
@@ -72,7 +73,8 @@
   return options;
 }
 
-// What the schema can't say: a probe's indirect part must have its time within the interval.
+// Checks what the schema can't express: an interval must have time for the indirect probes after the direct
+// one.
 void check_probe_timeout(const cue::File& file, const cue::Data& data,
                          const membership::Parameters& parameters) {
   if (parameters.probe_timeout * 3 < parameters.probe_interval) return;
--- a/src/gossip/config.hpp
+++ b/src/gossip/config.hpp
@@ -1,5 +1,5 @@
-// Whether dispatchers gossip with each other, and how much: what the platform's configuration allows, and
-// what the dispatcher's own file says (deploy/fleet.cue).
+// Whether dispatchers gossip with each other, and with which parameters: from the platform's configuration,
+// which must permit it, and the dispatcher's own file (deploy/fleet.cue).
 #ifndef DISPATCHER_GOSSIP_CONFIG_HPP_
 #define DISPATCHER_GOSSIP_CONFIG_HPP_
 
@@ -12,15 +12,15 @@
 
 namespace dispatcher::gossip {
 
-// All that the gossip of this process needs.
+// The configuration of this process's GossipNode and UdpTransport.
 struct Config {
   NodeOptions options;
   PeerConfig peers;
 };
 
-// None: the dispatcher works alone, as the file says so, the peers' configuration does not allow more, or
-// there is no other dispatcher. Throws cue::Errors with all that is wrong with the file, and PeerConfigError
-// where the peers don't fit the settings.
+// None where the dispatcher does not gossip: the file disables it, the platform's configuration does not
+// permit it, or there is no other dispatcher. Throws cue::Errors with all problems of the file, and
+// PeerConfigError where the peers don't match the settings.
 [[nodiscard]] std::optional<Config> parse_config(const cue::File& file, const routing::Settings& settings,
                                                  const PeerConfig& peers);
 
--- a/src/gossip/datagram.hpp
+++ b/src/gossip/datagram.hpp
@@ -1,6 +1,6 @@
-// One datagram between dispatchers: at most 256 bytes, which its type guarantees. The platform voids a run in
-// which a longer one is sent, so the only thing that a transport can send is a Datagram, and the only way to
-// make one is create() with its check.
+// One datagram between dispatchers: at most 256 bytes, which its type guarantees. The platform does not
+// tolerate a longer one, so a transport can only send a Datagram, and create(), which checks the size, is the
+// only way to make one.
 #ifndef DISPATCHER_GOSSIP_DATAGRAM_HPP_
 #define DISPATCHER_GOSSIP_DATAGRAM_HPP_
 
@@ -17,7 +17,7 @@
 // An immutable value.
 class Datagram {
  public:
-  // Calls `write` with a span of exactly `size` bytes to fill. None where that is more than a datagram holds.
+  // Calls `write` with a span of exactly `size` bytes to fill. None where `size` exceeds kMaxDatagramBytes.
   template <class Write>
   [[nodiscard]] static std::optional<Datagram> create(std::size_t size, Write write) {
     if (size > kMaxDatagramBytes) return std::nullopt;
--- a/src/gossip/datagram_builder.hpp
+++ b/src/gossip/datagram_builder.hpp
@@ -12,20 +12,22 @@
 
 namespace dispatcher::gossip {
 
-// Fills one datagram. Each add returns whether the content fitted, within kMaxDatagramBytes and the limit
-// set; content that didn't fit is left out. A local of whoever sends; not shared between threads.
+// Fills one datagram. Each add function returns whether the content fits, within kMaxDatagramBytes and the
+// current limit; content that doesn't fit is omitted. A local variable of the sender; not shared between
+// threads.
 class DatagramBuilder {
  public:
-  // Begins with the head, which always fits.
+  // Begins with the header, which always fits.
   explicit DatagramBuilder(const Sender& sender);
   ~DatagramBuilder();
   DatagramBuilder(DatagramBuilder&&) noexcept;
   DatagramBuilder& operator=(DatagramBuilder&&) = delete;
 
   bool add(const Probe& probe);  // once
-  // Of the sender's view of the fleet; once. A hash of 0 is left out, as on the wire it means none.
+  // The hash of the sender's view of the fleet; once. 0 is omitted, as on the wire it means that there is
+  // none.
   bool add_members_hash(std::uint32_t hash);
-  // Of the entries of a group of owners; once.
+  // The hash of the entries of a group of owners; once.
   bool add_group(MemberIndex group, std::uint32_t hash);
   bool add(const MemberUpdate& update);
   bool add(const QuotaRequest& request);
@@ -35,13 +37,13 @@
   // A datagram's digests all have one role: once one is a reply, all are.
   bool add(const Digest& digest, DigestRole role);
 
-  // Bounds the size from here on; what is there already stays.
+  // Limits the size of the datagram from here on. Has no effect on content that was added already.
   void set_limit(std::size_t max_bytes);
   // Bytes of the datagram so far.
   [[nodiscard]] std::size_t size() const;
   // Bytes that may be added.
   [[nodiscard]] std::size_t remaining() const { return size() < max_bytes_ ? max_bytes_ - size() : 0; }
-  // None only where the sender's head alone is too long, which its bounds rule out.
+  // None only where the header alone is too long, which its bounds rule out.
   [[nodiscard]] std::optional<Datagram> finish() const;
 
  private:
--- a/src/gossip/drafts.cpp
+++ b/src/gossip/drafts.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-constexpr std::size_t kMaxQuotaMessages = 4;  // with a probe, so many always fit one datagram
+constexpr std::size_t kMaxQuotaMessages = 4;  // these and a probe always fit one datagram
 
 }  // namespace
 
--- a/src/gossip/gossip_node.cpp
+++ b/src/gossip/gossip_node.cpp
@@ -10,16 +10,23 @@
 using membership::MemberState;
 using replicated_state::Delivery;
 
-constexpr std::int64_t kBurstReserveDivisor = 4;  // broadcasts leave this part of the burst for probes
-constexpr std::size_t kMaxPageUpdates = 16;       // about what half a datagram holds
+constexpr std::int64_t kBurstReserveDivisor = 4;  // broadcasts leave a quarter of the burst for probes
+constexpr std::size_t kMaxPageUpdates = 16;       // updates that fit about half a datagram
 
-// Independent streams from one seed (SplitMix64's multipliers).
-membership::Random random_stream(std::uint64_t seed, std::uint64_t stream) {
-  const std::uint64_t mixed = (seed ^ (stream * 0x9E3779B97F4A7C15U)) * 0xBF58476D1CE4E5B9U;
+// SplitMix64's constants (Steele, Lea, Flood, "Fast splittable pseudorandom number generators", 2014).
+constexpr std::uint64_t kGoldenGamma = 0x9E3779B97F4A7C15U;
+constexpr std::uint64_t kMixMultiplier = 0xBF58476D1CE4E5B9U;
+
+// The streams of random numbers that follow from a node's seed.
+enum class RandomStream : std::uint64_t { kMembership = 1, kQuotas = 2 };
+
+membership::Random make_random(std::uint64_t seed, RandomStream stream) {
+  const std::uint64_t mixed = (seed ^ (static_cast<std::uint64_t>(stream) * kGoldenGamma)) * kMixMultiplier;
   return membership::Random(static_cast<std::uint32_t>(mixed >> 32U));
 }
 
-// Answers to probes may go out on a debt of a second's bytes, as without them the member would be suspected.
+// Answers to probes may overdraw the budget by a second's bytes, as without them this member would be
+// suspected.
 std::int64_t max_debt(const NodeOptions& options) { return options.bytes_per_second; }
 
 }  // namespace
@@ -28,9 +35,10 @@
                        std::uint64_t incarnation, std::uint64_t seed, Time now)
     : options_(options),
       members_(options.membership, options.self, options.member_count, incarnation, now,
-               random_stream(seed, 1)),
+               make_random(seed, RandomStream::kMembership)),
       entries_(kinds, options.self, options.member_count, incarnation, options.max_entries),
-      quotas_(options.lending, options.self, options.member_count, incarnation, now, random_stream(seed, 2)),
+      quotas_(options.lending, options.self, options.member_count, incarnation, now,
+              make_random(seed, RandomStream::kQuotas)),
       budget_(options.bytes_per_second, options.burst_bytes, max_debt(options), now),
       replay_window_(options.member_count) {}
 
@@ -90,7 +98,7 @@
   for (const MemberUpdate& update : draft.updates) builder.add(update);
   for (const replicated_state::QuotaMessage& message : draft.quota_messages)
     std::visit([&](const auto& content) { builder.add(content); }, message.content);
-  // From here on, only what the budget has.
+  // The content from here on may not overdraw the budget.
   builder.set_limit(static_cast<std::size_t>(std::clamp<std::int64_t>(available, 0, kMaxDatagramBytes)));
   if (draft.probe && draft.probe->type == Probe::Type::kPing) add_probe_hashes(now, builder);
   add_updates(builder, draft);
@@ -107,7 +115,7 @@
   return out;
 }
 
-// A broadcast costs the same whether one address reaches all members or each gets its own copy.
+// A broadcast is charged for each receiver, also where a single send reaches all of them.
 void GossipNode::broadcast_urgent(Time now, OutgoingDatagrams& out) {
   broadcast_at_.reset();
   const std::vector<Entry> urgent = entries_.send_queue(now, Delivery::kBroadcast);
@@ -122,7 +130,7 @@
   const auto cost = static_cast<std::int64_t>(datagram->size()) * peer_count();
   const bool leaves_reserve = budget_.available(now) - cost >= options_.burst_bytes / kBurstReserveDivisor;
   if (!leaves_reserve || !charge(now, *datagram, peer_count())) {
-    ++counts_.deferred;  // the entries go out with the probes instead
+    ++counts_.deferred;  // the entries are sent with the probes instead
     return;
   }
   for (const replicated_state::EntryKey& key : packed) entries_.mark_sent(key, Delivery::kBroadcast);
@@ -174,7 +182,7 @@
 
 GossipNode::OutgoingDatagrams GossipNode::on_received(Time now, MemberIndex from,
                                                       std::span<const std::uint8_t> bytes) {
-  if (from == options_.self) return {};  // an own broadcast comes back
+  if (from == options_.self) return {};  // a broadcast reaches its sender, too
   ++counts_.received;
   counts_.received_bytes += bytes.size();
   const auto decoded = decode(bytes, from, options_.tier, options_.member_count);
@@ -210,8 +218,8 @@
   reconcile_entries(now, from, message, drafts);
 }
 
-// A process that starts on a clock that was set back is ignored until it knows of its later incarnation. The
-// answer to its ping tells it; nothing else is accepted from it.
+// A process that started on a clock that was set back is ignored until it adopts a higher incarnation. The
+// answer to its ping notifies it of the one to exceed; all other messages from it are dropped.
 Drafts GossipNode::answer_stale(MemberIndex from, const Message& message) const {
   Drafts drafts;
   if (!message.probe || message.probe->type != Probe::Type::kPing) return drafts;
@@ -226,9 +234,9 @@
   if (is_equal) members_.mark_view_agreed();
 }
 
-// Anti-entropy, in three steps: a probe bears a group's hash; where it differs, the group's digests are
-// answered; and they are answered with the entries that they lack, and with digests of our own where we lack
-// some.
+// Anti-entropy, in three steps: a probe carries a group's hash; where it differs, the receiver answers with
+// the group's digests; these are answered with the entries that their sender lacks, and with own digests
+// where the sender has entries that this member lacks.
 void GossipNode::reconcile_entries(Time now, MemberIndex from, const Message& message, Drafts& drafts) {
   if (message.group && *message.group < entries_.group_count() &&
       message.group_hash != entries_.group_hash(now, *message.group))
--- a/src/gossip/gossip_node.hpp
+++ b/src/gossip/gossip_node.hpp
@@ -1,6 +1,6 @@
-// One dispatcher's part in its fleet: SWIM membership, the replicated map and the bounded counters, whose
-// messages share datagrams. No I/O: the clock, the seed and the datagrams are passed in, and datagrams to be
-// sent are returned. UdpTransport carries them.
+// One dispatcher as a member of its fleet: SWIM membership, the replicated map and the bounded counters,
+// whose messages share datagrams. No I/O: the clock, the seed and the datagrams are passed in, and datagrams
+// to be sent are returned. UdpTransport carries them.
 #ifndef DISPATCHER_GOSSIP_GOSSIP_NODE_HPP_
 #define DISPATCHER_GOSSIP_GOSSIP_NODE_HPP_
 
@@ -45,18 +45,18 @@
 
   // Announces this process to all members.
   [[nodiscard]] OutgoingDatagrams start(Time now);
-  // Does what is due, at or after next_deadline().
+  // Handles everything that is due, at or after next_deadline().
   [[nodiscard]] OutgoingDatagrams tick(Time now);
   // A datagram arrived from the address of `from`.
   [[nodiscard]] OutgoingDatagrams on_received(Time now, MemberIndex from,
                                               std::span<const std::uint8_t> bytes);
   // Announces the end of this process to a few members.
   [[nodiscard]] OutgoingDatagrams leave(Time now);
-  // When tick() has something to do next; in the past where it has already.
+  // When tick() is due next; in the past where it is overdue.
   [[nodiscard]] Time next_deadline() const;
 
-  // Writes to the node's entries and quotas. Messages follow with the next tick, which next_deadline() may
-  // ask for at once. set() fails as ReplicatedMap::set() does.
+  // Writes to the node's entries and quotas. Messages are sent with the next tick, which may be due at once:
+  // check next_deadline(). set() returns false where ReplicatedMap::set() does.
   bool set(Time now, std::uint32_t kind, std::uint64_t id, replicated_state::ByteView payload);
   void erase(Time now, std::uint32_t kind, std::uint64_t id) { entries_.erase(now, kind, id); }
   [[nodiscard]] replicated_state::BoundedCounter& quotas() { return quotas_; }
@@ -64,20 +64,20 @@
   [[nodiscard]] const replicated_state::ReplicatedMap& entries() const { return entries_; }
   [[nodiscard]] const replicated_state::BoundedCounter& quotas() const { return quotas_; }
   [[nodiscard]] const membership::Membership& members() const { return members_; }
-  // Sets who is called at each change of a member, this one included. It must not change the node.
+  // Sets the observer of members' changes, this one's included. It must not change the node.
   void set_change_observer(ChangeObserver observer) { observe_change_ = std::move(observer); }
 
-  // A datagram came from an address that is no member's.
+  // A datagram arrived from an address that is no member's.
   void on_unknown_address() { count_drop(DropReason::kUnknownAddress); }
 
   // Totals since the start of the process.
   struct Counts {
     std::uint64_t sent = 0;  // a datagram to all members counts once for each
     std::uint64_t sent_bytes = 0;
-    std::uint64_t received = 0;  // of others, whether accepted or dropped
+    std::uint64_t received = 0;  // from others, whether accepted or dropped
     std::uint64_t received_bytes = 0;
-    std::uint64_t deferred = 0;                             // datagrams not sent, for want of byte budget
-    std::uint64_t invalid_entries = 0;                      // skipped within accepted datagrams
+    std::uint64_t deferred = 0;         // datagrams not sent, as the byte budget was spent
+    std::uint64_t invalid_entries = 0;  // skipped within accepted datagrams
     std::array<std::uint64_t, kDropReasonCount> dropped{};  // by DropReason
   };
   [[nodiscard]] const Counts& counts() const { return counts_; }
@@ -109,8 +109,8 @@
   ByteBudget budget_;
   ReplayWindow replay_window_;
   std::uint32_t serial_ = 0;          // of the latest datagram
-  MemberIndex group_ = 0;             // whose hash went out last
-  std::optional<Time> broadcast_at_;  // an entry was written that is worth a datagram to all
+  MemberIndex group_ = 0;             // of owners, whose hash was sent last
+  std::optional<Time> broadcast_at_;  // when a broadcast is due, as an entry of a broadcast kind was written
   ChangeObserver observe_change_;
   Counts counts_;
 };
--- a/src/gossip/message.hpp
+++ b/src/gossip/message.hpp
@@ -1,4 +1,4 @@
-// What a datagram between dispatchers says, and why one is dropped. wire.proto has its format.
+// The content of a datagram between dispatchers, and the reasons to drop one. wire.proto has its format.
 #ifndef DISPATCHER_GOSSIP_MESSAGE_HPP_
 #define DISPATCHER_GOSSIP_MESSAGE_HPP_
 
@@ -24,15 +24,15 @@
 using replicated_state::QuotaRequest;
 using replicated_state::QuotaReturn;
 
-inline constexpr std::uint32_t kProtocolVersion = 1;               // raised when old readers would misread
+inline constexpr std::uint32_t kProtocolVersion = 1;               // raised when old receivers would misread
 inline constexpr std::chrono::milliseconds kAgeUnit{10};           // of ages on the wire
 inline constexpr std::uint32_t kMaxAgeUnits = 24U * 3600U * 100U;  // a day
 
-// A step of the anti-entropy exchange: digests that are offered are answered with entries and with digests of
-// one's own; digests that reply are answered with entries only, so that the exchange ends.
+// A step of the anti-entropy exchange: an offer of digests is answered with entries and with a reply of
+// digests; a reply is answered with entries only, so that the exchange ends.
 enum class DigestRole : std::uint8_t { kOffer, kReply };
 
-// The head of a datagram: the same on all of a process, but for the serial number.
+// The header of a datagram: the same in all datagrams of a process, except for the serial number.
 struct Sender {
   std::uint32_t tier = 0;
   MemberIndex member_count = 0;
@@ -61,15 +61,15 @@
 // Why a datagram was dropped.
 enum class DropReason : std::uint8_t {
   kTooLong,             // above kMaxDatagramBytes
-  kMalformed,           // no message of wire.proto
+  kMalformed,           // not an Envelope of wire.proto
   kUnsupportedVersion,  // not kProtocolVersion
   kWrongTier,
   kWrongCount,      // another count of members than this process's
-  kWrongSender,     // not the member whose address it came from
-  kUnknownAddress,  // of no member
-  kInvalid,         // its head or its probe is beyond its bounds
+  kWrongSender,     // not the member whose address it was received from
+  kUnknownAddress,  // received from an address that is no member's
+  kInvalid,         // its header or its probe exceeds its bounds
   kStaleIncarnation,
-  kReplay,  // its serial number was seen, or is too old to tell
+  kReplay,  // its serial number was seen before, or is below the replay window
 };
 inline constexpr std::size_t kDropReasonCount = 10;
 
--- a/src/gossip/node_options.hpp
+++ b/src/gossip/node_options.hpp
@@ -1,4 +1,4 @@
-// What a GossipNode is made with.
+// The construction parameters of a GossipNode.
 #ifndef DISPATCHER_GOSSIP_NODE_OPTIONS_HPP_
 #define DISPATCHER_GOSSIP_NODE_OPTIONS_HPP_
 
@@ -12,7 +12,7 @@
 
 using membership::MemberIndex;
 
-// A member's place in its fleet, and the figures of its protocols.
+// A member's index in its fleet, and the parameters of its protocols.
 struct NodeOptions {
   MemberIndex self = 0;  // below member_count
   MemberIndex member_count = 1;
@@ -20,8 +20,8 @@
   membership::Parameters membership;
   replicated_state::LendingPolicy lending;
   std::size_t max_entries = 4096;       // stored, of all owners together
-  std::int64_t bytes_per_second = 768;  // sent by this member; a broadcast counts for each receiver
-  std::int64_t burst_bytes = 16384;     // that unused bytes add up to at most
+  std::int64_t bytes_per_second = 768;  // that this member sends; a broadcast counts for each receiver
+  std::int64_t burst_bytes = 16384;     // the maximum that unused bytes accrue to
 };
 
 }  // namespace dispatcher::gossip
--- a/src/gossip/peer_config.hpp
+++ b/src/gossip/peer_config.hpp
@@ -1,5 +1,4 @@
-// What the platform's configuration says about a dispatcher's peers: whether it may gossip, and their
-// addresses.
+// A dispatcher's peers in the platform's configuration: whether it may gossip, and their addresses.
 #ifndef DISPATCHER_GOSSIP_PEER_CONFIG_HPP_
 #define DISPATCHER_GOSSIP_PEER_CONFIG_HPP_
 
@@ -16,7 +15,7 @@
 
 using boost::asio::ip::udp;
 
-// The peers as the platform's configuration has them.
+// The peers that the platform's configuration lists.
 struct PeerConfig {
   bool is_allowed = false;                 // limits.peers of the settings
   std::uint32_t tier = 0;                  // of the settings
@@ -25,7 +24,7 @@
   std::optional<udp::endpoint> broadcast;  // peers_all: one address that reaches all members
 };
 
-// Why peers can't be used.
+// Why a configuration of peers is invalid.
 enum class PeerConfigErrorCode : std::uint8_t {
   kInvalidPermission,  // limits.peers is no boolean
   kInvalidTier,        // no number, or too large
@@ -36,7 +35,7 @@
   kDuplicatePeer,      // peers has an address twice
 };
 
-// What is wrong with the peers, and where.
+// An error in the configuration of peers, and the field that it is in.
 struct PeerConfigProblem {
   PeerConfigErrorCode code{};
   std::string field;               // as the configuration spells it, such as peers[1]
@@ -52,8 +51,8 @@
   PeerConfigProblem problem;
 };
 
-// Reads the whole JSON configuration. Where gossip is not allowed nothing else is looked at. Throws
-// PeerConfigError for the first field that is wrong.
+// Reads the peers from the platform's complete JSON configuration. Where gossip is not allowed, nothing else
+// is read. Throws PeerConfigError for the first invalid field.
 [[nodiscard]] PeerConfig parse_peer_config(const nlohmann::json& configuration);
 
 // Throws PeerConfigError where the peers are not those of a fleet of `member_count` dispatchers.
--- a/src/gossip/replay_window.hpp
+++ b/src/gossip/replay_window.hpp
@@ -1,5 +1,5 @@
-// Which datagrams of each sender have been seen: the last 64 serial numbers of its current incarnation, as in
-// IPsec's anti-replay window (RFC 4303, 3.4.3). An older one counts as replayed.
+// Detects replayed datagrams by the last 64 serial numbers of each sender's current incarnation, as IPsec's
+// anti-replay window does (RFC 4303, section 3.4.3). An older one counts as replayed.
 #ifndef DISPATCHER_GOSSIP_REPLAY_WINDOW_HPP_
 #define DISPATCHER_GOSSIP_REPLAY_WINDOW_HPP_
 
@@ -16,7 +16,7 @@
   enum class Result : std::uint8_t { kNew, kReplayed, kStaleIncarnation };
   explicit ReplayWindow(membership::MemberIndex count) : windows_(count) {}
 
-  // Records a datagram, and says whether it is a new one.
+  // Records a datagram, and returns whether it is a new one.
   [[nodiscard]] Result check(membership::MemberIndex from, std::uint64_t incarnation, std::uint32_t serial) {
     Window& window = windows_[from];
     if (incarnation < window.incarnation) return Result::kStaleIncarnation;
--- a/src/gossip/udp_transport.hpp
+++ b/src/gossip/udp_transport.hpp
@@ -1,4 +1,4 @@
-// Carries a node's datagrams over UDP, and passes it the time. It makes no decisions of the protocol.
+// Carries a node's datagrams over UDP, and drives its timers. It makes no decisions of the protocol.
 #ifndef DISPATCHER_GOSSIP_UDP_TRANSPORT_HPP_
 #define DISPATCHER_GOSSIP_UDP_TRANSPORT_HPP_
 
@@ -15,23 +15,23 @@
 namespace dispatcher::gossip {
 
 // Owned by the daemon, used on the event loop of its io_context alone. A receive that completes after the
-// transport's end is ignored.
+// transport's destruction is ignored.
 class UdpTransport {
  public:
-  // Binds to config.listen; throws boost::system::system_error where it can't. The node and the timers
-  // outlive the transport.
+  // Binds to config.listen, which must be set; throws boost::system::system_error where that fails. The node
+  // and the timers must outlive the transport.
   UdpTransport(boost::asio::io_context& io, const PeerConfig& config, GossipNode& node,
                engine::TimerQueue& timers, engine::Clock clock);
   ~UdpTransport() { stop(); }
   // Begins to receive, and announces the node.
   void start();
-  // The node was written to: sends what is due at once.
+  // To be called after writes to the node: sends what is due at once, and schedules the next tick.
   void on_node_changed();
   // Announces the node's end to other members, then stops.
   void leave();
   // Closes the socket without any announcement.
   void stop();
-  // The address that it is bound to; not after stop().
+  // The address that the socket is bound to. Not to be called after stop().
   [[nodiscard]] udp::endpoint local() const { return socket_.local_endpoint(); }
   // Replaces the peers' addresses; the socket stays. For tests on ephemeral ports, which are known only once
   // all sockets are bound.
--- a/src/membership/member.hpp
+++ b/src/membership/member.hpp
@@ -1,5 +1,5 @@
-// The values that members of a fleet exchange about one another. The members' indexes and their count come from
-// the settings, so that the set is fixed; only their states and incarnations change.
+// The values that members of a fleet exchange about one another. The members' indexes and their count come
+// from the settings, so that the set is fixed; only their states and incarnations change.
 #ifndef DISPATCHER_MEMBERSHIP_MEMBER_HPP_
 #define DISPATCHER_MEMBERSHIP_MEMBER_HPP_
 
@@ -21,8 +21,8 @@
 // Orders updates about one member. `incarnation` is when its process started, in ms since the Unix epoch
 // by its own clock. It is compared with other incarnations of the same member only, so that skew between
 // hosts does not matter; where a host's clock was set back, the member receives an update with its later
-// incarnation and takes the next one. `refutations` counts the suspicions that this process has refuted; SWIM's incarnation
-// number is both together.
+// incarnation and takes the next one. `refutations` counts the suspicions that this process has refuted;
+// SWIM's incarnation number is both together.
 struct MemberVersion {
   std::uint64_t incarnation = 0;  // 0: unknown
   std::uint32_t refutations = 0;
@@ -34,8 +34,9 @@
 // In the order of precedence. kUnknown: nothing has been received about the member.
 enum class MemberState : std::uint8_t { kUnknown, kAlive, kSuspect, kDead };
 
-// A member's view of another member. Of two updates the one with the higher version wins, and within one version
-// the one with the higher state: merging takes the maximum, so that order, loss and repetition do not matter.
+// A member's view of another member. Of two updates the one with the higher version wins, and within one
+// version the one with the higher state: merging takes the maximum, so that order, loss and repetition do not
+// matter.
 struct MemberUpdate {
   MemberIndex member = 0;
   MemberVersion version;
@@ -48,8 +49,8 @@
 
 // One message of SWIM's failure detector. Times are measured by its sender alone, so none is in it.
 struct Probe {
-  // kPingRequest requests an indirect probe from a helper. kNack: the helper was reached, but its target has not
-  // answered it yet (Lifeguard).
+  // kPingRequest requests an indirect probe from a helper. kNack: the helper was reached, but its target has
+  // not answered it yet (Lifeguard).
   enum class Type : std::uint8_t { kPing, kPingRequest, kAck, kNack };
   Type type{};
   std::uint32_t sequence = 0;  // the prober's; an answer repeats it
--- a/src/membership/member_table.hpp
+++ b/src/membership/member_table.hpp
@@ -45,8 +45,8 @@
   // Marks this member as dead, for its last messages.
   void leave();
 
-  // Updates worth sending to `to`, the most valuable first: those about itself that it must refute, then those
-  // that were sent the least often. The caller reports by mark_sent() which ones it sent.
+  // Updates worth sending to `to`, the most valuable first: those about itself that it must refute, then
+  // those that were sent the least often. The caller reports by mark_sent() which ones it sent.
   [[nodiscard]] std::vector<MemberUpdate> update_queue(MemberIndex to, UpdateFilter filter) const;
   void mark_sent(MemberIndex member);
   // At most `max_updates` updates about known members, continuing after the last page, for a receiver
--- a/src/membership/suspicion.hpp
+++ b/src/membership/suspicion.hpp
@@ -1,5 +1,5 @@
-// The timeout of a suspicion, and a member's estimate of its own health: from Lifeguard (Dadgar, Phillips, Currey, "Lifeguard: local health awareness for more accurate failure
-// detection", 2018).
+// The timeout of a suspicion, and a member's estimate of its own health: from Lifeguard (Dadgar, Phillips,
+// Currey, "Lifeguard: local health awareness for more accurate failure detection", 2018).
 #ifndef DISPATCHER_MEMBERSHIP_SUSPICION_HPP_
 #define DISPATCHER_MEMBERSHIP_SUSPICION_HPP_
 
@@ -38,8 +38,8 @@
 };
 
 // Lifeguard's local health: a score from 0 (healthy) to `max_score`, raised by failed probes without
-// nacks from the helpers and by suspicions of this member, lowered by probes that succeed. This member's probe
-// interval and timeout are (1 + score) times as long. Part of a Membership; used on its thread.
+// nacks from the helpers and by suspicions of this member, lowered by probes that succeed. This member's
+// probe interval and timeout are (1 + score) times as long. Part of a Membership; used on its thread.
 class LocalHealth {
  public:
   explicit LocalHealth(unsigned max_score) : max_score_(max_score) {}
--- a/src/replicated_state/anti_entropy.cpp
+++ b/src/replicated_state/anti_entropy.cpp
@@ -21,8 +21,8 @@
 
 MemberIndex OwnerGroups::size() const { return (owner_count + count() - 1) / count(); }
 
-// Hashes must not cover entries that are still being disseminated, as they would always differ. Nor those near
-// their max_age, which are not worth a repair, and which some members drop earlier than others.
+// Hashes must not cover entries that are still being disseminated, as they would always differ. Nor those
+// near their max_age, which are not worth a repair, and which some members drop earlier than others.
 bool AntiEntropy::is_settled(const EntryKey& key, const StoredEntry& stored) const {
   const Duration age = now_ - stored.written_at;
   return age >= kSettleTime && age < kinds_.find(key.kind)->max_age * 3 / 4;
--- a/src/replicated_state/anti_entropy.hpp
+++ b/src/replicated_state/anti_entropy.hpp
@@ -2,9 +2,9 @@
 // maintenance", 1987): they compare digests and send each other deltas, which contain only the entries that
 // the other one lacks (Almeida, Shoker, Baquero, "Delta state replicated data types", 2018).
 //
-// Owners are divided into groups. A probe carries the hash of one group; where it differs, the receiver answers
-// with the group's digests. A datagram has space for the digests of about 16 owners; in larger groups the owners
-// take turns.
+// Owners are divided into groups. A probe carries the hash of one group; where it differs, the receiver
+// answers with the group's digests. A datagram has space for the digests of about 16 owners; in larger groups
+// the owners take turns.
 #ifndef DISPATCHER_REPLICATED_STATE_ANTI_ENTROPY_HPP_
 #define DISPATCHER_REPLICATED_STATE_ANTI_ENTROPY_HPP_
 
@@ -32,8 +32,8 @@
   [[nodiscard]] MemberIndex size() const;  // of each but the last, which may have fewer owners
 };
 
-// The digests and deltas of a store at one time. Created for a single call: the store and the kinds must outlive
-// it and must not change meanwhile.
+// The digests and deltas of a store at one time. Created for a single call: the store and the kinds must
+// outlive it and must not change meanwhile.
 class AntiEntropy {
  public:
   AntiEntropy(const EntryStore& store, const EntryKinds& kinds, Time now)
--- a/src/replicated_state/bounded_counter.hpp
+++ b/src/replicated_state/bounded_counter.hpp
@@ -1,22 +1,24 @@
-// A bounded counter, also known as an escrow counter: members of a fleet have parts (quotas) of a budget whose
-// sum never exceeds it, whatever messages are lost, late or repeated, and whatever processes are partitioned,
-// stopped or restarted. After O'Neil, "The escrow transactional method" (1986), and Balegas et al.,
-// "Extending eventually consistent cloud databases for enforcing numeric invariants" (2015). No I/O: the
+// A bounded counter, also known as an escrow counter: members of a fleet have parts (quotas) of a budget
+// whose sum never exceeds it, whatever messages are lost, late or repeated, and whatever processes are
+// partitioned, stopped or restarted. After O'Neil, "The escrow transactional method" (1986), and Balegas et
+// al., "Extending eventually consistent cloud databases for enforcing numeric invariants" (2015). No I/O: the
 // clock, the randomness and the messages are passed in.
 //
 // Each member has an initial quota of each budget, by the configured count of members: the amount that it may
 // use without any communication. Two types of budget:
-// - kConsumable: units that are used once. A unit is transferred by a grant: the lender subtracts it before it
+// - kConsumable: units that are used once. A unit is transferred by a grant: the lender subtracts it before
+// it
 //   sends the grant, and the borrower adds it once; if the grant is lost, the unit is lost. A process has an
 //   initial quota only of a budget whose start it observed: an earlier process of this member may have spent
 //   that of any other, so the process has no units until it is granted some.
-// - kRate: units a second, refilled continuously, that accrue for `max_burst` at most. A fraction of the quota
+// - kRate: units a second, refilled continuously, that accrue for `max_burst` at most. A fraction of the
+// quota
 //   is reserved and never lent; the remainder is lent for a lease. The borrower counts the lease from before
 //   its request, by its own clock, and checks the clock at each use, so that a stopped process has lost the
-//   loan when it resumes. The lender reclaims the loan lease_with_drift(lease) after it granted it: its clock,
-//   at most `max_drift` fast, has then passed the lease of a clock at most `max_drift` slow that began no
-//   later. Network latency does not matter. A process that starts may follow one that had lent quota: it uses
-//   the reserved part only, until lease_with_drift(kMaxLease) after its start. Accrual starts at zero.
+//   loan when it resumes. The lender reclaims the loan lease_with_drift(lease) after it granted it: its
+//   clock, at most `max_drift` fast, has then passed the lease of a clock at most `max_drift` slow that began
+//   no later. Network latency does not matter. A process that starts may follow one that had lent quota: it
+//   uses the reserved part only, until lease_with_drift(kMaxLease) after its start. Accrual starts at zero.
 //
 // Clocks are steady, continue while the process is stopped, and are each within `max_drift` of the true rate.
 // Readings of different clocks are never compared. docs/design/fleet-as-one.md has the proof.
@@ -50,7 +52,8 @@
                  Time now, Random random);
 
   // Opens a budget: this process has a quota of it from now on. False where there are too many budgets, where
-  // the budget exceeds its bounds, or where it is kConsumable and has been closed. No effect on an open budget.
+  // the budget exceeds its bounds, or where it is kConsumable and has been closed. No effect on an open
+  // budget.
   bool open(Time now, const Budget& budget, BudgetStart start);
   // Ends the use of a budget, if it is open. Loans of it are returned with the next tick().
   void close(Time now, const BudgetId& id);
@@ -61,8 +64,8 @@
   [[nodiscard]] std::uint64_t rate(Time now, const BudgetId& id) const;
   // Uses `amount` units. False, and no units are used, where fewer are available.
   bool consume(Time now, const BudgetId& id, std::uint64_t amount);
-  // Sets the amount that this process needs, in units, or for kRate units a second: what is missing is requested
-  // from other members, and only what exceeds it is lent.
+  // Sets the amount that this process needs, in units, or for kRate units a second: what is missing is
+  // requested from other members, and only what exceeds it is lent.
   void set_demand(const BudgetId& id, std::uint64_t amount);
 
   // Does what is due, at or after next_deadline(). Returns the messages to send.
--- a/src/replicated_state/entry.hpp
+++ b/src/replicated_state/entry.hpp
@@ -29,7 +29,8 @@
   Duration age{};                 // since the owner wrote it, as estimated by the sender
   Payload payload;
 };
-inline constexpr std::uint64_t kMaxVersion = std::uint64_t{1} << 48U;  // no writer counts this far; higher ones are invalid
+inline constexpr std::uint64_t kMaxVersion = std::uint64_t{1}
+                                             << 48U;  // no writer counts this far; higher ones are invalid
 
 }  // namespace dispatcher::replicated_state
 
--- a/src/replicated_state/entry_kinds.hpp
+++ b/src/replicated_state/entry_kinds.hpp
@@ -29,11 +29,12 @@
   std::uint32_t id = 0;  // on the wire; 1 to kMaxKindId, never reused for another kind
   std::string name;      // for error messages
   std::size_t max_payload_bytes = 8;
-  Duration max_age = std::chrono::seconds(60);            // an older entry is dropped
-  Duration half_life = std::chrono::seconds(10);          // of an entry's weight once its owner is silent
-  Duration min_write_interval = std::chrono::seconds(2);  // earlier writes of a key are deferred; the last wins
-  unsigned max_transmissions = 4;                         // by each member that accepted the entry
-  double priority = 1;                                    // higher values are sent first
+  Duration max_age = std::chrono::seconds(60);    // an older entry is dropped
+  Duration half_life = std::chrono::seconds(10);  // of an entry's weight once its owner is silent
+  Duration min_write_interval =
+      std::chrono::seconds(2);             // earlier writes of a key are deferred; the last wins
+  unsigned max_transmissions = 4;          // by each member that accepted the entry
+  double priority = 1;                     // higher values are sent first
   bool is_broadcast = false;               // sent to all members at once, where the byte budget allows it
   std::function<bool(ByteView)> is_valid;  // checks a payload; others are rejected
 };
--- a/src/replicated_state/failure_evidence.hpp
+++ b/src/replicated_state/failure_evidence.hpp
@@ -1,5 +1,5 @@
-// A member's evidence that an endpoint fails: how many of its latest attempts there failed. Only a hint to other
-// members, which weigh it by its age and by how long its owner has been silent.
+// A member's evidence that an endpoint fails: how many of its latest attempts there failed. Only a hint to
+// other members, which weigh it by its age and by how long its owner has been silent.
 #ifndef DISPATCHER_REPLICATED_STATE_FAILURE_EVIDENCE_HPP_
 #define DISPATCHER_REPLICATED_STATE_FAILURE_EVIDENCE_HPP_
 
--- a/src/replicated_state/quota.hpp
+++ b/src/replicated_state/quota.hpp
@@ -52,8 +52,8 @@
   std::size_t max_budgets = 256;
 };
 
-// How long a lender must wait by its own clock until a lease has certainly ended by the borrower's clock, where
-// both clocks are within `max_drift` of the true rate, in opposite directions in the worst case.
+// How long a lender must wait by its own clock until a lease has certainly ended by the borrower's clock,
+// where both clocks are within `max_drift` of the true rate, in opposite directions in the worst case.
 [[nodiscard]] Duration lease_with_drift(Duration lease, double max_drift);
 
 // A request for quota. `sequence` counts all requests of a borrower in one incarnation, from 1.
--- a/src/replicated_state/quota_allocation.cpp
+++ b/src/replicated_state/quota_allocation.cpp
@@ -7,7 +7,8 @@
 namespace {
 
 constexpr std::uint64_t kMicrosPerUnit = 1'000'000;  // a rate of one unit a second accrues 1 a microsecond
-constexpr Duration kMaxAccrual = std::chrono::minutes(10);  // the maximum burst; keeps products within 64 bits
+constexpr Duration kMaxAccrual =
+    std::chrono::minutes(10);  // the maximum burst; keeps products within 64 bits
 
 std::uint64_t saturating_subtract(std::uint64_t minuend, std::uint64_t subtrahend) {
   return minuend > subtrahend ? minuend - subtrahend : 0;
@@ -47,9 +48,9 @@
   return saturating_subtract(units - lent_total(now), std::max(reserved_units, demand));
 }
 
-// Since the last accrual the own rate can only have grown, by loans to others that ended, and borrowed rates can
-// only have ended. So the sum of the own rate as it was then, and of borrowed rates until their ends, is a lower
-// bound of what has accrued.
+// Since the last accrual the own rate can only have grown, by loans to others that ended, and borrowed rates
+// can only have ended. So the sum of the own rate as it was then, and of borrowed rates until their ends, is
+// a lower bound of what has accrued.
 std::uint64_t QuotaAllocation::accrued_until(Time now) const {
   const std::uint64_t own = own_rate(accrued_at);
   const std::uint64_t elapsed = non_negative_micros(now - accrued_at);
--- a/src/replicated_state/quota_allocation.hpp
+++ b/src/replicated_state/quota_allocation.hpp
@@ -1,4 +1,5 @@
-// One member's quota of one budget: its own part, its loans to and from others, and what has accrued of a rate.
+// One member's quota of one budget: its own part, its loans to and from others, and what has accrued of a
+// rate.
 #ifndef DISPATCHER_REPLICATED_STATE_QUOTA_ALLOCATION_HPP_
 #define DISPATCHER_REPLICATED_STATE_QUOTA_ALLOCATION_HPP_
 
--- a/src/replicated_state/quota_borrower.cpp
+++ b/src/replicated_state/quota_borrower.cpp
@@ -41,8 +41,8 @@
   return_loans(now, allocation, out);
 }
 
-// A request is pending for half a lease at most. Its loan, which may be granted already, is then returned, unless
-// the request was to renew a loan that is in use.
+// A request is pending for half a lease at most. Its loan, which may be granted already, is then returned,
+// unless the request was to renew a loan that is in use.
 void QuotaBorrower::abandon_request(Time now, QuotaAllocation& allocation,
                                     std::vector<QuotaMessage>& out) const {
   if (!allocation.pending || allocation.is_consumable()) return;
--- a/src/replicated_state/quota_borrower.hpp
+++ b/src/replicated_state/quota_borrower.hpp
@@ -1,5 +1,5 @@
-// The borrower's side of the lending protocol (see bounded_counter.hpp): when quota is requested and from which
-// member, when a loan is renewed or returned, and which grants are accepted.
+// The borrower's side of the lending protocol (see bounded_counter.hpp): when quota is requested and from
+// which member, when a loan is renewed or returned, and which grants are accepted.
 #ifndef DISPATCHER_REPLICATED_STATE_QUOTA_BORROWER_HPP_
 #define DISPATCHER_REPLICATED_STATE_QUOTA_BORROWER_HPP_
 
@@ -32,8 +32,8 @@
   void return_unneeded(Time now, QuotaAllocation& allocation, std::vector<QuotaMessage>& out) const;
   // Repeats the pending request if that is due, with backoff.
   void retry_request(Time now, PendingRequest& pending, std::vector<QuotaMessage>& out) const;
-  // A new request, where a loan must be renewed or where the demand exceeds the quota; it is pending from now on.
-  // In the latter case a random live member is the lender.
+  // A new request, where a loan must be renewed or where the demand exceeds the quota; it is pending from now
+  // on. In the latter case a random live member is the lender.
   [[nodiscard]] std::optional<QuotaMessage> make_request(Time now, QuotaAllocation& allocation,
                                                          const std::vector<MemberIndex>& live_members);
   // When a request or its repetition is due next; none where neither is.
--- a/src/replicated_state/quota_lender.hpp
+++ b/src/replicated_state/quota_lender.hpp
@@ -16,16 +16,17 @@
   std::uint64_t incarnation = 0;
 };
 
-// Transfers or lends quota for a request, after the allocation's accrue(now). Returns the amount granted, 0 where
-// the request is denied; none where the request is outdated, so that its borrower no longer expects an answer. A
-// repetition of the latest request gets the same answer, as that may have been lost. A grant is at most half of
-// what may be lent, so that several borrowers can be served.
+// Transfers or lends quota for a request, after the allocation's accrue(now). Returns the amount granted, 0
+// where the request is denied; none where the request is outdated, so that its borrower no longer expects an
+// answer. A repetition of the latest request gets the same answer, as that may have been lost. A grant is at
+// most half of what may be lent, so that several borrowers can be served.
 [[nodiscard]] std::optional<std::uint64_t> grant_request(Time now, QuotaAllocation& allocation,
                                                          const LendingPolicy& policy,
                                                          const Borrower& borrower,
                                                          const QuotaRequest& request);
 
-// The loan of a rate that this message returns; null where the borrower has no running loan with its sequence.
+// The loan of a rate that this message returns; null where the borrower has no running loan with its
+// sequence.
 [[nodiscard]] LentQuota* find_returned_loan(QuotaAllocation& allocation, const Borrower& borrower,
                                             const QuotaReturn& returned);
 
--- a/src/replicated_state/replicated_map.hpp
+++ b/src/replicated_state/replicated_map.hpp
@@ -2,12 +2,12 @@
 // state-based CRDT: Shapiro et al., "Conflict-free replicated data types", 2011), so that loss, order and
 // repetition of messages do not matter. No I/O; the clock is passed in.
 //
-// An owner's entries belong to one of its incarnations and have versions from one counter of that incarnation.
-// The join takes the higher incarnation; within one incarnation it takes the highest version of each key, and
-// of all keys those with the highest versions, up to the owner's limit. An entry beyond the limit has as many
-// newer ones above it, whose versions only grow, so it can never be among the stored ones again: the limit is a
-// part of the join. `evicted_version` is the highest version that was evicted; no entry at or below it is
-// accepted.
+// An owner's entries belong to one of its incarnations and have versions from one counter of that
+// incarnation. The join takes the higher incarnation; within one incarnation it takes the highest version of
+// each key, and of all keys those with the highest versions, up to the owner's limit. An entry beyond the
+// limit has as many newer ones above it, whose versions only grow, so it can never be among the stored ones
+// again: the limit is a part of the join. `evicted_version` is the highest version that was evicted; no entry
+// at or below it is accepted.
 #ifndef DISPATCHER_REPLICATED_STATE_REPLICATED_MAP_HPP_
 #define DISPATCHER_REPLICATED_STATE_REPLICATED_MAP_HPP_
 
@@ -70,8 +70,8 @@
   // Calls `visit` with each entry that is not expired, own ones included, ordered by id and owner.
   void for_each(Time now, std::uint32_t kind, const std::function<void(const EntryView&)>& visit) const;
 
-  // Joins a received entry into the map. An entry that isn't accepted changes nothing, except that a known one
-  // may correct the stored age.
+  // Joins a received entry into the map. An entry that isn't accepted changes nothing, except that a known
+  // one may correct the stored age.
   MergeResult merge(Time now, const Entry& entry);
   // Sets an owner's incarnation, as the membership has it: entries of earlier ones are removed.
   void adopt_incarnation(MemberIndex owner, std::uint64_t incarnation);
--- a/src/simulation/parameters.cpp
+++ b/src/simulation/parameters.cpp
@@ -14,6 +14,8 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
+// The schema of scenario files. read_parameters() and the functions that it calls map its keys to the terms
+// of the code.
 constexpr std::string_view kSchema = R"cue(
 #Scenario: {
 	lasts_s:   *60 | (int & >0 & <=86_400)
@@ -54,14 +56,14 @@
 }
 )cue";
 
-// The values of `kind` in a fault's record, which files keep.
+// The values of `kind` in a file's faults.
 constexpr std::array<std::pair<std::string_view, Fault::Kind>, 4> kFaultKinds = {
     {{"zone-lost", Fault::Kind::kZoneLost},
      {"readers-dead", Fault::Kind::kReadersLost},
      {"slow-links", Fault::Kind::kSlowLinks},
      {"jump", Fault::Kind::kTrafficSurge}}};
 
-// Of the names that the schema permits.
+// The kind of a fault; `name` is one of those that the schema permits.
 Fault::Kind fault_kind(std::string_view name) {
   const auto it = std::find_if(kFaultKinds.begin(), kFaultKinds.end(),
                                [&](const auto& entry) { return entry.first == name; });
@@ -70,23 +72,23 @@
 
 // Idempotent questions and non-idempotent commands.
 std::vector<routing::RequestClass> request_classes() {
-  routing::RequestClass ask;
-  ask.name = "ask";
-  ask.idempotency = routing::Idempotency::kIdempotent;
-  ask.latency_objective = milliseconds(1500);
-  ask.latency_objective_per_1000_tokens = milliseconds(100);
-  ask.deadline = milliseconds(6000);
-  ask.token_latency_objective = milliseconds(50);
-  ask.priority_weight = 1;
-  ask.late_weight = 0.3;
-  routing::RequestClass command = ask;
+  routing::RequestClass question;
+  question.name = "ask";
+  question.idempotency = routing::Idempotency::kIdempotent;
+  question.latency_objective = milliseconds(1500);
+  question.latency_objective_per_1000_tokens = milliseconds(100);
+  question.deadline = milliseconds(6000);
+  question.token_latency_objective = milliseconds(50);
+  question.priority_weight = 1;
+  question.late_weight = 0.3;
+  routing::RequestClass command = question;
   command.name = "command";
   command.idempotency = routing::Idempotency::kNonIdempotent;
   command.latency_objective = milliseconds(800);
   command.deadline = milliseconds(2500);
   command.priority_weight = 3;
   command.late_weight = 0.2;
-  return {ask, command};
+  return {question, command};
 }
 
 // The settings of a deployment like the simulated one.
--- a/src/simulation/parameters.hpp
+++ b/src/simulation/parameters.hpp
@@ -1,4 +1,4 @@
-// The parameters of a simulated fleet and its traffic: a typed record, so that scenarios are files.
+// The parameters of a simulated fleet and its traffic, and their parser: a scenario is a file.
 #ifndef DISPATCHER_SIMULATION_PARAMETERS_HPP_
 #define DISPATCHER_SIMULATION_PARAMETERS_HPP_
 
@@ -29,21 +29,30 @@
   Duration duration{};  // of the traffic
   int dispatchers = 1;
   // The fleet.
-  int zones = 1, cells = 1, readers = 1, writers = 1;  // cells of a zone, readers and writers of a cell
-  int reader_slots = 1, writer_slots = 1;              // requests that a replica serves at once
-  // Per token: prefill, decode, and the transfer of a KV cache within a cell and between cells.
-  Duration prefill_time{}, decode_time{}, transfer_time{}, remote_transfer_time{};
-  Duration network_latency{};  // one way
-  Duration discovery_delay{};  // until the endpoint list shows that an endpoint is lost or restored
-  Duration report_interval{};  // load reports are as old as this at most
-  int cached_prefixes = 0;     // of one replica
+  int zones = 1;
+  int cells = 1;                    // of each zone
+  int readers = 1;                  // of each cell
+  int writers = 1;                  // of each cell
+  int reader_slots = 1;             // requests that a reader serves at a time
+  int writer_slots = 1;             // requests that a writer serves at a time
+  Duration prefill_time{};          // per token
+  Duration decode_time{};           // per token
+  Duration transfer_time{};         // of a KV cache within a cell, per token
+  Duration remote_transfer_time{};  // of a KV cache between cells, per token
+  Duration network_latency{};       // one way
+  Duration discovery_delay{};       // until the endpoint list shows that an endpoint is lost or restored
+  Duration report_interval{};       // the maximum age of load reports
+  int cached_prefixes = 0;          // the capacity of a replica's prefix cache, in prefixes
   // The traffic. Lengths are in tokens.
-  double request_rate = 0;  // requests a second, over all dispatchers
-  double command_fraction = 0;
-  int mean_prompt = 0, shared_prefix = 0, mean_answer = 0;
-  int sessions = 0, prefixes = 0;
+  double request_rate = 0;      // requests a second, over all dispatchers
+  double command_fraction = 0;  // of the requests that are non-idempotent commands, from 0 to 1
+  int mean_prompt = 0;          // length, shared prefix included
+  int shared_prefix = 0;        // length
+  int mean_answer = 0;          // length
+  int sessions = 0;             // distinct ones
+  int prefixes = 0;             // distinct shared prefixes
   std::vector<Fault> faults;
-  routing::Settings settings;  // as each dispatcher is given them, but for its number
+  routing::Settings settings;  // of all dispatchers, except for number and zone
 };
 
 // Reads a scenario. Throws cue::Errors with all problems.
--- a/src/simulation/prefix_cache.hpp
+++ b/src/simulation/prefix_cache.hpp
@@ -1,4 +1,4 @@
-// A replica's prefix cache: how many tokens of which prompts it need not prefill again.
+// A replica's prefix cache: the number of tokens of each cached prefix, which need no prefill.
 #ifndef DISPATCHER_SIMULATION_PREFIX_CACHE_HPP_
 #define DISPATCHER_SIMULATION_PREFIX_CACHE_HPP_
 
@@ -8,16 +8,16 @@
 
 namespace dispatcher::simulation {
 
-// Evicts the prefix that was inserted the longest ago. Not synchronized.
+// Evicts the least recently inserted prefix. Not thread-safe.
 class PrefixCache {
  public:
   using Key = std::uint64_t;  // of a shared prefix or a session; 0: none, which is never cached
 
   // The cached tokens of a prefix; 0: it is not cached.
   [[nodiscard]] int cached_tokens(Key key) const;
-  // Keeps the longer one of what is cached and `tokens`. `capacity`: prefixes.
+  // Caches `tokens` of a prefix, unless more are cached already. `capacity`: the maximum number of prefixes.
   void insert(Key key, int tokens, std::size_t capacity);
-  // Forgets all prefixes, as a restart does.
+  // Evicts all prefixes, as a restart does.
   void clear();
 
  private:
@@ -25,7 +25,7 @@
     int tokens = 0;
     std::list<Key>::iterator position;  // in recent_
   };
-  std::list<Key> recent_;  // the latest first
+  std::list<Key> recent_;  // the most recently inserted first
   std::unordered_map<Key, Entry> entries_;
 };
 
--- a/src/simulation/result.cpp
+++ b/src/simulation/result.cpp
@@ -13,7 +13,8 @@
 }
 
 double Result::in_time_fraction(const std::string& request_class) const {
-  std::size_t total = 0, in_time = 0;
+  std::size_t total = 0;
+  std::size_t in_time = 0;
   for (const RequestOutcome& outcome : outcomes) {
     if (outcome.request_class != request_class) continue;
     ++total;
@@ -25,7 +26,10 @@
 std::string Result::csv() const {
   // The columns after the class: all requests, those served in time and late, and the other ends in the order
   // of the enumeration.
-  constexpr std::size_t kAll = 0, kInTime = 1, kLate = 2, kColumns = 8;
+  constexpr std::size_t kAll = 0;
+  constexpr std::size_t kInTime = 1;
+  constexpr std::size_t kLate = 2;
+  constexpr std::size_t kColumns = 8;
   const auto column_of = [](const RequestOutcome& outcome) {
     if (outcome.end != RequestOutcome::End::kServed) return kLate + static_cast<std::size_t>(outcome.end);
     return outcome.is_in_time ? kInTime : kLate;
--- a/src/simulation/scenario.cpp
+++ b/src/simulation/scenario.cpp
@@ -16,9 +16,9 @@
 
 using engine::SlotId;
 
-// How long requests that are open when the traffic ends may still take.
+// Time for requests that are open when the traffic ends.
 constexpr Duration kDrainTime = std::chrono::seconds(60);
-// Keeps the seeds of dispatchers apart from each other, and from those of other simulations.
+// Gives each dispatcher its own seed, also across simulations with consecutive seeds.
 constexpr std::uint64_t kSeedStride = 1'000'003;
 
 using SharedLevels = std::shared_ptr<const degradation::LevelSet>;
@@ -27,7 +27,7 @@
 
 void discard_log(std::string_view) {}
 
-// What the dispatchers of a simulation share. The objects that it refers to outlive them.
+// The objects that the dispatchers of a simulation share, which must outlive them.
 struct DispatcherContext {
   const Parameters& parameters;
   SimulatedFleet& fleet;
@@ -49,18 +49,18 @@
         settings_(settings_for(context.parameters, number)),
         engine_(std::make_shared<const routing::Settings>(settings_), seed, *this, context.timers, clock_,
                 discard_log),
-        control_(settings_, context.levels, clock_, discard_log, [this] { return uniform(random_); }) {
-    engine_.set_request_observer(&control_);
+        degradation_(settings_, context.levels, clock_, discard_log, [this] { return uniform(random_); }) {
+    engine_.set_request_observer(&degradation_);
     update_endpoints();
   }
 
   void update_endpoints() {
     const auto list = fleet_.list();
     engine_.update_endpoints(list);
-    control_.update_endpoints(list);
+    degradation_.update_endpoints(list);
   }
-  void tick(Time now) { control_.tick(engine_.open_request_count(), now); }
-  [[nodiscard]] std::size_t level_changes() const { return control_.machine().history().size(); }
+  void tick(Time now) { degradation_.tick(engine_.open_request_count(), now); }
+  [[nodiscard]] std::size_t level_changes() const { return degradation_.machine().history().size(); }
 
   // `number`: of the request's outcome.
   void submit(const Job& job, const routing::Request& request, std::size_t number) {
@@ -68,7 +68,7 @@
     attributes.prompt_tokens = request.prompt_tokens;
     attributes.time_left_ms =
         std::chrono::duration_cast<std::chrono::milliseconds>(request.client_deadline - clock_()).count();
-    if (control_.shed(request, attributes)) {
+    if (degradation_.shed(request, attributes)) {
       outcomes_[number].end = RequestOutcome::End::kShed;
       return;
     }
@@ -88,21 +88,21 @@
   }
   RequestOutcome& outcome(SlotId client) { return outcomes_[client.index]; }
 
-  // ---- to the fleet ----
+  // UpstreamClient: calls of the engine to the fleet.
   void start_attempt(engine::AttemptId attempt, const engine::EndpointId& endpoint,
                      std::shared_ptr<const engine::UpstreamRequest> message, Time, Time) override {
     SimulatedFleet::Callbacks callbacks;
     callbacks.on_first_token = [this, attempt] { engine_.on_events(attempt, "data: {}\n\n"); };
     callbacks.on_completed = [this, attempt](const engine::AttemptResult& result) {
-      works_.erase(attempt);
+      tasks_.erase(attempt);
       engine_.on_attempt_completed(attempt, result);
     };
-    works_[attempt] = fleet_.send(endpoint, jobs_[message->id], std::move(callbacks));
+    tasks_[attempt] = fleet_.send(endpoint, jobs_[message->id], std::move(callbacks));
   }
   bool cancel_attempt(engine::AttemptId attempt) override {
-    if (const auto it = works_.find(attempt); it != works_.end()) {
+    if (const auto it = tasks_.find(attempt); it != tasks_.end()) {
       fleet_.cancel(it->second);
-      works_.erase(it);
+      tasks_.erase(it);
     }
     return true;
   }
@@ -110,9 +110,9 @@
   void resume_reading(engine::AttemptId) override {}
   void reserve_slot(engine::AttemptId, const engine::EndpointId&, const engine::RequestId&) override {}
   void release_reservation(const engine::RequestId& id, Time) override { fleet_.release(id); }
-  bool has_connection(engine::AttemptId attempt) override { return works_.contains(attempt); }
+  bool has_connection(engine::AttemptId attempt) override { return tasks_.contains(attempt); }
 
-  // ---- to the clients ----
+  // ResponseSink: calls of the engine to the clients.
   void start_stream(SlotId client) override {
     RequestOutcome& started = outcome(client);
     started.time_to_first_token = clock_() - started.submitted_at;
@@ -132,9 +132,9 @@
   Random random_;
   routing::Settings settings_;
   engine::Engine engine_;
-  degradation::DegradationController control_;
+  degradation::DegradationController degradation_;
   std::map<engine::RequestId, Job> jobs_;
-  std::map<engine::AttemptId, SimulatedFleet::Work> works_;
+  std::map<engine::AttemptId, SimulatedFleet::TaskId> tasks_;
 };
 
 // One run. Everything happens in timers of one queue, which sets the clock.
--- a/src/simulation/simulated_fleet.cpp
+++ b/src/simulation/simulated_fleet.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-// Requests that wait at one endpoint; beyond them it answers that it is full.
+// Requests that wait at one endpoint, which rejects further ones as full.
 constexpr std::size_t kMaxQueue = 64;
 
 }  // namespace
@@ -53,33 +53,34 @@
   return settings.warmup_initial_share + (1 - settings.warmup_initial_share) * age;
 }
 
-SimulatedFleet::Work SimulatedFleet::send(const engine::EndpointId& name, const Job& job,
-                                          Callbacks callbacks) {
-  const Work work = ++last_work_;
+SimulatedFleet::TaskId SimulatedFleet::send(const engine::EndpointId& name, const Job& job,
+                                            Callbacks callbacks) {
+  const TaskId task_id = ++last_task_id_;
   const auto it = endpoints_.find(name);
   Endpoint& endpoint = it == endpoints_.end() ? endpoints_.begin()->second : it->second;
-  Task& task = endpoint.tasks[work];
-  task.work = work;
+  Task& task = endpoint.tasks[task_id];
+  task.id = task_id;
   task.job = job;
   task.callbacks = std::move(callbacks);
-  endpoint_of_[work] = &endpoint;
+  endpoint_by_task_[task_id] = &endpoint;
   const bool is_reachable = it != endpoints_.end() && endpoint.is_up;
-  // The request arrives after one way; a refused connection is known after both.
-  const int ways = is_reachable ? 1 : 2;
-  task.next_step =
-      timers_.add(clock_() + ways * parameters_.network_latency, [this, &endpoint, work, is_reachable] {
-        if (!is_reachable || !endpoint.is_up)
-          return end(endpoint, work, {AttemptStatus::kConnectFailed, 0, {}, {}});
-        arrive(endpoint, work);
-      });
-  return work;
-}
-
-void SimulatedFleet::arrive(Endpoint& endpoint, Work work) {
+  // A request takes one network latency to arrive; a refused connection is known after a round trip.
+  const int latencies = is_reachable ? 1 : 2;
+  task.next_step = timers_.add(clock_() + latencies * parameters_.network_latency,
+                               [this, &endpoint, task_id, is_reachable] {
+                                 if (!is_reachable || !endpoint.is_up)
+                                   return end(endpoint, task_id, {AttemptStatus::kConnectFailed, 0, {}, {}});
+                                 arrive(endpoint, task_id);
+                               });
+  return task_id;
+}
+
+void SimulatedFleet::arrive(Endpoint& endpoint, TaskId task_id) {
   const int slots = endpoint.role == Role::kReader ? parameters_.reader_slots : parameters_.writer_slots;
-  if (endpoint.busy_slots < static_cast<std::size_t>(slots)) return begin(endpoint, endpoint.tasks.at(work));
-  if (endpoint.queue.size() >= kMaxQueue) return end(endpoint, work, {AttemptStatus::kFull, 0, {}, {}});
-  endpoint.queue.push_back(work);
+  if (endpoint.busy_slots < static_cast<std::size_t>(slots))
+    return begin(endpoint, endpoint.tasks.at(task_id));
+  if (endpoint.queue.size() >= kMaxQueue) return end(endpoint, task_id, {AttemptStatus::kFull, 0, {}, {}});
+  endpoint.queue.push_back(task_id);
   update_report(endpoint);
 }
 
@@ -110,20 +111,20 @@
   const int cached = cached_tokens(endpoint, task.job);
   const double microseconds =
       static_cast<double>(parameters_.prefill_time.count()) * std::max(1, task.job.prompt_tokens - cached);
-  schedule(endpoint, task, microseconds, [this, &endpoint, work = task.work, cached] {
-    const Job job = endpoint.tasks.at(work).job;
+  schedule(endpoint, task, microseconds, [this, &endpoint, task_id = task.id, cached] {
+    const Job job = endpoint.tasks.at(task_id).job;
     const auto capacity = static_cast<std::size_t>(parameters_.cached_prefixes);
     endpoint.cache.insert(job.prefix, job.prefix_tokens, capacity);
     endpoint.cache.insert(job.session, job.prompt_tokens, capacity);
     retained_at_[job.id] = endpoint.cell;
-    end(endpoint, work, {AttemptStatus::kRead, cached, {}, {}});
+    end(endpoint, task_id, {AttemptStatus::kRead, cached, {}, {}});
   });
 }
 
 void SimulatedFleet::begin_decode(Endpoint& endpoint, Task& task) {
   const auto state = retained_at_.find(task.job.id);
   if (state == retained_at_.end())
-    return end(endpoint, task.work, {AttemptStatus::kFull, 0, AttemptEvidence::kStateNotFound, {}});
+    return end(endpoint, task.id, {AttemptStatus::kFull, 0, AttemptEvidence::kStateNotFound, {}});
   const bool is_same_cell = state->second == endpoint.cell;
   retained_at_.erase(state);
   ++execution_counts_[task.job.id];
@@ -132,47 +133,47 @@
       static_cast<double>(per_token.count()) * (is_same_cell ? 1 : link_slowdown_) * task.job.prompt_tokens;
   const auto first_token = static_cast<double>(parameters_.decode_time.count());
   schedule(endpoint, task, transfer + first_token,
-           [this, &endpoint, work = task.work] { begin_stream(endpoint, work); });
+           [this, &endpoint, task_id = task.id] { begin_stream(endpoint, task_id); });
 }
 
-void SimulatedFleet::begin_stream(Endpoint& endpoint, Work work) {
-  Task& task = endpoint.tasks.at(work);
+void SimulatedFleet::begin_stream(Endpoint& endpoint, TaskId task_id) {
+  Task& task = endpoint.tasks.at(task_id);
   task.is_streaming = true;
   const auto token = static_cast<double>(parameters_.decode_time.count());
   const double other_tokens = token * std::max(0, task.job.answer_tokens - 1);
-  schedule(endpoint, task, other_tokens, [this, &endpoint, work] {
-    end(endpoint, work, {AttemptStatus::kServed, 0, {}, {}});
+  schedule(endpoint, task, other_tokens, [this, &endpoint, task_id] {
+    end(endpoint, task_id, {AttemptStatus::kServed, 0, {}, {}});
   });
-  // Last, and of a copy: the client may close the stream at its first token, which removes the task.
+  // Last, and through a copy: the client may close the stream at its first token, which removes the task.
   const auto on_first_token = task.callbacks.on_first_token;
   if (on_first_token) on_first_token();
 }
 
-void SimulatedFleet::end(Endpoint& endpoint, Work work, const AttemptResult& result) {
-  const auto it = endpoint.tasks.find(work);
+void SimulatedFleet::end(Endpoint& endpoint, TaskId task_id, const AttemptResult& result) {
+  const auto it = endpoint.tasks.find(task_id);
   if (it == endpoint.tasks.end()) return;
   const bool was_running = it->second.is_running;
   const auto callbacks = std::move(it->second.callbacks);
   timers_.drop(it->second.next_step);
   endpoint.tasks.erase(it);
-  endpoint_of_.erase(work);
-  std::erase(endpoint.queue, work);
+  endpoint_by_task_.erase(task_id);
+  std::erase(endpoint.queue, task_id);
   if (was_running) --endpoint.busy_slots;
   update_report(endpoint);
   AttemptResult reported = result;
   reported.report = endpoint.report;
   if (was_running && endpoint.is_up) serve_next(endpoint);
   if (!callbacks.on_completed) return;
-  // The answer's way back.
+  // The answer takes one network latency back.
   timers_.add(clock_() + parameters_.network_latency,
               [on_completed = callbacks.on_completed, reported] { on_completed(reported); });
 }
 
 void SimulatedFleet::serve_next(Endpoint& endpoint) {
   if (endpoint.queue.empty()) return;
-  const Work work = endpoint.queue.front();
+  const TaskId task_id = endpoint.queue.front();
   endpoint.queue.pop_front();
-  begin(endpoint, endpoint.tasks.at(work));
+  begin(endpoint, endpoint.tasks.at(task_id));
 }
 
 void SimulatedFleet::update_report(Endpoint& endpoint) {
@@ -181,12 +182,12 @@
   endpoint.report.in_hand = static_cast<double>(endpoint.busy_slots + endpoint.queue.size());
 }
 
-void SimulatedFleet::cancel(Work work) {
-  const auto it = endpoint_of_.find(work);
-  if (it == endpoint_of_.end()) return;
+void SimulatedFleet::cancel(TaskId task_id) {
+  const auto it = endpoint_by_task_.find(task_id);
+  if (it == endpoint_by_task_.end()) return;
   Endpoint& endpoint = *it->second;
-  endpoint.tasks.at(work).callbacks = {};
-  end(endpoint, work, {AttemptStatus::kCancelled, 0, {}, {}});
+  endpoint.tasks.at(task_id).callbacks = {};
+  end(endpoint, task_id, {AttemptStatus::kCancelled, 0, {}, {}});
 }
 
 void SimulatedFleet::release(const engine::RequestId& id) { retained_at_.erase(id); }
@@ -200,12 +201,12 @@
   for (auto& [name, endpoint] : endpoints_) {
     if (!endpoint.is_up || !is_lost(endpoint.zone, endpoint.role, endpoint.number)) continue;
     endpoint.is_up = false;
-    std::vector<Work> works;
-    for (const auto& [work, task] : endpoint.tasks) works.push_back(work);
-    for (const Work work : works) {
-      const bool is_streaming = endpoint.tasks.at(work).is_streaming;
+    std::vector<TaskId> ids;
+    for (const auto& [id, task] : endpoint.tasks) ids.push_back(id);
+    for (const TaskId task_id : ids) {
+      const bool is_streaming = endpoint.tasks.at(task_id).is_streaming;
       const auto evidence = is_streaming ? AttemptEvidence::kEndpointRunning : AttemptEvidence::kNone;
-      end(endpoint, work, {AttemptStatus::kReset, 0, evidence, {}});
+      end(endpoint, task_id, {AttemptStatus::kReset, 0, evidence, {}});
     }
     endpoint.cache.clear();
   }
--- a/src/simulation/simulated_fleet.hpp
+++ b/src/simulation/simulated_fleet.hpp
@@ -1,5 +1,5 @@
 // Readers and writers in virtual time: slots, queues, prefix caches, links between cells, slow starts and
-// lost endpoints. Everything happens through one timer queue; nothing here uses a socket.
+// lost endpoints. All events are timers of one queue; there are no sockets.
 #ifndef DISPATCHER_SIMULATION_SIMULATED_FLEET_HPP_
 #define DISPATCHER_SIMULATION_SIMULATED_FLEET_HPP_
 
@@ -19,8 +19,11 @@
 // A request as a replica sees it. Lengths are in tokens.
 struct Job {
   engine::RequestId id;
-  std::uint64_t session = 0, prefix = 0;  // keys of the prefix cache
-  int prompt_tokens = 0, prefix_tokens = 0, answer_tokens = 0;
+  std::uint64_t session = 0;  // key of the prefix cache
+  std::uint64_t prefix = 0;   // key of the prefix cache
+  int prompt_tokens = 0;
+  int prefix_tokens = 0;  // of the prompt, shared with other requests
+  int answer_tokens = 0;
 };
 
 // One fleet for all dispatchers of a simulation. Single-threaded; callbacks run from timers only, never
@@ -34,14 +37,14 @@
   };
   // Selects endpoints by their zone, their role, and their number among those of their role in a cell.
   using EndpointFilter = std::function<bool(const std::string& zone, routing::Role role, int number)>;
-  using Work = std::uint64_t;  // an attempt's handle; 0: none
+  using TaskId = std::uint64_t;  // identifies an attempt; never 0
 
   SimulatedFleet(const Parameters& parameters, engine::TimerQueue& timers, engine::Clock clock);
 
   // Starts an attempt at an endpoint; the connection to one that is unknown or lost fails.
-  Work send(const engine::EndpointId& endpoint, const Job& job, Callbacks callbacks);
+  TaskId send(const engine::EndpointId& endpoint, const Job& job, Callbacks callbacks);
   // Cancels an attempt; its callbacks are not called any more.
-  void cancel(Work work);
+  void cancel(TaskId task_id);
   // Releases the KV cache that a reader retains for a request.
   void release(const engine::RequestId& id);
   // Requests whose KV cache is retained.
@@ -56,14 +59,14 @@
   // Transfers between cells take `factor` times as long.
   void slow_links(double factor) { link_slowdown_ = factor; }
 
-  // The endpoint list as service discovery has it now. `action` runs when it has changed.
+  // The current endpoint list of service discovery. `action` is called after each change of it.
   [[nodiscard]] routing::EndpointList list() const;
   void on_list_change(std::function<void()> action) { list_changed_ = std::move(action); }
 
  private:
   // An attempt at an endpoint.
   struct Task {
-    Work work = 0;
+    TaskId id = 0;
     Job job;
     Callbacks callbacks;
     bool is_running = false;
@@ -73,13 +76,15 @@
   struct Endpoint {
     engine::EndpointId name;
     std::string zone;
-    int cell = 0, number = 0;
+    int cell = 0;
+    int number = 0;  // among those of its role in its cell
     routing::Role role{};
-    bool is_up = true, is_listed = true;
-    Time started_at{};       // 0: long ago
-    std::deque<Work> queue;  // that wait for a slot
+    bool is_up = true;
+    bool is_listed = true;     // in the endpoint list, which follows is_up with a delay
+    Time started_at{};         // 0: before the simulation, so that it is warm
+    std::deque<TaskId> queue;  // tasks that wait for a slot
     std::size_t busy_slots = 0;
-    std::map<Work, Task> tasks;  // waiting and running
+    std::map<TaskId, Task> tasks;  // waiting and running
     PrefixCache cache;
     routing::LoadReport report;
     Time reported_at{};
@@ -87,31 +92,31 @@
 
   void add_endpoint(int zone, int cell, routing::Role role, int number);
   // An attempt reaches its endpoint, and starts or waits there.
-  void arrive(Endpoint& endpoint, Work work);
+  void arrive(Endpoint& endpoint, TaskId task_id);
   void begin(Endpoint& endpoint, Task& task);
   void begin_prefill(Endpoint& endpoint, Task& task);
   void begin_decode(Endpoint& endpoint, Task& task);
-  void begin_stream(Endpoint& endpoint, Work work);
+  void begin_stream(Endpoint& endpoint, TaskId task_id);
   // Removes an attempt, and reports its result after the network's latency.
-  void end(Endpoint& endpoint, Work work, const engine::AttemptResult& result);
+  void end(Endpoint& endpoint, TaskId task_id, const engine::AttemptResult& result);
   void serve_next(Endpoint& endpoint);
   void update_report(Endpoint& endpoint);
   void schedule_list_change();
-  // The next step of a task, after a time that the endpoint takes at full speed.
+  // Schedules the next step of a task. `microseconds`: the time that it takes at full speed.
   void schedule(Endpoint& endpoint, Task& task, double microseconds, std::function<void()> action);
-  [[nodiscard]] double speed(const Endpoint& endpoint) const;  // over that of a warm replica
+  [[nodiscard]] double speed(const Endpoint& endpoint) const;  // relative to a warm replica's
   [[nodiscard]] static int cached_tokens(const Endpoint& endpoint, const Job& job);
 
   const Parameters& parameters_;
   engine::TimerQueue& timers_;
   engine::Clock clock_;
   std::map<engine::EndpointId, Endpoint> endpoints_;
-  std::unordered_map<Work, Endpoint*> endpoint_of_;
+  std::unordered_map<TaskId, Endpoint*> endpoint_by_task_;
   // By id: the cell whose reader retains its KV cache.
   std::unordered_map<engine::RequestId, int> retained_at_;
-  std::unordered_map<engine::RequestId, std::size_t> execution_counts_;  // by id
+  std::unordered_map<engine::RequestId, std::size_t> execution_counts_;
   std::function<void()> list_changed_;
-  Work last_work_ = 0;
+  TaskId last_task_id_ = 0;
   double link_slowdown_ = 1;
 };
 
--- a/src/simulation/traffic.cpp
+++ b/src/simulation/traffic.cpp
@@ -9,14 +9,13 @@
 
 namespace {
 
-// Keys of shared prefixes start above those of sessions, so that a cache tells them apart.
+// Keys of shared prefixes start above those of sessions, as both are keys of the same caches.
 constexpr std::uint64_t kFirstPrefixKey = 1ULL << 40U;
-// What clients allow an answer, over its mean length.
-constexpr int kMaxTokensFactor = 4;
-constexpr double kMaxLengthFactor = 8.0;
+constexpr int kMaxTokensFactor = 4;       // the clients' limit of an answer's length, over the mean length
+constexpr double kMaxLengthFactor = 8.0;  // the longest drawn length, over the mean length
 constexpr double kMicrosecondsPerSecond = 1e6;
 
-// From 0 to `limit` - 1.
+// A uniformly distributed number from 0 to `limit` - 1.
 int uniform_below(Random& random, int limit) {
   return boost::random::uniform_int_distribution<int>(0, limit - 1)(random);
 }
--- a/src/simulation/traffic.hpp
+++ b/src/simulation/traffic.hpp
@@ -1,4 +1,4 @@
-// The traffic of a simulation: when requests arrive, which dispatcher gets them, and what they are.
+// The traffic of a simulation: the times, dispatchers and contents of requests.
 #ifndef DISPATCHER_SIMULATION_TRAFFIC_HPP_
 #define DISPATCHER_SIMULATION_TRAFFIC_HPP_
 
@@ -13,14 +13,14 @@
 // Boost's generator and distributions give the same numbers with every standard library.
 using Random = boost::random::mt19937_64;
 
-// Evenly distributed from 0 to 1.
+// A number that is uniformly distributed in [0, 1).
 [[nodiscard]] double uniform(Random& random);
 
 // Requests with exponential gaps and lengths. The parameters must outlive it. The same parameters and seed
 // give the same requests.
 class TrafficGenerator {
  public:
-  // A request, and what it asks of the replicas.
+  // A request, and the work that it is to the replicas.
   struct Arrival {
     Job job;
     routing::Request request;
@@ -29,7 +29,7 @@
   TrafficGenerator(const Parameters& parameters, std::uint64_t seed)
       : parameters_(parameters), random_(seed) {}
 
-  // Until the next request, at `rate_factor` times the rate of the parameters.
+  // The time until the next request, at `rate_factor` times the rate of the parameters.
   [[nodiscard]] Duration next_gap(double rate_factor);
   // A request that arrives at `now`.
   [[nodiscard]] Arrival next_arrival(Time now);
--- a/src/simulator/files.hpp
+++ b/src/simulator/files.hpp
@@ -10,10 +10,10 @@
 
 namespace dispatcher::simulator {
 
-// What could not be done with a file.
+// The operation that failed.
 enum class FileOperation { kRead, kWrite };
 
-// A file that cannot be read or written; what() says which and why, as it is shown to the user.
+// A file that cannot be read or written; what() is the message to the user.
 struct FileError : std::runtime_error {
   FileError(FileOperation failed_operation, const std::string& file_path);
   FileOperation operation;
--- a/src/simulator/main.cpp
+++ b/src/simulator/main.cpp
@@ -1,5 +1,5 @@
-// dispatcher-simulator: tries settings and degradation levels on a simulated fleet in virtual time. The
-// daemon has no part of it.
+// dispatcher-simulator: tries settings and degradation levels on a simulated fleet in virtual time. Not a
+// part of the daemon.
 #include <CLI/CLI.hpp>
 #include <exception>
 #include <iostream>
@@ -16,7 +16,7 @@
 using namespace dispatcher;
 
 constexpr int kExitFailure = 1;
-constexpr int kMaxSeeds = 10'000;
+constexpr int kMaxSeeds = 10'000;  // bounds the duration of a sweep
 
 enum class Command { kRun, kSweep };
 
@@ -41,20 +41,21 @@
 // Defines the command line. Parsing it writes to `options`, which must outlive `cli`'s parse.
 void define_options(CLI::App& cli, Options& options) {
   cli.require_subcommand(1);
-  CLI::App* const run = cli.add_subcommand("run", "play one scenario");
+  CLI::App* const run = cli.add_subcommand("run", "simulate one scenario");
   run->callback([&options] { options.command = Command::kRun; });
   add_scenario_option(*run, options);
-  run->add_option("--seed", options.run.seed, "another seed, another day");
+  run->add_option("--seed", options.run.seed, "seed of the random numbers");
   add_levels_option(*run, options);
-  run->add_option("--csv", options.run.csv_path, "where to write what happened each second");
+  run->add_option("--csv", options.run.csv_path, "file for the outcomes of each second");
   CLI::App* const sweep =
-      cli.add_subcommand("sweep", "play a scenario at many loads and seeds, with and without levels");
+      cli.add_subcommand("sweep", "simulate a scenario at many loads and seeds, with and without levels");
   sweep->callback([&options] { options.command = Command::kSweep; });
   add_scenario_option(*sweep, options);
-  sweep->add_option("--loads", options.sweep.loads, "how many times the scenario's rate")->delimiter(',');
-  sweep->add_option("--seeds", options.sweep.seeds, "how many")->check(CLI::Range(1, kMaxSeeds));
+  sweep->add_option("--loads", options.sweep.loads, "factors on the scenario's request rate")->delimiter(',');
+  sweep->add_option("--seeds", options.sweep.seeds, "number of seeds for each load")
+      ->check(CLI::Range(1, kMaxSeeds));
   add_levels_option(*sweep, options);
-  sweep->add_option("--csv", options.sweep.csv_path, "where to write a line for each day");
+  sweep->add_option("--csv", options.sweep.csv_path, "file for a line per run");
 }
 
 // Throws simulator::FileError and cue::Errors.
@@ -77,7 +78,7 @@
 
 int main(int argc, char** argv) {
   Options options;
-  CLI::App cli("Tries dispatchers on a model fleet in virtual time.");
+  CLI::App cli("Runs dispatchers before a simulated fleet in virtual time.");
   define_options(cli, options);
   try {
     cli.parse(argc, argv);
--- a/src/simulator/run_command.cpp
+++ b/src/simulator/run_command.cpp
@@ -29,7 +29,7 @@
       std::printf(" %s %zu", simulation::name(static_cast<RequestOutcome::End>(i)), counts[i]);
     std::printf("\n");
   }
-  std::printf("worth %.4f, run twice %zu, states left %zu, changes of level %zu\n",
+  std::printf("priority weight %.4f, duplicate executions %zu, leaked states %zu, level changes %zu\n",
               result.served_weight / result.total_weight, result.duplicate_executions, result.leaked_states,
               result.level_changes);
 }
--- a/src/simulator/sweep_command.cpp
+++ b/src/simulator/sweep_command.cpp
@@ -31,8 +31,11 @@
   double load = 1;  // factor on the scenario's request rate
   std::uint64_t seed = 0;
   Degradation degradation{};
-  double served_weight = 0, ask_in_time = 0, command_in_time = 0;  // fractions
-  std::size_t level_changes = 0, duplicate_executions = 0;
+  double served_weight = 0;    // fraction of the total priority weight
+  double ask_in_time = 0;      // fraction of the class's requests
+  double command_in_time = 0;  // fraction of the class's requests
+  std::size_t level_changes = 0;
+  std::size_t duplicate_executions = 0;
 };
 
 // The runs, without their results, in the order of the table.
@@ -74,7 +77,7 @@
   const auto work = [&] {
     for (std::size_t i = next++; i < points.size(); i = next++) {
       simulate(points[i], parameters, levels);
-      std::fprintf(stderr, "\r%zu of %zu days", ++completed, points.size());
+      std::fprintf(stderr, "\r%zu of %zu runs", ++completed, points.size());
     }
   };
   std::vector<std::jthread> threads;
@@ -95,7 +98,11 @@
 
 // Sums over the seeds of one load.
 struct Sums {
-  double points = 0, served_weight = 0, ask_in_time = 0, command_in_time = 0, level_changes = 0;
+  double points = 0;  // the number of seeds
+  double served_weight = 0;
+  double ask_in_time = 0;
+  double command_in_time = 0;
+  double level_changes = 0;
 };
 
 using SumsByLoad = std::map<std::pair<double, Degradation>, Sums>;
@@ -114,7 +121,7 @@
 }
 
 void print_means(const std::vector<SweepPoint>& points, std::size_t seeds) {
-  std::printf("load  levels    worth    ask  command  changes (means of %zu seeds)\n", seeds);
+  std::printf("load  levels   weight    ask  command  changes (means of %zu seeds)\n", seeds);
   for (const auto& [key, sums] : sum_by_load(points)) {
     const auto& [load, degradation] = key;
     std::printf("%4.2f  %-7s  %6.4f %6.4f   %6.4f  %7.1f\n", load, name(degradation),
