--- a/src/cue/string_literals.cpp
+++ b/src/cue/string_literals.cpp
@@ -124,7 +124,7 @@
   const std::size_t last_line_end = content.rfind('\n');
   const std::string_view indent = content.substr(last_line_end + 1);
   if (indent.find_first_not_of(" \t") != std::string_view::npos)
-    throw SyntaxError{opening, "the closing quotes must stand on a line of their own"};
+    throw SyntaxError{opening, "the closing quotes must be on a line of their own"};
 
   std::string result;
   for (std::size_t begin = 1; begin <= last_line_end;) {
--- a/src/cue/syntax.hpp
+++ b/src/cue/syntax.hpp
@@ -1,5 +1,5 @@
 // The syntax tree of a configuration file under deploy/, and its parser. The language is a subset of CUE,
-// JSON included; docs/design/matching.md describes it. Nothing is evaluated here.
+// JSON included; docs/design/matching.md describes it. Evaluator evaluates the tree.
 #ifndef DISPATCHER_CUE_SYNTAX_HPP_
 #define DISPATCHER_CUE_SYNTAX_HPP_
 
--- a/src/cue/tree_builder.cpp
+++ b/src/cue/tree_builder.cpp
@@ -112,7 +112,7 @@
       continue;
     }
     expression.is_open = true;
-    const bool is_constrained = child->children.size() > 1;  // beside the ellipsis
+    const bool is_constrained = child->children.size() > 1;  // in addition to the ellipsis
     expression.children.push_back(is_constrained ? build(*child->children.back())
                                                  : make_expression(ExpressionKind::kTop, *child));
   }
--- a/src/cue/tree_builder.hpp
+++ b/src/cue/tree_builder.hpp
@@ -13,7 +13,7 @@
 using ParseNode = tao::pegtl::parse_tree::node;
 
 /// Builds expressions from the parse tree of one text. Refers to that text, which must outlive it.
-/// Its functions throw SyntaxError where a node matches the grammar but means nothing.
+/// Its functions throw SyntaxError where a node matches the grammar but is not valid.
 class TreeBuilder {
  public:
   /// Nodes refer to `text`; lines are those of `original`, which is of the same length.
--- a/src/expression/dfa.cpp
+++ b/src/expression/dfa.cpp
@@ -92,7 +92,7 @@
     work_ += sets_[state].size() + next.size();
     if (work_ > kMaxWork) throw PatternError("the pattern takes too much work to prepare");
     StateSet reached = closure_.of(next, {});
-    if (reached.empty()) return Dfa::kRejecting;  // the pattern is bound to the text's begin
+    if (reached.empty()) return Dfa::kRejecting;  // the pattern is anchored at the text's begin
     return find_or_add_state(std::move(reached));
   }
 
--- a/src/expression/first_match.cpp
+++ b/src/expression/first_match.cpp
@@ -13,7 +13,7 @@
 constexpr double kLookupByteNs = 1;  // of a byte of that value
 constexpr double kTryNs = 15;        // of evaluating a condition, in addition to its own cost
 
-// A membership of more values is not indexed: each of them takes an entry.
+// A membership test of more values is not indexed, as each value takes an entry: bounds the memory.
 constexpr std::size_t kMaxIndexedValues = 64;
 
 }  // namespace
--- a/src/expression/interpreter.cpp
+++ b/src/expression/interpreter.cpp
@@ -10,10 +10,10 @@
 
 namespace {
 
-// A longer string is no number: the time that parsing takes is bounded by it.
+// Bytes of a string that is converted to a number; a longer one is no number. Bounds the time of parsing.
 constexpr std::size_t kMaxNumberLength = 64;
 
-// The costs and the scratch are computed for this length, whoever filled in the fields.
+// The costs and the scratch are computed for this length, so a longer string must not be evaluated.
 bool exceeds_max_length(const Instruction& instruction, const Value& field) {
   return field.kind == Kind::kString && field.size > static_cast<std::uint32_t>(instruction.second_operand);
 }
@@ -91,7 +91,7 @@
   return value.kind == Kind::kInt ? Value::of(static_cast<double>(value.integer)) : value;
 }
 
-// Made strings are appended at `text_end`.
+// Appends the string that it creates at `text_end`.
 Value to_string(const Value& value, char*& text_end) {
   if (value.kind == Kind::kString) return value;
   char* const begin = text_end;
--- a/src/expression/type_checker.cpp
+++ b/src/expression/type_checker.cpp
@@ -302,7 +302,7 @@
     return join_conditions(node.text == "exists" ? Op::kOr : Op::kAnd, node.at, std::move(conditions));
   }
 
-  // Checks a node in which `name` stands for `value`.
+  // Checks a node in which `name` is bound to `value`.
   Node check_bound(const Node& node, const std::string& name, const Node& value) {
     bound_names_[name].push_back(value);
     Node checked = check(node);
--- a/src/expression/value.hpp
+++ b/src/expression/value.hpp
@@ -20,7 +20,7 @@
 // The kind's name in error messages.
 [[nodiscard]] const char* name(Kind kind);
 
-// The type of an expression. Lists and maps hold scalars only, so that it needs no nesting.
+// The type of an expression. Lists and maps contain scalars only, so that it needs no nesting.
 struct Type {
   Kind kind = Kind::kError;
   Kind key = Kind::kError;      // of a map's keys
--- a/src/membership/member.hpp
+++ b/src/membership/member.hpp
@@ -65,7 +65,7 @@
   bool operator==(const Probe&) const = default;
 };
 
-// A message to send. Whoever sends it adds this member's version and updates about others.
+// A message to send. GossipNode adds this member's version and updates about others.
 struct OutgoingMessage {
   MemberIndex to = 0;
   std::optional<Probe> probe;  // none: only the updates
--- a/src/membership/membership.hpp
+++ b/src/membership/membership.hpp
@@ -1,7 +1,7 @@
 // Which members of the fleet are alive: SWIM (Das, Gupta, Motivala, "SWIM: scalable weakly-consistent
 // infection-style process group membership protocol", 2002) with suspicion, and Lifeguard's local health. No
-// I/O: time, randomness and messages are passed in, and what is to be sent is returned. Whoever carries the
-// messages puts this member's version on each of them and fills them with updates (update_queue(),
+// I/O: time, randomness and messages are passed in, and messages to be sent are returned. Their sender
+// (GossipNode) adds this member's version to each of them, and fills them with updates (update_queue(),
 // next_page()).
 //
 // Differences from the papers, as the set of members is fixed and their addresses are known:
--- a/src/membership/suspicion.hpp
+++ b/src/membership/suspicion.hpp
@@ -15,7 +15,8 @@
 // Part of a MemberTable; used on its thread.
 class Suspicion {
  public:
-  // `required_confirmations` bring the timeout down to the shortest; 0 (a fleet too small for any): at once.
+  // `required_confirmations` bring the timeout down to the shortest; 0 (a fleet too small for any): from the
+  // start.
   Suspicion(Time since, MemberIndex accuser, unsigned required_confirmations, Duration min_timeout,
             Duration max_timeout);
   // Records a confirmation. False where the accuser is known already, or no more confirmations count.
--- a/src/replicated_state/entry_kinds.hpp
+++ b/src/replicated_state/entry_kinds.hpp
@@ -66,7 +66,7 @@
 // A registry of kinds. Filled at start-up, before any ReplicatedMap uses it, and constant from then on.
 class EntryKinds {
  public:
-  // Throws EntryKindError where the kind's bounds are bad or its id is taken.
+  // Throws EntryKindError where the kind's bounds are invalid or its id is taken.
   const EntryKind& add(EntryKind kind);
   // Null where no kind has this id.
   [[nodiscard]] const EntryKind* find(std::uint32_t id) const;
