--- a/src/cue/grammar.hpp
+++ b/src/cue/grammar.hpp
@@ -154,11 +154,13 @@
 
 /// PEGTL's control class: raises the message of a rule that must match as tao::pegtl::parse_error.
 struct ErrorMessages {
+  // NOLINTBEGIN(readability-identifier-naming): PEGTL's must_if looks these names up
   template <typename Rule>
   static constexpr const char* message = kMessage<Rule>;
   // Where a rule need not match, its failure is no error.
   template <typename Rule>
   static constexpr bool raise_on_failure = false;
+  // NOLINTEND(readability-identifier-naming)
 };
 template <typename Rule>
 struct Control : must_if<ErrorMessages>::control<Rule> {};
--- a/src/expression/grammar.hpp
+++ b/src/expression/grammar.hpp
@@ -115,11 +115,13 @@
 
 // PEGTL's control class: raises the message of a rule that must match as tao::pegtl::parse_error.
 struct ErrorMessages {
+  // NOLINTBEGIN(readability-identifier-naming): PEGTL's must_if looks these names up
   template <typename Rule>
   static constexpr const char* message = kExpected<Rule>;
   // Where a rule need not match, its failure is no error.
   template <typename Rule>
   static constexpr bool raise_on_failure = false;
+  // NOLINTEND(readability-identifier-naming)
 };
 template <typename Rule>
 struct Control : must_if<ErrorMessages>::control<Rule> {};
