--- a/src/cue/tree_builder.cpp
+++ b/src/cue/tree_builder.cpp
@@ -112,7 +112,7 @@
       continue;
     }
     expression.is_open = true;
-    const bool is_constrained = child->children.size() > 1;  // beside the ellipsis
+    const bool is_constrained = child->children.size() > 1;  // in addition to the ellipsis
     expression.children.push_back(is_constrained ? build(*child->children.back())
                                                  : make_expression(ExpressionKind::kTop, *child));
   }
@@ -215,7 +215,7 @@
   if (is_optional) field.kind = Kind::kOptional;
 }
 
-// The value of a field; a field in place of a value (a: b: 1) stands for a struct of it.
+// The value of a field; a field in place of a value (a: b: 1) is short for a struct with that field.
 Expression TreeBuilder::build_field_value(const ParseNode& node) const {
   if (!is_field(node)) return build(node);
   Expression structure = make_expression(ExpressionKind::kStruct, node);
--- a/src/expression/grammar.hpp
+++ b/src/expression/grammar.hpp
@@ -11,7 +11,7 @@
 
 namespace dispatcher::expression::grammar {
 
-// Qualified names of each rule would hide the grammar; the namespace holds nothing else.
+// Unqualified names of PEGTL's rules keep the grammar readable; the namespace contains nothing else.
 using namespace tao::pegtl;
 
 struct Comment : seq<string<'/', '/'>, star<not_at<eolf>, any>> {};
@@ -70,7 +70,7 @@
     : if_must<one<'{'>, Space, opt<Entry, Space, star<Comma, Entry, Space>, opt<Comma>>, ClosingBrace> {};
 struct Parenthesized : if_must<one<'('>, Space, Operand, Space, ClosingParenthesis> {};
 struct Call : seq<Name, Space, Arguments> {};
-// What stands alone as an operand.
+// An operand without operators.
 struct Primary : sor<Boolean, Null, RawString, LongString, PlainString, Double, Integer, Call, Name,
                      Parenthesized, List, Map> {};
 struct Select : if_must<seq<one<'.'>, not_at<digit>>, Space, MemberName, opt<Space, Arguments>> {};
@@ -95,7 +95,7 @@
 struct Conditional : seq<Disjunction, opt<Space, Branches>> {};
 struct Expression : must<Space, Operand, Space, eof> {};
 
-// What an error says where a rule was expected.
+// The error where a rule must match and does not.
 template <typename Rule>
 inline constexpr const char* kExpected = "an operand expected";
 template <>
@@ -113,15 +113,20 @@
 template <char Quote>
 inline constexpr const char* kExpected<ClosingQuote<Quote>> = "the text is not closed";
 
-template <typename Rule>
-struct Control : normal<Rule> {
-  template <typename Input, typename... States>
-  [[noreturn]] static void raise(const Input& input, States&&... /*states*/) {
-    throw parse_error(kExpected<Rule>, input);
-  }
+// PEGTL's control class: raises the message of a rule that must match as tao::pegtl::parse_error.
+struct ErrorMessages {
+  // NOLINTBEGIN(readability-identifier-naming): PEGTL's must_if looks these names up
+  template <typename Rule>
+  static constexpr const char* message = kExpected<Rule>;
+  // Where a rule need not match, its failure is no error.
+  template <typename Rule>
+  static constexpr bool raise_on_failure = false;
+  // NOLINTEND(readability-identifier-naming)
 };
+template <typename Rule>
+struct Control : must_if<ErrorMessages>::control<Rule> {};
 
-// Bounds the parser's recursion.
+// PEGTL's action class: limits how deeply recursive rules nest, so that no expression exhausts the stack.
 template <typename Rule>
 struct Action : nothing<Rule> {};
 template <>
