--- a/tests/dispatcher/fixture.cpp
+++ b/tests/dispatcher/fixture.cpp
@@ -5,39 +5,29 @@
 
 #include <algorithm>
 
+#include "../base_settings.hpp"
+
 namespace dispatcher::testing {
 
 using routing::EndpointState;
 using routing::Idempotency;
 
 routing::Settings make_settings() {
-  routing::Settings settings;
+  routing::RequestClass ask;
+  ask.name = "ask";
+  ask.idempotency = Idempotency::kIdempotent;
+  ask.latency_objective = milliseconds(1200);
+  ask.deadline = seconds(6);
+  routing::RequestClass command = ask;
+  command.name = "command";
+  command.idempotency = Idempotency::kNonIdempotent;
+  command.deadline = seconds(3);
+  routing::Settings settings = routing::testing::base_settings(
+      "here", {ask, command}, {{"reader", Role::kReader, 200000}, {"writer", Role::kWriter, 100000}});
   settings.router_count = 1;
-  settings.zone = "here";
-  settings.classes.resize(2);
-  settings.classes[0].name = "ask";
-  settings.classes[0].idempotency = Idempotency::kIdempotent;
-  settings.classes[0].latency_objective = milliseconds(1200);
-  settings.classes[0].deadline = seconds(6);
-  settings.classes[1] = settings.classes[0];
-  settings.classes[1].name = "command";
-  settings.classes[1].idempotency = Idempotency::kNonIdempotent;
-  settings.classes[1].deadline = seconds(3);
   settings.tenants = {{"acme", 1000}};
-  settings.kinds = {{"reader", routing::Role::kReader, 200000}, {"writer", routing::Role::kWriter, 100000}};
-  settings.may_cancel = settings.retry_advice = true;
-  settings.max_retry_after = milliseconds(500);
-  settings.max_attempts = 4;
-  settings.tick = milliseconds(4);
-  settings.answer_slack = milliseconds(16);
-  settings.drain_grace = milliseconds(250);
-  settings.reservation_limit = milliseconds(300);
   settings.connect_timeout = milliseconds(250);
   settings.idle_timeout = seconds(15);
-  settings.warmup_initial_share = 0.3;
-  settings.warmup_time = seconds(14);
-  settings.overload_multiple = 4;
-  settings.overload_window = seconds(2);
   return settings;
 }
 
--- a/tests/routing/router_harness.cpp
+++ b/tests/routing/router_harness.cpp
@@ -4,6 +4,8 @@
 #include <utility>
 #include <variant>
 
+#include "../base_settings.hpp"
+
 namespace dispatcher::routing::testing {
 namespace {
 
@@ -45,25 +47,15 @@
 }  // namespace
 
 Settings make_settings() {
-  Settings settings;
-  settings.router_number = 0;
+  Settings settings = base_settings(
+      "east",
+      {idempotent_class(), non_idempotent_class(), keyed_class("keyed", DeduplicationScope::kZone, 0.3),
+       keyed_class("keyed-all", DeduplicationScope::kAll, 0)},
+      {{"r", Role::kReader, 200000}, {"w", Role::kWriter, 150000}, {"m", Role::kMixed, 200000}});
   settings.router_count = 2;
-  settings.zone = "east";
-  settings.classes = {idempotent_class(), non_idempotent_class(),
-                      keyed_class("keyed", DeduplicationScope::kZone, 0.3),
-                      keyed_class("keyed-all", DeduplicationScope::kAll, 0)};
-  settings.kinds = {{"r", Role::kReader, 200000}, {"w", Role::kWriter, 150000}, {"m", Role::kMixed, 200000}};
-  settings.may_cancel = true;
   settings.may_migrate_streams = true;
-  settings.retry_advice = true;
-  settings.max_retry_after = milliseconds(500);
   settings.max_attempts = 6;
   settings.over_quota_weight = 0.2;
-  settings.tick = milliseconds(4);
-  settings.answer_slack = milliseconds(16);
-  settings.drain_grace = milliseconds(250);
-  settings.reservation_limit = milliseconds(300);
-  settings.warmup_initial_share = 0.3;
   settings.warmup_time = seconds(13);
   settings.overload_multiple = 3;
   settings.overload_window = seconds(3);
