--- a/tests/dispatcher/cue_test.cpp
+++ b/tests/dispatcher/cue_test.cpp
@@ -6,6 +6,7 @@
 #include <sstream>
 
 #include "cue/schema.hpp"
+#include "cue_problems.hpp"
 #include "fixture.hpp"
 #include "openai_api/config.hpp"
 #include "vrrp/vrrp_instance.hpp"
@@ -33,14 +34,7 @@
 )cue";
 
 std::vector<std::string> problems(const std::string& text, const std::string& schema = kSchema) {
-  try {
-    read(text, schema);
-  } catch (const cue::Errors& errors) {
-    std::vector<std::string> lines;
-    for (const cue::Problem& problem : errors.problems) lines.push_back(cue::to_text("f", problem));
-    return lines;
-  }
-  return {};
+  return problems_of("f", [&] { read(text, schema); });
 }
 using Lines = std::vector<std::string>;
 
--- a/tests/dispatcher/degradation_test.cpp
+++ b/tests/dispatcher/degradation_test.cpp
@@ -5,8 +5,8 @@
 #include <fstream>
 #include <map>
 #include <random>
-#include <sstream>
 
+#include "cue_problems.hpp"
 #include "degradation/state_machine.hpp"
 
 namespace dispatcher::testing {
@@ -53,14 +53,7 @@
 }
 
 Strings problems(const std::string& text) {
-  try {
-    levels_of(text);
-  } catch (const cue::Errors& errors) {
-    Strings problems;
-    for (const auto& problem : errors.problems) problems.push_back(cue::to_text("l", problem));
-    return problems;
-  }
-  return {};
+  return problems_of("l", [&] { levels_of(text); });
 }
 
 // A state machine that is stepped by a clock of its own, and the changes it made.
--- a/tests/dispatcher/rate_limit_fixture.hpp
+++ b/tests/dispatcher/rate_limit_fixture.hpp
@@ -8,6 +8,7 @@
 #include <string_view>
 #include <vector>
 
+#include "cue_problems.hpp"
 #include "fixture.hpp"
 #include "rate_limit/rate_limiter.hpp"
 
@@ -26,14 +27,7 @@
 
 // What is wrong with a file of rules, as operators read it.
 inline Strings rule_problems(const std::string& text) {
-  try {
-    make_rules(text);
-  } catch (const cue::Errors& errors) {
-    Strings problems;
-    for (const auto& problem : errors.problems) problems.push_back(cue::to_text("r", problem));
-    return problems;
-  }
-  return {};
+  return problems_of("r", [&] { make_rules(text); });
 }
 
 constexpr std::uint64_t kSession = 0x7f;
