--- a/tests/dispatcher/fleet_fixture.cpp
+++ b/tests/dispatcher/fleet_fixture.cpp
@@ -64,6 +64,19 @@
   }
 }
 
+bool FleetFixture::start_and_join(microseconds max_time) {
+  start_all();
+  return until_all_alive(max_time);
+}
+
+const int& FleetFixture::count_changes_to(MemberState state) {
+  counted_changes_ = 0;
+  on_change = [this, state](MemberIndex, const membership::MemberChange& change) {
+    counted_changes_ += change.after == state;
+  };
+  return counted_changes_;
+}
+
 void FleetFixture::block(const std::set<MemberIndex>& from, const std::set<MemberIndex>& to) {
   for (const MemberIndex sender : from) {
     for (const MemberIndex receiver : to) blocked_.emplace(sender, receiver);
--- a/tests/dispatcher/fleet_fixture.hpp
+++ b/tests/dispatcher/fleet_fixture.hpp
@@ -74,6 +74,14 @@
   // Runs in steps of 100 ms until the condition holds; false after max_time.
   bool until(const std::function<bool()>& holds, microseconds max_time);
 
+  bool until_all_alive(microseconds max_time) {
+    return until([this] { return all_alive(); }, max_time);
+  }
+  // Starts all members; false if they do not all consider each other alive within max_time.
+  bool start_and_join(microseconds max_time);
+  // Sets on_change. The result counts, from now on, how often a member's view of another becomes the state.
+  const int& count_changes_to(MemberState state);
+
   GossipNode& node(MemberIndex member) { return *processes_[member].node; }
   [[nodiscard]] bool is_running(MemberIndex member) const {
     return processes_[member].node != nullptr && !processes_[member].is_stopped;
@@ -131,6 +139,7 @@
   std::vector<Process> processes_;
   std::multimap<Time, InFlightDatagram> in_flight_;
   std::set<std::pair<MemberIndex, MemberIndex>> blocked_;
+  int counted_changes_ = 0;
 };
 
 }  // namespace dispatcher::testing
--- a/tests/dispatcher/gossip_test.cpp
+++ b/tests/dispatcher/gossip_test.cpp
@@ -11,8 +11,7 @@
 TEST_CASE("an urgent entry reaches all at once; what was lost is repaired, across blocked paths, too",
           "[gossip]") {
   FleetFixture fixture(20, 21);
-  fixture.start_all();
-  REQUIRE(fixture.until([&] { return fixture.all_alive(); }, seconds(20)));
+  REQUIRE(fixture.start_and_join(seconds(20)));
   fixture.write_evidence(4, 99);
   fixture.run(milliseconds(100));
   CHECK(fixture.members_with_evidence(99) == 20);
@@ -214,8 +213,7 @@
   fixture.on_datagram = [&](MemberIndex from, MemberIndex to, std::span<const std::uint8_t> bytes) {
     if (recorded.size() < 2000) recorded.push_back({from, to, {bytes.begin(), bytes.end()}});
   };
-  fixture.start_all();
-  REQUIRE(fixture.until([&] { return fixture.all_alive(); }, seconds(20)));
+  REQUIRE(fixture.start_and_join(seconds(20)));
   std::mt19937 random(3);
   for (int i = 0; i < 20000; ++i) {
     RecordedDatagram datagram = recorded[random() % recorded.size()];
@@ -224,7 +222,7 @@
     if (i % 50 == 0) fixture.run(milliseconds(100));
   }
   fixture.network = {};
-  CHECK(fixture.until([&] { return fixture.all_alive(); }, seconds(60)));
+  CHECK(fixture.until_all_alive(seconds(60)));
   std::uint64_t dropped = 0;
   for (MemberIndex member = 0; member < 6; ++member) {
     for (const auto count : fixture.node(member).counts().dropped) dropped += count;
--- a/tests/dispatcher/membership_fleet_test.cpp
+++ b/tests/dispatcher/membership_fleet_test.cpp
@@ -9,8 +9,7 @@
 TEST_CASE("a fleet that starts together knows itself, and a quiet one sends little", "[membership]") {
   const MemberIndex count = GENERATE(2, 3, 30);
   FleetFixture fixture(count, 1);
-  fixture.start_all();
-  REQUIRE(fixture.until([&] { return fixture.all_alive(); }, seconds(10)));
+  REQUIRE(fixture.start_and_join(seconds(10)));
   fixture.run(seconds(40));
   std::uint64_t before = 0;
   std::uint64_t after = 0;
@@ -25,19 +24,17 @@
           "[membership]") {
   FleetFixture fixture(12, 2);
   fixture.network.loss = 0.1;
-  fixture.start_all();
-  REQUIRE(fixture.until([&] { return fixture.all_alive(); }, seconds(20)));
+  REQUIRE(fixture.start_and_join(seconds(20)));
   fixture.kill(5);
   REQUIRE(fixture.until([&] { return fixture.all_consider(5, MemberState::kDead); }, seconds(25)));
   fixture.start(5);
-  CHECK(fixture.until([&] { return fixture.all_alive(); }, seconds(20)));
+  CHECK(fixture.until_all_alive(seconds(20)));
 }
 
 TEST_CASE("a restart faster than detection is seen as a new incarnation, and its earlier entries are dropped",
           "[membership]") {
   FleetFixture fixture(6, 3);
-  fixture.start_all();
-  REQUIRE(fixture.until([&] { return fixture.all_alive(); }, seconds(10)));
+  REQUIRE(fixture.start_and_join(seconds(10)));
   fixture.write_evidence(2, 9);
   fixture.run(seconds(3));
   const auto entries = [&](MemberIndex member) {
@@ -64,13 +61,9 @@
 
 TEST_CASE("a host whose clock was set back: its next process is accepted all the same", "[membership]") {
   FleetFixture fixture(5, 4);
-  fixture.start_all();
-  REQUIRE(fixture.until([&] { return fixture.all_alive(); }, seconds(10)));
+  REQUIRE(fixture.start_and_join(seconds(10)));
   fixture.run(seconds(30));  // nobody spreads its first incarnation any more
-  int suspicions = 0;
-  fixture.on_change = [&](MemberIndex, const membership::MemberChange& change) {
-    suspicions += change.after == MemberState::kSuspect;
-  };
+  const int& suspicions = fixture.count_changes_to(MemberState::kSuspect);
   fixture.kill(1);
   fixture.skew[1] = -std::chrono::hours(2);
   fixture.run(milliseconds(200));
@@ -95,12 +88,8 @@
     fixture.skew[member] = seconds(3600) * static_cast<int>(member) - seconds(7200);
     fixture.rate[member] = 1 + 0.01 * (static_cast<int>(member % 3) - 1);
   }
-  int deaths = 0;
-  fixture.on_change = [&](MemberIndex, const membership::MemberChange& change) {
-    deaths += change.after == MemberState::kDead;
-  };
-  fixture.start_all();
-  REQUIRE(fixture.until([&] { return fixture.all_alive(); }, seconds(20)));
+  const int& deaths = fixture.count_changes_to(MemberState::kDead);
+  REQUIRE(fixture.start_and_join(seconds(20)));
   fixture.run(seconds(120));
   CHECK(deaths == 0);
 }
@@ -108,8 +97,7 @@
 TEST_CASE("a stopped member is considered dead; it resumes, and neither it nor what waited for it does harm",
           "[membership]") {
   FleetFixture fixture(8, 6);
-  fixture.start_all();
-  REQUIRE(fixture.until([&] { return fixture.all_alive(); }, seconds(10)));
+  REQUIRE(fixture.start_and_join(seconds(10)));
   fixture.stop(3);
   REQUIRE(fixture.until([&] { return fixture.all_consider(3, MemberState::kDead); }, seconds(30)));
   fixture.run(seconds(60));
@@ -118,7 +106,7 @@
     if (change.member != 3) accused += change.after != MemberState::kAlive;
   };
   fixture.resume(3);
-  CHECK(fixture.until([&] { return fixture.all_alive(); }, seconds(20)));
+  CHECK(fixture.until_all_alive(seconds(20)));
   fixture.run(seconds(30));
   CHECK(accused == 0);  // it did not take its own pause for the others' silence
   CHECK(fixture.node(3).members().counts().pauses >= 1);
@@ -128,8 +116,7 @@
 TEST_CASE("each side of a partitioned fleet considers the other dead, and they find each other again",
           "[membership]") {
   FleetFixture fixture(10, 7);
-  fixture.start_all();
-  REQUIRE(fixture.until([&] { return fixture.all_alive(); }, seconds(10)));
+  REQUIRE(fixture.start_and_join(seconds(10)));
   const std::set<MemberIndex> left{0, 1, 2, 3};
   const std::set<MemberIndex> right{4, 5, 6, 7, 8, 9};
   fixture.block(left, right);
@@ -150,17 +137,13 @@
       CHECK((observer == member || fixture.node(observer).members().state(member) == MemberState::kAlive));
   }
   fixture.unblock_all();
-  CHECK(fixture.until([&] { return fixture.all_alive(); }, seconds(40)));
+  CHECK(fixture.until_all_alive(seconds(40)));
 }
 
 TEST_CASE("a member that few paths connect to the others stays alive by indirect probes", "[membership]") {
   FleetFixture fixture(8, 8);
-  fixture.start_all();
-  REQUIRE(fixture.until([&] { return fixture.all_alive(); }, seconds(10)));
-  int deaths = 0;
-  fixture.on_change = [&](MemberIndex, const membership::MemberChange& change) {
-    deaths += change.after == MemberState::kDead;
-  };
+  REQUIRE(fixture.start_and_join(seconds(10)));
+  const int& deaths = fixture.count_changes_to(MemberState::kDead);
   fixture.block({0}, {1, 2, 3});  // one way
   fixture.run(seconds(120));
   CHECK(deaths == 0);
@@ -172,8 +155,7 @@
 TEST_CASE("a member whose messages reach nobody is considered dead, though it receives; it accuses no others",
           "[membership]") {
   FleetFixture fixture(6, 9);
-  fixture.start_all();
-  REQUIRE(fixture.until([&] { return fixture.all_alive(); }, seconds(10)));
+  REQUIRE(fixture.start_and_join(seconds(10)));
   fixture.block({0}, {1, 2, 3, 4, 5});
   CHECK(fixture.until([&] { return fixture.all_consider(0, MemberState::kDead); }, seconds(30)));
   for (MemberIndex observer = 1; observer < 6; ++observer) {
@@ -181,7 +163,7 @@
       CHECK((observer == member || fixture.node(observer).members().state(member) == MemberState::kAlive));
   }
   fixture.unblock_all();
-  CHECK(fixture.until([&] { return fixture.all_alive(); }, seconds(40)));
+  CHECK(fixture.until_all_alive(seconds(40)));
 }
 
 TEST_CASE("loss, repetitions and datagrams seconds late: all live members are found alive in the end",
@@ -191,17 +173,13 @@
   fixture.start_all();
   fixture.run(seconds(120));
   fixture.network = {};
-  CHECK(fixture.until([&] { return fixture.all_alive(); }, seconds(60)));
+  CHECK(fixture.until_all_alive(seconds(60)));
 }
 
 TEST_CASE("a member that leaves is known to be dead without a suspicion", "[membership]") {
   FleetFixture fixture(8, 11);
-  fixture.start_all();
-  REQUIRE(fixture.until([&] { return fixture.all_alive(); }, seconds(10)));
-  int suspicions = 0;
-  fixture.on_change = [&](MemberIndex, const membership::MemberChange& change) {
-    suspicions += change.after == MemberState::kSuspect;
-  };
+  REQUIRE(fixture.start_and_join(seconds(10)));
+  const int& suspicions = fixture.count_changes_to(MemberState::kSuspect);
   for (const gossip::OutgoingDatagram& outgoing : fixture.node(4).leave(fixture.clock(4)))
     fixture.inject(4, outgoing.to.value(), bytes_of(outgoing.datagram));
   fixture.kill(4);
