--- a/tests/dispatcher/bounded_counter_test.cpp
+++ b/tests/dispatcher/bounded_counter_test.cpp
@@ -90,22 +90,23 @@
   return fleet;
 }
 
-TEST_CASE("three members, all that can happen up to a depth: rates never add up to more than the budget",
-          "[bounded_counter]") {
-  const Exploration found = explore(fleet_to_explore(kRateBudget), 8, 200'000);
+// Explores all states up to the depth: the members together never hold more than the budget, nor less.
+void check_all_states(const Budget& budget, int depth) {
+  const Exploration found = explore(fleet_to_explore(budget), depth, 200'000);
   INFO(found.states << " states");
   CHECK(found.has_lent);
   CHECK(found.max_held == 6);
   CHECK(found.states > 20'000);
 }
 
+TEST_CASE("three members, all that can happen up to a depth: rates never add up to more than the budget",
+          "[bounded_counter]") {
+  check_all_states(kRateBudget, 8);
+}
+
 TEST_CASE("three members, all that can happen up to a depth: units never add up to more than the budget",
           "[bounded_counter]") {
-  const Exploration found = explore(fleet_to_explore(kUnitsBudget), 7, 200'000);
-  INFO(found.states << " states");
-  CHECK(found.has_lent);
-  CHECK(found.max_held == 6);
-  CHECK(found.states > 20'000);
+  check_all_states(kUnitsBudget, 7);
 }
 
 TEST_CASE("the same to a greater depth", "[.explore]") {
--- a/tests/dispatcher/config_test.cpp
+++ b/tests/dispatcher/config_test.cpp
@@ -119,9 +119,13 @@
   "guarantees":{"answerSlackMs":16.0,"drainGraceMs":250.0,"coldShare":0.3,"coldMs":14000.0,
    "tipMultiple":4.0,"tipAfterMs":2000.0}}})";
 
-// The text with the first occurrence of `old_part` replaced.
-std::string replaced(std::string text, const std::string& old_part, const std::string& new_part) {
-  return text.replace(text.find(old_part), old_part.size(), new_part);
+using Replacement = std::pair<std::string, std::string>;
+
+// kValidConfig with the first occurrence of each first text replaced by the second, one after the other.
+std::string changed(const std::vector<Replacement>& replacements) {
+  std::string text = kValidConfig;
+  for (const auto& [before, after] : replacements) text.replace(text.find(before), before.size(), after);
+  return text;
 }
 daemon::Config parse(const std::string& text) {
   return daemon::parse_config(text, {{"PROXY_CONFIG", "c.json"}});
@@ -143,12 +147,12 @@
 }
 
 TEST_CASE("all findings about a configuration are reported in the order of its lines", "[config]") {
-  std::string bad = replaced(kValidConfig, "127.0.0.1:1", "nowhere");
-  bad = replaced(bad, "\"mostTries\":4", "\"mostTries\":1");
-  bad = replaced(bad, "\"myNumber\":0", "\"myNumber\":2");
-  bad = replaced(bad, "\"command\"", "\"ask\"");
-  bad = replaced(bad, "6000.0", "600");
-  bad = replaced(bad, "250.0,\"idle", "0,\"idle");
+  const std::string bad = changed({{"127.0.0.1:1", "nowhere"},
+                                   {"\"mostTries\":4", "\"mostTries\":1"},
+                                   {"\"myNumber\":0", "\"myNumber\":2"},
+                                   {"\"command\"", "\"ask\""},
+                                   {"6000.0", "600"},
+                                   {"250.0,\"idle", "0,\"idle"}});
   CHECK(
       error_messages(bad) ==
       Messages{"c.json:1: field 'discovery': 'nowhere'; wanted: address and port",
@@ -163,11 +167,11 @@
 }
 
 TEST_CASE("missing fields, wrong types and unknown words are reported together", "[config]") {
-  std::string bad = replaced(kValidConfig, "\"balancers\":2,", "");
-  bad = replaced(bad, "\"write\"", "\"wrote\"");
-  bad = replaced(bad, "\"mostTries\":4", "\"mostTries\":\"4\"");
-  bad = replaced(bad, "\"guarantees\"", "\"guarantee\"");
-  bad = replaced(bad, "\"repeat\":\"unsafe\"", "\"repeat\":false");
+  const std::string bad = changed({{"\"balancers\":2,", ""},
+                                   {"\"write\"", "\"wrote\""},
+                                   {"\"mostTries\":4", "\"mostTries\":\"4\""},
+                                   {"\"guarantees\"", "\"guarantee\""},
+                                   {"\"repeat\":\"unsafe\"", "\"repeat\":false"}});
   CHECK(error_messages(bad) ==
         Messages{"c.json:2: field 'settings.balancers': missing; wanted: number",
                  "c.json:2: field 'settings.guarantees': missing; wanted: object",
@@ -176,7 +180,7 @@
                      "wanted: 'read', 'write', 'both'",
                  "c.json:11: field 'settings.limits.mostTries': \"4\"; wanted: number"});
   CHECK(
-      error_messages(replaced(kValidConfig, "[\"read\",\"write\"]", "[\"read\"]")) ==
+      error_messages(changed({{"[\"read\",\"write\"]", "[\"read\"]"}})) ==
       Messages{"c.json:9: field 'settings.familyInfo.dutyByKind': 1 duties for 2 hostTypes; wanted: one for "
                "each"});
   CHECK(error_messages("{\n\"a\":1,\n\n}") == Messages{"c.json:4: the configuration is not JSON"});
@@ -184,7 +188,7 @@
 
 TEST_CASE("absurd settings are accepted with a warning", "[config]") {
   const std::string odd =
-      replaced(kValidConfig, "\"push\"", "\"push\",\"weights\":\"new\",\"tenants\":[{\"name\":\"a\"}]");
+      changed({{"\"push\"", "\"push\",\"weights\":\"new\",\"tenants\":[{\"name\":\"a\"}]"}});
   CHECK(
       parse(odd).warnings ==
       Messages{
@@ -205,11 +209,10 @@
         return daemon::ConfigurationFiles{parse(next), {{"chat.json", kChatConfig}, {}}};
       });
   // A new class, which the log line of a successful reload would name, beside a contradiction.
-  next = replaced(
-      kValidConfig, "[\n",
-      "[{\"name\":\"new\",\"repeat\":\"safe\",\"objectiveMs\":900,\"deadlineMs\":2000,\"worth\":1},\n");
-  const std::string good = next;
-  next = replaced(replaced(next, "\"mostTries\":4", "\"mostTries\":1"), "\"myNumber\":0", "\"myNumber\":2");
+  const Replacement new_class{
+      "[\n",
+      "[{\"name\":\"new\",\"repeat\":\"safe\",\"objectiveMs\":900,\"deadlineMs\":2000,\"worth\":1},\n"};
+  next = changed({new_class, {"\"mostTries\":4", "\"mostTries\":1"}, {"\"myNumber\":0", "\"myNumber\":2"}});
   const Messages expected = error_messages(next);
   REQUIRE(expected.size() == 2);
   dispatcher.reload();
@@ -218,7 +221,7 @@
   next = kValidConfig;
   dispatcher.reload();
   CHECK(log_lines.back() == "reloaded: discovery at 127.0.0.1:1, classes ask command");
-  next = replaced(good, "\"push\"", "\"push\",\"worthBy\":\"new\"");
+  next = changed({new_class, {"\"push\"", "\"push\",\"worthBy\":\"new\""}});
   log_lines.clear();
   dispatcher.reload();
   CHECK(log_lines ==
