--- a/tests/dispatcher/admin_test.cpp
+++ b/tests/dispatcher/admin_test.cpp
@@ -124,8 +124,7 @@
   void list(routing::ListKind kind, const std::vector<std::string>& endpoints,
             routing::EndpointState state = routing::EndpointState::kReady) {
     routing::EndpointList all{kind, {}};
-    for (const std::string& endpoint : endpoints)
-      all.entries.push_back({endpoint, "here", endpoint[0] == 'r' ? "reader" : "writer", 0, state, 1, {}});
+    for (const std::string& endpoint : endpoints) all.entries.push_back(make_endpoint(endpoint, state));
     router.handle(now, all);
   }
   // The endpoint at which a new request is read; empty: none.
@@ -203,8 +202,7 @@
   const std::size_t left_out = GENERATE(0, 1);  // whichever the module chooses, one of them is it
   const std::string endpoint = left_out == 0 ? "r1" : "r2";
   Fixture fixture(healthy_reader, healthy_writer);
-  auto client = fixture.platform_client();
-  client->post(platform_headers("a1", "command"), R"({"model":"chat","messages":[]})");
+  auto client = fixture.post("a1", "command");
   // The reader's connection is being opened within the very call that takes the request.
   while (fixture.pool.open_connections() == 0) {
     fixture.io.restart();
--- a/tests/dispatcher/attempt_endings_fixture.hpp
+++ b/tests/dispatcher/attempt_endings_fixture.hpp
@@ -21,14 +21,6 @@
 
 using ReceivedRequest = FakeReplica::ReceivedRequest;
 
-inline constexpr const char* kBody = R"({"model":"x","stream":true,"messages":[]})";
-// The head of a streamed answer.
-inline std::string answer_head() {
-  return "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n";
-}
-
-// Takes a request and never answers.
-inline void silent(FakeReplica&, SlotId, const ReceivedRequest&) {}
 // Rejects a request that it has no capacity for; nothing of it has run.
 inline void full(FakeReplica& replica, SlotId client, const ReceivedRequest&) {
   replica.reject_unprocessed(client, 503);
@@ -55,6 +47,11 @@
     engine.apply_settings(std::make_shared<const routing::Settings>(changed));
   }
   void send_writes_to(const RawSocketPeer& peer);  // both writers are the peer
+  // Answers the reads that are pending at the readers.
+  void complete_reads() {
+    for (const std::size_t index : {0U, 1U})
+      for (const SlotId client : reader(index).pending_clients) reader(index).respond(client, 202, "{}");
+  }
   [[nodiscard]] int posts() const {
     return request_count("POST", Role::kReader) + request_count("POST", Role::kWriter);
   }
--- a/tests/dispatcher/attempt_endings_test.cpp
+++ b/tests/dispatcher/attempt_endings_test.cpp
@@ -49,13 +49,11 @@
 
 TEST_CASE("a client that leaves between read and write gets no writer, and its state is let go of",
           "[endings]") {
-  DirectFixture fixture(silent, healthy_writer);
+  DirectFixture fixture(silent_replica, healthy_writer);
   fixture.submit("a1");
   REQUIRE(fixture.until([&] { return fixture.posts() == 1; }));
   fixture.client_connected = false;
-  for (const std::size_t index : {0U, 1U})
-    for (const SlotId client : fixture.reader(index).pending_clients)
-      fixture.reader(index).respond(client, 202, "{}");
+  fixture.complete_reads();
   fixture.advance(milliseconds(400));
   CHECK(fixture.request_count("POST", Role::kWriter) == 0);
   CHECK(fixture.releases() >= 1);  // two calls at once, where no connection is kept
@@ -65,12 +63,10 @@
 
 // The state was left though its read was given up: the answer crossed the close.
 TEST_CASE("a 202 that crosses the close of its read has its state let go of", "[endings]") {
-  DirectFixture fixture(silent, healthy_writer);
+  DirectFixture fixture(silent_replica, healthy_writer);
   const SlotId id = fixture.submit("a1");
   REQUIRE(fixture.until([&] { return fixture.posts() == 1; }));
-  for (const std::size_t index : {0U, 1U})
-    for (const SlotId client : fixture.reader(index).pending_clients)
-      fixture.reader(index).respond(client, 202, "{}");
+  fixture.complete_reads();
   fixture.engine.on_client_disconnected(id);  // the answer is written, and not read
   fixture.advance(milliseconds(400));
   CHECK(fixture.releases() >= 1);  // two calls at once, where no connection is kept
@@ -105,15 +101,13 @@
 }
 
 TEST_CASE("a connection to where a host listened before is not kept for it", "[endings]") {
-  DirectFixture fixture(silent, healthy_writer);
+  DirectFixture fixture(silent_replica, healthy_writer);
   FakeReplica new_address(fixture, healthy_reader);
   fixture.submit("a1");
   REQUIRE(fixture.until([&] { return fixture.posts() == 1; }));
   fixture.pool.update_endpoints(
       {{"r1", new_address.server.local(), true}, {"r2", new_address.server.local(), true}}, false);
-  for (const std::size_t index : {0U, 1U})
-    for (const SlotId client : fixture.reader(index).pending_clients)
-      fixture.reader(index).respond(client, 202, "{}");
+  fixture.complete_reads();
   REQUIRE(fixture.until([&] { return fixture.count("finish") == 1; }));
   fixture.advance(milliseconds(60));
   CHECK(fixture.pool.open_connections() == 1);  // the writer's
@@ -139,13 +133,20 @@
 
 // ---- breaks ----
 
-TEST_CASE("a connection that breaks before the request's last byte is written has run nothing", "[endings]") {
-  DirectFixture fixture(healthy_reader, healthy_writer);
-  RawSocketPeer peer(fixture);
+// Submits a command that is too long for the kernel's buffers; true once the peer, as its writer, has
+// accepted the connection. The peer reads nothing of it.
+bool starts_long_command(DirectFixture& fixture, RawSocketPeer& peer) {
   fixture.send_writes_to(peer);
   fixture.submit("a1", "command", 200000);
-  REQUIRE(fixture.until([&] { return peer.accepted(); }));
+  const bool is_accepted = fixture.until([&] { return peer.accepted(); });
   fixture.settle();
+  return is_accepted;
+}
+
+TEST_CASE("a connection that breaks before the request's last byte is written has run nothing", "[endings]") {
+  DirectFixture fixture(healthy_reader, healthy_writer);
+  RawSocketPeer peer(fixture);
+  REQUIRE(starts_long_command(fixture, peer));
   peer.reset();
   for (int i = 0; i < 200 && fixture.calls.empty(); ++i) {
     fixture.advance(milliseconds(20));
@@ -157,11 +158,8 @@
 TEST_CASE("an answer that comes before the request's last byte is written is no answer", "[endings]") {
   DirectFixture fixture(healthy_reader, healthy_writer);
   RawSocketPeer peer(fixture);
-  fixture.send_writes_to(peer);
-  fixture.submit("a1", "command", 200000);
-  REQUIRE(fixture.until([&] { return peer.accepted(); }));
-  fixture.settle();
-  peer.write(answer_head() + http::chunk("data: {\"of\":\"another\"}\n\n") + http::chunk("data: [DONE]\n\n") +
+  REQUIRE(starts_long_command(fixture, peer));
+  peer.write(kStreamHead + http::chunk("data: {\"of\":\"another\"}\n\n") + http::chunk("data: [DONE]\n\n") +
              "0\r\n\r\n");
   fixture.advance(milliseconds(100));
   CHECK(fixture.body.empty());
@@ -169,7 +167,7 @@
 }
 
 TEST_CASE("a connection that breaks after the request's last byte may have run it", "[endings]") {
-  DirectFixture fixture(healthy_reader, silent);
+  DirectFixture fixture(healthy_reader, silent_replica);
   fixture.submit("a1", "command");
   REQUIRE(fixture.until([&] { return fixture.request_count("POST", Role::kWriter) == 1; }));
   const bool at_once = GENERATE(true, false);
@@ -186,13 +184,13 @@
 TEST_CASE("an answer cut at any place is not passed off as whole", "[endings]") {
   const std::string event = "data: {\"a\":1}\n\n";
   const auto [bytes, begins] = GENERATE_COPY(
-      std::pair<std::string, bool>("HTTP/1.1 20", false), std::pair(answer_head().substr(0, 40), false),
-      std::pair(answer_head(), false), std::pair(answer_head() + "f\r\ndata: {\"a\"", false),
-      std::pair(answer_head() + http::chunk("data: {\"a\":1}"), false),
-      std::pair(answer_head() + http::chunk(event), true),
-      std::pair(answer_head() + http::chunk(event) + http::chunk("data: {\"b\""), true),
-      std::pair(answer_head() + http::chunk(event) + http::chunk("data: {\"b\"") + "0\r\n\r\n", true),
-      std::pair(answer_head() + http::chunk(event) + "0\r", true));
+      std::pair<std::string, bool>("HTTP/1.1 20", false), std::pair(kStreamHead.substr(0, 40), false),
+      std::pair(kStreamHead, false), std::pair(kStreamHead + "f\r\ndata: {\"a\"", false),
+      std::pair(kStreamHead + http::chunk("data: {\"a\":1}"), false),
+      std::pair(kStreamHead + http::chunk(event), true),
+      std::pair(kStreamHead + http::chunk(event) + http::chunk("data: {\"b\""), true),
+      std::pair(kStreamHead + http::chunk(event) + http::chunk("data: {\"b\"") + "0\r\n\r\n", true),
+      std::pair(kStreamHead + http::chunk(event) + "0\r", true));
   DirectFixture fixture(healthy_reader, healthy_writer);
   RawSocketPeer peer(fixture);
   fixture.send_writes_to(peer);
@@ -214,17 +212,14 @@
 TEST_CASE("a connection rests after an answer, and what comes meanwhile closes it", "[endings]") {
   Fixture fixture(healthy_reader, healthy_writer);
   const std::string answer =
-      answer_head() + http::chunk("data: {\"a\":1}\n\n") + http::chunk("data: [DONE]\n\n") + "0\r\n\r\n";
-  RawBytesReplica writer(fixture, answer,
-                         answer_head() + http::chunk("data: {\"late\":1}\n\n") + "0\r\n\r\n");
+      kStreamHead + http::chunk("data: {\"a\":1}\n\n") + http::chunk("data: [DONE]\n\n") + "0\r\n\r\n";
+  RawBytesReplica writer(fixture, answer, kStreamHead + http::chunk("data: {\"late\":1}\n\n") + "0\r\n\r\n");
   fixture.pool.update_endpoints({{"w1", writer.address(), true}, {"w2", writer.address(), true}}, false);
-  auto first = fixture.platform_client();
-  auto second = fixture.platform_client();
-  first->post(platform_headers("a1", "command"), kBody);
+  const auto first = fixture.post("a1", "command");
   REQUIRE(fixture.until([&] { return first->is_finished(); }));
   CHECK(fixture.pool.open_connections() == 2);
   fixture.advance(milliseconds(20));
-  second->post(platform_headers("a2", "command"), kBody);
+  const auto second = fixture.post("a2", "command");
   REQUIRE(fixture.until([&] { return second->is_finished(); }));
   CHECK(fixture.pool.open_connections() == 4);  // new ones: the others rest
   writer.send_more();
@@ -271,7 +266,7 @@
 TEST_CASE("an answer in the tick of the deadline ends the request once", "[endings]") {
   const int status = GENERATE(200, 503, 500);
   const bool timer_first = GENERATE(false, true);
-  DirectFixture fixture(healthy_reader, silent);
+  DirectFixture fixture(healthy_reader, silent_replica);
   fixture.submit("a1", "command");
   REQUIRE(fixture.until([&] { return fixture.request_count("POST", Role::kWriter) == 1; }));
   fixture.advance(seconds(3) - milliseconds(20));
--- a/tests/dispatcher/engine_fixture.hpp
+++ b/tests/dispatcher/engine_fixture.hpp
@@ -21,13 +21,7 @@
             [this] { return now; }, [](std::string_view) {}) {
     routing::EndpointList list{routing::ListKind::kFull, {}};
     for (const std::string endpoint : {"r1", "r2", "w1", "w2"})
-      list.entries.push_back({endpoint,
-                              "here",
-                              endpoint[0] == 'r' ? "reader" : "writer",
-                              0,
-                              routing::EndpointState::kReady,
-                              1,
-                              {}});
+      list.entries.push_back(make_endpoint(endpoint));
     engine.update_endpoints(list);
   }
   net::SlotId submit(const std::string& id, const std::string& request_class = "command") {
@@ -46,6 +40,14 @@
       timers.run(now);
     }
   }
+  // Submits a command, which a reader reads, and goes on to the last tick before its deadline without running
+  // that tick's timers.
+  void submit_and_reach_deadline() {
+    submit("a");
+    complete_read(0);
+    advance(seconds(3) - milliseconds(5));
+    now += milliseconds(5);
+  }
   void complete_read(int attempt) {
     engine.on_attempt_completed(started[static_cast<std::size_t>(attempt)],
                                 {routing::AttemptStatus::kRead, 0, {}, {}});
--- a/tests/dispatcher/engine_test.cpp
+++ b/tests/dispatcher/engine_test.cpp
@@ -307,10 +307,7 @@
 TEST_CASE("a first token in the tick of the deadline starts the stream, one after it does not", "[core]") {
   EngineFixture fixture;
   const bool token_first = GENERATE(true, false);
-  fixture.submit("a");
-  fixture.complete_read(0);
-  fixture.advance(seconds(3) - milliseconds(5));
-  fixture.now += milliseconds(5);
+  fixture.submit_and_reach_deadline();
   if (token_first) fixture.engine.on_events(fixture.started[1], "data: x\n\n");
   fixture.timers.run(fixture.now);
   if (!token_first) fixture.engine.on_events(fixture.started[1], "data: x\n\n");
@@ -323,10 +320,7 @@
 TEST_CASE("a rejection in the tick of the deadline is not followed by another attempt", "[core]") {
   EngineFixture fixture;
   const bool rejection_first = GENERATE(true, false);
-  fixture.submit("a");
-  fixture.complete_read(0);
-  fixture.advance(seconds(3) - milliseconds(5));
-  fixture.now += milliseconds(5);
+  fixture.submit_and_reach_deadline();
   if (rejection_first)
     fixture.engine.on_attempt_completed(fixture.started[1], {AttemptStatus::kFull, 0, {}, {}});
   fixture.timers.run(fixture.now);
--- a/tests/dispatcher/fixture.cpp
+++ b/tests/dispatcher/fixture.cpp
@@ -31,6 +31,10 @@
   return settings;
 }
 
+routing::EndpointInfo make_endpoint(const std::string& name, EndpointState state) {
+  return {name, "here", name[0] == 'r' ? "reader" : "writer", 0, state, 1, {}};
+}
+
 void FakeReplica::on_request(SlotId client, http::Server::Request& request, engine::Time) {
   ReceivedRequest current{std::string(http::to_view(request.method_string())),
                           std::string(http::to_view(request.target())),
@@ -137,7 +141,7 @@
   for (const std::string name : {"r1", "r2", "w1", "w2"}) {
     const bool is_reader = name[0] == 'r';
     replicas.push_back(std::make_unique<FakeReplica>(*this, is_reader ? reader_behavior : writer_behavior));
-    list.entries.push_back({name, "here", is_reader ? "reader" : "writer", 0, EndpointState::kReady, 1, {}});
+    list.entries.push_back(make_endpoint(name));
     addresses.push_back({name, replicas.back()->server.local(), true});
   }
   pool.update_endpoints(addresses, true);
@@ -149,6 +153,12 @@
   chat->server().open();
 }
 
+std::unique_ptr<FakeClient> Fixture::post(const std::string& id, const std::string& request_class) {
+  auto client = platform_client();
+  client->post(platform_headers(id, request_class), kPlatformBody);
+  return client;
+}
+
 namespace {
 // Where a role's two replicas begin in Fixture::replicas.
 std::size_t first_of(Role role) { return role == Role::kReader ? 0 : Fixture::kFirstWriter; }
--- a/tests/dispatcher/fixture.hpp
+++ b/tests/dispatcher/fixture.hpp
@@ -32,6 +32,10 @@
 // Settings with an idempotent class "ask", a non-idempotent class "command", and replicas of both roles.
 routing::Settings make_settings();
 
+// A replica of those settings. Its role follows from the first letter of its name: "r" or "w".
+routing::EndpointInfo make_endpoint(const std::string& name,
+                                    routing::EndpointState state = routing::EndpointState::kReady);
+
 inline net::tcp::endpoint loopback() { return {boost::asio::ip::address_v4::loopback(), 0}; }
 
 // An event loop with a simulated clock.
@@ -213,6 +217,9 @@
   bool is_reading_paused_ = false;
 };
 
+// A request of the platform's API.
+inline constexpr const char* kPlatformBody = R"({"model":"chat","messages":[]})";
+
 // Two readers (r1, r2) and two writers (w1, w2) of given behaviors, and a dispatcher with the platform's
 // frontend and, where it has a configuration, the OpenAI-compatible one.
 class Fixture : public TestEventLoop {
@@ -231,6 +238,8 @@
   [[nodiscard]] const FakeReplica::ReceivedRequest& only_request(std::string_view method, Role role) const;
   std::unique_ptr<FakeClient> platform_client() { return client(platform.server().local()); }
   std::unique_ptr<FakeClient> chat_client() { return client(chat->server().local()); }
+  // A client that posts kPlatformBody to the platform's API.
+  std::unique_ptr<FakeClient> post(const std::string& id, const std::string& request_class);
   std::unique_ptr<FakeClient> client(const net::tcp::endpoint& to) {
     return std::make_unique<FakeClient>(*this, to);
   }
@@ -255,6 +264,9 @@
 void healthy_writer(FakeReplica& replica, SlotId client, const FakeReplica::ReceivedRequest& request);
 // The behavior of a replica that never answers, unless the test does so in its place.
 void silent_replica(FakeReplica& replica, SlotId client, const FakeReplica::ReceivedRequest& request);
+// The head of a streamed response.
+inline const std::string kStreamHead =
+    "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n";
 // A configuration of the OpenAI-compatible frontend with a model for each class of make_settings().
 inline constexpr const char* kChatConfig =
     R"({"listen":"127.0.0.1:0","account":"acme",
--- a/tests/dispatcher/hot_restart_state_test.cpp
+++ b/tests/dispatcher/hot_restart_state_test.cpp
@@ -133,9 +133,8 @@
           "[upgrade]") {
   const auto list = [](engine::Time started) {
     routing::EndpointList all{routing::ListKind::kFull, {}};
-    for (const std::string endpoint : {"r1", "r2", "w1"})
-      all.entries.push_back({endpoint, "here", endpoint[0] == 'r' ? "reader" : "writer", 0,
-                             routing::EndpointState::kReady, 1, endpoint == "r2" ? started : engine::Time{}});
+    for (const std::string endpoint : {"r1", "r2", "w1"}) all.entries.push_back(make_endpoint(endpoint));
+    all.entries[1].started = started;
     return all;
   };
   engine::Time now = seconds(1000);
--- a/tests/dispatcher/hot_restart_stream_test.cpp
+++ b/tests/dispatcher/hot_restart_stream_test.cpp
@@ -12,8 +12,7 @@
                   [](FakeReplica& replica, SlotId client, const FakeReplica::ReceivedRequest&) {
                     replica.stream_words(client, {"half"}, StreamEnd::kOpen);
                   });
-  auto client = fixture.platform_client();
-  client->post(platform_headers("a1", "ask"), R"({"model":"chat","messages":[]})");
+  auto client = fixture.post("a1", "ask");
   REQUIRE(fixture.until([&] { return !client->body.empty(); }));
   fixture.platform.server().drain();
   auto& writer = fixture.writer(0).pending_clients.empty() ? fixture.writer(1) : fixture.writer(0);
@@ -66,14 +65,28 @@
   return fixture.pool.suspend_stream({stream.request, stream.attempt}) && is_client_suspended;
 }
 
-// The fixture hands a stream to itself, as it would to another process: sockets, and what is left of a chunk.
+// The behavior of a writer whose stream stays open after its first event.
+void begin_stream(FakeReplica& replica, SlotId client, const ReceivedRequest&) {
+  replica.stream_words(client, {"one"}, StreamEnd::kOpen);
+}
+
+// The fixture hands the suspended stream "a1" to itself, as it would to another process: its sockets, and
+// what is left of a chunk.
+void hand_over(Fixture& fixture, const engine::RunningStream& stream) {
+  upstream::DetachedStream replica = fixture.pool.detach_stream({stream.request, stream.attempt});
+  net::UniqueFd socket = fixture.platform.server().detach(stream.client);
+  fixture.platform.forget_detached_stream(stream.client);
+  fixture.engine.release_stream(stream.request);
+  CHECK(fixture.engine.open_request_count() == 0);
+  CHECK(fixture.platform.server().client_count() == 0);
+  CHECK(fixture.pool.open_connections() == 1);  // the reader's, idle
+  const SlotId request = fixture.platform.adopt_stream(std::move(socket), "a1", replica.endpoint);
+  fixture.pool.adopt_stream({request, 0}, std::move(replica));
+}
+
 TEST_CASE("a running stream changes hands, and neither its client nor its replica notices", "[upgrade]") {
-  Fixture fixture(healthy_reader,
-                  [](FakeReplica& replica, SlotId client, const FakeReplica::ReceivedRequest&) {
-                    replica.stream_words(client, {"one"}, StreamEnd::kOpen);
-                  });
-  auto client = fixture.platform_client();
-  client->post(platform_headers("a1", "command"), "{}");
+  Fixture fixture(healthy_reader, begin_stream);
+  auto client = fixture.post("a1", "command");
   REQUIRE(fixture.until([&] { return client->body.find("one") != std::string::npos; }));
   fixture.settle();
   const auto streams = fixture.engine.running_streams(fixture.platform.response_sink());
@@ -93,15 +106,7 @@
   REQUIRE(fixture.engine.open_request_count() == 1);
   REQUIRE(fixture.until([&] { return suspend_both_ends(fixture, streams[0]); }));
   writer.server.write_events(writer.pending_clients.back(), "data: two\n\n");  // while nobody reads
-  upstream::DetachedStream replica = fixture.pool.detach_stream(attempt);
-  net::UniqueFd socket = fixture.platform.server().detach(streams[0].client);
-  fixture.platform.forget_detached_stream(streams[0].client);
-  fixture.engine.release_stream(streams[0].request);
-  CHECK(fixture.engine.open_request_count() == 0);
-  CHECK(fixture.platform.server().client_count() == 0);
-  CHECK(fixture.pool.open_connections() == 1);  // the reader's, idle
-  const SlotId request = fixture.platform.adopt_stream(std::move(socket), "a1", replica.endpoint);
-  fixture.pool.adopt_stream({request, 0}, std::move(replica));
+  hand_over(fixture, streams[0]);
   REQUIRE(fixture.until([&] { return client->body.find("two") != std::string::npos; }));
   CHECK(fixture.engine.is_in_progress("a1"));
   writer.server.write_events(writer.pending_clients.back(), "data: [DONE]\n\n");
@@ -118,23 +123,13 @@
 }
 
 TEST_CASE("a stream that changed hands and breaks ends without the last chunk", "[upgrade]") {
-  Fixture fixture(healthy_reader,
-                  [](FakeReplica& replica, SlotId client, const FakeReplica::ReceivedRequest&) {
-                    replica.stream_words(client, {"one"}, StreamEnd::kOpen);
-                  });
-  auto client = fixture.platform_client();
-  client->post(platform_headers("a1", "ask"), "{}");
+  Fixture fixture(healthy_reader, begin_stream);
+  auto client = fixture.post("a1", "ask");
   REQUIRE(fixture.until([&] { return client->body.find("one") != std::string::npos; }));
   fixture.settle();
   const auto stream = fixture.engine.running_streams(fixture.platform.response_sink()).at(0);
-  const engine::AttemptId attempt{stream.request, stream.attempt};
   REQUIRE(fixture.until([&] { return suspend_both_ends(fixture, stream); }));
-  upstream::DetachedStream replica = fixture.pool.detach_stream(attempt);
-  net::UniqueFd socket = fixture.platform.server().detach(stream.client);
-  fixture.platform.forget_detached_stream(stream.client);
-  fixture.engine.release_stream(stream.request);
-  const SlotId request = fixture.platform.adopt_stream(std::move(socket), "a1", replica.endpoint);
-  fixture.pool.adopt_stream({request, 0}, std::move(replica));
+  hand_over(fixture, stream);
   auto& writer = fixture.writer(0).pending_clients.empty() ? fixture.writer(1) : fixture.writer(0);
   writer.server.abort(writer.pending_clients.back());
   REQUIRE(fixture.until([&] { return client->is_finished(); }));
--- a/tests/dispatcher/openai_api_test.cpp
+++ b/tests/dispatcher/openai_api_test.cpp
@@ -14,11 +14,18 @@
   return data;
 }
 
+// A client that has posted the body.
+std::unique_ptr<FakeClient> post_chat(Fixture& fixture, const std::string& body,
+                                      const std::string& more_headers = {}) {
+  auto client = fixture.chat_client();
+  client->post(kJsonHeader + more_headers, body);
+  return client;
+}
+
 // A client that has posted the body and received its response.
 std::unique_ptr<FakeClient> answered_client(Fixture& fixture, const std::string& body,
                                             const std::string& more_headers = {}) {
-  auto client = fixture.chat_client();
-  client->post(kJsonHeader + more_headers, body);
+  auto client = post_chat(fixture, body, more_headers);
   REQUIRE(fixture.until([&] { return client->is_complete; }));
   return client;
 }
@@ -54,11 +61,9 @@
 
 TEST_CASE("a stream includes the usage where include_usage is set", "[chat]") {
   Fixture fixture(healthy_reader, healthy_writer, kChatConfig);
-  auto client = fixture.chat_client();
   Json body = Json::parse(chat_body("ask", ResponseMode::kStream));
   body["stream_options"] = {{"include_usage", true}};
-  client->post(kJsonHeader, body.dump());
-  REQUIRE(fixture.until([&] { return client->is_complete; }));
+  const auto client = answered_client(fixture, body.dump());
   const auto data = data_of(client->body);
   REQUIRE(data.size() == 5);
   CHECK(Json::parse(data[3])["usage"]["prompt_tokens"] == 7);
@@ -144,8 +149,7 @@
         replica.server.abort(client);
       },
       kChatConfig);
-  auto client = fixture.chat_client();
-  client->post(kJsonHeader, chat_body("command", mode));
+  auto client = post_chat(fixture, chat_body("command", mode));
   REQUIRE(fixture.until([&] { return client->is_finished(); }));
   fixture.advance(seconds(4));
   CHECK(fixture.request_count("POST", Role::kWriter) == 1);
@@ -182,8 +186,7 @@
         replica.stream_words(client, {std::string(250'000, 'x')}, StreamEnd::kOpen);
       },
       kChatConfig);
-  auto client = fixture.chat_client();
-  client->post(kJsonHeader, chat_body("command", ResponseMode::kCompletion));
+  auto client = post_chat(fixture, chat_body("command", ResponseMode::kCompletion));
   const std::string event =
       "data: {\"choices\":[{\"delta\":{\"content\":\"" + std::string(250'000, 'x') + "\"}}]}\n\n";
   for (int i = 0; i < 40 && !client->is_finished(); ++i) {
@@ -226,8 +229,7 @@
   const bool readers_fail = failing_role == Role::kReader;
   Fixture fixture(readers_fail ? failing_replica : FakeReplica::Behavior(healthy_reader),
                   readers_fail ? FakeReplica::Behavior(healthy_writer) : failing_replica, kChatConfig);
-  auto client = fixture.chat_client();
-  client->post(kJsonHeader, chat_body("ask", ResponseMode::kStream));
+  auto client = post_chat(fixture, chat_body("ask", ResponseMode::kStream));
   fixture.until([&] { return fixture.request_count("POST", Role::kReader) > 0; });
   for (int i = 0; i < 130 && !client->is_finished(); ++i) fixture.advance(milliseconds(50));
   REQUIRE(fixture.until([&] { return client->is_complete; }));
@@ -258,8 +260,7 @@
   const Role role_at_work = GENERATE(Role::kReader, Role::kWriter);
   const bool while_reading = role_at_work == Role::kReader;
   Fixture fixture(while_reading ? silent_replica : healthy_reader, silent_replica, kChatConfig);
-  auto client = fixture.chat_client();
-  client->post(kJsonHeader, chat_body("command", ResponseMode::kStream));
+  auto client = post_chat(fixture, chat_body("command", ResponseMode::kStream));
   REQUIRE(fixture.until([&] { return fixture.request_count("POST", role_at_work) == 1; }));
   client->close();
   const auto stopped = [&] {
@@ -279,8 +280,7 @@
 
 TEST_CASE("a silent replica costs the client no more than its deadline", "[chat]") {
   Fixture fixture(healthy_reader, silent_replica, kChatConfig);
-  auto client = fixture.chat_client();
-  client->post(kJsonHeader, chat_body("command", ResponseMode::kCompletion));
+  auto client = post_chat(fixture, chat_body("command", ResponseMode::kCompletion));
   REQUIRE(fixture.until([&] { return fixture.request_count("POST", Role::kWriter) == 1; }));
   fixture.advance(milliseconds(3100));
   REQUIRE(fixture.until([&] { return client->is_complete; }));
@@ -293,11 +293,9 @@
   Json config = Json::parse(kChatConfig);
   config["max_open"] = 1;
   Fixture fixture(silent_replica, silent_replica, config.dump());
-  auto first = fixture.chat_client(), second = fixture.chat_client();
-  first->post(kJsonHeader, chat_body("ask", ResponseMode::kStream));
+  const auto first = post_chat(fixture, chat_body("ask", ResponseMode::kStream));
   REQUIRE(fixture.until([&] { return fixture.request_count("POST", Role::kReader) == 1; }));
-  second->post(kJsonHeader, chat_body("ask", ResponseMode::kStream));
-  REQUIRE(fixture.until([&] { return second->is_complete; }));
+  const auto second = answered_client(fixture, chat_body("ask", ResponseMode::kStream));
   CHECK(second->status == 429);
   CHECK(second->headers["Retry-After"] == "1");
 }
--- a/tests/dispatcher/platform_api_test.cpp
+++ b/tests/dispatcher/platform_api_test.cpp
@@ -9,8 +9,6 @@
 namespace dispatcher::testing {
 namespace {
 
-constexpr const char* kBody = R"({"model":"chat","messages":[]})";
-
 TEST_CASE("a stream is forwarded unchanged and its connection is kept alive", "[platform]") {
   const std::string events = "data: {\"odd\":  1}\r\n\r\n: note\n\nevent: x\ndata: y\n\ndata: [DONE]\n\n";
   Fixture fixture(healthy_reader, [&](FakeReplica& replica, SlotId client, const ReceivedRequest&) {
@@ -21,7 +19,7 @@
   auto client = fixture.platform_client();
   for (const std::string id : {"a1", "a2"}) {
     client->clear_answer();
-    client->post(platform_headers(id, "ask"), kBody, "/v1/chat/completions?x=1");
+    client->post(platform_headers(id, "ask"), kPlatformBody, "/v1/chat/completions?x=1");
     REQUIRE(fixture.until([&] { return client->is_finished(); }));
     CHECK(client->is_complete);
     CHECK(client->body == events);
@@ -29,7 +27,7 @@
   }
   const auto& request = fixture.only_request("POST", Role::kWriter);
   CHECK(request.target == "/v1/chat/completions?x=1");
-  CHECK(request.body == kBody);
+  CHECK(request.body == kPlatformBody);
 }
 
 // Clients of a class with idempotency keys send a key with each request, by which replicas detect a repeat.
@@ -39,7 +37,7 @@
   client->post(platform_headers("a1", "ask") +
                    "Idempotency-Key: 10e3c7f4\r\nIDEMPOTENCY-NOTE: a, b\r\nContent-Type: application/json\r\n"
                    "Connection: keep-alive, X-Hop\r\nX-Hop: 1\r\nTE: trailers\r\nKeep-Alive: 5\r\n",
-               kBody);
+               kPlatformBody);
   REQUIRE(fixture.until([&] { return client->is_complete; }));
   for (const Role role : {Role::kReader, Role::kWriter}) {
     REQUIRE(fixture.request_count("POST", role, "a1") == 1);
@@ -88,8 +86,7 @@
     replica.stream_words(client, {"half"}, StreamEnd::kOpen);
     replica.server.abort(client);
   });
-  auto client = fixture.platform_client();
-  client->post(platform_headers("a1", "ask"), kBody);
+  auto client = fixture.post("a1", "ask");
   REQUIRE(fixture.until([&] { return client->is_finished(); }));
   CHECK(client->is_closed);
   CHECK_FALSE(client->is_complete);
@@ -101,8 +98,7 @@
   Fixture fixture(healthy_reader, [](FakeReplica& replica, SlotId client, const ReceivedRequest&) {
     replica.stream_words(client, {"on and on"}, StreamEnd::kOpen);
   });
-  auto client = fixture.platform_client();
-  client->post(platform_headers("a1", "command"), kBody);
+  auto client = fixture.post("a1", "command");
   REQUIRE(fixture.until([&] { return !client->body.empty(); }));
   client->close();
   CHECK(fixture.until([&] {
@@ -117,7 +113,7 @@
   });
   auto client = fixture.platform_client();
   const auto begun = fixture.now;
-  client->post(platform_headers("a1", "command"), kBody);
+  client->post(platform_headers("a1", "command"), kPlatformBody);
   for (int i = 0; i < 40 && !client->is_finished(); ++i) fixture.advance(milliseconds(20));
   CHECK(client->status == 503);
   CHECK(client->headers["Retry-After"] == "0.500");
@@ -127,9 +123,9 @@
 TEST_CASE("a second request with an id in progress is rejected", "[platform]") {
   Fixture fixture(silent_replica, silent_replica);
   auto first = fixture.platform_client(), second = fixture.platform_client();
-  first->post(platform_headers("a1", "ask"), kBody);
+  first->post(platform_headers("a1", "ask"), kPlatformBody);
   REQUIRE(fixture.until([&] { return fixture.request_count("POST", Role::kReader) == 1; }));
-  second->post(platform_headers("a1", "ask"), kBody);
+  second->post(platform_headers("a1", "ask"), kPlatformBody);
   REQUIRE(fixture.until([&] { return second->is_complete; }));
   CHECK(second->status == 409);
 }
@@ -140,7 +136,7 @@
   idle->get("/healthz");
   REQUIRE(fixture.until([&] { return idle->is_complete; }));
   fixture.platform.server().drain();
-  client->post(platform_headers("a1", "ask"), kBody);
+  client->post(platform_headers("a1", "ask"), kPlatformBody);
   REQUIRE(fixture.until([&] { return client->is_complete; }));
   CHECK(client->status == 200);
   CHECK(client->headers["Connection"] == "close");
@@ -230,7 +226,7 @@
   std::erase_if(crowd, [](const auto& client) { return client->is_closed && !client->is_complete; });
   CHECK(fixture.until([&] { return served() == static_cast<std::ptrdiff_t>(crowd.size()); }));
   steady->is_complete = false;
-  steady->post(platform_headers("a1", "command"), kBody);
+  steady->post(platform_headers("a1", "command"), kPlatformBody);
   REQUIRE(fixture.until([&] { return steady->is_finished(); }));
   CHECK(steady->status == 200);
 }
--- a/tests/dispatcher/pooled_connections_test.cpp
+++ b/tests/dispatcher/pooled_connections_test.cpp
@@ -6,15 +6,13 @@
 namespace dispatcher::testing {
 namespace {
 
-constexpr const char* kBody = R"({"model":"chat","messages":[]})";
-
 // Writing to a connection that the replica has closed would end as a reset, which a command can't survive.
 TEST_CASE("a pooled connection is checked for its end before use", "[pool]") {
   Fixture fixture(healthy_reader, healthy_writer);
   auto client = fixture.platform_client();
   for (int i = 0; i < 6; ++i) {
     client->is_complete = false;
-    client->post(platform_headers("a" + std::to_string(i), "command"), kBody);
+    client->post(platform_headers("a" + std::to_string(i), "command"), kPlatformBody);
     REQUIRE(fixture.until([&] { return client->is_complete; }));
     CHECK(client->status == 200);
     fixture.advance(milliseconds(60));  // from then on the connection would be used again
@@ -25,8 +23,7 @@
 
 TEST_CASE("idle connections are kept, and retired well before the replica closes them", "[pool]") {
   Fixture fixture(healthy_reader, healthy_writer);
-  auto client = fixture.platform_client();
-  client->post(platform_headers("a1", "command"), kBody);
+  auto client = fixture.post("a1", "command");
   REQUIRE(fixture.until([&] { return client->is_complete; }));
   CHECK(fixture.pool.open_connections() == 2);
   fixture.now += seconds(8);
@@ -41,8 +38,7 @@
 TEST_CASE("a command whose writers refuse connections never ran, and is refused", "[pool]") {
   Fixture fixture(healthy_reader, healthy_writer);
   for (const std::size_t index : {0U, 1U}) fixture.writer(index).server.stop_accepting();
-  auto client = fixture.platform_client();
-  client->post(platform_headers("a1", "command"), kBody);
+  auto client = fixture.post("a1", "command");
   for (int i = 0; i < 150 && !client->is_finished(); ++i) fixture.advance(milliseconds(20));
   CHECK(client->status == 503);
   CHECK(fixture.until(
@@ -51,10 +47,8 @@
 
 // A replica that vanished says nothing: the call must reach one that runs while the pin limit runs on.
 TEST_CASE("a release goes on to the next replica until one takes it", "[pool]") {
-  const auto silent = [](FakeReplica&, SlotId, const ReceivedRequest&) {};
-  Fixture fixture(silent, healthy_writer);
-  auto client = fixture.platform_client();
-  client->post(platform_headers("a1", "ask"), kBody);
+  Fixture fixture(silent_replica, healthy_writer);
+  auto client = fixture.post("a1", "ask");
   REQUIRE(fixture.until([&] { return fixture.request_count("POST", Role::kReader) == 1; }));
   for (const std::size_t index : {0U, 1U, 2U}) fixture.replicas[index]->server.stop_accepting();
   client->close();
@@ -72,20 +66,18 @@
     if (!vanished) healthy_writer(replica, client, request);
   });
   fixture.engine.update_endpoints(
-      {routing::ListKind::kDelta, {{"w2", "here", "writer", 0, routing::EndpointState::kRemoved, 1, {}}}});
-  auto first = fixture.platform_client();
-  auto second = fixture.platform_client();
+      {routing::ListKind::kDelta, {make_endpoint("w2", routing::EndpointState::kRemoved)}});
+  auto first = fixture.post("a1", "ask");
+  auto second = fixture.post("a2", "ask");
   auto third = fixture.platform_client();
-  first->post(platform_headers("a1", "ask"), kBody);
-  second->post(platform_headers("a2", "ask"), kBody);
   REQUIRE(fixture.until([&] { return first->is_complete && second->is_complete; }));
   fixture.advance(milliseconds(60));  // kept connections may be used again
   vanished = true;
   fixture.writer(0).server.stop_accepting();
-  first->post(platform_headers("a3", "ask"), kBody);
+  first->post(platform_headers("a3", "ask"), kPlatformBody);
   REQUIRE(fixture.until([&] { return fixture.writer(0).count("POST", "a3") == 1; }));
   fixture.advance(milliseconds(500));
-  third->post(platform_headers("a4", "command"), kBody);
+  third->post(platform_headers("a4", "command"), kPlatformBody);
   for (int i = 0; i < 50 && !third->is_finished(); ++i) fixture.advance(milliseconds(20));
   CHECK(third->status == 503);  // it never ran
   CHECK(fixture.writer(0).count("POST", "a4") == 0);
@@ -99,16 +91,14 @@
     healthy_writer(replica, client, request);
   });
   fixture.engine.update_endpoints(
-      {routing::ListKind::kDelta, {{"w2", "here", "writer", 0, routing::EndpointState::kRemoved, 1, {}}}});
-  auto first = fixture.platform_client();
-  auto second = fixture.platform_client();
-  first->post(platform_headers("a1", "ask"), kBody);
-  second->post(platform_headers("a2", "ask"), kBody);
+      {routing::ListKind::kDelta, {make_endpoint("w2", routing::EndpointState::kRemoved)}});
+  auto first = fixture.post("a1", "ask");
+  auto second = fixture.post("a2", "ask");
   REQUIRE(fixture.until([&] { return first->is_complete && second->is_complete; }));
   fixture.advance(milliseconds(60));  // kept connections may be used again
   const auto command = [&](const std::string& id) {
     first->is_complete = false;
-    first->post(platform_headers(id, "command"), kBody);
+    first->post(platform_headers(id, "command"), kPlatformBody);
     REQUIRE(fixture.until([&] { return first->is_finished(); }));
     return first->status;
   };
@@ -130,8 +120,7 @@
 
 TEST_CASE("out of connections, the oldest idle one makes room", "[pool]") {
   Fixture fixture(healthy_reader, healthy_writer);
-  auto client = fixture.platform_client();
-  client->post(platform_headers("a1", "ask"), kBody);
+  auto client = fixture.post("a1", "ask");
   REQUIRE(fixture.until([&] { return client->is_complete; }));
   CHECK(fixture.pool.open_connections() == 2);
   CHECK(fixture.pool.evict_idle());
--- a/tests/dispatcher/replica_answers_test.cpp
+++ b/tests/dispatcher/replica_answers_test.cpp
@@ -6,15 +6,9 @@
 namespace dispatcher::testing {
 namespace {
 
-constexpr const char* kBody = R"({"model":"chat","messages":[]})";
-// The head of a streamed answer.
-std::string stream_head() {
-  return "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n";
-}
-
 // A streamed answer up to its last chunk.
 std::string stream() {
-  return stream_head() + http::chunk("data: {\"a\":1}\n\n") + http::chunk("data: [DONE]\n\n");
+  return kStreamHead + http::chunk("data: {\"a\":1}\n\n") + http::chunk("data: [DONE]\n\n");
 }
 
 // Both writers answer with these bytes.
@@ -39,7 +33,7 @@
   auto client = fixture.platform_client();
   for (const std::string id : {"a1", "a2"}) {
     client->clear_answer();
-    client->post(platform_headers(id, "command"), kBody);
+    client->post(platform_headers(id, "command"), kPlatformBody);
     REQUIRE(fixture.until([&] { return client->is_finished(); }));
     CHECK(client->is_complete);
     CHECK(client->status == 200);
@@ -60,11 +54,9 @@
             return headers;
           }(),
       std::string("HTTP/1.1 200 OK\r\nContent-Length: 9\r\nTransfer-Encoding: chunked\r\n\r\n"),
-      stream_head() + "zz\r\n", stream_head() + "c0000000\r\ndata: {}\n\n", stream_head() + "5\r\n",
-      stream_head());
+      kStreamHead + "zz\r\n", kStreamHead + "c0000000\r\ndata: {}\n\n", kStreamHead + "5\r\n", kStreamHead);
   RawWriters writers(fixture, bytes);
-  auto client = fixture.platform_client();
-  client->post(platform_headers("a1", "command"), kBody);
+  auto client = fixture.post("a1", "command");
   REQUIRE(fixture.until([&] { return writers.requests() == 1; }));
   fixture.settle();
   fixture.advance(milliseconds(1100));  // what has begun and does not go on
@@ -75,8 +67,7 @@
   CHECK(fixture.until(
       [&] { return writers.first.closed_connections + writers.second.closed_connections == 1; }));
   // An ask is read anew, as its state went with the first try, and then written anew.
-  auto asking = fixture.platform_client();
-  asking->post(platform_headers("a2", "ask"), kBody);
+  auto asking = fixture.post("a2", "ask");
   for (int i = 0; i < 200 && !asking->is_finished(); ++i) fixture.advance(milliseconds(20));
   CHECK(writers.requests() == 3);
   CHECK(fixture.request_count("POST", Role::kReader, "a2") == 2);
@@ -86,9 +77,8 @@
 TEST_CASE("a stream spoilt later ends its client's connection at once", "[pool]") {
   Fixture fixture(healthy_reader, healthy_writer);
   const std::string more = GENERATE("zz\r\n", "c0000000\r\nxx", "4\r\ndata: x\n\n");
-  RawWriters writers(fixture, stream_head() + http::chunk("data: {\"a\":1}\n\n"), more);
-  auto client = fixture.platform_client();
-  client->post(platform_headers("a1", "ask"), kBody);
+  RawWriters writers(fixture, kStreamHead + http::chunk("data: {\"a\":1}\n\n"), more);
+  auto client = fixture.post("a1", "ask");
   REQUIRE(fixture.until([&] { return !client->body.empty(); }));
   writers.first.send_more();
   writers.second.send_more();
@@ -106,7 +96,7 @@
       healthy_writer, kChatConfig);
   auto client = fixture.platform_client();
   auto chat = fixture.chat_client();
-  client->post(platform_headers("a1", "ask"), kBody);
+  client->post(platform_headers("a1", "ask"), kPlatformBody);
   chat->post("", chat_body("ask", ResponseMode::kStream));
   REQUIRE(fixture.until([&] { return client->is_finished() && chat->is_finished(); }));
   CHECK(client->status == 400);
--- a/tests/dispatcher/reservation_release_test.cpp
+++ b/tests/dispatcher/reservation_release_test.cpp
@@ -21,7 +21,7 @@
 }
 
 TEST_CASE("a release that is out ends as an attempt of its request is written", "[endings]") {
-  DirectFixture fixture(healthy_reader, silent);
+  DirectFixture fixture(healthy_reader, silent_replica);
   // Nobody accepts the calls: they stay out.
   RawSocketPeer peer(fixture);
   fixture.pool.update_endpoints({{"r1", peer.address(), true},
