--- a/tests/dispatcher/daemon_test.cpp
+++ b/tests/dispatcher/daemon_test.cpp
@@ -1,11 +1,9 @@
 // The watch of service discovery, and a complete dispatcher from start to drain.
-#include <algorithm>
 #include <csignal>
 #include <filesystem>
 #include <fstream>
 
-#include "daemon/dispatcher.hpp"
-#include "fixture.hpp"
+#include "daemon_fixture.hpp"
 
 namespace dispatcher::testing {
 namespace {
@@ -94,10 +92,7 @@
 // Discovery is silent here: what the configuration knows must serve.
 TEST_CASE("a dispatcher serves from its configured endpoint list, and ends once it is drained", "[app]") {
   daemon::Loop loop;
-  daemon::Config config;
-  config.listen = config.discovery = loopback();
-  config.discovery.port(1);  // nobody listens there
-  config.settings = make_settings();
+  const daemon::Config config = make_daemon_config();
   std::vector<std::string> logs;
   daemon::Dispatcher dispatcher(loop, config, {{"chat.json", kChatConfig}, {}},
                                 [&](std::string_view entry) { logs.emplace_back(entry); });
@@ -124,10 +119,7 @@
 
 TEST_CASE("SIGHUP reloads or, with an invalid file, changes nothing; SIGTERM still drains", "[app]") {
   daemon::Loop loop;
-  daemon::Config config;
-  config.listen = config.discovery = loopback();
-  config.discovery.port(1);
-  config.settings = make_settings();
+  const daemon::Config config = make_daemon_config();
   net::tcp::acceptor agent(loop.io(), loopback());
   bool moved = false;
   agent.async_accept([&](net::error_code, net::tcp::socket) { moved = true; });
@@ -185,10 +177,7 @@
 TEST_CASE("the chat front listens only where VRRP is active", "[app][vrrp]") {
   const int priority = GENERATE(255, 100);
   daemon::Loop loop;
-  daemon::Config config;
-  config.listen = config.discovery = loopback();
-  config.discovery.port(1);
-  config.settings = make_settings();
+  const daemon::Config config = make_daemon_config();
   std::vector<std::string> logs;
   const std::string vrrp =
       R"({"listen":"127.0.0.1:0","peers":["127.0.0.1:9"],"addresses":["127.0.0.1"],"priority":)" +
@@ -196,12 +185,8 @@
   daemon::Dispatcher dispatcher(loop, config, {{"chat.json", kChatConfig}, {"vrrp.json", vrrp}},
                                 [&](std::string_view entry) { logs.emplace_back(entry); });
   dispatcher.start();
-  const auto logged = [&](const std::string& start) {
-    return std::any_of(logs.begin(), logs.end(),
-                       [&](const std::string& entry) { return entry.starts_with(start); });
-  };
-  CHECK(logged(priority == 255 ? "vrrp: active" : "vrrp: backup"));
-  CHECK(logged("chat front on") == (priority == 255));
+  CHECK(has_entry(logs, priority == 255 ? "vrrp: active" : "vrrp: backup"));
+  CHECK(has_entry(logs, "chat front on") == (priority == 255));
   CHECK_THROWS_WITH(
       daemon::Dispatcher(loop, config, {{"chat.json", R"({"listen":null})"}, {"vrrp.json", vrrp}},
                          [](std::string_view) {}),
--- a/tests/dispatcher/degradation_fleet_test.cpp
+++ b/tests/dispatcher/degradation_fleet_test.cpp
@@ -6,9 +6,8 @@
 #include <sstream>
 
 #include "admin/admin_server.hpp"
-#include "daemon/dispatcher.hpp"
+#include "daemon_fixture.hpp"
 #include "degradation/degradation_controller.hpp"
-#include "fixture.hpp"
 
 namespace dispatcher::testing {
 namespace {
@@ -267,11 +266,8 @@
 
 TEST_CASE("a reload with a bad file of levels changes nothing", "[levels][app][upgrade]") {
   daemon::Loop loop;
-  daemon::Config config;
-  config.name = "n1";
-  config.listen = config.discovery = config.console.emplace(loopback());
-  config.discovery.port(1);
-  config.settings = make_settings();
+  daemon::Config config = make_daemon_config("n1");
+  config.console = loopback();
   std::vector<std::string> logs;
   daemon::FeatureFiles texts;
   texts.levels = cue::File{"levels.cue", kTwoLevels};
--- a/tests/dispatcher/drain_test.cpp
+++ b/tests/dispatcher/drain_test.cpp
@@ -3,8 +3,7 @@
 #include <array>
 #include <boost/asio/write.hpp>
 
-#include "daemon/dispatcher.hpp"
-#include "fixture.hpp"
+#include "daemon_fixture.hpp"
 
 namespace dispatcher::testing {
 namespace {
@@ -13,9 +12,6 @@
 struct DrainFixture {
   DrainFixture(FakeReplica::Behavior reads, FakeReplica::Behavior writes)
       : reader(work, std::move(reads)), writer(work, std::move(writes)) {
-    config.listen = config.discovery = loopback();
-    config.discovery.port(1);  // nobody listens there
-    config.settings = make_settings();
     config.known.is_complete = true;
     config.known.list.kind = routing::ListKind::kFull;
     add("r", "reader", reader.server.local());
@@ -50,7 +46,7 @@
   std::unique_ptr<FakeClient> client() { return std::make_unique<FakeClient>(work, dispatcher->address()); }
   TestEventLoop work;
   daemon::Loop loop;
-  daemon::Config config;
+  daemon::Config config = make_daemon_config();
   std::vector<std::string> logs;
   FakeReplica reader;
   FakeReplica writer;
--- a/tests/dispatcher/hot_restart_compatibility_test.cpp
+++ b/tests/dispatcher/hot_restart_compatibility_test.cpp
@@ -10,8 +10,7 @@
 #include <fstream>
 #include <iterator>
 
-#include "daemon/dispatcher.hpp"
-#include "fixture.hpp"
+#include "daemon_fixture.hpp"
 #include "hot_restart/drained_endpoint_store.hpp"
 #include "hot_restart/hot_restart_peer.hpp"
 #include "hot_restart_fixture.hpp"
@@ -379,12 +378,8 @@
   const TemporaryFolder folder;
   std::ofstream(folder / "bitternferry-n_1_x.bans") << kDrainedEndpointsFile;
   daemon::Loop loop;
-  daemon::Config config;
-  config.name = "n-1.x";
-  config.listen = config.discovery = loopback();
-  config.discovery.port(1);  // nobody listens there
+  daemon::Config config = make_daemon_config("n-1.x");
   config.scratch = folder.path;
-  config.settings = make_settings();
   std::vector<std::string> logs;
   daemon::Dispatcher dispatcher(loop, config, {}, [&](std::string_view text) { logs.emplace_back(text); });
   dispatcher.start();
--- a/tests/dispatcher/hot_restart_test.cpp
+++ b/tests/dispatcher/hot_restart_test.cpp
@@ -1,10 +1,8 @@
 // A complete hot restart: a second process of one dispatcher takes over from the first.
-#include <algorithm>
 #include <filesystem>
 #include <fstream>
 
-#include "daemon/dispatcher.hpp"
-#include "fixture.hpp"
+#include "daemon_fixture.hpp"
 #include "hot_restart_fixture.hpp"
 
 namespace dispatcher::testing {
@@ -18,14 +16,9 @@
   explicit DispatcherPair(const std::string& chat = {}, const std::string& vrrp = {},
                           const std::string& levels = {},
                           const std::function<void(DispatcherPair&)>& between = {}) {
-    config.name = "n1";
-    config.listen = config.discovery = loopback();
-    config.discovery.port(1);  // silent
     config.console = loopback();
     config.scratch = folder.path;
-    config.settings = make_settings();
-    const routing::EndpointInfo endpoint{"r1", "here", "reader", 0, routing::EndpointState::kReady, 1, {}};
-    config.known.list.entries = {endpoint};
+    config.known.list.entries = {make_endpoint("r1")};
     config.known.addresses = {{"r1", loopback(), true}};
     config.known.is_complete = true;
     daemon::FeatureFiles texts{{"chat.json", chat}, {"vrrp.json", vrrp}};
@@ -42,9 +35,7 @@
   engine::Log log(const std::string& who) {
     return [this, who](std::string_view text) { logs.push_back(who + std::string(text)); };
   }
-  [[nodiscard]] bool logged(const std::string& start) const {
-    return std::any_of(logs.begin(), logs.end(), [&](const auto& entry) { return entry.starts_with(start); });
-  }
+  [[nodiscard]] bool logged(const std::string& start) const { return has_entry(logs, start); }
   void run_until(const std::string& start) {
     while (!logged(start)) {
       if (loop.io().stopped())
@@ -76,7 +67,7 @@
   }
   TemporaryFolder folder;
   daemon::Loop loop;
-  daemon::Config config;
+  daemon::Config config = make_daemon_config("n1");
   std::vector<std::string> logs;
   std::optional<daemon::Dispatcher> first;
   std::optional<daemon::Dispatcher> second;
@@ -148,17 +139,12 @@
   if (is_folder) fs::create_directory(folder / "bitternferry-n1.sock");
   if (!is_folder) std::ofstream(folder / "bitternferry-n1.sock") << "not a socket";
   daemon::Loop loop;
-  daemon::Config config;
-  config.name = "n1";
-  config.listen = config.discovery = loopback();
-  config.discovery.port(1);
+  daemon::Config config = make_daemon_config("n1");
   config.scratch = folder.path;
-  config.settings = make_settings();
   std::vector<std::string> logs;
   daemon::Dispatcher dispatcher(loop, config, {}, [&](std::string_view text) { logs.emplace_back(text); });
   dispatcher.start();
-  CHECK(std::any_of(logs.begin(), logs.end(),
-                    [](const auto& entry) { return entry.starts_with("serving on"); }));
+  CHECK(has_entry(logs, "serving on"));
 }
 
 }  // namespace
--- a/tests/dispatcher/rate_limit_front_ends_test.cpp
+++ b/tests/dispatcher/rate_limit_front_ends_test.cpp
@@ -3,7 +3,7 @@
 #include <cstdio>
 #include <memory>
 
-#include "daemon/dispatcher.hpp"
+#include "daemon_fixture.hpp"
 #include "rate_limit_fixture.hpp"
 
 namespace dispatcher::testing {
@@ -165,10 +165,7 @@
 TEST_CASE("a reload replaces the rules with the rest of the configuration, or keeps the old ones",
           "[limits][app]") {
   daemon::Loop loop;
-  daemon::Config config;
-  config.listen = config.discovery = loopback();
-  config.discovery.port(1);
-  config.settings = make_settings();
+  const daemon::Config config = make_daemon_config();
   Strings logs;
   daemon::ConfigurationFiles next{
       config, {{}, {}, cue::File{"rules.cue", "rules: [{name: \"a\", class: \"'zz'\"}]"}}};
