--- a/tests/conformance/row_check.cpp
+++ b/tests/conformance/row_check.cpp
@@ -128,7 +128,7 @@
   return failures;
 }
 
-Failures check_first_play(const Json& expected, const RowObservation& observation) {
+Failures check_first_run(const Json& expected, const RowObservation& observation) {
   Failures failures;
   const bool has_winners = expected.contains("pick") || expected.contains("any_of");
   if (has_winners && !expected_winners(expected).contains(observation.pick))
@@ -165,7 +165,7 @@
   try {
     const std::vector<RowObservation> observations = observe_all_plays(row, tables);
     const RowObservation& first = observations.front();
-    Failures failures = check_first_play(row.at("expected"), first);
+    Failures failures = check_first_run(row.at("expected"), first);
     append(failures, check_all_plays(row.at("expected"), observations));
     if (row.contains("scores")) append(failures, check_scores(row, first, tables.bounds));
     if (row.contains("streams")) append(failures, check_streams(row, first));
--- a/tests/conformance/step_runner.cpp
+++ b/tests/conformance/step_runner.cpp
@@ -13,13 +13,13 @@
     void (StepRunner::*run)(const Json&);
   };
   static constexpr std::array kKinds = {Kind{"list", &StepRunner::run_list},
-                                        Kind{"ask", &StepRunner::run_ask},
+                                        Kind{"ask", &StepRunner::run_request},
                                         Kind{"teach", &StepRunner::run_teach},
                                         Kind{"reports", &StepRunner::run_reports},
                                         Kind{"read", &StepRunner::run_read},
                                         Kind{"first", &StepRunner::run_first},
                                         Kind{"serve", &StepRunner::run_serve},
-                                        Kind{"gone", &StepRunner::run_gone},
+                                        Kind{"gone", &StepRunner::run_disconnect},
                                         Kind{"end", &StepRunner::run_end},
                                         Kind{"states", &StepRunner::run_states},
                                         Kind{"streams", &StepRunner::run_streams},
@@ -38,7 +38,7 @@
   runner_.update_endpoints(list);
 }
 
-void StepRunner::run_ask(const Json& step) {
+void StepRunner::run_request(const Json& step) {
   require_known_fields(step, {"ask", "at", "refused"});
   const Request request = runner_.make_request(step.at("ask"));
   std::optional<EndpointId> only_at;
@@ -111,7 +111,7 @@
   runner_.serve(step.at("serve").get<std::string>());
 }
 
-void StepRunner::run_gone(const Json& step) {
+void StepRunner::run_disconnect(const Json& step) {
   require_known_fields(step, {"gone"});
   runner_.disconnect_client(step.at("gone").get<std::string>());
 }
@@ -126,7 +126,7 @@
 StepRunner::StateEnd StepRunner::parse_state_end(const std::string& word) {
   if (word == "read") return StateEnd::kRead;
   if (word == "fetched") return StateEnd::kFetched;
-  if (word == "gone") return StateEnd::kGone;
+  if (word == "gone") return StateEnd::kDisconnected;
   fail("unknown word: " + word);
 }
 
@@ -153,7 +153,7 @@
     ids.push_back(request.id);
   }
   for (const RequestId& id : ids) {
-    if (end == StateEnd::kGone) runner_.disconnect_client(id);
+    if (end == StateEnd::kDisconnected) runner_.disconnect_client(id);
     if (end == StateEnd::kFetched) runner_.send_first_token(id);
   }
 }
--- a/tests/conformance/step_runner.hpp
+++ b/tests/conformance/step_runner.hpp
@@ -19,20 +19,20 @@
 
  private:
   // How far the requests of a step are taken.
-  enum class StateEnd { kRead, kFetched, kGone };
+  enum class StateEnd { kRead, kFetched, kDisconnected };
   enum class StreamEnd { kSent, kBegun, kServed };
   static StateEnd parse_state_end(const std::string& word);
   static StreamEnd parse_stream_end(const std::string& word);
 
   // Each runs one kind of step.
   void run_list(const Json& step);
-  void run_ask(const Json& step);
+  void run_request(const Json& step);
   void run_teach(const Json& step);
   void run_reports(const Json& step);
   void run_read(const Json& step);
   void run_first(const Json& step);
   void run_serve(const Json& step);
-  void run_gone(const Json& step);
+  void run_disconnect(const Json& step);
   void run_end(const Json& step);
   void run_states(const Json& step);
   void run_streams(const Json& step);
--- a/tests/digest.hpp
+++ b/tests/digest.hpp
@@ -41,11 +41,11 @@
     add(value.has_value());
     if (value) add(*value);
   }
-  template <class First, class Second, class... Rest>
-  void add(const First& first, const Second& second, const Rest&... rest) {
+  template <class First, class Second, class... Others>
+  void add(const First& first, const Second& second, const Others&... others) {
     add(first);
     add(second);
-    (add(rest), ...);
+    (add(others), ...);
   }
   [[nodiscard]] std::uint64_t value() const { return hash_; }
 
--- a/tests/dispatcher/attempt_chaos_test.cpp
+++ b/tests/dispatcher/attempt_chaos_test.cpp
@@ -60,7 +60,8 @@
         const ReceivedRequest& seen = replica->received[processed];
         if (seen.method == "DELETE") held_since.erase(seen.target.substr(seen.target.rfind('/') + 1));
       }
-      for (const SlotId gone : replica->disconnected_clients) unanswered_reads.erase({replica.get(), gone});
+      for (const SlotId client : replica->disconnected_clients)
+        unanswered_reads.erase({replica.get(), client});
     }
     std::erase_if(delayed_states, [&](const auto& entry) {
       if (entry.first <= now()) hold(entry.second);
--- a/tests/dispatcher/engine_digest_fixture.cpp
+++ b/tests/dispatcher/engine_digest_fixture.cpp
@@ -183,9 +183,9 @@
 void EngineScript::connect(Process& process, engine::AttemptId attempt, ActiveAttempt& active) {
   active.is_connected = true;
   active.is_delivered = !dice_.one_in(5);
-  const bool wanted = process.engine.is_still_needed(attempt);
-  record("wanted", attempt, wanted);
-  if (!wanted) end(process, attempt, {AttemptStatus::kNeverSent, 0, {}, {}});
+  const bool is_needed = process.engine.is_still_needed(attempt);
+  record("wanted", attempt, is_needed);
+  if (!is_needed) end(process, attempt, {AttemptStatus::kNeverSent, 0, {}, {}});
 }
 
 engine::AttemptResult EngineScript::draw_result(AttemptStatus status) {
--- a/tests/dispatcher/expression_errors_test.cpp
+++ b/tests/dispatcher/expression_errors_test.cpp
@@ -40,7 +40,7 @@
 }
 
 TEST_CASE("invalid expressions are rejected with the position of each problem", "[match]") {
-  for (const auto& [text, wanted] : std::vector<std::pair<std::string, std::string>>{
+  for (const auto& [text, expected] : std::vector<std::pair<std::string, std::string>>{
            {"request.clas == 'x'", "at 1: unknown field 'request.clas'; 'request.class' is known"},
            {"nobody", "at 1: unknown field 'nobody'"},
            {"1 + 1.0", "at 3: '+' is not offered for int and double"},
@@ -76,7 +76,7 @@
            {"", "at 1: an operand expected"},
            {"'\xff'", "at 2: not UTF-8"}}) {
     INFO(text);
-    CHECK(evaluate_to_text(text) == wanted);
+    CHECK(evaluate_to_text(text) == expected);
   }
   CHECK(kind_of("request.tokens + 1") == Kind::kInt);
 }
--- a/tests/dispatcher/expression_semantics_test.cpp
+++ b/tests/dispatcher/expression_semantics_test.cpp
@@ -12,7 +12,7 @@
 using namespace expression;
 
 TEST_CASE("expressions have the values that CEL gives them", "[match]") {
-  for (const auto& [text, wanted] : std::vector<std::pair<std::string, std::string>>{
+  for (const auto& [text, expected] : std::vector<std::pair<std::string, std::string>>{
            {"1 + 2 * 3", "7"},
            {"(1 + 2) * 3 - -4", "13"},
            {"7 / 2 * 2 + 7 % 2", "7"},
@@ -49,14 +49,14 @@
            {"has(request.class)", "true"},
            {"true // the end", "true"}}) {
     INFO(text);
-    CHECK(evaluate_to_text(text) == wanted);
+    CHECK(evaluate_to_text(text) == expected);
   }
 }
 
 TEST_CASE("evaluations without a value end in an error, which logic absorbs as in CEL", "[match]") {
   const std::string absent = "none: a field that the request lacks";
   const std::string overflow = "none: overflow";
-  for (const auto& [text, wanted] : std::vector<std::pair<std::string, std::string>>{
+  for (const auto& [text, expected] : std::vector<std::pair<std::string, std::string>>{
            {"request.session == 'x'", absent},
            {"request.session == 'x' && request.retry", absent},
            {"request.session == 'x' && false", "false"},
@@ -87,7 +87,7 @@
            {"[true, false].exists(x, x ? request.session == 'x' : true)", "true"},
            {"[1, 2].all(x, x / (x - 1) > 0 && false)", "false"}}) {
     INFO(text);
-    CHECK(evaluate_to_text(text) == wanted);
+    CHECK(evaluate_to_text(text) == expected);
   }
 }
 
--- a/tests/dispatcher/poll_schedule_test.cpp
+++ b/tests/dispatcher/poll_schedule_test.cpp
@@ -20,7 +20,7 @@
 using CallId = PollSchedule::CallId;
 
 // What becomes of a call. All but kAnswer are outages.
-enum class Fate {
+enum class CallOutcome {
   kAnswer,
   kSilent,
   kRejectLate,
@@ -31,8 +31,9 @@
   kUnreadable,
   kStall
 };
-constexpr std::array kOutages{Fate::kSilent,    Fate::kRejectLate, Fate::kRejectNow,  Fate::kReset,
-                              Fate::kResetLate, Fate::kNeverUp,    Fate::kUnreadable, Fate::kStall};
+constexpr std::array kOutages{CallOutcome::kSilent,     CallOutcome::kRejectLate, CallOutcome::kRejectNow,
+                              CallOutcome::kReset,      CallOutcome::kResetLate,  CallOutcome::kNeverUp,
+                              CallOutcome::kUnreadable, CallOutcome::kStall};
 
 // A discovery with an outage until `back`, and one dispatcher's schedule that meets it. Outages follow one
 // another or come mixed. From `back` on all calls opened are answered, each after its own time, and what had
@@ -77,11 +78,11 @@
   std::mt19937_64 random_;
   PollSchedule schedule_;
   std::priority_queue<Event, std::vector<Event>, std::greater<>> events_;
-  std::map<CallId, Fate> calls_;
+  std::map<CallId, CallOutcome> calls_;
   engine::Time back_{};
   engine::Time outage_{};
   engine::Time empty_since_{};
-  Fate same_{};
+  CallOutcome same_{};
   bool mixed_ = false;
   bool watch_dies_ = false;
   bool old_answer_at_return_ = false;
@@ -96,7 +97,7 @@
       const Event event = events_.top();
       events_.pop();
       now = std::max(now, event.at);
-      if (calls_.contains(event.id)) happen(event, now);
+      if (calls_.contains(event.id)) handle(event, now);
     } else {
       REQUIRE(*next >= now);
       now = *next;
@@ -104,14 +105,14 @@
     }
     return now;
   }
-  void happen(const Event& event, engine::Time now) {
+  void handle(const Event& event, engine::Time now) {
     switch (event.kind) {
       case EventKind::kHead:
         execute(schedule_.on_answered(event.id, now), now);
-        if (calls_[event.id] == Fate::kAnswer && now >= back_) return know(now);
+        if (calls_[event.id] == CallOutcome::kAnswer && now >= back_) return on_change_known(now);
         return schedule_.on_data_received(event.id, now, std::nullopt);
       case EventKind::kByte:
-        return byte(event.id, now);
+        return on_watch_byte(event.id, now);
       case EventKind::kHalf:
         return schedule_.on_data_received(event.id, now, now);
       case EventKind::kRejected:
@@ -125,7 +126,7 @@
     }
   }
   // The watch from before the outage: an empty line every 2 s, then nothing or a reset.
-  void byte(CallId id, engine::Time now) {
+  void on_watch_byte(CallId id, engine::Time now) {
     if (now >= outage_) {
       if (!watch_dies_) execute(schedule_.on_failed(id, now, draw()), now);
       return;
@@ -133,7 +134,7 @@
     schedule_.on_data_received(id, now, std::nullopt);
     events_.push({now + seconds(2), id, EventKind::kByte});
   }
-  void know(engine::Time now) {
+  void on_change_known(engine::Time now) {
     known_ = true;
     known_after = now - back_;
   }
@@ -151,46 +152,46 @@
     if (calls_.empty() && empty_since_ != engine::Time{} && !after_refusal_)
       longest_gap = std::max(longest_gap, now - empty_since_);
     after_refusal_ = false;
-    calls_[id] = Fate::kAnswer;
+    calls_[id] = CallOutcome::kAnswer;
     if (now < outage_) {  // the watch of calm times
       events_.push({now, id, EventKind::kHead});
       events_.push({now + milliseconds(1), id, EventKind::kByte});
     } else if (now >= back_) {
       if (lose_-- > 0) {
-        calls_[id] = Fate::kNeverUp;
+        calls_[id] = CallOutcome::kNeverUp;
         return;
       }
       events_.push({now + engine::Duration(std::llround(draw() * static_cast<double>(slowest_.count()))), id,
                     EventKind::kHead});
     } else {
-      suffer(id, now, mixed_ ? kOutages[random_() % kOutages.size()] : same_);
+      fail_call(id, now, mixed_ ? kOutages[random_() % kOutages.size()] : same_);
     }
   }
-  void suffer(CallId id, engine::Time now, Fate fate) {
-    calls_[id] = fate;
+  void fail_call(CallId id, engine::Time now, CallOutcome outcome) {
+    calls_[id] = outcome;
     const auto later = [&](int ms, EventKind kind) { events_.push({now + milliseconds(ms), id, kind}); };
-    switch (fate) {
-      case Fate::kSilent:  // answered when discovery is back, or never
+    switch (outcome) {
+      case CallOutcome::kSilent:  // answered when discovery is back, or never
         if (!old_answer_at_return_) return;
-        calls_[id] = Fate::kAnswer;
+        calls_[id] = CallOutcome::kAnswer;
         return events_.push({back_, id, EventKind::kHead});
-      case Fate::kRejectLate:
+      case CallOutcome::kRejectLate:
         return later(2000, EventKind::kRejected);
-      case Fate::kRejectNow:
+      case CallOutcome::kRejectNow:
         return later(1, EventKind::kRejected);
-      case Fate::kReset:
+      case CallOutcome::kReset:
         return later(0, EventKind::kFailed);
-      case Fate::kResetLate:
+      case CallOutcome::kResetLate:
         if (now + milliseconds(700) < back_) later(700, EventKind::kFailed);
         return;
-      case Fate::kUnreadable:
+      case CallOutcome::kUnreadable:
         later(0, EventKind::kHead);
         return later(1, EventKind::kUnreadable);
-      case Fate::kStall:
+      case CallOutcome::kStall:
         later(0, EventKind::kHead);
         return later(1, EventKind::kHalf);
-      case Fate::kNeverUp:
-      case Fate::kAnswer:
+      case CallOutcome::kNeverUp:
+      case CallOutcome::kAnswer:
         return;
     }
   }
--- a/tests/routing/event_sequence_test.cpp
+++ b/tests/routing/event_sequence_test.cpp
@@ -21,7 +21,7 @@
   }
 
   // One tick: perhaps a new request or a changed endpoint, and the end of some attempts.
-  void play(int step) {
+  void run_step(int step) {
     harness_.skip(milliseconds(4));
     if (step % 5 == 0) harness_.expire_timer();
     const std::vector<RequestId> active = active_requests();
@@ -218,7 +218,7 @@
 
 TEST_P(EventSequence, InvariantsHold) {
   for (int step = 0; step < 1500; ++step) {
-    play(step);
+    run_step(step);
     if (::testing::Test::HasFailure()) FAIL() << "step " << step << " of seed " << GetParam();
   }
   EXPECT_GT(attempt_count(), 100U);
--- a/tests/routing/slow_start_test.cpp
+++ b/tests/routing/slow_start_test.cpp
@@ -97,8 +97,9 @@
   return endpoints;
 }
 
-// At one request in two seconds a router's own budget at a cold endpoint is a fraction of a request: 100 of
-// them must neither starve the endpoint nor overload it. Reads and writes, in two cells, half of each cold.
+// At one request in two seconds a router's own budget at a starting endpoint is a fraction of a request: 100
+// of them must neither starve the endpoint nor overload it. Reads and writes, in two cells, half of each
+// starting.
 TEST(SlowStart, ManyRoutersWithFewRequestsGiveStartingEndpointsAFairShare) {
   constexpr int kRouters = 100;
   const std::vector<EndpointInfo> endpoints = sixteen_endpoints();
@@ -114,10 +115,10 @@
   fleet.take_attempt_counts();
   for (int i = 0; i < 5; ++i) fleet.serve_one_each(seconds(2));
   std::map<EndpointId, int> sent = fleet.take_attempt_counts();
-  const double mean = 5.0 * kRouters / 8;  // of a role, cold and warm
-  for (const EndpointInfo& cold : restarted) {
-    EXPECT_GT(sent[cold.endpoint], mean / 4) << cold.endpoint;
-    EXPECT_LT(sent[cold.endpoint], mean * 1.25) << cold.endpoint;
+  const double mean = 5.0 * kRouters / 8;  // of a role, starting and warm
+  for (const EndpointInfo& starting : restarted) {
+    EXPECT_GT(sent[starting.endpoint], mean / 4) << starting.endpoint;
+    EXPECT_LT(sent[starting.endpoint], mean * 1.25) << starting.endpoint;
   }
 }
 
--- a/tests/routing/transcript.cpp
+++ b/tests/routing/transcript.cpp
@@ -52,7 +52,7 @@
   out << "reservation " << result.request << (result.held ? " held" : " not held");
 }
 
-void write(std::ostream& out, const ClientGone& gone) { out << "client gone " << gone.request; }
+void write(std::ostream& out, const ClientGone& event) { out << "client gone " << event.request; }
 
 void write(std::ostream& out, const TimerExpired& expired) { out << "timer " << expired.tag; }
 
--- a/tests/routing_digest_test.cpp
+++ b/tests/routing_digest_test.cpp
@@ -68,7 +68,7 @@
   add(digest, router.learned_state());
 }
 
-// What came up in the plays, so that a hash over little is not taken for one over much.
+// What came up in the sequences, so that a hash over little is not taken for one over much.
 struct Coverage {
   std::array<std::uint64_t, std::variant_size_v<Event>> events{};
   std::array<std::uint64_t, std::variant_size_v<Action>> actions{};
@@ -100,11 +100,11 @@
   }
 };
 
-Range range_of(int play) {
+Range range_of(int sequence) {
   Range range;
-  range.extreme = play % 6 == 3;
-  range.short_pins = play % 6 == 4;
-  range.slack_under_tick = play % 6 == 5;
+  range.extreme = sequence % 6 == 3;
+  range.short_pins = sequence % 6 == 4;
+  range.slack_under_tick = sequence % 6 == 5;
   return range;
 }
 
@@ -123,7 +123,7 @@
   return step;
 }
 
-void play(int number, Digest& digest, Coverage& coverage) {
+void run_sequence(int number, Digest& digest, Coverage& coverage) {
   Dice dice(static_cast<std::uint64_t>(number) + 1);
   const Range range = range_of(number);
   const Site site = draw_site(dice, range);
@@ -135,7 +135,7 @@
     for (const Action& action : actions) add(digest, action);
   });
   runner.start();
-  // Most plays are short; in the long ones the tables fill.
+  // Most sequences are short; in the long ones the tables fill.
   const int steps = number % 30 == 0 ? 500 : 20 + dice.below(80);
   for (int i = 0; i < steps; ++i) runner.run(draw_step(dice));
   add(digest, runner.router());
@@ -148,9 +148,9 @@
   Coverage coverage;
   for (int number = 0; number < kPlays; ++number) {
     try {
-      play(number, digest, coverage);
+      run_sequence(number, digest, coverage);
     } catch (const InvariantViolation& violation) {
-      FAIL() << "play " << number << ": " << violation.what();
+      FAIL() << "sequence " << number << ": " << violation.what();
     }
   }
   for (std::size_t i = 0; i < coverage.events.size(); ++i) EXPECT_GE(coverage.events[i], 100U) << i;
--- a/tests/settings_property_test.cpp
+++ b/tests/settings_property_test.cpp
@@ -122,7 +122,7 @@
   return text;
 }
 
-void play(const Site& site, const std::vector<Step>& script, Ending ending = Ending::kRunOut) {
+void run_script(const Site& site, const std::vector<Step>& script, Ending ending = Ending::kRunOut) {
   constexpr std::uint64_t kRouterSeed = 7;
   ScriptRunner runner(site.settings, site.endpoints, kRouterSeed);
   try {
@@ -147,17 +147,17 @@
 }
 
 TEST(AnySettings, InvariantsHoldInShortScripts) {
-  expect_holds(2, 400, [] { play(draw(*any_genes()), *any_script(60)); });
+  expect_holds(2, 400, [] { run_script(draw(*any_genes()), *any_script(60)); });
 }
 
 TEST(AnySettings, InvariantsHoldInLongScripts) {
-  expect_holds(3, 60, [] { play(draw(*any_genes()), *any_script(600)); });
+  expect_holds(3, 60, [] { run_script(draw(*any_genes()), *any_script(600)); });
 }
 
 TEST(AnySettings, InvariantsHoldWithExtremeTimes) {
   Range range;
   range.extreme = true;
-  expect_holds(4, 300, [&] { play(draw(*any_genes(range)), *any_script(60), Ending::kDisconnect); });
+  expect_holds(4, 300, [&] { run_script(draw(*any_genes(range)), *any_script(60), Ending::kDisconnect); });
 }
 
 // See shortest_pin: 67 ms where 20 ms are a multiple of the tick. Under a shorter limit a prompt state that
@@ -165,7 +165,7 @@
 TEST(AnySettings, InvariantsHoldWithReservationLimitsOfAFewTicks) {
   Range range;
   range.short_pins = true;
-  expect_holds(5, 2000, [&] { play(draw(*any_genes(range)), *any_script(60)); });
+  expect_holds(5, 2000, [&] { run_script(draw(*any_genes(range)), *any_script(60)); });
 }
 
 // That an attempt timed out is known up to a tick later, and only then is the request answered. With a slack
@@ -173,7 +173,7 @@
 TEST(AnySettings, InvariantsHoldWithAnAnswerSlackUnderATick) {
   Range range;
   range.slack_under_tick = true;
-  expect_holds(6, 2000, [&] { play(draw(*any_genes(range)), *any_script(60)); });
+  expect_holds(6, 2000, [&] { run_script(draw(*any_genes(range)), *any_script(60)); });
 }
 
 }  // namespace
