--- a/tests/digest.hpp
+++ b/tests/digest.hpp
@@ -1,4 +1,4 @@
-// What the digest tests share: one hash over everything that is told to it in order, and a generator whose
+// What the digest tests share: one hash over everything that is added to it in order, and a generator whose
 // numbers are the same everywhere. Neither hangs on a library's version, on the build or on the clock.
 #ifndef DISPATCHER_TESTS_DIGEST_HPP_
 #define DISPATCHER_TESTS_DIGEST_HPP_
--- a/tests/dispatcher/admin_test.cpp
+++ b/tests/dispatcher/admin_test.cpp
@@ -69,7 +69,7 @@
   fixture.advance(milliseconds(300));  // younger ones may have their call on the way
   fixture.is_ready = true;
   CHECK(fixture.status_of("GET /control/ready HTTP/1.1\r\nHost: x\r\n\r\n") == 200);
-  fixture.advance(milliseconds(1300));  // their deadline and a time to read what they are told
+  fixture.advance(milliseconds(1300));  // their deadline and a time to read their response
   CHECK(fixture.until([&] {
     return std::all_of(slow.begin(), slow.end(), [](const auto& client) { return client->is_closed; });
   }));
@@ -187,11 +187,11 @@
   const std::string other = home == "r1" ? "r2" : "r1";
   fixture.set_drained(other, true);
   fixture.set_drained(other, false);
-  CHECK(fixture.reader_of_next() == other);  // at once, though nothing is kept there
-  fixture.set_drained(home, true);           // now the cold one is all there is
+  CHECK(fixture.reader_of_next() == other);  // at once, though no prefix is cached there
+  fixture.set_drained(home, true);           // now the starting one is the only one
   int served = 0;
   for (int i = 0; i < 20; ++i) served += fixture.reader_of_next() == other ? 1 : 0;
-  // 10 requests a second, of which a cold host may have 4 times 0.3 of what a warm one was seen to do.
+  // 10 requests a second, of which a starting endpoint may get 4 times 0.3 of a warm one's rate.
   CHECK(served >= 2);
   CHECK(served <= 20 * 4 * 0.3);
 }
--- a/tests/dispatcher/attempt_endings_test.cpp
+++ b/tests/dispatcher/attempt_endings_test.cpp
@@ -1,13 +1,15 @@
-// What can cross at the end of an attempt: its client leaving, its connection coming up or breaking, its
-// deadline, a drain. Each crossing is forced; no test waits for luck. docs/design/endings.md lists them.
+// Events that race with the end of an attempt: its client's disconnect, its connection's establishment or
+// break, its deadline, a drain. Each race is forced; no test depends on timing. docs/design/endings.md lists
+// them.
 #include "attempt_endings_fixture.hpp"
 
 namespace dispatcher::testing {
 namespace {
 
-// ---- the client leaves ----
+// ---- the client disconnects ----
 
-// Without the right to cancel, the router cancels nothing; the request was written after its client had gone.
+// Without the right to cancel, the router cancels nothing; the request was sent after its client's
+// disconnect.
 TEST_CASE("a request whose client disconnects during connection setup is not sent", "[endings]") {
   DirectFixture fixture(healthy_reader, healthy_writer);
   auto settings = make_settings();
@@ -56,12 +58,12 @@
   fixture.complete_reads();
   fixture.advance(milliseconds(400));
   CHECK(fixture.request_count("POST", Role::kWriter) == 0);
-  CHECK(fixture.releases() >= 1);  // two calls at once, where no connection is kept
+  CHECK(fixture.releases() >= 1);  // two calls at once, as no connection is pooled
   CHECK(fixture.pool.pending_releases() == 0);
   CHECK(fixture.engine.open_request_count() == 0);
 }
 
-// The state was left though its read was given up: the answer crossed the close.
+// The reservation remains though its read was cancelled: the response was under way.
 TEST_CASE("a 202 that arrives as its read is cancelled has its reservation released", "[endings]") {
   DirectFixture fixture(silent_replica, healthy_writer);
   const SlotId id = fixture.submit("a1");
@@ -69,7 +71,7 @@
   fixture.complete_reads();
   fixture.engine.on_client_disconnected(id);  // the answer is written, and not read
   fixture.advance(milliseconds(400));
-  CHECK(fixture.releases() >= 1);  // two calls at once, where no connection is kept
+  CHECK(fixture.releases() >= 1);  // two calls at once, as no connection is pooled
   CHECK(fixture.pool.pending_releases() == 0);
   CHECK(fixture.request_count("POST", Role::kWriter) == 0);
   CHECK(fixture.engine.open_request_count() == 0);
@@ -180,7 +182,7 @@
   CHECK(fixture.calls == std::vector<std::string>{"fail"});
 }
 
-// Half a line, half a chunk, an event cut short: nothing of it is passed off as whole.
+// Half a line, half a chunk, a truncated event: none of it is forwarded as complete.
 TEST_CASE("a response truncated anywhere is not forwarded as complete", "[endings]") {
   const std::string event = "data: {\"a\":1}\n\n";
   const auto [bytes, begins] = GENERATE_COPY(
@@ -206,9 +208,9 @@
   CHECK(fixture.request_count("POST", Role::kWriter) == 0);
 }
 
-// ---- kept connections ----
+// ---- pooled connections ----
 
-// A second answer some milliseconds after the first would be passed off as the answer to the next request.
+// A second answer some milliseconds after the first would be taken as the response to the next request.
 TEST_CASE("a connection is quarantined after a response; data that arrives then closes it", "[endings]") {
   Fixture fixture(healthy_reader, healthy_writer);
   const std::string answer =
@@ -221,7 +223,7 @@
   fixture.advance(milliseconds(20));
   const auto second = fixture.post("a2", "command");
   REQUIRE(fixture.until([&] { return second->is_finished(); }));
-  CHECK(fixture.pool.open_connections() == 4);  // new ones: the others rest
+  CHECK(fixture.pool.open_connections() == 4);  // new ones: the others are in quarantine
   writer.send_more();
   fixture.settle();
   CHECK(fixture.pool.open_connections() == 2);  // the readers' alone
@@ -247,16 +249,16 @@
   fixture.advance(milliseconds(40));
   one.respond(used[0], 409);  // A, parked at 40 ms
   fixture.settle();
-  fixture.advance(milliseconds(20));  // B alone has rested
+  fixture.advance(milliseconds(20));  // B alone has left quarantine
   call(3, "now");
   CHECK(used[2] == used[1]);          // ... and parked again at 60 ms
-  fixture.advance(milliseconds(35));  // 95 ms: A alone has rested
+  fixture.advance(milliseconds(35));  // 95 ms: A alone has left it
   call(4, "now");
   CHECK(used[3] == used[0]);
   fixture.advance(milliseconds(20));  // 115 ms: B alone
   call(5, "x");
   CHECK(used[4] == used[1]);
-  call(6, "x");  // A rests: a new one
+  call(6, "x");  // A is in quarantine: a new one
   CHECK(used[5] != used[0]);
   CHECK(used[5] != used[1]);
 }
--- a/tests/dispatcher/daemon_test.cpp
+++ b/tests/dispatcher/daemon_test.cpp
@@ -24,7 +24,7 @@
 TEST_CASE("a watch applies events as they arrive, and reconnects from the last version", "[discovery]") {
   TestEventLoop work;
   FakeReplica agent(work, [](FakeReplica& replica, SlotId client, const FakeReplica::ReceivedRequest& seen) {
-    // What can't be read may have told anything, so the whole list is asked for again.
+    // An unreadable event may have been any change, so the complete list is requested again.
     if (seen.target == "/v1/servers")
       return replica.respond(client, 200, list(43, ListKind::kFull, entry("a", "draining")));
     replica.server.begin_stream(client);
--- a/tests/dispatcher/degradation_fleet_test.cpp
+++ b/tests/dispatcher/degradation_fleet_test.cpp
@@ -1,4 +1,4 @@
-// Degradation levels in a dispatcher: signals, both front ends, the admin interface, a reload and a hot
+// Degradation levels in a dispatcher: signals, both frontends, the admin interface, a reload and a hot
 // restart.
 #include <algorithm>
 #include <catch2/catch.hpp>
@@ -43,7 +43,7 @@
   return expression::to_text(values[static_cast<std::size_t>(fields.find(name))]);
 }
 
-// Both front ends of a fixture behind one rate limiter without rules, and one controller.
+// Both frontends of a fixture behind one rate limiter without rules, and one controller.
 struct AttachedFrontEnds {
   AttachedFrontEnds(Fixture& attached, DegradationController& controller) : fixture(attached) {
     fixture.platform.attach(rate_limiter);
--- a/tests/dispatcher/drain_test.cpp
+++ b/tests/dispatcher/drain_test.cpp
@@ -134,7 +134,8 @@
   CHECK(fixture.reader.received.size() == requests_before);
 }
 
-// A request whose client has gone leaves nothing to do but the release of what a reader reserved for it.
+// A request whose client has disconnected leaves nothing to do but the release of what a reader reserved for
+// it.
 TEST_CASE("a draining dispatcher ends only once the reservations of its requests are released", "[drain]") {
   DrainFixture fixture(healthy_reader, silent_replica);
   auto client = fixture.client();
--- a/tests/dispatcher/engine_test.cpp
+++ b/tests/dispatcher/engine_test.cpp
@@ -254,7 +254,7 @@
   CHECK(fixture.calls == EngineFixture::Calls{"send r", "abandon"});
 }
 
-// Half written, it can't have run: no sign of its host's health, and nothing left.
+// Partly written, it can't have run: no evidence about its endpoint's health, and no reservation.
 TEST_CASE("a request partly written when its client disconnects leaves no reservation", "[core]") {
   EngineFixture fixture;
   fixture.delivered = false;
--- a/tests/dispatcher/fixture.hpp
+++ b/tests/dispatcher/fixture.hpp
@@ -157,7 +157,7 @@
   net::SlotTable<Peer> peers_;
 };
 
-// A client that records the answers to what it is told to send.
+// A client that sends what the test says, and records the responses.
 class FakeClient : private net::Connection::Owner {
  public:
   FakeClient(TestEventLoop& loop, const net::tcp::endpoint& to)
--- a/tests/dispatcher/fleet_fixture.hpp
+++ b/tests/dispatcher/fleet_fixture.hpp
@@ -109,7 +109,7 @@
   }
 
   NetworkConditions network;
-  std::vector<microseconds> skew;  // of each host's clock; applied at start
+  std::vector<microseconds> skew;  // of each machine's clock; applied at start
   std::vector<double> rate;        // of each steady clock
   std::function<void(MemberIndex observer, const membership::MemberChange&)> on_change;
   std::function<void(MemberIndex from, MemberIndex to, std::span<const std::uint8_t>)> on_datagram;
--- a/tests/dispatcher/hot_restart_compatibility_test.cpp
+++ b/tests/dispatcher/hot_restart_compatibility_test.cpp
@@ -269,7 +269,7 @@
   fixture.expect(predecessor, kRequestOpened);
   fixture.peer->on_attempt_started("r1");
   fixture.expect(predecessor, kSent);
-  fixture.peer->notify_vrrp_left(true);  // the predecessor has left the pair: it is not told
+  fixture.peer->notify_vrrp_left(true);  // the predecessor has left the pair: it is not notified
   fixture.work.settle();
   CHECK_FALSE(predecessor.receive());
 }
--- a/tests/dispatcher/hot_restart_state_test.cpp
+++ b/tests/dispatcher/hot_restart_state_test.cpp
@@ -32,7 +32,7 @@
   hot_restart::DrainedEndpointStore second(path, ignore_log);
   second.load();
   CHECK(second.endpoints() == std::set<routing::EndpointId>{"b"});
-  CHECK(std::distance(fs::directory_iterator(folder.path), {}) == 1);  // nothing half written stays
+  CHECK(std::distance(fs::directory_iterator(folder.path), {}) == 1);  // no partly written file remains
   std::ifstream file(path);
   const std::string text{std::istreambuf_iterator<char>(file), {}};
   std::mt19937 random(3);
@@ -48,7 +48,7 @@
   fs::create_directory(path);
   hot_restart::DrainedEndpointStore hindered(path, ignore_log);
   hindered.load();
-  CHECK(hindered.set_drained("c", true));  // binds, though it can't be kept
+  CHECK(hindered.set_drained("c", true));  // applies, though it can't be stored
 }
 
 // Records what one end of a channel receives.
@@ -101,7 +101,7 @@
   CHECK(near_owner.messages.back().contains("last"));
   far->close();
   CHECK(work.until([&] { return near_owner.has_ended; }));
-  CHECK_FALSE(far_owner.has_ended);  // who closes hears nothing more
+  CHECK_FALSE(far_owner.has_ended);  // the closing side gets no further event
   near->close();
   listener.close();
 }
--- a/tests/dispatcher/hot_restart_stream_test.cpp
+++ b/tests/dispatcher/hot_restart_stream_test.cpp
@@ -115,7 +115,7 @@
   CHECK(client->is_complete);
   CHECK(writer.disconnected_clients.empty());
   CHECK(fixture.engine.open_request_count() == 0);
-  // The client's connection lives on, and the replica's is kept for the next request.
+  // The client's connection stays open, and the replica's is pooled for the next request.
   client->is_complete = false;
   client->get("/healthz");
   CHECK(fixture.until([&] { return client->is_complete; }));
--- a/tests/dispatcher/hot_restart_test.cpp
+++ b/tests/dispatcher/hot_restart_test.cpp
@@ -26,7 +26,7 @@
     first.emplace(loop, config, texts, log("1 "));
     first->start();
     config.listen = first->address();
-    config.known = {};  // the second is told by the first
+    config.known = {};  // the second gets it from the first
     if (between) between(*this);
     second.emplace(loop, config, texts, log("2 "));
     second->start();
--- a/tests/dispatcher/platform_api_test.cpp
+++ b/tests/dispatcher/platform_api_test.cpp
@@ -159,8 +159,7 @@
   CHECK(silent_one->is_closed);
   CHECK(half->status == 408);
   CHECK(late->status == 408);
-  CHECK(fixture.platform.server().client_count() ==
-        2);  // given time to read what they were told, but not for long
+  CHECK(fixture.platform.server().client_count() == 2);  // given a limited time to read their responses
   fixture.advance(milliseconds(600));
   CHECK(fixture.platform.server().client_count() == 0);
 }
--- a/tests/dispatcher/poll_schedule_test.cpp
+++ b/tests/dispatcher/poll_schedule_test.cpp
@@ -19,7 +19,7 @@
 using service_discovery::PollSchedule;
 using CallId = PollSchedule::CallId;
 
-// What becomes of a call. All but kAnswer are outages.
+// How a call ends. All but kAnswer are outages.
 enum class CallOutcome {
   kAnswer,
   kSilent,
--- a/tests/dispatcher/pooled_connections_test.cpp
+++ b/tests/dispatcher/pooled_connections_test.cpp
@@ -1,4 +1,4 @@
-// Connections to replicas that are kept for reuse: when they are used, closed and forgotten.
+// Pooled connections to replicas: when they are reused, closed and dropped.
 #include <set>
 
 #include "fixture.hpp"
@@ -42,10 +42,10 @@
   for (int i = 0; i < 150 && !client->is_finished(); ++i) fixture.advance(milliseconds(20));
   CHECK(client->status == 503);
   CHECK(fixture.until(
-      [&] { return fixture.request_count("DELETE", Role::kReader) == 1; }));  // what was read is let go
+      [&] { return fixture.request_count("DELETE", Role::kReader) == 1; }));  // what was read is released
 }
 
-// A replica that vanished says nothing: the call must reach one that runs while the pin limit runs on.
+// A replica that vanished answers nothing: the call must reach a running one within the reservation limit.
 TEST_CASE("a release is sent to the next replica until one accepts it", "[pool]") {
   Fixture fixture(silent_replica, healthy_writer);
   auto client = fixture.post("a1", "ask");
@@ -71,7 +71,7 @@
   auto second = fixture.post("a2", "ask");
   auto third = fixture.platform_client();
   REQUIRE(fixture.until([&] { return first->is_complete && second->is_complete; }));
-  fixture.advance(milliseconds(60));  // kept connections may be used again
+  fixture.advance(milliseconds(60));  // pooled connections may be reused
   vanished = true;
   fixture.writer(0).server.stop_accepting();
   first->post(platform_headers("a3", "ask"), kPlatformBody);
@@ -95,7 +95,7 @@
   auto first = fixture.post("a1", "ask");
   auto second = fixture.post("a2", "ask");
   REQUIRE(fixture.until([&] { return first->is_complete && second->is_complete; }));
-  fixture.advance(milliseconds(60));  // kept connections may be used again
+  fixture.advance(milliseconds(60));  // pooled connections may be reused
   const auto command = [&](const std::string& id) {
     first->is_complete = false;
     first->post(platform_headers(id, "command"), kPlatformBody);
--- a/tests/dispatcher/rate_limit_front_ends_test.cpp
+++ b/tests/dispatcher/rate_limit_front_ends_test.cpp
@@ -1,4 +1,4 @@
-// Rate limits at both front ends, which obey alike, and through a reload of the daemon.
+// Rate limits at both frontends, which apply them equally, and through a reload of the daemon.
 #include <catch2/catch.hpp>
 #include <cstdio>
 #include <memory>
@@ -16,7 +16,7 @@
   fixture.platform.attach(rate_limiter);
 }
 
-// A client of one front end that has sent a request. `id`: of the platform's requests.
+// A client of one frontend that has sent a request. `id`: of the platform's requests.
 std::unique_ptr<FakeClient> post(Fixture& fixture, bool through_chat, const std::string& id,
                                  const std::string& request_class, const std::string& more_headers = {},
                                  const std::string& prompt = {}) {
@@ -69,7 +69,7 @@
     status("ask");
     status("ask");
     status("ask");
-    clients[0]->close();  // its place is free once it has gone
+    clients[0]->close();  // its place is free after its disconnect
     fixture.settle();
     status("command");
     const std::size_t sent = static_cast<std::size_t>(fixture.request_count("POST", Role::kReader));
--- a/tests/dispatcher/rate_limit_rules_test.cpp
+++ b/tests/dispatcher/rate_limit_rules_test.cpp
@@ -1,4 +1,4 @@
-// Files of rules: which are read, what a decision computes, and how operators are told.
+// Rules files: which are accepted, what a decision computes, and what operators are shown.
 #include <algorithm>
 #include <catch2/catch.hpp>
 #include <fstream>
--- a/tests/dispatcher/replica_answers_test.cpp
+++ b/tests/dispatcher/replica_answers_test.cpp
@@ -66,7 +66,7 @@
   CHECK(writers.requests() == 1);
   CHECK(fixture.until(
       [&] { return writers.first.closed_connections + writers.second.closed_connections == 1; }));
-  // An ask is read anew, as its state went with the first try, and then written anew.
+  // An ask is read again, as its state was lost with the first attempt, and then written again.
   auto asking = fixture.post("a2", "ask");
   for (int i = 0; i < 200 && !asking->is_finished(); ++i) fixture.advance(milliseconds(20));
   CHECK(writers.requests() == 3);
--- a/tests/dispatcher/reservation_release_test.cpp
+++ b/tests/dispatcher/reservation_release_test.cpp
@@ -1,10 +1,10 @@
-// The calls that release what a request may hold at replicas, and what can cross them.
+// The calls that release a request's reservations at replicas, and the events that race with them.
 #include "attempt_endings_fixture.hpp"
 
 namespace dispatcher::testing {
 namespace {
 
-// See also engine_test.cpp, where the call is out as the next read is written.
+// See also engine_test.cpp, where the call is pending as the next read is written.
 TEST_CASE("a reservation that a broken read may have left is released after rejected reads", "[endings]") {
   int reads = 0;
   DirectFixture fixture(
@@ -22,7 +22,7 @@
 
 TEST_CASE("a pending release is cancelled when an attempt of its request is written", "[endings]") {
   DirectFixture fixture(healthy_reader, silent_replica);
-  // Nobody accepts the calls: they stay out.
+  // Nobody accepts the calls: they stay pending.
   RawSocketPeer peer(fixture);
   fixture.pool.update_endpoints({{"r1", peer.address(), true},
                                  {"r2", peer.address(), true},
@@ -38,7 +38,7 @@
   CHECK(fixture.pool.open_connections() == 1);
 }
 
-// A read whose connection broke may run on at its replica, and leave a state as late as it was told to run.
+// A read whose connection broke may run on at its replica, and leave a reservation up to its deadline.
 TEST_CASE("a reservation that a broken read may leave is released until its deadline", "[endings]") {
   DirectFixture fixture(
       [](FakeReplica& replica, SlotId client, const ReceivedRequest&) { replica.server.abort(client); },
@@ -76,7 +76,7 @@
   CHECK(fixture.pool.pending_releases() == 0);
 }
 
-// Asked for while a later read's state waits for its writer, a release would take it.
+// Sent while a later read's state waits for its writer, a release would remove it.
 TEST_CASE("releases for a broken read do not remove the reservation that the router tracks", "[endings]") {
   int reads = 0;
   int writes = 0;
@@ -96,7 +96,7 @@
   CHECK(fixture.releases() == 0);
 }
 
-// The call to hold a place waits for its connection: written after the release, it would hold one for ever.
+// The call to reserve a slot waits for its connection: sent after the release, it would reserve one for ever.
 TEST_CASE("a slot reservation that waits for its connection is cancelled by the release", "[endings]") {
   DirectFixture fixture(healthy_reader, healthy_writer);
   fixture.pool.reserve_slot({SlotId{}, 0}, "w1", "a1");
@@ -106,13 +106,13 @@
   CHECK(fixture.releases() >= 1);
 }
 
-// Both endpoints of a zone that accepts connections and says nothing.
+// Both endpoints of a zone that accepts connections and never answers.
 struct PartitionFixture : TestEventLoop {
   PartitionFixture() {
     pool.update_endpoints(
         {{"h1", peer.address(), true, false, "z"}, {"h2", peer.address(), true, false, "z"}}, true);
   }
-  RawSocketPeer peer{*this};  // takes connections and says nothing
+  RawSocketPeer peer{*this};  // accepts connections and never answers
   upstream::ReplicaClient pool{io,
                                timers,
                                clock(),
