--- a/tests/simulator_adapter_test.cpp
+++ b/tests/adapter/simulator_adapter_test.cpp
@@ -9,7 +9,7 @@
 #include "adapter/action_encoder.hpp"
 #include "adapter/event_decoder.hpp"
 #include "adapter/simulator_session.hpp"
-#include "simulator_adapter_fixture.hpp"
+#include "tests/fixtures/simulator_adapter_fixture.hpp"
 
 namespace dispatcher::simulator_adapter {
 namespace {
--- a/tests/dispatcher/admin_test.cpp
+++ b/tests/admin/admin_test.cpp
@@ -5,7 +5,7 @@
 
 #include "admin/admin_server.hpp"
 #include "daemon/config.hpp"
-#include "fixture.hpp"
+#include "tests/fixtures/dispatcher_fixture.hpp"
 
 namespace dispatcher::testing {
 namespace {
--- a/tests/confine/confine_test.cpp
+++ b/tests/confine/confine_test.cpp
@@ -10,7 +10,7 @@
 #include <fstream>
 #include <sstream>
 
-#include "../dispatcher/fixture.hpp"
+#include "tests/fixtures/dispatcher_fixture.hpp"
 
 extern char** environ;
 
--- a/tests/dispatcher/cue_test.cpp
+++ b/tests/cue/cue_test.cpp
@@ -6,9 +6,9 @@
 #include <sstream>
 
 #include "cue/schema.hpp"
-#include "cue_problems.hpp"
-#include "fixture.hpp"
 #include "openai_api/config.hpp"
+#include "tests/fixtures/cue_problems.hpp"
+#include "tests/fixtures/dispatcher_fixture.hpp"
 #include "vrrp/vrrp_instance.hpp"
 
 namespace dispatcher::testing {
--- a/tests/dispatcher/config_test.cpp
+++ b/tests/daemon/config_test.cpp
@@ -3,9 +3,9 @@
 #include <random>
 
 #include "daemon/dispatcher.hpp"
-#include "fixture.hpp"
 #include "settings/json_line_index.hpp"
 #include "settings/report.hpp"
+#include "tests/fixtures/dispatcher_fixture.hpp"
 
 namespace dispatcher::testing {
 namespace {
--- a/tests/dispatcher/daemon_test.cpp
+++ b/tests/daemon/daemon_test.cpp
@@ -3,7 +3,7 @@
 #include <filesystem>
 #include <fstream>
 
-#include "daemon_fixture.hpp"
+#include "tests/fixtures/daemon_fixture.hpp"
 
 namespace dispatcher::testing {
 namespace {
--- a/tests/dispatcher/drain_test.cpp
+++ b/tests/daemon/drain_test.cpp
@@ -3,7 +3,7 @@
 #include <array>
 #include <boost/asio/write.hpp>
 
-#include "daemon_fixture.hpp"
+#include "tests/fixtures/daemon_fixture.hpp"
 
 namespace dispatcher::testing {
 namespace {
--- a/tests/dispatcher/settings_test.cpp
+++ b/tests/daemon/settings_test.cpp
@@ -3,7 +3,7 @@
 #include <random>
 
 #include "daemon/config.hpp"
-#include "fixture.hpp"
+#include "tests/fixtures/dispatcher_fixture.hpp"
 
 namespace dispatcher::testing {
 namespace {
--- a/tests/dispatcher/degradation_fleet_test.cpp
+++ b/tests/degradation/degradation_fleet_test.cpp
@@ -6,8 +6,8 @@
 #include <sstream>
 
 #include "admin/admin_server.hpp"
-#include "daemon_fixture.hpp"
 #include "degradation/degradation_controller.hpp"
+#include "tests/fixtures/daemon_fixture.hpp"
 
 namespace dispatcher::testing {
 namespace {
--- a/tests/dispatcher/degradation_test.cpp
+++ b/tests/degradation/degradation_test.cpp
@@ -6,8 +6,8 @@
 #include <map>
 #include <random>
 
-#include "cue_problems.hpp"
 #include "degradation/state_machine.hpp"
+#include "tests/fixtures/cue_problems.hpp"
 
 namespace dispatcher::testing {
 namespace {
--- a/tests/dispatcher/engine_digest_fixture.hpp
+++ b/tests/engine/engine_digest_fixture.hpp
@@ -1,8 +1,8 @@
 // The engine in two processes of one dispatcher, between frontends and replicas that only record their calls:
 // every call goes into a digest, with its arguments and the time. A seeded script drives both; time is the
 // script's own.
-#ifndef DISPATCHER_TESTS_DISPATCHER_ENGINE_DIGEST_FIXTURE_HPP_
-#define DISPATCHER_TESTS_DISPATCHER_ENGINE_DIGEST_FIXTURE_HPP_
+#ifndef DISPATCHER_TESTS_ENGINE_ENGINE_DIGEST_FIXTURE_HPP_
+#define DISPATCHER_TESTS_ENGINE_ENGINE_DIGEST_FIXTURE_HPP_
 
 #include <array>
 #include <cstdint>
@@ -14,9 +14,9 @@
 #include <string_view>
 #include <vector>
 
-#include "../digest.hpp"
-#include "../settings_draw.hpp"
 #include "engine/engine.hpp"
+#include "tests/fixtures/digest.hpp"
+#include "tests/fixtures/settings_draw.hpp"
 
 namespace dispatcher::testing {
 
@@ -98,4 +98,4 @@
 
 }  // namespace dispatcher::testing
 
-#endif  // DISPATCHER_TESTS_DISPATCHER_ENGINE_DIGEST_FIXTURE_HPP_
+#endif  // DISPATCHER_TESTS_ENGINE_ENGINE_DIGEST_FIXTURE_HPP_
--- a/tests/dispatcher/engine_digest_parts.hpp
+++ b/tests/engine/engine_digest_parts.hpp
@@ -1,7 +1,7 @@
 // The two sides of the engine in the digest test: a process with its replicas, and a frontend. The names that
 // they record are part of the hash, and stay as they are when a function is renamed.
-#ifndef DISPATCHER_TESTS_DISPATCHER_ENGINE_DIGEST_PARTS_HPP_
-#define DISPATCHER_TESTS_DISPATCHER_ENGINE_DIGEST_PARTS_HPP_
+#ifndef DISPATCHER_TESTS_ENGINE_ENGINE_DIGEST_PARTS_HPP_
+#define DISPATCHER_TESTS_ENGINE_ENGINE_DIGEST_PARTS_HPP_
 
 #include <memory>
 #include <optional>
@@ -154,4 +154,4 @@
 
 }  // namespace dispatcher::testing
 
-#endif  // DISPATCHER_TESTS_DISPATCHER_ENGINE_DIGEST_PARTS_HPP_
+#endif  // DISPATCHER_TESTS_ENGINE_ENGINE_DIGEST_PARTS_HPP_
--- a/tests/dispatcher/engine_fixture.hpp
+++ b/tests/engine/engine_fixture.hpp
@@ -1,6 +1,6 @@
 // What the tests of the engine alone share: an engine whose upstream client and sink only record calls.
-#ifndef DISPATCHER_TESTS_DISPATCHER_ENGINE_FIXTURE_HPP_
-#define DISPATCHER_TESTS_DISPATCHER_ENGINE_FIXTURE_HPP_
+#ifndef DISPATCHER_TESTS_ENGINE_ENGINE_FIXTURE_HPP_
+#define DISPATCHER_TESTS_ENGINE_ENGINE_FIXTURE_HPP_
 
 #include <cstddef>
 #include <memory>
@@ -9,7 +9,7 @@
 #include <string_view>
 #include <vector>
 
-#include "fixture.hpp"
+#include "tests/fixtures/dispatcher_fixture.hpp"
 
 namespace dispatcher::testing {
 
@@ -98,4 +98,4 @@
 
 }  // namespace dispatcher::testing
 
-#endif  // DISPATCHER_TESTS_DISPATCHER_ENGINE_FIXTURE_HPP_
+#endif  // DISPATCHER_TESTS_ENGINE_ENGINE_FIXTURE_HPP_
--- a/tests/dispatcher/expression_first_match_test.cpp
+++ b/tests/expression/expression_first_match_test.cpp
@@ -4,9 +4,9 @@
 #include <string>
 #include <vector>
 
-#include "allocations.hpp"
 #include "expression/first_match.hpp"
 #include "expression_fixture.hpp"
+#include "tests/fixtures/allocations.hpp"
 
 namespace dispatcher::testing {
 namespace {
--- a/tests/dispatcher/expression_fixture.hpp
+++ b/tests/expression/expression_fixture.hpp
@@ -1,6 +1,6 @@
 // What the tests of expressions share: an environment, one request's values in it, and evaluation to text.
-#ifndef DISPATCHER_TESTS_DISPATCHER_EXPRESSION_FIXTURE_HPP_
-#define DISPATCHER_TESTS_DISPATCHER_EXPRESSION_FIXTURE_HPP_
+#ifndef DISPATCHER_TESTS_EXPRESSION_EXPRESSION_FIXTURE_HPP_
+#define DISPATCHER_TESTS_EXPRESSION_EXPRESSION_FIXTURE_HPP_
 
 #include <string>
 #include <vector>
@@ -35,4 +35,4 @@
 
 }  // namespace dispatcher::testing
 
-#endif  // DISPATCHER_TESTS_DISPATCHER_EXPRESSION_FIXTURE_HPP_
+#endif  // DISPATCHER_TESTS_EXPRESSION_EXPRESSION_FIXTURE_HPP_
--- a/tests/dispatcher/expression_program_test.cpp
+++ b/tests/expression/expression_program_test.cpp
@@ -5,11 +5,11 @@
 #include <string>
 #include <vector>
 
-#include "allocations.hpp"
 #include "expression/program.hpp"
 #include "expression_fixture.hpp"
 #include "expression_generator.hpp"
 #include "reference_evaluator.hpp"
+#include "tests/fixtures/allocations.hpp"
 
 namespace dispatcher::testing {
 namespace {
--- a/tests/dispatcher/reference_evaluator.hpp
+++ b/tests/expression/reference_evaluator.hpp
@@ -1,6 +1,6 @@
 // A second implementation of the expression language, for comparison: a plain walk of the checked tree.
-#ifndef DISPATCHER_TESTS_DISPATCHER_REFERENCE_EVALUATOR_HPP_
-#define DISPATCHER_TESTS_DISPATCHER_REFERENCE_EVALUATOR_HPP_
+#ifndef DISPATCHER_TESTS_EXPRESSION_REFERENCE_EVALUATOR_HPP_
+#define DISPATCHER_TESTS_EXPRESSION_REFERENCE_EVALUATOR_HPP_
 
 #include <deque>
 #include <string>
@@ -36,4 +36,4 @@
 
 }  // namespace dispatcher::testing
 
-#endif  // DISPATCHER_TESTS_DISPATCHER_REFERENCE_EVALUATOR_HPP_
+#endif  // DISPATCHER_TESTS_EXPRESSION_REFERENCE_EVALUATOR_HPP_
--- a/tests/dispatcher/fleet_figures.cpp
+++ b/tests/gossip/fleet_figures.cpp
@@ -1,7 +1,7 @@
 // Figures of a fleet in virtual time, for docs/design/fleet-as-one.md. Hidden: run with "[.figures]".
 #include <cstdio>
 
-#include "fleet_fixture.hpp"
+#include "tests/fixtures/fleet_fixture.hpp"
 
 namespace dispatcher::testing {
 namespace {
--- a/tests/dispatcher/gossip_codec_test.cpp
+++ b/tests/gossip/gossip_codec_test.cpp
@@ -5,8 +5,8 @@
 #include <variant>
 #include <vector>
 
-#include "fleet_fixture.hpp"
-#include "property.hpp"
+#include "tests/fixtures/fleet_fixture.hpp"
+#include "tests/fixtures/property.hpp"
 
 namespace dispatcher::testing {
 namespace {
--- a/tests/dispatcher/gossip_config_test.cpp
+++ b/tests/gossip/gossip_config_test.cpp
@@ -6,8 +6,8 @@
 #include <string>
 #include <utility>
 
-#include "fixture.hpp"
 #include "gossip/config.hpp"
+#include "tests/fixtures/dispatcher_fixture.hpp"
 
 namespace dispatcher::testing {
 namespace {
--- a/tests/dispatcher/gossip_digest_test.cpp
+++ b/tests/gossip/gossip_digest_test.cpp
@@ -6,8 +6,8 @@
 #include <ios>
 #include <random>
 
-#include "../digest.hpp"
-#include "fleet_fixture.hpp"
+#include "tests/fixtures/digest.hpp"
+#include "tests/fixtures/fleet_fixture.hpp"
 
 namespace dispatcher::testing {
 namespace {
--- a/tests/dispatcher/gossip_test.cpp
+++ b/tests/gossip/gossip_test.cpp
@@ -3,7 +3,7 @@
 #include <random>
 #include <set>
 
-#include "fleet_fixture.hpp"
+#include "tests/fixtures/fleet_fixture.hpp"
 
 namespace dispatcher::testing {
 namespace {
--- a/tests/dispatcher/gossip_wire_test.cpp
+++ b/tests/gossip/gossip_wire_test.cpp
@@ -7,7 +7,7 @@
 #include <string_view>
 #include <vector>
 
-#include "fleet_fixture.hpp"
+#include "tests/fixtures/fleet_fixture.hpp"
 
 namespace dispatcher::testing {
 namespace {
--- a/tests/dispatcher/udp_transport_test.cpp
+++ b/tests/gossip/udp_transport_test.cpp
@@ -4,8 +4,8 @@
 #include <algorithm>
 #include <random>
 
-#include "fixture.hpp"
-#include "fleet_fixture.hpp"
+#include "tests/fixtures/dispatcher_fixture.hpp"
+#include "tests/fixtures/fleet_fixture.hpp"
 
 namespace dispatcher::testing {
 namespace {
--- a/tests/dispatcher/hot_restart_compatibility_test.cpp
+++ b/tests/hot_restart/hot_restart_compatibility_test.cpp
@@ -10,10 +10,10 @@
 #include <fstream>
 #include <iterator>
 
-#include "daemon_fixture.hpp"
 #include "hot_restart/drained_endpoint_store.hpp"
 #include "hot_restart/hot_restart_peer.hpp"
 #include "hot_restart_fixture.hpp"
+#include "tests/fixtures/daemon_fixture.hpp"
 
 namespace dispatcher::testing {
 namespace {
--- a/tests/dispatcher/hot_restart_fixture.hpp
+++ b/tests/hot_restart/hot_restart_fixture.hpp
@@ -1,6 +1,6 @@
 // What the tests of hot restart share: a folder for the socket and the files of one dispatcher's processes.
-#ifndef DISPATCHER_TESTS_DISPATCHER_HOT_RESTART_FIXTURE_HPP_
-#define DISPATCHER_TESTS_DISPATCHER_HOT_RESTART_FIXTURE_HPP_
+#ifndef DISPATCHER_TESTS_HOT_RESTART_HOT_RESTART_FIXTURE_HPP_
+#define DISPATCHER_TESTS_HOT_RESTART_HOT_RESTART_FIXTURE_HPP_
 
 #include <cstdlib>
 #include <filesystem>
@@ -25,4 +25,4 @@
 
 }  // namespace dispatcher::testing
 
-#endif  // DISPATCHER_TESTS_DISPATCHER_HOT_RESTART_FIXTURE_HPP_
+#endif  // DISPATCHER_TESTS_HOT_RESTART_HOT_RESTART_FIXTURE_HPP_
--- a/tests/dispatcher/hot_restart_state_test.cpp
+++ b/tests/hot_restart/hot_restart_state_test.cpp
@@ -7,10 +7,10 @@
 #include <iterator>
 #include <random>
 
-#include "fixture.hpp"
 #include "hot_restart/drained_endpoint_store.hpp"
 #include "hot_restart/hot_restart_peer.hpp"
 #include "hot_restart_fixture.hpp"
+#include "tests/fixtures/dispatcher_fixture.hpp"
 
 namespace dispatcher::testing {
 namespace {
--- a/tests/dispatcher/hot_restart_stream_test.cpp
+++ b/tests/hot_restart/hot_restart_stream_test.cpp
@@ -2,7 +2,7 @@
 #include <algorithm>
 #include <random>
 
-#include "fixture.hpp"
+#include "tests/fixtures/dispatcher_fixture.hpp"
 
 namespace dispatcher::testing {
 namespace {
--- a/tests/dispatcher/hot_restart_test.cpp
+++ b/tests/hot_restart/hot_restart_test.cpp
@@ -2,8 +2,8 @@
 #include <filesystem>
 #include <fstream>
 
-#include "daemon_fixture.hpp"
 #include "hot_restart_fixture.hpp"
+#include "tests/fixtures/daemon_fixture.hpp"
 
 namespace dispatcher::testing {
 namespace {
--- a/tests/dispatcher/endings_test.cpp
+++ b/tests/http/endings_test.cpp
@@ -6,8 +6,8 @@
 #include <boost/asio/write.hpp>
 #include <string>
 
-#include "fixture.hpp"
 #include "net/ring_buffer.hpp"
+#include "tests/fixtures/dispatcher_fixture.hpp"
 
 namespace dispatcher::testing {
 namespace {
--- a/tests/dispatcher/http_server_test.cpp
+++ b/tests/http/http_server_test.cpp
@@ -3,7 +3,7 @@
 #include <string>
 #include <vector>
 
-#include "fixture.hpp"
+#include "tests/fixtures/dispatcher_fixture.hpp"
 
 namespace dispatcher::testing {
 namespace {
--- a/tests/dispatcher/parsers_test.cpp
+++ b/tests/http/parsers_test.cpp
@@ -4,8 +4,8 @@
 #include <random>
 
 #include "daemon/config.hpp"
-#include "fixture.hpp"
 #include "platform_api/request.hpp"
+#include "tests/fixtures/dispatcher_fixture.hpp"
 
 namespace dispatcher::testing {
 namespace {
--- a/tests/dispatcher/membership_fleet_test.cpp
+++ b/tests/membership/membership_fleet_test.cpp
@@ -1,7 +1,7 @@
 // Membership of fleets in virtual time, over a network that loses, delays, repeats and partitions.
 #include <set>
 
-#include "fleet_fixture.hpp"
+#include "tests/fixtures/fleet_fixture.hpp"
 
 namespace dispatcher::testing {
 namespace {
--- a/tests/dispatcher/membership_protocol_test.cpp
+++ b/tests/membership/membership_protocol_test.cpp
@@ -3,8 +3,8 @@
 #include <random>
 #include <set>
 
-#include "fleet_fixture.hpp"
-#include "property.hpp"
+#include "tests/fixtures/fleet_fixture.hpp"
+#include "tests/fixtures/property.hpp"
 
 namespace dispatcher::testing {
 namespace {
--- a/tests/dispatcher/membership_test.cpp
+++ b/tests/membership/membership_test.cpp
@@ -10,7 +10,7 @@
 #include <utility>
 #include <vector>
 
-#include "fleet_fixture.hpp"
+#include "tests/fixtures/fleet_fixture.hpp"
 
 namespace dispatcher::testing {
 namespace {
--- a/tests/dispatcher/openai_api_test.cpp
+++ b/tests/openai_api/openai_api_test.cpp
@@ -1,5 +1,5 @@
 // The OpenAI-compatible frontend: the API's forms, and its answers when replicas fail.
-#include "fixture.hpp"
+#include "tests/fixtures/dispatcher_fixture.hpp"
 
 namespace dispatcher::testing {
 namespace {
--- a/tests/dispatcher/counter_table_test.cpp
+++ b/tests/rate_limit/counter_table_test.cpp
@@ -7,7 +7,7 @@
 #include <optional>
 #include <random>
 
-#include "fixture.hpp"
+#include "tests/fixtures/dispatcher_fixture.hpp"
 
 namespace dispatcher::testing {
 namespace {
--- a/tests/dispatcher/rate_limit_fixture.hpp
+++ b/tests/rate_limit/rate_limit_fixture.hpp
@@ -1,6 +1,6 @@
 // What the tests of rate limits share: rules from a text, their problems, and a limiter with a clock.
-#ifndef DISPATCHER_TESTS_DISPATCHER_RATE_LIMIT_FIXTURE_HPP_
-#define DISPATCHER_TESTS_DISPATCHER_RATE_LIMIT_FIXTURE_HPP_
+#ifndef DISPATCHER_TESTS_RATE_LIMIT_RATE_LIMIT_FIXTURE_HPP_
+#define DISPATCHER_TESTS_RATE_LIMIT_RATE_LIMIT_FIXTURE_HPP_
 
 #include <memory>
 #include <optional>
@@ -8,9 +8,9 @@
 #include <string_view>
 #include <vector>
 
-#include "cue_problems.hpp"
-#include "fixture.hpp"
 #include "rate_limit/rate_limiter.hpp"
+#include "tests/fixtures/cue_problems.hpp"
+#include "tests/fixtures/dispatcher_fixture.hpp"
 
 namespace dispatcher::testing {
 
@@ -69,4 +69,4 @@
 
 }  // namespace dispatcher::testing
 
-#endif  // DISPATCHER_TESTS_DISPATCHER_RATE_LIMIT_FIXTURE_HPP_
+#endif  // DISPATCHER_TESTS_RATE_LIMIT_RATE_LIMIT_FIXTURE_HPP_
--- a/tests/dispatcher/rate_limit_front_ends_test.cpp
+++ b/tests/rate_limit/rate_limit_front_ends_test.cpp
@@ -3,8 +3,8 @@
 #include <cstdio>
 #include <memory>
 
-#include "daemon_fixture.hpp"
 #include "rate_limit_fixture.hpp"
+#include "tests/fixtures/daemon_fixture.hpp"
 
 namespace dispatcher::testing {
 namespace {
--- a/tests/dispatcher/rate_limit_rules_test.cpp
+++ b/tests/rate_limit/rate_limit_rules_test.cpp
@@ -4,10 +4,10 @@
 #include <fstream>
 #include <sstream>
 
-#include "allocations.hpp"
 #include "daemon/rules_command.hpp"
 #include "rate_limit/explain.hpp"
 #include "rate_limit_fixture.hpp"
+#include "tests/fixtures/allocations.hpp"
 
 namespace dispatcher::testing {
 namespace {
--- a/tests/dispatcher/bounded_counter_test.cpp
+++ b/tests/replicated_state/bounded_counter_test.cpp
@@ -7,7 +7,7 @@
 #include <unordered_set>
 
 #include "lending_fixture.hpp"
-#include "property.hpp"
+#include "tests/fixtures/property.hpp"
 
 namespace dispatcher::testing {
 namespace {
--- a/tests/dispatcher/lending_fixture.hpp
+++ b/tests/replicated_state/lending_fixture.hpp
@@ -1,14 +1,14 @@
 // Members of a fleet that lend one another quota of a budget, in virtual time, with clocks of different rates
 // and a network that may do anything to their messages.
-#ifndef DISPATCHER_TESTS_DISPATCHER_LENDING_FIXTURE_HPP_
-#define DISPATCHER_TESTS_DISPATCHER_LENDING_FIXTURE_HPP_
+#ifndef DISPATCHER_TESTS_REPLICATED_STATE_LENDING_FIXTURE_HPP_
+#define DISPATCHER_TESTS_REPLICATED_STATE_LENDING_FIXTURE_HPP_
 
 #include <cstdint>
 #include <utility>
 #include <vector>
 
-#include "fleet_fixture.hpp"
 #include "replicated_state/bounded_counter.hpp"
+#include "tests/fixtures/fleet_fixture.hpp"
 
 namespace dispatcher::testing {
 
@@ -75,4 +75,4 @@
 
 }  // namespace dispatcher::testing
 
-#endif  // DISPATCHER_TESTS_DISPATCHER_LENDING_FIXTURE_HPP_
+#endif  // DISPATCHER_TESTS_REPLICATED_STATE_LENDING_FIXTURE_HPP_
--- a/tests/dispatcher/replicated_map_test.cpp
+++ b/tests/replicated_state/replicated_map_test.cpp
@@ -4,8 +4,8 @@
 #include <map>
 #include <random>
 
-#include "property.hpp"
 #include "replicated_state/failure_evidence.hpp"
+#include "tests/fixtures/property.hpp"
 
 namespace dispatcher::testing {
 namespace {
--- a/tests/routing/router_harness.cpp
+++ b/tests/routing/router_harness.cpp
@@ -4,7 +4,7 @@
 #include <utility>
 #include <variant>
 
-#include "../base_settings.hpp"
+#include "tests/fixtures/base_settings.hpp"
 
 namespace dispatcher::routing::testing {
 namespace {
--- a/tests/routing_digest_test.cpp
+++ b/tests/routing/routing_digest_test.cpp
@@ -11,10 +11,10 @@
 #include <variant>
 #include <vector>
 
-#include "digest.hpp"
-#include "routing/invariants.hpp"
-#include "routing/script_runner.hpp"
-#include "settings_draw.hpp"
+#include "invariants.hpp"
+#include "script_runner.hpp"
+#include "tests/fixtures/digest.hpp"
+#include "tests/fixtures/settings_draw.hpp"
 
 namespace dispatcher::routing::testing {
 namespace {
--- a/tests/dispatcher/endpoint_watcher_fixture.hpp
+++ b/tests/service_discovery/endpoint_watcher_fixture.hpp
@@ -1,7 +1,7 @@
 // What the tests of EndpointWatcher share: an agent of service discovery that does only what the test says,
 // and a watcher that records what it reports.
-#ifndef DISPATCHER_TESTS_DISPATCHER_ENDPOINT_WATCHER_FIXTURE_HPP_
-#define DISPATCHER_TESTS_DISPATCHER_ENDPOINT_WATCHER_FIXTURE_HPP_
+#ifndef DISPATCHER_TESTS_SERVICE_DISCOVERY_ENDPOINT_WATCHER_FIXTURE_HPP_
+#define DISPATCHER_TESTS_SERVICE_DISCOVERY_ENDPOINT_WATCHER_FIXTURE_HPP_
 
 #include <algorithm>
 #include <array>
@@ -15,8 +15,8 @@
 #include <utility>
 #include <vector>
 
-#include "fixture.hpp"
 #include "service_discovery/endpoint_watcher.hpp"
+#include "tests/fixtures/dispatcher_fixture.hpp"
 
 namespace dispatcher::testing {
 
@@ -178,4 +178,4 @@
 
 }  // namespace dispatcher::testing
 
-#endif  // DISPATCHER_TESTS_DISPATCHER_ENDPOINT_WATCHER_FIXTURE_HPP_
+#endif  // DISPATCHER_TESTS_SERVICE_DISCOVERY_ENDPOINT_WATCHER_FIXTURE_HPP_
--- a/tests/dispatcher/fleet_test.cpp
+++ b/tests/service_discovery/fleet_test.cpp
@@ -5,10 +5,10 @@
 #include <queue>
 #include <random>
 
-#include "fixture.hpp"
 #include "service_discovery/backoff.hpp"
 #include "service_discovery/endpoint_watcher.hpp"
 #include "service_discovery/poll_timing.hpp"
+#include "tests/fixtures/dispatcher_fixture.hpp"
 
 namespace dispatcher::testing {
 namespace {
--- a/tests/dispatcher/poll_schedule_test.cpp
+++ b/tests/service_discovery/poll_schedule_test.cpp
@@ -9,8 +9,8 @@
 #include <random>
 #include <tuple>
 
-#include "fixture.hpp"
 #include "service_discovery/poll_timing.hpp"
+#include "tests/fixtures/dispatcher_fixture.hpp"
 
 namespace dispatcher::testing {
 namespace {
--- a/tests/settings_check_test.cpp
+++ b/tests/settings/settings_check_test.cpp
@@ -5,8 +5,8 @@
 #include <stdexcept>
 #include <type_traits>
 
-#include "routing/router_harness.hpp"
 #include "settings/check.hpp"
+#include "tests/routing/router_harness.hpp"
 
 namespace dispatcher::settings {
 
--- a/tests/settings_parse_test.cpp
+++ b/tests/settings/settings_parse_test.cpp
@@ -4,7 +4,7 @@
 #include <vector>
 
 #include "settings/parse.hpp"
-#include "simulator_adapter_fixture.hpp"
+#include "tests/fixtures/simulator_adapter_fixture.hpp"
 
 namespace dispatcher::settings {
 namespace {
--- a/tests/settings_property_test.cpp
+++ b/tests/settings/settings_property_test.cpp
@@ -10,10 +10,10 @@
 #include <ostream>
 #include <sstream>
 
-#include "routing/invariants.hpp"
-#include "routing/script_runner.hpp"
 #include "settings/check.hpp"
-#include "settings_draw.hpp"
+#include "tests/fixtures/settings_draw.hpp"
+#include "tests/routing/invariants.hpp"
+#include "tests/routing/script_runner.hpp"
 
 namespace dispatcher::routing::testing {
 namespace {
--- a/tests/dispatcher/fairness_test.cpp
+++ b/tests/simulation/fairness_test.cpp
@@ -6,8 +6,8 @@
 #include <cstdlib>
 #include <functional>
 
-#include "fixture.hpp"
 #include "router_fixture.hpp"
+#include "tests/fixtures/dispatcher_fixture.hpp"
 
 namespace dispatcher::testing {
 namespace {
--- a/tests/dispatcher/router_fixture.hpp
+++ b/tests/simulation/router_fixture.hpp
@@ -1,7 +1,7 @@
 // Many routers, driven by events alone, before a simulated fleet in virtual time: each process sees its own
 // traffic only, loses its state when it restarts, and gets the endpoint list when the test says so.
-#ifndef DISPATCHER_TESTS_DISPATCHER_ROUTER_FIXTURE_HPP_
-#define DISPATCHER_TESTS_DISPATCHER_ROUTER_FIXTURE_HPP_
+#ifndef DISPATCHER_TESTS_SIMULATION_ROUTER_FIXTURE_HPP_
+#define DISPATCHER_TESTS_SIMULATION_ROUTER_FIXTURE_HPP_
 
 #include <cmath>
 #include <functional>
@@ -129,4 +129,4 @@
 
 }  // namespace dispatcher::testing
 
-#endif  // DISPATCHER_TESTS_DISPATCHER_ROUTER_FIXTURE_HPP_
+#endif  // DISPATCHER_TESTS_SIMULATION_ROUTER_FIXTURE_HPP_
--- a/tests/dispatcher/slow_start_test.cpp
+++ b/tests/simulation/slow_start_test.cpp
@@ -7,8 +7,8 @@
 #include <cstdio>
 #include <cstdlib>
 
-#include "fixture.hpp"
 #include "router_fixture.hpp"
+#include "tests/fixtures/dispatcher_fixture.hpp"
 
 namespace dispatcher::testing {
 namespace {
--- a/tests/dispatcher/attempt_endings_fixture.hpp
+++ b/tests/upstream/attempt_endings_fixture.hpp
@@ -1,7 +1,7 @@
 // What the tests of the ends of attempts share: a dispatcher whose requests come from the test itself, and a
 // peer on a raw socket.
-#ifndef DISPATCHER_TESTS_DISPATCHER_ATTEMPT_ENDINGS_FIXTURE_HPP_
-#define DISPATCHER_TESTS_DISPATCHER_ATTEMPT_ENDINGS_FIXTURE_HPP_
+#ifndef DISPATCHER_TESTS_UPSTREAM_ATTEMPT_ENDINGS_FIXTURE_HPP_
+#define DISPATCHER_TESTS_UPSTREAM_ATTEMPT_ENDINGS_FIXTURE_HPP_
 
 #include <netinet/tcp.h>
 #include <sys/socket.h>
@@ -15,7 +15,7 @@
 #include <utility>
 #include <vector>
 
-#include "fixture.hpp"
+#include "tests/fixtures/dispatcher_fixture.hpp"
 
 namespace dispatcher::testing {
 
@@ -134,4 +134,4 @@
 }
 }  // namespace dispatcher::testing
 
-#endif  // DISPATCHER_TESTS_DISPATCHER_ATTEMPT_ENDINGS_FIXTURE_HPP_
+#endif  // DISPATCHER_TESTS_UPSTREAM_ATTEMPT_ENDINGS_FIXTURE_HPP_
--- a/tests/dispatcher/connection_pool_test.cpp
+++ b/tests/upstream/connection_pool_test.cpp
@@ -4,7 +4,7 @@
 #include <array>
 #include <tuple>
 
-#include "fixture.hpp"
+#include "tests/fixtures/dispatcher_fixture.hpp"
 
 namespace dispatcher::testing {
 namespace {
--- a/tests/dispatcher/pooled_connections_test.cpp
+++ b/tests/upstream/pooled_connections_test.cpp
@@ -1,7 +1,7 @@
 // Pooled connections to replicas: when they are reused, closed and dropped.
 #include <set>
 
-#include "fixture.hpp"
+#include "tests/fixtures/dispatcher_fixture.hpp"
 
 namespace dispatcher::testing {
 namespace {
--- a/tests/dispatcher/replica_answers_test.cpp
+++ b/tests/upstream/replica_answers_test.cpp
@@ -1,7 +1,7 @@
 // Answers of replicas that are malformed, truncated or rejections, and what clients get then.
 #include <algorithm>
 
-#include "fixture.hpp"
+#include "tests/fixtures/dispatcher_fixture.hpp"
 
 namespace dispatcher::testing {
 namespace {
--- a/tests/dispatcher/vrrp_test.cpp
+++ b/tests/vrrp/vrrp_test.cpp
@@ -1,7 +1,7 @@
 // The VRRP state machine under a passed-in clock, its packets, and one election over loopback UDP.
 #include <random>
 
-#include "fixture.hpp"
+#include "tests/fixtures/dispatcher_fixture.hpp"
 #include "vrrp/vrrp_instance.hpp"
 
 namespace dispatcher::testing {
