--- a/tests/daemon/daemon_test.cpp
+++ b/tests/daemon/daemon_test.cpp
@@ -117,7 +117,7 @@
   CHECK(client.connection->input().size() > 0);
 }
 
-TEST_CASE("SIGHUP reloads or, with an invalid file, changes nothing; SIGTERM still drains", "[app]") {
+TEST_CASE("SIGHUP reloads or, with an invalid file, changes nothing, and SIGTERM still drains", "[app]") {
   daemon::Loop loop;
   const daemon::Config config = make_daemon_config();
   net::tcp::acceptor agent(loop.io(), loopback());
--- a/tests/daemon/settings_test.cpp
+++ b/tests/daemon/settings_test.cpp
@@ -81,7 +81,7 @@
 }
 
 // Readers work, and each writer answers with an error.
-TEST_CASE("an open request keeps the settings under which it arrived; the next one gets the new ones",
+TEST_CASE("an open request keeps the settings under which it arrived, and the next one gets the new ones",
           "[settings]") {
   Fixture fixture(healthy_reader, [](FakeReplica&, SlotId, const FakeReplica::ReceivedRequest&) {});
   const auto before = fixture.platform_client();
--- a/tests/gossip/gossip_test.cpp
+++ b/tests/gossip/gossip_test.cpp
@@ -8,8 +8,9 @@
 namespace dispatcher::testing {
 namespace {
 
-TEST_CASE("an urgent entry reaches all members at once; lost ones are repaired, also across blocked paths",
-          "[gossip]") {
+TEST_CASE(
+    "an urgent entry reaches all members at once, and lost ones are repaired, also across blocked paths",
+    "[gossip]") {
   FleetFixture fixture(20, 21);
   REQUIRE(fixture.start_and_join(seconds(20)));
   fixture.write_evidence(4, 99);
--- a/tests/hot_restart/hot_restart_state_test.cpp
+++ b/tests/hot_restart/hot_restart_state_test.cpp
@@ -20,7 +20,7 @@
 
 void ignore_log(std::string_view) {}
 
-TEST_CASE("drained endpoints persist across processes; a damaged file prevents no start", "[upgrade]") {
+TEST_CASE("drained endpoints persist across processes, and a damaged file prevents no start", "[upgrade]") {
   TemporaryFolder folder;
   const std::string path = folder / "x.bans";
   hot_restart::DrainedEndpointStore first(path, ignore_log);
@@ -106,7 +106,7 @@
   listener.close();
 }
 
-TEST_CASE("a router's learned state is encoded completely; unreadable fields are omitted", "[upgrade]") {
+TEST_CASE("a router's learned state is encoded completely, and unreadable fields are omitted", "[upgrade]") {
   routing::LearnedState learned;
   learned.starts[1] = {12.5, 0.25, 40};
   learned.far = {3, 0.5, 9};
--- a/tests/hot_restart/hot_restart_test.cpp
+++ b/tests/hot_restart/hot_restart_test.cpp
@@ -73,7 +73,7 @@
   std::optional<daemon::Dispatcher> second;
 };
 
-TEST_CASE("a second process takes over socket, list and drained endpoints; the first ends", "[upgrade]") {
+TEST_CASE("a second process takes over socket, list and drained endpoints, and the first ends", "[upgrade]") {
   DispatcherPair pair;
   CHECK(pair.logged("1 upgrade: another process takes over"));
   CHECK(pair.logged("2 upgrade: taking over"));
--- a/tests/membership/membership_fleet_test.cpp
+++ b/tests/membership/membership_fleet_test.cpp
@@ -94,7 +94,7 @@
   CHECK(deaths == 0);
 }
 
-TEST_CASE("a stopped member is considered dead; once it resumes, its queued datagrams disturb nobody",
+TEST_CASE("a stopped member is considered dead, and once it resumes, its queued datagrams disturb nobody",
           "[membership]") {
   FleetFixture fixture(8, 6);
   REQUIRE(fixture.start_and_join(seconds(10)));
@@ -152,8 +152,9 @@
   CHECK(fixture.all_alive());
 }
 
-TEST_CASE("a member whose messages reach nobody is considered dead, though it receives; it accuses no others",
-          "[membership]") {
+TEST_CASE(
+    "a member whose messages reach nobody is considered dead, though it receives, and it accuses no others",
+    "[membership]") {
   FleetFixture fixture(6, 9);
   REQUIRE(fixture.start_and_join(seconds(10)));
   fixture.block({0}, {1, 2, 3, 4, 5});
--- a/tests/membership/membership_protocol_test.cpp
+++ b/tests/membership/membership_protocol_test.cpp
@@ -130,8 +130,9 @@
   CHECK(out[0].probe == Probe{Probe::Type::kAck, 77, 0});
 }
 
-TEST_CASE("an unanswered ping is repeated and sent through helpers; each live member is probed once a round",
-          "[membership]") {
+TEST_CASE(
+    "an unanswered ping is repeated and sent through helpers, and each live member is probed once a round",
+    "[membership]") {
   Membership observer = make_member(0, 8);
   for (MemberIndex member = 1; member < 4; ++member)
     observer.on_received(seconds(100), member, {5, 0}, std::nullopt, {});
--- a/tests/rate_limit/rate_limit_test.cpp
+++ b/tests/rate_limit/rate_limit_test.cpp
@@ -34,7 +34,7 @@
   CHECK(request.session != kSession);
 }
 
-TEST_CASE("values that rules compute apply; a class never makes a command retryable", "[limits]") {
+TEST_CASE("values that rules compute apply, and a class never makes a command retryable", "[limits]") {
   RateLimiterFixture fixture(
       "rules: [{name: \"up\", when: \"request.class == 'ask' && request.account == 'other'\", class: "
       "\"'command'\", "
--- a/tests/service_discovery/endpoint_watcher_lists_test.cpp
+++ b/tests/service_discovery/endpoint_watcher_lists_test.cpp
@@ -101,7 +101,7 @@
   CHECK(established.follower.watcher.last_response_at() == established.work.now);
 }
 
-TEST_CASE("an older change is ignored; a complete list is always applied", "[discovery][watch]") {
+TEST_CASE("an older change is ignored, and a complete list is always applied", "[discovery][watch]") {
   Established established;
   Agent::Call& call = *established.agent.calls[0];
   Agent::write_chunk(call,
--- a/tests/upstream/attempt_endings_test.cpp
+++ b/tests/upstream/attempt_endings_test.cpp
@@ -211,7 +211,7 @@
 // ---- pooled connections ----
 
 // A second answer some milliseconds after the first would be taken as the response to the next request.
-TEST_CASE("a connection is quarantined after a response; data that arrives then closes it", "[endings]") {
+TEST_CASE("a connection is quarantined after a response, and data that arrives then closes it", "[endings]") {
   Fixture fixture(healthy_reader, healthy_writer);
   const std::string answer =
       kStreamHead + http::chunk("data: {\"a\":1}\n\n") + http::chunk("data: [DONE]\n\n") + "0\r\n\r\n";
--- a/tests/vrrp/vrrp_test.cpp
+++ b/tests/vrrp/vrrp_test.cpp
@@ -105,7 +105,7 @@
   }
 }
 
-TEST_CASE("an active router advertises its shutdown; a backup stops silently", "[vrrp]") {
+TEST_CASE("an active router advertises its shutdown, and a backup stops silently", "[vrrp]") {
   StateMachine machine(parameters(100));
   machine.startup(seconds(0));
   CHECK(machine.shutdown().empty());
