--- a/tests/gossip/gossip_wire_test.cpp
+++ b/tests/gossip/gossip_wire_test.cpp
@@ -55,25 +55,44 @@
   std::string_view content;  // after the head, in hexadecimal
 };
 
-// Adds one part of a message.
-template <class Part>
-std::function<void(DatagramBuilder&)> adds(const Part& part) {
-  return [part](DatagramBuilder& builder) { builder.add(part); };
-}
-
 // Messages of the membership.
 std::vector<RecordedDatagram> recorded_membership() {
   return {
       {"head alone", [](DatagramBuilder&) {}, ""},
-      {"ping", adds(Probe{Probe::Type::kPing, 77, 0}), "4202104d"},
-      {"ping request", adds(Probe{Probe::Type::kPingRequest, 77, 9}), "42060801104d1809"},
-      {"ack", adds(Probe{Probe::Type::kAck, 77, 0}), "42040802104d"},
-      {"nack", adds(Probe{Probe::Type::kNack, 77, 0}), "42040803104d"},
-      {"alive member", adds(MemberUpdate{7, {kIncarnation + 1, 2}, MemberState::kAlive, 0}),
+      {"ping",
+       [](DatagramBuilder& builder) {
+         builder.add(Probe{Probe::Type::kPing, 77, 0});
+       },
+       "4202104d"},
+      {"ping request",
+       [](DatagramBuilder& builder) {
+         builder.add(Probe{Probe::Type::kPingRequest, 77, 9});
+       },
+       "42060801104d1809"},
+      {"ack",
+       [](DatagramBuilder& builder) {
+         builder.add(Probe{Probe::Type::kAck, 77, 0});
+       },
+       "42040802104d"},
+      {"nack",
+       [](DatagramBuilder& builder) {
+         builder.add(Probe{Probe::Type::kNack, 77, 0});
+       },
+       "42040803104d"},
+      {"alive member",
+       [](DatagramBuilder& builder) {
+         builder.add(MemberUpdate{7, {kIncarnation + 1, 2}, MemberState::kAlive, 0});
+       },
        "520b08071081a0f1c2b1341802"},
-      {"suspect member", adds(MemberUpdate{7, {kIncarnation + 1, 2}, MemberState::kSuspect, 11}),
+      {"suspect member",
+       [](DatagramBuilder& builder) {
+         builder.add(MemberUpdate{7, {kIncarnation + 1, 2}, MemberState::kSuspect, 11});
+       },
        "520f08071081a0f1c2b13418022001280b"},
-      {"dead member", adds(MemberUpdate{7, {kIncarnation + 1, 2}, MemberState::kDead, 11}),
+      {"dead member",
+       [](DatagramBuilder& builder) {
+         builder.add(MemberUpdate{7, {kIncarnation + 1, 2}, MemberState::kDead, 11});
+       },
        "520d08071081a0f1c2b13418022002"},
   };
 }
@@ -81,16 +100,40 @@
 // Messages of the replicated state.
 std::vector<RecordedDatagram> recorded_state() {
   return {
-      {"quota request", adds(QuotaRequest{{2, 1000}, 300, 0, 500}), "5a0b080210e80718ac0228f403"},
-      {"renewal request", adds(QuotaRequest{{2, 1000}, 301, 300, 500}), "5a0e080210e80718ad0220ac0228f403"},
-      {"quota grant", adds(QuotaGrant{{2, 1000}, kIncarnation, 300, 450, seconds(10)}),
+      {"quota request",
+       [](DatagramBuilder& builder) {
+         builder.add(QuotaRequest{{2, 1000}, 300, 0, 500});
+       },
+       "5a0b080210e80718ac0228f403"},
+      {"renewal request",
+       [](DatagramBuilder& builder) {
+         builder.add(QuotaRequest{{2, 1000}, 301, 300, 500});
+       },
+       "5a0e080210e80718ad0220ac0228f403"},
+      {"quota grant",
+       [](DatagramBuilder& builder) {
+         builder.add(QuotaGrant{{2, 1000}, kIncarnation, 300, 450, seconds(10)});
+       },
        "6215080210e8071880a0f1c2b13420ac0228c20330904e"},
-      {"quota return", adds(QuotaReturn{{2, 1000}, 300}), "6a08080210e80718ac02"},
-      {"own entry", adds(recorded_entry(3, kIncarnation, RecordedPayload::kEvidence)),
+      {"quota return",
+       [](DatagramBuilder& builder) {
+         builder.add(QuotaReturn{{2, 1000}, 300});
+       },
+       "6a08080210e80718ac02"},
+      {"own entry",
+       [](DatagramBuilder& builder) {
+         builder.add(recorded_entry(3, kIncarnation, RecordedPayload::kEvidence));
+       },
        "721518012091f88195be0b28ac0230ea013a0408031004"},
-      {"entry of another owner", adds(recorded_entry(8, kIncarnation + 9, RecordedPayload::kEvidence)),
+      {"entry of another owner",
+       [](DatagramBuilder& builder) {
+         builder.add(recorded_entry(8, kIncarnation + 9, RecordedPayload::kEvidence));
+       },
        "721e08081089a0f1c2b13418012091f88195be0b28ac0230ea013a0408031004"},
-      {"tombstone", adds(recorded_entry(3, kIncarnation, RecordedPayload::kTombstone)),
+      {"tombstone",
+       [](DatagramBuilder& builder) {
+         builder.add(recorded_entry(3, kIncarnation, RecordedPayload::kTombstone));
+       },
        "721118012091f88195be0b28ac0230ea014001"},
       {"members hash", [](DatagramBuilder& builder) { builder.add_members_hash(0x89abcdef); }, "4defcdab89"},
       {"group hash", [](DatagramBuilder& builder) { builder.add_group(3, 0x01234567); },
