--- a/tests/simulation/router_fixture.cpp
+++ b/tests/simulation/router_fixture.cpp
@@ -58,7 +58,7 @@
   for (auto& [id, attempt] : std::exchange(process.attempts, {})) {
     if (!attempt.in_flight) continue;
     timers_.drop(attempt.timeout);
-    fleet_.cancel(attempt.work);
+    fleet_.cancel(attempt.task_id);
     fleet_.release(id);
     end(id, End::kFailed);
   }
@@ -150,7 +150,7 @@
   const double work = is_reader ? double(request.prompt_tokens) / parameters_.mean_prompt
                                 : double(submitted.answer_tokens) / parameters_.mean_answer;
   sent_attempts_.push_back({now_, process, start.endpoint, work});
-  attempt.work = fleet_.send(start.endpoint,
+  attempt.task_id = fleet_.send(start.endpoint,
                              {request.id, request.session, request.shared_prefix, request.prompt_tokens,
                               request.prefix_tokens, submitted.answer_tokens},
                              callbacks(process, request.id));
@@ -158,7 +158,7 @@
   attempt.timeout =
       timers_.add(std::max(start.deadline, now_), [this, process, id = request.id, incarnation] {
         if (!is_running(process, incarnation)) return;
-        fleet_.cancel(processes_[process].attempts[id].work);
+        fleet_.cancel(processes_[process].attempts[id].task_id);
         end_attempt(process, id, {AttemptStatus::kTimeout, 0, {}, {}});
       });
 }
@@ -166,7 +166,7 @@
 void RouterFixture::cancel_attempt(std::size_t process, const routing::CancelAttempt& cancel) {
   const Attempt& attempt = processes_[process].attempts[cancel.request];
   if (!attempt.in_flight || attempt.streaming || attempt.number != cancel.attempt) return;
-  fleet_.cancel(attempt.work);
+  fleet_.cancel(attempt.task_id);
   at(now_, [this, process, id = cancel.request, incarnation = processes_[process].incarnation] {
     if (is_running(process, incarnation)) end_attempt(process, id, {AttemptStatus::kCancelled, 0, {}, {}});
   });
--- a/tests/simulation/router_fixture.hpp
+++ b/tests/simulation/router_fixture.hpp
@@ -88,7 +88,7 @@
 
  private:
   struct Attempt {
-    simulation::SimulatedFleet::Work work = 0;
+    simulation::SimulatedFleet::TaskId task_id = 0;
     routing::EndpointId endpoint;
     int number = 0;
     Time sent_at{};
