--- a/tests/simulation/router_fixture.cpp
+++ b/tests/simulation/router_fixture.cpp
@@ -151,9 +151,9 @@
                                 : double(submitted.answer_tokens) / parameters_.mean_answer;
   sent_attempts_.push_back({now_, process, start.endpoint, work});
   attempt.task_id = fleet_.send(start.endpoint,
-                             {request.id, request.session, request.shared_prefix, request.prompt_tokens,
-                              request.prefix_tokens, submitted.answer_tokens},
-                             callbacks(process, request.id));
+                                {request.id, request.session, request.shared_prefix, request.prompt_tokens,
+                                 request.prefix_tokens, submitted.answer_tokens},
+                                callbacks(process, request.id));
   const int incarnation = processes_[process].incarnation;
   attempt.timeout =
       timers_.add(std::max(start.deadline, now_), [this, process, id = request.id, incarnation] {
