--- a/src/routing/writer_selection.cpp
+++ b/src/routing/writer_selection.cpp
@@ -36,29 +36,35 @@
               mix_bits(static_cast<std::uint64_t>(selection.context.settings->router_number))) {
     for (auto& [name, endpoint] : selection.endpoints.entries()) {
       if (endpoint.role != role || !is_eligible(selection, endpoint, state, Step::kExecute)) continue;
-      candidates_.push_back(&endpoint);
-      load_sum_ += stream_load(selection.context, endpoint);
+      candidates_.push_back({&endpoint, stream_load(selection.context, endpoint)});
+      load_sum_ += candidates_.back().load;
     }
   }
 
   // Null: there is no candidate.
   [[nodiscard]] Endpoint* choose() const {
-    Endpoint* preferred =
+    const Candidate preferred =
         least_loaded([&](const Endpoint& endpoint) { return is_preferred(endpoint) ? 1.0 : 0.0; });
-    if (preferred != nullptr) return preferred;
-    Endpoint* best = least_loaded([](const Endpoint&) { return 1.0; });
-    Endpoint* local = least_loaded([&](const Endpoint& endpoint) { return is_local(endpoint) ? 1.0 : 0.0; });
-    if (local == nullptr || is_overloaded(*local)) return best;
+    if (preferred.endpoint != nullptr) return preferred.endpoint;
+    const Candidate local =
+        least_loaded([&](const Endpoint& endpoint) { return is_local(endpoint) ? 1.0 : 0.0; });
+    if (local.endpoint == nullptr || is_overloaded(local))
+      return least_loaded([](const Endpoint&) { return 1.0; }).endpoint;
 
     const FleetCapacities capacities = measure_capacities(selection_.context, selection_.endpoints, role_);
-    if (stays_in_cell(capacities)) return local;
-    Endpoint* remote = least_loaded([&](const Endpoint& endpoint) {
+    if (stays_in_cell(capacities)) return local.endpoint;
+    const Candidate remote = least_loaded([&](const Endpoint& endpoint) {
       return is_local(endpoint) ? 0.0 : spare_share(capacities, endpoint, *reader_);
     });
-    return remote != nullptr ? remote : local;
+    return remote.endpoint != nullptr ? remote.endpoint : local.endpoint;
   }
 
  private:
+  struct Candidate {
+    Endpoint* endpoint = nullptr;
+    double load = 0;  // in streams
+  };
+
   [[nodiscard]] bool is_local(const Endpoint& endpoint) const {
     return reader_ != nullptr && in_same_cell(endpoint, *reader_);
   }
@@ -74,10 +80,10 @@
     return kLeaveCellLoad + 1.0 / selection_.context.settings->router_count;
   }
 
-  [[nodiscard]] bool is_overloaded(const Endpoint& local) const {
+  [[nodiscard]] bool is_overloaded(const Candidate& local) const {
     const double mean_load = load_sum_ / static_cast<double>(candidates_.size());
     const double max_load = std::max(leave_threshold() * mean_load, mean_load + kLeaveCellStreams);
-    return stream_load(selection_.context, local) > max_load;
+    return local.load > max_load;
   }
 
   // Whether the request is among those that the writers of its reader's cell can take, by hash.
@@ -91,20 +97,20 @@
   }
 
   // The candidate with the fewest streams. Ties go by hash, each weighed by the share from 0 to 1 that
-  // `share_for` gives it. One with no share is left out; null: none has any.
+  // `share_for` gives it. One with no share is left out; no endpoint: none has any.
   template <typename ShareFor>
-  [[nodiscard]] Endpoint* least_loaded(const ShareFor& share_for) const {
-    Endpoint* best = nullptr;
-    double min_load = 0;
+  [[nodiscard]] Candidate least_loaded(const ShareFor& share_for) const {
+    Candidate best;
     double best_tie_break = 0;
-    for (Endpoint* endpoint : candidates_) {
-      const double share = share_for(*endpoint);
+    for (const Candidate& candidate : candidates_) {
+      if (best.endpoint != nullptr && candidate.load > best.load) continue;
+      const Endpoint& endpoint = *candidate.endpoint;
+      const double share = share_for(endpoint);
       if (share <= 0) continue;
-      const double load = stream_load(selection_.context, *endpoint);
-      const double tie_break = weighted_rendezvous(salt_, endpoint->name_hash, endpoint->weight * share);
-      if (best != nullptr && (load > min_load || (load == min_load && tie_break <= best_tie_break))) continue;
-      best = endpoint;
-      min_load = load;
+      const double tie_break = weighted_rendezvous(salt_, endpoint.name_hash, endpoint.weight * share);
+      const bool is_tie = best.endpoint != nullptr && candidate.load == best.load;
+      if (is_tie && tie_break <= best_tie_break) continue;
+      best = candidate;
       best_tie_break = tie_break;
     }
     return best;
@@ -114,7 +120,7 @@
   const Role role_;
   const Endpoint* reader_;  // of the request's prompt; null: it is no longer known
   const std::uint64_t salt_;
-  std::vector<Endpoint*> candidates_;
+  std::vector<Candidate> candidates_;
   double load_sum_ = 0;  // of the candidates, in streams
 };
 
