--- a/tests/upstream/attempt_endings_test.cpp
+++ b/tests/upstream/attempt_endings_test.cpp
@@ -163,7 +163,7 @@
   DirectFixture fixture(healthy_reader, healthy_writer);
   RawSocketPeer peer(fixture);
   REQUIRE(starts_long_command(fixture, peer));
-  peer.write(kStreamHead + http::chunk("data: {\"of\":\"another\"}\n\n") + http::chunk("data: [DONE]\n\n") +
+  peer.write(stream_head() + http::chunk("data: {\"of\":\"another\"}\n\n") + http::chunk("data: [DONE]\n\n") +
              "0\r\n\r\n");
   fixture.advance(milliseconds(100));
   CHECK(fixture.body.empty());
@@ -188,13 +188,13 @@
 TEST_CASE("a response truncated anywhere is not forwarded as complete", "[endings]") {
   const std::string event = "data: {\"a\":1}\n\n";
   const auto [bytes, begins] = GENERATE_COPY(
-      std::pair<std::string, bool>("HTTP/1.1 20", false), std::pair(kStreamHead.substr(0, 40), false),
-      std::pair(kStreamHead, false), std::pair(kStreamHead + "f\r\ndata: {\"a\"", false),
-      std::pair(kStreamHead + http::chunk("data: {\"a\":1}"), false),
-      std::pair(kStreamHead + http::chunk(event), true),
-      std::pair(kStreamHead + http::chunk(event) + http::chunk("data: {\"b\""), true),
-      std::pair(kStreamHead + http::chunk(event) + http::chunk("data: {\"b\"") + "0\r\n\r\n", true),
-      std::pair(kStreamHead + http::chunk(event) + "0\r", true));
+      std::pair<std::string, bool>("HTTP/1.1 20", false), std::pair(stream_head().substr(0, 40), false),
+      std::pair(stream_head(), false), std::pair(stream_head() + "f\r\ndata: {\"a\"", false),
+      std::pair(stream_head() + http::chunk("data: {\"a\":1}"), false),
+      std::pair(stream_head() + http::chunk(event), true),
+      std::pair(stream_head() + http::chunk(event) + http::chunk("data: {\"b\""), true),
+      std::pair(stream_head() + http::chunk(event) + http::chunk("data: {\"b\"") + "0\r\n\r\n", true),
+      std::pair(stream_head() + http::chunk(event) + "0\r", true));
   DirectFixture fixture(healthy_reader, healthy_writer);
   RawSocketPeer peer(fixture);
   fixture.send_writes_to(peer);
@@ -216,8 +216,9 @@
 TEST_CASE("a connection is quarantined after a response, and data that arrives then closes it", "[endings]") {
   Fixture fixture(healthy_reader, healthy_writer);
   const std::string answer =
-      kStreamHead + http::chunk("data: {\"a\":1}\n\n") + http::chunk("data: [DONE]\n\n") + "0\r\n\r\n";
-  RawBytesReplica writer(fixture, answer, kStreamHead + http::chunk("data: {\"late\":1}\n\n") + "0\r\n\r\n");
+      stream_head() + http::chunk("data: {\"a\":1}\n\n") + http::chunk("data: [DONE]\n\n") + "0\r\n\r\n";
+  RawBytesReplica writer(fixture, answer,
+                         stream_head() + http::chunk("data: {\"late\":1}\n\n") + "0\r\n\r\n");
   fixture.pool.update_endpoints({{"w1", writer.address(), true}, {"w2", writer.address(), true}},
                                 upstream::ListScope::kChanges);
   const auto first = fixture.post("a1", "command");
--- a/tests/upstream/replica_answers_test.cpp
+++ b/tests/upstream/replica_answers_test.cpp
@@ -8,7 +8,7 @@
 
 // A streamed answer up to its last chunk.
 std::string stream() {
-  return kStreamHead + http::chunk("data: {\"a\":1}\n\n") + http::chunk("data: [DONE]\n\n");
+  return stream_head() + http::chunk("data: {\"a\":1}\n\n") + http::chunk("data: [DONE]\n\n");
 }
 
 // Both writers answer with these bytes.
@@ -55,7 +55,8 @@
             return headers;
           }(),
       std::string("HTTP/1.1 200 OK\r\nContent-Length: 9\r\nTransfer-Encoding: chunked\r\n\r\n"),
-      kStreamHead + "zz\r\n", kStreamHead + "c0000000\r\ndata: {}\n\n", kStreamHead + "5\r\n", kStreamHead);
+      stream_head() + "zz\r\n", stream_head() + "c0000000\r\ndata: {}\n\n", stream_head() + "5\r\n",
+      stream_head());
   RawWriters writers(fixture, bytes);
   auto client = fixture.post("a1", "command");
   REQUIRE(fixture.until([&] { return writers.requests() == 1; }));
@@ -78,7 +79,7 @@
 TEST_CASE("a stream malformed after its first event ends its client's connection at once", "[pool]") {
   Fixture fixture(healthy_reader, healthy_writer);
   const std::string more = GENERATE("zz\r\n", "c0000000\r\nxx", "4\r\ndata: x\n\n");
-  RawWriters writers(fixture, kStreamHead + http::chunk("data: {\"a\":1}\n\n"), more);
+  RawWriters writers(fixture, stream_head() + http::chunk("data: {\"a\":1}\n\n"), more);
   auto client = fixture.post("a1", "ask");
   REQUIRE(fixture.until([&] { return !client->body.empty(); }));
   writers.first.send_more();
