--- a/src/upstream/attempt_runner.cpp
+++ b/src/upstream/attempt_runner.cpp
@@ -1,14 +1,23 @@
 #include "upstream/attempt_runner.hpp"
 
 #include <algorithm>
+#include <chrono>
 #include <utility>
 
 #include "upstream/protocol.hpp"
 
 namespace dispatcher::upstream {
 
+using routing::AttemptEvidence;
 using routing::AttemptStatus;
 
+namespace {
+
+// A replica is told its time in whole milliseconds: with less, it would be told that there is none.
+constexpr Duration kMinTimeLeft = std::chrono::milliseconds(1);
+
+}  // namespace
+
 AttemptRunner::AttemptRunner(ConnectionPool& pool, ExchangeRunner& exchanges, ReservationClient& reservations,
                              engine::TimerQueue& timers, engine::Clock clock)
     : pool_(pool),
@@ -24,16 +33,16 @@
   const SlotId id = pool_.acquire(parameters.endpoint, std::clamp(requested, Duration(0), usual));
   if (!id) return fail_unsent(attempt, AttemptStatus::kConnectFailed);
   connections_[attempt] = id;
-  const engine::UpstreamRequest& request = *parameters.request;
-  std::string text = request_text(request, parameters.deadline - clock_());
-  exchanges_.start(id, *this, {ExchangeKind::kAttempt, attempt, request.id, std::move(text)});
+  exchanges_.start(
+      id, *this,
+      {ExchangeKind::kAttempt, attempt, parameters.request->id, parameters.request, parameters.deadline});
 }
 
 // Nothing was sent. The engine must not be notified before its own call has returned.
-void AttemptRunner::fail_unsent(AttemptId attempt, AttemptStatus status) {
+void AttemptRunner::fail_unsent(AttemptId attempt, AttemptStatus status, AttemptEvidence evidence) {
   connections_[attempt] = SlotId{};
-  timers_.add(clock_(), [this, attempt, status] {
-    if (connections_.erase(attempt) > 0) engine_->on_attempt_completed(attempt, {status, 0, {}, {}});
+  timers_.add(clock_(), [this, attempt, status, evidence] {
+    if (connections_.erase(attempt) > 0) engine_->on_attempt_completed(attempt, {status, 0, evidence, {}});
   });
 }
 
@@ -66,13 +75,18 @@
   return it == connections_.end() ? nullptr : pool_.find(it->second);
 }
 
-bool AttemptRunner::confirm_write(const ExchangeRequest& request) {
+std::optional<std::string> AttemptRunner::compose_request(const ExchangeRequest& request) {
   if (!engine_->is_still_needed(request.attempt)) {
     fail_unsent(request.attempt, AttemptStatus::kNeverSent);
-    return false;
+    return std::nullopt;
+  }
+  const Duration time_left = request.deadline - clock_();
+  if (time_left < kMinTimeLeft) {  // as where its deadline had ended it before its connection was up
+    fail_unsent(request.attempt, AttemptStatus::kConnectFailed, AttemptEvidence::kEndpointRunning);
+    return std::nullopt;
   }
   reservations_.cancel_release(request.request_id);  // the attempt may be about to leave a reservation
-  return true;
+  return request_text(*request.message, time_left);
 }
 
 void AttemptRunner::on_events(AttemptId attempt, std::string_view complete_events) {
--- a/src/upstream/attempt_runner.hpp
+++ b/src/upstream/attempt_runner.hpp
@@ -4,6 +4,7 @@
 
 #include <map>
 #include <memory>
+#include <optional>
 #include <string>
 #include <string_view>
 
@@ -19,7 +20,7 @@
   AttemptId attempt;
   EndpointId endpoint;
   std::shared_ptr<const engine::UpstreamRequest> request;
-  Time deadline{};    // of the request; the time left until then is sent to the replica
+  Time deadline{};    // of the attempt; the time left until then is sent to the replica
   Time connect_by{};  // when a new connection must be up; zero: within the usual time
 };
 
@@ -47,10 +48,11 @@
   [[nodiscard]] SlotId remove(AttemptId attempt) { return connections_.extract(attempt).mapped(); }
 
  private:
-  [[nodiscard]] bool confirm_write(const ExchangeRequest& request) override;
+  [[nodiscard]] std::optional<std::string> compose_request(const ExchangeRequest& request) override;
   void on_events(AttemptId attempt, std::string_view complete_events) override;
   void on_exchange_ended(const ExchangeOutcome& outcome) override;
-  void fail_unsent(AttemptId attempt, routing::AttemptStatus status);
+  void fail_unsent(AttemptId attempt, routing::AttemptStatus status,
+                   routing::AttemptEvidence evidence = routing::AttemptEvidence::kNone);
 
   ConnectionPool& pool_;
   ExchangeRunner& exchanges_;
--- a/src/upstream/exchange.hpp
+++ b/src/upstream/exchange.hpp
@@ -2,6 +2,7 @@
 #ifndef DISPATCHER_UPSTREAM_EXCHANGE_HPP_
 #define DISPATCHER_UPSTREAM_EXCHANGE_HPP_
 
+#include <memory>
 #include <optional>
 #include <string>
 #include <string_view>
@@ -26,12 +27,13 @@
   kRelease,      // a call that releases what is reserved for a request
 };
 
-// The HTTP request of an exchange, and what it is for.
+// What an exchange is for. Its HTTP request is composed when it is written, see ExchangeHandler.
 struct ExchangeRequest {
   ExchangeKind kind = ExchangeKind::kNone;
-  AttemptId attempt;     // of kAttempt and kReservation
-  RequestId request_id;  // of the client's request that it is about
-  std::string text;      // of the HTTP request; empty once it is handed to the connection
+  AttemptId attempt;                                         // of kAttempt and kReservation
+  RequestId request_id;                                      // of the client's request that it is about
+  std::shared_ptr<const engine::UpstreamRequest> message{};  // of kAttempt; empty once it is written
+  engine::Time deadline{};                                   // of kAttempt
 };
 
 // How an exchange ended.
@@ -50,9 +52,10 @@
 class ExchangeHandler {
  public:
   virtual ~ExchangeHandler() = default;
-  // Called right before the first byte is written. False: the exchange is no longer needed; its connection
-  // goes back to the pool and no further call is made.
-  [[nodiscard]] virtual bool confirm_write(const ExchangeRequest&) { return true; }
+  // The text of the HTTP request. Called right before its first byte is written, which may be long after the
+  // exchange was started. Nothing: the exchange is no longer needed; its connection goes back to the pool and
+  // no further call is made.
+  [[nodiscard]] virtual std::optional<std::string> compose_request(const ExchangeRequest& request) = 0;
   // Complete server-sent events of a response, in order.
   virtual void on_events(AttemptId, std::string_view /*complete_events*/) {}
   // The last call of an exchange. Its connection has been closed or parked by then.
--- a/src/upstream/exchange_runner.cpp
+++ b/src/upstream/exchange_runner.cpp
@@ -1,5 +1,6 @@
 #include "upstream/exchange_runner.hpp"
 
+#include <optional>
 #include <string>
 #include <utility>
 
@@ -55,10 +56,11 @@
 
 void ExchangeRunner::write_request(SlotId id, PooledConnection& connection) {
   Exchange& exchange = connection.exchange;
-  if (exchange.is_active() && !exchange.handler->confirm_write(exchange.request)) return pool_.park(id);
-  connection.transport->write(exchange.request.text);
-  exchange.request.text.clear();
-  exchange.request.text.shrink_to_fit();
+  if (!exchange.is_active()) return pool_.park(id);
+  const std::optional<std::string> text = exchange.handler->compose_request(exchange.request);
+  exchange.request.message.reset();
+  if (!text) return pool_.park(id);
+  connection.transport->write(*text);
   pool_.endpoint_of(connection).on_request_written(clock_());
   connection.transport->read();
 }
--- a/src/upstream/exchange_runner.hpp
+++ b/src/upstream/exchange_runner.hpp
@@ -22,7 +22,7 @@
 
 // Runs one exchange at a time on each pooled connection. Never repeats a request by itself: the router
 // decides about retries. Owned by ReplicaClient; runs on the event loop's thread. ExchangeHandlers are called
-// from events of connections and timers, and from start() on a connected connection (confirm_write() only).
+// from events of connections and timers, and from start() on a connected connection (compose_request() only).
 class ExchangeRunner : private ConnectionHandler {
  public:
   ExchangeRunner(ConnectionPool& pool, engine::TimerQueue& timers, engine::Clock clock, engine::Log log);
--- a/src/upstream/reservation_client.cpp
+++ b/src/upstream/reservation_client.cpp
@@ -36,7 +36,7 @@
 void ReservationClient::reserve(AttemptId attempt, const EndpointId& endpoint, const RequestId& request_id) {
   const SlotId id = pool_.acquire(endpoint, pool_.connect_timeout());
   if (!id) return;
-  exchanges_.start(id, *this, {ExchangeKind::kReservation, attempt, request_id, reserve_text(request_id)});
+  exchanges_.start(id, *this, {ExchangeKind::kReservation, attempt, request_id});
 }
 
 void ReservationClient::release(const RequestId& request_id, Time until) {
@@ -53,7 +53,7 @@
 SlotId ReservationClient::start_release_call(const EndpointId& endpoint, const RequestId& request_id) {
   const SlotId id = pool_.acquire(endpoint, round_interval_);
   if (!id) return {};
-  exchanges_.start(id, *this, {ExchangeKind::kRelease, {}, request_id, release_text(request_id)});
+  exchanges_.start(id, *this, {ExchangeKind::kRelease, {}, request_id});
   timers_.drop(pool_.find(id)->timer);  // its response counts also while further replicas are called
   return id;
 }
@@ -69,6 +69,11 @@
   return candidates;
 }
 
+std::optional<std::string> ReservationClient::compose_request(const ExchangeRequest& request) {
+  const bool is_release = request.kind == ExchangeKind::kRelease;
+  return is_release ? release_text(request.request_id) : reserve_text(request.request_id);
+}
+
 void ReservationClient::on_exchange_ended(const ExchangeOutcome& outcome) {
   if (outcome.kind == ExchangeKind::kReservation) on_reservation_ended(outcome);
   if (outcome.kind == ExchangeKind::kRelease) on_release_ended(outcome);
--- a/src/upstream/reservation_client.hpp
+++ b/src/upstream/reservation_client.hpp
@@ -2,6 +2,7 @@
 #ifndef DISPATCHER_UPSTREAM_RESERVATION_CLIENT_HPP_
 #define DISPATCHER_UPSTREAM_RESERVATION_CLIENT_HPP_
 
+#include <optional>
 #include <string>
 #include <vector>
 
@@ -38,6 +39,7 @@
   [[nodiscard]] std::size_t releases_blocking_shutdown() const { return releaser_.blocking_shutdown(); }
 
  private:
+  [[nodiscard]] std::optional<std::string> compose_request(const ExchangeRequest& request) override;
   void on_exchange_ended(const ExchangeOutcome& outcome) override;
   void on_reservation_ended(const ExchangeOutcome& outcome);
   void on_release_ended(const ExchangeOutcome& outcome);
--- /dev/null
+++ b/tests/upstream/time_left_test.cpp
@@ -0,0 +1,87 @@
+// The time that an attempt tells its replica: it is what is left to the client as the request is written, not
+// as the attempt was started, and a request whose time is over is not written.
+#include "attempt_endings_fixture.hpp"
+
+namespace dispatcher::testing {
+namespace {
+
+// Whether each attempt told its replica some time, and no more than was left until the deadline.
+bool tells_time_left(const Fixture& fixture, engine::Time deadline) {
+  return std::ranges::all_of(fixture.replicas, [&](const auto& replica) {
+    return std::ranges::all_of(replica->received, [&](const ReceivedRequest& request) {
+      if (request.method != "POST") return true;
+      return request.time_left > milliseconds(0) && request.time_left <= deadline - request.received_at;
+    });
+  });
+}
+
+TEST_CASE("a request on a connection that is established late tells the time that is left then",
+          "[time_left]") {
+  const auto setup_time = GENERATE(milliseconds(0), milliseconds(200), milliseconds(900));
+  DirectFixture fixture(silent_replica, silent_replica);
+  fixture.submit("a1");
+  const engine::Time deadline = fixture.now + seconds(6);
+  fixture.now += setup_time;  // nothing has run: the connection is not established yet
+  fixture.settle();
+  REQUIRE(fixture.posts() == 1);
+  CHECK(tells_time_left(fixture, deadline));
+}
+
+TEST_CASE("a retry tells its replica less time than the attempt before it", "[time_left]") {
+  DirectFixture fixture(silent_replica, silent_replica);
+  fixture.submit("a1");
+  const engine::Time deadline = fixture.now + seconds(6);
+  const auto reject_reads = [&] {
+    for (const std::size_t index : {0U, 1U})
+      for (const SlotId client : std::exchange(fixture.reader(index).pending_clients, {}))
+        fixture.reader(index).reject_unprocessed(client, 503);
+  };
+  REQUIRE(fixture.until([&] { return fixture.posts() == 1; }));
+  fixture.now += milliseconds(100);
+  reject_reads();
+  for (int i = 0; i < 100 && fixture.posts() < 2; ++i) {
+    fixture.now += milliseconds(20);  // its connection is established late as well
+    fixture.settle();
+    fixture.timers.run(fixture.now);
+  }
+  REQUIRE(fixture.posts() == 2);
+  CHECK(tells_time_left(fixture, deadline));
+}
+
+// On an event loop that was held up, the connection's event may come before the deadline's timer.
+TEST_CASE("a request whose time is over is not written, and its client gets one answer", "[time_left]") {
+  const auto time_left = GENERATE(std::chrono::microseconds(999), std::chrono::microseconds(0),
+                                  std::chrono::microseconds(-100'000));
+  DirectFixture fixture(silent_replica, silent_replica);
+  fixture.submit("a1");
+  fixture.now += seconds(6) - time_left;
+  fixture.settle();
+  CHECK(fixture.posts() == 0);
+  fixture.advance(milliseconds(400));
+  CHECK(fixture.posts() == 0);
+  CHECK(fixture.count("refuse") + fixture.count("fail") == 1);
+  CHECK(fixture.calls.size() == 1);
+  CHECK(fixture.engine.open_request_count() == 0);
+}
+
+TEST_CASE("a request with very little time left is answered in time, and tells no more than that",
+          "[time_left]") {
+  const int time_left_ms = GENERATE(0, 1, 5, 20, 50, 100, 150, 300);
+  const auto setup_time = GENERATE(milliseconds(0), milliseconds(4), milliseconds(60));
+  const auto replica = GENERATE(silent_replica, full);
+  constexpr milliseconds kMaxAnswerDelay{500};  // an answer later than that is a lost one
+  Fixture fixture(replica, replica);
+  auto client = fixture.platform_client();
+  client->post(platform_headers("a1", "ask", time_left_ms), kPlatformBody);
+  const engine::Time deadline = fixture.now + milliseconds(time_left_ms);
+  REQUIRE(fixture.until([&] { return client->is_finished() || fixture.engine.open_request_count() > 0; }));
+  fixture.now += setup_time;
+  fixture.settle();
+  while (!client->is_finished() && fixture.now < deadline + kMaxAnswerDelay) fixture.advance(milliseconds(5));
+  CHECK(client->is_complete);
+  CHECK(client->status >= 500);
+  CHECK(tells_time_left(fixture, deadline));
+}
+
+}  // namespace
+}  // namespace dispatcher::testing
