--- a/src/http/client_table.cpp
+++ b/src/http/client_table.cpp
@@ -82,8 +82,8 @@
     if (!client.connection->output().empty()) continue;
     const std::pair rank{retention_value(client), client.state_since};
     if (min_rank && rank >= *min_rank) continue;
-    const bool has_unread_input = client.state == ClientState::kReading && client.connection->is_readable();
-    if (has_unread_input) continue;
+    const bool is_reading = client.state == ClientState::kReading;
+    if (is_reading && (client.connection->is_readable() || client.has_waiting_request())) continue;
     candidate = id;
     min_rank = rank;
   }
--- a/src/http/client_table.hpp
+++ b/src/http/client_table.hpp
@@ -7,6 +7,7 @@
 #include <vector>
 
 #include "engine/timer_queue.hpp"
+#include "http/arrival_times.hpp"
 #include "http/message.hpp"
 #include "http/message_reader.hpp"
 #include "net/connection.hpp"
@@ -50,6 +51,8 @@
   std::size_t reserved_body_bytes = 0;
   /// Bytes that arrived after the last request and were thrown away.
   std::size_t discarded_bytes = 0;
+  /// Of the bytes in the connection's input.
+  ArrivalTimes arrival_times;
   /// When the first byte of the request arrived.
   Time request_arrival{};
   /// When the connection was accepted, went idle or began to linger.
@@ -57,6 +60,12 @@
   /// Of what the client or this side has to do next; see ServerOptions.
   engine::TimerId deadline;
 
+  /// Whether bytes of a request have arrived that nobody has begun to read: behind the current request, or on
+  /// a connection between requests. Queries the kernel, beyond the bytes received so far.
+  [[nodiscard]] bool has_waiting_request() const {
+    const bool is_reading_request = state == ClientState::kReading && reader.has_started();
+    return !is_reading_request && (!connection->input().empty() || connection->is_readable());
+  }
   [[nodiscard]] bool is_chunked() const { return framing == StreamFraming::kChunked; }
   [[nodiscard]] Persistence persistence() const {
     return keep_alive ? Persistence::kKeepAlive : Persistence::kClose;
--- a/src/http/server.cpp
+++ b/src/http/server.cpp
@@ -75,7 +75,7 @@
     Client& client = *clients_.find(id);
     if (client.state != ClientState::kReading) continue;
     // A request that has begun, or that may be on its way, is still read and answered.
-    if (client.reader.has_started() || client.connection->is_readable()) continue;
+    if (client.reader.has_started() || client.has_waiting_request()) continue;
     if (!client.has_received_data && clients_.is_recent(client)) continue;
     begin_lingering_close(id);
   }
@@ -92,6 +92,7 @@
 void Server::on_data(SlotId id) {
   Client* client = clients_.find(id);
   if (client == nullptr) return;
+  client->arrival_times.update(client->connection->input().size(), clock_());
   switch (client->state) {
     case ClientState::kReading:
       return read_request(id);
@@ -119,13 +120,16 @@
   if (client.discarded_bytes > kMaxDiscardedBytes) client.connection->pause_reading();
 }
 
+// A pipelined request arrived while the one before it was being answered: its client's time runs since then,
+// while that for the rest of it to arrive begins now.
 void Server::start_request(SlotId id, Client& client) {
-  client.request_arrival = clock_();
+  const Time now = clock_();
+  client.request_arrival = client.arrival_times.first().value_or(now);
   const bool is_first = !std::exchange(client.has_received_data, true);
   Duration timeout = options_.request_timeout;
-  if (is_first) timeout = client.state_since + options_.request_timeout - client.request_arrival;
+  if (is_first) timeout = client.state_since + options_.request_timeout - now;
   clients_.set_deadline(id, timeout);
-  client.state_since = client.request_arrival;
+  client.state_since = now;
 }
 
 // Reads from the input, and hands the request to the handler once it is complete.
@@ -135,6 +139,7 @@
   if (client.connection->input().empty()) return;
   if (!reader.has_started()) start_request(id, client);
   const ReadStatus status = reader.read(client.connection->input());
+  client.arrival_times.update(client.connection->input().size(), clock_());
   if (const auto rejection = check_request(reader, status)) return reject(id, client, *rejection);
   if (!clients_.reserve_body_bytes(client, reader.message().body().size()))
     return reject(id, client, {503, std::string(kBodyMemoryExhausted)}, {{"Retry-After", "1"}});
@@ -198,7 +203,7 @@
                      std::initializer_list<Header> more) {
   Client* client = clients_.find(id);
   if (client == nullptr || client->state != ClientState::kAnswering) return;
-  client->keep_alive = client->keep_alive && !is_draining_;
+  client->keep_alive = client->keep_alive && may_continue(*client);
   client->connection->write(response(status, content_type, body, client->persistence(), more));
   end_response(id);
 }
@@ -213,7 +218,7 @@
   if (client == nullptr || client->state != ClientState::kAnswering) return;
   client->is_streaming = true;
   clients_.release_body_bytes(*client);
-  client->keep_alive = client->keep_alive && !is_draining_ && client->is_chunked();
+  client->keep_alive = client->keep_alive && client->is_chunked() && may_continue(*client);
   client->connection->write(stream_head(client->persistence(), client->framing));
 }
 
@@ -238,12 +243,16 @@
   if (was_streaming && client->is_chunked()) client->connection->write(kLastChunk);
   client->is_backpressured = false;
   client->has_sent_continue = false;
-  // A stream whose head promised to keep the connection may end during a drain: there might be no
-  // process left to answer a further request.
-  if (!client->keep_alive || is_draining_) return begin_lingering_close(id);
+  if (!client->keep_alive || !may_continue(*client)) return begin_lingering_close(id);
   await_next_request(id, *client);
 }
 
+// During a drain there might be no process left to answer a request that is yet to come; one that has arrived
+// behind the current one (pipelining) is owed its answer.
+bool Server::may_continue(const Client& client) const {
+  return !is_draining_ || client.has_waiting_request();
+}
+
 void Server::await_next_request(SlotId id, Client& client) {
   client.state = ClientState::kReading;
   client.reader.reset();
--- a/src/http/server.hpp
+++ b/src/http/server.hpp
@@ -100,7 +100,8 @@
   /// Accepts what the kernel's backlog holds, as closing over it would reset those connections, and closes
   /// the listening socket.
   void stop_accepting() { acceptor_.stop(); }
-  /// From now on each answer is its connection's last. Idle connections stay until close_idle().
+  /// From now on each answer is its connection's last, unless further requests have arrived behind it. Idle
+  /// connections stay until close_idle().
   void drain() { is_draining_ = true; }
   /// Closes the connections that carry no request, with a lingering close.
   void close_idle();
@@ -150,6 +151,7 @@
   void reject(SlotId id, Client& client, const RequestRejection& rejection,
               std::initializer_list<Header> more = {});
   void deliver_request(SlotId id, Client& client);
+  [[nodiscard]] bool may_continue(const Client& client) const;
   void await_next_request(SlotId id, Client& client);
 
   void restart_linger_deadline(SlotId id, Client& client);
--- a/tests/http/endings_test.cpp
+++ b/tests/http/endings_test.cpp
@@ -20,13 +20,15 @@
   }
   http::Server server;
   std::vector<std::pair<SlotId, std::string>> received;  // with their targets
+  std::vector<engine::Time> arrivals;                    // of each of them
   std::vector<SlotId> disconnected;
   bool has_capacity = false;     // a stream that had to wait may go on
   bool answers_at_once = false;  // answers each request from inside its call
 
  private:
-  void on_request(SlotId client, http::Server::Request& request, engine::Time) override {
+  void on_request(SlotId client, http::Server::Request& request, engine::Time arrival) override {
     received.emplace_back(client, std::string(request.target()));
+    arrivals.push_back(arrival);
     if (answers_at_once) server.respond(client, 200, "text/plain", "ok");
   }
   void on_disconnected(SlotId client) override { disconnected.push_back(client); }
@@ -102,6 +104,53 @@
   CHECK(holder.received[2].second == "/c");
 }
 
+// Its time would else begin only once the answers before it are over.
+TEST_CASE("a pipelined request arrives with its own first byte, not with the answer before it", "[endings]") {
+  TestEventLoop work;
+  HoldingServer holder(work);
+  FakeClient client(work, holder.server.local());
+  const engine::Time start = work.now;
+  for (const std::string target : {"/a", "/b", "/c", "/d"}) {
+    client.send(get(target, 3000));
+    work.settle();
+    work.now += milliseconds(target == "/b" ? 5 : 300);  // those of /b and /c are one arrival
+  }
+  for (std::size_t answered = 0; answered < 4; ++answered) {
+    REQUIRE(work.until([&] { return holder.received.size() == answered + 1; }));
+    work.now += milliseconds(300);
+    holder.server.respond(holder.received.back().first, 200, "text/plain", "ok");
+  }
+  const engine::Time of_b = start + milliseconds(300);
+  CHECK(holder.arrivals == std::vector<engine::Time>{start, of_b, of_b, of_b + milliseconds(305)});
+}
+
+// Between the answer to the first request and the event that begins the second one, the connection has no
+// request, yet is not idle.
+TEST_CASE("a connection with a pipelined request is not closed as idle", "[endings]") {
+  TestEventLoop work;
+  HoldingServer holder(work);
+  holder.answers_at_once = true;
+  FakeClient client(work, holder.server.local());
+  client.send(get("/a") + get("/b"));
+  for (int turn = 0; turn < 1000 && holder.received.empty(); ++turn) {
+    work.io.restart();
+    work.io.run_one_for(milliseconds(1));  // the timers do not run: /b is not begun
+  }
+  REQUIRE(holder.received.size() == 1);
+  const bool is_draining = GENERATE(true, false);
+  if (is_draining) {
+    holder.server.drain();
+    holder.server.stop_accepting();
+    holder.server.close_idle();
+  } else {
+    FakeClient newcomer(work, holder.server.local());
+    work.settle();
+    REQUIRE(holder.server.client_count() == 2);
+    holder.server.set_limits(1, http::ServerOptions{}.max_body_bytes);
+  }
+  CHECK(work.until([&] { return client.body == "okok"; }));
+}
+
 TEST_CASE("a client that reads slowly gets every byte of its stream as it was written", "[endings]") {
   TestEventLoop work;
   http::ServerOptions options;
--- a/tests/platform_api/platform_api_test.cpp
+++ b/tests/platform_api/platform_api_test.cpp
@@ -81,6 +81,41 @@
   CHECK(fixture.until([&] { return client->status == 404; }));
 }
 
+// Commands are not repeated by anybody: each one that was read is forwarded once and answered.
+TEST_CASE("pipelined commands are each forwarded once and answered in order, also during a drain",
+          "[platform]") {
+  constexpr int kCommands = 20;
+  const bool is_drained = GENERATE(false, true);
+  Fixture fixture(healthy_reader, [](FakeReplica& replica, SlotId client, const ReceivedRequest& request) {
+    replica.stream_words(client, {request.id}, StreamEnd::kOpen);
+  });
+  auto client = fixture.platform_client();
+  std::vector<std::string> ids;
+  for (int i = 0; i < kCommands; ++i) {
+    ids.push_back("c" + std::to_string(100 + i));
+    client->post(platform_headers(ids.back(), "command"), kPlatformBody);
+  }
+  for (const std::string& id : ids) {
+    REQUIRE(fixture.until([&] { return client->body.find(id) != std::string::npos; }));
+    if (is_drained && id == ids.front()) {
+      fixture.platform.server().drain();
+      fixture.platform.server().stop_accepting();
+      fixture.platform.server().close_idle();
+    }
+    for (const std::size_t index : {0U, 1U})
+      for (const SlotId stream : std::exchange(fixture.writer(index).pending_clients, {}))
+        fixture.writer(index).server.end_response(stream);
+  }
+  CHECK(fixture.until([&] { return fixture.engine.open_request_count() == 0; }));
+  CHECK(fixture.until([&] { return client->is_closed == is_drained; }));
+  std::size_t position = 0;
+  for (const std::string& id : ids) {
+    CHECK(fixture.request_count("POST", Role::kWriter, id) == 1);
+    position = client->body.find(id, position);
+    REQUIRE(position != std::string::npos);
+  }
+}
+
 TEST_CASE("a broken stream ends the client's connection without the last chunk", "[platform]") {
   Fixture fixture(healthy_reader, [](FakeReplica& replica, SlotId client, const ReceivedRequest&) {
     replica.stream_words(client, {"half"}, StreamEnd::kOpen);
@@ -195,6 +230,25 @@
 }
 
 #ifndef __SANITIZE_ADDRESS__  // the sanitizer's probes of memory need a descriptor too
+// Lets the process open so many descriptors more until end().
+class DescriptorShortage {
+ public:
+  explicit DescriptorShortage(rlim_t free_descriptors) {
+    REQUIRE(getrlimit(RLIMIT_NOFILE, &before_) == 0);
+    // The iterator's own descriptor is among them, which is free again afterwards.
+    const auto listed = std::distance(std::filesystem::directory_iterator("/proc/self/fd"), {});
+    const rlimit few{static_cast<rlim_t>(listed) - 1 + free_descriptors, before_.rlim_max};
+    REQUIRE(setrlimit(RLIMIT_NOFILE, &few) == 0);
+  }
+  ~DescriptorShortage() { end(); }
+  DescriptorShortage(const DescriptorShortage&) = delete;
+  DescriptorShortage& operator=(const DescriptorShortage&) = delete;
+  void end() { setrlimit(RLIMIT_NOFILE, &before_); }
+
+ private:
+  rlimit before_{};
+};
+
 // Without a descriptor for it a client waits in the backlog; nobody else is disturbed, and it is served
 // later.
 TEST_CASE("a shortage of descriptors delays new clients and disturbs no others", "[platform]") {
@@ -202,12 +256,8 @@
   auto steady = fixture.platform_client();
   steady->get("/healthz");
   REQUIRE(fixture.until([&] { return steady->is_complete; }));
-  rlimit before{};
-  REQUIRE(getrlimit(RLIMIT_NOFILE, &before) == 0);
-  const auto open = std::distance(std::filesystem::directory_iterator("/proc/self/fd"), {});
   std::vector<std::unique_ptr<FakeClient>> crowd;
-  const rlimit few{static_cast<rlim_t>(open) + 5, before.rlim_max};
-  const bool lowered = setrlimit(RLIMIT_NOFILE, &few) == 0;
+  DescriptorShortage shortage(6);
   for (int i = 0; i < 12; ++i) {
     crowd.push_back(fixture.platform_client());
     crowd.back()->get("/healthz");
@@ -217,8 +267,7 @@
     return std::count_if(crowd.begin(), crowd.end(), [](const auto& client) { return client->is_complete; });
   };
   const auto served_then = served();
-  const bool restored = setrlimit(RLIMIT_NOFILE, &before) == 0;
-  REQUIRE((lowered && restored));
+  shortage.end();
   CHECK(served_then < 12);
   fixture.advance(milliseconds(100));
   // Those that got no socket of their own.
@@ -229,6 +278,42 @@
   REQUIRE(fixture.until([&] { return steady->is_finished(); }));
   CHECK(steady->status == 200);
 }
+
+// No client can be evicted, as the only one is owed its answer.
+TEST_CASE("a shortage of descriptors does not make accepting spin", "[platform]") {
+  Fixture fixture(healthy_reader, silent_replica);
+  auto steady = fixture.post("a1", "command");
+  REQUIRE(fixture.until([&] { return fixture.request_count("POST", Role::kWriter) == 1; }));
+  fixture.settle();
+  std::vector<std::unique_ptr<FakeClient>> crowd;
+  for (int i = 0; i < 3; ++i) {
+    crowd.push_back(fixture.platform_client());
+    crowd.back()->get("/healthz");
+  }
+  std::size_t handlers = 0;
+  const auto count_handlers = [&](int turns) {
+    for (int turn = 0; turn < turns; ++turn) {
+      fixture.io.restart();
+      handlers += fixture.io.poll();
+    }
+  };
+  DescriptorShortage shortage(0);
+  constexpr int kTurns = 2000;
+  count_handlers(kTurns);  // time stands still
+  CHECK(handlers <= 20);   // each of the three connects, writes and waits, and one accept fails
+  handlers = 0;
+  constexpr int kRetries = 50;
+  for (int retry = 0; retry < kRetries; ++retry) {
+    fixture.now += milliseconds(20);
+    fixture.timers.run(fixture.now);
+    count_handlers(kTurns / kRetries);
+  }
+  CHECK(handlers <= kRetries + 20);
+  shortage.end();
+  fixture.advance(milliseconds(40));
+  CHECK(fixture.until(
+      [&] { return std::ranges::all_of(crowd, [](const auto& client) { return client->is_complete; }); }));
+}
 #endif
 
 }  // namespace
