--- a/src/daemon/resource_limits.cpp
+++ b/src/daemon/resource_limits.cpp
@@ -1,7 +1,10 @@
 #include "daemon/resource_limits.hpp"
 
+#include <sys/resource.h>
+
 #include <algorithm>
 #include <chrono>
+#include <limits>
 
 #include "admin/admin_server.hpp"
 
@@ -27,9 +30,18 @@
 // Operators must be able to connect however many clients and endpoints are connected.
 constexpr std::size_t kSpareDescriptors = kInternalDescriptors + admin::kMaxConnections;
 
+// What the kernel lets this process open, which may be fewer than configured: clients would otherwise take
+// those that are kept for discovery, endpoints and releases.
+std::size_t max_open_files() {
+  rlimit limit{};
+  if (::getrlimit(RLIMIT_NOFILE, &limit) != 0) return std::numeric_limits<std::size_t>::max();
+  return limit.rlim_cur;
+}
+
 std::size_t connection_descriptors(const Config& config, ProcessCount processes) {
-  const std::size_t spare = std::min(kSpareDescriptors, config.max_descriptors / 2);
-  return (config.max_descriptors - spare) / count_of(processes);
+  const std::size_t descriptors = std::min(config.max_descriptors, max_open_files());
+  const std::size_t spare = std::min(kSpareDescriptors, descriptors / 2);
+  return (descriptors - spare) / count_of(processes);
 }
 
 }  // namespace
--- a/src/daemon/resource_limits.hpp
+++ b/src/daemon/resource_limits.hpp
@@ -1,4 +1,5 @@
-// How the configured descriptors and memory are divided between clients, endpoints and other uses.
+// How the configured descriptors, or those that the kernel allows where they are fewer, and the configured
+// memory are divided between clients, endpoints and other uses.
 #ifndef DISPATCHER_DAEMON_RESOURCE_LIMITS_HPP_
 #define DISPATCHER_DAEMON_RESOURCE_LIMITS_HPP_
 
--- a/tests/confine/confine_test.cpp
+++ b/tests/confine/confine_test.cpp
@@ -3,6 +3,7 @@
 // there.
 #include <signal.h>
 #include <spawn.h>
+#include <sys/resource.h>
 #include <sys/wait.h>
 #include <unistd.h>
 
@@ -11,6 +12,7 @@
 #include <sstream>
 
 #include "tests/fixtures/dispatcher_fixture.hpp"
+#include "tests/service_discovery/endpoint_watcher_fixture.hpp"
 
 extern char** environ;
 
@@ -133,11 +135,50 @@
   return false;
 }
 
+// The writers never answer it.
+constexpr const char* kHeldRequest = "c0ffee99";
+
+void hold_or_write(FakeReplica& replica, SlotId client, const ReceivedRequest& request) {
+  if (request.id != kHeldRequest) healthy_writer(replica, client, request);
+}
+
 struct Site {
   TestEventLoop work;
   FakeReplica reader{work, healthy_reader};
-  FakeReplica writer{work, healthy_writer};
+  FakeReplica writer{work, hold_or_write};
   int port = free_port();
+  std::unique_ptr<FakeClient> client() {
+    const auto loopback_address = boost::asio::ip::address_v4::loopback();
+    return std::make_unique<FakeClient>(
+        work, net::tcp::endpoint(loopback_address, static_cast<unsigned short>(port)));
+  }
+  [[nodiscard]] int releases() const {
+    return reader.count("DELETE", kHeldRequest) + writer.count("DELETE", kHeldRequest);
+  }
+  // Waits in real time; the number of rounds only ends a test that has failed.
+  template <class Condition>
+  bool until_late(Condition condition) {
+    constexpr int kMaxRounds = 10;
+    for (int round = 0; round < kMaxRounds; ++round)
+      if (work.until(condition)) return true;
+    return false;
+  }
+};
+
+// Lets the processes that are started from now on open only so many descriptors.
+class InheritedDescriptorLimit {
+ public:
+  explicit InheritedDescriptorLimit(rlim_t max_descriptors) {
+    REQUIRE(::getrlimit(RLIMIT_NOFILE, &before_) == 0);
+    const rlimit changed{max_descriptors, before_.rlim_max};
+    REQUIRE(::setrlimit(RLIMIT_NOFILE, &changed) == 0);
+  }
+  ~InheritedDescriptorLimit() { ::setrlimit(RLIMIT_NOFILE, &before_); }
+  InheritedDescriptorLimit(const InheritedDescriptorLimit&) = delete;
+  InheritedDescriptorLimit& operator=(const InheritedDescriptorLimit&) = delete;
+
+ private:
+  rlimit before_{};
 };
 
 TEST_CASE("confined as on the fleet, the daemon starts, streams, reloads and drains", "[confine]") {
@@ -147,12 +188,11 @@
   daemon.start();
   REQUIRE(becomes_healthy(site.work, site.port));
 
-  FakeClient client(site.work,
-                    {boost::asio::ip::address_v4::loopback(), static_cast<unsigned short>(site.port)});
-  client.post(platform_headers("c0ffee01", "ask"), chat_body("ask", ResponseMode::kStream));
-  REQUIRE(site.work.until([&] { return client.is_complete; }));
-  CHECK(client.status == 200);
-  CHECK(client.body.find("yes") != std::string::npos);
+  const auto client = site.client();
+  client->post(platform_headers("c0ffee01", "ask"), chat_body("ask", ResponseMode::kStream));
+  REQUIRE(site.work.until([&] { return client->is_complete; }));
+  CHECK(client->status == 200);
+  CHECK(client->body.find("yes") != std::string::npos);
   CHECK(site.writer.count("POST", "c0ffee01") == 1);
 
   daemon.write_config(configuration(site.port, 2, site.reader, site.writer));
@@ -167,6 +207,46 @@
   CHECK(daemon.report() == "confined\n");
 }
 
+// The kernel allows fewer descriptors than the file (256), and more idle clients come than there are of
+// either.
+TEST_CASE("with its descriptors full of idle clients the daemon reaches discovery and replicas",
+          "[confine]") {
+  Site site;
+  Agent discovery(site.work);
+  ConfinedProcess daemon(DISPATCHER_DAEMON, {});
+  daemon.write_config(configuration(site.port, discovery.address().port(), site.reader, site.writer));
+  discovery.reject();  // its socket must not be inherited, which would keep the port open
+  {
+    const InheritedDescriptorLimit limit(96);
+    daemon.start();
+  }
+  discovery.listen();
+  REQUIRE(becomes_healthy(site.work, site.port));
+  REQUIRE(site.until_late([&] { return discovery.request_count() == 1; }));
+  discovery.reject();
+  Agent::reset(*discovery.calls[0]);
+  std::vector<std::unique_ptr<FakeClient>> idle_clients;
+  for (int i = 0; i < 300; ++i) {
+    idle_clients.push_back(site.client());
+    idle_clients.back()->get("/healthz");
+    REQUIRE(site.work.until([&] { return idle_clients.back()->is_finished(); }));
+  }
+  discovery.listen();
+  CHECK(site.until_late([&] { return discovery.request_count() >= 2; }));
+  const auto served = site.client();
+  served->post(platform_headers("c0ffee01", "ask"), kPlatformBody);
+  CHECK(site.until_late([&] { return served->is_finished(); }));
+  CHECK(served->status == 200);
+  const auto leaving = site.client();
+  leaving->post(platform_headers(kHeldRequest, "ask"), kPlatformBody);
+  CHECK(site.until_late([&] { return site.writer.count("POST", kHeldRequest) == 1; }));
+  leaving->close();
+  CHECK(site.until_late([&] { return site.releases() > 0; }));
+  daemon.signal(SIGTERM);
+  CHECK(site.until_late([&] { return daemon.log().find("drained") != std::string::npos; }));
+  CHECK(daemon.wait_end() == 0);
+}
+
 TEST_CASE("a hand-over socket in TMPDIR that the filter refuses is logged, and the daemon starts",
           "[confine]") {
   Site site;
