--- a/tests/platform_api/platform_api_test.cpp
+++ b/tests/platform_api/platform_api_test.cpp
@@ -294,7 +294,7 @@
   const auto count_handlers = [&](int turns) {
     for (int turn = 0; turn < turns; ++turn) {
       fixture.io.restart();
-      handlers += fixture.io.poll();
+      handlers += fixture.io.poll_one();
     }
   };
   DescriptorShortage shortage(0);
--- a/tests/upstream/time_left_test.cpp
+++ b/tests/upstream/time_left_test.cpp
@@ -15,6 +15,18 @@
   });
 }
 
+// Runs one handler after another, so that the loop stops between the start of a connection and its
+// establishment.
+template <class Condition>
+bool runs_until(Fixture& fixture, Condition condition) {
+  constexpr int kMaxHandlers = 1000;
+  for (int i = 0; i < kMaxHandlers && !condition(); ++i) {
+    fixture.io.restart();
+    fixture.io.run_one_for(milliseconds(1));
+  }
+  return condition();
+}
+
 TEST_CASE("a request on a connection that is established late tells the time that is left then",
           "[time_left]") {
   const auto setup_time = GENERATE(milliseconds(0), milliseconds(200), milliseconds(900));
@@ -37,13 +49,10 @@
         fixture.reader(index).reject_unprocessed(client, 503);
   };
   REQUIRE(fixture.until([&] { return fixture.posts() == 1; }));
-  fixture.now += milliseconds(100);
   reject_reads();
-  for (int i = 0; i < 100 && fixture.posts() < 2; ++i) {
-    fixture.now += milliseconds(20);  // its connection is established late as well
-    fixture.settle();
-    fixture.timers.run(fixture.now);
-  }
+  REQUIRE(runs_until(fixture, [&] { return fixture.pool.open_connections() == 2; }));
+  fixture.now += milliseconds(200);  // the retry's connection is not established yet
+  fixture.settle();
   REQUIRE(fixture.posts() == 2);
   CHECK(tells_time_left(fixture, deadline));
 }
@@ -74,7 +83,7 @@
   auto client = fixture.platform_client();
   client->post(platform_headers("a1", "ask", time_left_ms), kPlatformBody);
   const engine::Time deadline = fixture.now + milliseconds(time_left_ms);
-  REQUIRE(fixture.until([&] { return client->is_finished() || fixture.engine.open_request_count() > 0; }));
+  REQUIRE(runs_until(fixture, [&] { return client->is_finished() || fixture.pool.open_connections() > 0; }));
   fixture.now += setup_time;
   fixture.settle();
   while (!client->is_finished() && fixture.now < deadline + kMaxAnswerDelay) fixture.advance(milliseconds(5));
