--- a/src/daemon/loop.hpp
+++ b/src/daemon/loop.hpp
@@ -5,6 +5,7 @@
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/steady_timer.hpp>
 #include <chrono>
+#include <utility>
 
 #include "engine/timer_queue.hpp"
 
@@ -16,11 +17,13 @@
   Loop() : timer_(io_), anchor_(system_now() - steady_now()) {
     timers_.set_earlier_deadline_callback([this] { arm(); });
   }
+  // Has a clock of the caller's, who also runs the timer queue by it: for tests in virtual time.
+  explicit Loop(engine::Clock clock) : timer_(io_), clock_(std::move(clock)) {}
   boost::asio::io_context& io() { return io_; }
   engine::TimerQueue& timers() { return timers_; }
   // A steady clock that counts from the Unix epoch, since service discovery reports start times in Unix time.
   // The system clock is read once, at the start: later adjustments of it move no deadline.
-  [[nodiscard]] engine::Time now() const { return anchor_ + steady_now(); }
+  [[nodiscard]] engine::Time now() const { return clock_ ? clock_() : anchor_ + steady_now(); }
   engine::Clock clock() {
     return [this] { return now(); };
   }
@@ -48,7 +51,8 @@
   boost::asio::io_context io_{1};
   boost::asio::steady_timer timer_;
   engine::TimerQueue timers_;
-  engine::Time anchor_;  // Unix time minus steady time, at construction
+  engine::Time anchor_{};  // Unix time minus steady time, at construction
+  engine::Clock clock_;    // empty: the system's
 };
 
 }  // namespace dispatcher::daemon
--- a/tests/daemon/drain_test.cpp
+++ b/tests/daemon/drain_test.cpp
@@ -1,57 +1,19 @@
 // The graceful shutdown of a complete dispatcher: it finishes the requests it has accepted, and ends by
 // itself.
 #include <array>
-#include <boost/asio/write.hpp>
+#include <csignal>
 
-#include "tests/fixtures/daemon_fixture.hpp"
+#include "tests/fixtures/process_fixture.hpp"
 
 namespace dispatcher::testing {
 namespace {
 
-// A dispatcher on its own event loop and clock, with stand-in replicas on the test's.
-struct DrainFixture {
+// A dispatcher that runs.
+struct DrainFixture : ProcessFixture {
   DrainFixture(FakeReplica::Behavior reads, FakeReplica::Behavior writes)
-      : reader(work, std::move(reads)), writer(work, std::move(writes)) {
-    config.initial_endpoints.scope = upstream::ListScope::kComplete;
-    config.initial_endpoints.list.kind = routing::ListKind::kFull;
-    add("r", "reader", reader.server.local());
-    add("w", "writer", writer.server.local());
-    dispatcher.emplace(loop, config, daemon::FeatureFiles{},
-                       [this](std::string_view entry) { logs.emplace_back(entry); });
-    dispatcher->start();
+      : ProcessFixture(std::move(reads), std::move(writes)) {
+    start();
   }
-  void add(const std::string& endpoint, const std::string& kind, const net::tcp::endpoint& at) {
-    config.initial_endpoints.list.entries.push_back(
-        {endpoint, "here", kind, 0, routing::EndpointState::kReady, 1, {}});
-    config.initial_endpoints.addresses.push_back({endpoint, at, true, false, "here", 0});
-  }
-  // Runs both sides until the condition holds; the timeout only ends a test that has failed.
-  template <class Condition>
-  bool until(Condition condition) {
-    const auto timeout = std::chrono::steady_clock::now() + seconds(20);
-    while (std::chrono::steady_clock::now() < timeout) {
-      work.now += milliseconds(1);
-      work.timers.run(work.now);
-      work.io.restart();
-      const bool busy = work.io.poll() > 0;
-      if (!loop.io().stopped() && loop.io().poll() == 0 && !busy)
-        std::this_thread::sleep_for(std::chrono::microseconds(200));
-      if (condition()) return true;
-    }
-    return false;
-  }
-  // Waits for the dispatcher to end by itself.
-  bool ends_drained() {
-    return until([&] { return loop.io().stopped(); }) && logs.back() == "drained";
-  }
-  std::unique_ptr<FakeClient> client() { return std::make_unique<FakeClient>(work, dispatcher->address()); }
-  TestEventLoop work;
-  daemon::Loop loop;
-  daemon::Config config = make_daemon_config();
-  std::vector<std::string> logs;
-  FakeReplica reader;
-  FakeReplica writer;
-  std::optional<daemon::Dispatcher> dispatcher;
 };
 
 TEST_CASE("a draining dispatcher finishes a request in each of its phases", "[drain]") {
@@ -112,7 +74,7 @@
   REQUIRE(fixture.until([&] { return idle->is_complete; }));
   partial->send("POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\n" + platform_headers("a2", "ask") +
                 "Content-Length: 2\r\n\r\n{");
-  fixture.until([&] { return fixture.work.io.poll() == 0; });
+  fixture.settle();
   fixture.dispatcher->drain();
   auto late = fixture.client();  // connections still come for 0.4 s
   late->post(platform_headers("a3", "command"), "{}");
@@ -129,7 +91,7 @@
   idle->post(platform_headers("a4", "command"), "{}");  // after the half-close
   partial->close();
   late->close();
-  fixture.until([&] { return fixture.work.io.poll() == 0; });
+  fixture.settle();
   idle->close();
   CHECK(fixture.ends_drained());
   CHECK(fixture.reader.received.size() == requests_before);
@@ -148,5 +110,63 @@
   CHECK(fixture.reader.count("DELETE", "a1") + fixture.writer.count("DELETE", "a1") >= 1);
 }
 
+// Replicas and discovery are silent from some moment on, and what is written to them arrives after the end.
+struct PartitionFixture : ProcessFixture {
+  PartitionFixture() : ProcessFixture(healthy_reader, silent_replica), other_writer(network, silent_replica) {
+    add("w2", other_writer);
+    start();
+  }
+  // Sends a request with enough time left for a retry.
+  void post(const std::string& id, const std::string& request_class) {
+    requests.push_back(client());
+    requests.back()->post(platform_headers(id, request_class, kTimeLeftMs), "{}");
+  }
+  [[nodiscard]] int writes(const std::string& id) const {
+    return writer.count("POST", id) + other_writer.count("POST", id);
+  }
+  [[nodiscard]] bool has_answered_all() const {
+    return std::ranges::all_of(requests, [](const auto& request) { return request->is_finished(); });
+  }
+  static constexpr int kTimeLeftMs = 4000;
+  FakeReplica other_writer;
+  std::vector<std::unique_ptr<FakeClient>> requests;
+};
+
+TEST_CASE("SIGTERM in a partition: every request is answered, no command runs twice, and the process ends",
+          "[drain]") {
+  constexpr milliseconds kLateAnswer{500};  // later than this a request counts as lost
+  constexpr seconds kReleaseWait{3};        // for a reservation that can't be released
+  constexpr milliseconds kLingering{500};
+  PartitionFixture fixture;
+  fixture.post("held", "command");  // its reservation is not released
+  REQUIRE(fixture.until([&] { return fixture.writes("held") == 1; }));
+  auto idle = fixture.client();
+  auto partial = fixture.client();
+  partial->send("POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nContent-Length: 2\r\n\r\n{");
+  fixture.is_partitioned = true;
+  fixture.post("waiting", "command");
+  fixture.post("idempotent", "ask");
+  fixture.settle();
+  std::raise(SIGTERM);
+  const engine::Time terminated_at = fixture.clients.now;
+  fixture.post("late", "command");
+  const engine::Time deadline = terminated_at + milliseconds(PartitionFixture::kTimeLeftMs);
+  REQUIRE(fixture.until([&] { return fixture.has_answered_all(); }));
+  CHECK(fixture.clients.now <= deadline + kLateAnswer);
+  for (const auto& request : fixture.requests) CHECK((request->is_closed || request->status >= 500));
+  CHECK(fixture.ends_drained());
+  CHECK(fixture.clients.now <= deadline + kLateAnswer + kReleaseWait + kLingering);
+  fixture.settle();
+  CHECK(idle->is_closed);
+  CHECK(partial->is_finished());
+  fixture.dispatcher.reset();
+  fixture.is_partitioned = false;
+  fixture.settle();
+  CHECK(fixture.reader.count("DELETE", "held") + fixture.writer.count("DELETE", "held") +
+            fixture.other_writer.count("DELETE", "held") >=
+        1);
+  for (const char* id : {"held", "waiting", "late"}) CHECK(fixture.writes(id) <= 1);
+}
+
 }  // namespace
 }  // namespace dispatcher::testing
