--- a/tests/daemon/drain_test.cpp
+++ b/tests/daemon/drain_test.cpp
@@ -124,6 +124,13 @@
   [[nodiscard]] int writes(const std::string& id) const {
     return writer.count("POST", id) + other_writer.count("POST", id);
   }
+  // Ends the connection on which a writer got the request.
+  void break_connection(const std::string& id) {
+    for (FakeReplica* replica : {&writer, &other_writer}) {
+      for (std::size_t i = 0; i < replica->pending_clients.size(); ++i)
+        if (replica->received[i].id == id) replica->server.abort(replica->pending_clients[i]);
+    }
+  }
   [[nodiscard]] bool has_answered_all() const {
     return std::ranges::all_of(requests, [](const auto& request) { return request->is_finished(); });
   }
@@ -139,10 +146,12 @@
   constexpr milliseconds kLingering{500};
   PartitionFixture fixture;
   fixture.post("held", "command");  // its reservation is not released
-  REQUIRE(fixture.until([&] { return fixture.writes("held") == 1; }));
+  fixture.post("broken", "command");
+  REQUIRE(fixture.until([&] { return fixture.writes("held") == 1 && fixture.writes("broken") == 1; }));
   auto idle = fixture.client();
   auto partial = fixture.client();
   partial->send("POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nContent-Length: 2\r\n\r\n{");
+  fixture.break_connection("broken");
   fixture.is_partitioned = true;
   fixture.post("waiting", "command");
   fixture.post("idempotent", "ask");
@@ -165,7 +174,7 @@
   CHECK(fixture.reader.count("DELETE", "held") + fixture.writer.count("DELETE", "held") +
             fixture.other_writer.count("DELETE", "held") >=
         1);
-  for (const char* id : {"held", "waiting", "late"}) CHECK(fixture.writes(id) <= 1);
+  for (const char* id : {"held", "broken", "waiting", "late"}) CHECK(fixture.writes(id) <= 1);
 }
 
 }  // namespace
