--- a/src/engine/endpoint_roles.cpp
+++ b/src/engine/endpoint_roles.cpp
@@ -1,7 +1,6 @@
 #include "engine/endpoint_roles.hpp"
 
-#include <algorithm>
-#include <utility>
+#include <cstddef>
 
 namespace dispatcher::engine {
 
@@ -13,9 +12,8 @@
 }  // namespace
 
 void EndpointRoles::update(const routing::EndpointList& list, const routing::Settings& settings) {
-  if (list.kind != routing::ListKind::kDelta) {
-    for (const auto& [endpoint, role] : std::exchange(roles_, {})) remember_removed(endpoint);
-  }
+  std::map<routing::EndpointId, routing::Role> previous;
+  if (list.kind != routing::ListKind::kDelta) previous.swap(roles_);
   for (const routing::EndpointInfo& entry : list.entries) {
     if (entry.state == routing::EndpointState::kRemoved) {
       if (roles_.erase(entry.endpoint) > 0) remember_removed(entry.endpoint);
@@ -25,17 +23,22 @@
       if (kind.name == entry.kind) roles_[entry.endpoint] = kind.role;
     }
   }
+  for (const auto& [endpoint, role] : previous) {
+    if (!roles_.contains(endpoint)) remember_removed(endpoint);
+  }
 }
 
 void EndpointRoles::remember_removed(const routing::EndpointId& endpoint) {
-  std::erase(removed_, endpoint);
+  const bool is_new = removed_names_.insert(endpoint).second;
+  if (!is_new) std::erase(removed_, endpoint);
   removed_.push_back(endpoint);
-  if (removed_.size() > kMaxRemovedEndpoints) removed_.pop_front();
+  if (removed_.size() <= kMaxRemovedEndpoints) return;
+  removed_names_.erase(removed_.front());
+  removed_.pop_front();
 }
 
 bool EndpointRoles::is_known(const routing::EndpointId& endpoint) const {
-  if (roles_.contains(endpoint)) return true;
-  return std::find(removed_.begin(), removed_.end(), endpoint) != removed_.end();
+  return roles_.contains(endpoint) || removed_names_.contains(endpoint);
 }
 
 bool EndpointRoles::is_reader(const routing::EndpointId& endpoint) const {
--- a/src/engine/endpoint_roles.hpp
+++ b/src/engine/endpoint_roles.hpp
@@ -5,6 +5,7 @@
 #include <cstddef>
 #include <deque>
 #include <map>
+#include <set>
 #include <string>
 
 #include "routing/router.hpp"
@@ -28,6 +29,7 @@
 
   std::map<routing::EndpointId, routing::Role> roles_;  // by endpoint
   std::deque<routing::EndpointId> removed_;             // the one removed last at the back
+  std::set<routing::EndpointId> removed_names_;         // the same ones, to be found fast
 };
 
 }  // namespace dispatcher::engine
--- a/src/service_discovery/endpoint_snapshot.cpp
+++ b/src/service_discovery/endpoint_snapshot.cpp
@@ -5,6 +5,7 @@
 #include <cmath>
 #include <cstddef>
 #include <string>
+#include <unordered_map>
 #include <utility>
 
 namespace dispatcher::service_discovery {
@@ -134,6 +135,23 @@
   return (at.address().is_v6() ? "[" + address + "]" : address) + ":" + port;
 }
 
+// Removes the endpoints that the changes name; the others keep their order.
+void erase_changed(EndpointSnapshot& snapshot,
+                   const std::unordered_map<routing::EndpointId, std::size_t>& changes) {
+  auto& entries = snapshot.list.entries;
+  std::size_t kept = 0;
+  for (std::size_t i = 0; i < entries.size(); ++i) {
+    if (changes.contains(entries[i].endpoint)) continue;
+    if (kept != i) {
+      entries[kept] = std::move(entries[i]);
+      snapshot.addresses[kept] = std::move(snapshot.addresses[i]);
+    }
+    ++kept;
+  }
+  entries.resize(kept);
+  snapshot.addresses.resize(kept);
+}
+
 }  // namespace
 
 SnapshotError::SnapshotError(SnapshotProblem problem, std::string field)
@@ -182,17 +200,14 @@
     return;
   }
   snapshot.version = update.version;
+  std::unordered_map<routing::EndpointId, std::size_t> last_change;  // of an endpoint that is listed twice
+  for (std::size_t i = 0; i < update.list.entries.size(); ++i)
+    last_change[update.list.entries[i].endpoint] = i;
+  erase_changed(snapshot, last_change);
   for (std::size_t i = 0; i < update.list.entries.size(); ++i) {
     const EndpointInfo& changed = update.list.entries[i];
-    auto& entries = snapshot.list.entries;
-    const auto it = std::find_if(entries.begin(), entries.end(),
-                                 [&](const EndpointInfo& info) { return info.endpoint == changed.endpoint; });
-    if (it != entries.end()) {
-      snapshot.addresses.erase(snapshot.addresses.begin() + (it - entries.begin()));
-      entries.erase(it);
-    }
-    if (changed.state == EndpointState::kRemoved) continue;
-    entries.push_back(changed);
+    if (changed.state == EndpointState::kRemoved || last_change[changed.endpoint] != i) continue;
+    snapshot.list.entries.push_back(changed);
     snapshot.addresses.push_back(update.addresses[i]);
   }
 }
