--- a/tests/routing/reader_selection_test.cpp
+++ b/tests/routing/reader_selection_test.cpp
@@ -64,7 +64,7 @@
   };
   const std::set<int> sessions = sessions_at_unobserved("r1", "r2");
   EXPECT_EQ(sessions, sessions_at_unobserved("r2", "r1"));
-  EXPECT_NEAR(sessions.size(), kSessions / 3, 15);
+  EXPECT_NEAR(static_cast<double>(sessions.size()), kSessions / 3.0, 15);
 }
 
 TEST(ReaderSelection, MixedEndpointServesBothStagesOfItsRequests) {
