--- a/src/routing/endpoint_table.cpp
+++ b/src/routing/endpoint_table.cpp
@@ -34,11 +34,8 @@
   role.ejected += endpoint.is_ejected ? 1 : 0;
   role.queue_delay_ratio_sum += endpoint.queue_delay_ratio;
   role.delayed += endpoint.queue_delay_ratio > 0 ? 1 : 0;
-  const LoadReport& report = endpoint.report;
-  role.reporting += report.prompt_kilotokens || report.memory_share ? 1 : 0;
-  role.prompt_tokens += kTokensPerKilotoken * report.prompt_kilotokens.value_or(0);
-  role.memory_share += report.memory_share.value_or(0);
-  role.tokens_since_report += report.prompt_kilotokens ? endpoint.tokens_since_report : 0;
+  role.prompt_tokens += kTokensPerKilotoken * endpoint.report.prompt_kilotokens.value_or(0);
+  role.memory_share += endpoint.report.memory_share.value_or(0);
 }
 
 }  // namespace
@@ -119,15 +116,16 @@
 
 std::array<RoleStatistics, kRoles> EndpointTable::statistics_by_role() const {
   std::array<RoleStatistics, kRoles> result;
+  std::array<double, kRoles> reports{};
   for (const auto& [name, endpoint] : endpoints_) {
     if (endpoint.state != EndpointState::kReady) continue;
-    add_endpoint(result[role_index(endpoint.role)], endpoint);
+    const std::size_t role = role_index(endpoint.role);
+    add_endpoint(result[role], endpoint);
+    if (endpoint.report.prompt_kilotokens || endpoint.report.memory_share) reports[role] += 1;
   }
-  for (RoleStatistics& role : result) {
-    const double reporting = std::max(1.0, role.reporting);
-    role.prompt_tokens /= reporting;
-    role.memory_share /= reporting;
-    role.tokens_since_report /= reporting;
+  for (std::size_t role = 0; role < kRoles; ++role) {
+    result[role].prompt_tokens /= std::max(1.0, reports[role]);
+    result[role].memory_share /= std::max(1.0, reports[role]);
   }
   return result;
 }
--- a/src/routing/endpoint_table.hpp
+++ b/src/routing/endpoint_table.hpp
@@ -17,10 +17,9 @@
 struct RoleStatistics {
   double ready = 0, ejected = 0;  // numbers of endpoints
   double queue_delay_ratio_sum = 0;
-  double delayed = 0;    // endpoints with a queue delay
-  double reporting = 0;  // endpoints that have reported prompt tokens or memory
-  // Means over the endpoints that have reported: what they reported, and what this router sent them since.
-  double prompt_tokens = 0, memory_share = 0, tokens_since_report = 0;
+  double delayed = 0;        // endpoints with a queue delay
+  double prompt_tokens = 0;  // mean over the endpoints that report
+  double memory_share = 0;   // mean over the endpoints that report
 };
 
 // The endpoints that service discovery lists, and removed ones with attempts in flight or waiting states.
--- a/src/routing/load_estimate.cpp
+++ b/src/routing/load_estimate.cpp
@@ -25,13 +25,10 @@
   return mean + (value - mean) * std::exp2(-age / to_seconds(kReportHalfLife));
 }
 
-bool is_unobserved(const Endpoint& endpoint, const RoleStatistics& role) {
-  return role.reporting > 0 && endpoint.reported_at == Time{} && endpoint.tokens_since_report <= 0;
-}
-
+// An endpoint that never reported counts as idle but for what this router sent. Counting it as average kept
+// 300 routers, each of which receives few reports, from finding idle endpoints.
 double prompt_load(const Context& context, const Endpoint& endpoint, const RoleStatistics& role) {
   double tokens = endpoint.pending_prompt_tokens;
-  if (is_unobserved(endpoint, role)) tokens = role.prompt_tokens + role.tokens_since_report;
   if (const auto& reported = endpoint.report.prompt_kilotokens; reported)
     tokens = aged_report(context, endpoint, kTokensPerKilotoken * *reported, role.prompt_tokens) +
              endpoint.tokens_since_report;
--- a/src/routing/load_estimate.hpp
+++ b/src/routing/load_estimate.hpp
@@ -15,10 +15,6 @@
 // A reported value, moved towards the mean of all reports the more, the older it is.
 [[nodiscard]] double aged_report(const Context& context, const Endpoint& endpoint, double value, double mean);
 
-// Whether this router knows nothing of the endpoint's load, while others of its role report theirs: it has
-// not reported since it started, and this router has sent it nothing.
-[[nodiscard]] bool is_unobserved(const Endpoint& endpoint, const RoleStatistics& role);
-
 // Work that waits at an endpoint which reads prompts, in prompt tokens; more at one that is slow or warming
 // up, by the same factor.
 [[nodiscard]] double prompt_load(const Context& context, const Endpoint& endpoint,
--- a/src/routing/reader_selection.cpp
+++ b/src/routing/reader_selection.cpp
@@ -27,9 +27,7 @@
 constexpr double kTieBand = 0.05;            // scores this close to the best are ties, resolved by hash
 constexpr double kMixedTieShare = 0.8;       // weight in ties of a mixed endpoint, relative to a reader
 constexpr double kRemoteTieShare = 0.4;      // the same of a reader with no writer in its zone
-// Added to the score of an endpoint that is to be tried, as no score would show that it is the best:
-constexpr double kWarmupDrawBonus = 0.3;      // where slow start has drawn the request
-constexpr double kUnobservedHomeBonus = 0.3;  // where it is unobserved and the home of the request's key
+constexpr double kWarmupDrawBonus = 0.3;     // added to the score where slow start has drawn the request
 
 // An eligible endpoint.
 struct Candidate {
@@ -58,30 +56,6 @@
   return weighted_rendezvous(key, endpoint.name_hash, endpoint.weight * capacity * share);
 }
 
-// The candidate that ties of this key go to, if all candidates tie.
-Candidate& home_of(const SelectionContext& selection, const RoleBalance& balance, std::uint64_t key,
-                   std::vector<Candidate>& candidates) {
-  const auto weight = [&](const Candidate& candidate) {
-    return tie_break(selection, balance, *candidate.endpoint, key);
-  };
-  return *std::max_element(candidates.begin(), candidates.end(),
-                           [&](const auto& left, const auto& right) { return weight(left) < weight(right); });
-}
-
-// An unobserved endpoint counts as average, and would hardly be chosen beside one that reports less. Where
-// each router receives few reports, all would then prefer the few endpoints that they know, each router
-// others, and a key's requests would be scattered over readers. Its own keys try it instead, the same at all
-// routers.
-void favor_unobserved_home(const SelectionContext& selection, const RoleBalance& balance, std::uint64_t key,
-                           const RoleLoads& loads, std::vector<Candidate>& candidates) {
-  const auto is_to_be_tried = [&](const Candidate& candidate) {
-    return is_unobserved(*candidate.endpoint, loads.statistics[role_index(candidate.endpoint->role)]);
-  };
-  if (std::none_of(candidates.begin(), candidates.end(), is_to_be_tried)) return;
-  Candidate& home = home_of(selection, balance, key, candidates);
-  if (is_to_be_tried(home)) home.score += kUnobservedHomeBonus;
-}
-
 // The eligible endpoints with their loads. A reader is eligible only while an attempt at a writer is left
 // too.
 std::vector<Candidate> find_candidates(const SelectionContext& selection, const RequestState& state,
@@ -122,9 +96,9 @@
                : endpoint.waiting_states / loads.max_states;
 }
 
-// Sets the scores.
-void set_scores(const SelectionContext& selection, const RequestState& state,
-                std::vector<Candidate>& candidates) {
+// Sets the scores. Returns the highest.
+double set_scores(const SelectionContext& selection, const RequestState& state,
+                  std::vector<Candidate>& candidates) {
   double min_load = std::numeric_limits<double>::max();
   double max_load = 0;
   for (const Candidate& candidate : candidates) {
@@ -133,6 +107,7 @@
   }
   const double spread = std::clamp(max_load - min_load, kMinLoadSpread, kMaxLoadSpread);
   const double prompt_tokens = state.request.prompt_tokens;
+  double max_score = 0;
   for (Candidate& candidate : candidates) {
     const double prefix = prompt_tokens > 0 ? cached_tokens(*candidate.endpoint, state) / prompt_tokens : 0;
     const double free_load = std::clamp(1 - (candidate.load - min_load) / spread, 0.0, 1.0);
@@ -141,13 +116,9 @@
         (kPrefixWeight * prefix + kLoadWeight * free_load + kMemoryWeight * free_memory) / kTotalWeight;
     if (selection.slow_start.admits_by_draw(selection.context, *candidate.endpoint))
       candidate.score += kWarmupDrawBonus;
+    max_score = std::max(max_score, candidate.score);
   }
-}
-
-double highest_score(const std::vector<Candidate>& candidates) {
-  double highest = 0;
-  for (const Candidate& candidate : candidates) highest = std::max(highest, candidate.score);
-  return highest;
+  return max_score;
 }
 
 // The candidate with the highest weighted sum of prefix match, free capacity and free memory, each from 0 to
@@ -157,9 +128,7 @@
   RoleLoads loads{selection.endpoints.statistics_by_role()};
   std::vector<Candidate> candidates = find_candidates(selection, state, loads);
   for (Candidate& candidate : candidates) normalize(selection, balance, loads, candidate);
-  set_scores(selection, state, candidates);
-  favor_unobserved_home(selection, balance, state.affinity_key, loads, candidates);
-  const double max_score = highest_score(candidates);
+  const double max_score = set_scores(selection, state, candidates);
   Endpoint* best = nullptr;
   double best_tie_break = 0;
   for (const Candidate& candidate : candidates) {
