--- a/src/settings/consistency_checks.cpp
+++ b/src/settings/consistency_checks.cpp
@@ -18,11 +18,11 @@
 using routing::Settings;
 using routing::Tenant;
 
-// The router revisits waiting requests at this interval, rounded up to a multiple of the tick: kTimerInterval
-// of src/routing/retry_policy.cpp.
+// The router checks waiting requests at this interval, rounded up to a multiple of the tick. Same value as
+// kTimerInterval in src/routing/retry_policy.cpp.
 constexpr Duration kTimerInterval = std::chrono::milliseconds(20);
-// Part of the reservation limit after which the router releases a waiting state: kReservationShare there. In
-// tenths, as integers keep the minimum exact.
+// The router releases a waiting prompt state after this part of the reservation limit. Same value as
+// kReservationShare in src/routing/retry_policy.cpp, but in tenths: integers keep the minimum limit exact.
 constexpr int kReservationTenths = 7;
 constexpr double kMicrosecondsPerSecond = 1e6;
 
@@ -31,7 +31,7 @@
                      [&](const EndpointKind& kind) { return kind.role == role; });
 }
 
-// The smallest value of a duration over all classes, of which there must be at least one.
+// Returns the smallest value of a duration over all classes. There must be at least one class.
 Duration shortest(const Settings& settings, Duration RequestClass::*time) {
   const auto is_shorter = [&](const auto& one, const auto& other) { return one.*time < other.*time; };
   return *std::min_element(settings.classes.begin(), settings.classes.end(), is_shorter).*time;
@@ -43,15 +43,15 @@
   return sum;
 }
 
-// The shortest reservation limit under which a prompt's state can wait for a writer: what remains of the
-// limit after kReservationTenths must cover one timer interval.
+// Returns the shortest reservation limit under which a prompt's state can wait for a writer: the part of the
+// limit that remains after kReservationTenths must cover one timer interval.
 Duration min_reservation_limit(const Settings& settings) {
   const Duration tick = std::max(settings.tick, Duration(1));
   const Duration next_timer = (kTimerInterval + tick - Duration(1)) / tick * tick;
   return next_timer * 10 / (10 - kReservationTenths);
 }
 
-// Whether one endpoint can both read a request's prompt and write its answer.
+// Returns whether one endpoint can both read a request's prompt and write its answer.
 bool has_single_stage_kind(const Settings& settings) {
   return has_kind(settings, Role::kMixed) ||
          (settings.writers_can_prefill && has_kind(settings, Role::kWriter));
@@ -61,10 +61,10 @@
   if (has_single_stage_kind(settings)) return;
   if (!has_kind(settings, Role::kReader))
     findings.add_error(path(keys::kRoles), "no kind reads a prompt",
-                       std::string("one of duty 'read' or 'both', or ") + keys::kWritersCanPrefill.name +
-                           " with one that writes");
+                       std::string("a kind of duty 'read' or 'both', or ") + keys::kWritersCanPrefill.name +
+                           " and a kind of duty 'write'");
   if (!has_kind(settings, Role::kWriter))
-    findings.add_error(path(keys::kRoles), "no kind writes an answer", "one of duty 'write' or 'both'");
+    findings.add_error(path(keys::kRoles), "no kind writes an answer", "a kind of duty 'write' or 'both'");
   if (settings.max_attempts == 1)
     findings.add_error(path(keys::kMaxAttempts),
                        "1, but a request is read by one attempt and written by another",
@@ -76,11 +76,12 @@
   const bool has_writer = has_kind(settings, Role::kWriter);
   const bool has_mixed = has_kind(settings, Role::kMixed);
   if (settings.writers_can_prefill && !has_writer)
-    findings.add_warning(path(keys::kWritersCanPrefill), "true, but no kind writes only: it changes nothing",
+    findings.add_warning(path(keys::kWritersCanPrefill),
+                         "true, but has no effect without a kind of duty 'write'",
                          "false, or a kind of duty 'write'");
   if (settings.may_reserve_slots && (!has_reader || !(has_writer || has_mixed)))
     findings.add_warning(path(keys::kMayReserveSlots),
-                         "true, but without a kind that reads and one that writes no slot is reserved ahead",
+                         "true, but no slot is reserved without a kind that reads and one that writes",
                          "false");
   if (settings.may_hedge && settings.max_attempts == 1)
     findings.add_warning(path(keys::kMayHedge), "true, but with one attempt there is no hedged request",
@@ -99,13 +100,13 @@
         return request_class.idempotency != Idempotency::kNonIdempotent;
       });
   if (settings.may_migrate_streams && !settings.classes.empty() && !has_retryable_class)
-    findings.add_warning(path(keys::kMayMigrateStreams), "true, but no class may be repeated",
+    findings.add_warning(path(keys::kMayMigrateStreams), "true, but requests of no class may be repeated",
                          "a class whose repeat is 'safe' or 'keyed'");
   for (std::size_t i = 0; i < settings.classes.size(); ++i) {
     const RequestClass& request_class = settings.classes[i];
     if (request_class.idempotency == Idempotency::kKeyed && request_class.deduplication_window.count() == 0)
       findings.add_warning(path_in_element(keys::kDeduplicationWindow, i),
-                           "0 for a keyed class: what may have run is not sent again", "above 0");
+                           "0 for a keyed class: a request that may have run is not retried", "above 0");
   }
 }
 
@@ -130,7 +131,7 @@
   const std::string field = path(keys::kAnswerSlack);
   const std::string slack = format_ms(settings.answer_slack);
   if (shortest_deadline.count() > 0 && settings.answer_slack >= shortest_deadline)
-    findings.add_warning(field, slack + ", as long as the shortest deadline",
+    findings.add_warning(field, slack + ", at least as long as the shortest deadline",
                          "below " + format_ms(shortest_deadline));
   if (settings.answer_slack.count() >= 0 && settings.answer_slack < settings.tick)
     findings.add_warning(field, slack + ", less than a tick: attempts time out that much before the deadline",
@@ -146,7 +147,7 @@
     findings.add_warning(field, limit + ", longer than the shortest deadline",
                          "at most " + format_ms(shortest_deadline));
   if (settings.reservation_limit.count() >= 0 && settings.reservation_limit < minimum)
-    findings.add_warning(field, limit + ": a state that finds no writer at once is released",
+    findings.add_warning(field, limit + ": a prompt state that finds no writer at once is released",
                          "at least " + format_ms(minimum));
 }
 
@@ -161,9 +162,10 @@
                          "at least " + format_ms(settings.tick));
 }
 
-// How many requests overload an endpoint depends on its capacity, which the settings don't contain. The sum
-// of the quotas is an upper bound of it, as they are a part of what all endpoints together can do: a budget
-// that is below one request even by that bound is too small.
+// Warns if the budget of requests for an endpoint that starts to warm up is less than one request. The budget
+// depends on the endpoint's capacity, which the settings don't contain. The sum of the quotas is an upper
+// bound of the capacity, because the quotas are a part of what all endpoints together can do. A budget that
+// is below one request even with that bound is too small.
 void check_overload_budget(const Settings& settings, FindingCollector& findings) {
   const auto window = static_cast<double>(settings.overload_window.count());
   const double budget_per_rps =
@@ -172,8 +174,8 @@
   if (!(max_budget > 0 && max_budget < 1)) return;
   findings.add_warning(
       path(keys::kOverloadWindow),
-      std::string("with ") + keys::kOverloadMultiple.name + " and " + keys::kWarmupInitialShare.name + " " +
-          format_number(max_budget) +
+      std::string("with ") + keys::kOverloadMultiple.name + " and " + keys::kWarmupInitialShare.name +
+          " allows only " + format_number(max_budget) +
           " requests, even if one endpoint served all quotas: a single request may overload it",
       "at least " + format_ms(Duration(std::llround(window / max_budget))));
 }
@@ -198,10 +200,11 @@
 void check_load_reports(const Settings& settings, FindingCollector& findings) {
   if (settings.report_source == ReportSource::kInProbes && !settings.may_probe)
     findings.add_warning(path(keys::kReportSource),
-                         "reports come in probes, which are not allowed: there is none",
+                         "reports come in probes, but probes are not allowed: there are no reports",
                          std::string(keys::kMayProbe.name) + ", or reports in answers");
   if (settings.report_source != ReportSource::kNone && settings.report_fields.empty())
-    findings.add_warning(path(keys::kReportFields), "reports come, but none of their values is known here",
+    findings.add_warning(path(keys::kReportFields),
+                         "reports have a source, but none of their fields is listed or known",
                          "at least one value");
 }
 
@@ -209,7 +212,7 @@
   const auto& zones = settings.zones;
   if (!zones.empty() && std::find(zones.begin(), zones.end(), settings.zone) == zones.end())
     findings.add_warning(path(keys::kZone),
-                         "'" + settings.zone + "' is none of the zones: every endpoint is in another one",
+                         "'" + settings.zone + "' is not one of the zones: every endpoint is in another zone",
                          "one of '" + std::string(keys::kZones.name) + "'");
 }
 
--- a/src/settings/consistency_checks.hpp
+++ b/src/settings/consistency_checks.hpp
@@ -8,11 +8,11 @@
 
 namespace dispatcher::settings {
 
-// Adds what is wrong with combinations of values to `findings`. Values that are out of bounds by themselves
+// Adds a finding for each combination of values that is wrong. Values that are out of bounds by themselves
 // are not reported again.
 void check_consistency(const routing::Settings& settings, FindingCollector& findings);
 
-// Adds what would prevent a dispatcher on sockets from making and reusing connections.
+// Adds a finding for each setting that keeps a dispatcher on sockets from making or reusing connections.
 void check_connection_times(const routing::Settings& settings, FindingCollector& findings);
 
 }  // namespace dispatcher::settings
--- a/src/settings/finding.hpp
+++ b/src/settings/finding.hpp
@@ -9,7 +9,7 @@
 
 // What a finding means for the settings.
 enum class Severity {
-  kError,   // meaningless, contradictory, or no request could be served: the settings are rejected
+  kError,   // meaningless or contradictory, or no request could be served: the settings are rejected
   kWarning  // unreasonable, but with known and permitted effects: the settings are accepted
 };
 
@@ -21,13 +21,13 @@
   std::string expected;  // what would be right; may be empty
 };
 
-// Whether at least one finding is an error.
+// Returns whether at least one finding is an error.
 [[nodiscard]] bool has_error(const std::vector<Finding>& findings);
 
-// "field 'limits.mostTries': 0; wanted: at least 1".
+// Formats a finding: "field 'limits.mostTries': 0; wanted: at least 1".
 [[nodiscard]] std::string describe(const Finding& finding);
 
-// The descriptions of all errors, separated by "; ". Empty where there is none.
+// Returns the descriptions of all errors, separated by "; "; empty if there is none.
 [[nodiscard]] std::string describe_errors(const std::vector<Finding>& findings);
 
 }  // namespace dispatcher::settings
--- a/src/settings/finding_collector.cpp
+++ b/src/settings/finding_collector.cpp
@@ -8,7 +8,7 @@
 using routing::Duration;
 
 namespace {
-constexpr int kSignificantDigits = 10;  // enough for a day in microseconds
+constexpr int kSignificantDigits = 10;  // shows durations of up to 2.7 hours to the microsecond
 constexpr double kMicrosecondsPerMillisecond = 1000;
 }  // namespace
 
--- a/src/settings/finding_collector.hpp
+++ b/src/settings/finding_collector.hpp
@@ -11,31 +11,31 @@
 
 namespace dispatcher::settings {
 
-// The number as messages show it: at most ten significant digits.
+// Formats a number for messages, with at most ten significant digits.
 [[nodiscard]] std::string format_number(double value);
-// The duration as messages show it: "12.5 ms".
+// Formats a duration for messages, in milliseconds: "12.5 ms".
 [[nodiscard]] std::string format_ms(routing::Duration time);
 
 // The longest valid duration of a setting. Longer ones are typing errors, and their multiples would overflow:
 // a latency objective is multiplied by the length of a prompt, which the client chooses.
 inline constexpr routing::Duration kMaxTime = std::chrono::hours(24);
 
-// The findings of one check, in the order in which they were added. Lives for one call, on its stack.
+// Collects the findings of one check in the order in which they are added. Lives on the stack of one call.
 class FindingCollector {
  public:
-  // `field`: its path in the JSON form. `expected` may be empty.
+  // Add a finding. `field` is the path of the setting in the JSON form. `expected` may be empty.
   void add_error(std::string field, std::string problem, std::string expected);
   void add_warning(std::string field, std::string problem, std::string expected);
 
-  // Errors for times that are out of bounds; the first two also for times beyond kMaxTime.
+  // Add an error if the time is out of bounds. The first two also add one if it is longer than kMaxTime.
   void require_not_negative(std::string field, routing::Duration time);
   void require_positive(std::string field, routing::Duration time);
   void require_no_longer_than(std::string field, routing::Duration time, routing::Duration maximum);
 
-  // Errors and warnings for numbers that are out of bounds; NaN always is.
+  // Add an error or a warning if the number is out of bounds. NaN is always out of bounds.
   void require_not_negative(std::string field, double value);
   void warn_if_negative(std::string field, double value);
-  void warn_if_not_fraction(std::string field, double value);  // outside 0 to 1
+  void warn_if_not_fraction(std::string field, double value);  // bounds: 0 to 1
 
   // Returns all findings and clears the collector.
   [[nodiscard]] std::vector<Finding> release();
--- a/src/settings/json_line_index.cpp
+++ b/src/settings/json_line_index.cpp
@@ -10,13 +10,13 @@
 
 using Json = nlohmann::json;
 
-// Levels of nesting that are indexed: more than settings have. A field below them gets the line number of the
-// object or array at this depth.
+// Maximum depth of nesting that is indexed, which is more than settings have. A field at a greater depth gets
+// the line number of the object or array at this depth.
 constexpr std::size_t kMaxDepth = 12;
 
 // Counts the lines of the text while the parser reads it. `last_token` is the line number of the last
-// character read that is no white space: after a number the lexer reads one character more, which is white
-// space where the line ends there.
+// character read that is not white space. It can differ from `current` because the lexer reads one character
+// beyond a number, which is the line break if the number ends the line.
 struct LineCounter {
   int current = 1;
   int last_token = 1;
@@ -86,14 +86,14 @@
   struct Level {
     std::string path;
     Container container{};
-    std::size_t next_index = 0;  // of an array's next value
+    std::size_t next_index = 0;  // index of the next value, if this is an array
   };
 
   void record(const std::string& path) {
     if (levels_.size() <= kMaxDepth) line_numbers_[path] = counter_.last_token;
   }
-  // The path of the value that has just begun or been read; in an array it is recorded here, as there is no
-  // key.
+  // Returns the path of the value that has just begun or has just been read. Also records the path if the
+  // value is in an array, where there is no key.
   std::string begin_value() {
     if (levels_.empty()) return {};
     Level& level = levels_.back();
--- a/src/settings/json_line_index.hpp
+++ b/src/settings/json_line_index.hpp
@@ -11,11 +11,12 @@
 // Line numbers of one JSON text, computed when it is constructed; the text isn't needed afterwards.
 class JsonLineIndex {
  public:
-  // Indexes the text; of invalid JSON, the part before the syntax error.
+  // Indexes the text. If it is invalid JSON, indexes the part before the syntax error.
   explicit JsonLineIndex(std::string_view json);
 
-  // The line number, from 1, of a field such as settings.categories[1].deadlineMs: that of its key or, in an
-  // array, of its value. For a missing field, that of the innermost object or array that would contain it.
+  // Returns the line number, from 1, of a field such as settings.categories[1].deadlineMs: the line of its
+  // key or, for an element of an array, of its value. For a missing field, returns the line of the innermost
+  // object or array that would contain it and exists.
   [[nodiscard]] int line_number(std::string path) const;
 
  private:
--- a/src/settings/keys.hpp
+++ b/src/settings/keys.hpp
@@ -8,22 +8,22 @@
 
 namespace dispatcher::settings {
 
-// A setting: the object (or array of objects) at the top level that holds it, and its name there. A setting
-// of the top level itself has an empty `object`.
+// Identifies a setting by the object (or array of objects) at the top level that holds it, and by its name
+// there. `object` is empty for a setting that is at the top level itself.
 struct Key {
   const char* object;
   const char* name;
 };
 
-// The path of a setting: "limits.mostTries".
+// Returns the path of a setting: "limits.mostTries".
 [[nodiscard]] inline std::string path(const Key& key) {
   return *key.object == '\0' ? key.name : std::string(key.object) + "." + key.name;
 }
-// The path of a setting in an array of objects: "categories[1].deadlineMs".
+// Returns the path of a setting in an array of objects: "categories[1].deadlineMs".
 [[nodiscard]] inline std::string path_in_element(const Key& key, std::size_t index) {
   return std::string(key.object) + "[" + std::to_string(index) + "]." + key.name;
 }
-// The path of an element of a setting that is an array: "familyInfo.tokenAimMs[1]".
+// Returns the path of an element of a setting that is an array: "familyInfo.tokenAimMs[1]".
 [[nodiscard]] inline std::string path_of_element(const Key& key, std::size_t index) {
   return path(key) + "[" + std::to_string(index) + "]";
 }
@@ -53,7 +53,7 @@
 inline constexpr Key kOverQuotaWeight{"", "overShareWorth"};
 inline constexpr Key kTick{"", "granularityMs"};
 
-// Request classes; the last two are arrays beside them, with one element for each class.
+// Request classes. The last two settings are arrays in the serving group, with one element for each class.
 inline constexpr Key kClassName{kClasses, "name"};
 inline constexpr Key kIdempotency{kClasses, "repeat"};
 inline constexpr Key kDeduplicationScope{kClasses, "group"};
@@ -70,7 +70,7 @@
 inline constexpr Key kTenantName{kTenants, "name"};
 inline constexpr Key kTenantQuota{kTenants, "quotaRps"};
 
-// The serving group; the first two are arrays with one element for each kind of endpoint.
+// The serving group. The first two settings are arrays with one element for each kind of endpoint.
 inline constexpr Key kRoles{kServingGroup, "dutyByKind"};
 inline constexpr Key kMemoryTokens{kServingGroup, "memoryTokens"};
 inline constexpr Key kWritersCanPrefill{kServingGroup, "writersRead"};
@@ -107,7 +107,7 @@
 inline constexpr Key kOverloadMultiple{kGuarantees, "tipMultiple"};
 inline constexpr Key kOverloadWindow{kGuarantees, "tipAfterMs"};
 
-// Prices; that of remote transfers belongs to the serving group.
+// Prices. The price of remote transfers belongs to the serving group.
 inline constexpr Key kWastedWorkPrice{kPrices, "waste"};
 inline constexpr Key kProbePrice{kPrices, "probe"};
 inline constexpr Key kCrossZonePrice{kPrices, "crossZone"};
--- a/src/settings/object_reader.cpp
+++ b/src/settings/object_reader.cpp
@@ -8,15 +8,15 @@
 
 using routing::Duration;
 
-constexpr std::size_t kMaxExcerptBytes = 40;  // of a quoted value: messages are one line each
+constexpr std::size_t kMaxExcerptBytes = 40;  // maximum length of a quoted value, as each message is one line
 
-// The value as messages quote it, truncated where it is long.
+// Formats a value for quotation in a message. Truncates it if it is longer than kMaxExcerptBytes.
 std::string excerpt(const Json& value) {
   const std::string text = value.dump(-1, ' ', false, Json::error_handler_t::replace);
   return text.size() > kMaxExcerptBytes ? text.substr(0, kMaxExcerptBytes) + "..." : text;
 }
 
-// The key of an array's element: "key[1]".
+// Returns the key of an array's element: "key[1]".
 std::string element_key(const std::string& key, std::size_t index) {
   return key + "[" + std::to_string(index) + "]";
 }
--- a/src/settings/object_reader.hpp
+++ b/src/settings/object_reader.hpp
@@ -23,46 +23,48 @@
   Enum value;
 };
 
-// The names of an enumeration, of which the first is the default; must not be empty.
+// The names of an enumeration's values. The first one is the default. Must not be empty.
 template <class Enum>
 using EnumNames = std::span<const EnumName<Enum>>;
 
 // Whether a member that is missing or null is an error.
 enum class Presence { kRequired, kOptional };
 
-// Reads one object of the settings. A value that is missing or wrong becomes a finding, and its type's
-// default. Where the object itself is missing, that is the only finding: its members are all defaults.
-// Refers to the JSON and to the findings, which must outlive it. Lives on the
-// stack of one call to parse_settings().
+// Reads one object of the settings. If a value is wrong, or is required and missing, adds a finding and
+// returns a default. If the object itself is missing, that is the only finding, and all its members have
+// their defaults. Refers to the JSON and to the findings, which must outlive it. Lives on the stack of one
+// call to parse_settings().
 class ObjectReader {
  public:
-  // `path` is the object's own, empty at the top level.
+  // `path` is the path of the object itself; empty at the top level.
   ObjectReader(const Json* object, std::string path, std::vector<Finding>& findings)
       : object_(object), path_(std::move(path)), findings_(findings) {}
 
-  // The value of a member. Null counts as missing, which is an error and gives T's default.
+  // Returns the value of a member. If it is missing or null, adds an error and returns T's default.
   template <class T>
   [[nodiscard]] T required(const std::string& key) const {
     return read<T>(key, Presence::kRequired, {}, json::type_name<T>(), json::is_convertible<T>,
                    json::convert<T>);
   }
-  // The value of a member, or `fallback` where it is missing or null.
+  // Returns the value of a member, or `fallback` if it is missing or null.
   template <class T>
   [[nodiscard]] T optional(const std::string& key, T fallback = {}) const {
     return read<T>(key, Presence::kOptional, std::move(fallback), json::type_name<T>(),
                    json::is_convertible<T>, json::convert<T>);
   }
 
-  // Numbers of milliseconds; zero where the member is missing.
+  // Return the duration that a member holds in milliseconds, or zero if it is missing.
   [[nodiscard]] routing::Duration required_duration(const std::string& key) const;
   [[nodiscard]] routing::Duration optional_duration(const std::string& key) const;
 
-  // Elements of an array of numbers; zero where it is shorter. `unit_us`: the unit, in microseconds.
+  // Return an element of an array of numbers, or zero if the array is shorter. `unit_us` is the unit of the
+  // numbers, in microseconds.
   [[nodiscard]] double number_at(const std::string& key, std::size_t index) const;
   [[nodiscard]] routing::Duration duration_at(const std::string& key, std::size_t index,
                                               double unit_us) const;
 
-  // An unknown name is an error, as the settings can't be followed without it.
+  // Return the enumerator whose name a member holds. An unknown name is an error, as the settings can't be
+  // applied without it.
   template <class Enum>
   [[nodiscard]] Enum required_enum(const std::string& key, EnumNames<Enum> names) const {
     return parse_enum(key, required<std::string>(key), names, Severity::kError);
@@ -71,12 +73,14 @@
   [[nodiscard]] Enum optional_enum(const std::string& key, EnumNames<Enum> names) const {
     return parse_enum(key, optional<std::string>(key, names.front().name), names, Severity::kError);
   }
-  // An unknown name is a warning, as the setting is informative only and a newer version may define the name.
+  // Same, but an unknown name is a warning, as the setting is informative only and a newer version may define
+  // the name.
   template <class Enum>
   [[nodiscard]] Enum informative_enum(const std::string& key, EnumNames<Enum> names) const {
     return parse_enum(key, optional<std::string>(key, names.front().name), names, Severity::kWarning);
   }
-  // The enumerator of a name that was read from `key`; the default, with a finding, if the name is unknown.
+  // Returns the enumerator of a name that was read from `key`. If the name is unknown, adds a finding and
+  // returns the default.
   template <class Enum>
   [[nodiscard]] Enum parse_enum(const std::string& key, const std::string& given, EnumNames<Enum> names,
                                 Severity severity) const {
@@ -89,10 +93,10 @@
     return names.front().value;
   }
 
-  // A reader of a member that is an object.
+  // Returns a reader of a member that is an object.
   [[nodiscard]] ObjectReader object(const std::string& key, Presence presence) const;
-  // Readers of the elements of an array of objects, and the elements of an array of strings: as many as the
-  // array has, also where some are of a wrong type.
+  // Return readers of the elements of an array of objects, and the elements of an array of strings. The
+  // result has as many elements as the array, even if some of them are of a wrong type.
   [[nodiscard]] std::vector<ObjectReader> objects(const std::string& key, Presence presence) const;
   [[nodiscard]] std::vector<std::string> strings(const std::string& key, Presence presence) const;
 
@@ -100,9 +104,9 @@
   void add_error(const std::string& key, std::string problem, std::string expected) const;
 
  private:
-  // Adds a finding unless its field has one already: later ones are consequences of the first.
+  // Adds a finding unless its field has one already, as later findings are consequences of the first.
   void add(Finding finding) const;
-  // Adds an error about a member whose value is not of the type, or is null and required.
+  // Adds an error about a member if its value is of a wrong type, or if it is required and `value` is null.
   void add_type_error(const std::string& key, const Json* value, Presence presence,
                       const char* expected) const;
   [[nodiscard]] const Json* member(const std::string& key) const;
--- a/src/settings/parse.hpp
+++ b/src/settings/parse.hpp
@@ -11,20 +11,20 @@
 
 namespace dispatcher::settings {
 
-// Settings that can't be parsed, with all findings about them; what() names the errors.
+// Thrown for settings that can't be parsed, with all findings about them. what() describes the errors.
 struct SettingsError : json::ParseError {
   explicit SettingsError(std::vector<Finding> all);
-  std::vector<Finding> findings;  // errors and warnings, in the order of the reads
+  std::vector<Finding> findings;  // errors and warnings, in the order in which members are read
 };
 
-// Settings whose members could all be parsed.
+// Settings that were parsed without an error.
 struct ParsedSettings {
   routing::Settings settings;
   std::vector<Finding> warnings;  // such as unknown names of informative settings
 };
 
-// Converts types and names only; check() validates the values. Unknown members are ignored.
-// Throws SettingsError.
+// Parses settings from their JSON form. Converts types and names only; check() validates the values. Ignores
+// unknown members. Throws SettingsError.
 [[nodiscard]] ParsedSettings parse_settings(const json::Json& source);
 
 }  // namespace dispatcher::settings
--- a/src/settings/report.hpp
+++ b/src/settings/report.hpp
@@ -10,7 +10,7 @@
 
 namespace dispatcher::settings {
 
-// One message for each finding, in the order of the file: an error as
+// Returns one message for each finding, in the order of the file: an error as
 // "FILE:12: field 'settings.limits.mostTries': 0; wanted: at least 1", a warning as
 // "FILE:12: warning: field ...". The paths of `findings` must start at the top of `json`, the file's text.
 [[nodiscard]] std::vector<std::string> format_report(const std::string& file, std::string_view json,
--- a/src/settings/score_settings.hpp
+++ b/src/settings/score_settings.hpp
@@ -8,7 +8,7 @@
 
 namespace dispatcher::settings {
 
-// An optional number: its key, and where `Group` holds it.
+// An optional number: its key, and the member of `Group` that holds it.
 template <class Group>
 struct NumberSetting {
   Key key;
--- a/src/settings/value_checks.cpp
+++ b/src/settings/value_checks.cpp
@@ -16,16 +16,17 @@
 using routing::Settings;
 using routing::Tenant;
 
-constexpr Duration kMaxTick = std::chrono::hours(1);  // timers hold 32 bits of microseconds: 71 minutes
+constexpr Duration kMaxTick = std::chrono::hours(1);  // 32-bit timers in microseconds hold 71 minutes
 
 void check_counts(const Settings& settings, FindingCollector& findings) {
   if (settings.kinds.empty())
-    findings.add_error(path(keys::kEndpointKinds), "no kind of replica", "at least one");
+    findings.add_error(path(keys::kEndpointKinds), "no kind of endpoint", "at least one");
   if (settings.classes.empty()) findings.add_error(keys::kClasses, "no class", "at least one");
   if (settings.router_count < 1) {
     findings.add_error(path(keys::kRouterCount), std::to_string(settings.router_count), "at least 1");
   } else if (settings.router_number < 0 || settings.router_number >= settings.router_count) {
-    // Quotas and limits are divided among the router numbers: one beyond the count would get an extra part.
+    // Quotas and limits are divided among the router numbers. A number beyond the count would get an extra
+    // part.
     findings.add_error(path(keys::kRouterNumber),
                        std::to_string(settings.router_number) + " among " +
                            std::to_string(settings.router_count) + " dispatchers",
@@ -53,7 +54,7 @@
   findings.require_not_negative(path(keys::kOverloadMultiple), settings.overload_multiple);
   if (!(settings.warmup_initial_share >= 0 && settings.warmup_initial_share <= 1))
     findings.add_error(path(keys::kWarmupInitialShare), format_number(settings.warmup_initial_share),
-                       "0 to 1, a share of a replica's capacity");
+                       "0 to 1, a share of an endpoint's capacity");
 }
 
 void check_prices_and_goal(const Settings& settings, FindingCollector& findings) {
@@ -87,14 +88,14 @@
   findings.warn_if_not_fraction(field(keys::kLateWeight), request_class.late_weight);
 }
 
-// Names must be unique: of two entries with one name only the first would apply, which may be the one that
-// allows retries. `field(index)` returns the path of an entry's name.
+// Checks that names are unique. Only the first of two entries with the same name would apply, and it may be
+// the one that allows retries. `field(index)` returns the path of an entry's name.
 template <class Entry, class Field>
 void check_unique_names(const std::vector<Entry>& entries, Field field, FindingCollector& findings) {
   std::set<std::string> names;
   for (std::size_t i = 0; i < entries.size(); ++i) {
     if (names.insert(entries[i].name).second) continue;
-    findings.add_error(field(i), "'" + entries[i].name + "' a second time", "another name");
+    findings.add_error(field(i), "'" + entries[i].name + "' is not unique", "another name");
   }
 }
 
--- a/src/settings/value_checks.hpp
+++ b/src/settings/value_checks.hpp
@@ -7,7 +7,7 @@
 
 namespace dispatcher::settings {
 
-// Adds what is wrong with single values to `findings`.
+// Adds a finding for each value that is wrong by itself.
 void check_values(const routing::Settings& settings, FindingCollector& findings);
 
 }  // namespace dispatcher::settings
--- a/tests/daemon/config_test.cpp
+++ b/tests/daemon/config_test.cpp
@@ -159,7 +159,7 @@
                "c.json:3: field 'settings.myNumber': 2 among 2 dispatchers; wanted: 0 to 1",
                std::string("c.json:7: warning: field 'settings.categories[0].deadlineMs': 600 ms, ") +
                    "before the objective of 1200 ms; wanted: at least the objective",
-               "c.json:8: field 'settings.categories[1].name': 'ask' a second time; wanted: another name",
+               "c.json:8: field 'settings.categories[1].name': 'ask' is not unique; wanted: another name",
                std::string("c.json:11: field 'settings.limits.mostTries': 1, but a request is read by one ") +
                    "attempt and written by another; wanted: at least 2, or a kind that does both",
                std::string("c.json:12: field 'settings.limits.connectTimeoutMs': 0 ms: ") +
--- a/tests/settings/settings_check_test.cpp
+++ b/tests/settings/settings_check_test.cpp
@@ -1,4 +1,5 @@
-// The check of settings: each finding alone, which settings are rejected and which only cause a warning.
+// Tests the checks of settings: each finding by itself, which settings are rejected and which only cause a
+// warning.
 #include <iterator>
 #include <limits>
 #include <ostream>
@@ -12,7 +13,8 @@
 
 using namespace routing;
 
-// Compares what the cases below state: the texts of findings are documented in docs/settings.md.
+// Compares the severity and the field, which the cases below state. docs/settings.md documents the texts of
+// findings.
 bool operator==(const Finding& left, const Finding& right) {
   return left.severity == right.severity && left.field == right.field;
 }
@@ -30,7 +32,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-// Settings of an operator who made no mistake.
+// Returns settings that cause no finding.
 Settings valid_settings() {
   Settings settings = routing::testing::make_settings();
   settings.zones = {"east", "west"};
@@ -46,7 +48,7 @@
   return settings;
 }
 
-// The public contract of Router names this type only.
+// The public contract of Router names only the base class.
 static_assert(std::is_base_of_v<std::invalid_argument, InvalidSettingsError>);
 
 // A change to valid settings, and the field of the one finding that it causes.
@@ -55,7 +57,7 @@
   void (*change)(Settings& settings);
 };
 
-constexpr double kNoNumber = std::numeric_limits<double>::quiet_NaN();
+constexpr double kNan = std::numeric_limits<double>::quiet_NaN();
 
 constexpr Case kRejectedCases[] = {
     {"hostTypes",
@@ -89,7 +91,7 @@
     {"limits.idleCloseMs", [](Settings& settings) { settings.idle_timeout = milliseconds(-1); }},
     {"limits.maxRetryAfterMs", [](Settings& settings) { settings.max_retry_after = milliseconds(-1); }},
     {"guarantees.tipMultiple", [](Settings& settings) { settings.overload_multiple = -1; }},
-    {"guarantees.tipMultiple", [](Settings& settings) { settings.overload_multiple = kNoNumber; }},
+    {"guarantees.tipMultiple", [](Settings& settings) { settings.overload_multiple = kNan; }},
     {"guarantees.coldShare", [](Settings& settings) { settings.warmup_initial_share = -0.1; }},
     {"guarantees.coldShare", [](Settings& settings) { settings.warmup_initial_share = 1.1; }},
     {"tenants[1].quotaRps", [](Settings& settings) { settings.tenants[1].quota_rps = -1; }},
@@ -127,7 +129,7 @@
 constexpr Case kWarningCases[] = {
     {"overShareWorth", [](Settings& settings) { settings.over_quota_weight = 1.5; }},
     {"prices.waste", [](Settings& settings) { settings.prices.wasted_work = -1; }},
-    {"familyInfo.moveFee", [](Settings& settings) { settings.prices.remote_transfer = kNoNumber; }},
+    {"familyInfo.moveFee", [](Settings& settings) { settings.prices.remote_transfer = kNan; }},
     {"goal.worstWindow", [](Settings& settings) { settings.goal.worst_window = -1; }},
     {"familyInfo.memoryTokens[0]", [](Settings& settings) { settings.kinds[0].memory_tokens = -1; }},
     {"categories[0].worth", [](Settings& settings) { settings.classes[0].priority_weight = -1; }},
@@ -177,9 +179,9 @@
   EXPECT_EQ(check_socket_settings(valid_settings()), std::vector<Finding>{});
 }
 
-// None of these is a contradiction, though each seems to lack a setting that belongs to it.
+// Each of these changes seems to lack another setting that belongs to it, but none causes a contradiction.
 constexpr void (*kUnusualChanges[])(Settings& settings) = {
-    [](Settings& settings) { settings.prices.probe = 0.5; },  // priced, not allowed
+    [](Settings& settings) { settings.prices.probe = 0.5; },  // probes have a price but are not allowed
     [](Settings& settings) {
       settings.may_probe = true;
       settings.report_source = ReportSource::kNone;
@@ -236,7 +238,7 @@
     },
     [](Settings& settings) {
       settings.connect_timeout = settings.idle_timeout = {};
-    },  // a user of the module without sockets
+    },  // valid for a user of the module without sockets
 };
 
 TEST(Check, AcceptsUnusualSettingsWithoutAFinding) {
@@ -247,7 +249,7 @@
   }
 }
 
-TEST(Check, RejectsMeaninglessAndContradictorySettingsAndThoseThatServeNobody) {
+TEST(Check, RejectsSettingsThatAreMeaninglessOrContradictoryOrServeNoRequest) {
   for (const Case& test_case : kRejectedCases) {
     Settings settings = valid_settings();
     test_case.change(settings);
@@ -261,8 +263,9 @@
   }
 }
 
-// A router accepts each: a request gets its one answer, in time, and leaves no state.
-TEST(Check, WarnsOfAbsurdSettingsWhichARouterAccepts) {
+// A router accepts each of these settings: every request gets exactly one answer, in time, and leaves no
+// state.
+TEST(Check, WarnsAboutUnreasonableSettingsThatARouterAccepts) {
   for (const Case& test_case : kWarningCases) {
     Settings settings = valid_settings();
     test_case.change(settings);
@@ -290,8 +293,9 @@
   }
 }
 
-// The deadline is too short for a reserved state to wait, too, which is the second warning.
-TEST(Check, ADeadlineWithinTwoTicksHasEachOfItsRequestsRejectedAtOnce) {
+// The second warning is about the reservation limit, which is longer than this deadline: the deadline is also
+// too short for a reserved prompt state to wait.
+TEST(Check, RequestsWithADeadlineWithinTwoTicksAreRejectedAtOnce) {
   Settings settings = valid_settings();
   settings.classes.resize(1);
   settings.classes[0].latency_objective = milliseconds(500);
@@ -323,12 +327,12 @@
     EXPECT_STREQ(
         error.what(),
         "routing: bad settings: field 'myNumber': 7 among 2 dispatchers; wanted: 0 to 1; field "
-        "'limits.mostTries': 0; wanted: at least 1; field 'categories[1].name': 'safe' a second time; "
+        "'limits.mostTries': 0; wanted: at least 1; field 'categories[1].name': 'safe' is not unique; "
         "wanted: another name");
   }
 }
 
-TEST(Check, OnSocketsConnectionsMustBePossibleAndReusable) {
+TEST(Check, SocketSettingsMustAllowConnectionsToBeMadeAndReused) {
   const auto found = [](auto change) {
     Settings settings = valid_settings();
     change(settings);
@@ -343,8 +347,8 @@
             (All{{Severity::kWarning, "limits.connectTimeoutMs", "", ""}}));
 }
 
-// Of the budget only an upper bound is known: what it is if one replica did the work of all quotas.
-TEST(Check, AnOverloadBudgetBelowOneRequestIsFoundFromTheQuotas) {
+// Only an upper bound of the budget is known: its value if one endpoint served all quotas.
+TEST(Check, WarnsIfTheQuotasAllowAnOverloadBudgetOfLessThanOneRequest) {
   Settings settings = valid_settings();
   settings.overload_multiple = 2;
   settings.warmup_initial_share = 0.5;
--- a/tests/settings/settings_parse_test.cpp
+++ b/tests/settings/settings_parse_test.cpp
@@ -1,4 +1,4 @@
-// The parser of settings: every member, members that are missing, and names that are unknown.
+// Tests the parser of settings: every member, missing members and unknown names.
 #include <gtest/gtest.h>
 
 #include <vector>
@@ -51,8 +51,8 @@
   EXPECT_EQ(parse_settings(source).settings.report_source, ReportSource::kInProbes);
 }
 
-TEST(SettingsParser, PermissionsAndPricesThatAreMissingOrNullAreFalseAndZero) {
-  for (const Json& absent : {Json(), Json::object()}) {  // null, or without the keys; else missing
+TEST(SettingsParser, MissingOrNullPermissionsAreFalseAndMissingOrNullPricesAreZero) {
+  for (const Json& absent : {Json(), Json::object()}) {  // if null, the objects are missing; else empty
     Json source = settings_json();
     if (absent.is_object())
       source["prices"] = source["goal"] = source["loadInfo"] = source["clientHabits"] = absent;
@@ -69,7 +69,7 @@
   }
 }
 
-TEST(SettingsParser, UnknownNamesThatOnlyInformGetTheDefault) {
+TEST(SettingsParser, UnknownNamesOfInformativeSettingsGetTheDefault) {
   Json source = settings_json();
   source["weights"] = source["worthBy"] = "new";
   source["loadInfo"] = {{"source", "new"}};
--- a/tests/settings/settings_property_test.cpp
+++ b/tests/settings/settings_property_test.cpp
@@ -1,6 +1,7 @@
-// Invariants that hold under any valid settings: settings and scripts of events are drawn, from ranges wider
-// than any site's, and played against the router. A failure prints the seed, the smallest settings and script
-// that RapidCheck found, and what happened. PROPERTY_RUNS and PROPERTY_SEED draw more, or others.
+// Tests invariants that hold under any valid settings. Settings and scripts of events are drawn from ranges
+// wider than those of any deployment, and the scripts are run against the router. A failure prints the seed,
+// the smallest settings and script that RapidCheck found, and a transcript. PROPERTY_RUNS sets the number of
+// runs and PROPERTY_SEED the seed.
 #include <gtest/gtest.h>
 #include <rapidcheck.h>
 
@@ -18,7 +19,7 @@
 namespace dispatcher::routing::testing {
 namespace {
 
-// In the order of the enumerations.
+// Names of enumerators, in the order of the enumerations.
 constexpr std::array<const char*, 3> kRoleNames = {"reader", "writer", "mixed"};
 constexpr std::array<const char*, 3> kIdempotencyNames = {"idempotent", "keyed", "non-idempotent"};
 constexpr std::array<const char*, 3> kScopeNames = {"all", "zone", "cell"};
@@ -30,11 +31,11 @@
     if (is_set) out << ", " << name;
   };
   print_if(settings.may_cancel, "may cancel");
-  print_if(settings.may_migrate_streams, "resume");
-  print_if(settings.writers_can_prefill, "writers read");
-  print_if(settings.may_hedge, "may duplicate");
+  print_if(settings.may_migrate_streams, "may migrate streams");
+  print_if(settings.writers_can_prefill, "writers can prefill");
+  print_if(settings.may_hedge, "may hedge");
   print_if(settings.polls_endpoint_list, "polls endpoint list");
-  print_if(settings.may_reserve_slots, "early pairing");
+  print_if(settings.may_reserve_slots, "may reserve slots");
   print_if(settings.retry_advice, "retry advice");
 }
 
@@ -65,7 +66,8 @@
 
 }  // namespace
 
-// RapidCheck finds these by their name and argument, and prints a failure's values with them.
+// RapidCheck finds these functions by their name and argument type and prints the values of a failure with
+// them.
 void showValue(const Genes& genes, std::ostream& out) {  // NOLINT(readability-identifier-naming): its name
   const Site site = draw(genes);
   out << site.endpoints.size() << " endpoints; settings\n";
@@ -93,12 +95,13 @@
   return rc::gen::resize(max_steps, rc::gen::container<std::vector<Step>>(step));
 }
 
-std::uint64_t from_environment(const char* name, std::uint64_t absent) {
+std::uint64_t from_environment(const char* name, std::uint64_t default_value) {
   const char* value = std::getenv(name);
-  return value == nullptr ? absent : std::strtoull(value, nullptr, 10);
+  return value == nullptr ? default_value : std::strtoull(value, nullptr, 10);
 }
 
-// Checks the property in so many runs, of the seed or of that in the environment.
+// Checks the property in `runs` runs that start from `seed`. PROPERTY_RUNS and PROPERTY_SEED in the
+// environment override these.
 template <class Property>
 void expect_holds(std::uint64_t seed, int runs, Property property) {
   rc::detail::TestMetadata metadata;
@@ -114,7 +117,7 @@
   ADD_FAILURE() << "seed " << params.seed << "\n" << message.str();
 }
 
-std::string end_of(const std::vector<std::string>& transcript) {
+std::string last_lines(const std::vector<std::string>& transcript) {
   constexpr std::size_t kMaxLines = 60;
   std::string text;
   for (std::size_t i = transcript.size() - std::min(transcript.size(), kMaxLines); i < transcript.size(); ++i)
@@ -130,7 +133,7 @@
     for (const Step& step : script) runner.run(step);
     runner.finish(ending);
   } catch (const InvariantViolation& violation) {
-    RC_FAIL(violation.what() + end_of(runner.transcript()));
+    RC_FAIL(violation.what() + last_lines(runner.transcript()));
   }
 }
 
@@ -160,16 +163,18 @@
   expect_holds(4, 300, [&] { run_script(draw(*any_genes(range)), *any_script(60), Ending::kDisconnect); });
 }
 
-// See shortest_pin: 67 ms where 20 ms are a multiple of the tick. Under a shorter limit a prompt state that
-// finds no writer must be released at once, for the next check of the queue comes too late.
+// Draws limits below min_reservation_limit() of tests/fixtures/settings_draw.cpp, which is 67 ms if 20 ms are
+// a multiple of the tick. Under a shorter limit a prompt state that finds no writer must be released at once,
+// because the next check of the queue comes too late.
 TEST(AnySettings, InvariantsHoldWithReservationLimitsOfAFewTicks) {
   Range range;
   range.short_pins = true;
   expect_holds(5, 2000, [&] { run_script(draw(*any_genes(range)), *any_script(60)); });
 }
 
-// That an attempt timed out is known up to a tick later, and only then is the request answered. With a slack
-// under a tick it must time out that much before the client's deadline.
+// The router learns up to a tick late that an attempt has timed out, and answers the request only then. With
+// an answer slack shorter than a tick, the attempt must time out before the client's deadline, by the
+// difference.
 TEST(AnySettings, InvariantsHoldWithAnAnswerSlackUnderATick) {
   Range range;
   range.slack_under_tick = true;
