--- a/adapter/action_encoder.cpp
+++ b/adapter/action_encoder.cpp
@@ -10,13 +10,13 @@
 
 using json::Json;
 
-// The wire's unit of times and durations.
+// Converts a time or duration to milliseconds, the unit of the protocol.
 double to_milliseconds(routing::Duration time) {
   return static_cast<double>(time.count()) / json::kMicrosecondsPerMillisecond;
 }
 
-// Visits an action: sets the members of its reply, other than the dispatcher's name, and returns the reply's
-// name.
+// Visitor that sets the members of an action's reply, other than the dispatcher's name, and returns the name
+// of the reply.
 class ReplyWriter {
  public:
   explicit ReplyWriter(Json& reply) : reply_(reply) {}
--- a/adapter/action_encoder.hpp
+++ b/adapter/action_encoder.hpp
@@ -8,13 +8,13 @@
 
 namespace dispatcher::simulator_adapter {
 
-// An action of the named dispatcher as one line of JSON, without the line break.
+// Encodes an action of the named dispatcher as one line of JSON, without the line break.
 [[nodiscard]] std::string encode_action(const std::string& dispatcher, const routing::Action& action);
 
-// The reply for a dispatcher that can't start, because its settings are invalid.
+// Encodes the reply for a dispatcher that can't start because its settings are invalid.
 [[nodiscard]] std::string encode_start_failure(const std::string& dispatcher, const std::string& reason);
 
-// The reply that ends the replies to one batch.
+// Encodes the reply that ends the replies to one batch.
 [[nodiscard]] std::string encode_end_of_batch();
 
 }  // namespace dispatcher::simulator_adapter
--- a/adapter/event_decoder.cpp
+++ b/adapter/event_decoder.cpp
@@ -35,10 +35,10 @@
 constexpr std::uint64_t kClientRetryFlag = 2;
 constexpr std::uint64_t kResubmittedFlag = 16;
 
-constexpr int kReservationHeld = 1;  // every other value: denied
-constexpr int kEvidenceNote = 1;     // of a note about a failed attempt; every other value: no evidence
+constexpr int kReservationHeld = 1;  // every other value means denied
+constexpr int kEvidenceNote = 1;     // note of a failed attempt; every other value means no evidence
 
-// A value of the wire and the enumerator that it stands for.
+// A value of the protocol and the enumerator that it stands for.
 template <class Wire, class Enum>
 struct WireValue {
   Wire wire;
@@ -60,7 +60,7 @@
 constexpr WireValue<int, EndpointState> kEndpointStates[] = {
     {1, EndpointState::kRemoved}, {2, EndpointState::kDraining}, {3, EndpointState::kReady}};
 
-// The enumerator of a wire value. Empty: the value is unknown.
+// Returns the enumerator of a protocol value; empty if the value is unknown.
 template <class Wire, class Enum, std::size_t size>
 std::optional<Enum> find_enumerator(const WireValue<Wire, Enum> (&known)[size], const Wire& wire) {
   for (const WireValue<Wire, Enum>& candidate : known) {
@@ -106,7 +106,7 @@
   return json::parse_load_report(*report);
 }
 
-// The tenant's name; empty where the member is no string.
+// Returns the tenant's name; empty if the member is not a string.
 std::string decode_tenant(const Json& message) {
   const Json* tenant = json::find_member(message, fields::kTenant);
   return tenant != nullptr && tenant->is_string() ? tenant->get<std::string>() : std::string();
@@ -131,7 +131,7 @@
   return request;
 }
 
-// Decodes the wire's note, a number whose meaning depends on the attempt's status.
+// Decodes the note of a completed attempt, a number whose meaning depends on the attempt's status.
 void decode_note(int note, AttemptCompleted& completed) {
   switch (completed.status) {
     case AttemptStatus::kRead:
--- a/adapter/event_decoder.hpp
+++ b/adapter/event_decoder.hpp
@@ -12,12 +12,12 @@
 
 using json::Json;
 
-// The endpoint list of a message; its entries are those of `page`, which must be an array. A list of kind
-// kFailed has none. Throws json::ParseError.
+// Decodes the endpoint list of a message. Its entries are those of `page`, which must be an array. A list of
+// kind kFailed has no entries, and `page` is not read. Throws json::ParseError.
 [[nodiscard]] routing::EndpointList decode_endpoint_list(const Json& message, const Json& page);
 
-// The event of any other message, by the message's name. Empty: the name is unknown, and the message must be
-// ignored. Throws json::ParseError.
+// Decodes any other message to an event, by the message's name. Returns empty if the name is unknown; the
+// message must then be ignored. Throws json::ParseError.
 [[nodiscard]] std::optional<routing::Event> decode_event(const std::string& name, const Json& message);
 
 }  // namespace dispatcher::simulator_adapter
--- a/adapter/main.cpp
+++ b/adapter/main.cpp
@@ -1,5 +1,6 @@
 // The simulator's adapter as a program: reads batches on standard input and writes replies to standard
-// output. Ends with status 1 at the first malformed line, whose number and error go to standard error.
+// output. Exits with status 1 at the first malformed line, after writing the number of the line and the error
+// to standard error.
 #include <exception>
 #include <iostream>
 #include <string>
--- a/adapter/protocol_names.hpp
+++ b/adapter/protocol_names.hpp
@@ -1,19 +1,19 @@
 // Names of the simulator's JSON protocol. They are part of that format and stay as they are; each constant
-// maps one of them to the term that the code uses. Names of load reports' members: json/load_report.hpp; of
-// settings: settings/keys.hpp.
+// maps one of them to the term that the code uses. The names of load report members are in
+// json/load_report.hpp, those of settings in settings/keys.hpp.
 #ifndef DISPATCHER_ADAPTER_PROTOCOL_NAMES_HPP_
 #define DISPATCHER_ADAPTER_PROTOCOL_NAMES_HPP_
 
 namespace dispatcher::simulator_adapter {
 
-// Messages of the simulator to the process, about no single dispatcher.
+// Messages from the simulator that concern the whole process.
 namespace control_messages {
 inline constexpr const char* kSetTime = "turn";
 inline constexpr const char* kEndOfBatch = "flush";
 inline constexpr const char* kEndpointListPage = "page";
 }  // namespace control_messages
 
-// Messages of the simulator to one dispatcher.
+// Messages from the simulator to one dispatcher.
 namespace dispatcher_messages {
 inline constexpr const char* kStart = "boot";
 inline constexpr const char* kStop = "crashNow";
@@ -49,7 +49,7 @@
 inline constexpr const char* kEndpoint = "host";
 inline constexpr const char* kAttempt = "trial";
 
-// Process and start.
+// The clock of the process, and the start of a dispatcher.
 inline constexpr const char* kNow = "tMs";
 inline constexpr const char* kSettings = "env";
 inline constexpr const char* kSeed = "seed";
--- a/adapter/simulator_session.hpp
+++ b/adapter/simulator_session.hpp
@@ -1,5 +1,5 @@
-// Runs routers for the simulator: one process serves any number of simulated dispatchers, by lines of JSON.
-// Makes no decision itself.
+// Runs routers for the simulator. One process serves any number of simulated dispatchers; messages and
+// replies are lines of JSON. The session makes no decision itself.
 #ifndef DISPATCHER_ADAPTER_SIMULATOR_SESSION_HPP_
 #define DISPATCHER_ADAPTER_SIMULATOR_SESSION_HPP_
 
@@ -22,7 +22,7 @@
 class SimulatorSession {
  public:
   // Handles one line of input, without its line break. After the last line of a batch, returns the replies to
-  // the batch, each with its line break. Blank lines are ignored. Throws json::ParseError where the line is
+  // the batch, each with its line break. Ignores blank lines. Throws json::ParseError if the line is
   // malformed; the session must not be used afterwards.
   [[nodiscard]] std::optional<std::string> handle_line(std::string_view input);
 
@@ -32,14 +32,15 @@
   void handle_dispatcher_message(const std::string& name, const Json& message);
   void start(const std::string& dispatcher, const Json& message);
   void deliver(const std::string& dispatcher, const routing::Event& event);
-  // The page of endpoint list entries that a message refers to by its number. Throws json::ParseError.
+  // Returns the page of endpoint list entries that a message refers to by its number. Throws
+  // json::ParseError.
   [[nodiscard]] Json& page_of(const Json& message);
   [[nodiscard]] std::string take_replies();
 
   routing::Time now_{};
   std::array<Json, kMaxPages> pages_;               // endpoint list entries that later messages refer to
-  std::map<std::string, routing::Router> routers_;  // by the name of the dispatcher; stopped ones have none
-  std::string replies_;                             // to the batch so far
+  std::map<std::string, routing::Router> routers_;  // by dispatcher name; a stopped dispatcher has none
+  std::string replies_;                             // replies to the current batch so far
 };
 
 }  // namespace dispatcher::simulator_adapter
--- a/src/json/load_report.cpp
+++ b/src/json/load_report.cpp
@@ -1,4 +1,4 @@
-// Load reports: the members that the dispatcher uses.
+// Parses the members of load reports that the dispatcher uses.
 #include "json/load_report.hpp"
 
 #include <optional>
--- a/src/json/load_report.hpp
+++ b/src/json/load_report.hpp
@@ -7,7 +7,7 @@
 
 namespace dispatcher::json {
 
-/// Names of a report's members. They are part of the endpoints' format and stay as they are.
+/// Names of a report's members. They are part of the format that endpoints send and stay as they are.
 namespace load_report_keys {
 inline constexpr const char* kInFlight = "rif";
 inline constexpr const char* kQueued = "q";
@@ -19,8 +19,8 @@
 inline constexpr const char* kPromptKilotokens = "x1";
 }  // namespace load_report_keys
 
-/// The report in the members of `fields`: those that the dispatcher uses. Absent ones are empty, unknown ones
-/// are ignored. Throws ParseError where one is not a number.
+/// Parses the members of `fields` that the dispatcher uses. Leaves the values of absent members empty and
+/// ignores all other members. Throws ParseError if a used member is not a number.
 [[nodiscard]] routing::LoadReport parse_load_report(const Json& fields);
 
 }  // namespace dispatcher::json
--- a/src/json/members.hpp
+++ b/src/json/members.hpp
@@ -1,5 +1,5 @@
-// Typed access to the members of a JSON object that throws at the first one that is missing or of a wrong
-// type: for messages, which are rejected completely when one member is malformed.
+// Typed access to the members of a JSON object. Throws at the first member that is missing or of a wrong
+// type: it is meant for messages, which are rejected completely if one member is malformed.
 #ifndef DISPATCHER_JSON_MEMBERS_HPP_
 #define DISPATCHER_JSON_MEMBERS_HPP_
 
@@ -10,17 +10,17 @@
 
 namespace dispatcher::json {
 
-/// Throws the ParseError of a field that is required and absent.
+/// Throws the ParseError for a field that is required and absent.
 [[noreturn]] inline void throw_missing(const std::string& key) {
   throw ParseError(ParseProblem::kMissingField, key);
 }
 
-/// Throws the ParseError of a field whose value is not what is `expected`, such as "number".
+/// Throws the ParseError for a field whose value is not what is `expected`, such as "number".
 [[noreturn]] inline void throw_unexpected(const std::string& key, const std::string& expected) {
   throw ParseError(ParseProblem::kUnexpectedValue, key, expected);
 }
 
-/// The value of a key, or `fallback` where it is missing or null. Throws ParseError.
+/// Returns the value of a key, or `fallback` if it is missing or null. Throws ParseError.
 template <class T>
 [[nodiscard]] T optional_member(const Json& object, const std::string& key, T fallback = {}) {
   const Json* value = find_member(object, key);
@@ -29,14 +29,14 @@
   return convert<T>(*value);
 }
 
-/// The value of a key that must be present. Throws ParseError.
+/// Returns the value of a key that must be present. Throws ParseError.
 template <class T>
 [[nodiscard]] T required_member(const Json& object, const std::string& key) {
   if (find_member(object, key) == nullptr) throw_missing(key);
   return optional_member<T>(object, key);
 }
 
-/// A number of milliseconds; zero where it is missing or null. Throws ParseError.
+/// Returns the duration that a key holds in milliseconds; zero if it is missing or null. Throws ParseError.
 [[nodiscard]] inline routing::Duration optional_duration(const Json& object, const std::string& key) {
   const Json* value = find_member(object, key);
   if (value == nullptr) return {};
@@ -44,13 +44,14 @@
   return convert_duration(*value);
 }
 
-/// A number of milliseconds that must be present. Throws ParseError.
+/// Returns the duration that a key, which must be present, holds in milliseconds. Throws ParseError.
 [[nodiscard]] inline routing::Duration required_duration(const Json& object, const std::string& key) {
   if (find_member(object, key) == nullptr) throw_missing(key);
   return optional_duration(object, key);
 }
 
-/// The value of a key that must be present and of the type, such as an object or an array. Throws ParseError.
+/// Returns the value of a key that must be present and of the type, such as an object or an array. Throws
+/// ParseError.
 [[nodiscard]] inline const Json& required_value(const Json& object, const std::string& key,
                                                 Json::value_t type) {
   const auto it = object.find(key);
--- a/src/json/parse_error.cpp
+++ b/src/json/parse_error.cpp
@@ -1,4 +1,4 @@
-// Texts of malformed messages' errors.
+// Formats the errors of malformed messages.
 #include "json/parse_error.hpp"
 
 #include <utility>
--- a/src/json/parse_error.hpp
+++ b/src/json/parse_error.hpp
@@ -9,20 +9,21 @@
 
 /// What is wrong with a message.
 enum class ParseProblem {
-  kInvalidDocument,  // the message, not one field of it; the detail describes how
+  kInvalidDocument,  // the message as a whole is invalid; the detail describes how
   kMissingField,     // a required field is absent or null
   kUnexpectedValue,  // a field has another type, or is out of range; the detail is what was expected
   kWrongType,        // a field that must be an object or an array has another type
   kInvalidValue,     // a field has the right type and an unusable value; the detail describes why
 };
 
-/// The text of an error, which names the field. `detail`: see ParseProblem; ignored where that has none.
+/// Returns the text of an error, which names the field unless the whole document is invalid. ParseProblem
+/// describes `detail`, which is ignored for a problem that has none.
 [[nodiscard]] std::string describe(ParseProblem problem, const std::string& field, const std::string& detail);
 
-/// A malformed message, which must be rejected completely. what() is the text of describe().
+/// Thrown for a malformed message, which must be rejected completely. what() returns the text of describe().
 class ParseError : public std::runtime_error {
  public:
-  /// `field`: its key; empty for kInvalidDocument.
+  /// `field` is the key of the malformed field; empty for kInvalidDocument.
   explicit ParseError(ParseProblem problem, std::string field = {}, const std::string& detail = {});
 
   [[nodiscard]] ParseProblem problem() const { return problem_; }
--- a/src/json/typed_value.hpp
+++ b/src/json/typed_value.hpp
@@ -17,12 +17,12 @@
 /// The document type of all JSON in the dispatcher.
 using Json = nlohmann::json;
 
-/// Times are numbers of milliseconds below this one; longer ones would overflow as microseconds.
+/// Times must be below this number of milliseconds; longer ones would overflow as microseconds.
 inline constexpr double kMaxMilliseconds = 1e15;
-/// Durations are stored in microseconds.
+/// Durations are milliseconds in JSON and are stored in microseconds.
 inline constexpr double kMicrosecondsPerMillisecond = 1000;
 
-/// What error messages call a value of this type.
+/// Returns the name of a type in error messages.
 template <class T>
 [[nodiscard]] constexpr const char* type_name() {
   if constexpr (std::is_same_v<T, std::string>) return "text";
@@ -30,10 +30,10 @@
   if constexpr (std::is_same_v<T, std::uint64_t>) return "whole number";
   return "number";
 }
-/// What error messages call a duration.
+/// The name of a duration in error messages.
 inline constexpr const char* kDurationTypeName = "number of milliseconds";
 
-/// Whether the value can be converted to the type.
+/// Returns whether the value can be converted to the type.
 template <class T>
 [[nodiscard]] bool is_convertible(const Json& value) {
   if constexpr (std::is_same_v<T, std::string>) return value.is_string();
@@ -44,24 +44,25 @@
   return value.is_number();
 }
 
-/// The value as this type, rounded to the nearest integer where that is int. is_convertible() must hold.
+/// Converts the value to the type; rounds it to the nearest integer if the type is int. is_convertible() must
+/// hold.
 template <class T>
 [[nodiscard]] T convert(const Json& value) {
   if constexpr (std::is_same_v<T, int>) return static_cast<int>(std::llround(value.get<double>()));
   return value.get<T>();
 }
 
-/// Whether the value is a number of milliseconds that convert_duration() can represent.
+/// Returns whether the value is a number of milliseconds that convert_duration() can represent.
 [[nodiscard]] inline bool is_duration(const Json& value) {
   return value.is_number() && std::abs(value.get<double>()) < kMaxMilliseconds;
 }
 
-/// The duration of a number of milliseconds, to the microsecond. is_duration() must hold.
+/// Converts a number of milliseconds to a duration, rounded to the microsecond. is_duration() must hold.
 [[nodiscard]] inline routing::Duration convert_duration(const Json& value) {
   return routing::Duration(std::llround(value.get<double>() * kMicrosecondsPerMillisecond));
 }
 
-/// The value of a key; null where the key is missing or its value is null.
+/// Returns the value of a key; null if the key is missing or its value is null.
 [[nodiscard]] inline const Json* find_member(const Json& object, const std::string& key) {
   const auto it = object.find(key);
   return it == object.end() || it->is_null() ? nullptr : &*it;
--- a/tests/adapter/simulator_adapter_test.cpp
+++ b/tests/adapter/simulator_adapter_test.cpp
@@ -1,5 +1,5 @@
-// The simulator's adapter: every event and action, malformed lines, dispatchers kept apart, and the same
-// output for the same input.
+// Tests the simulator's adapter: every event and action, malformed lines, independence of dispatchers, and
+// the same output for the same input.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -32,7 +32,7 @@
 }
 std::string time_message(double milliseconds) { return Json{{"turn", {{"tMs", milliseconds}}}}.dump(); }
 
-// The replies to all messages, which may be several batches.
+// Returns the replies to all messages, which may form several batches.
 std::string replies_to(SimulatorSession& session, const std::vector<std::string>& input) {
   std::string all;
   for (const std::string& message : input) {
@@ -41,7 +41,7 @@
   return all;
 }
 
-// The error of the first malformed line; empty: there is none.
+// Returns the error of the first malformed line; empty if there is none.
 std::string error_of(const std::vector<std::string>& input) {
   SimulatorSession session;
   try {
@@ -134,7 +134,7 @@
   EXPECT_EQ(encode(LogMessage{"x"}), R"({"remark":{"dispatcher":"d","msg":"x"}})");
 }
 
-TEST(SimulatorAdapter, MalformedLinesNameTheField) {
+TEST(SimulatorAdapter, TheErrorOfAMalformedLineNamesTheField) {
   EXPECT_EQ(error_of({"nonsense"}), "not JSON");
   EXPECT_NE(error_of({R"({"turn":{}})"}).find("tMs"), std::string::npos);
   EXPECT_NE(error_of({R"({"turn":{"tMs":"x"}})"}).find("tMs"), std::string::npos);
@@ -147,7 +147,7 @@
   EXPECT_NE(error_of({R"({"tickDue":{"tag":1}})"}).find("dispatcher"), std::string::npos);
 }
 
-TEST(SimulatorAdapter, RepliesWithAnExceptionToSettingsThatAreInvalid) {
+TEST(SimulatorAdapter, RepliesToInvalidSettingsWithAnException) {
   Json bad = settings_json();
   bad["limits"]["mostTries"] = 0;
   SimulatorSession session;
--- a/tests/consumer/main.cpp
+++ b/tests/consumer/main.cpp
@@ -1,5 +1,5 @@
-// The installed package, used as a dispatcher uses it: one request is taken through reading and writing to
-// its end. Prints the two endpoints; the exit code is 0 if the request was served.
+// Uses the installed package as a dispatcher does: one request is read by one endpoint and written by
+// another. Prints the two endpoints. The exit code is 0 if the request was served.
 #include <chrono>
 #include <iostream>
 #include <routing/router.hpp>
@@ -43,7 +43,7 @@
   return request;
 }
 
-// Where the actions send a request; empty: nowhere.
+// Returns the endpoint that the actions send a request to; empty if there is none.
 EndpointId target_of(const std::vector<Action>& actions) {
   for (const Action& action : actions) {
     if (const auto* start = std::get_if<StartAttempt>(&action)) return start->endpoint;
