--- a/tests/conformance/conformance_test.cpp
+++ b/tests/conformance/conformance_test.cpp
@@ -1,5 +1,5 @@
-// Plays the tables in this folder, which hold the design's sentences as rows. docs/conformance.md describes
-// how to read and add to them.
+// Runs the tables in this folder, which express the sentences of the design as rows. docs/conformance.md
+// describes how to read the tables and how to add rows.
 #define CATCH_CONFIG_RUNNER
 #include <algorithm>
 #include <catch2/catch.hpp>
@@ -18,7 +18,7 @@
   return all;
 }
 
-// Calls the function with the topic and the row.
+// Calls the function with the topic and the row, for each row.
 template <typename Function>
 void for_each_row(Function function) {
   for (const auto& [topic, rows] : tables().topics) {
@@ -32,7 +32,7 @@
   return text;
 }
 
-// Each row is a test of its own, so that one that fails is known by its name.
+// The test of one row. Each row is a test of its own, so that the name of a failed test identifies the row.
 class RowTest : public Catch::ITestInvoker {
  public:
   RowTest(std::string topic, Json row) : topic_(std::move(topic)), row_(std::move(row)) {}
@@ -53,7 +53,7 @@
 void register_rows() {
   for_each_row([](const std::string& topic, const Json& row) {
     const std::string name = "Conformance row: " + row.at("case").get<std::string>();
-    // Catch takes over the invoker.
+    // Catch takes ownership of the invoker.
     Catch::AutoReg(new RowTest(topic, row), CATCH_INTERNAL_LINEINFO, Catch::StringRef(),
                    Catch::NameAndTags(name, "[conformance][row]"));
   });
@@ -68,7 +68,8 @@
   });
 }
 
-TEST_CASE("Conformance: every sentence of the design has a row or a reason why not", "[conformance]") {
+TEST_CASE("Conformance: every sentence of the design has a row or a reason for having none",
+          "[conformance]") {
   std::map<std::string, int> rows;
   std::set<std::string> cases;
   for_each_row([&](const std::string& topic, const Json& row) {
@@ -85,7 +86,7 @@
   }
 }
 
-TEST_CASE("Conformance: every deviation is stated with its reason and has a row", "[conformance]") {
+TEST_CASE("Conformance: every deviation has a statement, a reason and a row", "[conformance]") {
   std::set<std::string> used;
   for_each_row([&](const std::string& topic, const Json& row) {
     INFO(topic << ": " << row.at("case").get<std::string>());
--- a/tests/conformance/falsified_rows.cpp
+++ b/tests/conformance/falsified_rows.cpp
@@ -1,4 +1,4 @@
-// Rows whose expectation is made false: the test of the test.
+// Creates rows whose expectation is false, which the checks of rows must reject.
 #include <set>
 #include <string>
 
@@ -23,7 +23,8 @@
   return falsified;
 }
 
-// Without the row's figures, so that the router alone finds the falsehood.
+// Returns the row with another expectation and without its figures, so that only the check of the router can
+// find the false expectation.
 Json with_expectation(const Json& row, const std::string& name, const Json& value) {
   Json falsified = row;
   for (const char* field : kFigureFields) falsified.erase(field);
@@ -31,7 +32,8 @@
   return falsified;
 }
 
-// Another endpoint of the same row in the place of the right one: what a wrong module would pick.
+// Adds rows that expect another endpoint of the same row instead of the right one, as a faulty module would
+// pick.
 void add_other_picks(const Json& row, const Tables& tables, std::vector<Json>& rows) {
   const RowObservation observation = observe_row(row, tables, 0);
   std::set<std::string> others;
@@ -40,7 +42,7 @@
   others.erase(observation.pick);
   for (const std::string& endpoint : others) rows.push_back(with_expectation(row, "pick", endpoint));
   if (!row.contains("scores") || others.empty()) return;
-  // The router's pick is among these, but they don't follow from the figures.
+  // The router's pick is among these endpoints, but the expectation does not follow from the figures.
   Json falsified = row;
   others.insert(row["expected"]["pick"].get<std::string>());
   falsified["expected"] = {{"any_of", others}};
--- a/tests/conformance/prefix_table.cpp
+++ b/tests/conformance/prefix_table.cpp
@@ -14,7 +14,7 @@
   Entry recorded{key, tokens / kBlockTokens * kBlockTokens,
                  static_cast<std::size_t>(own_tokens / kBlockTokens)};
   for (const Entry& entry : entries_) {
-    if (entry.key == key && entry.tokens > recorded.tokens) recorded = entry;  // the longer one stays
+    if (entry.key == key && entry.tokens > recorded.tokens) recorded = entry;  // the longer prefix stays
   }
   std::erase_if(entries_, [&key](const Entry& entry) { return entry.key == key; });
   entries_.push_front(recorded);
--- a/tests/conformance/prefix_table.hpp
+++ b/tests/conformance/prefix_table.hpp
@@ -1,5 +1,5 @@
-// The prefixes that one reader should have cached by the design's page: those that were sent to it, the least
-// recently used evicted first.
+// The prefixes that one reader should have cached according to the design page: those that were sent to it.
+// The least recently used one is evicted first.
 #ifndef DISPATCHER_TESTS_CONFORMANCE_PREFIX_TABLE_HPP_
 #define DISPATCHER_TESTS_CONFORMANCE_PREFIX_TABLE_HPP_
 
@@ -9,20 +9,22 @@
 
 namespace dispatcher::routing::conformance {
 
-// Tokens are cached in blocks.
+// Tokens are cached in blocks of this many.
 constexpr int kBlockTokens = 16;
 
+// The cached prefixes of one reader.
 class PrefixTable {
  public:
-  // A prefix: a session's texts follow its shared beginning.
+  // Identifies a prefix. The texts of a session follow its shared prefix.
   struct Key {
     std::uint64_t shared_prefix, session;  // zero: none
     friend bool operator==(const Key&, const Key&) = default;
   };
 
-  // Zero if nothing is cached.
+  // Returns the number of cached tokens of a prefix; zero if nothing is cached.
   [[nodiscard]] int tokens(const Key& key) const;
-  // `own_tokens`: those that the key does not share with another. Evicts what exceeds `max_blocks`.
+  // Records that a prefix was sent. `own_tokens` is the number of its tokens that no other key shares. Evicts
+  // prefixes while all of them together exceed `max_blocks`.
   void record(const Key& key, int tokens, int own_tokens, std::size_t max_blocks);
 
  private:
@@ -33,7 +35,7 @@
   };
   [[nodiscard]] std::size_t used_blocks() const;
 
-  std::list<Entry> entries_;  // last used first
+  std::list<Entry> entries_;  // most recently used first
 };
 
 }  // namespace dispatcher::routing::conformance
--- a/tests/conformance/reference_scorer.cpp
+++ b/tests/conformance/reference_scorer.cpp
@@ -9,11 +9,12 @@
 namespace dispatcher::routing::conformance {
 namespace {
 
-constexpr std::size_t kDefaultBlocks = 31250;  // of a kind whose memory is unknown
+constexpr std::size_t kDefaultBlocks = 31250;  // cache size of an endpoint kind whose memory is unknown
 constexpr double kPrefixWeight = 3, kLoadWeight = 2, kMemoryWeight = 2;
-// "Well above the mean" has no figure in the design. Up to the first no one would call it so; from the others
-// on all would.
-constexpr double kHardlyAbove = 0.5, kTwice = 2, kFarAbove = 3;
+// The design says "well above the mean" without a number. A count of at most kSlightExcess above the mean is
+// surely not well above it. A count of at least kDouble times the mean and at least kLargeExcess above it
+// surely is.
+constexpr double kSlightExcess = 0.5, kDouble = 2, kLargeExcess = 3;
 
 double clamp_to_unit(double x) { return std::clamp(x, 0.0, 1.0); }
 
@@ -21,7 +22,7 @@
   return report.in_flight || report.memory_share || report.prompt_kilotokens;
 }
 
-std::set<EndpointId> with_fewest(const std::map<EndpointId, double>& counts) {
+std::set<EndpointId> endpoints_with_minimum(const std::map<EndpointId, double>& counts) {
   double minimum = std::numeric_limits<double>::max();
   for (const auto& [id, count] : counts) minimum = std::min(minimum, count);
   std::set<EndpointId> result;
@@ -66,7 +67,7 @@
   offline_.erase(drain.endpoint);
   const auto it = endpoints_.find(drain.endpoint);
   if (!bounds_ || it == endpoints_.end()) return;
-  Endpoint returned;  // all that was known of it is forgotten
+  Endpoint returned;  // everything known about the endpoint is forgotten
   returned.info = it->second.info;
   returned.role = it->second.role;
   it->second = returned;
@@ -136,7 +137,7 @@
     endpoint.prefixes.record({request.shared_prefix, 0}, shared_tokens, shared_tokens, max_blocks);
 }
 
-// ---- what is known of endpoints ----
+// ---- properties of endpoints ----
 
 bool ReferenceScorer::is_ready(const Endpoint& endpoint) const {
   return endpoint.info.state == EndpointState::kReady && !offline_.contains(endpoint.info.endpoint);
@@ -147,12 +148,14 @@
 }
 
 int ReferenceScorer::tokens_cached_at(const Endpoint& endpoint, const Request& request) const {
-  int of_session = 0, of_shared_prefix = 0;
-  if (request.session != 0) of_session = endpoint.prefixes.tokens({request.shared_prefix, request.session});
+  int session_tokens = 0, shared_prefix_tokens = 0;
+  if (request.session != 0)
+    session_tokens = endpoint.prefixes.tokens({request.shared_prefix, request.session});
   if (request.shared_prefix != 0) {
-    of_shared_prefix = std::min(endpoint.prefixes.tokens({request.shared_prefix, 0}), request.prefix_tokens);
+    shared_prefix_tokens =
+        std::min(endpoint.prefixes.tokens({request.shared_prefix, 0}), request.prefix_tokens);
   }
-  return std::min(std::max(of_session, of_shared_prefix), request.prompt_tokens);
+  return std::min(std::max(session_tokens, shared_prefix_tokens), request.prompt_tokens);
 }
 
 int ReferenceScorer::cached_tokens(const RequestId& request) const {
@@ -178,7 +181,7 @@
   }));
 }
 
-// Over the ready endpoints of a role that have a value; empty if none has.
+// Returns the mean over the ready endpoints of a role that have a value; empty if none has one.
 template <typename ValueOf>
 std::optional<double> ReferenceScorer::mean_over_ready(Role role, ValueOf value_of) const {
   double sum = 0, count = 0;
@@ -195,7 +198,7 @@
 
 // ---- parts of the score ----
 
-// The reported value; with bounds it returns to the mean of the role's reports as it ages.
+// Returns the reported value. With bounds, it decays to the mean of the role's reports as it ages.
 double ReferenceScorer::aged_report(const Endpoint& endpoint, LoadField field) const {
   const double value = (endpoint.report.*field).value_or(0);
   if (!bounds_) return value;
@@ -211,8 +214,8 @@
   return 1000 * *endpoint.report.prompt_kilotokens + endpoint.tokens_since_report;
 }
 
-// The last reported work and what was sent since, else what is in flight; an endpoint that neither reported
-// nor was used counts as the average.
+// Returns the last reported work plus what was sent since, or what is in flight if no work was reported. An
+// endpoint that has neither reported nor been used counts as the average.
 double ReferenceScorer::load(const Endpoint& endpoint) const {
   if (endpoint.report.prompt_kilotokens)
     return 1000 * aged_report(endpoint, &LoadReport::prompt_kilotokens) + endpoint.tokens_since_report;
@@ -294,18 +297,18 @@
 std::set<EndpointId> ReferenceScorer::writers_for(const EndpointId& reader) const {
   const EndpointInfo& read_at = endpoints_.at(reader).info;
   const std::map<EndpointId, double> all = streams();
-  std::map<EndpointId, double> near;  // in the reader's cell
+  std::map<EndpointId, double> in_cell;  // in the reader's cell
   double sum = 0;
   for (const auto& [id, count] : all) {
     const EndpointInfo& writer = endpoints_.at(id).info;
-    if (writer.zone == read_at.zone && writer.cell == read_at.cell) near[id] = count;
+    if (writer.zone == read_at.zone && writer.cell == read_at.cell) in_cell[id] = count;
     sum += count;
   }
-  if (near.empty()) return with_fewest(all);
+  if (in_cell.empty()) return endpoints_with_minimum(all);
   const double mean = sum / static_cast<double>(all.size());
-  const double best = near.at(*with_fewest(near).begin());
-  if (best <= mean + kHardlyAbove) return with_fewest(near);
-  if (best >= kTwice * mean && best >= mean + kFarAbove) return with_fewest(all);
+  const double best = in_cell.at(*endpoints_with_minimum(in_cell).begin());
+  if (best <= mean + kSlightExcess) return endpoints_with_minimum(in_cell);
+  if (best >= kDouble * mean && best >= mean + kLargeExcess) return endpoints_with_minimum(all);
   return {};
 }
 
--- a/tests/conformance/reference_scorer.hpp
+++ b/tests/conformance/reference_scorer.hpp
@@ -1,5 +1,5 @@
-// The scores of the design page, worked out apart from the routing module: from the events that a router was
-// given and the actions that it returned, and from nothing else.
+// Computes the scores of the design page independently of the routing module: only from the events that a
+// router received and the actions that it returned.
 #ifndef DISPATCHER_TESTS_CONFORMANCE_REFERENCE_SCORER_HPP_
 #define DISPATCHER_TESTS_CONFORMANCE_REFERENCE_SCORER_HPP_
 
@@ -14,12 +14,13 @@
 
 namespace dispatcher::routing::conformance {
 
-// Where the module departs from the design on purpose: the figures of deviations.json.
+// Parameters of the module's deliberate deviations from the design: the figures of deviations.json.
 struct Bounds {
-  double spread_floor{}, spread_max{};  // of the mean load, between which min-max normalization stretches
+  double spread_floor{}, spread_max{};  // bounds of the range of loads that min-max normalization stretches,
+                                        // as multiples of the mean load
   double min_mean_tokens{}, fixed_tokens{};
   double min_states{};
-  Duration half_life{};  // of a load report
+  Duration half_life{};  // time in which a load report moves halfway to the mean
   double tie_band{};
 };
 
@@ -28,25 +29,26 @@
   double prefix{}, load{}, memory{}, sum{};
 };
 
-// Follows one router. A value type: it shares nothing with the router.
+// Computes the scores for one router. A value type that shares nothing with the router.
 class ReferenceScorer {
  public:
-  // Without bounds it is the design's page alone, with them also what the module does on purpose.
+  // Without bounds, follows the design page alone; with bounds, also the module's deliberate deviations.
   ReferenceScorer(const Settings& settings, std::optional<Bounds> bounds)
       : settings_(settings), bounds_(bounds) {}
 
   void observe(Time now, const Event& event);
-  void observe(const Action& action);  // in the order returned
+  void observe(const Action& action);  // must be called in the order in which the router returns actions
   void set_time(Time now) { now_ = now; }
 
-  // Of each ready reader and mixed endpoint, for this request.
+  // Returns the score of each ready reader and mixed endpoint for this request.
   [[nodiscard]] std::map<EndpointId, Score> scores(const Request& request) const;
-  // The prompt tokens that the endpoint of a read in flight should have cached.
+  // Returns how many prompt tokens the endpoint of a read in flight should have cached.
   [[nodiscard]] int cached_tokens(const RequestId& request) const;
-  // Streams of each ready writer: reported ones, else this router's own.
+  // Returns the number of streams of each ready writer: the reported number, or else that of this router's
+  // own.
   [[nodiscard]] std::map<EndpointId, double> streams() const;
-  // The writers that the design lets a prompt state at this reader go to; empty where it does not say ("well
-  // above" has no figure there).
+  // Returns the writers to which the design allows a prompt state at this reader to go. Empty if the design
+  // does not determine them, as it gives no number for "well above".
   [[nodiscard]] std::set<EndpointId> writers_for(const EndpointId& reader) const;
 
  private:
@@ -56,17 +58,17 @@
     PrefixTable prefixes{};
     LoadReport report{};
     Time reported_at{};
-    bool was_used = false;           // by this router, at any time
-    double tokens_since_report = 0;  // prompt tokens sent to it
+    bool was_used = false;           // an attempt was sent to it by this router, at any time
+    double tokens_since_report = 0;  // prompt tokens sent to it since its last report
   };
   struct OpenRequest {
     Request request;
-    EndpointId active_endpoint;  // where an attempt is in flight
-    EndpointId prompt_state_at;  // where a prompt state waits
-    double unread_tokens = 0;    // of the attempt in flight
-    bool is_at_writer = false;   // the attempt is at a writer or mixed endpoint
+    EndpointId active_endpoint;  // where an attempt is in flight, if any
+    EndpointId prompt_state_at;  // where a prompt state waits, if any
+    double unread_tokens = 0;    // prompt tokens that the attempt in flight still has to process
+    bool is_at_writer = false;   // the attempt in flight is at a writer or mixed endpoint
   };
-  // Loads of the endpoints that can read, by the mean of their role.
+  // Loads of the endpoints that can read, divided by the mean load of their role.
   struct RelativeLoads {
     std::map<EndpointId, double> loads;
     double minimum{}, maximum{};
--- a/tests/conformance/row_check.cpp
+++ b/tests/conformance/row_check.cpp
@@ -13,16 +13,16 @@
 namespace dispatcher::routing::conformance {
 namespace {
 
-constexpr double kScoreTolerance = 0.002;  // what rounding in the row may be off by
-constexpr double kBandTolerance = 0.009;   // a score so near the edge of the tie band decides nothing
-constexpr double kEqualScores = 1e-6;      // scores so near are equal
-constexpr double kDeviation = 0.012;       // scores that differ by more do so by a deviation
+constexpr double kScoreTolerance = 0.002;    // largest rounding error of the row's figures
+constexpr double kBandTolerance = 0.009;     // a score this near the edge of the tie band is ambiguous
+constexpr double kEqualityTolerance = 1e-6;  // scores that differ by no more than this are equal
+constexpr double kMinDeviation = 0.012;      // scores that differ by more do so because of a deviation
 
 void append(Failures& failures, const Failures& more) {
   failures.insert(failures.end(), more.begin(), more.end());
 }
 
-// Figures as rows hold them.
+// Converts figures to the form that they have in rows.
 Json to_json(const Score& score) { return Json::array({score.prefix, score.load, score.memory, score.sum}); }
 Json to_json(double count) { return Json::array({count}); }
 
@@ -37,7 +37,7 @@
   return out.str();
 }
 
-// The endpoints that the row's expectation lets win.
+// Returns the endpoints that may win according to the row's expectation.
 std::set<std::string> expected_winners(const Json& expected) {
   if (expected.contains("pick")) return {expected["pick"].get<std::string>()};
   if (expected.contains("any_of")) return expected["any_of"].get<std::set<std::string>>();
@@ -52,7 +52,7 @@
 
 bool is_within(const Json& range, double value) { return value >= range.at(0) && value <= range.at(1); }
 
-// The figures of one endpoint: those of the row against those worked out.
+// Compares the figures of one endpoint: those stated in the row and those computed.
 bool are_equal(Json stated, const Json& computed) {
   if (stated.is_number()) stated = Json::array({stated});
   if (stated.size() != computed.size()) return false;
@@ -70,28 +70,29 @@
         return are_equal(stated.value(entry.first, Json()), to_json(entry.second));
       });
   if (holds) return {};
-  return {std::string(field) + " of the row: " + stated.dump() + ", worked out:" + to_text(computed)};
+  return {std::string(field) + " of the row: " + stated.dump() + ", computed:" + to_text(computed)};
 }
 
 bool deviates(const RowObservation& observation) {
   return std::ranges::any_of(observation.design_scores, [&observation](const auto& entry) {
     const double module_sum = observation.module_scores.at(entry.first).sum;
-    return std::abs(entry.second.sum - module_sum) > kDeviation;
+    return std::abs(entry.second.sum - module_sum) > kMinDeviation;
   });
 }
 
-// The expectation follows from the scores that decide, and these leave no doubt about the tie band.
+// Checks that the expectation follows from the scores that decide, and that none of these is ambiguous about
+// the tie band.
 Failures check_expected_winners(const Json& row, const Scores& scores, double tie_band) {
   Failures failures;
   double best = 0;
   for (const auto& [endpoint, score] : scores) best = std::max(best, score.sum);
   std::set<std::string> winners;
-  bool is_tie_by_band = false;  // only the band makes it a tie
+  bool is_tie_by_band = false;  // the winners tie only because of the band
   for (const auto& [endpoint, score] : scores) {
     const double below = best - score.sum;
     if (below <= tie_band) {
       winners.insert(endpoint);
-      is_tie_by_band = is_tie_by_band || below > kEqualScores;
+      is_tie_by_band = is_tie_by_band || below > kEqualityTolerance;
     }
     if (std::abs(below - tie_band) < kBandTolerance)
       failures.push_back(endpoint + " lies on the edge of the tie band:" + to_text(scores));
@@ -100,11 +101,12 @@
   if (!expected.empty() && expected != winners)
     failures.push_back("the expected pick does not follow from" + to_text(scores));
   if (is_tie_by_band && row.value("deviation", "") != "tie-band")
-    failures.push_back("a tie by the band alone, which is not said:" + to_text(scores));
+    failures.push_back("a tie by the band alone, without the deviation 'tie-band':" + to_text(scores));
   return failures;
 }
 
-// The row's own figures are what its state comes to, and its expectation follows from them.
+// Checks that the row's figures are those computed from its state, and that its expectation follows from
+// them.
 Failures check_scores(const Json& row, const RowObservation& observation, const Bounds& bounds) {
   Failures failures = check_figures("scores", row, observation.design_scores);
   const bool has_module_scores = row.contains("here");
@@ -112,7 +114,7 @@
     append(failures, check_figures("here", row, observation.module_scores));
     if (!row.contains("deviation")) failures.emplace_back("`here` without a deviation");
   } else if (deviates(observation)) {
-    failures.push_back("without `here`, but the module's own bounds make it" +
+    failures.push_back("no `here`, but with the module's own bounds the scores are" +
                        to_text(observation.module_scores));
   }
   const Scores& deciding = has_module_scores ? observation.module_scores : observation.design_scores;
@@ -142,7 +144,7 @@
   return failures;
 }
 
-Failures check_all_plays(const Json& expected, const std::vector<RowObservation>& observations) {
+Failures check_all_runs(const Json& expected, const std::vector<RowObservation>& observations) {
   Failures failures;
   std::map<std::string, int> picks;
   for (const RowObservation& observation : observations) ++picks[observation.pick];
@@ -163,10 +165,10 @@
 
 Failures check_row(const Json& row, const Tables& tables) {
   try {
-    const std::vector<RowObservation> observations = observe_all_plays(row, tables);
+    const std::vector<RowObservation> observations = observe_all_runs(row, tables);
     const RowObservation& first = observations.front();
     Failures failures = check_first_run(row.at("expected"), first);
-    append(failures, check_all_plays(row.at("expected"), observations));
+    append(failures, check_all_runs(row.at("expected"), observations));
     if (row.contains("scores")) append(failures, check_scores(row, first, tables.bounds));
     if (row.contains("streams")) append(failures, check_streams(row, first));
     return failures;
--- a/tests/conformance/row_observation.cpp
+++ b/tests/conformance/row_observation.cpp
@@ -23,9 +23,9 @@
   return result;
 }
 
-// What differs from play to play.
+// What varies between the runs of a row.
 struct Variation {
-  std::string varied;  // empty: nothing
+  std::string varied;  // empty if nothing varies
   int number = 0, count = 1;
 };
 
@@ -51,7 +51,7 @@
   return request;
 }
 
-// The routers of one play, by their offset from the first one, which gets the row's request.
+// The routers of one run, by their offset from the first one, which gets the row's request.
 class Runners {
  public:
   Runners(Json settings, std::uint64_t seed, const Bounds& bounds)
@@ -72,7 +72,7 @@
   std::map<int, TableRunner> runners_;
 };
 
-// Submits the request and takes it through both stages.
+// Submits the request and runs it through both stages.
 void observe_path(TableRunner& runner, const Request& request, const std::optional<EndpointId>& read_at,
                   RowObservation& observation) {
   EndpointId endpoint = runner.submit(request, read_at);
@@ -117,7 +117,7 @@
   return observation;
 }
 
-std::vector<RowObservation> observe_all_plays(const Json& row, const Tables& tables) {
+std::vector<RowObservation> observe_all_runs(const Json& row, const Tables& tables) {
   std::vector<RowObservation> observations;
   const int count = variation_of(row, 0).count;
   observations.reserve(static_cast<std::size_t>(count));
--- a/tests/conformance/row_observation.hpp
+++ b/tests/conformance/row_observation.hpp
@@ -1,4 +1,4 @@
-// Plays a row of the tables and keeps what it showed, by the names that the row uses.
+// Runs a row of the tables and records the result, with the endpoint names that the row uses.
 #ifndef DISPATCHER_TESTS_CONFORMANCE_ROW_OBSERVATION_HPP_
 #define DISPATCHER_TESTS_CONFORMANCE_ROW_OBSERVATION_HPP_
 
@@ -15,22 +15,22 @@
 using Scores = std::map<std::string, Score>;  // by endpoint
 using Counts = std::map<std::string, double>;
 
-// What one play of a row showed.
+// The result of one run of a row.
 struct RowObservation {
   std::vector<std::string> path;  // the endpoints that the request was sent to
-  std::string pick;               // the one that the row is about; empty: none
+  std::string pick;               // the endpoint that the row is about; empty if there is none
   std::size_t index_keys = 0;
   Scores design_scores, module_scores;  // before the request is submitted
   Counts streams;
-  std::set<std::string> writers;  // that the design leaves to choose from
+  std::set<std::string> writers;  // among which the design allows any choice
 };
 
-// Plays a row once; `number` is that of the play where it is played many times. Throws std::exception where
-// the row is malformed or can't be brought about.
+// Runs a row once. `number` is the number of the run if the row has many. Throws std::exception if the row is
+// malformed or its state can't be established.
 [[nodiscard]] RowObservation observe_row(const Json& row, const Tables& tables, int number);
 
-// As often as the row says.
-[[nodiscard]] std::vector<RowObservation> observe_all_plays(const Json& row, const Tables& tables);
+// Runs a row as often as it says.
+[[nodiscard]] std::vector<RowObservation> observe_all_runs(const Json& row, const Tables& tables);
 
 }  // namespace dispatcher::routing::conformance
 
--- a/tests/conformance/step_runner.cpp
+++ b/tests/conformance/step_runner.cpp
@@ -14,13 +14,13 @@
   };
   static constexpr std::array kKinds = {Kind{"list", &StepRunner::run_list},
                                         Kind{"ask", &StepRunner::run_request},
-                                        Kind{"teach", &StepRunner::run_teach},
+                                        Kind{"teach", &StepRunner::run_cached_prefixes},
                                         Kind{"reports", &StepRunner::run_reports},
                                         Kind{"read", &StepRunner::run_read},
-                                        Kind{"first", &StepRunner::run_first},
+                                        Kind{"first", &StepRunner::run_first_token},
                                         Kind{"serve", &StepRunner::run_serve},
                                         Kind{"gone", &StepRunner::run_disconnect},
-                                        Kind{"end", &StepRunner::run_end},
+                                        Kind{"end", &StepRunner::run_failure},
                                         Kind{"states", &StepRunner::run_states},
                                         Kind{"streams", &StepRunner::run_streams},
                                         Kind{"wait_ms", &StepRunner::run_wait},
@@ -49,8 +49,8 @@
     fail((is_rejection_expected ? "not rejected: " : "rejected: ") + step.dump());
 }
 
-// Complete reads, of which nothing is left but their keys; of one session after the other.
-void StepRunner::run_teach(const Json& step) {
+// Runs complete reads that leave nothing behind but cached prefixes, for one session after the other.
+void StepRunner::run_cached_prefixes(const Json& step) {
   require_known_fields(step, {"teach", "session", "shared", "prompt", "prefix", "times"});
   const EndpointId endpoint = step.at("teach").get<std::string>();
   Json fields = step;
@@ -74,7 +74,8 @@
   for (const auto& item : step.at("reports").items()) report_load(item.key(), parse_report(item.value()));
 }
 
-// By the end of a request without a key, read, written or cancelled there.
+// Reports the load at the end of a request that has no session or shared prefix. The request is read at a
+// reader, written at a writer, or cancelled at a mixed endpoint.
 void StepRunner::report_load(const EndpointId& endpoint, const LoadReport& report) {
   const Request request = runner_.make_unnamed_request();
   switch (runner_.role(endpoint)) {
@@ -101,7 +102,7 @@
   runner_.complete(step.at("read").get<std::string>(), AttemptStatus::kRead, end);
 }
 
-void StepRunner::run_first(const Json& step) {
+void StepRunner::run_first_token(const Json& step) {
   require_known_fields(step, {"first", "took_ms"});
   runner_.send_first_token(step.at("first").get<std::string>(), parse_milliseconds(step, "took_ms", 20));
 }
@@ -116,8 +117,8 @@
   runner_.disconnect_client(step.at("gone").get<std::string>());
 }
 
-// The note 1 says that there is evidence.
-void StepRunner::run_end(const Json& step) {
+// A note of 1 means that there is evidence.
+void StepRunner::run_failure(const Json& step) {
   require_known_fields(step, {"end", "verdict", "note"});
   const AttemptStatus status = parse_failure(step.at("verdict"));
   runner_.complete(step.at("end").get<std::string>(), status, {.has_evidence = step.value("note", 0) == 1});
@@ -139,12 +140,12 @@
 
 void StepRunner::run_states(const Json& step) {
   require_known_fields(step, {"states", "count", "until"});
-  hold_prompt_states(step.at("states").get<std::string>(), step.value("count", 1),
-                     parse_state_end(step.value("until", "read")));
+  create_prompt_states(step.at("states").get<std::string>(), step.value("count", 1),
+                       parse_state_end(step.value("until", "read")));
 }
 
-// Read there, waiting for a writer.
-void StepRunner::hold_prompt_states(const EndpointId& reader, int count, StateEnd end) {
+// Creates requests that are read at the reader and whose prompt states wait there for a writer, until `end`.
+void StepRunner::create_prompt_states(const EndpointId& reader, int count, StateEnd end) {
   std::vector<RequestId> ids;
   for (int i = 0; i < count; ++i) {
     const Request request = runner_.make_unnamed_request();
--- a/tests/conformance/step_runner.hpp
+++ b/tests/conformance/step_runner.hpp
@@ -9,31 +9,31 @@
 
 namespace dispatcher::routing::conformance {
 
-// Refers to the runner, which must outlive it.
+// Runs steps on one router. Refers to the table runner, which must outlive it.
 class StepRunner {
  public:
   explicit StepRunner(TableRunner& runner) : runner_(runner) {}
 
-  // Throws std::exception where the step is malformed or can't be brought about.
+  // Runs one step. Throws std::exception if it is malformed or its effect can't be established.
   void run(const Json& step);
 
  private:
-  // How far the requests of a step are taken.
+  // The stage at which the requests of a step are left.
   enum class StateEnd { kRead, kFetched, kDisconnected };
   enum class StreamEnd { kSent, kBegun, kServed };
   static StateEnd parse_state_end(const std::string& word);
   static StreamEnd parse_stream_end(const std::string& word);
 
-  // Each runs one kind of step.
+  // Each function runs one kind of step.
   void run_list(const Json& step);
   void run_request(const Json& step);
-  void run_teach(const Json& step);
+  void run_cached_prefixes(const Json& step);
   void run_reports(const Json& step);
   void run_read(const Json& step);
-  void run_first(const Json& step);
+  void run_first_token(const Json& step);
   void run_serve(const Json& step);
   void run_disconnect(const Json& step);
-  void run_end(const Json& step);
+  void run_failure(const Json& step);
   void run_states(const Json& step);
   void run_streams(const Json& step);
   void run_wait(const Json& step);
@@ -41,7 +41,7 @@
 
   void report_load(const EndpointId& endpoint, const LoadReport& report);
   void open_stream(const EndpointId& endpoint, StreamEnd end);
-  void hold_prompt_states(const EndpointId& reader, int count, StateEnd end);
+  void create_prompt_states(const EndpointId& reader, int count, StateEnd end);
 
   TableRunner& runner_;
 };
--- a/tests/conformance/table_runner.cpp
+++ b/tests/conformance/table_runner.cpp
@@ -44,7 +44,8 @@
 void TableRunner::apply(const Action& action) {
   if (const auto* start = std::get_if<StartAttempt>(&action)) {
     RequestRecord& request = requests_.at(start->request);
-    if (!request.active_endpoint.empty()) fail_for(start->request, "a second attempt at once");
+    if (!request.active_endpoint.empty())
+      fail_for(start->request, "a second attempt was started while one is in flight");
     request.active_endpoint = start->endpoint;
     ++request.attempt_count;
   } else if (const auto* timer = std::get_if<SetTimer>(&action)) {
@@ -57,8 +58,8 @@
 }
 
 template <typename Function>
-EndpointId TableRunner::with_only(const EndpointId& endpoint, Function function) {
-  if (!listed_.contains(endpoint)) fail_for(endpoint, "not listed");
+EndpointId TableRunner::with_only_ready(const EndpointId& endpoint, Function function) {
+  if (!listed_.contains(endpoint)) fail_for(endpoint, "not in the endpoint list");
   const auto is_writer = [this](const EndpointId& id) { return role(id) == Role::kWriter; };
   EndpointList drained{ListKind::kDelta, {}}, ready{ListKind::kDelta, {}};
   for (const auto& [id, info] : listed_) {
@@ -71,7 +72,7 @@
   handle(drained);
   EndpointId active_endpoint = function();
   handle(ready);
-  if (active_endpoint != endpoint) fail_for(endpoint, "no attempt went there");
+  if (active_endpoint != endpoint) fail_for(endpoint, "no attempt was sent to this endpoint");
   return active_endpoint;
 }
 
@@ -126,20 +127,20 @@
 }
 
 EndpointId TableRunner::submit(const Request& request, const std::optional<EndpointId>& only_at) {
-  const auto submit_it = [&] {
+  const auto submit_request = [&] {
     requests_[request.id].request = request;
     handle(request);
     return requests_[request.id].active_endpoint;
   };
-  return only_at ? with_only(*only_at, submit_it) : submit_it();
+  return only_at ? with_only_ready(*only_at, submit_request) : submit_request();
 }
 
 EndpointId TableRunner::complete_read(const RequestId& id, const std::optional<EndpointId>& only_at) {
-  const auto complete_it = [&] {
+  const auto complete_read_attempt = [&] {
     complete(id, AttemptStatus::kRead, {});
     return requests_.at(id).active_endpoint;
   };
-  return only_at ? with_only(*only_at, complete_it) : complete_it();
+  return only_at ? with_only_ready(*only_at, complete_read_attempt) : complete_read_attempt();
 }
 
 void TableRunner::complete(const RequestId& id, AttemptStatus status, const AttemptEnd& end) {
--- a/tests/conformance/tables.cpp
+++ b/tests/conformance/tables.cpp
@@ -11,7 +11,7 @@
 
 namespace fs = std::filesystem;
 
-// What `many` may vary from play to play.
+// The fields that `many` may vary between the runs of a row.
 constexpr std::array<const char*, 5> kVariedFields = {"session", "id", "router", "router+session", "seed"};
 
 Json parse_file(const fs::path& path) {
