--- a/include/routing/actions.hpp
+++ b/include/routing/actions.hpp
@@ -1,5 +1,5 @@
 // Actions: what a dispatcher must do for the router. Plain values. See router.hpp for the order in which they
-// are carried out. All durations are microseconds, all times those of the dispatcher's steady clock.
+// are carried out. Durations are in microseconds; times are those of the dispatcher's steady clock.
 #ifndef DISPATCHER_ROUTING_ACTIONS_HPP_
 #define DISPATCHER_ROUTING_ACTIONS_HPP_
 
@@ -18,8 +18,9 @@
 struct StartAttempt {
   RequestId request;
   EndpointId endpoint;
-  Time deadline{};    // the dispatcher ends an attempt that is not complete by then (kTimeout)
-  Time connect_by{};  // for dispatchers on sockets: a connection not made by then has failed; zero: no limit
+  Time deadline{};  // the dispatcher ends an attempt that is not complete by then (kTimeout)
+  // For dispatchers on sockets: a connection that is not made by then has failed. Zero if there is no limit.
+  Time connect_by{};
 };
 
 // Cancels an attempt that is in flight; its AttemptCompleted still follows.
@@ -28,27 +29,27 @@
   int attempt{};
 };
 
-// Why a request gets a final answer without being served, for the log of requests.
+// Why a request gets a final answer without being served; for the request log.
 enum class GiveUpReason {
   kUnknownClass,             // its class is not in the settings
   kLoadShed,                 // shed on arrival: first tokens are late
-  kNoEndpoint,               // no endpoint is eligible, and waiting can't help
-  kAttemptsUsedUp,           // max_attempts are spent
+  kNoEndpoint,               // no endpoint is eligible, and waiting cannot help
+  kAttemptsUsedUp,           // all max_attempts have been used
   kDeadlineNear,             // too little time is left for a further attempt
-  kDeduplicationWindowOver,  // a repeat would not be recognized any more
+  kDeduplicationWindowOver,  // a repeat would no longer be recognized
   kReservationExpired,       // its prompt's state has waited too long for a writer
-  kMayHaveRun,               // not idempotent, and an attempt may have been executed
-  kNeverSent,                // the dispatcher refused to send its attempt
+  kMayHaveRun,               // it is non-idempotent, and an attempt may have been executed
+  kNeverSent,                // the dispatcher did not send its attempt
 };
 
-// Final answer: the client may safely send the request again.
+// Rejects the request. This is its final answer; the client may safely send the request again.
 struct Reject {
   RequestId request;
-  std::optional<Duration> retry_after;  // advice on when (HTTP's Retry-After); empty: none
+  std::optional<Duration> retry_after;  // when to retry (HTTP's Retry-After); empty if there is no advice
   GiveUpReason reason{};
 };
 
-// Final answer: the request failed and may have had effects.
+// Reports that the request failed. This is its final answer; the request may have had effects.
 struct Fail {
   RequestId request;
   GiveUpReason reason{};
@@ -65,7 +66,7 @@
   EndpointId endpoint;
 };
 
-// Releases all that endpoints have reserved for the request: prompt states and slots.
+// Releases everything that endpoints have reserved for the request: prompt states and slots.
 struct ReleaseReservation {
   RequestId request;
 };
--- a/include/routing/events.hpp
+++ b/include/routing/events.hpp
@@ -1,5 +1,5 @@
-// Events: what a dispatcher reports to the router. Plain values. See router.hpp for the order
-// in which they are passed. All durations are microseconds, all times those of the dispatcher's steady clock.
+// Events: what a dispatcher reports to the router. Plain values. See router.hpp for the order in which they
+// are passed. Durations are in microseconds; times are those of the dispatcher's steady clock.
 #ifndef DISPATCHER_ROUTING_EVENTS_HPP_
 #define DISPATCHER_ROUTING_EVENTS_HPP_
 
@@ -16,18 +16,18 @@
 
 namespace dispatcher::routing {
 
-// An endpoint's state as service discovery has it.
+// An endpoint's state as service discovery reports it.
 enum class EndpointState {
-  kRemoved,   // no longer listed: gets no attempts, its running ones may still complete
+  kRemoved,   // no longer listed; gets no new attempts, but its running ones may still complete
   kDraining,  // listed, but gets no new attempts
   kReady
 };
 
 // How an endpoint list is applied to the endpoints that are already known.
 enum class ListKind {
-  kFull,    // replaces them: endpoints that it does not name are removed
-  kFailed,  // a poll of the list failed; has no entries, and nothing changes
-  kCached,  // as kFull, but stored at an earlier time: it may be outdated
+  kFull,    // replaces them; endpoints that it does not name are removed
+  kFailed,  // a poll of the list failed; the list has no entries, and nothing changes
+  kCached,  // like kFull, but stored at an earlier time, so it may be outdated
   kDelta    // changes only the endpoints that it names
 };
 
@@ -35,16 +35,16 @@
 enum class AttemptStatus {
   kServed,         // the complete answer was received
   kError,          // the endpoint answered with an error
-  kFull,           // the endpoint rejected it for lack of capacity, or of the prompt's state
+  kFull,           // the endpoint rejected it because it lacked capacity or the prompt's state
   kTimeout,        // not complete at its deadline
-  kConnectFailed,  // no connection could be made: nothing was sent
+  kConnectFailed,  // no connection could be made, and nothing was sent
   kReset,          // the connection broke after the request, or a part of it, was sent
-  kCancelled,      // cancelled on a CancelAttempt
+  kCancelled,      // cancelled because of a CancelAttempt
   kNeverSent,      // the dispatcher did not send it
   kRead            // the reader processed the prompt and keeps its state (KV cache) for a writer
 };
 
-// What the end of an attempt shows beyond its status; the comments name the statuses that it is set with.
+// What the end of an attempt shows beyond its status. Each comment names the statuses with which it is set.
 enum class AttemptEvidence {
   kNone,
   kStateNotFound,    // kFull: the writer found no prompt state to fetch
@@ -56,32 +56,32 @@
 struct EndpointInfo {
   EndpointId endpoint;
   std::string zone;
-  std::string kind;  // name of an EndpointKind of the settings; an endpoint of an unknown kind is ignored
+  std::string kind;  // name of an EndpointKind of the settings; endpoints of unknown kinds are ignored
   int cell{};        // endpoints of one zone and cell share a fast network
   EndpointState state{};
   double weight{};  // relative capacity, see Settings::weight_meaning; 0 or less counts as 1
-  Time started{};   // start of its process; zero: long ago. Another value than before: it restarted
+  Time started{};   // start time of its process, zero if long ago; a changed value means that it restarted
 };
 
-// The list of endpoints, or a change of it.
+// The list of endpoints, or a change to it.
 struct EndpointList {
   ListKind kind{};
   std::vector<EndpointInfo> entries;
 };
 
-// A request was received. The router gives it exactly one final answer: an attempt that is served, Reject or
-// Fail, by client_deadline if timers are delivered on time. The id of a request that is still open is
-// ignored; an unknown class is answered with Fail at once.
+// A request was received. The router gives it exactly one final answer (an attempt that is served, Reject or
+// Fail), by client_deadline if timers are delivered on time. A request with the id of one that is still open
+// is ignored. A request of an unknown class is answered with Fail at once.
 struct Request {
   RequestId id;
   std::string request_class;            // name of a RequestClass of the settings
   std::string tenant;                   // name of a Tenant of the settings; others have no quota
-  std::uint64_t session{};              // hash that identifies its conversation; zero: none
-  std::uint64_t shared_prefix{};        // hash that identifies a prompt prefix of many sessions; zero: none
+  std::uint64_t session{};              // hash that identifies its conversation; zero if none
+  std::uint64_t shared_prefix{};        // hash that identifies a prompt prefix of many sessions; zero if none
   int prompt_tokens{};                  // the complete prompt ...
   int prefix_tokens{};                  // ... and its part that is the shared prefix
   int max_tokens{};                     // upper bound of the answer's length
-  Time client_deadline{};               // within which it must be answered
+  Time client_deadline{};               // by which it must be answered
   std::optional<Duration> length_hint;  // expected answer tokens times the class's token objective
   bool client_retry{};                  // the client marks it as a retry (Settings::clients_mark_retries)
   bool resubmitted{};                   // the client continues an answer whose stream broke or was migrated
@@ -94,15 +94,15 @@
   std::optional<double> prompt_kilotokens;  // prompt tokens that wait to be processed, in thousands
 };
 
-// The end of an attempt: exactly one for each StartAttempt.
+// An attempt ended. There is exactly one of these events for each StartAttempt.
 struct AttemptCompleted {
   RequestId request;
   EndpointId endpoint;
-  int attempt{};  // its number: see StartAttempt
+  int attempt{};  // its number; see StartAttempt
   AttemptStatus status{};
   Duration elapsed{};          // since the attempt was sent
   bool finished{};             // the request got its final answer with this result or before
-  int cached_prompt_tokens{};  // kRead, kServed: how much of the prompt the endpoint had cached
+  int cached_prompt_tokens{};  // with kRead and kServed: prompt tokens that the endpoint had cached
   AttemptEvidence evidence{};
   LoadReport report;
 };
@@ -125,7 +125,7 @@
   ReservationOutcome outcome = ReservationOutcome::kDenied;
 };
 
-// The client closed its connection: the request needs no answer any more.
+// The client closed its connection, so the request no longer needs an answer.
 struct ClientGone {
   RequestId request;
 };
@@ -135,11 +135,11 @@
   std::uint64_t tag{};
 };
 
-// Whether operators let an endpoint serve. This takes precedence over every endpoint list: a drained endpoint
-// gets nothing new, also after it left the list and returned.
+// Whether operators allow an endpoint to serve requests. This takes precedence over every endpoint list: a
+// drained endpoint gets no new attempts, even if it has left the list and returned.
 enum class AdministrativeState { kInService, kDrained };
 
-// Operators drain an endpoint or return it to service. Repeats change nothing.
+// Operators drain an endpoint or return it to service. Repeating the event changes nothing.
 struct AdministrativeDrain {
   EndpointId endpoint;
   AdministrativeState state{};
@@ -157,22 +157,23 @@
   struct EndpointHistory {
     EndpointId endpoint;
     std::vector<Time> sends;  // recent attempts sent to it
-    Time back{};              // when operators put it back into service; zero: never
+    Time returned_at{};       // when operators last returned it to service; zero if never
   };
   std::array<MovingAverage, 3> starts;  // microseconds per token of start work, by Role
-  MovingAverage far;                    // ... and for a state fetched from another cell
-  std::array<int, 3> served{};          // results of the last seconds, by Role
-  Time since{};                         // when counting of those began
+  MovingAverage remote_starts;          // the same for states fetched from another cell
+  std::array<int, 3> served{};          // numbers of results in the last seconds, by Role
+  Time since{};                         // when the counting of these results began
   std::vector<EndpointHistory> endpoints;
 };
 
-// During a hot restart, the other process sent a request to this endpoint: both share the slow-start budget.
+// During a hot restart, the other process sent a request to this endpoint. Both processes share the
+// slow-start budget.
 struct PeerForwarded {
   EndpointId endpoint;
 };
 
-// Other settings, for the requests from now on; each open request keeps those that it was admitted under.
-// They must be valid (settings/check.hpp).
+// New settings for all requests from now on. Each open request keeps the settings under which it was
+// admitted. The new settings must be valid (settings/check.hpp).
 struct SettingsChanged {
   std::shared_ptr<const Settings> settings;
 };
--- a/include/routing/identifiers.hpp
+++ b/include/routing/identifiers.hpp
@@ -1,4 +1,4 @@
-/// Identifiers of endpoints and requests: text that names one thing, of a type for each kind of thing, so
+/// Identifiers of endpoints and requests: text that names one thing. Each kind of thing has its own type, so
 /// that the compiler tells them apart.
 #ifndef DISPATCHER_ROUTING_IDENTIFIERS_HPP_
 #define DISPATCHER_ROUTING_IDENTIFIERS_HPP_
@@ -14,13 +14,13 @@
 
 namespace dispatcher::routing {
 
-/// Text that names one thing of the kind `Tag`. Text becomes an identifier by itself, at the borders where it
-/// is parsed; an identifier becomes text by value() only, and never another kind of identifier. Compares,
-/// orders and hashes as its text does. A value type: copies share nothing.
+/// Text that names one thing of the kind `Tag`. Text converts implicitly to an identifier, for the places
+/// where it is parsed. An identifier converts to text only by value(), and never to another kind of
+/// identifier. Compares, orders and hashes like its text. A value type: copies share nothing.
 template <class Tag>
 class Identifier {
  public:
-  /// Empty: names nothing.
+  /// Creates an empty identifier, which names nothing.
   Identifier() = default;
   Identifier(std::string text) : text_(std::move(text)) {}
   Identifier(std::string_view text) : text_(text) {}
@@ -32,7 +32,7 @@
   friend bool operator==(const Identifier&, const Identifier&) = default;
   friend std::strong_ordering operator<=>(const Identifier&, const Identifier&) = default;
 
-  /// Compares with text without a copy of it.
+  /// Compares with text without copying it.
   template <std::convertible_to<std::string_view> Text>
   friend bool operator==(const Identifier& left, const Text& right) {
     return std::string_view(left.text_) == std::string_view(right);
@@ -42,7 +42,7 @@
     return std::string_view(left.text_) <=> std::string_view(right);
   }
 
-  /// Writes the text, as a failed test prints it.
+  /// Writes the text, so that a failed test can print it.
   friend std::ostream& operator<<(std::ostream& out, const Identifier& id) { return out << id.text_; }
 
  private:
@@ -52,20 +52,20 @@
 /// Names an endpoint, as service discovery does.
 using EndpointId = Identifier<struct EndpointTag>;
 
-/// Names a cell: endpoints of one zone that share a fast network. Its number counts within the zone.
+/// Names a cell: endpoints of one zone that share a fast network. The number identifies it within the zone.
 struct CellId {
   std::string zone;
   int cell = 0;
   auto operator<=>(const CellId&) const = default;
 };
 
-/// Names a request, as its client's message does or as its frontend draws it.
+/// Names a request. The id comes from the client's message, or the frontend generates it.
 using RequestId = Identifier<struct RequestTag>;
 
 }  // namespace dispatcher::routing
 
-/// The hash of the text. Not noexcept, as computing it is no cheap step: standard tables keep the hash of
-/// each entry then, as they do for text.
+/// Hashes the text. Not noexcept, because computing the hash is not cheap: the standard library's tables then
+/// store the hash of each entry, as they do for text.
 template <class Tag>
 struct std::hash<dispatcher::routing::Identifier<Tag>> {
   [[nodiscard]] std::size_t operator()(const dispatcher::routing::Identifier<Tag>& id) const {
--- a/include/routing/request_classes.hpp
+++ b/include/routing/request_classes.hpp
@@ -9,7 +9,7 @@
 
 namespace dispatcher::routing {
 
-// The class of that name, which the settings own. Null: there is no such class.
+// Returns the class with this name, which the settings own, or null if there is no such class.
 [[nodiscard]] inline const RequestClass* find_class(const Settings& settings, std::string_view name) {
   const auto found = std::find_if(settings.classes.begin(), settings.classes.end(),
                                   [&](const RequestClass& known) { return known.name == name; });
--- a/include/routing/router.hpp
+++ b/include/routing/router.hpp
@@ -1,8 +1,9 @@
 // The router: decides which endpoint serves each request, when to retry and when to reject.
 //
-// Pure: no I/O, no clock, no thread of its own; the same events at the same times give the same actions. A
-// dispatcher (the process that has the connections) builds one Router, passes each event to handle() in the
-// order of occurrence and carries out the returned actions in order before it passes the next event:
+// The router has no I/O, no clock and no thread of its own: the same events at the same times give the same
+// actions. A dispatcher (the process that has the connections) builds one Router, passes each event to
+// handle() in the order of occurrence and carries out the returned actions in order before it passes the next
+// event:
 //
 //   Router router(settings, seed);
 //   carry_out(router.handle(now, EndpointList{ListKind::kFull, endpoints}));
@@ -29,8 +30,8 @@
 
 // Numbers of table entries, for monitoring memory over long uptimes.
 struct TableSizes {
-  std::size_t requests{};    // open ones, and ended ones with an attempt in flight
-  std::size_t endpoints{};   // listed ones, and removed ones with attempts in flight
+  std::size_t requests{};    // open requests, and ended ones with an attempt in flight
+  std::size_t endpoints{};   // listed endpoints, and removed ones with attempts in flight
   std::size_t index_keys{};  // prompts in the prefix indexes of all endpoints
 };
 
@@ -38,8 +39,8 @@
 class Router {
  public:
   // Throws std::invalid_argument that names the invalid settings. `seed` should differ between the routers of
-  // a fleet, so that decisions which are spread by hash differ as well. Nothing else throws, except for lack
-  // of memory.
+  // a fleet, so that decisions which are spread by hash differ as well. Nothing else throws, unless memory
+  // runs out.
   Router(const Settings& settings, std::uint64_t seed);
   ~Router();
   Router(Router&&) noexcept;
@@ -48,9 +49,9 @@
   // Handles an event at time `now`, in microseconds since any fixed origin of a steady clock; a time before
   // the latest one seen counts as the latest. Returns the actions to carry out, in order.
   std::vector<Action> handle(Time now, const Event& event);
-  // Present sizes, in one pass over the endpoints.
+  // Returns the current table sizes, in one pass over the endpoints.
   [[nodiscard]] TableSizes table_sizes() const;
-  // What a successor process needs in order to continue (see LearnedState).
+  // Returns what a successor process needs in order to continue; see LearnedState.
   [[nodiscard]] LearnedState learned_state() const;
 
  private:
--- a/include/routing/settings.hpp
+++ b/include/routing/settings.hpp
@@ -1,7 +1,7 @@
 // Settings of the router: the properties of a deployment, its service-level objectives and what it permits.
 //
 // Plain values without behaviour. settings/check.hpp defines which values are valid; the constructor of
-// Router rejects the others. All durations are microseconds.
+// Router rejects the others. All durations are in microseconds.
 #ifndef DISPATCHER_ROUTING_SETTINGS_HPP_
 #define DISPATCHER_ROUTING_SETTINGS_HPP_
 
@@ -18,13 +18,13 @@
 // (decode), mixed ones do both.
 enum class Role { kReader, kWriter, kMixed };
 
-// Whether a request may be executed more than once. Repeats of a keyed one are discarded for a while.
+// Whether a request may be executed more than once. Endpoints discard repeats of a keyed request for a while.
 enum class Idempotency { kIdempotent, kKeyed, kNonIdempotent };
 
 // The endpoints that discard each other's repeats of a keyed request.
 enum class DeduplicationScope { kAll, kZone, kCell };
 
-// Where load reports are carried.
+// The messages in which endpoints send load reports.
 enum class ReportSource {
   kNone,
   kInAnswers,  // in answers and in health checks
@@ -56,10 +56,10 @@
   std::string name;  // unique among the classes
   Idempotency idempotency{};
   DeduplicationScope deduplication_scope{};
-  Duration deduplication_window{};               // keyed: how long repeats are discarded, from the first send
-  Duration latency_objective{};                  // a first token within this time has its full value ...
-  Duration latency_objective_per_1000_tokens{};  // ... plus this for each 1,000 prompt tokens
-  Duration deadline{};                           // from its arrival, within which a request must be answered
+  Duration deduplication_window{};  // for keyed requests: how long after the first send repeats are discarded
+  Duration latency_objective{};     // a first token within this time has its full value
+  Duration latency_objective_per_1000_tokens{};  // added to it for each 1,000 prompt tokens
+  Duration deadline{};                           // time from arrival within which a request must be answered
   Duration token_latency_objective{};            // wanted mean time between tokens
   double priority_weight{};                      // value of a request that is answered in time
   double late_weight{};                          // value of one that is answered after its objective
@@ -76,11 +76,11 @@
 struct EndpointKind {
   std::string name;
   Role role{};
-  double memory_tokens{};  // size of the prefix cache; 0: unknown
+  double memory_tokens{};  // size of the prefix cache; 0 if unknown
 };
 
 // Costs that are subtracted from the score by which a deployment is judged, each multiplied by a share or
-// rate; 0: not priced. Parsed and checked; no decision of the router depends on them.
+// rate; 0 if not priced. They are parsed and checked, but no decision of the router depends on them.
 struct Prices {
   double wasted_work{};          // endpoint work that served no answer, as a share of the work asked for
   double probe{};                // health checks and reservations, per first attempt
@@ -95,55 +95,58 @@
 };
 
 // Weights of the parts of that score: over all requests, in the worst time window, of the worst request class
-// and of the worst tenant. Parsed and checked; no decision of the router depends on them.
+// and of the worst tenant. They are parsed and checked, but no decision of the router depends on them.
 struct Goal {
   double total{}, worst_window{}, worst_class{}, worst_tenant{};
 };
 
 // All settings of one router.
 struct Settings {
-  int router_number{};             // of this router in its fleet: 0 to router_count - 1
-  int router_count{};              // routers of the fleet, which share endpoints and quotas
-  std::string zone;                // the router's own zone ...
-  std::vector<std::string> zones;  // ... among these; may be empty
+  int router_number{};             // number of this router in its fleet, from 0 to router_count - 1
+  int router_count{};              // number of routers in the fleet, which share endpoints and quotas
+  std::string zone;                // the router's own zone
+  std::vector<std::string> zones;  // the zones that `zone` is one of; may be empty
   std::vector<RequestClass> classes;
   std::vector<Tenant> tenants;  // may be empty
   std::vector<EndpointKind> kinds;
   bool polls_endpoint_list{};  // endpoint lists are delivered only after Subscribe
-  Duration poll_interval{};    // of that poll; a list older than this counts as delivered
+  Duration poll_interval{};    // interval of these polls; a list older than this counts as delivered
   WeightMeaning weight_meaning{};
   ReportSource report_source{};
   std::vector<LoadField> report_fields;
   bool writers_can_prefill{};   // a writer that gets no state processes the prompt itself
   bool may_reserve_slots{};     // ReserveSlot is allowed
-  bool may_migrate_streams{};   // MigrateStream is allowed; the client of a broken stream returns
+  bool may_migrate_streams{};   // MigrateStream is allowed; clients resend requests whose stream broke
   bool may_cancel{};            // CancelAttempt is allowed
   bool may_probe{};             // endpoints may be sent health checks
   bool may_hedge{};             // two attempts of one request may be in flight together (hedging)
   bool may_message_peers{};     // routers may send each other messages
-  bool clients_mark_retries{};  // clients mark their retries: see Request::client_retry
-  bool retry_advice{};          // Reject may carry retry_after ...
-  Duration max_retry_after{};   // ... up to this
-  int max_attempts{};           // of one request, at least 1
-  int free_connect_failures{};  // so many attempts that end as kConnectFailed do not count as attempts
-  // The reservation limit of a prompt's state runs on until an attempt is known to have reached a writer:
-  // neither a connection that fails nor a request that was merely written extends it.
+  bool clients_mark_retries{};  // clients mark their retries; see Request::client_retry
+  bool retry_advice{};          // Reject may carry retry_after
+  Duration max_retry_after{};   // upper bound of retry_after
+  int max_attempts{};           // attempts of one request, at least 1
+  // The first attempts of a request, up to this number, do not count against max_attempts if they end as
+  // kConnectFailed.
+  int free_connect_failures{};
+  // Whether the reservation limit of a prompt's state runs on until an attempt is known to have reached a
+  // writer, so that neither a failed connection nor a request that was merely written extends it.
   bool reservation_expires_until_delivery{};
-  int max_open_requests{};     // received and not answered yet; 0: unlimited
-  bool weight_by_work{};       // priority weight counts by work; else by request
+  int max_open_requests{};     // requests that are received and not answered yet; 0 if unlimited
+  bool weight_by_work{};       // priority weight counts by work, otherwise by request
   double over_quota_weight{};  // factor on the priority weight of over-quota requests
   Prices prices;
   Goal goal;
-  Duration tick{};                // least time between two batches of events
-  Duration answer_slack{};        // an answer that is this late still keeps the client's deadline
-  Duration drain_grace{};         // how long a draining endpoint completes what it has
-  Duration reservation_limit{};   // how long a prompt's state may wait at its reader
-  Duration connect_timeout{};     // for dispatchers on sockets: limit for making a connection
-  Duration idle_timeout{};        // for dispatchers on sockets: endpoints close connections idle for so long
-  double warmup_initial_share{};  // a started endpoint has at least this share of its capacity ...
-  Duration warmup_time{};         // ... and all of it after this time
-  double overload_multiple{};     // multiple of an endpoint's capacity that overloads it ...
-  Duration overload_window{};     // ... when sent within this time
+  Duration tick{};               // shortest time between two batches of events
+  Duration answer_slack{};       // an answer that is this late still keeps the client's deadline
+  Duration drain_grace{};        // time for which a draining endpoint completes its running attempts
+  Duration reservation_limit{};  // how long a prompt's state may wait at its reader
+  Duration connect_timeout{};    // for dispatchers on sockets: time limit for making a connection
+  Duration idle_timeout{};  // for dispatchers on sockets: endpoints close connections that are idle this long
+  double warmup_initial_share{};  // least share of its capacity that a started endpoint has
+  Duration warmup_time{};         // time after its start from which it has all of its capacity
+  // An endpoint is overloaded if it is sent overload_multiple times its capacity within overload_window.
+  double overload_multiple{};
+  Duration overload_window{};
 };
 
 }  // namespace dispatcher::routing
--- a/src/hot_restart/handover_messages.cpp
+++ b/src/hot_restart/handover_messages.cpp
@@ -109,7 +109,7 @@
   for (const routing::Time sent_at : history.sends) send_times.push_back(sent_at.count());
   return {{key::kEndpoint, history.endpoint.value()},
           {key::kSendTimes, send_times},
-          {key::kBackSince, history.back.count()}};
+          {key::kBackSince, history.returned_at.count()}};
 }
 
 std::vector<LearnedState::EndpointHistory> decode_histories(const Json& values) {
@@ -182,7 +182,7 @@
   Json start_costs = Json::array();
   for (const MovingAverage& average : learned_state.starts) start_costs.push_back(encode_average(average));
   return {{key::kStartCosts, start_costs},
-          {key::kFarCost, encode_average(learned_state.far)},
+          {key::kFarCost, encode_average(learned_state.remote_starts)},
           {key::kServedCounts, learned_state.served},
           {key::kCountedSince, learned_state.since.count()},
           {key::kEndpoints, endpoints}};
@@ -198,7 +198,7 @@
     if (served.is_array() && role < served.size() && served[role].is_number_integer())
       learned_state.served[role] = std::clamp(served[role].get<int>(), 0, kMaxServed);
   }
-  learned_state.far = decode_average(member(object, key::kFarCost));
+  learned_state.remote_starts = decode_average(member(object, key::kFarCost));
   learned_state.since = decode_time(member(object, key::kCountedSince));
   learned_state.endpoints = decode_histories(member(object, key::kEndpoints));
   return learned_state;
--- a/src/routing/attempt_lifecycle.cpp
+++ b/src/routing/attempt_lifecycle.cpp
@@ -11,7 +11,7 @@
 namespace dispatcher::routing {
 namespace {
 
-// The endpoint's counter of this router's attempts in this phase.
+// Returns the endpoint's counter of this router's attempts in this phase.
 int& active_attempts(Endpoint& endpoint, Phase phase) {
   return phase == Phase::kReading ? endpoint.active_reads : endpoint.active_streams;
 }
@@ -20,12 +20,12 @@
   endpoint.pending_prompt_tokens = std::max(0.0, endpoint.pending_prompt_tokens - state.tokens_to_read);
 }
 
-// Whether the attempt processes the prompt, rather than fetching its state from the reader.
+// Returns whether the attempt processes the prompt, rather than fetching its state from the reader.
 bool reads_prompt(const RequestState& state, Phase phase) {
   return phase == Phase::kReading || !state.has_prompt_state;
 }
 
-// Sets the members of the request's state that describe the attempt that starts.
+// Sets the members of the request's state that describe the starting attempt.
 void describe_attempt(const EndpointTable& endpoints, RequestState& state, const Endpoint& endpoint,
                       bool fills_cache) {
   const Endpoint* source = state.has_prompt_state ? endpoints.find(state.reader) : nullptr;
@@ -86,7 +86,7 @@
     if (state.phase == Phase::kStreaming)
       endpoint->started_streams = std::max(0, endpoint->started_streams - 1);
     subtract_pending_tokens(*endpoint, state);
-    endpoint->queue_delay_ratio = 0;  // the next timer measures the oldest of the other attempts
+    endpoint->queue_delay_ratio = 0;  // the next timer event measures the remaining attempts
   }
   state.tokens_to_read = 0;
   state.is_in_flight = false;
--- a/src/routing/context.hpp
+++ b/src/routing/context.hpp
@@ -8,7 +8,8 @@
 
 namespace dispatcher::routing {
 
-// The current settings and time. A request may have been admitted under earlier settings: see RequestState.
+// The current settings and time. A request may have been admitted under earlier settings; see
+// RequestState::settings.
 struct Context {
   std::shared_ptr<const Settings> settings;
   Time now{};
--- a/src/routing/dispatch.cpp
+++ b/src/routing/dispatch.cpp
@@ -7,7 +7,7 @@
 namespace dispatcher::routing {
 namespace {
 
-// For a request that no endpoint can serve now.
+// Returns the decision for a request that no endpoint can serve now.
 DispatchDecision wait_or_give_up(bool can_wait) {
   if (can_wait) return {NextStep::kWait};
   return {NextStep::kGiveUp, nullptr, {}, GiveUpReason::kNoEndpoint};
--- a/src/routing/eligibility.cpp
+++ b/src/routing/eligibility.cpp
@@ -7,23 +7,24 @@
 namespace dispatcher::routing {
 namespace {
 
-constexpr Duration kFullPause = Milliseconds(300);      // of a full endpoint, for all requests
-constexpr Duration kRejectPause = Milliseconds(20000);  // for one class and tenant that it rejected
+constexpr Duration kFullPause = Milliseconds(300);      // a full endpoint gets no requests for this long
+constexpr Duration kRejectPause = Milliseconds(20000);  // the same for a class and tenant that it rejected
 
-// Whether the endpoint has recently rejected a request of this class and tenant.
+// Returns whether the endpoint has recently rejected a request of this class and tenant.
 bool rejects(const Endpoint& endpoint, const RequestState& state, Time now) {
   if (endpoint.rejects_until.empty()) return false;
   const auto found = endpoint.rejects_until.find({state.request_class->name, state.request.tenant});
   return found != endpoint.rejects_until.end() && now < found->second;
 }
 
-// An ejected endpoint is tried by single requests, which must be safe to retry elsewhere.
+// Returns whether the request may be sent to an ejected endpoint as a trial. Only one request at a time tries
+// the endpoint, and it must be possible to retry it elsewhere: it only reads, or it is idempotent.
 bool may_try_ejected(const Endpoint& endpoint, const RequestState& state, Step step, Time now) {
   if (now < endpoint.ejected_until || endpoint.has_unanswered_attempt()) return false;
   return step == Step::kRead || state.request_class->idempotency == Idempotency::kIdempotent;
 }
 
-// Whether the endpoint recognizes a repeat of what may have been executed before, and discards it.
+// Returns whether the endpoint recognizes and discards a repeat of the possibly executed request.
 bool is_in_deduplication_scope(const Endpoint& endpoint, const RequestState& state) {
   const bool same_zone = endpoint.zone == state.first_run_zone;
   switch (state.request_class->deduplication_scope) {
@@ -51,8 +52,8 @@
   return !retry_policy::needs_deduplication(state) || is_in_deduplication_scope(endpoint, state);
 }
 
-// The endpoint is full for all requests only when it rejected several classes or tenants: one rejection may
-// concern that class or tenant alone.
+// The endpoint is marked as full for all requests only when it has rejected several classes or tenants,
+// because a single rejection may concern that class or tenant alone.
 void record_rejection(Time now, Endpoint& endpoint, const RequestState& state) {
   std::erase_if(endpoint.rejects_until, [&](const auto& entry) { return entry.second <= now; });
   endpoint.rejects_until[{state.request_class->name, state.request.tenant}] = now + kRejectPause;
--- a/src/routing/eligibility.hpp
+++ b/src/routing/eligibility.hpp
@@ -1,4 +1,4 @@
-// Eligibility: which endpoints may be chosen for a request at all.
+// Eligibility: determines which endpoints may be chosen for a request at all.
 #ifndef DISPATCHER_ROUTING_ELIGIBILITY_HPP_
 #define DISPATCHER_ROUTING_ELIGIBILITY_HPP_
 
@@ -9,19 +9,21 @@
 
 namespace dispatcher::routing {
 
-// What an endpoint would do for a request. Reading a prompt has no effect that a client can see; execution
-// may have.
+// What an endpoint would do for a request. Reading a prompt has no effect that a client can see; executing
+// the request may have one.
 enum class Step { kRead, kExecute };
 
-// What the selection of an endpoint depends on. Refers to parts of the Router, for one call.
+// The inputs of the selection of an endpoint. Holds references to parts of the Router, for one call.
 struct SelectionContext {
   const Context& context;
   EndpointTable& endpoints;
   const SlowStart& slow_start;
 };
 
-// Whether the endpoint may be sent the request now, for this step: it is ready, not full, not ejected, has
-// not failed or rejected the request, and slow start and the request's idempotency allow it.
+// Returns whether the request may be sent to the endpoint now, for this step. The endpoint must be ready, not
+// full and not ejected (or due for a trial request). No earlier attempt of the request may have failed there,
+// and the endpoint must not have rejected the request's class and tenant recently. Slow start and the
+// request's idempotency must allow it.
 [[nodiscard]] bool is_eligible(const SelectionContext& selection, const Endpoint& endpoint,
                                const RequestState& state, Step step);
 
--- a/src/routing/endpoint_table.cpp
+++ b/src/routing/endpoint_table.cpp
@@ -10,7 +10,7 @@
 namespace dispatcher::routing {
 namespace {
 
-// Resets what is no longer valid when the endpoint's process has been replaced.
+// Resets the state that is no longer valid after the endpoint's process has been replaced.
 void reset_after_restart(Endpoint& endpoint, Time now) {
   Endpoint fresh;
   static_cast<EndpointInfo&>(fresh) = endpoint;
@@ -21,14 +21,14 @@
 
 constexpr double kTokensPerKilotoken = 1000;
 
-// The settings of a kind. Null: there is no such kind.
+// Returns the settings of a kind, or null if there is no such kind.
 const EndpointKind* find_kind(const Settings& settings, const std::string& name) {
   const auto found = std::find_if(settings.kinds.begin(), settings.kinds.end(),
                                   [&](const EndpointKind& known) { return known.name == name; });
   return found != settings.kinds.end() ? &*found : nullptr;
 }
 
-// Adds one endpoint to its role's statistics; reported values are added up here and divided later.
+// Adds one endpoint to its role's statistics. Reported values are summed here and divided later.
 void add_endpoint(RoleStatistics& role, const Endpoint& endpoint) {
   role.ready += 1;
   role.ejected += endpoint.is_ejected ? 1 : 0;
@@ -92,7 +92,7 @@
   }
   Endpoint* endpoint = find(drain.endpoint);
   if (endpoint == nullptr) return false;
-  if (!is_drained) {  // it may have been restarted meanwhile, and counts as such
+  if (!is_drained) {  // treated as restarted, as it may have been meanwhile
     reset_after_restart(*endpoint, now);
     endpoint->reinstated_at = now;
     endpoint->awaits_first_send = true;
@@ -141,9 +141,9 @@
   return endpoint.listed_state;
 }
 
-// Prompt states that a reader's cell cannot write cross the cell's only link, which is slower to another
-// zone: states from cells without writers waited 2 s where others waited 40 ms. No router uses a link often
-// enough to measure it, so that its load is computed from the endpoint list.
+// A prompt state that the writers of its reader's cell cannot take crosses the cell's only link, which is
+// slower to another zone: states from cells without writers waited 2 s, others 40 ms. No router uses a link
+// often enough to measure it, so the link's load is computed from the endpoint list.
 void EndpointTable::update_locality() {
   CellCapacities cells;
   std::map<std::string, RegionCapacity> zones;
--- a/src/routing/learned_state.cpp
+++ b/src/routing/learned_state.cpp
@@ -21,7 +21,7 @@
     Endpoint* endpoint = endpoints.find(history.endpoint);
     if (endpoint == nullptr) continue;
     endpoint->sends_while_warming_up.assign(history.sends.begin(), history.sends.end());
-    endpoint->reinstated_at = history.back;
+    endpoint->reinstated_at = history.returned_at;
   }
   observer.update(context, endpoints);
 }
--- a/src/routing/learned_state.hpp
+++ b/src/routing/learned_state.hpp
@@ -8,12 +8,12 @@
 
 namespace dispatcher::routing {
 
-// What a successor process needs in order to continue: averages, result counts, and sends to endpoints that
-// warm up.
+// Returns what a successor process needs in order to continue: averages, result counts, and the sends to
+// endpoints that are warming up.
 [[nodiscard]] LearnedState save_learned_state(const Context& context, const ResponseObserver& observer,
                                               const EndpointTable& endpoints);
 
-// Continues from a predecessor's state; endpoints that are not in the table are ignored.
+// Restores a predecessor's state. Endpoints that are not in the table are ignored.
 void restore_learned_state(const LearnedState& learned_state, const Context& context,
                            ResponseObserver& observer, EndpointTable& endpoints);
 
--- a/src/routing/load_estimate.cpp
+++ b/src/routing/load_estimate.cpp
@@ -11,7 +11,7 @@
 
 constexpr double kAttemptTokens = 600;  // fixed cost of an attempt, in prompt tokens
 constexpr double kTokensPerKilotoken = 1000;
-constexpr Duration kReportHalfLife = Milliseconds(3000);  // of a report's deviation from the mean of all
+constexpr Duration kReportHalfLife = Milliseconds(3000);  // half-life of a report's deviation from the mean
 
 }  // namespace
 
@@ -25,8 +25,8 @@
   return mean + (value - mean) * std::exp2(-age / to_seconds(kReportHalfLife));
 }
 
-// An endpoint that never reported counts as idle but for what this router sent. Counting it as average kept
-// 300 routers, each of which receives few reports, from finding idle endpoints.
+// An endpoint that has sent no report counts as idle, apart from what this router has sent to it. With 300
+// routers, each receives few reports; if such an endpoint counted as average, they would not find idle ones.
 double prompt_load(const Context& context, const Endpoint& endpoint, const RoleStatistics& role) {
   double tokens = endpoint.pending_prompt_tokens;
   if (const auto& reported = endpoint.report.prompt_kilotokens; reported)
--- a/src/routing/load_shedding.cpp
+++ b/src/routing/load_shedding.cpp
@@ -9,18 +9,21 @@
 namespace dispatcher::routing {
 namespace {
 
-constexpr Duration kPressureTime = Milliseconds(4000);  // time constant of the pressure's mean
-constexpr double kPunctualPrior = 2;        // samples without delay assumed: one late answer is no overload
-constexpr double kMaxObjectiveRatio = 1.5;  // that a sample counts for at most, and a late attempt always
-constexpr double kSheddingPressure = 0.6;   // pressure at which the queue is bounded
-constexpr Duration kStartWindow = Milliseconds(3000);  // in which first tokens are counted for their rate
-constexpr double kStalledMultiple = 2;        // of its objective: a request that waits longer is not queued
-constexpr double kMinTimeMultiple = 2;        // of the present first-token time, left until the deadline
-constexpr double kQueueShare = 0.8;           // of the objective, that an admitted request may wait
-constexpr double kOverQuotaQueueShare = 0.3;  // the same over quota: such requests are shed first
-
-// Whether the request waits for its first token in a queue that moves. When the requests at two silent
-// endpoints counted as queued, all other requests were rejected.
+constexpr Duration kPressureTimeConstant = Milliseconds(4000);  // time constant of the mean latency pressure
+constexpr double kOnTimePrior = 2;          // assumed samples without delay: one late answer is no overload
+constexpr double kMaxObjectiveRatio = 1.5;  // largest value of a sample, and the value of a late attempt
+constexpr double kSheddingPressure = 0.6;   // latency pressure from which the queue is bounded
+constexpr Duration kStartWindow = Milliseconds(3000);  // window in which the rate of first tokens is measured
+// An attempt that has waited longer than this multiple of its latency objective does not count as queued.
+constexpr double kStalledMultiple = 2;
+// A request is rejected if less than this multiple of the current time to the first token is left until its
+// client's deadline.
+constexpr double kMinTimeMultiple = 2;
+constexpr double kQueueShare = 0.8;  // share of the shortest objective that an admitted request may wait
+constexpr double kOverQuotaQueueShare = 0.3;  // the same for requests over quota, which are shed first
+
+// Returns whether the request waits for its first token in a queue that moves. Requests at unresponsive
+// endpoints are not queued: when requests at two such endpoints were counted, all others were rejected.
 bool is_queued(Time now, const RequestState& state) {
   const bool is_stalled =
       retry_policy::is_likely_lost(state) ||
@@ -46,36 +49,36 @@
 void LoadShedding::record_late(Time now) { add_sample(now, kMaxObjectiveRatio, 1); }
 
 void LoadShedding::add_sample(Time now, double objective_ratio, double weight) {
-  const double fade = std::exp(-to_seconds(now - lateness_at_) / to_seconds(kPressureTime));
-  lateness_sum_ = lateness_sum_ * fade + weight * std::min(objective_ratio, kMaxObjectiveRatio);
-  lateness_weight_ = lateness_weight_ * fade + weight;
+  const double decay = std::exp(-to_seconds(now - lateness_at_) / to_seconds(kPressureTimeConstant));
+  lateness_sum_ = lateness_sum_ * decay + weight * std::min(objective_ratio, kMaxObjectiveRatio);
+  lateness_weight_ = lateness_weight_ * decay + weight;
   lateness_at_ = now;
 }
 
-double LoadShedding::latency_pressure() const { return lateness_sum_ / (lateness_weight_ + kPunctualPrior); }
+double LoadShedding::latency_pressure() const { return lateness_sum_ / (lateness_weight_ + kOnTimePrior); }
 
-bool LoadShedding::stands_out(const RequestState& state, Duration age) const {
-  return age > scaled(state.latency_objective(), kStandsOutMultiple * latency_pressure());
+bool LoadShedding::is_latency_outlier(const RequestState& state, Duration age) const {
+  return age > scaled(state.latency_objective(), kOutlierMultiple * latency_pressure());
 }
 
-// In a queue that is longer than the objective every request is late, and it never drains while clients
-// retry. So while first tokens are late, only requests that should start within the shortest objective at the
-// present rate are admitted. Many routers have capacity for a fraction of a request each: a hash rounds it. A
-// request whose client would leave before its first token is wasted work: half of all reads were cancelled
-// for that reason.
+// In a queue that is longer than the latency objective, every request is late, and the queue never drains
+// while clients retry. Therefore, while first tokens are late, only requests that should start within the
+// shortest objective at the current rate of first tokens are admitted. If there are many routers, each has
+// capacity for only a fraction of a request, which a hash rounds. A request whose client would leave before
+// its first token is rejected too, as it is wasted work: half of all reads were cancelled for that reason.
 bool LoadShedding::should_shed(Time now, const RequestState& state, const RequestTable& requests) {
-  add_sample(now, 0, 0);  // fades the mean to the present
+  add_sample(now, 0, 0);  // decays the mean to `now`
   const double pressure = latency_pressure();
   while (!starts_.empty() && starts_.front() < now - kStartWindow) starts_.pop_front();
 
-  // Pressure is caused by queues: the time for reading a long prompt itself does not grow with it.
+  // Queues cause the pressure. The time for reading a long prompt itself does not grow with it.
   const Duration queue_time = scaled(state.request_class->latency_objective, pressure);
   const Duration own_time = state.latency_objective() - state.request_class->latency_objective;
   const Duration start_time = queue_time + scaled(own_time, std::min(1.0, pressure));
   if (state.request.client_deadline - now < scaled(start_time, kMinTimeMultiple)) return true;
   if (pressure < kSheddingPressure) return false;
 
-  double queue_length = -1;  // the request itself is among those counted
+  double queue_length = -1;  // the loop also counts the request itself
   for (const auto& [id, other] : requests) queue_length += is_queued(now, other) ? 1 : 0;
   const double start_rate = static_cast<double>(starts_.size() + 1) / to_seconds(kStartWindow);
   const double capacity = start_rate * to_seconds(min_latency_objective_) *
--- a/src/routing/outlier_detection.cpp
+++ b/src/routing/outlier_detection.cpp
@@ -8,29 +8,32 @@
 namespace dispatcher::routing {
 namespace {
 
-constexpr int kMinSamples = 8;         // number of samples before an average is trusted
-constexpr double kRoleGain = 0.15;     // weight of a sample in a role's averages: many endpoints, so low
-constexpr double kMaxSampleRatio = 3;  // multiple of the average to which a larger sample is reduced
+constexpr int kMinSamples = 8;  // number of samples from which an average is trusted
+// Weight of a sample in a role's averages. Low, as a role has many endpoints.
+constexpr double kRoleGain = 0.15;
+constexpr double kMaxSampleRatio = 3;  // larger samples are reduced to this multiple of the average
 constexpr Smoothing kSmoothing{kMinSamples, kRoleGain, kMaxSampleRatio};
-constexpr double kEndpointGain = 0.25;  // weight of a sample in one endpoint's ratio: few samples, so higher
-constexpr double kMaxLatencyRatio = 8;  // that one sample counts for at most
-constexpr Duration kLatencyRatioHalfLife = Milliseconds(10000);  // of the ratio's distance from 1
-constexpr double kFreeQueueDelayRatio = 4;        // a queue up to this multiple of the average is ordinary
-constexpr double kMaxQueueDelayFactor = 3;        // that a queue counts for at most
-constexpr double kEjectionScore = 2;              // failures that eject ...
-constexpr double kReliableRoleEjectionScore = 1;  // ... where the role's endpoints hardly ever fail
-constexpr double kReliableFailureRate = 0.15;     // failures per attempt under which they hardly ever do
-constexpr double kMaxEjectedShare = 0.5;          // of a role's endpoints: the rest must not be overloaded
-constexpr Duration kBaseEjectionTime = Milliseconds(1000);  // doubled for each ejection in a row
-constexpr Duration kMaxEjectionTime = Milliseconds(8000);   // a recovered endpoint must be found in time
-constexpr int kMaxEjectionDoublings = 4;                    // with more the maximum applies anyway
-
-// Which of the start averages applies: that of the endpoint's role, or that of states from another cell.
+// Weight of a sample in one endpoint's latency ratio. Higher than kRoleGain, as there are few samples.
+constexpr double kEndpointGain = 0.25;
+constexpr double kMaxLatencyRatio = 8;                           // largest value of one sample of the ratio
+constexpr Duration kLatencyRatioHalfLife = Milliseconds(10000);  // half-life of the ratio's distance from 1
+constexpr double kNormalQueueDelayRatio = 4;  // a queue delay up to this multiple of the average is normal
+constexpr double kMaxQueueDelayFactor = 3;    // largest slowdown that a queue delay counts for
+constexpr double kEjectionScore = 2;          // failure score from which an endpoint is ejected
+constexpr double kReliableRoleEjectionScore = 1;  // the same while the role's endpoints hardly ever fail
+constexpr double kReliableFailureRate = 0.15;     // failures per attempt below which they hardly ever fail
+constexpr double kMaxEjectedShare = 0.5;  // largest ejected share of a role; the rest must not be overloaded
+constexpr Duration kBaseEjectionTime = Milliseconds(1000);  // doubled for each consecutive ejection
+constexpr Duration kMaxEjectionTime = Milliseconds(8000);   // a recovery must be noticed in time
+constexpr int kMaxEjectionDoublings = 4;                    // with more doublings the maximum applies anyway
+
+// Returns the index of the start average that applies: that of the endpoint's role, or that of states fetched
+// from another cell.
 std::size_t average_index(const Endpoint& endpoint, const RequestState& state) {
   return state.fetches_from_other_cell ? kRoles : role_index(endpoint.role);
 }
 
-// The latency ratio, whose distance from 1 decays with the time since it was updated.
+// Returns the latency ratio. Its distance from 1 decays with the time since its last update.
 double decayed_latency_ratio(const Context& context, const Endpoint& endpoint) {
   const double age = to_seconds(context.now - endpoint.latency_ratio_at);
   return 1 + (endpoint.latency_ratio - 1) * std::exp2(-age / to_seconds(kLatencyRatioHalfLife));
@@ -42,14 +45,14 @@
   endpoint.latency_ratio_at = context.now;
 }
 
-// The reason of an ejection, as the operators' log has it.
-const char* describe(AttemptStatus status) {
+// Returns the reason of an ejection, as it is written to the operators' log.
+const char* ejection_reason(AttemptStatus status) {
   if (status == AttemptStatus::kConnectFailed || status == AttemptStatus::kReset) return "unreachable";
   return status == AttemptStatus::kTimeout ? "silent" : "errors";
 }
 
-// Excludes an endpoint from selection for a while, unless too many of its role are excluded already.
-// Afterwards single idempotent requests try it: see eligibility.cpp.
+// Excludes an endpoint from selection for a while, unless too many endpoints of its role are ejected already.
+// Afterwards single requests that can be retried elsewhere try it: see may_try_ejected() in eligibility.cpp.
 std::optional<LogMessage> eject(const Context& context, const EndpointTable& endpoints, Endpoint& endpoint,
                                 AttemptStatus status) {
   std::optional<LogMessage> log;
@@ -57,7 +60,7 @@
     const RoleStatistics role = endpoints.statistics(endpoint.role);
     const double max_ejected = std::max(1.0, role.ready * kMaxEjectedShare);
     if (role.ready < 2 || role.ejected + 1 > max_ejected) return std::nullopt;
-    log = LogMessage{"endpoint " + endpoint.endpoint.value() + " ejected: " + describe(status)};
+    log = LogMessage{"endpoint " + endpoint.endpoint.value() + " ejected: " + ejection_reason(status)};
   }
   const Duration backoff =
       kBaseEjectionTime * (1 << std::min(endpoint.ejection_count, kMaxEjectionDoublings));
@@ -73,7 +76,7 @@
 
 double slowdown(const Context& context, const Endpoint& endpoint) {
   return std::max(1.0, decayed_latency_ratio(context, endpoint)) *
-         std::clamp(endpoint.queue_delay_ratio / kFreeQueueDelayRatio, 1.0, kMaxQueueDelayFactor);
+         std::clamp(endpoint.queue_delay_ratio / kNormalQueueDelayRatio, 1.0, kMaxQueueDelayFactor);
 }
 
 const MovingAverage* OutlierDetection::start_average(const Endpoint& endpoint,
@@ -93,7 +96,7 @@
   return state.fetches_from_other_cell || warming_up ? std::min(1.0, ratio) : ratio;
 }
 
-// A slow writer still starts streams fast: only the duration of its streams reveals it.
+// A slow writer still starts streams fast, so that only the duration of its streams shows that it is slow.
 void OutlierDetection::record_stream(const Context& context, Endpoint& endpoint, const RequestState& state) {
   ExponentialMovingAverage& average = stream_averages_[state.request_class->name];
   const double time = to_seconds(context.now - state.stream_started_at);
@@ -122,9 +125,9 @@
   return LogMessage{"endpoint " + endpoint.endpoint.value() + " returned"};
 }
 
-// Two failures in a row eject. While the role's endpoints hardly ever fail, the first one is enough, and so
-// is a connection that can't be made. An endpoint that is alive may fail once more: ejecting such endpoints
-// removed half of a fleet and overloaded the others.
+// Two consecutive failures eject an endpoint. While the role's endpoints hardly ever fail, the first failure
+// is enough, and so is a connection that cannot be made. An endpoint that is alive may fail once more,
+// because ejecting such endpoints at once removed half of a fleet and overloaded the others.
 std::optional<LogMessage> OutlierDetection::record_failure(const Context& context,
                                                            const EndpointTable& endpoints, Endpoint& endpoint,
                                                            Failure failure) {
@@ -143,12 +146,12 @@
 }
 
 void OutlierDetection::save(LearnedState& learned_state) const {
-  learned_state.far = start_averages_[kRoles];
+  learned_state.remote_starts = start_averages_[kRoles];
   for (std::size_t role = 0; role < kRoles; ++role) learned_state.starts[role] = start_averages_[role];
 }
 
 void OutlierDetection::restore(const LearnedState& learned_state) {
-  static_cast<MovingAverage&>(start_averages_[kRoles]) = learned_state.far;
+  static_cast<MovingAverage&>(start_averages_[kRoles]) = learned_state.remote_starts;
   for (std::size_t role = 0; role < kRoles; ++role)
     static_cast<MovingAverage&>(start_averages_[role]) = learned_state.starts[role];
 }
--- a/src/routing/prefix_affinity.cpp
+++ b/src/routing/prefix_affinity.cpp
@@ -7,20 +7,20 @@
 namespace dispatcher::routing {
 namespace {
 
-constexpr std::size_t kDefaultMaxBlocks = 31250;  // 500,000 tokens: of a cache whose size is unknown
-constexpr std::uint64_t kMinCopies = 2;           // keys of a shared prefix: one reader may fail
-constexpr std::uint64_t kMaxCopies = 64;          // more would evict other prompts from the caches
-constexpr double kCopiesPerReaderShare = 4;       // a prefix of half the requests gets twice all readers
-constexpr double kPopularityWindow = 64;          // requests after which all counts are halved
-constexpr double kMinPopularity = 0.5;            // smaller counts are erased
+constexpr std::size_t kDefaultMaxBlocks = 31250;  // 500,000 tokens, for a cache of unknown size
+constexpr std::uint64_t kMinCopies = 2;   // least number of keys of a shared prefix, as one reader may fail
+constexpr std::uint64_t kMaxCopies = 64;  // more keys would evict other prompts from the caches
+constexpr double kCopiesPerReaderShare = 4;  // a prefix of half of all requests gets two keys per reader
+constexpr double kPopularityWindow = 64;     // number of requests after which all counts are halved
+constexpr double kMinPopularity = 0.5;       // smaller counts are erased
 
 }  // namespace
 
-// Counts are reduced by a discount that follows from how many prefixes were seen once and twice (absolute
-// discounting: Ney, Essen, Kneser, "On structuring probabilistic dependences in stochastic language
-// modelling", 1994). Where most prefixes are rare, a single request shows no popularity, and copies of rare
-// prefixes would evict all else from the caches. Counts are fractions after a halving, so that once and twice
-// are intervals.
+// All counts are reduced by a discount, which is computed from the numbers of prefixes seen once and twice
+// (absolute discounting: Ney, Essen, Kneser, "On structuring probabilistic dependences in stochastic language
+// modelling", 1994). If most prefixes are rare, a single request is no sign of popularity, and copies of rare
+// prefixes would evict everything else from the caches. Halving turns counts into fractions, so "once" and
+// "twice" are intervals.
 void PrefixAffinity::record(std::uint64_t shared_prefix) {
   if (shared_prefix == 0) return;
   popularity_[shared_prefix] += 1;
@@ -41,10 +41,10 @@
   total_ /= 2;
 }
 
-// A shared prefix has several keys, more the more popular it is, and each session uses one of them. So
-// routers that share nothing send a session and its prefix to the same reader, and a popular prefix is cached
-// by enough readers. Requests with neither session nor prefix are spread by a hash of their id and the
-// router's number.
+// A shared prefix has several keys, and the more popular it is, the more keys it has. Each session uses one
+// of them. As a result, routers that share no state send a session and its prefix to the same reader, and a
+// popular prefix is cached by enough readers. Requests with neither session nor prefix are spread by a hash
+// of their id and the router's number.
 std::uint64_t PrefixAffinity::affinity_key(const Request& request, int router_number,
                                            double reader_count) const {
   if (request.shared_prefix == 0) {
--- a/src/routing/prefix_index.hpp
+++ b/src/routing/prefix_index.hpp
@@ -1,5 +1,5 @@
 // A bounded index of the prompts that this router has sent to one reader: an estimate of the reader's prefix
-// cache. Support: no choice.
+// cache. Makes no decisions.
 #ifndef DISPATCHER_ROUTING_PREFIX_INDEX_HPP_
 #define DISPATCHER_ROUTING_PREFIX_INDEX_HPP_
 
@@ -11,10 +11,10 @@
 
 namespace dispatcher::routing {
 
-constexpr int kBlockTokens =
-    16;  // tokens of a cache block: caches store complete blocks only (vLLM's default size)
+// Number of tokens in a cache block. Caches store complete blocks only. The value is vLLM's default.
+constexpr int kBlockTokens = 16;
 
-// What a cached prompt is found by.
+// The kinds of keys by which cached prompts are found.
 enum class PrefixKind { kSession, kShared };
 
 // The key of a cached prompt: the request's session key, or its affinity key for a shared prefix.
@@ -24,28 +24,28 @@
   auto operator<=>(const PrefixKey&) const = default;
 };
 
-// The key of the prompts of a session: see prefix_affinity.hpp.
+// Returns the key of a session's prompts; for `session_key` see session_key() in cached_prompts.hpp.
 [[nodiscard]] inline PrefixKey session_prompt(std::uint64_t session_key) {
   return {PrefixKind::kSession, session_key};
 }
 
-// The key of a shared prefix.
+// Returns the key of a shared prefix; for `affinity_key` see PrefixAffinity::affinity_key().
 [[nodiscard]] inline PrefixKey shared_prompt(std::uint64_t affinity_key) {
   return {PrefixKind::kShared, affinity_key};
 }
 
-// Prompts by key, least recently used evicted first.
+// Prompts by key. The least recently used prompt is evicted first.
 class PrefixIndex {
  public:
-  // Cached tokens for this key; 0: none.
+  // Returns the number of cached tokens for this key, 0 if there are none.
   [[nodiscard]] int cached_tokens(const PrefixKey& key) const {
     const auto it = entries_.find(key);
     return it == entries_.end() ? 0 : it->second->tokens;
   }
 
-  // Adds a prompt, or makes it the most recent. `own_tokens`: those that no other key accounts for, which
-  // occupy blocks. A prompt shorter than the known one does not shorten it. Evicts prompts while there are
-  // more than `max_blocks` blocks.
+  // Adds a prompt, or makes it the most recently used one. `own_tokens` is the number of tokens that no other
+  // key accounts for and which therefore occupy blocks. A prompt that is shorter than the known one does not
+  // shorten it. Evicts prompts while more than `max_blocks` blocks are used.
   void insert(const PrefixKey& key, int tokens, int own_tokens, std::size_t max_blocks) {
     Entry entry{key, tokens / kBlockTokens * kBlockTokens, std::size_t(own_tokens / kBlockTokens) + 1};
     if (cached_tokens(key) > entry.tokens) entry = *entries_[key];
--- a/src/routing/reader_selection.cpp
+++ b/src/routing/reader_selection.cpp
@@ -16,35 +16,40 @@
 namespace dispatcher::routing {
 namespace {
 
-constexpr double kPrefixWeight = 3;  // of the cached fraction of the prompt in the score
-constexpr double kLoadWeight = 2;    // of the free capacity in the score
-constexpr double kMemoryWeight = 2;  // of the free memory in the score
+constexpr double kPrefixWeight = 3;  // weight of the prompt's cached fraction in the score
+constexpr double kLoadWeight = 2;    // weight of the free capacity in the score
+constexpr double kMemoryWeight = 2;  // weight of the free memory in the score
 constexpr double kTotalWeight = kPrefixWeight + kLoadWeight + kMemoryWeight;
-constexpr double kMinLoadSpread = 0.5;       // of the mean load: smaller differences are not stretched
-constexpr double kMaxLoadSpread = 2;         // an overloaded endpoint must not hide the others' differences
-constexpr double kMinMeanLoadTokens = 5000;  // smaller loads are noise of idle endpoints
-constexpr double kMinFullStates = 8;         // fewer states at the fullest reader are no shortage
-constexpr double kTieBand = 0.05;            // scores this close to the best are ties, resolved by hash
-constexpr double kMixedTieShare = 0.8;       // weight in ties of a mixed endpoint, relative to a reader
-constexpr double kRemoteTieShare = 0.4;      // the same of a reader with no writer in its zone
-constexpr double kWarmupDrawBonus = 0.3;     // added to the score where slow start has drawn the request
+// Bounds, in mean loads, of the load difference that is scaled to the full range of scores. Smaller
+// differences are not stretched, and an overloaded endpoint must not hide the differences between the others.
+constexpr double kMinLoadSpread = 0.5;
+constexpr double kMaxLoadSpread = 2;
+constexpr double kMinMeanLoadTokens = 5000;  // smaller mean loads are noise of idle endpoints
+constexpr double kMinFullStates = 8;  // fewer waiting states at the fullest reader are no shortage of memory
+constexpr double kTieBand = 0.05;     // scores this close to the best are ties, which a hash resolves
+constexpr double kMixedTieShare = 0.8;   // weight of a mixed endpoint in ties, relative to a reader
+constexpr double kRemoteTieShare = 0.4;  // the same for a reader with no writer in its zone
+// Added to the score of an endpoint for which slow start has drawn the request.
+constexpr double kWarmupDrawBonus = 0.3;
 
 // An eligible endpoint.
 struct Candidate {
   Endpoint* endpoint;
-  double load;    // in tokens; once normalized, a multiple of its role's mean
-  double memory;  // once normalized, the used fraction
+  double load;    // in prompt tokens; after normalize(), a multiple of its role's mean
+  double memory;  // after normalize(), the used fraction
   double score;
 };
 
-// Loads of the ready endpoints, eligible or not; arrays are by role_index().
+// Loads of the ready endpoints that read prompts, whether eligible or not. Arrays are indexed by
+// role_index().
 struct RoleLoads {
   std::array<RoleStatistics, kRoles> statistics;
   std::array<double, kRoles> sum{}, count{};
-  double max_states = kMinFullStates;  // at the reader with the most waiting states
+  double max_states = kMinFullStates;  // number of waiting states at the reader that has the most
 };
 
-// Ties go to the highest of a weighted hash of key and endpoint, which is the same for all routers.
+// Returns the value by which ties are resolved: the endpoint with the highest one wins. It is a weighted hash
+// of key and endpoint; the hash is the same in all routers.
 double tie_break(const SelectionContext& selection, const RoleBalance& balance, const Endpoint& endpoint,
                  std::uint64_t key) {
   const double share = endpoint.role == Role::kMixed
@@ -56,8 +61,8 @@
   return weighted_rendezvous(key, endpoint.name_hash, endpoint.weight * capacity * share);
 }
 
-// The eligible endpoints with their loads. A reader is eligible only while an attempt at a writer is left
-// too.
+// Returns the eligible endpoints with their loads, and adds the loads of all ready endpoints that read
+// prompts to `loads`. A reader is eligible only while an attempt at a writer is left as well.
 std::vector<Candidate> find_candidates(const SelectionContext& selection, const RequestState& state,
                                        RoleLoads& loads) {
   std::vector<Candidate> candidates;
@@ -82,7 +87,7 @@
   return candidates;
 }
 
-// Expresses load as a multiple of the mean of its role, and memory as the used fraction.
+// Converts the candidate's load to a multiple of its role's mean, and sets its memory to the used fraction.
 void normalize(const SelectionContext& selection, const RoleBalance& balance, const RoleLoads& loads,
                Candidate& candidate) {
   const Endpoint& endpoint = *candidate.endpoint;
@@ -96,7 +101,7 @@
                : endpoint.waiting_states / loads.max_states;
 }
 
-// Sets the scores. Returns the highest.
+// Sets the candidates' scores. Returns the highest one.
 double set_scores(const SelectionContext& selection, const RequestState& state,
                   std::vector<Candidate>& candidates) {
   double min_load = std::numeric_limits<double>::max();
@@ -121,8 +126,8 @@
   return max_score;
 }
 
-// The candidate with the highest weighted sum of prefix match, free capacity and free memory, each from 0 to
-// 1.
+// Returns the candidate with the highest weighted sum of prefix match, free capacity and free memory, each
+// from 0 to 1. Returns null if there is no candidate.
 Endpoint* choose_best(const SelectionContext& selection, const RoleBalance& balance,
                       const RequestState& state) {
   RoleLoads loads{selection.endpoints.statistics_by_role()};
@@ -132,7 +137,7 @@
   Endpoint* best = nullptr;
   double best_tie_break = 0;
   for (const Candidate& candidate : candidates) {
-    // Its prefix cache counts as empty, so that its score would hardly ever be the highest.
+    // A reinstated endpoint's prefix cache counts as empty: its score would hardly ever be the highest.
     if (candidate.endpoint->awaits_first_send) return candidate.endpoint;
     if (candidate.score < max_score - kTieBand) continue;
     const double own_tie_break = tie_break(selection, balance, *candidate.endpoint, state.affinity_key);
--- a/src/routing/reader_selection.hpp
+++ b/src/routing/reader_selection.hpp
@@ -7,9 +7,9 @@
 
 namespace dispatcher::routing {
 
-// A reader, a mixed endpoint or, where Settings::writers_can_prefill allows it and there is no other, a
-// writer. Endpoints at which an attempt of the request has failed are chosen only when there is no other
-// (RequestState::failed_endpoints is cleared then). Null: none is eligible now.
+// Selects a reader, a mixed endpoint or, if Settings::writers_can_prefill allows it and there is no other, a
+// writer. Endpoints at which an attempt of the request has failed are chosen only if there is no other
+// (RequestState::failed_endpoints is then cleared). Returns null if no endpoint is eligible now.
 [[nodiscard]] Endpoint* choose_reader(const SelectionContext& selection, const RoleBalance& balance,
                                       RequestState& state);
 
--- a/src/routing/response_observer.cpp
+++ b/src/routing/response_observer.cpp
@@ -18,7 +18,8 @@
   slow_start_.update(context, endpoints);
 }
 
-// Only the attempts that led to the token count: the time of failed attempts was not spent in a queue.
+// Counts only the time of the attempts that led to the token, because the time of failed attempts was not
+// spent in a queue.
 std::optional<LogMessage> ResponseObserver::record_first_token(const Context& context, OpenRequests& requests,
                                                                Endpoint* endpoint, const RequestState& state,
                                                                Duration elapsed) {
@@ -38,7 +39,7 @@
   std::vector<LogMessage> logs;
   if (completed.status == AttemptStatus::kRead) {
     append(logs, record_start(context, requests, endpoint, state, completed.elapsed));
-    // The index is not cleared, as the reader has the prompt cached from now on.
+    // The prefix index is not cleared, because the reader has the prompt cached from now on.
     if (completed.cached_prompt_tokens + kBlockTokens < state.predicted_cached_tokens)
       logs.push_back({"endpoint " + endpoint.endpoint.value() + " lost cached prompts"});
   } else if (completed.status == AttemptStatus::kServed) {
--- a/src/routing/result_rates.cpp
+++ b/src/routing/result_rates.cpp
@@ -33,7 +33,7 @@
   }
 }
 
-// Each result counts over as many warm endpoints as there were at its time.
+// Each result is divided by the number of warm endpoints at its own time.
 double ResultRates::rate(const Context& context, std::size_t role) const {
   const Duration counted = std::min(window_, context.now - counting_since_);
   const Duration span = std::max(context.settings->overload_window, counted);
@@ -49,7 +49,7 @@
     learned_state.served[role] = static_cast<int>(results_[role].size());
 }
 
-// Only their number is handed over: the results are spread evenly over the window.
+// Only the number of results is handed over, so they are spread evenly over the window.
 void ResultRates::restore(const Context& context, const LearnedState& learned_state) {
   for (std::size_t role = 0; role < kRoles; ++role) {
     const int count = learned_state.served[role];
--- a/src/routing/retry_policy.cpp
+++ b/src/routing/retry_policy.cpp
@@ -6,37 +6,45 @@
 namespace dispatcher::routing::retry_policy {
 namespace {
 
-// Timer interval, unless the settings' tick is longer. src/settings/consistency_checks.cpp has it, too.
+// Timer interval, unless the settings' tick is longer. src/settings/consistency_checks.cpp repeats it.
 constexpr Duration kTimerInterval = Milliseconds(20);
-constexpr int kLeadIntervals = 2;       // before the client's deadline: an answer may wait for the next timer
-constexpr double kTimeoutMultiple = 3;  // time-out of an attempt: of the expected time ...
-constexpr double kTimeoutDeviations = 3;       // ... plus so many relative deviations
-constexpr double kMinTimeoutObjectives = 1.0;  // least time-out, in latency objectives
-constexpr double kOverdueMultiple = 3;         // of the time-out, at an endpoint that answers other requests
-constexpr int kLostAfterLaterSends = 2;        // later sends answered first: the attempt is lost
-constexpr double kLostTimeoutShare = 0.35;     // of the time-out, for such an attempt
-constexpr double kMigrateQuietObjectives = 0.5;  // silence in objectives, at an unresponsive endpoint
-// Part of the reservation limit after which a state gets no further attempts.
-// src/settings/consistency_checks.cpp has it, too.
+// Number of timer intervals before the client's deadline in which no attempt starts: an answer may have to
+// wait for the next timer.
+constexpr int kLeadIntervals = 2;
+// The time-out of an attempt is its expected time, multiplied by kTimeoutMultiple plus kTimeoutDeviations
+// times the relative deviation.
+constexpr double kTimeoutMultiple = 3;
+constexpr double kTimeoutDeviations = 3;
+constexpr double kMinTimeoutObjectives = 1.0;  // shortest time-out, in latency objectives
+// Multiple of the time-out that applies at an endpoint that answers other requests. While the expected time
+// is unknown, the time-out itself is this multiple of the latency objective.
+constexpr double kOverdueMultiple = 3;
+// An attempt is probably lost if this many later sends were answered first.
+constexpr int kLostAfterLaterSends = 2;
+constexpr double kLostTimeoutShare = 0.35;  // share of the time-out after which such an attempt is cancelled
+// Time without a response after which streams leave an unresponsive endpoint, in latency objectives.
+constexpr double kMigrateQuietObjectives = 0.5;
+// Share of the reservation limit after which a prompt's state gets no further attempts.
+// src/settings/consistency_checks.cpp repeats it.
 constexpr double kReservationShare = 0.7;
 
-// Whether another attempt may follow one at the endpoint whose outcome is unknown.
+// Returns whether another attempt may follow an attempt at the endpoint whose outcome is unknown.
 bool may_repeat(const RequestState& state, const Endpoint& endpoint) {
   return state.charged_attempts < state.settings->max_attempts &&
          (endpoint.role == Role::kReader || state.request_class->idempotency == Idempotency::kIdempotent);
 }
 
-// From then on endpoints no longer recognize and discard repeats of the request.
+// Returns the time from which endpoints no longer recognize and discard repeats of the request.
 Time deduplication_end(const RequestState& state) {
   return state.first_run_sent_at + state.request_class->deduplication_window;
 }
 
-// From then on endpoints release what they have reserved for the request.
+// Returns the time from which endpoints release what they have reserved for the request.
 Time reservation_end(const RequestState& state) {
   return state.idle_since + state.settings->reservation_limit;
 }
 
-// Time within which the attempt should have its first token or its read prompt.
+// Returns the time within which the attempt should give its first token or its read prompt.
 Duration attempt_timeout(const OutlierDetection& outliers, const Endpoint& endpoint,
                          const RequestState& state) {
   const MovingAverage* average = outliers.start_average(endpoint, state);
@@ -46,22 +54,22 @@
   return std::max(Duration(std::llround(expected)), scaled(state.latency_objective(), kMinTimeoutObjectives));
 }
 
-// Whether the attempt has passed its time-out, which is longer at an endpoint that answers other requests.
+// Returns whether the attempt has passed its time-out, which is longer while the endpoint answers others.
 bool is_overdue(const Endpoint& endpoint, const RequestState& state, Duration age, Duration timeout) {
   const bool is_silent = endpoint.last_response_at < state.sent_at;
   return age > (is_silent ? timeout : scaled(timeout, kOverdueMultiple));
 }
 
-// Whether the endpoint's queue delay is far above that of its role's other endpoints. While all are late,
-// sending attempts elsewhere would only add load.
+// Returns whether the endpoint's queue delay is far above that of its role's other endpoints. While all of
+// them are late, sending attempts elsewhere would only add load.
 bool has_unusual_delay(const EndpointTable& endpoints, const Endpoint& endpoint) {
   const RoleStatistics role = endpoints.statistics(endpoint.role);
   const double own = endpoint.queue_delay_ratio;
   const double others_sum = role.queue_delay_ratio_sum - own;
-  return own > kStandsOutMultiple * others_sum / std::max(1.0, role.delayed - 1);
+  return own > kOutlierMultiple * others_sum / std::max(1.0, role.delayed - 1);
 }
 
-// Whether the end of an attempt shows that its request reached the endpoint: a response came.
+// Returns whether the end of an attempt shows that its request reached the endpoint, because a response came.
 bool was_delivered(const AttemptCompleted& completed) {
   switch (completed.status) {
     case AttemptStatus::kServed:
@@ -86,19 +94,19 @@
 
 bool is_likely_lost(const RequestState& state) { return state.later_sends_answered >= kLostAfterLaterSends; }
 
-// Where attempts may be cancelled, should_cancel() replaces the time-out: more is known by then.
+// If attempts may be cancelled, should_cancel() replaces the time-out, because more is known by then.
 AttemptLimits attempt_limits(const Context& context, const OutlierDetection& outliers,
                              const Endpoint& endpoint, const RequestState& state) {
   const Settings& settings = *context.settings;
   Time deadline = state.request.client_deadline;
   if (!settings.may_cancel && may_repeat(state, endpoint))
     deadline = context.now + attempt_timeout(outliers, endpoint, state);
-  // A time-out is reported up to a tick later; the answer to it must still be within the slack.
+  // A time-out is reported up to one tick late, and the answer to it must still be within the answer slack.
   const Duration answer_time = std::max(Duration(0), settings.tick - state.settings->answer_slack);
   deadline = std::min(state.request.client_deadline - answer_time, deadline);
 
   Time connect_by = state.has_prompt_state ? reservation_end(state) : Time{};
-  // A repeat is recognized when it arrives: one whose connection takes long may arrive after the window.
+  // Endpoints recognize a repeat on arrival. One whose connection takes long may arrive after the window.
   if (needs_deduplication(state)) {
     const Time end = deduplication_end(state);
     connect_by = connect_by == Time{} ? end : std::min(connect_by, end);
@@ -110,7 +118,7 @@
   if (state.charged_attempts >= state.settings->max_attempts) return GiveUpReason::kAttemptsUsedUp;
   const Duration lead = kLeadIntervals * timer_interval(*context.settings);
   if (context.now + lead >= state.request.client_deadline) return GiveUpReason::kDeadlineNear;
-  // A repeat after its window would not be recognized: the effect would take place twice.
+  // A repeat after its window would not be recognized, so its effect would take place twice.
   const bool is_window_over = needs_deduplication(state) && context.now >= deduplication_end(state);
   if (is_window_over) return GiveUpReason::kDeduplicationWindowOver;
   return std::nullopt;
@@ -172,14 +180,16 @@
   return is_lost && completed.evidence != AttemptEvidence::kNone;
 }
 
-// Three writers in a row that could not be connected to, 250 ms each, kept states reserved beyond their
-// limit; so did requests that were written to links which had fallen silent.
+// If every attempt renewed the reservation, states would stay reserved beyond their limit. This happened when
+// connecting to three writers in succession failed, after 250 ms each, and when requests were written to
+// network links that no longer delivered them.
 bool renews_reservation(const RequestState& state, const AttemptCompleted& completed) {
   return !state.settings->reservation_expires_until_delivery || was_delivered(completed);
 }
 
-// A writer gives no sign before its first token, however long the request waits there. If it has arrived, the
-// release spares the state, as its attempt waits for it; if not, the attempt finds none when it does.
+// A writer sends nothing before the first token, however long the request waits there, so the router does not
+// know whether the request has arrived. If it has, the release does not affect the state, as the attempt
+// waits for it. If it has not, the attempt will find no state when it arrives.
 bool should_release_in_flight(const Context& context, const RequestState& state) {
   const bool waits_at_writer = state.is_in_flight && state.phase == Phase::kWriting && state.has_prompt_state;
   if (!waits_at_writer || !state.settings->reservation_expires_until_delivery) return false;
@@ -204,7 +214,7 @@
   const Duration age = context.now - state.sent_at;
   const bool is_lost = is_likely_lost(state) && age > scaled(timeout, kLostTimeoutShare);
   if (!is_lost && !(is_overdue(endpoint, state, age, timeout) && has_unusual_delay(endpoints, endpoint) &&
-                    shedding.stands_out(state, age)))
+                    shedding.is_latency_outlier(state, age)))
     return false;
   return context.settings->may_cancel && !state.is_cancelled && may_repeat(state, endpoint) &&
          context.now + timeout < state.request.client_deadline;
@@ -239,7 +249,7 @@
     default:
       return std::nullopt;
   }
-  if (!shedding.stands_out(state, completed.elapsed)) return std::nullopt;
+  if (!shedding.is_latency_outlier(state, completed.elapsed)) return std::nullopt;
   return Failure{AttemptStatus::kTimeout, endpoint.last_response_at > state.sent_at};
 }
 
--- a/src/routing/role_balance.hpp
+++ b/src/routing/role_balance.hpp
@@ -1,5 +1,4 @@
-// Balance between mixed endpoints and pairs of reader and writer, by the time that first tokens take at
-// either.
+// Role balance: compares the time to the first token at mixed endpoints with that at reader-writer pairs.
 #ifndef DISPATCHER_ROUTING_ROLE_BALANCE_HPP_
 #define DISPATCHER_ROUTING_ROLE_BALANCE_HPP_
 
@@ -9,27 +8,28 @@
 
 namespace dispatcher::routing {
 
-// Corrects the comparison of loads, which is within a role only and hides that a role is late as such. Owned
-// by one Router and used on its thread.
+// Corrects the comparison of loads. Loads are compared with the mean of their own role only, which hides that
+// a whole role is late. Owned by one Router and used on its thread.
 class RoleBalance {
  public:
-  // A first token arrived, after this multiple of its objective.
+  // Records that a first token arrived after this multiple of its latency objective.
   void record_start(const RequestState& state, double objective_ratio) {
     double& average = state.read_time > Duration(0) ? paired_ratio_ : mixed_ratio_;
     average += (average > 0 ? kGain : 1) * (objective_ratio - average);
   }
 
-  // How many times longer first tokens take at mixed endpoints; 1 until there are samples of both.
+  // Returns how many times longer first tokens take at mixed endpoints than at pairs. Returns 1 until there
+  // are samples of both.
   [[nodiscard]] double mixed_over_paired() const {
     if (mixed_ratio_ <= 0 || paired_ratio_ <= 0) return 1;
     return std::clamp(mixed_ratio_ / paired_ratio_, 1 / kMaxRatio, kMaxRatio);
   }
 
  private:
-  static constexpr double kGain = 0.1;    // weight of a sample in the averages: requests vary much in length
-  static constexpr double kMaxRatio = 4;  // either side must keep some requests in order to be measured
+  static constexpr double kGain = 0.1;    // weight of a sample; low, as requests vary much in length
+  static constexpr double kMaxRatio = 4;  // bounds the ratio: both sides must get requests to be measured
 
-  double paired_ratio_ = 0, mixed_ratio_ = 0;  // moving averages of objective ratios; 0: none yet
+  double paired_ratio_ = 0, mixed_ratio_ = 0;  // moving averages of objective ratios; 0 without samples
 };
 
 }  // namespace dispatcher::routing
--- a/src/routing/router.cpp
+++ b/src/routing/router.cpp
@@ -1,5 +1,5 @@
 // Receives events one at a time, delegates decisions to the other modules of this folder, and collects the
-// resulting actions. Has no threshold and makes no choice.
+// resulting actions. Contains no thresholds and no decisions of its own.
 #include "routing/router.hpp"
 
 #include <algorithm>
@@ -52,7 +52,7 @@
  private:
   // ---- events that concern no single request ----
 
-  // The first event's time is the origin of all counting.
+  // Starts all counting at the time of the first event.
   void start(Time now) {
     is_started_ = true;
     observer_.start(now);
@@ -65,7 +65,7 @@
     admission_.apply_settings(*context_.settings, context_.now);
   }
 
-  // The timer runs while requests are open or the endpoint list must be requested again.
+  // Keeps the timer running while requests are open or the endpoint list must be requested again.
   void set_timer_if_needed() {
     if (is_timer_set_ || (requests_.is_empty() && !needs_subscription_)) return;
     is_timer_set_ = true;
@@ -147,7 +147,7 @@
     } else {
       record_unanswered(endpoints_, *state, endpoint, completed, phase);
       if (retry_policy::must_read_again(context_, *state, completed)) release_and_read_again(*state);
-      continue_after(*state, completed.status);
+      retry_or_give_up(*state, completed.status);
     }
     requests_.erase_if_settled(*state);
   }
@@ -173,7 +173,7 @@
       emit(std::move(log));
   }
 
-  // Applies to requests that are answered, too: their attempt may still be in flight.
+  // Also applies to requests that have been answered, because their attempt may still be in flight.
   void release_if_undelivered(RequestState& state) {
     if (retry_policy::should_release_in_flight(context_, state))
       emit_if_present(release_prompt_state(endpoints_, state));
@@ -184,8 +184,8 @@
     state.phase = Phase::kNeedsRead;
   }
 
-  // An attempt ended without a final answer: retries or gives up.
-  void continue_after(RequestState& state, AttemptStatus status) {
+  // Retries or gives up a request whose attempt ended without a final answer.
+  void retry_or_give_up(RequestState& state, AttemptStatus status) {
     if (const auto obstacle = retry_policy::retry_obstacle(context_, state, status)) {
       give_up(state, *obstacle);
     } else {
@@ -230,7 +230,7 @@
       emit(cancel_attempt(state));
   }
 
-  // Starts the request's next attempt, gives it up, or leaves it waiting for the next timer.
+  // Starts the request's next attempt, gives the request up, or leaves it waiting for the next timer.
   void dispatch(RequestState& state) {
     const SelectionContext selection{context_, endpoints_, observer_.slow_start()};
     const DispatchDecision decision = decide_next_step(selection, observer_.balance(), state);
@@ -252,7 +252,7 @@
     emit(final_answer(state, reason));
   }
 
-  // The request needs no further attempt.
+  // Ends a request that needs no further attempt.
   void end_request(RequestState& state) {
     state.is_ended = true;
     emit_if_present(release_prompt_state(endpoints_, state));
--- a/src/routing/slow_start.cpp
+++ b/src/routing/slow_start.cpp
@@ -9,16 +9,19 @@
 namespace dispatcher::routing {
 namespace {
 
-constexpr double kBudgetShare = 0.6;       // of the bound N, by budget: see docs/design/slow-start.md
-constexpr double kDrawShare = 0.36;        // of the bound N, by draw: leaves room for chance
-constexpr double kRemoteDrawShare = 0.25;  // of a writer's draws, by requests that were read in any cell
-constexpr double kMinCapacity = 0.1;       // of full capacity: no load is divided by less
-constexpr Duration kRateWindow = Milliseconds(8000);   // of results that are counted: smooths bursts
-constexpr Duration kMinRateSpan = Milliseconds(1000);  // that they are counted over: one result is no rate
+// Share of the bound N that routers use when they admit requests by budget: see docs/design/slow-start.md.
+constexpr double kBudgetShare = 0.6;
+// Share of the bound N that routers use when they admit requests by draw. Leaves room for random variation.
+constexpr double kDrawShare = 0.36;
+constexpr double kRemoteDrawShare = 0.25;  // share of a writer's draws that requests read in any cell get
+constexpr double kMinCapacity = 0.1;       // least share of the full capacity by which a load is divided
+constexpr Duration kRateWindow = Milliseconds(8000);   // results within it are counted; smooths bursts
+constexpr Duration kMinRateSpan = Milliseconds(1000);  // least span of a rate, as one result is no rate
 
-// Factor on the share drawn for a writer, by where the request was read: in the writer's own cell, which does
-// this part of all reads, or in another one. The sum over all requests stays the same, so that a cell with
-// few writers, or requests of other cells under overload, do not increase it.
+// Returns the factor on the share drawn for a writer, which depends on where the request was read: in the
+// writer's own cell, which does `cell_reader_share` of all reads, or in another one. The sum over all
+// requests stays the same, so that neither a cell with few writers nor requests of other cells under overload
+// increase it.
 double cell_draw_factor(bool is_own_cell, double cell_reader_share) {
   if (cell_reader_share <= 0) return 1;
   return kRemoteDrawShare + (is_own_cell ? (1 - kRemoteDrawShare) / cell_reader_share : 0);
--- a/src/routing/tenant_quota.cpp
+++ b/src/routing/tenant_quota.cpp
@@ -8,8 +8,8 @@
 namespace dispatcher::routing {
 namespace {
 
-constexpr double kBurstSeconds = 2;      // bucket size, in seconds of quota ...
-constexpr double kMinBurstRequests = 3;  // ... but at least so many requests, also for tiny quotas
+constexpr double kBurstSeconds = 2;      // bucket size, in seconds of quota
+constexpr double kMinBurstRequests = 3;  // smallest bucket size, in requests, even for tiny quotas
 
 }  // namespace
 
--- a/src/routing/tenant_quota.hpp
+++ b/src/routing/tenant_quota.hpp
@@ -1,4 +1,4 @@
-// Tenant quotas: a token bucket for each tenant. Each router has its part of every quota.
+// Tenant quotas: a token bucket for each tenant. Each router has an equal part of every quota.
 #ifndef DISPATCHER_ROUTING_TENANT_QUOTA_HPP_
 #define DISPATCHER_ROUTING_TENANT_QUOTA_HPP_
 
@@ -14,7 +14,7 @@
  public:
   // Applies the quotas of these settings. Tenants that were known before keep the tokens in their buckets.
   void apply_settings(const Settings& settings, Time now);
-  // Takes a token for a request. Returns whether there was none left: the request is over its tenant's quota.
+  // Takes a token for a request. Returns whether none was left, i.e. the request is over its tenant's quota.
   // A tenant that is not in the settings has no quota and is never over it.
   [[nodiscard]] bool is_over_quota(const std::string& tenant, Time now);
 
@@ -22,7 +22,7 @@
   struct TokenBucket {
     double rate = 0;    // requests per second, of this router
     double tokens = 0;  // requests that may arrive at once
-    Time updated_at{};  // when tokens were added last
+    Time updated_at{};  // when tokens were last added
   };
   std::map<std::string, TokenBucket> buckets_;
 };
--- a/src/routing/units.hpp
+++ b/src/routing/units.hpp
@@ -1,4 +1,4 @@
-// Conversions of durations and roles. Support: no threshold and no choice.
+// Conversions of durations and roles. Contains no thresholds and no decisions.
 #ifndef DISPATCHER_ROUTING_UNITS_HPP_
 #define DISPATCHER_ROUTING_UNITS_HPP_
 
@@ -13,7 +13,7 @@
 
 constexpr std::size_t kRoles = 3;  // number of enumerators of Role
 
-// Index of a role in arrays of kRoles elements.
+// Returns the index of a role in arrays of kRoles elements.
 [[nodiscard]] inline std::size_t role_index(Role role) { return static_cast<std::size_t>(role); }
 
 [[nodiscard]] inline double to_seconds(Duration duration) {
@@ -21,7 +21,7 @@
   return static_cast<double>(duration.count()) / kMicrosecondsPerSecond;
 }
 
-// A multiple of a duration, rounded to the nearest microsecond.
+// Returns a multiple of a duration, rounded to the nearest microsecond.
 [[nodiscard]] inline Duration scaled(Duration duration, double factor) {
   return Duration(std::llround(static_cast<double>(duration.count()) * factor));
 }
--- a/src/routing/warmup.cpp
+++ b/src/routing/warmup.cpp
@@ -6,7 +6,7 @@
 namespace dispatcher::routing {
 namespace {
 
-// Zero: a long time ago.
+// Returns the start of the endpoint's warm-up. Zero means a long time ago.
 Time warmup_start(const Endpoint& endpoint) { return std::max(endpoint.started, endpoint.reinstated_at); }
 
 }  // namespace
--- a/src/routing/warmup.hpp
+++ b/src/routing/warmup.hpp
@@ -1,5 +1,5 @@
-// Warm-up: the capacity that the settings ascribe to an endpoint that has started, or returned to service, a
-// short time ago. Support: no threshold and no choice.
+// Warm-up: the capacity that the settings assign to an endpoint that has recently started or returned to
+// service. Contains no thresholds and no decisions.
 #ifndef DISPATCHER_ROUTING_WARMUP_HPP_
 #define DISPATCHER_ROUTING_WARMUP_HPP_
 
@@ -8,10 +8,11 @@
 
 namespace dispatcher::routing {
 
-// Whether the endpoint's warm-up, which lasts Settings::warmup_time, is not over yet.
+// Returns whether the endpoint's warm-up, which lasts Settings::warmup_time, is not over yet.
 [[nodiscard]] bool is_warming_up(const Context& context, const Endpoint& endpoint);
 
-// The part of its capacity that an endpoint has now. Grows linearly from Settings::warmup_initial_share to 1.
+// Returns the share of its capacity that an endpoint has now. It grows linearly from
+// Settings::warmup_initial_share to 1.
 [[nodiscard]] double warmup_fraction(const Context& context, const Endpoint& endpoint);
 
 }  // namespace dispatcher::routing
--- a/src/routing/writer_selection.cpp
+++ b/src/routing/writer_selection.cpp
@@ -11,10 +11,13 @@
 namespace dispatcher::routing {
 namespace {
 
-constexpr double kLeaveCellLoad = 1.2;   // multiple of the mean load at which the reader's cell is left
-constexpr double kLeaveCellStreams = 2;  // ... and at least this many streams above the mean
+// A request leaves its reader's cell if the load there exceeds a multiple of the mean load. The multiple is
+// this value plus a term for the number of routers; see leave_threshold().
+constexpr double kLeaveCellLoad = 1.2;
+constexpr double kLeaveCellStreams = 2;  // the load must also exceed the mean by this many streams
 
-// What the endpoint's cell can write beyond what its own readers need, as a share of its writers.
+// Returns what the endpoint's cell can write beyond what its own readers need, as a share of its writers.
+// Cells in another zone than the reader's count less.
 double spare_share(const FleetCapacities& capacities, const Endpoint& endpoint, const Endpoint& reader) {
   const RegionCapacity cell = capacities.cell_of(endpoint);
   const RegionCapacity& all = capacities.all;
@@ -22,10 +25,10 @@
   return std::max(0.0, spare) * (endpoint.zone == reader.zone ? 1.0 : kOtherZoneWeight);
 }
 
-// One choice of a writer among the eligible endpoints of one role: that with the fewest streams, in the
-// reader's cell unless that cell's best endpoint has well above the mean load of all. No router sees how many
-// requests all routers together send to a cell: no more than the cell's share of all writers can take stays
-// there.
+// Chooses a writer among the eligible endpoints of one role. It is the endpoint with the fewest streams in
+// the reader's cell, unless the load of this endpoint is well above the mean of all. No router sees how many
+// requests all routers together send to a cell, so only as many requests stay in the cell as its share of all
+// writers can take.
 class WriterChoice {
  public:
   WriterChoice(const SelectionContext& selection, const RequestState& state, Role role)
@@ -41,7 +44,7 @@
     }
   }
 
-  // Null: there is no candidate.
+  // Returns the chosen endpoint, or null if there is no candidate.
   [[nodiscard]] Endpoint* choose() const {
     const Candidate preferred =
         least_loaded([&](const Endpoint& endpoint) { return is_preferred(endpoint) ? 1.0 : 0.0; });
@@ -69,13 +72,15 @@
     return reader_ != nullptr && in_same_cell(endpoint, *reader_);
   }
 
-  // Whether the endpoint needs this request in order to be measured, or slow start has drawn it.
+  // Returns whether the endpoint needs this request in order to be measured, or is in the reader's cell and
+  // slow start has drawn the request for it.
   [[nodiscard]] bool is_preferred(const Endpoint& endpoint) const {
     return endpoint.awaits_first_send ||
            (selection_.slow_start.admits_by_draw(selection_.context, endpoint) && is_local(endpoint));
   }
 
-  // Multiple of its share up to which a cell is used. Few routers see most of the load themselves.
+  // Returns the multiple of its share up to which a cell is used. It is higher if there are few routers,
+  // because each of them then sees most of the load itself.
   [[nodiscard]] double leave_threshold() const {
     return kLeaveCellLoad + 1.0 / selection_.context.settings->router_count;
   }
@@ -86,7 +91,7 @@
     return local.load > max_load;
   }
 
-  // Whether the request is among those that the writers of its reader's cell can take, by hash.
+  // Returns whether the request is, by its hash, among those that the writers of its reader's cell can take.
   [[nodiscard]] bool stays_in_cell(const FleetCapacities& capacities) const {
     const RegionCapacity cell = capacities.cell_of(*reader_);
     if (cell.readers <= 0) return true;
@@ -96,8 +101,9 @@
     return unit_interval(mix_bits(salt_)) < stay;
   }
 
-  // The candidate with the fewest streams. Ties go by hash, each weighed by the share from 0 to 1 that
-  // `share_for` gives it. One with no share is left out; no endpoint: none has any.
+  // Returns the candidate with the fewest streams. Ties are resolved by a hash that is weighted by each
+  // candidate's share, from 0 to 1, which `share_for` returns. Candidates without a share are left out; if
+  // none has a share, the returned endpoint is null.
   template <typename ShareFor>
   [[nodiscard]] Candidate least_loaded(const ShareFor& share_for) const {
     Candidate best;
@@ -118,10 +124,10 @@
 
   const SelectionContext& selection_;
   const Role role_;
-  const Endpoint* reader_;  // of the request's prompt; null: it is no longer known
+  const Endpoint* reader_;  // of the request's prompt; null if it is no longer known
   const std::uint64_t salt_;
   std::vector<Candidate> candidates_;
-  double load_sum_ = 0;  // of the candidates, in streams
+  double load_sum_ = 0;  // sum over the candidates, in streams
 };
 
 }  // namespace
--- a/src/routing/writer_selection.hpp
+++ b/src/routing/writer_selection.hpp
@@ -6,8 +6,8 @@
 
 namespace dispatcher::routing {
 
-// A writer for the prompt state that waits at the request's reader or, where no writer is eligible, a mixed
-// endpoint. Null: none is eligible now.
+// Selects a writer for the prompt state that waits at the request's reader or, if no writer is eligible, a
+// mixed endpoint. Returns null if no endpoint is eligible now.
 [[nodiscard]] Endpoint* choose_writer(const SelectionContext& selection, const RequestState& state);
 
 }  // namespace dispatcher::routing
--- a/tests/hot_restart/hot_restart_compatibility_test.cpp
+++ b/tests/hot_restart/hot_restart_compatibility_test.cpp
@@ -149,7 +149,7 @@
     routing::LearnedState state;
     state.starts[0] = {0.1, 1.0 / 3, 7};
     state.starts[1] = {12.5, 0.25, 40};
-    state.far = {3, 0.5, 9};
+    state.remote_starts = {3, 0.5, 9};
     state.served = {5, 6, 0};
     state.since = seconds(77);
     state.endpoints.push_back({"r1", {seconds(80), seconds(81)}, seconds(79)});
@@ -305,16 +305,16 @@
     CHECK(learned.starts[role].dev == expected.starts[role].dev);
     CHECK(learned.starts[role].n == expected.starts[role].n);
   }
-  CHECK(learned.far.mean == expected.far.mean);
-  CHECK(learned.far.dev == expected.far.dev);
-  CHECK(learned.far.n == expected.far.n);
+  CHECK(learned.remote_starts.mean == expected.remote_starts.mean);
+  CHECK(learned.remote_starts.dev == expected.remote_starts.dev);
+  CHECK(learned.remote_starts.n == expected.remote_starts.n);
   CHECK(learned.served == expected.served);
   CHECK(learned.since == expected.since);
   REQUIRE(learned.endpoints.size() == expected.endpoints.size());
   for (std::size_t i = 0; i < expected.endpoints.size(); ++i) {
     CHECK(learned.endpoints[i].endpoint == expected.endpoints[i].endpoint);
     CHECK(learned.endpoints[i].sends == expected.endpoints[i].sends);
-    CHECK(learned.endpoints[i].back == expected.endpoints[i].back);
+    CHECK(learned.endpoints[i].returned_at == expected.endpoints[i].returned_at);
   }
 }
 
--- a/tests/hot_restart/hot_restart_state_test.cpp
+++ b/tests/hot_restart/hot_restart_state_test.cpp
@@ -110,7 +110,7 @@
 TEST_CASE("a router's learned state is encoded completely, and unreadable fields are omitted", "[upgrade]") {
   routing::LearnedState learned;
   learned.starts[1] = {12.5, 0.25, 40};
-  learned.far = {3, 0.5, 9};
+  learned.remote_starts = {3, 0.5, 9};
   learned.served = {5, 6, 0};
   learned.since = seconds(77);
   learned.endpoints.push_back({"r1", {seconds(80), seconds(81)}, seconds(79)});
--- a/tests/routing/routing_digest_test.cpp
+++ b/tests/routing/routing_digest_test.cpp
@@ -53,11 +53,11 @@
 
 void add(Digest& digest, const LearnedState& learned_state) {
   for (const MovingAverage& average : learned_state.starts) add(digest, average);
-  add(digest, learned_state.far);
+  add(digest, learned_state.remote_starts);
   for (const int served : learned_state.served) digest.add(served);
   digest.add(learned_state.since, learned_state.endpoints.size());
   for (const LearnedState::EndpointHistory& endpoint : learned_state.endpoints) {
-    digest.add(endpoint.endpoint, endpoint.back, endpoint.sends.size());
+    digest.add(endpoint.endpoint, endpoint.returned_at, endpoint.sends.size());
     for (const Time sent : endpoint.sends) digest.add(sent);
   }
 }
