--- a/src/engine/action_executor.hpp
+++ b/src/engine/action_executor.hpp
@@ -13,17 +13,18 @@
 
 namespace dispatcher::engine {
 
-/// Part of the Engine; used on the event loop thread only.
+/// Maps each routing::Action to calls of the engine's parts, the sinks and the upstream client. Part of the
+/// Engine; used on the event loop thread only.
 class ActionExecutor {
  public:
   ActionExecutor(EngineContext& context, RequestTable& requests, RouterRunner& router,
                  AttemptManager& attempts, ReservationCleanup& cleanup)
       : context_(context), requests_(requests), router_(router), attempts_(attempts), cleanup_(cleanup) {}
 
-  /// `callback` is called when the router needs the complete endpoint list again.
+  /// Sets the callback that is called when the router needs the complete endpoint list again.
   void set_subscribe_callback(std::function<void()> callback) { subscribe_ = std::move(callback); }
 
-  /// Actions that name a request which has ended meanwhile have no effect.
+  /// Executes an action. An action other than ReleaseReservation has no effect if its request has ended.
   void execute(const routing::Action& action);
 
  private:
@@ -37,7 +38,8 @@
   void execute_action(const routing::SetTimer& action);
   void execute_action(const routing::Subscribe& action);
   void execute_action(const routing::LogMessage& action) { context_.log(action.text); }
-  /// Marks an unanswered request as answered, with a line in the request log. Null: there is none such.
+  /// Marks a request as answered and notifies the request observer if no stream has started. Returns null,
+  /// and does nothing, if the request does not exist or is already answered.
   [[nodiscard]] ActiveRequest* answer(SlotId slot, NotServedReason reason);
 
   EngineContext& context_;
--- a/src/engine/active_request.hpp
+++ b/src/engine/active_request.hpp
@@ -1,5 +1,4 @@
-/// A request in the engine, from its arrival until its client is answered and the last of its attempts is
-/// over.
+/// A request in the engine, from its arrival until its client is answered and its last attempt has ended.
 #ifndef DISPATCHER_ENGINE_ACTIVE_REQUEST_HPP_
 #define DISPATCHER_ENGINE_ACTIVE_REQUEST_HPP_
 
@@ -20,26 +19,26 @@
   EndpointId endpoint;
   Time started{};
   bool is_active = true;
-  bool at_reader = false;  ///< the endpoint is a reader, which may hold a state for the request
+  bool at_reader = false;  ///< the endpoint is a reader, which may hold prompt state for the request
   TimerId deadline_timer;
 };
 
-/// Plain data, owned by the RequestTable; used on the event loop thread only.
+/// The state of one request. Plain data, owned by the RequestTable; used on the event loop thread only.
 struct ActiveRequest {
   ResponseSink* sink = nullptr;
-  SlotId client;  ///< the sink's handle
+  SlotId client;  ///< the sink's handle of the client
   RequestId id;
   std::string request_class;
   Time first_token_objective{};
-  SettingsSnapshot settings;                       ///< as they were when the request arrived
-  std::shared_ptr<const UpstreamRequest> message;  ///< until the stream starts: no attempt is made after that
+  SettingsSnapshot settings;                       ///< the settings when the request arrived
+  std::shared_ptr<const UpstreamRequest> message;  ///< null once a stream has started: no attempt follows
   Time deadline{};
-  std::vector<Attempt> attempts;         ///< by number
-  int attempts_spent = 0;                ///< of Settings::max_attempts; see Settings::free_connect_failures
-  std::optional<int> streaming_attempt;  ///< the attempt whose response is the client's
-  bool is_answered = false;              ///< nothing more is owed to the client
-  bool is_paused = false;                ///< the client's buffer is full
-  bool has_timed_out = false;            ///< its last attempt to end did
+  std::vector<Attempt> attempts;  ///< indexed by attempt number
+  int attempts_spent = 0;  ///< counted against Settings::max_attempts; see Settings::free_connect_failures
+  std::optional<int> streaming_attempt;  ///< number of the attempt whose response is streamed to the client
+  bool is_answered = false;              ///< the client has its final answer, or needs none any more
+  bool is_paused = false;                ///< the response is not read, because the client's buffer is full
+  bool has_timed_out = false;            ///< the attempt that ended last timed out
   ReservationTracker reservations;
   TimerId overdue_timer, idle_timer, release_timer;
 
@@ -48,7 +47,8 @@
     return attempts.at(static_cast<std::size_t>(number));
   }
   [[nodiscard]] int attempt_count() const { return static_cast<int>(attempts.size()); }
-  /// The end of an attempt at `now`, as it is reported to the router; tokens, evidence and load are empty.
+  /// Returns the event that reports the end of an attempt at `now` to the router. Cached tokens, evidence and
+  /// load report are left empty.
   [[nodiscard]] routing::AttemptCompleted completion(int number, AttemptStatus status, Time now) const {
     const Attempt& ended = attempt(number);
     routing::AttemptCompleted completed;
--- a/src/engine/attempt_manager.cpp
+++ b/src/engine/attempt_manager.cpp
@@ -9,7 +9,9 @@
 
 namespace {
 
-// A time-out or cancel of a request that the replica can't have received in full has no effect there.
+// Returns the status of an attempt whose endpoint can't have received the complete request, so that it had no
+// effect there: a timeout counts as a failed connect, and a cancellation as never sent if the request is
+// answered.
 AttemptStatus status_if_undelivered(AttemptStatus status, bool is_answered) {
   if (status == AttemptStatus::kTimeout) return AttemptStatus::kConnectFailed;
   if (status == AttemptStatus::kCancelled && is_answered) return AttemptStatus::kNeverSent;
@@ -124,7 +126,7 @@
 AttemptStatus AttemptManager::finish_stream(ActiveRequest& request, AttemptId id, AttemptStatus status) {
   const bool is_streaming = request.streaming_attempt == id.number;
   if (!is_streaming) {
-    // A stream without one event: there is nothing to pass on, yet the request may have run.
+    // A stream without any event is no response for the client, but the request may have run.
     return status == AttemptStatus::kServed ? AttemptStatus::kError : status;
   }
   if (request.is_answered) return status;
--- a/src/engine/endpoint_roles.cpp
+++ b/src/engine/endpoint_roles.cpp
@@ -6,7 +6,8 @@
 
 namespace {
 
-// Bounds the memory where endpoints come and go under ever new names; far more than a fleet has.
+// The number of removed endpoints that are remembered. Bounds the memory if endpoints keep being replaced by
+// others with new names; far more than the endpoints of a fleet.
 constexpr std::size_t kMaxRemovedEndpoints = 512;
 
 }  // namespace
--- a/src/engine/endpoint_roles.hpp
+++ b/src/engine/endpoint_roles.hpp
@@ -1,4 +1,4 @@
-/// Which endpoints the endpoint list names, or has named recently, and which of them are readers.
+/// The endpoints that the endpoint list names, or named recently, and their roles.
 #ifndef DISPATCHER_ENGINE_ENDPOINT_ROLES_HPP_
 #define DISPATCHER_ENGINE_ENDPOINT_ROLES_HPP_
 
@@ -12,24 +12,24 @@
 
 namespace dispatcher::engine {
 
-/// Part of the Engine; no I/O and no clock.
+/// Tracks the roles of endpoints. Part of the Engine; does no I/O and uses no clock.
 class EndpointRoles {
  public:
-  /// Applies a list or a change to it. `settings` names the role of each kind of endpoint.
+  /// Applies an endpoint list or a change to it. `settings` defines the role of each endpoint kind.
   void update(const routing::EndpointList& list, const routing::Settings& settings);
 
-  /// Whether a list names the endpoint, or did so recently: one that was removed may return.
+  /// Returns whether the endpoint is listed or was removed recently. A removed endpoint may return.
   [[nodiscard]] bool is_known(const routing::EndpointId& endpoint) const;
   [[nodiscard]] bool is_reader(const routing::EndpointId& endpoint) const;
-  /// The number of endpoints that the list names now.
+  /// Returns the number of endpoints that are listed now.
   [[nodiscard]] std::size_t size() const { return roles_.size(); }
 
  private:
   void remember_removed(const routing::EndpointId& endpoint);
 
-  std::map<routing::EndpointId, routing::Role> roles_;  // by endpoint
-  std::deque<routing::EndpointId> removed_;             // the one removed last at the back
-  std::set<routing::EndpointId> removed_names_;         // the same ones, to be found fast
+  std::map<routing::EndpointId, routing::Role> roles_;  // of the listed endpoints
+  std::deque<routing::EndpointId> removed_;             // in the order of removal, the latest at the back
+  std::set<routing::EndpointId> removed_names_;         // the same endpoints, for fast lookup
 };
 
 }  // namespace dispatcher::engine
--- a/src/engine/engine.cpp
+++ b/src/engine/engine.cpp
@@ -8,7 +8,8 @@
 
 namespace {
 
-/// For a request's first token, from its arrival. Zero if the settings don't name its class.
+/// Returns the time from a request's arrival within which its first token should come. Zero if the settings
+/// don't define the request's class.
 Duration latency_objective(const routing::Settings& settings, const routing::Request& request) {
   const routing::RequestClass* known = routing::find_class(settings, request.request_class);
   if (known == nullptr) return {};
@@ -52,7 +53,8 @@
   return slot;
 }
 
-// The router answers by the deadline by itself. Should it ever fail to, the client still gets its answer.
+// The router answers each request by its deadline. If it fails to, this timer ensures that the client still
+// gets an answer.
 void Engine::start_overdue_timer(SlotId slot) {
   ActiveRequest& request = *requests_.find(slot);
   request.overdue_timer =
@@ -79,7 +81,7 @@
   context_.request_log.log_answered(id, "client-gone");
   attempts_.terminate_unconnected(slot);
   router_.handle(routing::ClientGone{id});
-  // The router does not cancel a running stream; its client has disconnected, so it must be cancelled here.
+  // The router does not cancel a running stream, so it is cancelled here once its client has disconnected.
   if (streaming_attempt)
     attempts_.terminate({slot, *streaming_attempt}, AttemptStatus::kCancelled,
                         AttemptEndReason::kClientDisconnected);
@@ -154,7 +156,7 @@
 void Engine::on_events(AttemptId id, std::string_view events) { relay_.on_events(id, events); }
 
 void Engine::on_attempt_completed(AttemptId id, const AttemptResult& result) {
-  // It was not needed any more: its client has disconnected, which the frontend is about to report.
+  // The attempt was no longer needed: its client has disconnected, and the frontend is about to report that.
   const bool was_not_needed = result.status == AttemptStatus::kNeverSent && !result.invalid_request;
   if (was_not_needed && requests_.find_active(id)) on_client_disconnected(id.request);
   if (requests_.find_active(id)) attempts_.complete(id, result);
--- a/src/engine/engine.hpp
+++ b/src/engine/engine.hpp
@@ -1,6 +1,6 @@
-/// The engine: passes what happens to the router as events, executes the router's actions, and owns every
-/// request with its timers. Frontends and the upstream client are reached through the interfaces of
-/// interfaces.hpp; no wire format is known here.
+/// The engine: passes events to the router, executes the router's actions, and owns every request with its
+/// timers. It calls the frontends and the upstream client through the interfaces in interfaces.hpp and knows
+/// no wire format.
 #ifndef DISPATCHER_ENGINE_ENGINE_HPP_
 #define DISPATCHER_ENGINE_ENGINE_HPP_
 
@@ -30,12 +30,13 @@
 
 namespace dispatcher::engine {
 
-/// One per process, used on the event loop thread only. It calls sinks, the upstream client and observers
-/// from inside its own functions and from timers. Handles and ids of requests that have ended are ignored.
+/// Runs all requests of a process; used on the event loop thread only. Calls sinks, the upstream client and
+/// observers from inside its own functions and from timers. Ignores handles and ids of requests that have
+/// ended.
 class Engine {
  public:
-  /// The upstream client and the timers have to outlive the engine. Throws std::invalid_argument naming the
-  /// setting that the router does not accept.
+  /// `upstream` and `timers` must outlive the engine. Throws std::invalid_argument that names the setting
+  /// that the router does not accept.
   Engine(SettingsSnapshot settings, std::uint64_t seed, UpstreamClient& upstream, TimerQueue& timers,
          Clock clock, Log log);
   Engine(const Engine&) = delete;
@@ -43,30 +44,31 @@
 
   // ---- called by the frontends ----
 
-  /// Takes a request, whose id must not be in progress. The sink, which has to outlive it, may get its final
-  /// call before this returns: see is_unanswered().
+  /// Accepts a request and returns its handle. The request's id must not be in progress. `sink` must outlive
+  /// the request, and may get its final call before this function returns: see is_unanswered().
   SlotId submit(ResponseSink& sink, SlotId client, const routing::Request& request,
                 std::shared_ptr<const UpstreamRequest> message);
-  /// The client of a request has disconnected; its sink is not called for it any more.
+  /// Must be called when the client of a request has disconnected. The sink is no longer called for it.
   void on_client_disconnected(SlotId request);
-  /// The client takes events again, after ResponseSink::write_events() returned false.
+  /// Must be called when the client can take events again, after ResponseSink::write_events() returned false.
   void resume_stream(SlotId request);
-  /// Whether a request of this id is in progress here or at the other process of a hot restart.
+  /// Returns whether a request with this id is in progress here or in the other process of a hot restart.
   [[nodiscard]] bool is_in_progress(const RequestId& id) const;
-  /// Whether something is still owed to the request's client.
+  /// Returns whether the request's client still waits for its answer or a part of it.
   [[nodiscard]] bool is_unanswered(SlotId request);
 
   // ---- settings, endpoints and operators ----
 
-  /// Settings for the requests from now on; the router must accept them.
+  /// Applies settings to all requests from now on. They must be valid for the router.
   void apply_settings(SettingsSnapshot settings);
   void update_endpoints(const routing::EndpointList& list);
-  /// `callback` is called when the router needs the complete endpoint list again.
+  /// Sets the callback that is called when the router needs the complete endpoint list again.
   void set_subscribe_callback(std::function<void()> callback);
-  /// Whether any list has named this endpoint, now or recently.
+  /// Returns whether the endpoint is listed or was removed recently.
   [[nodiscard]] bool is_known_endpoint(const EndpointId& endpoint) const;
   [[nodiscard]] std::size_t endpoint_count() const { return endpoints_.size(); }
-  /// An endpoint that operators drained gets nothing new, whatever the lists say.
+  /// Drains an endpoint on behalf of the operators, or returns it to service. A drained endpoint gets nothing
+  /// new, whatever the endpoint lists say.
   void set_administrative_state(const EndpointId& endpoint, AdministrativeState state);
 
   // ---- observers: optional, not owned ----
@@ -78,44 +80,45 @@
   // ---- hot restart: two processes, of which one takes over from the other ----
 
   [[nodiscard]] routing::LearnedState learned_state() const { return router_.learned_state(); }
-  /// Takes over what the router of the other process has learned.
+  /// Passes what the other process's router has learned to this one.
   void restore_learned_state(const routing::LearnedState& learned_state);
   [[nodiscard]] std::vector<RequestId> open_request_ids() const { return requests_.ids(); }
-  /// The streams of a frontend that can be handed over. Each goes on at the other process with adopt_stream()
-  /// there, after release_stream() here.
+  /// Returns the streams of a frontend that can be handed over. To hand one over, call release_stream() here
+  /// and then adopt_stream() in the other process.
   [[nodiscard]] std::vector<RunningStream> running_streams(const ResponseSink& sink);
-  /// The stream continues at the other process: nothing more is sent to its client from here.
+  /// Ends a stream here that continues in the other process: this engine sends nothing more to its client.
   void release_stream(SlotId request);
-  /// Continues a stream of the other process. Its attempt has number 0.
+  /// Continues a stream of the other process. Its attempt gets the number 0.
   [[nodiscard]] SlotId adopt_stream(ResponseSink& sink, SlotId client, const RequestId& id,
                                     const EndpointId& endpoint);
-  /// What the other process reports of its own requests and attempts.
+  /// Called with what the other process reports about its own requests and attempts.
   void on_peer_request_progress(const RequestId& id, RequestProgress progress);
   void on_peer_attempt_started(const EndpointId& endpoint);
-  /// The other process has ended: its requests are not in progress any more.
+  /// Must be called when the other process has ended. Its requests are no longer in progress then.
   void on_peer_disconnected() { peer_request_ids_.clear(); }
 
   // ---- called by the upstream client ----
 
-  /// Complete server-sent events of an attempt's response; the first call starts the client's stream.
+  /// Passes on complete server-sent events of an attempt's response. The first call starts the client's
+  /// stream.
   void on_events(AttemptId attempt, std::string_view events);
-  /// The one end of an attempt; ignored after UpstreamClient::cancel_attempt().
+  /// Called once when an attempt has ended. Ignored after UpstreamClient::cancel_attempt().
   void on_attempt_completed(AttemptId attempt, const AttemptResult& result);
-  /// The answer to UpstreamClient::reserve_slot().
+  /// Called with the answer to UpstreamClient::reserve_slot().
   void on_reservation_result(AttemptId attempt, const EndpointId& endpoint, ReservationOutcome outcome);
-  /// To be called right before an attempt's first byte is written. An attempt that is not needed any more
-  /// completes as kNeverSent.
+  /// Returns whether an attempt should still be sent. Must be called right before its first byte is written;
+  /// an attempt that is no longer needed completes as kNeverSent.
   [[nodiscard]] bool is_still_needed(AttemptId attempt);
-  /// An attempt's request was handed to its connection. Says nothing of whether it arrived.
+  /// Called when an attempt's request was handed to its connection, which does not mean that it arrived.
   void on_attempt_written(AttemptId attempt, ConnectionUse use);
-  /// A replica has confirmed UpstreamClient::release_reservation().
+  /// Called when an endpoint has confirmed UpstreamClient::release_reservation().
   void on_reservation_released(const RequestId& id, const ReleaseConfirmation& confirmation);
 
   // ---- counts ----
 
-  /// Requests whose clients still wait for something.
+  /// Returns the number of requests whose clients still wait for an answer or a part of it.
   [[nodiscard]] std::size_t unanswered_count() const { return requests_.unanswered_count(); }
-  /// Requests that are not complete: unanswered, or with an attempt or a release still to come.
+  /// Returns the number of requests that are unanswered, have an active attempt or have a scheduled release.
   [[nodiscard]] std::size_t open_request_count() const { return requests_.size(); }
 
  private:
--- a/src/engine/engine_context.hpp
+++ b/src/engine/engine_context.hpp
@@ -1,4 +1,4 @@
-/// What the parts of the engine share of its surroundings.
+/// The dependencies that the parts of the engine share.
 #ifndef DISPATCHER_ENGINE_ENGINE_CONTEXT_HPP_
 #define DISPATCHER_ENGINE_ENGINE_CONTEXT_HPP_
 
@@ -8,7 +8,8 @@
 
 namespace dispatcher::engine {
 
-/// Owned by the Engine, which outlives its parts. The observers are optional and not owned.
+/// Refers to the engine's timers, logs and collaborators. Owned by the Engine, which outlives its parts. The
+/// observers are optional and not owned.
 struct EngineContext {
   UpstreamClient& upstream;
   TimerQueue& timers;
--- a/src/engine/request_log.cpp
+++ b/src/engine/request_log.cpp
@@ -40,7 +40,8 @@
   return " attempt=" + std::to_string(attempt) + " host=" + endpoint.value();
 }
 
-// The log's field `note` has one number: the cached tokens of a success, else whether there was evidence.
+// Returns the value of the log's field `note`: the cached prompt tokens if the attempt succeeded, otherwise 1
+// if its end gave evidence and 0 if not.
 int logged_note(const routing::AttemptCompleted& outcome) {
   const bool succeeded =
       outcome.status == routing::AttemptStatus::kServed || outcome.status == routing::AttemptStatus::kRead;
--- a/src/engine/request_log.hpp
+++ b/src/engine/request_log.hpp
@@ -1,5 +1,6 @@
 /// The request log: one line for each event of a request, for diagnosing single requests afterwards and for
-/// statistics over a fleet. Off unless the command line enables it: it costs some lines per attempt.
+/// statistics over a fleet. Off unless the command line enables it, because it writes several lines per
+/// attempt.
 #ifndef DISPATCHER_ENGINE_REQUEST_LOG_HPP_
 #define DISPATCHER_ENGINE_REQUEST_LOG_HPP_
 
@@ -15,32 +16,32 @@
 
 /// Why a reservation is released.
 enum class ReleaseReason {
-  kRouter,        ///< the router gives up the prompt's state that it knows of
-  kPossiblyLeft,  ///< an attempt ended in a way that may have left one
+  kRouter,        ///< the router releases the prompt state that it knows of
+  kPossiblyLeft,  ///< an attempt ended in a way that may have left a reservation
 };
 
-/// Formats the lines. Each begins with `request ID`, names what happened, and goes on with key=value; times
-/// are milliseconds. Tools read the keys and values: they are part of the interface.
+/// Formats the lines. Each consists of `request ID`, the name of the event and key=value fields; times are in
+/// milliseconds. Tools read the keys and values, so these are part of the interface.
 class RequestLog {
  public:
   using Sink = std::function<void(std::string_view)>;
-  RequestLog() = default;  ///< off
+  RequestLog() = default;  ///< a disabled log
   explicit RequestLog(Sink sink) : sink_(std::move(sink)) {}
 
   void log_received(const routing::Request& request, routing::Time now) const;
-  /// `time_left`: until the attempt's deadline.
+  /// `time_left` is the time until the attempt's deadline.
   void log_attempt_started(const routing::RequestId& id, const routing::EndpointId& endpoint, int attempt,
                            routing::Duration time_left) const;
-  /// The request was handed to the connection; nothing is known yet of its arrival.
+  /// Logs that the request was handed to the connection, which does not mean that it arrived.
   void log_attempt_written(const routing::RequestId& id, const routing::EndpointId& endpoint, int attempt,
                            ConnectionUse use) const;
   void log_first_token(const routing::RequestId& id, const routing::EndpointId& endpoint, int attempt,
                        routing::Duration elapsed) const;
   void log_attempt_completed(const routing::AttemptCompleted& outcome, AttemptEndReason reason) const;
-  /// A final answer without a response of a replica.
+  /// Logs a final answer that is not an endpoint's response.
   void log_rejected(const routing::RequestId& id, routing::GiveUpReason reason) const;
   void log_failed(const routing::RequestId& id, routing::GiveUpReason reason) const;
-  /// `how`: one word for what became of the request where it is not served.
+  /// `how` is one word for the end of a request that was neither served nor rejected or failed by the router.
   void log_answered(const routing::RequestId& id, std::string_view how) const;
   void log_release_requested(const routing::RequestId& id, ReleaseReason reason) const;
   void log_release_confirmed(const routing::RequestId& id, const ReleaseConfirmation& confirmation) const;
--- a/src/engine/request_table.hpp
+++ b/src/engine/request_table.hpp
@@ -1,4 +1,4 @@
-/// The requests of the engine, found by handle or by id.
+/// The table of the engine's requests, with lookup by handle and by id.
 #ifndef DISPATCHER_ENGINE_REQUEST_TABLE_HPP_
 #define DISPATCHER_ENGINE_REQUEST_TABLE_HPP_
 
@@ -13,30 +13,30 @@
 
 namespace dispatcher::engine {
 
-/// An attempt that is not over, with its request; both null where there is none.
+/// An attempt in flight and its request. Both pointers are null if there is none.
 struct ActiveAttempt {
   ActiveRequest* request = nullptr;
   Attempt* attempt = nullptr;
   explicit operator bool() const { return attempt != nullptr; }
 };
 
-/// Owns the requests, and their removal. Part of the Engine; used on the event loop thread only. Pointers to
-/// a request hold until it is removed: look it up again after any call that may end it.
+/// Owns the requests and removes the completed ones. Part of the Engine; used on the event loop thread only.
+/// Pointers to a request stay valid until it is removed: look it up again after any call that may end it.
 class RequestTable {
  public:
   explicit RequestTable(EngineContext& context) : context_(context) {}
 
-  /// Adds a request, unanswered. The id should not be in use; if it is, the newer request has it.
+  /// Adds an unanswered request. The id should not be in use. If it is, lookups by id return the new request.
   SlotId add(const RequestId& id);
-  /// Null if there is no such request (any more).
+  /// Returns null if the request does not exist, or no longer exists.
   [[nodiscard]] ActiveRequest* find(SlotId slot) { return requests_.find(slot); }
-  /// An empty handle if there is no such request.
+  /// Returns a null handle if no request has this id.
   [[nodiscard]] SlotId slot_of(const RequestId& id) const;
   [[nodiscard]] ActiveAttempt find_active(AttemptId id);
 
-  /// Nothing is owed to the client any more.
+  /// Marks a request whose client needs no further answer, and cancels its overdue and idle timers.
   void mark_answered(ActiveRequest& request);
-  /// Removes a request that is answered, has no active attempt and no release ahead.
+  /// Removes a request if it is answered and has neither an active attempt nor a scheduled release.
   void remove_if_complete(SlotId slot);
 
   [[nodiscard]] bool contains(const RequestId& id) const { return slots_by_id_.contains(id); }
--- a/src/engine/reservation_cleanup.cpp
+++ b/src/engine/reservation_cleanup.cpp
@@ -6,12 +6,13 @@
 
 namespace {
 
-// What an aborted read left is released only when the replica has had time to notice the abort: an earlier
-// release would find nothing yet. As a part of the time within which it must be released.
-constexpr int kReservationLimitDivisor = 4;
+// A release waits for this part (1/4) of the reservation limit, within which reservations must be released.
+// An earlier release of what an aborted read left would find nothing, as the endpoint needs time to notice
+// the abort.
+constexpr int kReleaseDelayDivisor = 4;
 
-// While a further attempt is in flight, as it may have arrived and be about to leave a state of its own that
-// a release would take: so much of the limit, in tenths.
+// While a further attempt is in flight, a release waits for this part of the reservation limit, in tenths:
+// the attempt may have arrived and be about to leave state of its own, which the release would remove.
 constexpr int kInFlightDelayTenths = 7;
 
 Duration in_flight_delay(const ActiveRequest& request) {
@@ -21,7 +22,7 @@
 }  // namespace
 
 Duration ReservationCleanup::release_delay(const ActiveRequest& request) {
-  return request.settings->reservation_limit / kReservationLimitDivisor;
+  return request.settings->reservation_limit / kReleaseDelayDivisor;
 }
 
 void ReservationCleanup::schedule_if_needed(SlotId slot, ScheduledRelease scheduled) {
@@ -51,7 +52,8 @@
   requests_.remove_if_complete(slot);
 }
 
-// That an attempt has its connection does not show that it arrives: it puts the release off for a while only.
+// An attempt with a connection delays the release only until the in-flight delay has passed, because an
+// established connection does not show that the request arrives.
 void ReservationCleanup::release_when_due(SlotId slot, ActiveRequest& request) {
   const Time now = context_.clock();
   const Time due = request.reservations.held_since() + in_flight_delay(request);
@@ -75,8 +77,8 @@
   check_again_if_in_flight(slot, *request);
 }
 
-// An attempt that is written ends the release calls, whether it arrives or not: what was not confirmed by
-// then must be released again.
+// Writing an attempt ends the release calls, whether or not the attempt arrives. Whatever was not confirmed
+// by then must be released again.
 void ReservationCleanup::check_again_if_in_flight(SlotId slot, const ActiveRequest& request) {
   if (request.has_active_attempt()) schedule_at(slot, context_.clock() + release_delay(request));
 }
--- a/src/engine/reservation_cleanup.hpp
+++ b/src/engine/reservation_cleanup.hpp
@@ -1,4 +1,4 @@
-/// Releases what the attempts of a request may have left at replicas.
+/// Releases what the attempts of a request may have left at endpoints.
 #ifndef DISPATCHER_ENGINE_RESERVATION_CLEANUP_HPP_
 #define DISPATCHER_ENGINE_RESERVATION_CLEANUP_HPP_
 
@@ -9,22 +9,26 @@
 
 namespace dispatcher::engine {
 
-/// Part of the Engine; used on the event loop thread only.
+/// Schedules and requests the release of reservations. Part of the Engine; used on the event loop thread
+/// only.
 class ReservationCleanup {
  public:
-  /// What becomes of a release that is scheduled already.
+  /// What to do with a release that is already scheduled: kKeep keeps it unless the new time is earlier,
+  /// kPostpone always replaces it.
   enum class ScheduledRelease { kKeep, kPostpone };
 
   ReservationCleanup(EngineContext& context, RequestTable& requests)
       : context_(context), requests_(requests) {}
 
-  /// Schedules a release if something may be held. While an attempt with a connection is active the release
-  /// comes later, as it would take that one's state, but within the reservation limit: the attempt may never
-  /// arrive. Attempts whose connections fail to be established postpone nothing.
+  /// Schedules a release if endpoints may hold something for the request. While an attempt with a connection
+  /// is active, the release is delayed, because it would remove that attempt's state. It still takes place
+  /// within the reservation limit, because that attempt may never arrive. Attempts whose connections can't be
+  /// established delay nothing.
   void schedule_if_needed(SlotId slot, ScheduledRelease scheduled);
-  /// The router releases what it knows to be held for a request.
+  /// Executes the router's release of what it knows to be held for a request.
   void release_for_router(const RequestId& id);
-  /// How long after the end of an attempt its reservations are released.
+  /// Returns the time from the end of an attempt to the release of its reservations, if no other attempt has
+  /// a connection.
   [[nodiscard]] static Duration release_delay(const ActiveRequest& request);
 
  private:
--- a/src/engine/reservation_tracker.hpp
+++ b/src/engine/reservation_tracker.hpp
@@ -1,4 +1,4 @@
-/// What replicas may still hold for one request, inferred from how its attempts ended.
+/// Tracks what endpoints may still hold for one request, inferred from how its attempts ended.
 #ifndef DISPATCHER_ENGINE_RESERVATION_TRACKER_HPP_
 #define DISPATCHER_ENGINE_RESERVATION_TRACKER_HPP_
 
@@ -8,11 +8,11 @@
 
 namespace dispatcher::engine {
 
-/// A reader keeps the state (the KV cache) that it computed for a request until a writer fetches it or it is
-/// released. No I/O; the clock is passed in. One for each ActiveRequest.
+/// A reader keeps the prompt state (the KV cache) that it computed for a request until a writer fetches it or
+/// it is released. Each ActiveRequest has one tracker. Does no I/O; the time is passed in.
 ///
-/// An attempt that was written counts for nothing here until a response shows that it has arrived: its link
-/// may have fallen silent, so that nobody fetches what is held.
+/// That an attempt was written does not show that it fetched the state: its link may have gone silent, in
+/// which case no endpoint fetches what is held. Only a response shows that the attempt has arrived.
 class ReservationTracker {
  public:
   /// How an attempt ended.
@@ -20,44 +20,46 @@
     routing::AttemptStatus status{};
     routing::AttemptEvidence evidence{};
     bool at_reader = false;  ///< the attempt's endpoint is a reader
-    Time may_run_until{};    ///< if the replica does not notice the end, it may work on it up to then
+    Time may_run_until{};    ///< an endpoint that does not notice the end may continue until then
     EndpointId endpoint{};
     bool is_endpoint_silent = false;  ///< as AttemptResult::is_endpoint_silent
   };
-  /// Whether a release finds an attempt in flight at a writer. If that has arrived, the release spares the
-  /// state that the attempt waits for.
+  /// Whether an attempt is in flight at a writer when a release is requested. If that attempt has arrived,
+  /// the release does not remove the state that the attempt is waiting for.
   enum class WriterAttempt { kNone, kInFlight };
 
-  /// Returns whether the attempt may have left a state behind.
+  /// Called when an attempt has ended. Returns whether it may have left prompt state behind.
   bool on_attempt_ended(const AttemptEnd& end, Time now);
-  /// An attempt was written, which ended the release calls under way.
+  /// Called when an attempt was written, which ended the release calls in progress.
   void on_attempt_written(Time now);
-  /// The state was fetched. Replicas drop any other state of the request by themselves then.
+  /// Called when the state was fetched. Endpoints then drop any other state of the request on their own.
   void on_first_token() { *this = {}; }
-  /// The router releases the state that it knows of.
+  /// Called when the router releases the state that it knows of.
   void on_released_by_router(WriterAttempt attempt, Time now);
-  /// A release is requested of everything that is held now.
+  /// Called when a release of everything that is held now is requested.
   void on_release_requested() { is_release_current_ = true; }
-  /// The replicas have confirmed a release.
+  /// Called when an endpoint has confirmed a release.
   void on_release_confirmed();
 
-  /// Whether something may be held whose release was not requested or not confirmed.
+  /// Returns whether something may be held whose release was not requested or not confirmed.
   [[nodiscard]] bool may_hold() const { return may_hold_; }
-  /// A release must not take the state that the router goes on with.
+  /// Returns whether something may be held and may be released. A release must not remove state that the
+  /// router still uses.
   [[nodiscard]] bool may_release() const { return may_hold_ && !is_known_to_router_; }
-  /// Since when something may be held that no attempt has provably taken. Of use where may_hold().
+  /// Returns the time since which something may be held that no attempt is known to have fetched. Meaningful
+  /// only if may_hold().
   [[nodiscard]] Time held_since() const { return held_since_; }
-  /// Reads that have ended here and may leave a state all the same.
+  /// Returns the reads that have ended here, but may still leave state.
   [[nodiscard]] const LateReads& late_reads() const { return late_reads_; }
 
  private:
   void set_may_hold(Time now);
-  void note_late_read(const AttemptEnd& end);
+  void record_late_read(const AttemptEnd& end);
 
   bool may_hold_ = false;
   bool is_known_to_router_ = false;
-  bool is_release_current_ = false;  // a release was requested since something may have been left
-  bool is_spared_ = false;           // by a release that found an attempt in flight at a writer
+  bool is_release_current_ = false;  // a release was requested after something was last left
+  bool is_kept_for_writer_ = false;  // a release by the router may have left it for an attempt in flight
   Time held_since_{};
   LateReads late_reads_;
 };
--- a/src/engine/router_runner.hpp
+++ b/src/engine/router_runner.hpp
@@ -1,4 +1,4 @@
-/// Passes events to the router, one at a time, and its actions to a handler.
+/// Passes events to the router, one at a time, and the resulting actions to a handler.
 #ifndef DISPATCHER_ENGINE_ROUTER_RUNNER_HPP_
 #define DISPATCHER_ENGINE_ROUTER_RUNNER_HPP_
 
@@ -11,20 +11,20 @@
 
 namespace dispatcher::engine {
 
-/// Part of the Engine; used on the event loop thread only.
+/// Owns the router. Part of the Engine; used on the event loop thread only.
 class RouterRunner {
  public:
   using ActionHandler = std::function<void(const routing::Action&)>;
 
-  /// Throws std::invalid_argument naming the setting that the router does not accept.
+  /// Throws std::invalid_argument that names the setting that the router does not accept.
   RouterRunner(const routing::Settings& settings, std::uint64_t seed, Clock clock)
       : clock_(std::move(clock)), router_(settings, seed) {}
 
-  /// Has to be set before the first event.
+  /// Must be called before the first event.
   void set_action_handler(ActionHandler handler) { execute_ = std::move(handler); }
 
-  /// Has the router handle an event, and executes its actions before this returns. An event that comes up
-  /// while actions are executed is queued, and handled by the outermost call.
+  /// Passes an event to the router and executes the resulting actions before returning. An event that occurs
+  /// while actions are being executed is queued and handled by the outermost call.
   void handle(routing::Event event);
 
   [[nodiscard]] routing::LearnedState learned_state() const { return router_.learned_state(); }
--- a/src/engine/stream_handover.hpp
+++ b/src/engine/stream_handover.hpp
@@ -1,4 +1,4 @@
-/// Moves running streams from one process of a hot restart to the other.
+/// Moves running streams between the two processes of a hot restart.
 #ifndef DISPATCHER_ENGINE_STREAM_HANDOVER_HPP_
 #define DISPATCHER_ENGINE_STREAM_HANDOVER_HPP_
 
@@ -12,18 +12,20 @@
 
 namespace dispatcher::engine {
 
-/// Part of the Engine; used on the event loop thread only. The sockets of a stream are moved by the caller.
+/// Moves the engine's part of a stream; the caller moves its sockets. Part of the Engine; used on the event
+/// loop thread only.
 class StreamHandover {
  public:
   StreamHandover(EngineContext& context, RequestTable& requests, RouterRunner& router, StreamRelay& relay)
       : context_(context), requests_(requests), router_(router), relay_(relay) {}
 
-  /// The streams of a frontend that can be handed over: those that have started and aren't paused.
+  /// Returns the streams of a frontend that can be handed over, which are those that have started, are not
+  /// paused and are not answered yet.
   [[nodiscard]] std::vector<RunningStream> running_streams(const ResponseSink& sink);
-  /// The stream continues at the other process: here it ends, and nothing is sent to its client.
+  /// Ends a stream here that continues in the other process. Nothing more is sent to its client from here.
   void release(SlotId slot);
-  /// Continues a stream of the other process; its attempt has number 0. The router isn't notified: it has
-  /// nothing to decide for a running stream.
+  /// Continues a stream of the other process. Its attempt gets the number 0. The router is not notified,
+  /// because it has nothing to decide for a running stream.
   [[nodiscard]] SlotId adopt(ResponseSink& sink, SlotId client, const RequestId& id,
                              const EndpointId& endpoint, SettingsSnapshot settings);
 
--- a/src/engine/stream_relay.cpp
+++ b/src/engine/stream_relay.cpp
@@ -4,8 +4,9 @@
 
 namespace {
 
-// A client may be left waiting for less than 5 s after a running replica's last event; a slow replica's
-// events are seconds apart at worst, so the stream is aborted as late as that allows.
+// A stream without any event for this time is aborted. A client may be left waiting for less than 5 s after
+// the last event of a running endpoint. The events of a slow endpoint are seconds apart in the worst case, so
+// the timeout is as long as that limit allows.
 constexpr Duration kIdleTimeout = std::chrono::milliseconds(4300);
 
 }  // namespace
@@ -25,7 +26,7 @@
   request = requests_.find(id.request);
   if (request == nullptr) return;
   request->is_paused = true;
-  context_.timers.drop(request->idle_timer);  // now the client is idle, not the replica
+  context_.timers.drop(request->idle_timer);  // the client is the idle side now, not the endpoint
   context_.upstream.pause_reading(id);
 }
 
@@ -43,7 +44,7 @@
     context_.request_observer->on_first_token(request.request_class,
                                               is_late ? FirstTokenTiming::kLate : FirstTokenTiming::kInTime);
   context_.request_log.log_first_token(request.id, active.attempt->endpoint, id.number, elapsed);
-  // The router's actions may end the request.
+  // The router's actions may end the request, so the values that are needed afterwards are copied.
   const SlotId client = request.client;
   ResponseSink* const sink = request.sink;
   router_.handle(routing::FirstToken{request.id, active.attempt->endpoint, id.number, elapsed});
--- a/src/engine/stream_relay.hpp
+++ b/src/engine/stream_relay.hpp
@@ -11,18 +11,20 @@
 
 namespace dispatcher::engine {
 
-/// Part of the Engine; used on the event loop thread only.
+/// Relays events from the upstream client to the sinks. Part of the Engine; used on the event loop thread
+/// only.
 class StreamRelay {
  public:
   StreamRelay(EngineContext& context, RequestTable& requests, RouterRunner& router, AttemptManager& attempts)
       : context_(context), requests_(requests), router_(router), attempts_(attempts) {}
 
-  /// Complete events of an attempt's response. The first ones of a request make the attempt its streaming
-  /// one; an attempt that begins to respond after its request was answered is cancelled.
+  /// Passes on complete events of an attempt's response. The first events for a request make their attempt
+  /// its streaming attempt. An attempt that begins to respond after its request was answered is cancelled.
   void on_events(AttemptId id, std::string_view events);
-  /// The client's buffer has capacity again.
+  /// Continues a paused stream. Called when the client's buffer has capacity again.
   void resume(SlotId slot);
-  /// The request has to exist. Its stream is aborted if there is no further event in time.
+  /// Restarts the time after which the request's stream is aborted if no further event arrives. The request
+  /// must exist.
   void restart_idle_timer(SlotId slot);
 
  private:
--- a/src/engine/timer_queue.hpp
+++ b/src/engine/timer_queue.hpp
@@ -1,4 +1,4 @@
-/// All timers of the program, in one ordered structure, and the clock's types.
+/// The timer queue, which holds all timers of the program, and the clock's types.
 #ifndef DISPATCHER_ENGINE_TIMER_QUEUE_HPP_
 #define DISPATCHER_ENGINE_TIMER_QUEUE_HPP_
 
@@ -17,21 +17,22 @@
 using Duration = std::chrono::microseconds;
 using Clock = std::function<Time()>;
 
-/// Names a timer of one TimerQueue; ordered by due time, then by age. The default value names none.
+/// Identifies a timer of one TimerQueue. Ordered by due time, then by age. The default value identifies none.
 struct TimerId {
   Time due{};
-  std::uint64_t sequence = 0;  ///< of the queue's timers in the order in which they were added, from 1
+  std::uint64_t sequence = 0;  ///< position in the order in which the queue's timers were added, from 1
 
-  /// Whether it names a timer, which may have run by now.
+  /// Returns whether this identifies a timer, which may already have run.
   [[nodiscard]] bool is_set() const { return sequence != 0; }
   auto operator<=>(const TimerId&) const = default;
 };
 
-/// Its driver (daemon::Loop) sleeps until next() and then calls run(); the clock is the driver's. Used on the
-/// event loop thread only. Actions run inside run(), may add and drop timers, and must not call run() again.
+/// An ordered queue of timers. Its driver (daemon::Loop) sleeps until next() and then calls run() with the
+/// time of its own clock. Used on the event loop thread only. Actions run inside run(); they may add and drop
+/// timers, but must not call run().
 class TimerQueue {
  public:
-  /// Has `action` run once, at `at` or as soon after it as run() is called.
+  /// Schedules `action` to run once, at `at` or at the first call of run() after that.
   TimerId add(Time at, std::function<void()> action) {
     const TimerId id{at, ++last_sequence_};
     entries_.emplace(id, std::move(action));
@@ -39,15 +40,16 @@
     if (is_earliest && on_earlier_deadline_) on_earlier_deadline_();
     return id;
   }
-  /// Cancels the timer, if it has not run yet, and clears the handle.
+  /// Cancels the timer if it has not run yet, and clears `id`.
   void drop(TimerId& id) { entries_.erase(std::exchange(id, {})); }
 
-  /// The earliest deadline, if there is any.
+  /// Returns the due time of the earliest timer, or nullopt if there is none.
   [[nodiscard]] std::optional<Time> next() const {
     if (entries_.empty()) return std::nullopt;
     return entries_.begin()->first.due;
   }
-  /// Runs what is due, in order. What an action adds for now or earlier is left to the next call.
+  /// Runs the timers that are due, in order. A timer that an action adds runs in a later call, even if it is
+  /// already due.
   void run(Time now) {
     const std::uint64_t newest = last_sequence_;
     for (auto it = entries_.begin(); it != entries_.end() && it->first.due <= now;) {
@@ -61,11 +63,11 @@
       it = entries_.begin();
     }
   }
-  /// Called when a timer is added that is due before all others.
+  /// Sets the callback that is called when a timer is added that is due before all others.
   void set_earlier_deadline_callback(std::function<void()> callback) {
     on_earlier_deadline_ = std::move(callback);
   }
-  /// Timers that have not run yet.
+  /// Returns the number of timers that have neither run nor been dropped.
   [[nodiscard]] std::size_t size() const { return entries_.size(); }
 
  private:
