--- a/tests/engine/engine_digest_fixture.cpp
+++ b/tests/engine/engine_digest_fixture.cpp
@@ -78,7 +78,7 @@
   report_stale_events();
 }
 
-// The engine's own counts and answers.
+// Adds the results of the engines' query functions to the digest.
 void EngineScript::record_counts() {
   const std::string id = "q" + std::to_string(dice_.below(static_cast<int>(submitted_) + 1));
   const std::string endpoint = "h" + std::to_string(dice_.below(13));
@@ -91,15 +91,15 @@
 
 EngineScript::Process& EngineScript::pick_process() { return *processes_[dice_.one_in(4) ? 1 : 0]; }
 
-EngineScript::Client* EngineScript::pick_client(bool (*fits)(const Client&)) {
+EngineScript::Client* EngineScript::pick_client(bool (*matches)(const Client&)) {
   std::vector<Client*> all;
   for (auto& [number, client] : clients_) {
-    if (client.at != nullptr && fits(client)) all.push_back(&client);
+    if (client.at != nullptr && matches(client)) all.push_back(&client);
   }
   return all.empty() ? nullptr : *pick_in(all, dice_);
 }
 
-bool EngineScript::reads(const engine::EndpointId& endpoint) const {
+bool EngineScript::is_reader(const engine::EndpointId& endpoint) const {
   const auto it = endpoints_.find(endpoint);
   return it != endpoints_.end() &&
          std::ranges::any_of(settings().kinds, [&](const routing::EndpointKind& kind) {
@@ -126,9 +126,10 @@
 }
 
 void EngineScript::submit() {
-  // At times the id of an earlier request is used again.
-  const bool again = submitted_ > 0 && dice_.one_in(12);
-  const std::string id = "q" + std::to_string(again ? dice_.below(static_cast<int>(submitted_)) : submitted_);
+  // Sometimes the id of an earlier request is used again.
+  const bool reuses_id = submitted_ > 0 && dice_.one_in(12);
+  const std::string id =
+      "q" + std::to_string(reuses_id ? dice_.below(static_cast<int>(submitted_)) : submitted_);
   Process& process = pick_process();
   if (process.engine.is_in_progress(id) || process.other().engine.is_in_progress(id)) return;
   auto message = std::make_shared<engine::UpstreamRequest>();
@@ -145,7 +146,7 @@
 void EngineScript::disconnect() {
   Client* client = pick_client([](const Client& candidate) { return !candidate.is_over; });
   if (client == nullptr) return;
-  // The end of its connection may show before it is reported.
+  // The disconnect may be visible to is_client_connected() before it is reported.
   client->has_disconnected = true;
   if (!dice_.one_in(3)) disconnect(*client);
 }
@@ -165,15 +166,16 @@
   client->at->engine.resume_stream(client->request);
 }
 
-// ---- replicas ----
+// ---- endpoints ----
 
-// What goes well: a connection is made, a read ends, a stream begins, goes on and ends.
+// Performs the next step of an attempt without faults: its connection is made, its read ends, or its stream
+// begins, continues or ends.
 void EngineScript::progress() {
   Process& process = pick_process();
   if (process.attempts.empty()) return;
   auto& [attempt, active] = *pick_in(process.attempts, dice_);
   if (!active.is_connected) return connect(process, attempt, active);
-  if (reads(active.endpoint)) return end(process, attempt, draw_result(AttemptStatus::kRead));
+  if (is_reader(active.endpoint)) return end(process, attempt, draw_result(AttemptStatus::kRead));
   if (active.has_started && dice_.one_in(3))
     return end(process, attempt, draw_result(AttemptStatus::kServed));
   active.has_started = true;
@@ -202,7 +204,7 @@
   return result;
 }
 
-// Any status at any time, also those that a replica would hardly bring about.
+// Ends an attempt with any status at any time, including statuses that are unlikely in practice.
 void EngineScript::fail_attempt() {
   Process& process = pick_process();
   if (process.attempts.empty()) return;
@@ -221,7 +223,7 @@
   process.engine.on_attempt_completed(attempt, result);
 }
 
-// The routing module reserves no slots as yet; the answer to a question never asked must do no harm.
+// The router does not reserve slots yet, so this result answers no request; it must do no harm.
 void EngineScript::report_reservation() {
   Process& process = pick_process();
   if (process.attempts.empty()) return;
@@ -242,7 +244,7 @@
   process.engine.on_reservation_released(id, {});
 }
 
-// What comes too late, or for nobody.
+// Reports events that come too late or concern no attempt or request.
 void EngineScript::report_stale_events() {
   Process& process = pick_process();
   const auto number = static_cast<std::uint32_t>(dice_.below(8));
@@ -266,7 +268,7 @@
   for (const auto& process : processes_) process->engine.update_endpoints(list);
 }
 
-// Another machine in the endpoint's place: a name that no endpoint had before.
+// Replaces the endpoint by one with a name that no endpoint had before.
 void EngineScript::rename_replacement(EndpointInfo& endpoint) {
   std::ostringstream name;
   name << endpoint.endpoint << "n" << replaced_endpoints_;
@@ -275,9 +277,9 @@
 }
 
 void EngineScript::change_endpoints() {
-  const int how = dice_.below(10);
-  if (how == 0) return send_list(ListKind::kFailed, {});
-  if (how == 1) {
+  const int change = dice_.below(10);
+  if (change == 0) return send_list(ListKind::kFailed, {});
+  if (change == 1) {
     std::vector<EndpointInfo> entries;
     for (const auto& [name, endpoint] : endpoints_) {
       if (!dice_.one_in(4)) entries.push_back(endpoint);
@@ -285,15 +287,15 @@
     return send_list(ListKind::kFull, std::move(entries));
   }
   EndpointInfo endpoint = pick_in(endpoints_, dice_)->second;
-  if (how < 4) {
+  if (change < 4) {
     endpoint.state = EndpointState::kDraining;
-  } else if (how == 4) {
+  } else if (change == 4) {
     endpoint.state = EndpointState::kRemoved;
   } else {
     endpoint.state = EndpointState::kReady;
   }
-  if (how == 5 || how == 6 || how == 7) endpoint.started = now_;
-  if (how == 7) rename_replacement(endpoint);
+  if (change == 5 || change == 6 || change == 7) endpoint.started = now_;
+  if (change == 7) rename_replacement(endpoint);
   endpoints_[endpoint.endpoint] = endpoint;
   send_list(ListKind::kDelta, {endpoint});
 }
@@ -369,9 +371,9 @@
   }
 }
 
-// A busy machine: what is due comes after whatever happens next.
+// Simulates a busy machine: timers that are due run only after the next step.
 void EngineScript::delay_timers() {
-  count("overslept");
+  count("timers delayed");
   now_ += milliseconds(dice_.below(2000));
 }
 
--- a/tests/engine/engine_digest_fixture.hpp
+++ b/tests/engine/engine_digest_fixture.hpp
@@ -1,6 +1,6 @@
-// The engine in two processes of one dispatcher, between frontends and replicas that only record their calls:
-// every call goes into a digest, with its arguments and the time. A seeded script drives both; time is the
-// script's own.
+// Runs two engines, as the two processes of one dispatcher's hot restart, between frontends and endpoints
+// that only record their calls. Every call goes into a digest, with its arguments and the time. A seeded
+// script drives both engines; time is simulated.
 #ifndef DISPATCHER_TESTS_ENGINE_ENGINE_DIGEST_FIXTURE_HPP_
 #define DISPATCHER_TESTS_ENGINE_ENGINE_DIGEST_FIXTURE_HPP_
 
@@ -20,27 +20,29 @@
 
 namespace dispatcher::testing {
 
-using Counts = std::map<std::string, int>;  // calls of the engine, and what was done to it, by name
+// Numbers of the engines' calls and of the script's steps, by name.
+using Counts = std::map<std::string, int>;
 
-// One run of drawn settings, requests and faults.
+// One run of random settings, requests and faults.
 class EngineScript {
  public:
   EngineScript(std::uint64_t seed, routing::testing::Digest& digest, Counts& counts);
   ~EngineScript();
   void run(int steps);
-  bool finish();  // all clients leave and all attempts end: true if nothing is left
+  // Disconnects all clients and ends all attempts. Returns whether the engines have nothing left.
+  bool finish();
 
  private:
   struct ActiveAttempt {
     engine::EndpointId endpoint;
     bool is_connected = false;
-    bool is_delivered = false;  // the complete request reached the replica
-    bool has_started = false;   // its response did
+    bool is_delivered = false;  // the complete request has reached the endpoint
+    bool has_started = false;   // the response has started
   };
   class Process;
   class Frontend;
   struct Client {
-    Process* at = nullptr;
+    Process* at = nullptr;  // the process that has the client's request
     net::SlotId request;
     std::string id;
     bool is_over = false, has_disconnected = false, is_paused = false;
@@ -48,12 +50,12 @@
 
   template <class... Arguments>
   void record(const char* call, const Arguments&... arguments);
-  void count(const char* done) { ++counts_[done]; }
+  void count(const char* event) { ++counts_[event]; }
   [[nodiscard]] const routing::Settings& settings() const { return *settings_[current_]; }
   Client& client(net::SlotId id) { return clients_.at(id.index); }
-  Client* pick_client(bool (*fits)(const Client&));
+  Client* pick_client(bool (*matches)(const Client&));
   Process& pick_process();
-  [[nodiscard]] bool reads(const engine::EndpointId& endpoint) const;
+  [[nodiscard]] bool is_reader(const engine::EndpointId& endpoint) const;
 
   void step(int kind);
   void submit();
@@ -62,7 +64,7 @@
   void connect(Process& process, engine::AttemptId attempt, ActiveAttempt& active);
   void fail_attempt();
   engine::AttemptResult draw_result(routing::AttemptStatus status);
-  void end(Process& process, engine::AttemptId attempt, const engine::AttemptResult& ending);
+  void end(Process& process, engine::AttemptId attempt, const engine::AttemptResult& result);
   void disconnect();
   void disconnect(Client& client);
   void change_endpoints();
@@ -91,7 +93,7 @@
   std::vector<std::unique_ptr<Frontend>> frontends_;
   std::vector<std::unique_ptr<Process>> processes_;
   std::map<std::uint32_t, Client> clients_;
-  std::deque<std::function<void()>> peer_messages_;  // on its way from one process to the other
+  std::deque<std::function<void()>> peer_messages_;  // in transit from one process to the other
   std::uint32_t submitted_ = 0;
   int replaced_endpoints_ = 0;
 };
--- a/tests/engine/engine_digest_parts.hpp
+++ b/tests/engine/engine_digest_parts.hpp
@@ -1,5 +1,5 @@
-// The two sides of the engine in the digest test: a process with its replicas, and a frontend. The names that
-// they record are part of the hash, and stay as they are when a function is renamed.
+// The engine's surroundings in the digest test: a process with its endpoints, and a frontend. The names that
+// they record are part of the hash and must not change when a function is renamed.
 #ifndef DISPATCHER_TESTS_ENGINE_ENGINE_DIGEST_PARTS_HPP_
 #define DISPATCHER_TESTS_ENGINE_ENGINE_DIGEST_PARTS_HPP_
 
@@ -31,7 +31,7 @@
   (add(digest_, arguments), ...);
 }
 
-// One of the two processes: its engine, and the recorded calls to the replicas and the observers.
+// One of the two processes: its engine, and the upstream client and observers that record the engine's calls.
 class EngineScript::Process : public engine::UpstreamClient,
                               public engine::HotRestartObserver,
                               public engine::RequestObserver {
@@ -107,25 +107,25 @@
   engine::TimerQueue timers;
   engine::Engine engine;
   std::map<engine::AttemptId, ActiveAttempt> attempts;
-  std::vector<engine::RequestId> releases;  // asked for, not confirmed yet
+  std::vector<engine::RequestId> releases;  // requested, not confirmed yet
 
  private:
   EngineScript& fixture_;
   int number_;
 };
 
-// Records the calls for its clients, who disconnect at times as they are written to.
+// Records the calls for its clients, which sometimes disconnect while they are being written to.
 class EngineScript::Frontend : public engine::ResponseSink {
  public:
   Frontend(EngineScript& fixture, int number) : fixture_(fixture), number_(number) {}
 
   void start_stream(net::SlotId client) override {
     fixture_.record("begin", number_, client);
-    disconnect_at_times(client);
+    maybe_disconnect(client);
   }
   bool write_events(net::SlotId client, std::string_view events) override {
     fixture_.record("pass", number_, client, events);
-    disconnect_at_times(client);
+    maybe_disconnect(client);
     const bool is_paused = fixture_.dice_.one_in(5);
     fixture_.client(client).is_paused = is_paused;
     return !is_paused;
@@ -135,9 +135,9 @@
   void reject(net::SlotId client, std::optional<engine::Duration> retry_after) override {
     answer("refuse", client, retry_after);
   }
-  void fail(net::SlotId client, engine::Failure why) override {
+  void fail(net::SlotId client, engine::Failure failure) override {
     static const char* const names[] = {"fail late", "fail upstream", "fail unusable"};
-    answer(names[static_cast<std::size_t>(why)], client);
+    answer(names[static_cast<std::size_t>(failure)], client);
   }
   bool is_client_connected(net::SlotId client) override {
     fixture_.record("present", number_, client);
@@ -150,8 +150,8 @@
     fixture_.record(call, number_, client, arguments...);
     fixture_.client(client).is_over = true;
   }
-  // Its connection breaks just as it is written to.
-  void disconnect_at_times(net::SlotId client) {
+  // Breaks the client's connection at random, as if while it is being written to.
+  void maybe_disconnect(net::SlotId client) {
     if (fixture_.dice_.one_in(40) && !fixture_.client(client).is_over)
       fixture_.disconnect(fixture_.client(client));
   }
--- a/tests/engine/engine_digest_test.cpp
+++ b/tests/engine/engine_digest_test.cpp
@@ -1,6 +1,6 @@
-// Pins the engine's behaviour: one hash over every call that it makes to the upstream client, the observers
-// and the frontends, in many drawn settings and scripts. A refactoring must leave the recorded value as it
-// is. A change of behaviour records the new value, and says so.
+// Pins the engine's behaviour with one hash over every call that it makes to the upstream client, the
+// observers and the frontends, for many random settings and scripts. A refactoring must not change the
+// recorded value. A commit that changes the behaviour records the new value and states that.
 #include <catch2/catch.hpp>
 #include <cstdint>
 #include <ios>
@@ -10,10 +10,10 @@
 namespace dispatcher::testing {
 namespace {
 
-constexpr std::uint64_t kRecorded = 0x40939196FF42647FU;
+constexpr std::uint64_t kRecordedDigest = 0x40939196FF42647FU;
 constexpr int kRuns = 800;
 
-// What has to come up often, so that a hash over little is not taken for one over much.
+// Calls and steps that must occur often, so that the hash covers all of them.
 constexpr const char* kCalls[] = {"send",
                                   "abandon",
                                   "pause",
@@ -51,7 +51,7 @@
                                   "ended never sent",
                                   "ended read"};
 
-TEST_CASE("every call of the engine is as recorded", "[core]") {
+TEST_CASE("the digest of all calls of the engine equals the recorded one", "[core]") {
   routing::testing::Digest digest;
   Counts counts;
   for (int number = 0; number < kRuns; ++number) {
@@ -64,9 +64,9 @@
     INFO(call << ": " << counts[call]);
     CHECK(counts[call] >= 50);
   }
-  CHECK(counts["hold"] == 0);  // the routing module makes no ReserveSlot: once it does, count it above
+  CHECK(counts["hold"] == 0);  // the router makes no ReserveSlot yet; once it does, add it to kCalls
   INFO("0x" << std::hex << digest.value());
-  CHECK(digest.value() == kRecorded);
+  CHECK(digest.value() == kRecordedDigest);
 }
 
 }  // namespace
--- a/tests/engine/engine_fixture.hpp
+++ b/tests/engine/engine_fixture.hpp
@@ -1,4 +1,4 @@
-// What the tests of the engine alone share: an engine whose upstream client and sink only record calls.
+// The fixture of the tests of the engine alone: an engine whose upstream client and sink only record calls.
 #ifndef DISPATCHER_TESTS_ENGINE_ENGINE_FIXTURE_HPP_
 #define DISPATCHER_TESTS_ENGINE_ENGINE_FIXTURE_HPP_
 
@@ -13,7 +13,11 @@
 
 namespace dispatcher::testing {
 
-// An engine with two readers and two writers, a clock that the test advances, and a record of its calls.
+// An engine with two readers and two writers, a clock that the test advances, and a record of the engine's
+// calls. `calls` names them as follows: "send r" and "send w" start an attempt at a reader or writer,
+// "abandon" cancels one, "release" releases reservations, "begin" starts a stream, "finish" completes it,
+// "cut" aborts it, "refuse" rejects a request ("with advice" if a retry time is given), and "fail" fails it
+// ("late" at its deadline).
 struct EngineFixture : engine::UpstreamClient, engine::ResponseSink {
   EngineFixture()
       : engine(
@@ -40,8 +44,8 @@
       timers.run(now);
     }
   }
-  // Submits a command, which a reader reads, and goes on to the last tick before its deadline without running
-  // that tick's timers.
+  // Submits a non-idempotent request, completes its read and advances to the tick of its deadline, without
+  // running that tick's timers.
   void submit_and_reach_deadline() {
     submit("a");
     complete_read(0);
@@ -81,18 +85,18 @@
   void reject(SlotId, std::optional<engine::Duration> retry_after) override {
     calls.push_back(retry_after ? "refuse with advice" : "refuse");
   }
-  void fail(SlotId, engine::Failure why) override {
-    calls.push_back(why == engine::Failure::kDeadlineExceeded ? "fail late" : "fail");
+  void fail(SlotId, engine::Failure failure) override {
+    calls.push_back(failure == engine::Failure::kDeadlineExceeded ? "fail late" : "fail");
   }
   using Calls = std::vector<std::string>;
   engine::Time now = seconds(1'800'000'000);
   engine::TimerQueue timers;
-  bool delivered = true;          // a cancelled attempt had been written in full
-  bool has_capacity = true;       // of the client, for further events
-  bool connected = true;          // an attempt has its connection
-  bool confirms_releases = true;  // at the next turn of the timers
+  bool delivered = true;          // cancelled attempts had been written in full
+  bool has_capacity = true;       // the client has capacity for further events
+  bool connected = true;          // attempts have established connections
+  bool confirms_releases = true;  // releases are confirmed when timers run next
   bool client_connected = true;
-  bool endpoint_silent = false;  // nothing has come from it since the attempt was written
+  bool endpoint_silent = false;  // nothing was received since the attempt was written
   int cancelled_releases = 0;
   engine::LateReads late_reads_of_release;
   std::vector<engine::AttemptId> started;
--- a/tests/engine/engine_test.cpp
+++ b/tests/engine/engine_test.cpp
@@ -1,4 +1,5 @@
-// The engine alone: no sockets, a passed-in clock, and an upstream client and a sink that only record calls.
+// Tests of the engine alone: without sockets, with a simulated clock, and with an upstream client and a sink
+// that only record calls.
 #include <algorithm>
 
 #include "engine_fixture.hpp"
@@ -22,7 +23,7 @@
   }
 }
 
-TEST_CASE("a request is read, written and streamed, and its state removed", "[core]") {
+TEST_CASE("a request is read, written and streamed, and then removed from the engine", "[core]") {
   EngineFixture fixture;
   fixture.submit("a");
   fixture.complete_read(0);
@@ -32,7 +33,7 @@
   CHECK(fixture.engine.open_request_count() == 0);
 }
 
-// A read may have succeeded just as it was cancelled: its state would be held for ever.
+// A read may succeed just as it is cancelled. Without a release, its state would be held forever.
 TEST_CASE("a reservation that a cancelled read may have left is released within its limit", "[core]") {
   EngineFixture fixture;
   const SlotId id = fixture.submit("a");
@@ -43,8 +44,9 @@
   CHECK(fixture.engine.open_request_count() == 0);
 }
 
-// Reads that broke may leave a state, and the next readers' connections may never come up: seen as `pinned`
-// on the standing test's days with a zone cut off, where each such connection put the release off once more.
+// A read whose connection breaks may leave state, and the connections to the next readers may never be
+// established. In the standing test's days with a zone cut off, each such connection delayed the release
+// again, which showed as `pinned`.
 TEST_CASE("a reservation that a broken read may have left is released while connects fail", "[core]") {
   EngineFixture fixture;
   auto settings = make_settings();
@@ -60,10 +62,10 @@
   CHECK(std::count(fixture.calls.begin(), fixture.calls.end(), "release") == 1);
   const auto released =
       std::find(fixture.calls.begin(), fixture.calls.end(), "release") - fixture.calls.begin();
-  CHECK(released <= 3);  // after two connections that failed, 75 ms after the break
+  CHECK(released <= 3);  // after two failed connects, 75 ms after the read broke
 }
 
-// A writer that finds no state may merely not reach the reader, which is cut off and still holds it.
+// A writer also finds no state if it can't reach the reader, which is cut off and still holds the state.
 TEST_CASE("after a writer found no state, any reservation at a reader is released", "[core]") {
   EngineFixture fixture;
   fixture.submit("a", "command");
@@ -76,19 +78,20 @@
   CHECK(std::count(fixture.calls.begin(), fixture.calls.end(), "release") == 1);
 }
 
-// The call frees all states of a request, wherever they are: also one that a newer read has just left.
+// A release call frees all prompt state of a request, wherever it is, including what a newer read has just
+// left.
 TEST_CASE("a release does not remove the reservation of a newer attempt", "[core]") {
   EngineFixture fixture;
   fixture.submit("a");
   fixture.engine.on_attempt_completed(fixture.started[0], {AttemptStatus::kReset, 0, {}, {}});
   CHECK(fixture.calls == EngineFixture::Calls{"send r", "send r"});
-  SECTION("that ends before the first one's must be released") {
+  SECTION("the newer attempt ends before the first one's reservation must be released") {
     fixture.advance(milliseconds(200));
     fixture.complete_read(1);
     fixture.advance(milliseconds(300));
     CHECK(fixture.calls == EngineFixture::Calls{"send r", "send r", "send w"});
   }
-  SECTION("whose end ends the calls for the first one's") {
+  SECTION("the end of the newer attempt ends the release calls for the first one") {
     fixture.advance(milliseconds(300));
     CHECK(fixture.calls == EngineFixture::Calls{"send r", "send r", "release"});
     CHECK(fixture.cancelled_releases == 0);
@@ -99,7 +102,8 @@
   }
 }
 
-// The incident of 2026-12-02 behind a reader: its link may have fallen silent, and nothing arrived.
+// Guards against the incident of 2026-12-02 at a reader: the reader's link may have gone silent, so that
+// nothing arrived.
 TEST_CASE("a reservation is released within its limit while a later attempt is written and unanswered",
           "[core]") {
   EngineFixture fixture;
@@ -112,11 +116,12 @@
   CHECK(releases() == 0);
   fixture.advance(milliseconds(10));
   CHECK(releases() == 1);
-  fixture.advance(milliseconds(300));  // asked for again until it is confirmed
+  fixture.advance(milliseconds(300));  // requested again until it is confirmed
   CHECK((releases() > 1) == !fixture.confirms_releases);
 }
 
-TEST_CASE("a write that ends the release calls of a read that may still run has them made again", "[core]") {
+TEST_CASE("release calls for a read that may still run are made again after a write has ended them",
+          "[core]") {
   EngineFixture fixture;
   fixture.submit("a", "ask");
   fixture.connected = false;
@@ -132,7 +137,7 @@
   CHECK(releases() == 2);
 }
 
-TEST_CASE("a cancelled read is released until its deadline where its reader may not have noticed", "[core]") {
+TEST_CASE("a cancelled read is released until its deadline if its reader may not have noticed", "[core]") {
   EngineFixture fixture;
   fixture.endpoint_silent = GENERATE(false, true);
   const SlotId id = fixture.submit("a");
@@ -143,7 +148,8 @@
   CHECK((fixture.late_reads_of_release.silent_until > fixture.now + seconds(2)) == fixture.endpoint_silent);
 }
 
-TEST_CASE("a state that was released behind an attempt in flight is released again at its end", "[core]") {
+TEST_CASE("state that was released during an attempt at a writer is released again at the attempt's end",
+          "[core]") {
   EngineFixture fixture;
   auto settings = make_settings();
   settings.reservation_expires_until_delivery = true;
@@ -159,7 +165,7 @@
   CHECK(fixture.engine.open_request_count() == 0);
 }
 
-TEST_CASE("a client's disconnect while the writer is pending releases its reservation once", "[core]") {
+TEST_CASE("a client's disconnect during the attempt at the writer releases the reservation once", "[core]") {
   EngineFixture fixture;
   const SlotId id = fixture.submit("a");
   fixture.complete_read(0);
@@ -169,7 +175,7 @@
   CHECK(fixture.engine.open_request_count() == 0);
 }
 
-TEST_CASE("a client's disconnect during its stream cancels the attempt at once", "[core]") {
+TEST_CASE("a client's disconnect during its stream cancels the attempt immediately", "[core]") {
   EngineFixture fixture;
   const SlotId id = fixture.submit("a");
   fixture.complete_read(0);
@@ -179,8 +185,8 @@
   CHECK(fixture.engine.open_request_count() == 0);
 }
 
-// A vanished machine says nothing and its connections stay open; its client must not wait for 5 s.
-TEST_CASE("an idle stream is aborted in time, one with events never", "[core]") {
+// A machine that has vanished sends nothing and its connections stay open. The client must not wait for 5 s.
+TEST_CASE("an idle stream is aborted in time, and one with events is not", "[core]") {
   EngineFixture fixture;
   fixture.submit("a");
   fixture.complete_read(0);
@@ -193,7 +199,7 @@
   CHECK(fixture.calls == EngineFixture::Calls{"send r", "send w", "begin", "abandon", "cut"});
 }
 
-TEST_CASE("a client that reads slowly pauses the replica's response and is not aborted for it", "[core]") {
+TEST_CASE("a client that reads slowly pauses the endpoint's response and is not aborted for that", "[core]") {
   EngineFixture fixture;
   const SlotId id = fixture.submit("a");
   fixture.complete_read(0);
@@ -203,10 +209,11 @@
   fixture.engine.resume_stream(id);
   CHECK(fixture.calls == EngineFixture::Calls{"send r", "send w", "begin", "pause", "resume"});
   fixture.advance(seconds(5));
-  CHECK(fixture.calls.back() == "cut");  // from then on the replica is the idle one
+  CHECK(fixture.calls.back() == "cut");  // from then on the endpoint is the idle side
 }
 
-TEST_CASE("a command whose writer never answers fails at its deadline and is sent once", "[core]") {
+TEST_CASE("a non-idempotent request whose writer never answers fails at its deadline and is sent once",
+          "[core]") {
   EngineFixture fixture;
   fixture.submit("a");
   fixture.complete_read(0);
@@ -214,8 +221,9 @@
   CHECK(fixture.calls == EngineFixture::Calls{"send r", "send w", "abandon", "release", "fail late"});
 }
 
-// What was never written whole can't have run, so its client may safely ask again.
-TEST_CASE("a command that its writer never received in full is rejected, with a retry time", "[core]") {
+// A request that was never written in full can't have run, so its client may safely retry it.
+TEST_CASE("a non-idempotent request that its writer never fully received is rejected with a retry time",
+          "[core]") {
   EngineFixture fixture;
   fixture.submit("a");
   fixture.complete_read(0);
@@ -224,7 +232,7 @@
   CHECK(fixture.calls.back() == "refuse with advice");
 }
 
-TEST_CASE("a command whose stream breaks is aborted and not retried", "[core]") {
+TEST_CASE("a non-idempotent request whose stream breaks is aborted and not retried", "[core]") {
   EngineFixture fixture;
   fixture.submit("a");
   fixture.complete_read(0);
@@ -234,7 +242,7 @@
   CHECK(fixture.calls == EngineFixture::Calls{"send r", "send w", "begin", "cut"});
 }
 
-TEST_CASE("a stream without any event is no response to a command, which is not retried", "[core]") {
+TEST_CASE("a non-idempotent request fails and is not retried if its stream has no event", "[core]") {
   EngineFixture fixture;
   fixture.submit("a");
   fixture.complete_read(0);
@@ -243,9 +251,9 @@
   CHECK(fixture.calls == EngineFixture::Calls{"send r", "send w", "release", "fail"});
 }
 
-// Reads that failed had used up the attempts; the request was held to its deadline though nothing could serve
-// it.
-TEST_CASE("a request without attempts left for both stages is rejected at once", "[core]") {
+// Failed reads may use up the attempts. Such a request used to be kept until its deadline, though nothing
+// could serve it.
+TEST_CASE("a request without attempts left for both stages is rejected immediately", "[core]") {
   EngineFixture fixture;
   fixture.submit("a", "ask");
   for (int i = 0; i < 3; ++i)
@@ -254,9 +262,9 @@
   CHECK(fixture.engine.open_request_count() == 0);
 }
 
-// A release is dropped by the next attempt's write. Where that attempt ended with nothing read, nobody asked
-// again, and the state stayed pinned.
-TEST_CASE("a possible reservation is released again until a release was confirmed", "[core]") {
+// Writing the next attempt ends a release. When that attempt ended without a completed read, the release was
+// not requested again, and the state stayed held.
+TEST_CASE("a possible reservation is released again until a release is confirmed", "[core]") {
   EngineFixture fixture;
   fixture.confirms_releases = false;
   fixture.submit("a", "ask");
@@ -267,7 +275,7 @@
   CHECK(releases() == 1);
   CHECK(fixture.late_reads_of_release.until >
         fixture.now + seconds(2));  // the read may run on to the deadline
-  SECTION("of an attempt that was rejected") {
+  SECTION("it is released again after a rejected attempt") {
     fixture.connected = true;
     fixture.advance(milliseconds(20));
     fixture.connected = false;
@@ -275,7 +283,7 @@
     fixture.advance(milliseconds(100));
     CHECK(releases() == 2);
   }
-  SECTION("unless a first token arrived") {
+  SECTION("it is not released again after a first token") {
     fixture.connected = true;
     fixture.complete_read(1);
     fixture.engine.on_events(fixture.started[2], "data: x\n\n");
@@ -286,7 +294,7 @@
   }
 }
 
-TEST_CASE("a read that the dispatcher cancelled leaves no later reservation", "[core]") {
+TEST_CASE("a read that the dispatcher cancelled is not expected to leave a reservation later", "[core]") {
   EngineFixture fixture;
   const SlotId id = fixture.submit("a");
   fixture.engine.on_client_disconnected(id);
@@ -302,16 +310,17 @@
   fixture.complete_read(1);
   fixture.connected = false;
   fixture.engine.on_attempt_completed(
-      fixture.started[2], {AttemptStatus::kFull, 0, {}, {}});  // the writer is full: the state waits
+      fixture.started[2], {AttemptStatus::kFull, 0, {}, {}});  // the writer is full, and the state is kept
   fixture.advance(milliseconds(100));
   CHECK(std::count(fixture.calls.begin(), fixture.calls.end(), "release") == 0);
   fixture.engine.on_attempt_completed(
-      fixture.started[3], {AttemptStatus::kFull, 0, {}, {}});  // no attempt left: the router lets go
+      fixture.started[3],
+      {AttemptStatus::kFull, 0, {}, {}});  // no attempt is left, so the router releases it
   CHECK(std::count(fixture.calls.begin(), fixture.calls.end(), "release") == 1);
-  CHECK(fixture.late_reads_of_release.until > fixture.now);  // ... and what broke may still run
+  CHECK(fixture.late_reads_of_release.until > fixture.now);  // the broken read may still run
 }
 
-TEST_CASE("a client's disconnect ends an attempt that waits for its connection, cancellable or not",
+TEST_CASE("a client's disconnect ends an attempt that waits for its connection, whatever may_cancel is",
           "[core]") {
   EngineFixture fixture;
   auto settings = make_settings();
@@ -326,7 +335,8 @@
   CHECK(fixture.calls == EngineFixture::Calls{"send r", "abandon"});
 }
 
-// Partly written, it can't have run: no evidence about its endpoint's health, and no reservation.
+// A partly written request can't have run: its end says nothing about its endpoint's health, and it left no
+// reservation.
 TEST_CASE("a request partly written when its client disconnects leaves no reservation", "[core]") {
   EngineFixture fixture;
   fixture.delivered = false;
@@ -337,8 +347,8 @@
   CHECK(fixture.engine.open_request_count() == 0);
 }
 
-// Its first byte ended the calls for the read that broke, which may still run.
-TEST_CASE("an attempt that timed out partly written has its reservation released repeatedly", "[core]") {
+// The attempt's first byte ended the release calls for the broken read, which may still run.
+TEST_CASE("a broken read is released again after a partly written attempt timed out", "[core]") {
   EngineFixture fixture;
   auto settings = make_settings();
   settings.may_cancel = false;
@@ -358,7 +368,7 @@
   CHECK(releases() == 2);
 }
 
-TEST_CASE("an attempt whose client has disconnected is not needed, and ends its request unanswered",
+TEST_CASE("an attempt whose client has disconnected is not needed and ends its request without an answer",
           "[core]") {
   EngineFixture fixture;
   const SlotId id = fixture.submit("a");
@@ -371,7 +381,7 @@
   CHECK(fixture.engine.open_request_count() == 0);
   CHECK(std::count(fixture.calls.begin(), fixture.calls.end(), "refuse") == 0);
   CHECK_FALSE(fixture.engine.is_still_needed(fixture.started[0]));
-  fixture.engine.on_client_disconnected(id);  // the front's own word comes later
+  fixture.engine.on_client_disconnected(id);  // the frontend reports the disconnect later
   fixture.advance(seconds(4));
   CHECK(std::count(fixture.calls.begin(), fixture.calls.end(), "send r") == 1);
 }
--- a/tests/engine/request_log_test.cpp
+++ b/tests/engine/request_log_test.cpp
@@ -1,4 +1,4 @@
-// The request log: what it says of each step of a request, with the reason of each end.
+// Tests of the request log: the line of each step of a request, and the reason for each end.
 #include <algorithm>
 
 #include "engine_fixture.hpp"
@@ -13,7 +13,7 @@
   RequestLogFixture() {
     engine.set_request_log(engine::RequestLog([this](std::string_view line) { lines.emplace_back(line); }));
   }
-  // The lines without their first words, "request ID".
+  // Returns the lines without their prefix "request ID".
   [[nodiscard]] std::vector<std::string> events() const {
     std::vector<std::string> found;
     for (const std::string& line : lines) found.push_back(line.substr(line.find(' ', 8) + 1));
@@ -26,7 +26,7 @@
   std::vector<std::string> lines;
 };
 
-TEST_CASE("the request log has a line for each step of an attempt, and the reason of its end", "[log]") {
+TEST_CASE("the request log has a line for each step of an attempt and the reason for its end", "[log]") {
   RequestLogFixture fixture;
   fixture.submit("a");
   fixture.engine.on_attempt_written(fixture.started[0], engine::ConnectionUse::kReused);
@@ -40,7 +40,7 @@
                     " verdict=connect-failed ms=0.0 note=0 reason=connect-timeout"));
 }
 
-TEST_CASE("the request log has the reason of a final answer and of each release", "[log]") {
+TEST_CASE("the request log has the reason for a final answer and for each release", "[log]") {
   RequestLogFixture fixture;
   fixture.submit("a");
   fixture.complete_read(0);
@@ -51,7 +51,7 @@
   CHECK(fixture.has("released host=r1 calls=2 ms=7.0"));
 }
 
-TEST_CASE("the request log names attempts that are ended from this side by their reason", "[log]") {
+TEST_CASE("the request log has the reason for which the dispatcher ended an attempt", "[log]") {
   RequestLogFixture fixture;
   const SlotId request = fixture.submit("a");
   fixture.engine.on_client_disconnected(request);
--- a/tests/engine/reservation_tracker_test.cpp
+++ b/tests/engine/reservation_tracker_test.cpp
@@ -1,4 +1,5 @@
-// What replicas may hold for a request: each end of an attempt alone, and the orders in which they come.
+// Tests of what endpoints may hold for a request: after each end of an attempt alone, and after sequences of
+// them.
 #include "engine/reservation_tracker.hpp"
 
 #include <catch2/catch.hpp>
@@ -16,7 +17,7 @@
 
 using WriterAttempt = ReservationTracker::WriterAttempt;
 
-TEST_CASE("results of attempts that may leave a reservation, and those that may leave one later", "[held]") {
+TEST_CASE("the result of an attempt determines whether it may leave a reservation, now or later", "[held]") {
   struct Row {
     AttemptStatus status;
     AttemptEvidence evidence;
@@ -57,7 +58,7 @@
   tracker.on_release_confirmed();
   CHECK_FALSE(tracker.may_hold());
   tracker.on_attempt_ended({AttemptStatus::kConnectFailed, AttemptEvidence::kNone, true, kUntil}, kNow);
-  CHECK_FALSE(tracker.may_hold());  // nothing was written, so that the release calls go on
+  CHECK_FALSE(tracker.may_hold());  // nothing was written, so the release calls continue
   tracker.on_attempt_ended({AttemptStatus::kFull, AttemptEvidence::kNone, true, kUntil}, kNow);
   CHECK(tracker.may_hold());
   tracker.on_release_requested();
@@ -89,9 +90,9 @@
   CHECK(tracker.late_reads().until == kUntil);
 }
 
-// What the release of a state spared, because an attempt waits for it, is left when the attempt ends
-// unserved.
-TEST_CASE("a state that was released behind an attempt in flight is released again when that ends",
+// A release does not remove state that an attempt is waiting for. If that attempt ends without being served,
+// the state is still held.
+TEST_CASE("state that was released during an attempt in flight is released again when the attempt ends",
           "[held]") {
   ReservationTracker tracker;
   tracker.on_attempt_ended({AttemptStatus::kRead, AttemptEvidence::kNone, true, {}}, kNow);
@@ -107,7 +108,7 @@
   CHECK_FALSE(tracker.may_hold());
 }
 
-TEST_CASE("the answer to an earlier release does not cover what was left since", "[held]") {
+TEST_CASE("the confirmation of an earlier release does not cover what was left since", "[held]") {
   ReservationTracker tracker;
   tracker.on_attempt_ended({AttemptStatus::kCancelled, AttemptEvidence::kNone, true, {}}, kNow);
   tracker.on_release_requested();
@@ -117,7 +118,8 @@
   CHECK(tracker.held_since() == kNow);
 }
 
-TEST_CASE("an attempt that was merely written does not restart the time that a state may be held", "[held]") {
+TEST_CASE("an attempt that was only written does not restart the time for which state may be held",
+          "[held]") {
   constexpr Time kLater = kNow + std::chrono::milliseconds(100);
   ReservationTracker tracker;
   tracker.on_attempt_ended({AttemptStatus::kReset, AttemptEvidence::kNone, true, kUntil}, kNow);
@@ -131,7 +133,7 @@
   CHECK(tracker.held_since() == kLater);
 }
 
-TEST_CASE("a read that is ended here may go on where its reader may not have noticed", "[held]") {
+TEST_CASE("a read that the dispatcher ended may continue if its reader may not have noticed", "[held]") {
   const bool is_silent = GENERATE(false, true);
   ReservationTracker tracker;
   tracker.on_attempt_ended({AttemptStatus::kCancelled, AttemptEvidence::kNone, true, kUntil, "r1", is_silent},
@@ -141,8 +143,9 @@
   CHECK(tracker.late_reads().silent_reader == (is_silent ? EndpointId("r1") : EndpointId()));
 }
 
-// Its writer has fetched the state and runs: without the note, the state was assumed to be held still.
-TEST_CASE("a stream whose last event is cut short had begun", "[held]") {
+// The writer of such a stream has fetched the state and runs. Without the evidence kEndpointRunning, the
+// state was assumed to be still held.
+TEST_CASE("a stream whose last event is incomplete counts as started", "[held]") {
   http::ResponseReader::Message message;
   message.result(200);
   CHECK(upstream::interpret_response(message, "data: {\"a\"", {}).status == AttemptStatus::kReset);
