--- a/tests/routing/eligibility_test.cpp
+++ b/tests/routing/eligibility_test.cpp
@@ -1,4 +1,4 @@
-// Eligibility: endpoints that answer that they are full get nothing for a while.
+// Eligibility: an endpoint that answers that it is full gets no requests for a while.
 #include <string>
 
 #include "router_harness.hpp"
@@ -6,7 +6,7 @@
 namespace dispatcher::routing::testing {
 namespace {
 
-TEST(Eligibility, FullEndpointGetsNothingForAWhile) {
+TEST(Eligibility, FullEndpointGetsNoRequestsForAWhile) {
   RouterHarness harness;
   harness.update_endpoints({reader("r1"), reader("r2"), writer("w1")});
   const EndpointId full = harness.submit("a");
@@ -15,18 +15,18 @@
   for (int i = 0; i < 10; ++i) EXPECT_NE(harness.submit("b" + std::to_string(i), {.session = i + 1}), full);
 }
 
-TEST(Eligibility, EndpointFullForOneClassStaysOpenToOthers) {
+TEST(Eligibility, EndpointFullForOneClassStillGetsRequestsOfOthers) {
   RouterHarness harness;
   harness.update_endpoints({reader("r1"), writer("w1")});
   harness.submit("a", {.session = 1});
   harness.complete("a", AttemptStatus::kFull);
   EXPECT_EQ(harness.submit("b", {.request_class = "unsafe", .session = 2}), "r1");
   harness.advance(seconds(2));
-  EXPECT_EQ(harness.submit("c", {.session = 3}), "") << "the rejected class waits longer";
-  harness.complete("b", AttemptStatus::kFull);  // now others too: it has no capacity for anybody
+  EXPECT_EQ(harness.submit("c", {.session = 3}), "") << "the pause for a rejected class is longer";
+  harness.complete("b", AttemptStatus::kFull);  // a second class is rejected: full for all classes now
   EXPECT_EQ(harness.submit("d", {.request_class = "keyed", .session = 4}), "");
   harness.advance(milliseconds(400));
-  EXPECT_EQ(harness.active_endpoint("d"), "r1") << "and gets a request again soon";
+  EXPECT_EQ(harness.active_endpoint("d"), "r1") << "the pause for all classes is short";
 }
 
 }  // namespace
--- a/tests/routing/endpoint_table_test.cpp
+++ b/tests/routing/endpoint_table_test.cpp
@@ -1,4 +1,4 @@
-// The endpoint table: lists and their changes, endpoints that drain or are removed.
+// The endpoint table: endpoint lists and their changes, and endpoints that are draining or removed.
 #include <algorithm>
 #include <string>
 
@@ -7,7 +7,7 @@
 namespace dispatcher::routing::testing {
 namespace {
 
-TEST(EndpointTable, DrainingAndRemovedEndpointsGetNothingNew) {
+TEST(EndpointTable, DrainingAndRemovedEndpointsGetNoNewAttempts) {
   for (const EndpointState state : {EndpointState::kDraining, EndpointState::kRemoved}) {
     RouterHarness harness;
     harness.update_endpoints({reader("r1"), reader("r2"), writer("w1"), writer("w2")});
--- a/tests/routing/event_sequence_test.cpp
+++ b/tests/routing/event_sequence_test.cpp
@@ -1,5 +1,6 @@
-// Seeded sequences of legal events, at which the invariants on time and effects hold. No endpoint's speed is
-// modelled. The harness checks each action; this adds what hangs on the time and on what may have run.
+// Plays seeded random sequences of valid events and checks the invariants on time limits and on repeated
+// effects. The speed of endpoints is not modelled. RouterHarness checks each action by itself; this test adds
+// the checks that depend on the time and on which attempts may have run.
 #include <algorithm>
 #include <array>
 #include <map>
@@ -12,7 +13,7 @@
 namespace dispatcher::routing::testing {
 namespace {
 
-// The order of the draws is part of a seed: another order plays other sequences.
+// The sequence of a seed depends on the order of the draws: a different order plays different sequences.
 class EventSequence : public ::testing::TestWithParam<int> {
  protected:
   EventSequence()
@@ -20,7 +21,7 @@
     for (const char* name : kEndpoints) change_endpoint(name, EndpointState::kReady);
   }
 
-  // One tick: perhaps a new request or a changed endpoint, and the end of some attempts.
+  // Runs one tick. It may submit a request or change an endpoint, and it ends some of the attempts.
   void run_step(int step) {
     harness_.skip(milliseconds(4));
     if (step % 5 == 0) harness_.expire_timer();
@@ -47,8 +48,8 @@
   struct Expectation {
     std::string request_class;
     Time deadline{};
-    Time idle_since{};          // since the end of its last attempt
-    bool may_have_run = false;  // at a writer or mixed endpoint, without proof of the contrary
+    Time idle_since{};          // when its last attempt ended
+    bool may_have_run = false;  // at a writer or mixed endpoint, and nothing proves that it did not run
   };
 
   static constexpr std::array<const char*, 7> kEndpoints = {"r1", "r2", "r3", "w1", "w2", "w3", "m1"};
@@ -72,7 +73,7 @@
     return EndpointState::kReady;
   }
 
-  // In cell 1, 2 or 3, as its name says; cell 3 is in another zone.
+  // Lists the endpoint in this state. The digit in its name is its cell, 1 to 3; cell 3 is in another zone.
   void change_endpoint(const std::string& name, EndpointState state) {
     states_[name] = state;
     const int cell = name[1] - '0';
@@ -111,7 +112,7 @@
     return harness_.now() >= expectations_.at(id).deadline;
   }
 
-  // Ends the request's attempt in one way or another.
+  // Ends the request's attempt with a drawn result, or disconnects its client.
   void progress(const RequestId& id) {
     const bool is_at_reader = harness_.is_at(Role::kReader, id);
     expectations_[id].idle_since = harness_.now();
@@ -177,10 +178,10 @@
       const StartAttempt& start = harness_.started()[checked_attempts_];
       const Expectation& expectation = expectations_.at(start.request);
       EXPECT_EQ(states_[start.endpoint], EndpointState::kReady)
-          << "sent to an endpoint that drains or is removed";
+          << "sent to an endpoint that is draining or removed";
       EXPECT_LE(harness_.request(start.request).attempt_count, settings_.max_attempts);
       if (expectation.request_class == "unsafe") {
-        EXPECT_FALSE(expectation.may_have_run) << "second effect";
+        EXPECT_FALSE(expectation.may_have_run) << "sent again though it may have run";
       }
     }
   }
@@ -199,7 +200,8 @@
       if (!request.active_endpoint.empty()) continue;
       const Expectation& expectation = expectations_.at(id);
       if (request.holds_prompt_state) {
-        EXPECT_LE(harness_.now(), expectation.idle_since + settings_.reservation_limit) << "held too long";
+        EXPECT_LE(harness_.now(), expectation.idle_since + settings_.reservation_limit)
+            << "the prompt state is held too long";
       }
       if (!request.is_over) {
         EXPECT_LE(harness_.now(), expectation.deadline + settings_.answer_slack) << "no answer in time";
--- a/tests/routing/identifiers_test.cpp
+++ b/tests/routing/identifiers_test.cpp
@@ -1,4 +1,4 @@
-// Identifiers keep their kinds apart at compile time, and compare, order and hash as their text does.
+// Identifiers of different kinds are different types, and they compare, order and hash as their text does.
 #include "routing/identifiers.hpp"
 
 #include <gtest/gtest.h>
@@ -60,7 +60,7 @@
   std::string order_by_text;
   for (const auto& [id, number] : numbers) order += id.value();
   for (const auto& [text, number] : numbers_by_text) order_by_text += text;
-  EXPECT_EQ(order, order_by_text);  // hand-overs list the open requests in the table's order
+  EXPECT_EQ(order, order_by_text);  // a hand-over lists the open requests in the table's order
 }
 
 TEST(Identifiers, AreWrittenAsTheirText) {
--- a/tests/routing/invariants.cpp
+++ b/tests/routing/invariants.cpp
@@ -12,7 +12,8 @@
   return !attempt.is_at_reader && (attempt.is_active || attempt.may_have_run);
 }
 
-// A keyed request that may have run goes on only where its key is known, while it is remembered there.
+// A keyed request that may have run may be sent again only within the deduplication scope of the earlier
+// attempt, and only until its deduplication window ends.
 void check_keyed_retry(const DispatcherState& state, const ModelRequest& request, const StartAttempt& start,
                        const ModelAttempt& earlier) {
   const RequestClass& request_class = request.request_class;
@@ -30,8 +31,8 @@
           "keyed: sent outside the deduplication scope");
 }
 
-// Before a request of a non-idempotent class is sent again, each earlier attempt must be proven never to have
-// run. A further read of a keyed request counts as an attempt like any other.
+// A non-idempotent request may be sent again only if each earlier attempt is proven never to have run.
+// Reading the prompt of a keyed request again counts as an attempt like any other.
 void check_repeated_effect(const DispatcherState& state, const ModelRequest& request,
                            const StartAttempt& start) {
   for (const ModelAttempt& earlier : request.attempts) {
@@ -70,12 +71,12 @@
                         const std::string& answer) {
   require(!request.has_final_answer, answer + ": a second final answer");
   require(!request.has_first_token, answer + " after the first token");
-  require(!request.has_client_left, answer + " after its client was gone");
+  require(!request.has_client_left, answer + " after its client disconnected");
   require(state.now <= request.request.client_deadline + request.settings->answer_slack,
-          answer + " after deadline and slack");
+          answer + " after its deadline and the answer slack");
 }
 
-// Its client may send it again: it had no effect, or a second one does no harm.
+// Returns whether the client may send the request again: it had no effect, or a second effect does no harm.
 bool is_safe_to_retry(const ModelRequest& request) {
   const RequestClass& request_class = request.request_class;
   if (request_class.idempotency == Idempotency::kIdempotent) return true;
@@ -101,9 +102,9 @@
   const ModelRequest& request = expect_submitted(state, start.request, "an attempt");
   require(!request.has_final_answer, "sent after the final answer");
   require(!request.has_first_token, "sent after the first token");
-  require(!request.has_client_left, "sent after its client was gone");
+  require(!request.has_client_left, "sent after its client disconnected");
   require(request.active_attempt_count() == 0 || request.settings->may_hedge,
-          "two attempts at once where duplicates are barred");
+          "two attempts in flight though hedging is not allowed");
   check_target(state, start);
   check_attempt_count(request);
   check_repeated_effect(state, request, start);
@@ -111,7 +112,7 @@
 }
 
 void check_cancel_attempt(const DispatcherState& state, const CancelAttempt& cancel) {
-  require(state.settings->may_cancel, "cancelled where that is not allowed");
+  require(state.settings->may_cancel, "cancelled though cancelling is not allowed");
   const ModelRequest& request = expect_submitted(state, cancel.request, "a cancellation");
   require(cancel.attempt >= 0 && cancel.attempt < static_cast<int>(request.attempts.size()),
           "cancelled an attempt that was never made");
@@ -120,11 +121,11 @@
 void check_reject(const DispatcherState& state, const Reject& reject) {
   const ModelRequest& request = expect_submitted(state, reject.request, "a rejection");
   check_final_answer(state, request, "rejected");
-  require(is_safe_to_retry(request), "rejected what may have run");
+  require(is_safe_to_retry(request), "rejected a request that may have run");
   if (!reject.retry_after) return;
-  require(request.settings->retry_advice, "a retry time where none may be given");
+  require(request.settings->retry_advice, "a retry time though none may be given");
   require(*reject.retry_after >= Duration(0) && *reject.retry_after <= request.settings->max_retry_after,
-          "a retry time out of bounds");
+          "a retry time that is out of bounds");
 }
 
 void check_fail(const DispatcherState& state, const Fail& fail) {
@@ -133,15 +134,15 @@
 
 void check_migrate_stream(const DispatcherState& state, const MigrateStream& migrate) {
   const ModelRequest& request = expect_submitted(state, migrate.request, "a migration");
-  require(state.settings->may_migrate_streams, "migrated where streams do not resume");
+  require(state.settings->may_migrate_streams, "migrated though streams may not be migrated");
   require(request.has_first_token && !request.has_final_answer && !request.has_client_left,
-          "migrated what is no running stream");
+          "migrated a request that has no running stream");
 }
 
 void check_reserve_slot(const DispatcherState& state, const ReserveSlot& reserve) {
   expect_submitted(state, reserve.request, "a reservation");
-  require(state.settings->may_reserve_slots, "reserved where that is not allowed");
-  require(state.endpoints.contains(reserve.endpoint), "reserved at an endpoint that no list named");
+  require(state.settings->may_reserve_slots, "reserved a slot though that is not allowed");
+  require(state.endpoints.contains(reserve.endpoint), "reserved a slot at an endpoint that no list named");
 }
 
 void check_release_reservation(const DispatcherState& state, const ReleaseReservation& release) {
@@ -149,12 +150,13 @@
 }
 
 void check_set_timer(const SetTimer& timer) {
-  constexpr Duration kMaxTimer = std::chrono::minutes(71);  // what fits into 32 bits of microseconds
-  require(timer.after >= Duration(0) && timer.after <= kMaxTimer, "a timer out of bounds");
+  constexpr Duration kMaxTimer = std::chrono::minutes(71);  // as microseconds, this fits into 32 bits
+  require(timer.after >= Duration(0) && timer.after <= kMaxTimer, "a timer that is out of bounds");
 }
 
 void check_subscribe(const DispatcherState& state) {
-  require(state.settings->polls_endpoint_list, "polled for a list that comes by itself");
+  require(state.settings->polls_endpoint_list,
+          "subscribed to an endpoint list that is delivered without a poll");
 }
 
 void check_time_limits(const DispatcherState& state) {
@@ -163,12 +165,12 @@
     name << id;
     require(
         request.is_over() || state.now <= request.request.client_deadline + request.settings->answer_slack,
-        name.str() + " has no final answer by deadline and slack");
-    // Where attempts are written to sockets, one that has not arrived does not count.
-    const bool may_not_arrive = request.settings->reservation_expires_until_delivery;
-    const bool is_taken =
-        may_not_arrive ? request.has_delivered_attempt() : request.active_attempt_count() > 0;
-    require(!request.prompt_state_at || is_taken ||
+        name.str() + " has no final answer within its deadline and the answer slack");
+    // If attempts are written to sockets, one that has not reached its endpoint does not extend the limit.
+    const bool can_be_undelivered = request.settings->reservation_expires_until_delivery;
+    const bool is_in_use =
+        can_be_undelivered ? request.has_delivered_attempt() : request.active_attempt_count() > 0;
+    require(!request.prompt_state_at || is_in_use ||
                 state.now <= request.prompt_state_idle_since + request.settings->reservation_limit,
             name.str() + ": its prompt state is held past the reservation limit");
   }
@@ -183,7 +185,8 @@
 
 void check_bounded_tables(const DispatcherState& state, const TableSizes& sizes) {
   require(sizes.endpoints <= 1, "endpoints that were removed are left in the table");
-  require(sizes.index_keys <= 2 * state.requests.size(), "more prefixes are indexed than came");
+  require(sizes.index_keys <= 2 * state.requests.size(),
+          "more prefixes are indexed than requests can have brought");
 }
 
 }  // namespace dispatcher::routing::testing
--- a/tests/routing/invariants.hpp
+++ b/tests/routing/invariants.hpp
@@ -1,5 +1,5 @@
-// The invariants that every action of a router keeps, under any valid settings. Each function throws
-// InvariantViolation, which names the broken rule, and changes nothing.
+// The invariants that hold for every action of a router, under any valid settings. Each function throws
+// InvariantViolation, which names the violated rule, and modifies nothing.
 #ifndef DISPATCHER_TESTS_ROUTING_INVARIANTS_HPP_
 #define DISPATCHER_TESTS_ROUTING_INVARIANTS_HPP_
 
@@ -11,16 +11,16 @@
 
 namespace dispatcher::routing::testing {
 
-// A rule that a router's action, or the lack of one, broke.
+// Names the rule that an action of the router, or a missing action, has violated.
 struct InvariantViolation : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
-// Throws InvariantViolation with this rule unless it holds.
+// Throws InvariantViolation with the text `rule` if `holds` is false.
 void require(bool holds, const std::string& rule);
 
-// The request that an action names; it must have been submitted. `action` is the action's name in the
-// message.
+// Returns the request that an action names. Throws InvariantViolation if it was never submitted; `action` is
+// the action's name in the message.
 const ModelRequest& expect_submitted(const DispatcherState& state, const RequestId& id, const char* action);
 
 void check_start_attempt(const DispatcherState& state, const StartAttempt& start);
@@ -33,13 +33,16 @@
 void check_set_timer(const SetTimer& timer);
 void check_subscribe(const DispatcherState& state);
 
-// Each request is answered in time, and each prompt state released in time. To be called as time goes on.
+// Checks that each request is answered in time and each prompt state released in time. Must be called each
+// time that the clock has advanced.
 void check_time_limits(const DispatcherState& state);
 
-// No prompt state is held and the router's tables are empty. To be called once all requests are over.
+// Checks that no prompt state is held and that the router has no request left in its table. Must be called
+// after all requests are over.
 void check_nothing_left(const DispatcherState& state, const TableSizes& sizes);
 
-// The router forgot the endpoints that its last list does not name, and did not invent prefixes.
+// Checks that the router has erased the endpoints that its last list does not name, and that it indexes no
+// more prefixes than the requests can have brought. That last list must name at most one endpoint.
 void check_bounded_tables(const DispatcherState& state, const TableSizes& sizes);
 
 }  // namespace dispatcher::routing::testing
--- a/tests/routing/load_estimate_test.cpp
+++ b/tests/routing/load_estimate_test.cpp
@@ -1,4 +1,5 @@
-// Load estimates: own requests in flight and reported load count against a reader.
+// Load estimates: a router's own requests in flight and the load that a reader reports count against the
+// reader.
 #include <map>
 #include <string>
 #include <utility>
@@ -8,7 +9,7 @@
 namespace dispatcher::routing::testing {
 namespace {
 
-TEST(LoadEstimate, LoadedReaderLosesToAnIdleOne) {
+TEST(LoadEstimate, IdleReaderIsPreferredToALoadedOne) {
   RouterHarness harness;
   harness.update_endpoints({reader("r1"), reader("r2"), writer("w1")});
   std::map<EndpointId, int> used;
@@ -38,8 +39,8 @@
   }
 }
 
-// The queue of one reader, in thousands of prompt tokens, must not stretch the scale so far that those of the
-// others look alike.
+// One reader's long queue (in thousands of prompt tokens) must not stretch the scale of queue lengths so far
+// that the queues of the other readers look alike.
 TEST(LoadEstimate, OneOverloadedReaderDoesNotHideTheQueuesOfOthers) {
   constexpr int kReaders = 12;
   for (const double longest_queue : {20.0, 600.0}) {
@@ -47,7 +48,8 @@
     harness.update_endpoints(writers_and_readers(1, kReaders));
     const EndpointId cached_at = harness.submit("a", {.session = 7, .prompt_tokens = 2000});
     harness.serve("a");
-    // A quarter of the prompt is cached where 100,000 tokens wait: not worth the wait.
+    // At the reader that has a quarter of the prompt cached, 100,000 tokens wait: the cached part does not
+    // make up for the wait.
     bool has_overloaded_reader = false;
     for (int i = 0; i < kReaders; ++i) {
       const EndpointId endpoint = "r" + std::to_string(i);
@@ -62,7 +64,7 @@
       harness.report_load(endpoint, load);
     }
     EXPECT_NE(harness.submit("b", {.session = 7, .prompt_tokens = 8000}), cached_at)
-        << "beside " << longest_queue;
+        << "beside a queue of " << longest_queue;
   }
 }
 
--- a/tests/routing/load_shedding_test.cpp
+++ b/tests/routing/load_shedding_test.cpp
@@ -7,7 +7,7 @@
 namespace dispatcher::routing::testing {
 namespace {
 
-// Ends both stages of a request, slowly.
+// Completes both stages of a request, each after the given time.
 void serve_late(RouterHarness& harness, const RequestId& id, milliseconds read_time,
                 milliseconds first_token_time) {
   harness.complete(id, AttemptStatus::kRead, {.elapsed = read_time});
@@ -15,10 +15,10 @@
   harness.complete(id, AttemptStatus::kServed);
 }
 
-TEST(LoadShedding, LateFirstTokensRejectRequestsThatCannotStartInTime) {
+TEST(LoadShedding, RequestsThatCannotStartInTimeAreRejectedWhenFirstTokensAreLate) {
   RouterHarness harness;
   harness.update_endpoints({reader("r1"), writer("w1")});
-  for (int i = 0; i < 40; ++i) {  // a queue grows: each response comes later than wanted
+  for (int i = 0; i < 40; ++i) {  // a queue grows, and each first token is later than its objective
     const RequestId id = "q" + std::to_string(i);
     harness.submit(id, {.session = i + 1});
     if (harness.request(id).is_over) break;
@@ -29,28 +29,29 @@
   EXPECT_EQ(harness.request(harness.rejected()[0]).attempt_count, 0) << "rejected before any work was spent";
 }
 
-TEST(LoadShedding, RequestWhoseClientDisconnectsBeforeTheFirstTokenIsRejected) {
+TEST(LoadShedding, RequestWhoseDeadlineIsTooEarlyForAFirstTokenIsRejected) {
   RouterHarness harness;
   harness.update_endpoints({reader("r1"), reader("r2"), writer("w1")});
-  const auto is_impatient_request_sent = [&](const RequestId& id) {
+  const auto is_short_deadline_request_sent = [&](const RequestId& id) {
     Request request = harness.make_request(id, {.session = 9001});
     request.client_deadline = harness.now() + milliseconds(400);
     return !harness.submit(request).empty();
   };
-  EXPECT_TRUE(is_impatient_request_sent("before"));
+  EXPECT_TRUE(is_short_deadline_request_sent("before"));
   harness.serve("before");
-  for (int i = 0; i < 6; ++i) {  // first tokens come within the objective of 1 s, but not within 0.4 s
+  for (int i = 0; i < 6; ++i) {  // first tokens arrive within the objective of 1 s, but not within 0.4 s
     const RequestId id = "q" + std::to_string(i);
     harness.submit(id, {.session = i + 1});
     harness.advance(milliseconds(100));
     serve_late(harness, id, milliseconds(450), milliseconds(100));
   }
-  EXPECT_FALSE(is_impatient_request_sent("after"));
+  EXPECT_FALSE(is_short_deadline_request_sent("after"));
   EXPECT_EQ(harness.rejected(), std::vector<RequestId>{"after"});
-  EXPECT_NE(harness.submit("patient", {.session = 9002}), "") << "a client that stays long enough is served";
+  EXPECT_NE(harness.submit("patient", {.session = 9002}), "")
+      << "a request whose client waits long enough is sent";
 }
 
-TEST(LoadShedding, RequestsAtSilentEndpointsAreNoQueue) {
+TEST(LoadShedding, RequestsAtSilentEndpointsDoNotCountAsQueued) {
   RouterHarness harness;
   harness.update_endpoints(writers_and_readers(2, 20));
   warm_up(harness);
@@ -60,14 +61,15 @@
     ASSERT_NE(harness.submit("s" + std::to_string(i), spec), "");
   }
   harness.advance(milliseconds(3500));
-  ASSERT_EQ(harness.submit("now", {.session = 9001}), "") << "these are a queue that came late";
+  ASSERT_EQ(harness.submit("now", {.session = 9001}), "")
+      << "requests past their objective still count as queued";
   EXPECT_EQ(harness.rejected(), std::vector<RequestId>{"now"});
   harness.advance(milliseconds(2600));
   EXPECT_NE(harness.submit("later", {.session = 9002}), "")
-      << "nothing has moved for two objectives: they hang";
+      << "requests without a first token after twice their objective do not count as queued";
 }
 
-TEST(LoadShedding, FullResponsesAreNoLatency) {
+TEST(LoadShedding, FullResponsesDoNotCountAsLatency) {
   RouterHarness harness;
   harness.update_endpoints({reader("r1"), reader("r2"), writer("w1")});
   for (int i = 0; i < 40; ++i) {
--- a/tests/routing/locality_test.cpp
+++ b/tests/routing/locality_test.cpp
@@ -1,4 +1,4 @@
-// Locality: readers are preferred where a writer is near.
+// Locality: readers with a writer nearby are preferred.
 #include <string>
 
 #include "router_harness.hpp"
@@ -6,8 +6,8 @@
 namespace dispatcher::routing::testing {
 namespace {
 
-// How many of 400 requests go to the two readers of cell 1, which has no writer.
-int requests_to_readers_without_a_near_writer(const std::string& zone_of_writers) {
+// Returns how many of 400 requests go to the two readers of cell 1, which has no writer.
+int requests_to_readers_without_a_nearby_writer(const std::string& zone_of_writers) {
   RouterHarness harness;
   harness.update_endpoints({reader("r1"), reader("r2"), reader("r3", {.cell = 1}), reader("r4", {.cell = 1}),
                             writer("w1", {.zone = zone_of_writers}),
@@ -22,11 +22,11 @@
   return count;
 }
 
-TEST(Locality, ReadersWithoutANearWriterWinFewerTies) {
-  // Prompt states leave the cell, not the zone.
-  EXPECT_NEAR(requests_to_readers_without_a_near_writer("east"), 165, 30);
-  // All readers are as far from a writer.
-  EXPECT_NEAR(requests_to_readers_without_a_near_writer("west"), 200, 30);
+TEST(Locality, ReadersWithoutANearbyWriterAreChosenInFewerTies) {
+  // Prompt states of these readers are sent to another cell of the same zone.
+  EXPECT_NEAR(requests_to_readers_without_a_nearby_writer("east"), 165, 30);
+  // All readers are equally far from a writer.
+  EXPECT_NEAR(requests_to_readers_without_a_nearby_writer("west"), 200, 30);
 }
 
 }  // namespace
--- a/tests/routing/model_dispatcher.cpp
+++ b/tests/routing/model_dispatcher.cpp
@@ -25,8 +25,9 @@
          status == AttemptStatus::kNeverSent || status == AttemptStatus::kRead;
 }
 
-// Of five attempts, one is written to a link that has fallen silent; none where no timer can come within the
-// reservation limit.
+// Returns whether the attempt reaches its endpoint when it is sent. One in five is written to a link that
+// does not deliver it. All are delivered at once if the settings do not count delivery
+// (reservation_expires_until_delivery), or if no timer can expire within the reservation limit.
 bool arrives_at_once(const StartAttempt& start, const Settings& settings) {
   constexpr std::size_t kOneIn = 5;
   const Duration timer_interval = milliseconds(20) + settings.tick;
@@ -37,7 +38,7 @@
          0;
 }
 
-// What becomes of an attempt of which its endpoint knows nothing.
+// Returns the status that an attempt ends with, instead of `status`, if it has not reached its endpoint.
 AttemptStatus undelivered_status(AttemptStatus status) {
   switch (status) {
     case AttemptStatus::kTimeout:
@@ -82,7 +83,7 @@
 }
 
 void ModelDispatcher::check_same_actions(const Event& event, const std::vector<Action>& actions) {
-  constexpr const char* kRule = "the same events made other actions";
+  constexpr const char* kRule = "the same events led to different actions";
   add_to_transcript(describe(event));
   const std::vector<Action> same = second_router_.handle(state_.now, event);
   require(actions.size() == same.size(), kRule);
@@ -115,8 +116,8 @@
   check_cancel_attempt(state_, cancel);
   ModelRequest& request = state_.requests.at(cancel.request);
   ModelAttempt& attempt = request.attempts[static_cast<std::size_t>(cancel.attempt)];
-  if (!attempt.is_active || attempt.has_first_token || attempt.cancellation_shows_at) return;
-  attempt.cancellation_shows_at = state_.now + tick_;
+  if (!attempt.is_active || attempt.has_first_token || attempt.cancellation_completes_at) return;
+  attempt.cancellation_completes_at = state_.now + tick_;
 }
 
 void ModelDispatcher::apply(const Reject& reject) {
@@ -134,7 +135,7 @@
   ModelRequest& request = state_.requests.at(migrate.request);
   request.has_final_answer = true;
   for (ModelAttempt& attempt : request.attempts) {
-    if (attempt.is_active) attempt.cancellation_shows_at = state_.now + tick_;
+    if (attempt.is_active) attempt.cancellation_completes_at = state_.now + tick_;
   }
 }
 
@@ -146,7 +147,7 @@
   const bool is_being_fetched = std::ranges::any_of(request.attempts, [](const ModelAttempt& attempt) {
     return attempt.is_active && attempt.is_delivered && !attempt.is_at_reader;
   });
-  request.owes_release = is_being_fetched;
+  request.is_release_pending = is_being_fetched;
   if (!is_being_fetched) request.prompt_state_at.reset();
 }
 
@@ -183,7 +184,7 @@
   ModelRequest& request = state_.requests.at(id);
   ModelAttempt& attempt = request.attempts[attempt_number];
   attempt.has_first_token = true;
-  attempt.cancellation_shows_at.reset();
+  attempt.cancellation_completes_at.reset();
   request.has_first_token = true;
   request.prompt_state_at.reset();
   handle(FirstToken{id, attempt.endpoint, static_cast<int>(attempt_number), state_.now - attempt.started_at});
@@ -194,7 +195,8 @@
   ModelRequest& request = state_.requests.at(id);
   ModelAttempt& attempt = request.attempts[attempt_number];
   attempt.is_active = false;
-  // A connection that was made in time did not fail: the endpoint rejects the request.
+  // An attempt that lasts past connect_by has made its connection in time, so the connection cannot have
+  // failed. The endpoint rejects the request instead.
   if (outcome.status == AttemptStatus::kConnectFailed && attempt.connect_by != Time{} &&
       state_.now > attempt.connect_by) {
     outcome = {AttemptStatus::kFull, 0, AttemptEvidence::kNone, outcome.report};
@@ -205,12 +207,12 @@
   attempt.may_have_run = !attempt.is_at_reader && !proves_no_effect(outcome.status);
   attempt.is_uncounted = has_not_connected && number < request.settings->free_connect_failures;
   if (outcome.status == AttemptStatus::kRead) request.prompt_state_at = attempt.endpoint;
-  if (releases_prompt_state(attempt, outcome) || std::exchange(request.owes_release, false))
+  if (releases_prompt_state(attempt, outcome) || std::exchange(request.is_release_pending, false))
     request.prompt_state_at.reset();
   const bool has_arrived = attempt.is_delivered && !has_not_connected;
   if (has_arrived || !request.settings->reservation_expires_until_delivery)
     request.prompt_state_idle_since = state_.now;
-  // The first answer that is served ends a request, and so does the break of a stream that had begun.
+  // A request is finished by its first complete answer, or when a stream that had begun breaks.
   const bool is_finished = request.has_final_answer || request.has_client_left ||
                            outcome.status == AttemptStatus::kServed || attempt.has_first_token;
   if (is_finished && !request.has_client_left) request.has_final_answer = true;
@@ -268,7 +270,7 @@
   handle(AdministrativeDrain{endpoint, state});
 }
 
-// The list is sent again under the new settings, as their kinds may have other roles.
+// Sends the endpoint list again under the new settings, because their kinds may have other roles.
 void ModelDispatcher::apply_next_settings() {
   if (settings_.size() < 2) return;
   current_settings_ = (current_settings_ + 1) % settings_.size();
@@ -287,9 +289,9 @@
   return (time + tick_ - Duration(1)) / tick_ * tick_;
 }
 
-// When it times out, or its cancellation shows.
+// Returns when the attempt times out or its cancellation completes; Time::max() for a running stream.
 Time ModelDispatcher::ends_at(const ModelAttempt& attempt) const {
-  if (attempt.cancellation_shows_at) return round_up_to_tick(*attempt.cancellation_shows_at);
+  if (attempt.cancellation_completes_at) return round_up_to_tick(*attempt.cancellation_completes_at);
   if (attempt.has_first_token) return Time::max();
   return round_up_to_tick(std::max(attempt.deadline, attempt.started_at + Duration(1)));
 }
@@ -299,7 +301,7 @@
     for (std::size_t i = 0; i < request.attempts.size(); ++i) {
       const ModelAttempt& attempt = request.attempts[i];
       if (!attempt.is_active || ends_at(attempt) > state_.now) continue;
-      const bool is_cancelled = attempt.cancellation_shows_at.has_value();
+      const bool is_cancelled = attempt.cancellation_completes_at.has_value();
       complete_attempt(id, i, {is_cancelled ? AttemptStatus::kCancelled : AttemptStatus::kTimeout});
       return true;
     }
--- a/tests/routing/model_dispatcher.hpp
+++ b/tests/routing/model_dispatcher.hpp
@@ -1,5 +1,5 @@
-// A model of a dispatcher and its replicas round one router: passes it consistent events, carries out its
-// actions and checks each of them against the invariants.
+// A model of a dispatcher and its endpoints around one router. It passes consistent events to the router,
+// carries out the router's actions and checks each of them against the invariants.
 #ifndef DISPATCHER_TESTS_ROUTING_MODEL_DISPATCHER_HPP_
 #define DISPATCHER_TESTS_ROUTING_MODEL_DISPATCHER_HPP_
 
@@ -20,20 +20,21 @@
   AttemptStatus status{};
   int cached_tokens = 0;
   AttemptEvidence evidence{};
-  LoadReport report{0, 0, 0};  // passed on where the settings have reports in answers
+  LoadReport report{0, 0, 0};  // passed to the router only if the settings have reports in answers
 };
 
-// Single-threaded, in virtual time. A second router of the same seed gets the same events and has to act
-// alike. Every member function that passes an event throws InvariantViolation as soon as a rule is broken.
+// Single-threaded, in virtual time. A second router with the same seed gets the same events and must return
+// the same actions. Every member function that passes an event throws InvariantViolation as soon as a rule is
+// violated.
 class ModelDispatcher {
  public:
-  // Sees each event and what the router did at it, in order.
+  // Called for each event, in order, with the actions that the router returned for it.
   using Observer = std::function<void(Time, const Event&, const std::vector<Action>&)>;
 
-  // The first settings are those of the start; the others come as new settings, in turn.
+  // The router starts with the first settings; apply_next_settings() applies the others in turn.
   ModelDispatcher(std::vector<Settings> settings, std::uint64_t seed);
 
-  // Takes the place of the transcript and of the second router: both take far longer than the router itself.
+  // Replaces the transcript and the second router, both of which take far longer than the router itself.
   void set_observer(Observer observer) { observer_ = std::move(observer); }
 
   [[nodiscard]] const DispatcherState& state() const { return state_; }
@@ -41,19 +42,20 @@
   [[nodiscard]] const std::vector<std::string>& transcript() const { return transcript_; }
   void add_to_transcript(const std::string& line);
 
-  // Passes an event that changes nothing in the model.
+  // Passes an event that does not itself change the model's state.
   void handle(const Event& event);
-  // The id is new; the class is one of the current settings'.
+  // Submits a request. Its id must be new, and the class must be one of the current settings.
   const ModelRequest& submit(const Request& request, const RequestClass& request_class);
   void disconnect_client(const RequestId& id);
-  // A written attempt reaches its endpoint late.
+  // Marks an attempt that was written earlier as having reached its endpoint.
   void deliver_attempt(const RequestId& id, std::size_t attempt_number);
   void send_first_token(const RequestId& id, std::size_t attempt_number);
   void complete_attempt(const RequestId& id, std::size_t attempt_number, AttemptOutcome outcome);
   void send_endpoint_list(ListKind kind, std::vector<EndpointInfo> endpoints);
   void set_administrative_state(const EndpointId& endpoint, AdministrativeState state);
-  void apply_next_settings();  // nothing happens where there is but one
-  // Lets time go on to the next tick after it, with the timers and the attempts that end by then.
+  void apply_next_settings();  // does nothing if there is only one
+  // Advances the clock by `time`, rounded up to a tick, and handles the timers and the ends of attempts that
+  // are due by then.
   void advance(Duration time);
 
  private:
@@ -77,8 +79,8 @@
   [[nodiscard]] Time round_up_to_tick(Time time) const;
   [[nodiscard]] Time ends_at(const ModelAttempt& attempt) const;
   [[nodiscard]] Time next_event_at(Time until) const;
-  bool complete_due_attempt();  // one; false: none is due
-  bool expire_due_timer();      // one; false: none is due
+  bool complete_due_attempt();  // completes one; returns false if none is due
+  bool expire_due_timer();      // expires one; returns false if none is due
 
   std::vector<std::shared_ptr<const Settings>> settings_;
   std::size_t current_settings_ = 0;
--- a/tests/routing/outlier_detection_test.cpp
+++ b/tests/routing/outlier_detection_test.cpp
@@ -9,7 +9,7 @@
 namespace dispatcher::routing::testing {
 namespace {
 
-std::string ejection_of(const EndpointId& endpoint) {
+std::string ejection_message(const EndpointId& endpoint) {
   std::ostringstream text;
   text << "endpoint " << endpoint << " ejected";
   return text.str();
@@ -27,7 +27,7 @@
     harness.serve(id);
   }
   harness.serve("a");
-  harness.advance(seconds(2));  // from then on it gets one request, and only one, until that is answered
+  harness.advance(seconds(2));  // it now gets a single request until that is answered
   std::vector<RequestId> probing;
   for (int i = 0; i < 20; ++i) {
     const RequestId id = "c" + std::to_string(i);
@@ -38,8 +38,8 @@
   EXPECT_TRUE(has_log(harness.complete(probing[0], AttemptStatus::kRead), "returned"));
 }
 
-// Single connections are reset now and then while their endpoints are healthy: half of a fleet was ejected
-// for it.
+// Single connections are reset now and then although their endpoints are healthy. When one reset was enough
+// to eject an endpoint, half of a fleet was ejected.
 TEST(OutlierDetection, OneResetDoesNotEjectButSeveralInARowDo) {
   RouterHarness harness;
   harness.update_endpoints({reader("r1"), reader("r2"), reader("r3"), writer("w1")});
@@ -47,12 +47,13 @@
   for (const char* id : {"a", "b", "c"}) {
     const EndpointId endpoint = harness.submit(id, {.session = 1});
     const std::vector<Action> actions = harness.complete(id, AttemptStatus::kReset, {.elapsed = {}});
-    ejected.push_back(has_log(actions, ejection_of(endpoint)));
+    ejected.push_back(has_log(actions, ejection_message(endpoint)));
   }
   EXPECT_EQ(ejected, (std::vector<bool>{false, false, true}));
 }
 
-// A writer's streams last for many seconds: waiting for their end would leave out one that has recovered.
+// A writer's streams last for many seconds. If it were probed only after their end, a writer that has
+// recovered would stay ejected until then.
 TEST(OutlierDetection, EjectedWriterIsProbedWhileItsStreamsRun) {
   RouterHarness harness;
   harness.update_endpoints({reader("r1"), writer("w1"), writer("w2")});
@@ -82,7 +83,7 @@
     harness.complete(id, AttemptStatus::kRead);
     if (harness.active_endpoint(id) == "w1") ++probing;
   }
-  EXPECT_EQ(probing, 1);  // by one request, and only one, until that is answered
+  EXPECT_EQ(probing, 1);  // a single request, until that is answered
 }
 
 TEST(OutlierDetection, NeverEjectsMoreThanHalfOfARole) {
@@ -125,7 +126,7 @@
   for (int i = 0; i < 12; ++i)
     harness.submit("q" + std::to_string(i), {.request_class = "unsafe", .session = 7000 + i});
   bool is_ejected = false;
-  for (int step = 0; step < 100; ++step) {  // all endpoints are late alike
+  for (int step = 0; step < 100; ++step) {  // all endpoints are equally late
     harness.skip(milliseconds(20));
     is_ejected = has_log(harness.expire_timer(), "ejected") || is_ejected;
   }
@@ -140,7 +141,7 @@
   std::map<EndpointId, int> requests;
   for (int i = 0; i < 3; ++i) ++requests[harness.submit("q" + std::to_string(i), {.session = 7000 + i})];
   ASSERT_EQ(requests.size(), 3U);
-  harness.advance(seconds(3));  // all that have a request are late alike
+  harness.advance(seconds(3));  // all endpoints that have a request are equally late
   EXPECT_TRUE(harness.cancelled().empty());
 }
 
@@ -148,7 +149,7 @@
   RouterHarness harness;
   harness.update_endpoints(writers_and_readers(2, 20));
   warm_up(harness);
-  for (int i = 0; i < 8; ++i) {  // one at a time, late at whichever reader
+  for (int i = 0; i < 8; ++i) {  // one request at a time, which is late at any reader
     const RequestId id = "q" + std::to_string(i);
     if (harness.submit(id, {.session = 7000 + i}).empty()) continue;
     harness.advance(milliseconds(300));
--- a/tests/routing/prefix_affinity_test.cpp
+++ b/tests/routing/prefix_affinity_test.cpp
@@ -28,17 +28,17 @@
   for (int i = 0; i < 60; ++i) {
     const RequestSpec spec{
         .session = 700 + i, .shared_prefix = 90 + i % 10, .prompt_tokens = 2000, .prefix_tokens = 1800};
-    RouterHarness newcomer;  // knows nothing yet
-    newcomer.update_endpoints(endpoints);
+    RouterHarness new_router;  // has served no request yet
+    new_router.update_endpoints(endpoints);
     const RequestId id = "q" + std::to_string(i);
-    const EndpointId known = harness.submit(id, spec);
-    if (newcomer.submit(id, spec) == known) ++agreed;
+    const EndpointId expected = harness.submit(id, spec);
+    if (new_router.submit(id, spec) == expected) ++agreed;
     harness.serve(id);
   }
-  EXPECT_GE(agreed, 48) << "by chance it were 20";
+  EXPECT_GE(agreed, 48) << "by chance, 20 would agree";
 }
 
-// The number of readers that one of so many prefixes is sent to.
+// Returns the number of readers that get the requests of one of `prefix_count` equally popular prefixes.
 std::size_t readers_of_one_prefix(int prefix_count) {
   RouterHarness harness;
   harness.update_endpoints(writers_and_readers(1, 20));
@@ -60,10 +60,10 @@
   EXPECT_GE(readers_of_one_prefix(1), 8U);
 }
 
-TEST(PrefixAffinity, RarePrefixStaysAtTwoReadersHoweverFewRequestsARouterSees) {
+TEST(PrefixAffinity, RarePrefixStaysAtTwoReadersEvenIfEachRouterSeesFewRequests) {
   const std::vector<EndpointInfo> endpoints = writers_and_readers(1, 40);
   std::map<EndpointId, int> used;
-  for (int router = 0; router < 30; ++router) {  // each sees the prefix once, among others as rare
+  for (int router = 0; router < 30; ++router) {  // each sees the prefix once, among others that are as rare
     Settings settings = make_settings();
     settings.router_count = 150;
     settings.router_number = router;
@@ -81,7 +81,7 @@
         "last",
         {.session = 900000 + router, .shared_prefix = 90, .prompt_tokens = 2000, .prefix_tokens = 1800})];
   }
-  EXPECT_LE(used.size(), 2U) << "each copy more evicts another prefix from its reader";
+  EXPECT_LE(used.size(), 2U) << "each further copy evicts another prefix from its reader";
 }
 
 }  // namespace
--- a/tests/routing/prefix_index_test.cpp
+++ b/tests/routing/prefix_index_test.cpp
@@ -1,4 +1,4 @@
-// The index of cached prefixes: it forgets what a reader has evicted or lost.
+// The index of cached prefixes: it drops the prefixes that a reader has evicted or lost.
 #include <string>
 
 #include "router_harness.hpp"
@@ -6,7 +6,7 @@
 namespace dispatcher::routing::testing {
 namespace {
 
-TEST(PrefixIndex, ForgetsTheOldestPrefixesBeyondTheReadersMemory) {
+TEST(PrefixIndex, DropsTheOldestPrefixesBeyondTheReadersMemory) {
   Settings settings = make_settings();
   settings.kinds[0].memory_tokens = 8000;
   RouterHarness harness(settings);
--- a/tests/routing/reader_selection_test.cpp
+++ b/tests/routing/reader_selection_test.cpp
@@ -28,7 +28,7 @@
   for (const auto& [endpoint, count] : used) EXPECT_NEAR(count, 100, 35) << endpoint;
 }
 
-TEST(ReaderSelection, TiesAreBrokenByTheRequestsKeyAlikeOnAllRouters) {
+TEST(ReaderSelection, AllRoutersBreakTiesByTheRequestsKeyInTheSameWay) {
   RouterHarness harness, other;
   for (RouterHarness* each : {&harness, &other})
     each->update_endpoints({reader("r1"), reader("r2"), reader("r3"), writer("w1")});
--- a/tests/routing/request_lifecycle_test.cpp
+++ b/tests/routing/request_lifecycle_test.cpp
@@ -1,4 +1,5 @@
-// Each request gets one final answer in time, and what is held for it is released.
+// The life cycle of a request: it gets one final answer in time, and the prompt state held for it is
+// released.
 #include <vector>
 
 #include "router_harness.hpp"
@@ -18,7 +19,7 @@
   EXPECT_EQ(harness.rejected(), std::vector<RequestId>{"a"});
 }
 
-TEST(RequestLifecycle, ClientDisconnectCancelsAndReleases) {
+TEST(RequestLifecycle, ClientDisconnectCancelsTheAttemptAndReleasesThePromptState) {
   RouterHarness harness;
   harness.update_endpoints(make_endpoints());
   harness.submit("a");
@@ -29,7 +30,7 @@
   EXPECT_EQ(harness.table_sizes().requests, 0U);
 }
 
-TEST(RequestLifecycle, WithoutEndpointsTheAnswerComesBeforeTheDeadline) {
+TEST(RequestLifecycle, RequestWithoutEndpointsIsAnsweredBeforeTheDeadline) {
   for (const char* request_class : {"safe", "unsafe", "keyed"}) {
     RouterHarness harness;
     harness.submit("a", {.request_class = request_class});
@@ -46,7 +47,7 @@
   EXPECT_NE(harness.active_endpoint("a"), "");
 }
 
-TEST(RequestLifecycle, ReadThatFailsNearTheDeadlineIsAnsweredAtOnce) {
+TEST(RequestLifecycle, RequestWhoseReadFailsNearTheDeadlineIsAnsweredAtOnce) {
   RouterHarness harness;
   harness.update_endpoints({reader("r1"), writer("w1")});
   harness.submit("a");
@@ -55,7 +56,7 @@
   EXPECT_EQ(harness.rejected(), std::vector<RequestId>{"a"});
 }
 
-TEST(RequestLifecycle, UnknownClassFailsAndKnownIdIsIgnored) {
+TEST(RequestLifecycle, RequestOfUnknownClassFailsAndRepeatedIdIsIgnored) {
   RouterHarness harness;
   harness.update_endpoints(make_endpoints());
   harness.submit("a", {.request_class = "no such class"});
--- a/tests/routing/retry_policy_test.cpp
+++ b/tests/routing/retry_policy_test.cpp
@@ -8,7 +8,7 @@
 namespace dispatcher::routing::testing {
 namespace {
 
-// With none of these it is known whether the request ran.
+// The statuses after which it is unknown whether the request ran.
 constexpr AttemptStatus kUncertainStatuses[] = {AttemptStatus::kError, AttemptStatus::kTimeout,
                                                 AttemptStatus::kReset, AttemptStatus::kCancelled};
 
@@ -57,11 +57,11 @@
   EXPECT_TRUE(harness.is_at(Role::kReader, "a"));
 }
 
-// Only keyed requests have a deduplication window. One that may have run found no writer until its prompt
-// state had to be released.
+// Only keyed requests have a deduplication window. Guards against limiting idempotent requests by it: one
+// that may have run found no writer until its prompt state had to be released.
 TEST(RetryPolicy, IdempotentRequestThatMayHaveRunIsRetriedAtAnotherWriter) {
   Settings settings = make_settings();
-  settings.classes[0].deduplication_window = {};  // as settings have it for an idempotent class
+  settings.classes[0].deduplication_window = {};  // as in the settings of an idempotent class
   RouterHarness harness(settings);
   harness.update_endpoints({reader("r1"), writer("w1"), writer("w2")});
   harness.submit("a");
@@ -73,8 +73,9 @@
   EXPECT_NE(harness.active_endpoint("a"), first);
 }
 
-// A response that had begun took the prompt state along; any endpoint may break one without being ejected.
-TEST(RetryPolicy, PromptIsReadAgainAfterABrokenResponseAndItsEndpointStays) {
+// A response had begun, so its writer had already fetched the prompt state. One broken response does not
+// eject an endpoint.
+TEST(RetryPolicy, PromptIsReadAgainAfterABrokenResponseAndItsEndpointIsNotEjected) {
   RouterHarness harness;
   harness.update_endpoints({reader("r1"), writer("w1"), writer("w2")});
   harness.submit("a");
@@ -84,7 +85,7 @@
   EXPECT_EQ(harness.active_endpoint("a"), "r1");
 }
 
-TEST(RetryPolicy, AttemptThatLaterOnesOvertookIsCancelledEarly) {
+TEST(RetryPolicy, AttemptOvertakenByLaterOnesIsCancelledEarly) {
   RouterHarness harness;
   harness.update_endpoints({reader("r1"), writer("w1")});
   warm_up(harness);
@@ -110,28 +111,29 @@
   harness.complete("a", AttemptStatus::kError);
   const EndpointId second = harness.active_endpoint("a");
   EXPECT_TRUE(second == "w1" || second == "w2" || second == "w4") << second;
-  harness.skip(seconds(5) + milliseconds(1));  // past the window: no further attempt, and no rejection either
+  harness.skip(seconds(5) + milliseconds(1));  // past the window: neither sent again nor rejected
   harness.complete("a", AttemptStatus::kError);
   harness.advance(milliseconds(300));
   EXPECT_EQ(harness.active_endpoint("a"), "");
   EXPECT_EQ(harness.failed(), std::vector<RequestId>{"a"});
 }
 
-// Found on the bench (scenario split+brink): retries that were decided on inside the window were sent after
-// it, by the time that their connections took. A retry says by when it must be on its way.
-TEST(RetryPolicy, KeyedRetryWaitsForNoConnectionPastItsWindow) {
+// Guards against retries that are decided on inside the deduplication window but sent after it, because their
+// connections take time (found on the bench, scenario split+brink). A retry therefore carries the time by
+// which its connection must be made.
+TEST(RetryPolicy, KeyedRetryDoesNotWaitForAConnectionPastItsWindow) {
   for (const char* request_class : {"keyed", "keyed-all"}) {
     RouterHarness harness;
     harness.update_endpoints(make_endpoints());
     harness.submit("a", {.request_class = request_class});
     harness.complete("a", AttemptStatus::kRead);
     const Time first = harness.now();
-    harness.skip(milliseconds(4900));  // a prompt state alone may wait for 300 ms more
+    harness.skip(milliseconds(4900));  // the reservation limit alone would allow 300 ms more
     harness.complete("a", AttemptStatus::kReset);
     ASSERT_TRUE(harness.is_at(Role::kWriter, "a"));
     EXPECT_NE(harness.started().back().connect_by, Time{});
     EXPECT_LE(harness.started().back().connect_by, first + seconds(5));
-    harness.skip(milliseconds(100));  // a connection made right now would come too late
+    harness.skip(milliseconds(100));  // a connection that is made now is too late
     harness.complete("a", AttemptStatus::kConnectFailed);
     harness.advance(milliseconds(300));
     EXPECT_EQ(harness.active_endpoint("a"), "");
@@ -139,12 +141,13 @@
   }
 }
 
-// Found on the bench (scenario split+brink, seed 1): a request was read again 57 ms after its window, as its
-// first attempt, at a mixed endpoint, had been reset by then. A further read is an attempt like any other.
+// Guards against reading a prompt again after the request's deduplication window (found on the bench,
+// scenario split+brink, seed 1): the first attempt, at a mixed endpoint, was reset, and the prompt was read
+// again 57 ms after the window. The window limits a further read like any other attempt.
 TEST(RetryPolicy, KeyedRequestIsNotReadAgainPastItsWindowOrOutsideItsScope) {
   struct Case {
     const char* request_class;
-    const char* retried_at;  // inside the window, with a reader in another zone
+    const char* retried_at;  // inside the window, when another zone has a reader
     const std::vector<RequestId>& (RouterHarness::*answered)() const;
   };
   for (const Case& each :
@@ -162,11 +165,11 @@
     harness.complete("a", AttemptStatus::kReset);
     EXPECT_EQ(harness.active_endpoint("a"), "");
     EXPECT_EQ((harness.*each.answered)(), std::vector<RequestId>{"a"})
-        << "at once: nothing can be sent any more";
+        << "answered at once, because nothing can be sent any more";
   }
 }
 
-TEST(RetryPolicy, RequestKeyedEverywhereMayBeRejected) {
+TEST(RetryPolicy, KeyedRequestThatAllEndpointsDeduplicateMayBeRejected) {
   Settings settings = make_settings();
   settings.max_attempts = 2;
   RouterHarness harness(settings);
@@ -186,7 +189,7 @@
   return endpoints;
 }
 
-// Where connections fail: at all readers, or at five of them and at all writers.
+// The endpoints at which connections fail: all readers, or five of them and all writers.
 struct ConnectFailures {
   enum class At { kAllReaders, kFiveReadersAndAllWriters };
   At at{};
@@ -194,7 +197,7 @@
   milliseconds writer_failure_time{50};
 };
 
-// The number of attempts that a request gets before it is given up.
+// Returns the number of attempts that a request gets before it is given up.
 int attempts_with(const ConnectFailures& failures) {
   Settings settings = make_settings();
   settings.max_attempts = 4;
@@ -221,20 +224,21 @@
   return harness.request("a").attempt_count;
 }
 
-// On sockets a failed connection costs a millisecond and reaches nobody: half of a list can be out of date.
+// On sockets a failed connection costs a millisecond and reaches no endpoint. Half of an endpoint list can be
+// out of date, so that many connections fail in a row.
 TEST(RetryPolicy, FailedConnectionsDoNotCountAsAttempts) {
   using At = ConnectFailures::At;
   EXPECT_EQ(attempts_with({.at = At::kFiveReadersAndAllWriters, .free_connect_failures = 16}), 5 + 1 + 5)
-      << "writers: until 0.7 of the reservation limit of 300 ms are over";
+      << "writers are tried until 0.7 of the reservation limit of 300 ms has passed";
   EXPECT_EQ(attempts_with({.at = At::kFiveReadersAndAllWriters,
                            .free_connect_failures = 16,
                            .writer_failure_time = milliseconds(250)}),
             5 + 1 + 1)
-      << "the reservation's time runs on while a connection fails slowly";
+      << "the reservation limit keeps running while a connection fails slowly";
   EXPECT_EQ(attempts_with({.at = At::kAllReaders}), 3)
-      << "the simulator counts them, and keeps one for the write";
+      << "in the simulator they count as attempts, and one is kept for the write";
   EXPECT_LE(attempts_with({.at = At::kAllReaders, .free_connect_failures = 16}), 16 + 4)
-      << "no reader is healthy: retries end";
+      << "retries end if no reader is healthy";
 }
 
 Settings socket_settings() {
@@ -244,7 +248,7 @@
   return settings;
 }
 
-// A harness whose request "a" is written to a writer and not answered.
+// A harness whose request "a" has been sent to a writer that has not answered.
 struct UnansweredWrite {
   explicit UnansweredWrite(const Settings& settings, const std::string& request_class = "safe")
       : harness(settings) {
@@ -255,8 +259,9 @@
   RouterHarness harness;
 };
 
-// What was written may never arrive: ten times the state behind it was held up to the request's deadline.
-TEST(RetryPolicy, StateBehindAnUnansweredWriteIsReleasedWithinItsLimit) {
+// A request that was written to a connection may never arrive. Guards against holding its prompt state until
+// the request's deadline, which happened ten times.
+TEST(RetryPolicy, PromptStateOfAnUnansweredWriteIsReleasedWithinItsLimit) {
   for (const char* request_class : {"safe", "unsafe"}) {
     SCOPED_TRACE(request_class);
     UnansweredWrite written(socket_settings(), request_class);
@@ -264,14 +269,15 @@
     EXPECT_TRUE(written.harness.released().empty());
     written.harness.advance(milliseconds(40));
     EXPECT_EQ(written.harness.released().size(), 1U);
-    EXPECT_FALSE(written.harness.request("a").is_over) << "its writer may have it";
+    EXPECT_FALSE(written.harness.request("a").is_over) << "its writer may have received it";
     written.harness.advance(milliseconds(1000));
     EXPECT_EQ(written.harness.released().size(), 1U);
   }
 }
 
-// The simulator reports the end of every attempt, and its rule does not count while one is out.
-TEST(RetryPolicy, StateBehindAWriteIsKeptWhereEveryAttemptArrives) {
+// The simulator reports the end of every attempt, and its reservation limit does not run while one is in
+// flight.
+TEST(RetryPolicy, PromptStateOfAWriteIsKeptIfEveryAttemptArrives) {
   Settings settings = socket_settings();
   settings.reservation_expires_until_delivery = false;
   UnansweredWrite written(settings);
@@ -279,7 +285,7 @@
   EXPECT_TRUE(written.harness.released().empty());
 }
 
-TEST(RetryPolicy, StateBehindAnUnansweredWriteIsReleasedAlsoAfterItsClientLeft) {
+TEST(RetryPolicy, PromptStateOfAnUnansweredWriteIsReleasedAfterItsClientDisconnects) {
   Settings settings = socket_settings();
   settings.may_cancel = false;
   UnansweredWrite written(settings);
@@ -288,8 +294,9 @@
   EXPECT_EQ(written.harness.released().size(), 1U);
 }
 
-// It arrives late and finds no state: it has not run, whatever its class.
-TEST(RetryPolicy, WriteThatArrivesAfterTheReleaseIsReadAgain) {
+// The write arrives late and finds no prompt state, so that it has not run and is sent again, whatever its
+// class.
+TEST(RetryPolicy, PromptIsReadAgainIfItsWriteArrivesAfterTheRelease) {
   UnansweredWrite written(socket_settings(), "unsafe");
   written.harness.advance(milliseconds(240));
   written.harness.complete("a", AttemptStatus::kFull, {.evidence = AttemptEvidence::kStateNotFound});
@@ -299,8 +306,8 @@
   EXPECT_TRUE(written.harness.is_at(Role::kWriter, "a"));
 }
 
-// A reset before the limit leaves the state to another writer, for what is left of the limit; one after it
-// comes when the state is gone.
+// After an early reset, another writer may fetch the prompt state for the rest of the reservation limit. A
+// reset when too little of the limit is left releases the state.
 TEST(RetryPolicy, ResetWithoutAResponseDoesNotRenewTheReservation) {
   UnansweredWrite written(socket_settings());
   const Time read_at = written.harness.now();
--- a/tests/routing/router_harness.cpp
+++ b/tests/routing/router_harness.cpp
@@ -186,8 +186,8 @@
 
 void RouterHarness::apply(const StartAttempt& start) {
   RequestRecord& request = requests_[start.request];
-  EXPECT_FALSE(request.is_over) << "sent after the end";
-  EXPECT_EQ(request.active_endpoint, "") << "second attempt at once";
+  EXPECT_FALSE(request.is_over) << "sent after the request was over";
+  EXPECT_EQ(request.active_endpoint, "") << "sent while another attempt is in flight";
   request.active_endpoint = start.endpoint;
   ++request.attempt_count;
   started_.push_back(start);
@@ -197,7 +197,7 @@
 
 void RouterHarness::apply(const Reject& reject) {
   RequestRecord& request = requests_[reject.request];
-  EXPECT_FALSE(request.is_over) << "second final answer";
+  EXPECT_FALSE(request.is_over) << "a second final answer";
   EXPECT_EQ(request.active_endpoint, "") << "rejected with an attempt in flight";
   request.is_over = true;
   rejected_.push_back(reject.request);
@@ -205,7 +205,7 @@
 
 void RouterHarness::apply(const Fail& fail) {
   RequestRecord& request = requests_[fail.request];
-  EXPECT_FALSE(request.is_over) << "second final answer";
+  EXPECT_FALSE(request.is_over) << "a second final answer";
   request.is_over = true;
   failed_.push_back(fail.request);
 }
--- a/tests/routing/router_harness.hpp
+++ b/tests/routing/router_harness.hpp
@@ -1,5 +1,5 @@
-// Drives one router by hand, in virtual time, and keeps what a dispatcher would know: attempts in flight,
-// prompt states held, final answers given.
+// Drives one router step by step in virtual time and keeps the state that a dispatcher would have: attempts
+// in flight, prompt states held and final answers given.
 #ifndef DISPATCHER_TESTS_ROUTING_ROUTER_HARNESS_HPP_
 #define DISPATCHER_TESTS_ROUTING_ROUTER_HARNESS_HPP_
 
@@ -17,43 +17,44 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-// Router 0 of 2 in zone "east". Classes: "safe" (idempotent), "unsafe" (non-idempotent), "keyed" (within its
-// zone), "keyed-all" (everywhere). Kinds: "r" (reader), "w" (writer), "m" (mixed).
+// Returns the settings of router 0 of 2 in zone "east". Classes: "safe" (idempotent), "unsafe"
+// (non-idempotent), "keyed" (deduplicated within a zone), "keyed-all" (deduplicated everywhere). Kinds of
+// endpoints: "r" (reader), "w" (writer), "m" (mixed).
 [[nodiscard]] Settings make_settings();
 
-// What differs from an endpoint that has long been ready.
+// The properties of an endpoint. The defaults are those of one that has long been ready.
 struct EndpointSpec {
   int cell = 0;
   std::string zone = "east";
   EndpointState state = EndpointState::kReady;
-  Time started{};  // zero: long ago
+  Time started{};  // zero if long ago
 };
 
 [[nodiscard]] EndpointInfo make_endpoint(const EndpointId& id, const std::string& kind,
                                          const EndpointSpec& spec = {});
-// Of the kinds of make_settings().
+// Return an endpoint of a kind of make_settings().
 [[nodiscard]] EndpointInfo reader(const EndpointId& id, const EndpointSpec& spec = {});
 [[nodiscard]] EndpointInfo writer(const EndpointId& id, const EndpointSpec& spec = {});
 [[nodiscard]] EndpointInfo mixed(const EndpointId& id, const EndpointSpec& spec = {});
 
-// Two readers and three writers, one of these in another zone; each cell has one of a role.
+// Returns two readers and three writers, one of the writers in another zone. No cell has two of one role.
 [[nodiscard]] std::vector<EndpointInfo> make_endpoints();
-// Writers "w1", "w2" and so on, then readers "r0", "r1" and so on, all in one cell.
+// Returns writers "w1", "w2" and so on, then readers "r0", "r1" and so on, all in one cell.
 [[nodiscard]] std::vector<EndpointInfo> writers_and_readers(int writer_count, int reader_count);
 
-// True if one of the actions logs a message that contains the text.
+// Returns whether one of the actions logs a message that contains the text.
 [[nodiscard]] bool has_log(const std::vector<Action>& actions, const std::string& text);
 
-// What differs from an ordinary request of the class "safe".
+// The properties of a request. The defaults are those of an ordinary one of the class "safe".
 struct RequestSpec {
   std::string request_class = "safe";
-  int session = 0;        // zero: none
-  int shared_prefix = 0;  // zero: none
+  int session = 0;        // zero if none
+  int shared_prefix = 0;  // zero if none
   int prompt_tokens = 1000;
   int prefix_tokens = 0;
 };
 
-// What an endpoint reports at the end of an attempt, beside its status.
+// What the end of an attempt reports besides its status.
 struct AttemptReport {
   AttemptEvidence evidence{};
   Duration elapsed = milliseconds(50);
@@ -61,41 +62,42 @@
   LoadReport load{};
 };
 
-// Single-threaded. Each event is passed on to the router at the harness's time, and each action is checked
-// against what is known: one attempt at a time, nothing after a final answer.
+// Passes each event to the router at the harness's time and checks each action against the state: a request
+// has one attempt at a time and one final answer, and no attempt after that. Single-threaded.
 class RouterHarness {
  public:
-  // What a dispatcher knows of one request.
+  // The state of one request in a dispatcher.
   struct RequestRecord {
-    EndpointId active_endpoint;  // where its attempt is in flight; empty: nowhere
+    EndpointId active_endpoint;  // of its attempt in flight; empty if there is none
     int attempt_count = 0;
-    bool is_over = false;             // it was answered, or its client left
+    bool is_over = false;             // it was answered, or its client disconnected
     bool holds_prompt_state = false;  // a reader keeps its prompt state
   };
 
   explicit RouterHarness(const Settings& settings = make_settings());
 
-  // Time goes on without a timer, or with those that are set, in steps of 20 ms.
+  // Advances the clock without expiring a timer.
   void skip(Duration time) { now_ += time; }
+  // Advances the clock in steps of 20 ms and expires the timer after each step if one is set.
   void advance(Duration time);
-  // Passes the timer's event if one is set.
+  // Passes TimerExpired if a timer is set, and returns the actions.
   std::vector<Action> expire_timer();
 
-  // Passes any event and carries out the actions, which are returned.
+  // Passes any event, carries out the actions and returns them.
   std::vector<Action> handle(const Event& event);
   void update_endpoints(std::vector<EndpointInfo> endpoints, ListKind kind = ListKind::kFull);
-  // An answer to a request of nobody's, which brings a load report.
+  // Passes a load report, carried by the answer to a request that this router has not submitted.
   void report_load(const EndpointId& endpoint, const LoadReport& load);
 
-  // A request whose client waits for six seconds.
+  // Returns a request whose client waits for six seconds.
   [[nodiscard]] Request make_request(const RequestId& id, const RequestSpec& spec = {}) const;
-  // Returns the endpoint that the request was sent to; empty: none.
+  // Returns the endpoint that the request was sent to; empty if it was not sent.
   EndpointId submit(const RequestId& id, const RequestSpec& spec = {});
   EndpointId submit(const Request& request);
   // Ends the request's attempt.
   std::vector<Action> complete(const RequestId& id, AttemptStatus status, const AttemptReport& report = {});
   void send_first_token(const RequestId& id, Duration elapsed = milliseconds(50));
-  // Takes a request through what is left of reading and writing to its end.
+  // Completes what is left of the request's read and write.
   void serve(const RequestId& id);
   void disconnect_client(const RequestId& id);
 
@@ -112,7 +114,7 @@
   [[nodiscard]] const std::vector<RequestId>& failed() const { return failed_; }
   [[nodiscard]] const std::vector<RequestId>& released() const { return released_; }
   [[nodiscard]] const std::vector<RequestId>& cancelled() const { return cancelled_; }
-  // The same, forgotten from then on.
+  // Return the same lists and clear them.
   std::vector<StartAttempt> take_started();
   std::vector<RequestId> take_cancelled();
 
@@ -138,7 +140,7 @@
   std::vector<RequestId> rejected_, failed_, released_, cancelled_;
 };
 
-// Serves 40 requests, so that the router knows the ordinary latencies.
+// Serves 40 requests, so that the router has measured the ordinary latencies.
 void warm_up(RouterHarness& harness);
 
 }  // namespace dispatcher::routing::testing
--- a/tests/routing/routing_digest_test.cpp
+++ b/tests/routing/routing_digest_test.cpp
@@ -1,6 +1,6 @@
-// Pins the routing module's behaviour: one hash over every action that it returns in many drawn settings and
-// scripts. A refactoring must leave the recorded value as it is. A change of decisions records the new value,
-// and says so.
+// Pins the behaviour of the routing module: compares one hash over every action that it returns, under many
+// drawn settings and scripts, with a recorded value. A refactoring must not change the recorded value. A
+// commit that changes decisions must record the new value and say so.
 #include <gtest/gtest.h>
 
 #include <array>
@@ -19,8 +19,8 @@
 namespace dispatcher::routing::testing {
 namespace {
 
-constexpr std::uint64_t kRecorded = 0xB98B36111573E258U;
-constexpr int kPlays = 2100;
+constexpr std::uint64_t kRecordedDigest = 0xB98B36111573E258U;
+constexpr int kSequences = 2100;
 
 void add(Digest& digest, const Action& action) {
   digest.add(action.index());
@@ -39,7 +39,7 @@
           digest.add(alternative.after, alternative.tag);
         } else if constexpr (std::is_same_v<Alternative, Subscribe> ||
                              std::is_same_v<Alternative, LogMessage>) {
-          // That there is one is all: the wording of a log line is no behaviour.
+          // Only the presence of the action counts: the wording of a log line is not behaviour.
         } else {
           static_assert(std::is_same_v<Alternative, Fail> || std::is_same_v<Alternative, MigrateStream> ||
                         std::is_same_v<Alternative, ReleaseReservation>);
@@ -68,7 +68,8 @@
   add(digest, router.learned_state());
 }
 
-// What came up in the sequences, so that a hash over little is not taken for one over much.
+// Counts the events, actions and settings that the sequences contain, to check that the hash covers enough of
+// them.
 struct Coverage {
   std::array<std::uint64_t, std::variant_size_v<Event>> events{};
   std::array<std::uint64_t, std::variant_size_v<Action>> actions{};
@@ -135,7 +136,7 @@
     for (const Action& action : actions) add(digest, action);
   });
   runner.start();
-  // Most sequences are short; in the long ones the tables fill.
+  // Most sequences are short; the long ones fill the router's tables.
   const int steps = number % 30 == 0 ? 500 : 20 + dice.below(80);
   for (int i = 0; i < steps; ++i) runner.run(draw_step(dice));
   add(digest, runner.router());
@@ -146,7 +147,7 @@
 TEST(RoutingDigest, EveryActionIsAsRecorded) {
   Digest digest;
   Coverage coverage;
-  for (int number = 0; number < kPlays; ++number) {
+  for (int number = 0; number < kSequences; ++number) {
     try {
       run_sequence(number, digest, coverage);
     } catch (const InvariantViolation& violation) {
@@ -154,7 +155,8 @@
     }
   }
   for (std::size_t i = 0; i < coverage.events.size(); ++i) EXPECT_GE(coverage.events[i], 100U) << i;
-  // The module makes no ReserveSlot as yet. Once it does, it is to be counted like the others.
+  // The routing module does not return ReserveSlot yet. Once it does, this test must count it like the
+  // others.
   const std::size_t reserve_slot = Action(ReserveSlot{}).index();
   for (std::size_t i = 0; i < coverage.actions.size(); ++i) {
     if (i == reserve_slot) continue;
@@ -167,7 +169,7 @@
   EXPECT_EQ(coverage.deduplication_scopes.size(), 3U);
   EXPECT_EQ(coverage.statuses.size(), 9U);
   EXPECT_EQ(coverage.list_kinds.size(), 4U);
-  EXPECT_EQ(digest.value(), kRecorded) << std::hex << "0x" << digest.value();
+  EXPECT_EQ(digest.value(), kRecordedDigest) << std::hex << "0x" << digest.value();
 }
 
 }  // namespace
--- a/tests/routing/script_runner.cpp
+++ b/tests/routing/script_runner.cpp
@@ -15,7 +15,7 @@
 
 using std::chrono::milliseconds;
 
-// The element that a drawn number stands for; the container has one at least.
+// Returns the element that a drawn number selects. The container must not be empty.
 template <class Container>
 const auto& element(const Container& container, int number) {
   const std::size_t index = static_cast<std::size_t>(number) % container.size();
@@ -43,7 +43,8 @@
   return element(kFailures, step.amount);
 }
 
-// A response that had begun and broke took the prompt state along; a state may be lost at its reader.
+// Draws whether the failure shows that the prompt state is gone: its reader has lost it (kStateNotFound), or
+// a response had begun before it broke, so that the state was fetched (kEndpointRunning).
 AttemptEvidence draw_evidence(const Step& step, AttemptStatus status) {
   if (step.amount % 3 != 0) return AttemptEvidence::kNone;
   if (status == AttemptStatus::kFull) return AttemptEvidence::kStateNotFound;
@@ -99,7 +100,7 @@
   require(submitted.has_final_answer || request.request_class != "unknown",
           "a request of an unknown class was not answered at once");
   const bool is_repeated = step.amount % 40 == 7;
-  if (is_repeated && !submitted.is_over()) dispatcher_.handle(request);  // a known id is ignored
+  if (is_repeated && !submitted.is_over()) dispatcher_.handle(request);  // an open request's id is ignored
 }
 
 Request ScriptRunner::draw_request(const Step& step, const RequestClass& request_class) {
@@ -116,8 +117,7 @@
       step.amount > 995 ? std::numeric_limits<int>::max() : step.amount * step.amount / 30;
   request.prefix_tokens = request.shared_prefix == 0 ? 0 : request.prompt_tokens / 2;
   request.max_tokens = 100;
-  // A client gives up after half of the deadline or more, and that is long after the objective for long
-  // prompts.
+  // A client waits for half of its class's deadline or more.
   const double share_of_deadline = 0.5 + 0.5 * (step.target % 10) / 9.0;
   const double class_deadline = static_cast<double>(request_class.deadline.count());
   request.client_deadline =
@@ -135,9 +135,9 @@
   if (!connected.empty()) dispatcher_.disconnect_client(element(connected, step.target));
 }
 
-// ---- replicas ----
+// ---- endpoints ----
 
-// What goes well: a read ends, a stream begins, a stream ends.
+// Advances an attempt without a fault: it is delivered, its read ends, its stream begins or its stream ends.
 void ScriptRunner::progress(const Step& step) {
   const auto choice = choose_attempt(step.target, Selection::kAnyActive);
   if (!choice) return;
@@ -155,7 +155,7 @@
   if (attempt.has_first_token) return complete(outcome_of(AttemptStatus::kServed, step));
   if (attempt.requires_prompt_state && !request.prompt_state_at)
     return complete(outcome_of(AttemptStatus::kFull, step, 0, AttemptEvidence::kStateNotFound));
-  // A response may be so short that its end is all that is seen of it.
+  // A response may be so short that it is complete before a first token is reported.
   if (request.is_over() || step.variant % 20 == 0) return complete(outcome_of(AttemptStatus::kServed, step));
   dispatcher_.send_first_token(choice->id(), choice->number);
 }
@@ -195,7 +195,7 @@
   }
 }
 
-// A full list without some of the endpoints.
+// Sends a full list that leaves out some of the endpoints.
 void ScriptRunner::send_shortened_list(const Step& step) {
   std::vector<EndpointInfo> endpoints;
   int number = 0;
@@ -207,7 +207,7 @@
   dispatcher_.send_endpoint_list(ListKind::kFull, std::move(endpoints));
 }
 
-// A name that no endpoint had before.
+// Returns a name that no endpoint has had before.
 EndpointId ScriptRunner::replacement_of(const EndpointId& endpoint) {
   std::ostringstream name;
   name << endpoint << "n" << replaced_endpoints_;
@@ -227,10 +227,10 @@
       endpoint.state = EndpointState::kRemoved;
       break;
     case 5:
-    case 6:  // a new process
+    case 6:  // its process is restarted
       endpoint.started = dispatcher_.state().now;
       break;
-    case 7:  // a new machine
+    case 7:  // a new machine is added
       endpoint.endpoint = replacement_of(endpoint.endpoint);
       endpoint.started = dispatcher_.state().now;
       break;
@@ -252,7 +252,7 @@
   dispatcher_.handle(PeerForwarded{choose_endpoint(step.target).info.endpoint});
 }
 
-// The result of a reservation that was perhaps never asked for.
+// Sends the result of a reservation, whether or not the router has requested one.
 void ScriptRunner::send_reservation_result(const Step& step) {
   const DispatcherState& state = dispatcher_.state();
   if (state.requests.empty()) return;
@@ -292,7 +292,7 @@
   dispatcher_.add_to_transcript("-- the end: no more requests --");
   if (ending == Ending::kDisconnect) disconnect_everything();
   for (int round = 0; has_open_request() || !dispatcher_.state().timers.empty(); ++round) {
-    require(round < kMaxRounds, "it does not come to an end");
+    require(round < kMaxRounds, "requests or timers are left after the last round");
     serve_streams();
     dispatcher_.advance(milliseconds(100));
   }
--- a/tests/routing/script_runner.hpp
+++ b/tests/routing/script_runner.hpp
@@ -1,5 +1,5 @@
-// Runs drawn scripts of events against a router: each step's numbers choose among what there is at that
-// moment.
+// Runs drawn scripts of events against a router. The numbers of each step select among the requests, attempts
+// and endpoints that exist at that moment.
 #ifndef DISPATCHER_TESTS_ROUTING_SCRIPT_RUNNER_HPP_
 #define DISPATCHER_TESTS_ROUTING_SCRIPT_RUNNER_HPP_
 
@@ -15,29 +15,29 @@
 
 namespace dispatcher::routing::testing {
 
-// One thing that happens. Where there is nothing to choose from, nothing happens.
+// One step of a script. It has no effect if there is nothing to select from.
 struct Step {
   int kind{}, target{}, variant{}, amount{};  // 0 to 999 each
 };
 
-// How all that is open comes to its end.
+// How the open requests and attempts end.
 enum class Ending {
-  kRunOut,      // attempts and deadlines run out by themselves
-  kDisconnect,  // clients leave and attempts break first, so that no deadline is waited for
+  kRunOut,      // attempts time out and deadlines pass by themselves
+  kDisconnect,  // clients disconnect and attempts break first, so that no deadline has to pass
 };
 
-// Owns the router and the dispatcher round it. Single-threaded, in virtual time.
+// Owns the router and the dispatcher around it. Single-threaded, in virtual time.
 class ScriptRunner {
  public:
-  // The first settings are those of the start; the others come as new settings, in turn.
+  // The router starts with the first settings; steps apply the others in turn.
   ScriptRunner(std::vector<Settings> settings, std::vector<EndpointInfo> endpoints, std::uint64_t seed)
       : dispatcher_(std::move(settings), seed), first_endpoints_(std::move(endpoints)) {}
 
   void set_observer(ModelDispatcher::Observer observer) { dispatcher_.set_observer(std::move(observer)); }
-  // All three throw InvariantViolation.
-  void start();  // with the first endpoint list
+  // start(), run() and finish() throw InvariantViolation if a rule is violated.
+  void start();  // sends the first endpoint list
   void run(const Step& step);
-  // Afterwards nothing is left and nothing more happens.
+  // Ends everything that is open and checks that afterwards no request, prompt state or timer is left.
   void finish(Ending ending = Ending::kRunOut);
 
   [[nodiscard]] const std::vector<std::string>& transcript() const { return dispatcher_.transcript(); }
--- a/tests/routing/slow_start_test.cpp
+++ b/tests/routing/slow_start_test.cpp
@@ -1,4 +1,4 @@
-// Slow start: how much a started endpoint gets, of one router and of many.
+// Slow start: how many requests an endpoint that has just started gets from one router and from many.
 #include <algorithm>
 #include <map>
 #include <memory>
@@ -10,7 +10,7 @@
 namespace dispatcher::routing::testing {
 namespace {
 
-// Many routers, each of which sees its own requests alone.
+// Many routers, each of which sees only its own requests.
 class Fleet {
  public:
   Fleet(int router_count, const std::vector<EndpointInfo>& endpoints) {
@@ -25,7 +25,8 @@
   void update_endpoints(const std::vector<EndpointInfo>& endpoints, ListKind kind) {
     for (const auto& router : routers_) router->update_endpoints(endpoints, kind);
   }
-  // Each router serves one request, and then so much time goes on. Returns where the requests went first.
+  // Each router serves one request and then advances its clock by `interval`. Returns the endpoints that the
+  // requests were first sent to.
   std::vector<EndpointId> serve_one_each(Duration interval) {
     std::vector<EndpointId> endpoints;
     for (const auto& router : routers_) {
@@ -37,7 +38,7 @@
     }
     return endpoints;
   }
-  // Attempts by endpoint, since the last call.
+  // Returns the number of attempts since the last call, by endpoint.
   std::map<EndpointId, int> take_attempt_counts() {
     std::map<EndpointId, int> counts;
     for (const auto& router : routers_) {
@@ -70,11 +71,12 @@
     harness.serve(id);
     harness.advance(milliseconds(100));
   }
-  EXPECT_LE(to_restarted, 15);  // below 0.9 of the warm peer's own share in one window
+  EXPECT_LE(to_restarted, 15);  // less than 0.9 of the warm peer's own share in one window
   EXPECT_EQ(submitted, 30);
 }
 
-// 150 routers at about one request a second over 10 readers: alone, each might send "just one" in a window.
+// 150 routers send about one request per second each to 10 readers. If each limited only itself, each might
+// send "just one" request per window to the starting reader.
 TEST(SlowStart, ManyRoutersTogetherStayWithinTheBudget) {
   constexpr int kRouters = 150;
   Fleet fleet(kRouters, writers_and_readers(1, 10));
@@ -87,7 +89,7 @@
   EXPECT_LT(static_cast<double>(sent), 3 * 0.3 * warm_share) << "overload multiple x initial share";
 }
 
-// Eight readers and eight writers in two cells.
+// Returns eight readers and eight writers in two cells.
 std::vector<EndpointInfo> sixteen_endpoints() {
   std::vector<EndpointInfo> endpoints;
   for (int i = 0; i < 16; ++i) {
@@ -97,9 +99,9 @@
   return endpoints;
 }
 
-// At one request in two seconds a router's own budget at a starting endpoint is a fraction of a request: 100
-// of them must neither starve the endpoint nor overload it. Reads and writes, in two cells, half of each
-// starting.
+// At one request per two seconds, a router's own budget for a starting endpoint is a fraction of a request:
+// 100 routers together must neither starve the endpoint nor overload it. Covers readers and writers in two
+// cells, half of each starting.
 TEST(SlowStart, ManyRoutersWithFewRequestsGiveStartingEndpointsAFairShare) {
   constexpr int kRouters = 100;
   const std::vector<EndpointInfo> endpoints = sixteen_endpoints();
@@ -115,7 +117,7 @@
   fleet.take_attempt_counts();
   for (int i = 0; i < 5; ++i) fleet.serve_one_each(seconds(2));
   std::map<EndpointId, int> sent = fleet.take_attempt_counts();
-  const double mean = 5.0 * kRouters / 8;  // of a role, starting and warm
+  const double mean = 5.0 * kRouters / 8;  // attempts per endpoint of a role, starting or warm
   for (const EndpointInfo& starting : restarted) {
     EXPECT_GT(sent[starting.endpoint], mean / 4) << starting.endpoint;
     EXPECT_LT(sent[starting.endpoint], mean * 1.25) << starting.endpoint;
--- a/tests/routing/transcript.hpp
+++ b/tests/routing/transcript.hpp
@@ -1,4 +1,4 @@
-// Events and actions as text, for the transcript that a broken invariant is reported with.
+// Formats events and actions as text, for the transcript that is reported with a violated invariant.
 #ifndef DISPATCHER_TESTS_ROUTING_TRANSCRIPT_HPP_
 #define DISPATCHER_TESTS_ROUTING_TRANSCRIPT_HPP_
 
@@ -8,7 +8,7 @@
 
 namespace dispatcher::routing::testing {
 
-// Milliseconds with their unit, to the microsecond.
+// Formats the time in milliseconds with the unit, to the microsecond.
 [[nodiscard]] std::string format_time(Duration time);
 
 [[nodiscard]] std::string describe(const Event& event);
--- a/tests/routing/writer_selection_test.cpp
+++ b/tests/routing/writer_selection_test.cpp
@@ -1,4 +1,5 @@
-// Selection of the writer that fetches a prompt state: the reader's cell first, others as far as needed.
+// Selection of the writer that fetches a prompt state: one in the reader's cell is preferred, and other cells
+// are used as far as needed.
 #include <map>
 #include <string>
 #include <vector>
@@ -25,7 +26,7 @@
   }
 }
 
-TEST(WriterSelection, LeavesTheCellWhenItsBestWriterIsWellAboveTheMean) {
+TEST(WriterSelection, LeavesTheCellWhenItsBestWritersLoadIsWellAboveTheMean) {
   RouterHarness harness;
   harness.update_endpoints(one_reader_and_a_writer_in_each_of_three_cells());
   std::map<EndpointId, int> used;
@@ -40,9 +41,9 @@
   EXPECT_GT(used["w1"], used["w2"]);
 }
 
-// One cell has three of four readers and one of four writers: about a third of its prompt states may stay.
-// Each router sends one request and so counts no streams at all.
-TEST(WriterSelection, ManyRoutersLeaveACellOnlyAsMuchAsItsWritersLackCapacity) {
+// One cell has three of four readers and one of four writers, so that about a third of its prompt states may
+// stay there. Each router sends one request and so has no streams to count.
+TEST(WriterSelection, ManyRoutersLeaveACellOnlyAsFarAsItsWritersLackCapacity) {
   constexpr int kRouters = 400;
   const std::vector<EndpointInfo> endpoints = {reader("r1", {.cell = 1}), reader("r2", {.cell = 1}),
                                                reader("r3", {.cell = 1}), reader("r4", {.cell = 2}),
@@ -59,7 +60,7 @@
     harness.complete("q", AttemptStatus::kRead);
     const bool is_written_in_cell = harness.active_endpoint("q") == "w1";
     if (reader == "r4") {
-      EXPECT_FALSE(is_written_in_cell) << "its own cell has capacity";
+      EXPECT_FALSE(is_written_in_cell) << "the writers of its own cell have capacity";
       continue;
     }
     ++read_in_cell;
