--- a/tests/confine/confine_test.cpp
+++ b/tests/confine/confine_test.cpp
@@ -27,8 +27,8 @@
   [[nodiscard]] std::filesystem::path report_path() const { return folder() / "report"; }
 };
 
-std::string configuration(int port, int discovery_port, const FakeReplica& reader,
-                          const FakeReplica& writer) {
+std::string configuration(int port, int discovery_port, const FakeEndpoint& reader,
+                          const FakeEndpoint& writer) {
   return DaemonConfigText{port,
                           discovery_port,
                           {{"r1", "reader", reader.server.local()}, {"w1", "writer", writer.server.local()}}}
@@ -38,14 +38,14 @@
 // The writers never answer it.
 constexpr const char* kHeldRequest = "c0ffee99";
 
-void hold_or_write(FakeReplica& replica, SlotId client, const ReceivedRequest& request) {
+void hold_or_write(FakeEndpoint& replica, SlotId client, const ReceivedRequest& request) {
   if (request.id != kHeldRequest) healthy_writer(replica, client, request);
 }
 
 struct Site {
   TestEventLoop work;
-  FakeReplica reader{work, healthy_reader};
-  FakeReplica writer{work, hold_or_write};
+  FakeEndpoint reader{work, healthy_reader};
+  FakeEndpoint writer{work, hold_or_write};
   int port = free_port();
   std::unique_ptr<FakeClient> client() {
     const auto loopback_address = boost::asio::ip::address_v4::loopback();
--- a/tests/daemon/daemon_test.cpp
+++ b/tests/daemon/daemon_test.cpp
@@ -23,20 +23,21 @@
 
 TEST_CASE("a watch applies events as they arrive, and reconnects from the last version", "[discovery]") {
   TestEventLoop work;
-  FakeReplica agent(work, [](FakeReplica& replica, SlotId client, const FakeReplica::ReceivedRequest& seen) {
-    // An unreadable event may have been any change, so the complete list is requested again.
-    if (seen.target == "/v1/servers")
-      return replica.respond(client, 200, list(43, ListKind::kFull, entry("a", "draining")));
-    replica.server.begin_stream(client);
-    if (replica.received.size() == 1) {
-      const std::string event = list(41, ListKind::kFull, entry("a", "up"));
-      replica.server.write_events(client, "\n" + event.substr(0, 20));  // cut anywhere
-      replica.server.write_events(
-          client, event.substr(20) + "not JSON\n" + list(42, ListKind::kDelta, entry("a", "removed")));
-    } else {
-      replica.server.write_events(client, list(44, ListKind::kDelta, entry("a", "removed")));
-    }
-  });
+  FakeEndpoint agent(
+      work, [](FakeEndpoint& replica, SlotId client, const FakeEndpoint::ReceivedRequest& seen) {
+        // An unreadable event may have been any change, so the complete list is requested again.
+        if (seen.target == "/v1/servers")
+          return replica.respond(client, 200, list(43, ListKind::kFull, entry("a", "draining")));
+        replica.server.begin_stream(client);
+        if (replica.received.size() == 1) {
+          const std::string event = list(41, ListKind::kFull, entry("a", "up"));
+          replica.server.write_events(client, "\n" + event.substr(0, 20));  // cut anywhere
+          replica.server.write_events(
+              client, event.substr(20) + "not JSON\n" + list(42, ListKind::kDelta, entry("a", "removed")));
+        } else {
+          replica.server.write_events(client, list(44, ListKind::kDelta, entry("a", "removed")));
+        }
+      });
   std::vector<std::string> logs;
   std::vector<service_discovery::EndpointSnapshot> snapshots;
   service_discovery::EndpointWatcher watch(
@@ -64,16 +65,17 @@
 
 TEST_CASE("a watch with a new address takes its complete list, then follows it", "[discovery]") {
   TestEventLoop work;
-  FakeReplica old(work, [](FakeReplica& replica, SlotId client, const FakeReplica::ReceivedRequest&) {
+  FakeEndpoint old(work, [](FakeEndpoint& replica, SlotId client, const FakeEndpoint::ReceivedRequest&) {
     replica.server.begin_stream(client);
     replica.server.write_events(client, list(41, ListKind::kFull, entry("a", "up")));
   });
-  FakeReplica agent(work, [](FakeReplica& replica, SlotId client, const FakeReplica::ReceivedRequest& seen) {
-    if (seen.target == "/v1/servers")
-      return replica.respond(client, 200, list(7, ListKind::kFull, entry("b", "up")));
-    replica.server.begin_stream(client);
-    replica.server.write_events(client, list(8, ListKind::kDelta, entry("b", "draining")));
-  });
+  FakeEndpoint agent(work,
+                     [](FakeEndpoint& replica, SlotId client, const FakeEndpoint::ReceivedRequest& seen) {
+                       if (seen.target == "/v1/servers")
+                         return replica.respond(client, 200, list(7, ListKind::kFull, entry("b", "up")));
+                       replica.server.begin_stream(client);
+                       replica.server.write_events(client, list(8, ListKind::kDelta, entry("b", "draining")));
+                     });
   std::vector<service_discovery::EndpointSnapshot> snapshots;
   service_discovery::EndpointWatcher watch(
       work.io, old.server.local(), work.timers, work.clock(), [](std::string_view) {},
--- a/tests/daemon/drain_test.cpp
+++ b/tests/daemon/drain_test.cpp
@@ -10,14 +10,14 @@
 
 // A dispatcher that runs.
 struct DrainFixture : ProcessFixture {
-  DrainFixture(FakeReplica::Behavior reads, FakeReplica::Behavior writes)
+  DrainFixture(FakeEndpoint::Behavior reads, FakeEndpoint::Behavior writes)
       : ProcessFixture(std::move(reads), std::move(writes)) {
     start();
   }
 };
 
 TEST_CASE("a draining dispatcher finishes a request in each of its phases", "[drain]") {
-  DrainFixture fixture(silent_replica, silent_replica);
+  DrainFixture fixture(silent_endpoint, silent_endpoint);
   auto client = fixture.client();
   client->post(platform_headers("a1", "command"), "{}");
   REQUIRE(fixture.until([&] { return fixture.reader.pending_clients.size() == 1; }));
@@ -54,9 +54,9 @@
 }
 
 TEST_CASE("a draining dispatcher rejects a request that no replica takes before it ends", "[drain]") {
-  DrainFixture fixture([](FakeReplica& replica, SlotId client,
-                          const FakeReplica::ReceivedRequest&) { replica.reject_unprocessed(client, 503); },
-                       silent_replica);
+  DrainFixture fixture([](FakeEndpoint& replica, SlotId client,
+                          const FakeEndpoint::ReceivedRequest&) { replica.reject_unprocessed(client, 503); },
+                       silent_endpoint);
   auto client = fixture.client();
   client->post(platform_headers("a1", "ask", 1000), "{}");
   REQUIRE(fixture.until([&] { return fixture.reader.count("POST", "a1") > 0; }));
@@ -100,7 +100,7 @@
 // A request whose client has disconnected leaves nothing to do but the release of what a reader reserved for
 // it.
 TEST_CASE("a draining dispatcher ends only once the reservations of its requests are released", "[drain]") {
-  DrainFixture fixture(healthy_reader, silent_replica);
+  DrainFixture fixture(healthy_reader, silent_endpoint);
   auto client = fixture.client();
   client->post(platform_headers("a1", "command"), "{}");
   REQUIRE(fixture.until([&] { return fixture.writer.pending_clients.size() == 1; }));
@@ -112,7 +112,8 @@
 
 // Replicas and discovery are silent from some moment on, and what is written to them arrives after the end.
 struct PartitionFixture : ProcessFixture {
-  PartitionFixture() : ProcessFixture(healthy_reader, silent_replica), other_writer(network, silent_replica) {
+  PartitionFixture()
+      : ProcessFixture(healthy_reader, silent_endpoint), other_writer(network, silent_endpoint) {
     add("w2", other_writer);
     start();
   }
@@ -126,7 +127,7 @@
   }
   // Ends the connection on which a writer got the request.
   void break_connection(const std::string& id) {
-    for (FakeReplica* replica : {&writer, &other_writer}) {
+    for (FakeEndpoint* replica : {&writer, &other_writer}) {
       for (std::size_t i = 0; i < replica->pending_clients.size(); ++i)
         if (replica->received[i].id == id) replica->server.abort(replica->pending_clients[i]);
     }
@@ -135,7 +136,7 @@
     return std::ranges::all_of(requests, [](const auto& request) { return request->is_finished(); });
   }
   static constexpr int kTimeLeftMs = 4000;
-  FakeReplica other_writer;
+  FakeEndpoint other_writer;
   std::vector<std::unique_ptr<FakeClient>> requests;
 };
 
--- a/tests/daemon/large_list_test.cpp
+++ b/tests/daemon/large_list_test.cpp
@@ -40,8 +40,8 @@
 };
 
 // A list of `count` readers and writers at two addresses, whose names have the same length.
-std::string large_list(int version, ListKind kind, int count, const FakeReplica& reader,
-                       const FakeReplica& writer, const std::string& health = "up",
+std::string large_list(int version, ListKind kind, int count, const FakeEndpoint& reader,
+                       const FakeEndpoint& writer, const std::string& health = "up",
                        const std::string& generation = "") {
   nlohmann::json hosts = nlohmann::json::array();
   for (int i = 0; i < count; ++i) {
@@ -60,8 +60,8 @@
     "a dispatcher serves from what it knows while a list of 3,200 replicas arrives, then from that list",
     "[daemon][large]") {
   LargeListFixture fixture;
-  FakeReplica new_reader(fixture.network, healthy_reader);
-  FakeReplica new_writer(fixture.network, healthy_writer);
+  FakeEndpoint new_reader(fixture.network, healthy_reader);
+  FakeEndpoint new_writer(fixture.network, healthy_writer);
   const std::string list = large_list(1, ListKind::kFull, kLargestFleet, new_reader, new_writer);
   fixture.serve("before");
   fixture.send(list.substr(0, list.size() / 2));
--- a/tests/daemon/settings_test.cpp
+++ b/tests/daemon/settings_test.cpp
@@ -83,7 +83,7 @@
 // Readers work, and each writer answers with an error.
 TEST_CASE("an open request keeps the settings under which it arrived, and the next one gets the new ones",
           "[settings]") {
-  Fixture fixture(healthy_reader, [](FakeReplica&, SlotId, const FakeReplica::ReceivedRequest&) {});
+  Fixture fixture(healthy_reader, [](FakeEndpoint&, SlotId, const FakeEndpoint::ReceivedRequest&) {});
   const auto before = fixture.platform_client();
   const auto after = fixture.platform_client();
   const auto old = fixture.platform_client();
@@ -110,7 +110,7 @@
 
 TEST_CASE("a request admitted with four attempts has four, also after the limit became two", "[settings]") {
   const bool is_changed_before = GENERATE(false, true);
-  Fixture fixture([](FakeReplica&, SlotId, const FakeReplica::ReceivedRequest&) {}, healthy_writer);
+  Fixture fixture([](FakeEndpoint&, SlotId, const FakeEndpoint::ReceivedRequest&) {}, healthy_writer);
   const auto client = fixture.platform_client();
   if (is_changed_before) {
     fixture.engine.apply_settings(changed_settings());
--- a/tests/degradation/degradation_fleet_test.cpp
+++ b/tests/degradation/degradation_fleet_test.cpp
@@ -115,7 +115,7 @@
   for (const bool through_chat : {true, false}) {
     Fixture fixture(
         healthy_reader,
-        [](FakeReplica& replica, SlotId client, const FakeReplica::ReceivedRequest&) {
+        [](FakeEndpoint& replica, SlotId client, const FakeEndpoint::ReceivedRequest&) {
           replica.stream_words(client, {"a"}, StreamEnd::kOpen);
         },
         kChatConfig);
--- a/tests/engine/engine_digest_fixture.cpp
+++ b/tests/engine/engine_digest_fixture.cpp
@@ -21,9 +21,9 @@
 using routing::testing::Dice;
 using routing::testing::Digest;
 
-routing::testing::Site draw_site(Dice& dice) {
-  routing::testing::Genes genes;
-  for (std::size_t i = 0; i < routing::testing::kGenes; ++i) genes.values.push_back(dice.below(1000));
+routing::testing::Deployment draw_site(Dice& dice) {
+  routing::testing::DrawnNumbers genes;
+  for (std::size_t i = 0; i < routing::testing::kDrawnNumbers; ++i) genes.values.push_back(dice.below(1000));
   return routing::testing::draw(genes);
 }
 
@@ -36,7 +36,7 @@
 
 EngineScript::EngineScript(std::uint64_t seed, Digest& digest, Counts& counts)
     : digest_(digest), counts_(counts), dice_(seed) {
-  routing::testing::Site site = draw_site(dice_);
+  routing::testing::Deployment site = draw_site(dice_);
   for (routing::Settings& settings : site.settings)
     settings_.push_back(std::make_shared<const routing::Settings>(std::move(settings)));
   for (int number = 0; number < 2; ++number) {
--- a/tests/fault_injection/reservation_faults_test.cpp
+++ b/tests/fault_injection/reservation_faults_test.cpp
@@ -46,10 +46,10 @@
 class FaultSite {
  public:
   explicit FaultSite(Cancellation cancellation = Cancellation::kAllowed) {
-    const auto read = [this](FakeReplica& replica, SlotId client, const ReceivedRequest& request) {
+    const auto read = [this](FakeEndpoint& replica, SlotId client, const ReceivedRequest& request) {
       on_read_request(replica, client, request);
     };
-    const auto write = [this](FakeReplica& replica, SlotId client, const ReceivedRequest& request) {
+    const auto write = [this](FakeEndpoint& replica, SlotId client, const ReceivedRequest& request) {
       on_write_request(replica, client, request);
     };
     add_replica("r1", "reader", read);
@@ -58,7 +58,7 @@
     add_replica("w2", "writer", write);
     DaemonConfigText config{free_port(), 1, {}, cancellation};
     for (const Replica& replica : replicas_)
-      config.replicas.push_back({replica.name, replica.kind, replica.proxy->address()});
+      config.endpoints.push_back({replica.name, replica.kind, replica.proxy->address()});
     port_ = config.port;
     daemon.write_config(config.text());
     daemon.add_environment("BITTERNFERRY_LOG_REQUESTS=1");
@@ -120,7 +120,7 @@
   // Whether a request is held back by a link to a replica of this kind.
   [[nodiscard]] bool is_undelivered(const std::string& kind) const {
     return std::any_of(replicas_.begin(), replicas_.end(), [&](const Replica& replica) {
-      return replica.kind == kind && replica.proxy->is_holding_back(FaultProxy::Direction::kToReplica);
+      return replica.kind == kind && replica.proxy->is_holding_back(FaultProxy::Direction::kToEndpoint);
     });
   }
 
@@ -136,23 +136,23 @@
   struct Replica {
     std::string name;
     std::string kind;
-    std::unique_ptr<FakeReplica> server;
+    std::unique_ptr<FakeEndpoint> server;
     std::unique_ptr<FaultProxy> proxy;
   };
 
-  void add_replica(const std::string& name, const std::string& kind, const FakeReplica::Behavior& behavior) {
-    auto server = std::make_unique<FakeReplica>(loop, behavior);
+  void add_replica(const std::string& name, const std::string& kind, const FakeEndpoint::Behavior& behavior) {
+    auto server = std::make_unique<FakeEndpoint>(loop, behavior);
     server->release_handler = [this](const std::string& id) { ledger.on_release(id); };
     auto proxy = std::make_unique<FaultProxy>(loop, server->server.local());
     replicas_.push_back({name, kind, std::move(server), std::move(proxy)});
   }
-  void on_read_request(FakeReplica& replica, SlotId client, const ReceivedRequest& request) {
+  void on_read_request(FakeEndpoint& replica, SlotId client, const ReceivedRequest& request) {
     if (slow_reads.contains(request.id)) return;
     ledger.on_read(request.id);
     if (broken_reads.erase(request.id) > 0) return replica.server.abort(client);
     replica.respond(client, 202, R"({"cached_tokens":0})");
   }
-  void on_write_request(FakeReplica& replica, SlotId client, const ReceivedRequest& request) {
+  void on_write_request(FakeEndpoint& replica, SlotId client, const ReceivedRequest& request) {
     if (!ledger.fetch(request.id)) return replica.reject_unprocessed(client, 410);
     replica.stream_words(client, {"yes"});
   }
@@ -218,12 +218,12 @@
   FaultSite site;
   site.open_connections();
   site.broken_reads.insert("dddd01");
-  for (FaultProxy* link : site.links("reader")) link->silence(FaultProxy::Direction::kToReplica);
+  for (FaultProxy* link : site.links("reader")) link->silence(FaultProxy::Direction::kToEndpoint);
   const auto client = site.post("dddd01", "command");
   REQUIRE(site.until([&] { return site.is_undelivered("reader"); }));
   // One link delivers the read, which leaves a state and breaks; the next attempt's link stays silent.
   const std::vector<FaultProxy*> links = site.links("reader");
-  const bool is_at_first = links[0]->is_holding_back(FaultProxy::Direction::kToReplica);
+  const bool is_at_first = links[0]->is_holding_back(FaultProxy::Direction::kToEndpoint);
   links[is_at_first ? 0 : 1]->restore();
   REQUIRE(site.until([&] { return site.ledger.is_held("dddd01"); }));
   REQUIRE(site.until([&] { return !site.ledger.is_held("dddd01") || client->is_finished(); }));
--- a/tests/hot_restart/hot_restart_stream_test.cpp
+++ b/tests/hot_restart/hot_restart_stream_test.cpp
@@ -9,7 +9,7 @@
 
 TEST_CASE("a stream that began before the drain is its connection's last response", "[upgrade][platform]") {
   Fixture fixture(healthy_reader,
-                  [](FakeReplica& replica, SlotId client, const FakeReplica::ReceivedRequest&) {
+                  [](FakeEndpoint& replica, SlotId client, const FakeEndpoint::ReceivedRequest&) {
                     replica.stream_words(client, {"half"}, StreamEnd::kOpen);
                   });
   auto client = fixture.post("a1", "ask");
@@ -66,7 +66,7 @@
 }
 
 // The behavior of a writer whose stream stays open after its first event.
-void begin_stream(FakeReplica& replica, SlotId client, const ReceivedRequest&) {
+void begin_stream(FakeEndpoint& replica, SlotId client, const ReceivedRequest&) {
   replica.stream_words(client, {"one"}, StreamEnd::kOpen);
 }
 
--- a/tests/http/frontends_test.cpp
+++ b/tests/http/frontends_test.cpp
@@ -42,11 +42,11 @@
 Replay replay(Api api, unsigned seed) {
   Replay result;
   // What happens to a request is written in its text, so that it is the same through either frontend.
-  const auto reader = [](FakeReplica& replica, SlotId client, const ReceivedRequest& request) {
+  const auto reader = [](FakeEndpoint& replica, SlotId client, const ReceivedRequest& request) {
     if (request.body.find("read-full") != std::string::npos) return replica.reject_unprocessed(client, 503);
     healthy_reader(replica, client, request);
   };
-  const auto writer = [&result](FakeReplica& replica, SlotId client, const ReceivedRequest& request) {
+  const auto writer = [&result](FakeEndpoint& replica, SlotId client, const ReceivedRequest& request) {
     const auto at = request.body.find("job-");
     const std::string job = request.body.substr(at, request.body.find('"', at) - at);
     const int before = result.effects[job]++;
--- a/tests/http/http_server_test.cpp
+++ b/tests/http/http_server_test.cpp
@@ -9,7 +9,7 @@
 namespace dispatcher::testing {
 namespace {
 
-void answer_ok(FakeReplica& replica, SlotId client, const ReceivedRequest&) {
+void answer_ok(FakeEndpoint& replica, SlotId client, const ReceivedRequest&) {
   replica.respond(client, 200, "ok");
 }
 
@@ -17,7 +17,7 @@
   TestEventLoop loop;
   http::ServerOptions options;
   options.max_clients = 4;
-  FakeReplica replica(loop, answer_ok, options);
+  FakeEndpoint replica(loop, answer_ok, options);
   const std::string start = GENERATE("", "GET / HT");
   std::vector<std::string> closed;
   replica.server.set_connection_log([&](std::string_view line) { closed.emplace_back(line); });
@@ -50,7 +50,7 @@
   TestEventLoop loop;
   http::ServerOptions options;
   options.max_body_bytes = 1000;
-  FakeReplica replica(loop, answer_ok, options);
+  FakeEndpoint replica(loop, answer_ok, options);
   FakeClient first(loop, replica.server.local()), second(loop, replica.server.local());
   first.send("POST / HTTP/1.1\r\nContent-Length: 900\r\n\r\n" + std::string(800, 'x'));
   loop.settle();
--- a/tests/openai_api/openai_api_test.cpp
+++ b/tests/openai_api/openai_api_test.cpp
@@ -143,7 +143,7 @@
   const ResponseMode mode = GENERATE(ResponseMode::kStream, ResponseMode::kCompletion);
   Fixture fixture(
       healthy_reader,
-      [](FakeReplica& replica, SlotId client, const ReceivedRequest&) {
+      [](FakeEndpoint& replica, SlotId client, const ReceivedRequest&) {
         replica.stream_words(client, {"valve"}, StreamEnd::kOpen);
         replica.server.write_events(client, "data: {\"choices\":[{\"ind");  // cut mid-event
         replica.server.abort(client);
@@ -169,7 +169,7 @@
 TEST_CASE("a stream without its end marker is not answered as a complete completion", "[chat]") {
   Fixture fixture(
       healthy_reader,
-      [](FakeReplica& replica, SlotId client, const ReceivedRequest&) {
+      [](FakeEndpoint& replica, SlotId client, const ReceivedRequest&) {
         replica.stream_words(client, {"half"}, StreamEnd::kOpen);
         replica.server.end_response(client);  // the last chunk, but no [DONE]
       },
@@ -182,7 +182,7 @@
 TEST_CASE("an endless response is aborted at a maximum length", "[chat]") {
   Fixture fixture(
       healthy_reader,
-      [](FakeReplica& replica, SlotId client, const ReceivedRequest&) {
+      [](FakeEndpoint& replica, SlotId client, const ReceivedRequest&) {
         replica.stream_words(client, {std::string(250'000, 'x')}, StreamEnd::kOpen);
       },
       kChatConfig);
@@ -192,7 +192,7 @@
   for (int i = 0; i < 40 && !client->is_finished(); ++i) {
     fixture.settle();
     for (const std::size_t index : {0U, 1U}) {
-      FakeReplica& writer = fixture.writer(index);
+      FakeEndpoint& writer = fixture.writer(index);
       for (const SlotId pending : writer.pending_clients) writer.server.write_events(pending, event);
     }
   }
@@ -204,8 +204,8 @@
 
 enum class ReplicaFailure { kReset, kError, kAtCapacity, kStateLost, kSilence };
 
-FakeReplica::Behavior failing_by(ReplicaFailure failure) {
-  return [failure](FakeReplica& replica, SlotId client, const ReceivedRequest&) {
+FakeEndpoint::Behavior failing_by(ReplicaFailure failure) {
+  return [failure](FakeEndpoint& replica, SlotId client, const ReceivedRequest&) {
     switch (failure) {
       case ReplicaFailure::kReset:
         return replica.server.abort(client);
@@ -227,8 +227,8 @@
                           ReplicaFailure::kStateLost, ReplicaFailure::kSilence));
   const Role failing_role = GENERATE(Role::kReader, Role::kWriter);
   const bool readers_fail = failing_role == Role::kReader;
-  Fixture fixture(readers_fail ? failing_replica : FakeReplica::Behavior(healthy_reader),
-                  readers_fail ? FakeReplica::Behavior(healthy_writer) : failing_replica, kChatConfig);
+  Fixture fixture(readers_fail ? failing_replica : FakeEndpoint::Behavior(healthy_reader),
+                  readers_fail ? FakeEndpoint::Behavior(healthy_writer) : failing_replica, kChatConfig);
   auto client = post_chat(fixture, chat_body("ask", ResponseMode::kStream));
   fixture.until([&] { return fixture.request_count("POST", Role::kReader) > 0; });
   for (int i = 0; i < 130 && !client->is_finished(); ++i) fixture.advance(milliseconds(50));
@@ -245,7 +245,7 @@
   int calls = 0;
   Fixture fixture(
       healthy_reader,
-      [&calls](FakeReplica& replica, SlotId client, const ReceivedRequest& request) {
+      [&calls](FakeEndpoint& replica, SlotId client, const ReceivedRequest& request) {
         if (++calls == 1) return replica.server.abort(client);  // after the request has arrived
         healthy_writer(replica, client, request);
       },
@@ -259,13 +259,13 @@
 TEST_CASE("a disconnect before the first token cancels the attempt and releases the reservation", "[chat]") {
   const Role role_at_work = GENERATE(Role::kReader, Role::kWriter);
   const bool while_reading = role_at_work == Role::kReader;
-  Fixture fixture(while_reading ? silent_replica : healthy_reader, silent_replica, kChatConfig);
+  Fixture fixture(while_reading ? silent_endpoint : healthy_reader, silent_endpoint, kChatConfig);
   auto client = post_chat(fixture, chat_body("command", ResponseMode::kStream));
   REQUIRE(fixture.until([&] { return fixture.request_count("POST", role_at_work) == 1; }));
   client->close();
   const auto stopped = [&] {
     std::size_t disconnected = 0;
-    for (const auto& replica : fixture.replicas) disconnected += replica->disconnected_clients.size();
+    for (const auto& replica : fixture.fake_endpoints) disconnected += replica->disconnected_clients.size();
     return disconnected == 1;
   };
   CHECK(fixture.until(stopped));
@@ -279,7 +279,7 @@
 }
 
 TEST_CASE("a silent replica costs the client no more than its deadline", "[chat]") {
-  Fixture fixture(healthy_reader, silent_replica, kChatConfig);
+  Fixture fixture(healthy_reader, silent_endpoint, kChatConfig);
   auto client = post_chat(fixture, chat_body("command", ResponseMode::kCompletion));
   REQUIRE(fixture.until([&] { return fixture.request_count("POST", Role::kWriter) == 1; }));
   fixture.advance(milliseconds(3100));
@@ -292,7 +292,7 @@
 TEST_CASE("requests above max_open are rejected with Retry-After", "[chat]") {
   Json config = Json::parse(kChatConfig);
   config["max_open"] = 1;
-  Fixture fixture(silent_replica, silent_replica, config.dump());
+  Fixture fixture(silent_endpoint, silent_endpoint, config.dump());
   const auto first = post_chat(fixture, chat_body("ask", ResponseMode::kStream));
   REQUIRE(fixture.until([&] { return fixture.request_count("POST", Role::kReader) == 1; }));
   const auto second = answered_client(fixture, chat_body("ask", ResponseMode::kStream));
--- a/tests/platform_api/platform_api_test.cpp
+++ b/tests/platform_api/platform_api_test.cpp
@@ -11,7 +11,7 @@
 
 TEST_CASE("a stream is forwarded unchanged and its connection is kept alive", "[platform]") {
   const std::string events = "data: {\"odd\":  1}\r\n\r\n: note\n\nevent: x\ndata: y\n\ndata: [DONE]\n\n";
-  Fixture fixture(healthy_reader, [&](FakeReplica& replica, SlotId client, const ReceivedRequest&) {
+  Fixture fixture(healthy_reader, [&](FakeEndpoint& replica, SlotId client, const ReceivedRequest&) {
     replica.server.begin_stream(client);
     for (const char byte : events) replica.server.write_events(client, std::string(1, byte));
     replica.server.end_response(client);
@@ -86,7 +86,7 @@
           "[platform]") {
   constexpr int kCommands = 20;
   const bool is_drained = GENERATE(false, true);
-  Fixture fixture(healthy_reader, [](FakeReplica& replica, SlotId client, const ReceivedRequest& request) {
+  Fixture fixture(healthy_reader, [](FakeEndpoint& replica, SlotId client, const ReceivedRequest& request) {
     replica.stream_words(client, {request.id}, StreamEnd::kOpen);
   });
   auto client = fixture.platform_client();
@@ -117,7 +117,7 @@
 }
 
 TEST_CASE("a broken stream ends the client's connection without the last chunk", "[platform]") {
-  Fixture fixture(healthy_reader, [](FakeReplica& replica, SlotId client, const ReceivedRequest&) {
+  Fixture fixture(healthy_reader, [](FakeEndpoint& replica, SlotId client, const ReceivedRequest&) {
     replica.stream_words(client, {"half"}, StreamEnd::kOpen);
     replica.server.abort(client);
   });
@@ -130,7 +130,7 @@
 }
 
 TEST_CASE("a client's disconnect cancels its stream at the replica", "[platform]") {
-  Fixture fixture(healthy_reader, [](FakeReplica& replica, SlotId client, const ReceivedRequest&) {
+  Fixture fixture(healthy_reader, [](FakeEndpoint& replica, SlotId client, const ReceivedRequest&) {
     replica.stream_words(client, {"on and on"}, StreamEnd::kOpen);
   });
   auto client = fixture.post("a1", "command");
@@ -143,7 +143,7 @@
 }
 
 TEST_CASE("a request that the router rejects is answered at once, with Retry-After", "[platform]") {
-  Fixture fixture(healthy_reader, [](FakeReplica& replica, SlotId client, const ReceivedRequest&) {
+  Fixture fixture(healthy_reader, [](FakeEndpoint& replica, SlotId client, const ReceivedRequest&) {
     replica.reject_unprocessed(client, 503);
   });
   auto client = fixture.platform_client();
@@ -156,7 +156,7 @@
 }
 
 TEST_CASE("a second request with an id in progress is rejected", "[platform]") {
-  Fixture fixture(silent_replica, silent_replica);
+  Fixture fixture(silent_endpoint, silent_endpoint);
   auto first = fixture.platform_client(), second = fixture.platform_client();
   first->post(platform_headers("a1", "ask"), kPlatformBody);
   REQUIRE(fixture.until([&] { return fixture.request_count("POST", Role::kReader) == 1; }));
@@ -281,7 +281,7 @@
 
 // No client can be evicted, as the only one is owed its answer.
 TEST_CASE("a shortage of descriptors does not make accepting spin", "[platform]") {
-  Fixture fixture(healthy_reader, silent_replica);
+  Fixture fixture(healthy_reader, silent_endpoint);
   auto steady = fixture.post("a1", "command");
   REQUIRE(fixture.until([&] { return fixture.request_count("POST", Role::kWriter) == 1; }));
   fixture.settle();
--- a/tests/rate_limit/rate_limit_front_ends_test.cpp
+++ b/tests/rate_limit/rate_limit_front_ends_test.cpp
@@ -39,7 +39,7 @@
   std::vector<std::vector<int>> statuses_by_front_end;
   for (const bool through_chat : {true, false}) {
     Fixture fixture(
-        healthy_reader, [](FakeReplica&, SlotId, const FakeReplica::ReceivedRequest&) {},
+        healthy_reader, [](FakeEndpoint&, SlotId, const FakeEndpoint::ReceivedRequest&) {},
         kChatConfig);  // writers keep silent
     RateLimiter rate_limiter(5);
     rate_limiter.replace_rules(make_rules(text), fixture.now);
@@ -86,7 +86,7 @@
     int attempts = 0;
     Fixture fixture(
         healthy_reader,
-        [&](FakeReplica& replica, SlotId client, const FakeReplica::ReceivedRequest&) {
+        [&](FakeEndpoint& replica, SlotId client, const FakeEndpoint::ReceivedRequest&) {
           ++attempts;
           replica.server.abort(client);
         },
@@ -106,7 +106,7 @@
   for (const bool through_chat : {true, false}) {
     Fixture fixture(
         healthy_reader,
-        [](FakeReplica& replica, SlotId client, const FakeReplica::ReceivedRequest& seen) {
+        [](FakeEndpoint& replica, SlotId client, const FakeEndpoint::ReceivedRequest& seen) {
           if (seen.body.find("well") != std::string::npos) return healthy_writer(replica, client, seen);
           if (seen.body.find("cut") != std::string::npos) {
             replica.stream_words(client, {"half"}, StreamEnd::kOpen);
@@ -141,7 +141,7 @@
 
 TEST_CASE("a request that is in progress while the rules change goes on counting under its limits",
           "[limits][platform]") {
-  Fixture fixture(healthy_reader, [](FakeReplica&, SlotId, const FakeReplica::ReceivedRequest&) {});
+  Fixture fixture(healthy_reader, [](FakeEndpoint&, SlotId, const FakeEndpoint::ReceivedRequest&) {});
   RateLimiter rate_limiter(5);
   const std::string one = "rules: [{name: \"a\", limits: [{in_progress: 1}]}]";
   rate_limiter.replace_rules(make_rules(one), fixture.now);
--- a/tests/routing/routing_digest_test.cpp
+++ b/tests/routing/routing_digest_test.cpp
@@ -80,12 +80,12 @@
   std::set<AttemptStatus> statuses;
   std::set<ListKind> list_kinds;
 
-  void add(const Site& site) {
-    for (const EndpointInfo& endpoint : site.endpoints) {
+  void add(const Deployment& deployment) {
+    for (const EndpointInfo& endpoint : deployment.endpoints) {
       zones.insert(endpoint.zone);
       cells.insert(endpoint.cell);
     }
-    for (const Settings& settings : site.settings) {
+    for (const Settings& settings : deployment.settings) {
       for (const EndpointKind& kind : settings.kinds) roles.insert(kind.role);
       for (const RequestClass& request_class : settings.classes) {
         if (request_class.idempotency == Idempotency::kKeyed)
@@ -104,15 +104,15 @@
 Range range_of(int sequence) {
   Range range;
   range.extreme = sequence % 6 == 3;
-  range.short_pins = sequence % 6 == 4;
+  range.short_reservation_limits = sequence % 6 == 4;
   range.slack_under_tick = sequence % 6 == 5;
   return range;
 }
 
-Site draw_site(Dice& dice, const Range& range) {
-  Genes genes{{}, range};
-  for (std::size_t i = 0; i < kGenes; ++i) genes.values.push_back(dice.below(1000));
-  return draw(genes);
+Deployment draw_deployment(Dice& dice, const Range& range) {
+  DrawnNumbers numbers{{}, range};
+  for (std::size_t i = 0; i < kDrawnNumbers; ++i) numbers.values.push_back(dice.below(1000));
+  return draw(numbers);
 }
 
 Step draw_step(Dice& dice) {
@@ -127,9 +127,9 @@
 void run_sequence(int number, Digest& digest, Coverage& coverage) {
   Dice dice(static_cast<std::uint64_t>(number) + 1);
   const Range range = range_of(number);
-  const Site site = draw_site(dice, range);
-  coverage.add(site);
-  ScriptRunner runner(site.settings, site.endpoints, static_cast<std::uint64_t>(number));
+  const Deployment deployment = draw_deployment(dice, range);
+  coverage.add(deployment);
+  ScriptRunner runner(deployment.settings, deployment.endpoints, static_cast<std::uint64_t>(number));
   runner.set_observer([&](Time now, const Event& event, const std::vector<Action>& actions) {
     coverage.add(event, actions);
     digest.add(now, event.index(), actions.size());
--- a/tests/settings/settings_property_test.cpp
+++ b/tests/settings/settings_property_test.cpp
@@ -66,8 +66,9 @@
 }  // namespace
 
 // RapidCheck finds these by their name and argument, and prints a failure's values with them.
-void showValue(const Genes& genes, std::ostream& out) {  // NOLINT(readability-identifier-naming): its name
-  const Site site = draw(genes);
+void showValue(const DrawnNumbers& genes,
+               std::ostream& out) {  // NOLINT(readability-identifier-naming): its name
+  const Deployment site = draw(genes);
   out << site.endpoints.size() << " endpoints; settings\n";
   for (const Settings& settings : site.settings) print(settings, out);
 }
@@ -78,10 +79,10 @@
 
 namespace {
 
-rc::Gen<Genes> any_genes(const Range& range = {}) {
-  return rc::gen::map(rc::gen::container<std::vector<int>>(kGenes, rc::gen::inRange(0, 1000)),
+rc::Gen<DrawnNumbers> any_genes(const Range& range = {}) {
+  return rc::gen::map(rc::gen::container<std::vector<int>>(kDrawnNumbers, rc::gen::inRange(0, 1000)),
                       [range](std::vector<int> values) {
-                        return Genes{std::move(values), range};
+                        return DrawnNumbers{std::move(values), range};
                       });
 }
 
@@ -122,7 +123,7 @@
   return text;
 }
 
-void run_script(const Site& site, const std::vector<Step>& script, Ending ending = Ending::kRunOut) {
+void run_script(const Deployment& site, const std::vector<Step>& script, Ending ending = Ending::kRunOut) {
   constexpr std::uint64_t kRouterSeed = 7;
   ScriptRunner runner(site.settings, site.endpoints, kRouterSeed);
   try {
@@ -138,7 +139,7 @@
 
 TEST(AnySettings, DrawnSettingsAreValid) {
   expect_holds(1, 1000, [] {
-    const Site site = draw(*any_genes());
+    const Deployment site = draw(*any_genes());
     for (const Settings& settings : site.settings) {
       for (const settings::Finding& finding : settings::check(settings))
         RC_ASSERT(finding.severity != settings::Severity::kError);
@@ -164,7 +165,7 @@
 // finds no writer must be released at once, for the next check of the queue comes too late.
 TEST(AnySettings, InvariantsHoldWithReservationLimitsOfAFewTicks) {
   Range range;
-  range.short_pins = true;
+  range.short_reservation_limits = true;
   expect_holds(5, 2000, [&] { run_script(draw(*any_genes(range)), *any_script(60)); });
 }
 
--- a/tests/upstream/attempt_chaos_test.cpp
+++ b/tests/upstream/attempt_chaos_test.cpp
@@ -19,7 +19,7 @@
   }
   // Whether what was written is lost on its way: the replica knows of no attempt, and its link stays open.
   bool is_lost() { return draw_percent() < 12; }
-  void read(FakeReplica& replica, SlotId client, const ReceivedRequest& seen) {
+  void read(FakeEndpoint& replica, SlotId client, const ReceivedRequest& seen) {
     if (is_lost()) return;
     const int percent = draw_percent();
     if (percent < 40) {
@@ -37,7 +37,7 @@
       if (percent < 90) delayed_answers.push_back({now() + draw_wait(400), &replica, client});
     }
   }
-  void write(FakeReplica& replica, SlotId client, const ReceivedRequest& seen) {
+  void write(FakeEndpoint& replica, SlotId client, const ReceivedRequest& seen) {
     if (is_lost()) return;
     const int percent = draw_percent();
     if (!held_since.contains(seen.id)) return replica.reject_unprocessed(client, 410);
@@ -65,7 +65,7 @@
   }
   void step() {
     fixture.advance(milliseconds(20));
-    for (auto& replica : fixture.replicas) {
+    for (auto& replica : fixture.fake_endpoints) {
       std::size_t& processed = processed_count[replica.get()];
       for (; processed < replica->received.size(); ++processed) {
         const ReceivedRequest& seen = replica->received[processed];
@@ -101,23 +101,23 @@
   }
   struct DelayedAnswer {
     engine::Time at;
-    FakeReplica* replica;
+    FakeEndpoint* replica;
     SlotId client;
   };
   std::mt19937 random;
   std::map<std::string, engine::Time> held_since;  // since when, with no attempt out
-  std::map<std::pair<FakeReplica*, SlotId>, std::string> unanswered_reads;
-  std::map<std::pair<FakeReplica*, SlotId>, std::string> waiting_writes;  // those of them at writers
+  std::map<std::pair<FakeEndpoint*, SlotId>, std::string> unanswered_reads;
+  std::map<std::pair<FakeEndpoint*, SlotId>, std::string> waiting_writes;  // those of them at writers
   std::map<std::string, int> runs_by_id;
   std::set<std::string> started;
   std::set<std::string> overdue;
   std::vector<std::pair<engine::Time, std::string>> delayed_states;
   std::vector<DelayedAnswer> delayed_answers;
-  std::map<FakeReplica*, std::size_t> processed_count;
-  DirectFixture fixture{[this](FakeReplica& replica, SlotId client, const ReceivedRequest& seen) {
+  std::map<FakeEndpoint*, std::size_t> processed_count;
+  DirectFixture fixture{[this](FakeEndpoint& replica, SlotId client, const ReceivedRequest& seen) {
                           read(replica, client, seen);
                         },
-                        [this](FakeReplica& replica, SlotId client, const ReceivedRequest& seen) {
+                        [this](FakeEndpoint& replica, SlotId client, const ReceivedRequest& seen) {
                           write(replica, client, seen);
                         }};
 };
--- a/tests/upstream/attempt_endings_fixture.hpp
+++ b/tests/upstream/attempt_endings_fixture.hpp
@@ -19,10 +19,10 @@
 
 namespace dispatcher::testing {
 
-using ReceivedRequest = FakeReplica::ReceivedRequest;
+using ReceivedRequest = FakeEndpoint::ReceivedRequest;
 
 // Rejects a request that it has no capacity for; nothing of it has run.
-inline void full(FakeReplica& replica, SlotId client, const ReceivedRequest&) {
+inline void full(FakeEndpoint& replica, SlotId client, const ReceivedRequest&) {
   replica.reject_unprocessed(client, 503);
 }
 
--- a/tests/upstream/attempt_endings_test.cpp
+++ b/tests/upstream/attempt_endings_test.cpp
@@ -51,7 +51,7 @@
 
 TEST_CASE("a client's disconnect between read and write prevents the write and releases the reservation",
           "[endings]") {
-  DirectFixture fixture(silent_replica, healthy_writer);
+  DirectFixture fixture(silent_endpoint, healthy_writer);
   fixture.submit("a1");
   REQUIRE(fixture.until([&] { return fixture.posts() == 1; }));
   fixture.client_connected = false;
@@ -65,7 +65,7 @@
 
 // The reservation remains though its read was cancelled: the response was under way.
 TEST_CASE("a 202 that arrives as its read is cancelled has its reservation released", "[endings]") {
-  DirectFixture fixture(silent_replica, healthy_writer);
+  DirectFixture fixture(silent_endpoint, healthy_writer);
   const SlotId id = fixture.submit("a1");
   REQUIRE(fixture.until([&] { return fixture.posts() == 1; }));
   fixture.complete_reads();
@@ -92,7 +92,7 @@
 
 TEST_CASE("an endpoint that returned at another address gets no request at its old one", "[endings]") {
   DirectFixture fixture(healthy_reader, healthy_writer);
-  FakeReplica new_address(fixture, healthy_reader);
+  FakeEndpoint new_address(fixture, healthy_reader);
   fixture.submit("a1");
   fixture.pool.update_endpoints(
       {{"r1", new_address.server.local(), true}, {"r2", new_address.server.local(), true}},
@@ -104,8 +104,8 @@
 }
 
 TEST_CASE("a connection to an endpoint's previous address is not pooled", "[endings]") {
-  DirectFixture fixture(silent_replica, healthy_writer);
-  FakeReplica new_address(fixture, healthy_reader);
+  DirectFixture fixture(silent_endpoint, healthy_writer);
+  FakeEndpoint new_address(fixture, healthy_reader);
   fixture.submit("a1");
   REQUIRE(fixture.until([&] { return fixture.posts() == 1; }));
   fixture.pool.update_endpoints(
@@ -171,7 +171,7 @@
 }
 
 TEST_CASE("a request whose connection breaks after its last byte was written may have run", "[endings]") {
-  DirectFixture fixture(healthy_reader, silent_replica);
+  DirectFixture fixture(healthy_reader, silent_endpoint);
   fixture.submit("a1", "command");
   REQUIRE(fixture.until([&] { return fixture.request_count("POST", Role::kWriter) == 1; }));
   const bool at_once = GENERATE(true, false);
@@ -217,8 +217,8 @@
   Fixture fixture(healthy_reader, healthy_writer);
   const std::string answer =
       stream_head() + http::chunk("data: {\"a\":1}\n\n") + http::chunk("data: [DONE]\n\n") + "0\r\n\r\n";
-  RawBytesReplica writer(fixture, answer,
-                         stream_head() + http::chunk("data: {\"late\":1}\n\n") + "0\r\n\r\n");
+  RawBytesEndpoint writer(fixture, answer,
+                          stream_head() + http::chunk("data: {\"late\":1}\n\n") + "0\r\n\r\n");
   fixture.pool.update_endpoints({{"w1", writer.address(), true}, {"w2", writer.address(), true}},
                                 upstream::ListScope::kChanges);
   const auto first = fixture.post("a1", "command");
@@ -237,7 +237,7 @@
 TEST_CASE("of the connections past their quarantine the most recently used one is reused", "[endings]") {
   std::vector<SlotId> used;
   Fixture fixture(healthy_reader, healthy_writer);
-  FakeReplica one(fixture, [&](FakeReplica& replica, SlotId client, const ReceivedRequest& seen) {
+  FakeEndpoint one(fixture, [&](FakeEndpoint& replica, SlotId client, const ReceivedRequest& seen) {
     used.push_back(client);
     if (seen.target.ends_with("now")) replica.respond(client, 409);
   });
@@ -272,7 +272,7 @@
 TEST_CASE("a response in the tick of the deadline ends the request once", "[endings]") {
   const int status = GENERATE(200, 503, 500);
   const bool timer_first = GENERATE(false, true);
-  DirectFixture fixture(healthy_reader, silent_replica);
+  DirectFixture fixture(healthy_reader, silent_endpoint);
   fixture.submit("a1", "command");
   REQUIRE(fixture.until([&] { return fixture.request_count("POST", Role::kWriter) == 1; }));
   fixture.advance(seconds(3) - milliseconds(20));
--- a/tests/upstream/connection_pool_test.cpp
+++ b/tests/upstream/connection_pool_test.cpp
@@ -12,7 +12,7 @@
 // Longer than an idle connection must stand before it is used again.
 constexpr auto kSettleTime = milliseconds(60);
 
-bool is_reservation_call(const FakeReplica::ReceivedRequest& seen) {
+bool is_reservation_call(const FakeEndpoint::ReceivedRequest& seen) {
   return seen.target.starts_with("/kv/leases/");
 }
 
@@ -22,7 +22,7 @@
 TEST_CASE("a connection that returns to the pool is not the one evicted for it", "[upstream]") {
   std::vector<SlotId> unanswered;  // clients of the writer whose responses are delayed
   Fixture fixture(healthy_reader,
-                  [&](FakeReplica& replica, SlotId client, const FakeReplica::ReceivedRequest& seen) {
+                  [&](FakeEndpoint& replica, SlotId client, const FakeEndpoint::ReceivedRequest& seen) {
                     if (!is_reservation_call(seen)) return healthy_writer(replica, client, seen);
                     if (seen.target.ends_with("/slow")) return unanswered.push_back(client);
                     replica.respond(client, 200);
@@ -100,16 +100,15 @@
     return addresses;
   }
   [[nodiscard]] int calls() const { return replica.count("DELETE"); }
-  void answer(FakeReplica& called, SlotId client) const {
+  void answer(FakeEndpoint& called, SlotId client) const {
     if (!is_silent) called.respond(client, 204);
   }
 
   std::vector<std::unique_ptr<UnreachableListener>> unreachable;
   std::vector<std::string> logs;
   bool is_silent = false;  // the replica answers nothing
-  FakeReplica replica{*this, [this](FakeReplica& called, SlotId client, const FakeReplica::ReceivedRequest&) {
-                        answer(called, client);
-                      }};
+  FakeEndpoint replica{*this, [this](FakeEndpoint& called, SlotId client,
+                                     const FakeEndpoint::ReceivedRequest&) { answer(called, client); }};
   upstream::ReplicaClient upstream_client{io,
                                           timers,
                                           clock(),
@@ -132,7 +131,7 @@
 
 TEST_CASE("a release is not delayed by an idle connection to a replica that fell silent", "[upstream]") {
   ReleaseFixture fixture;
-  FakeReplica other(fixture, [](FakeReplica& called, SlotId client, const FakeReplica::ReceivedRequest&) {
+  FakeEndpoint other(fixture, [](FakeEndpoint& called, SlotId client, const FakeEndpoint::ReceivedRequest&) {
     called.respond(client, 204);
   });
   fixture.upstream_client.update_endpoints({ready_endpoint("silent", fixture.replica.server.local(), "x"),
--- a/tests/upstream/pooled_connections_test.cpp
+++ b/tests/upstream/pooled_connections_test.cpp
@@ -16,7 +16,7 @@
     REQUIRE(fixture.until([&] { return client->is_complete; }));
     CHECK(client->status == 200);
     fixture.advance(milliseconds(60));  // from then on the connection would be used again
-    for (auto& replica : fixture.replicas) replica->server.close_idle();
+    for (auto& replica : fixture.fake_endpoints) replica->server.close_idle();
   }
   CHECK(fixture.request_count("POST", Role::kWriter) == 6);
 }
@@ -52,10 +52,10 @@
 
 // A replica that vanished answers nothing: the call must reach a running one within the reservation limit.
 TEST_CASE("a release is sent to the next replica until one accepts it", "[pool]") {
-  Fixture fixture(silent_replica, healthy_writer);
+  Fixture fixture(silent_endpoint, healthy_writer);
   auto client = fixture.post("a1", "ask");
   REQUIRE(fixture.until([&] { return fixture.request_count("POST", Role::kReader) == 1; }));
-  for (const std::size_t index : {0U, 1U, 2U}) fixture.replicas[index]->server.stop_accepting();
+  for (const std::size_t index : {0U, 1U, 2U}) fixture.fake_endpoints[index]->server.stop_accepting();
   client->close();
   fixture.settle();
   fixture.advance(milliseconds(400));
@@ -80,7 +80,7 @@
 // that a command did not run, where a pooled one would cost the client its whole deadline.
 TEST_CASE("a replica with an overdue response gets no command on a pooled connection", "[pool]") {
   bool vanished = false;
-  Fixture fixture(healthy_reader, [&](FakeReplica& replica, SlotId client, const ReceivedRequest& request) {
+  Fixture fixture(healthy_reader, [&](FakeEndpoint& replica, SlotId client, const ReceivedRequest& request) {
     if (!vanished) healthy_writer(replica, client, request);
   });
   fixture.engine.update_endpoints(
@@ -103,7 +103,7 @@
 
 TEST_CASE("after a pooled connection is reset at its next request, new ones are used", "[pool]") {
   std::set<SlotId> used;
-  Fixture fixture(healthy_reader, [&](FakeReplica& replica, SlotId client, const ReceivedRequest& request) {
+  Fixture fixture(healthy_reader, [&](FakeEndpoint& replica, SlotId client, const ReceivedRequest& request) {
     const bool is_first_request = used.insert(client).second;
     if (!is_first_request) return replica.server.abort(client);
     healthy_writer(replica, client, request);
--- a/tests/upstream/replica_answers_test.cpp
+++ b/tests/upstream/replica_answers_test.cpp
@@ -19,8 +19,8 @@
                                   upstream::ListScope::kChanges);
   }
   [[nodiscard]] int requests() const { return first.requests + second.requests; }
-  RawBytesReplica first;
-  RawBytesReplica second;
+  RawBytesEndpoint first;
+  RawBytesEndpoint second;
 };
 
 TEST_CASE("valid streams with excess bytes are forwarded without them", "[pool]") {
@@ -94,7 +94,7 @@
 
 TEST_CASE("a request that replicas reject as invalid is the client's error and ejects no replica", "[pool]") {
   Fixture fixture(
-      [](FakeReplica& replica, SlotId client, const ReceivedRequest&) { replica.respond(client, 400); },
+      [](FakeEndpoint& replica, SlotId client, const ReceivedRequest&) { replica.respond(client, 400); },
       healthy_writer, kChatConfig);
   auto client = fixture.platform_client();
   auto chat = fixture.chat_client();
--- a/tests/upstream/reservation_release_test.cpp
+++ b/tests/upstream/reservation_release_test.cpp
@@ -8,7 +8,7 @@
 TEST_CASE("a reservation that a broken read may have left is released after rejected reads", "[endings]") {
   int reads = 0;
   DirectFixture fixture(
-      [&](FakeReplica& replica, SlotId client, const ReceivedRequest&) {
+      [&](FakeEndpoint& replica, SlotId client, const ReceivedRequest&) {
         if (++reads == 1) return replica.server.abort(client);
         full(replica, client, {});
       },
@@ -21,7 +21,7 @@
 }
 
 TEST_CASE("a pending release is cancelled when an attempt of its request is written", "[endings]") {
-  DirectFixture fixture(healthy_reader, silent_replica);
+  DirectFixture fixture(healthy_reader, silent_endpoint);
   // Nobody accepts the calls: they stay pending.
   RawSocketPeer peer(fixture);
   fixture.pool.update_endpoints({{"r1", peer.address(), true},
@@ -41,7 +41,7 @@
 // A read whose connection broke may run on at its replica, and leave a reservation up to its deadline.
 TEST_CASE("a reservation that a broken read may leave is released until its deadline", "[endings]") {
   DirectFixture fixture(
-      [](FakeReplica& replica, SlotId client, const ReceivedRequest&) { replica.server.abort(client); },
+      [](FakeEndpoint& replica, SlotId client, const ReceivedRequest&) { replica.server.abort(client); },
       healthy_writer);
   upstream::Options options{milliseconds(250), seconds(15), milliseconds(50)};
   fixture.pool.apply_options(options);
@@ -64,7 +64,7 @@
 // Ended while nothing was heard of its reader, whose link works: two releases tell so much, and no more are
 // made.
 TEST_CASE("a cancelled read whose reader can be reached is released twice", "[endings]") {
-  DirectFixture fixture(silent_replica, healthy_writer);
+  DirectFixture fixture(silent_endpoint, healthy_writer);
   const SlotId id = fixture.submit("a1");
   REQUIRE(fixture.until([&] { return fixture.posts() == 1; }));
   fixture.engine.on_client_disconnected(id);
@@ -122,7 +122,7 @@
 TEST_CASE("after a first token no release is sent", "[endings]") {
   int reads = 0;
   DirectFixture fixture(
-      [&](FakeReplica& replica, SlotId client, const ReceivedRequest& seen) {
+      [&](FakeEndpoint& replica, SlotId client, const ReceivedRequest& seen) {
         if (++reads == 1) return replica.server.abort(client);
         healthy_reader(replica, client, seen);
       },
@@ -139,11 +139,11 @@
   int reads = 0;
   int writes = 0;
   DirectFixture fixture(
-      [&](FakeReplica& replica, SlotId client, const ReceivedRequest& seen) {
+      [&](FakeEndpoint& replica, SlotId client, const ReceivedRequest& seen) {
         if (++reads == 1) return replica.server.abort(client);
         healthy_reader(replica, client, seen);
       },
-      [&](FakeReplica& replica, SlotId client, const ReceivedRequest& seen) {
+      [&](FakeEndpoint& replica, SlotId client, const ReceivedRequest& seen) {
         if (++writes == 1) return full(replica, client, seen);
         healthy_writer(replica, client, seen);
       });
@@ -198,7 +198,7 @@
 }
 
 TEST_CASE("attempts that hang do not use up the connections that releases need", "[endings]") {
-  DirectFixture fixture(healthy_reader, silent_replica);
+  DirectFixture fixture(healthy_reader, silent_endpoint);
   fixture.pool.apply_options({milliseconds(250), seconds(15), milliseconds(50), 4, 8, 32});
   for (int i = 0; i < 60; ++i) fixture.submit("a" + std::to_string(i), "command");
   fixture.settle();
--- a/tests/upstream/time_left_test.cpp
+++ b/tests/upstream/time_left_test.cpp
@@ -7,7 +7,7 @@
 
 // Whether each attempt told its replica some time, and no more than was left until the deadline.
 bool tells_time_left(const Fixture& fixture, engine::Time deadline) {
-  return std::ranges::all_of(fixture.replicas, [&](const auto& replica) {
+  return std::ranges::all_of(fixture.fake_endpoints, [&](const auto& replica) {
     return std::ranges::all_of(replica->received, [&](const ReceivedRequest& request) {
       if (request.method != "POST") return true;
       return request.time_left > milliseconds(0) && request.time_left <= deadline - request.received_at;
@@ -30,7 +30,7 @@
 TEST_CASE("a request on a connection that is established late tells the time that is left then",
           "[time_left]") {
   const auto setup_time = GENERATE(milliseconds(0), milliseconds(200), milliseconds(900));
-  DirectFixture fixture(silent_replica, silent_replica);
+  DirectFixture fixture(silent_endpoint, silent_endpoint);
   fixture.submit("a1");
   const engine::Time deadline = fixture.now + seconds(6);
   fixture.now += setup_time;  // nothing has run: the connection is not established yet
@@ -40,7 +40,7 @@
 }
 
 TEST_CASE("a retry tells its replica less time than the attempt before it", "[time_left]") {
-  DirectFixture fixture(silent_replica, silent_replica);
+  DirectFixture fixture(silent_endpoint, silent_endpoint);
   fixture.submit("a1");
   const engine::Time deadline = fixture.now + seconds(6);
   const auto reject_reads = [&] {
@@ -61,7 +61,7 @@
 TEST_CASE("a request whose time is over is not written, and its client gets one answer", "[time_left]") {
   const auto time_left = GENERATE(std::chrono::microseconds(999), std::chrono::microseconds(0),
                                   std::chrono::microseconds(-100'000));
-  DirectFixture fixture(silent_replica, silent_replica);
+  DirectFixture fixture(silent_endpoint, silent_endpoint);
   fixture.submit("a1");
   fixture.now += seconds(6) - time_left;
   fixture.settle();
@@ -77,7 +77,7 @@
           "[time_left]") {
   const int time_left_ms = GENERATE(0, 1, 5, 20, 50, 100, 150, 300);
   const auto setup_time = GENERATE(milliseconds(0), milliseconds(4), milliseconds(60));
-  const auto replica = GENERATE(silent_replica, full);
+  const auto replica = GENERATE(silent_endpoint, full);
   constexpr milliseconds kMaxAnswerDelay{500};  // an answer later than that is a lost one
   Fixture fixture(replica, replica);
   auto client = fixture.platform_client();
