--- a/tests/settings/settings_property_test.cpp
+++ b/tests/settings/settings_property_test.cpp
@@ -68,10 +68,11 @@
 
 // RapidCheck finds these functions by their name and argument type and prints the values of a failure with
 // them.
-void showValue(const Genes& genes, std::ostream& out) {  // NOLINT(readability-identifier-naming): its name
-  const Site site = draw(genes);
-  out << site.endpoints.size() << " endpoints; settings\n";
-  for (const Settings& settings : site.settings) print(settings, out);
+// NOLINTNEXTLINE(readability-identifier-naming): its name
+void showValue(const DrawnNumbers& numbers, std::ostream& out) {
+  const Deployment deployment = draw(numbers);
+  out << deployment.endpoints.size() << " endpoints; settings\n";
+  for (const Settings& settings : deployment.settings) print(settings, out);
 }
 
 void showValue(const Step& step, std::ostream& out) {  // NOLINT(readability-identifier-naming): its name
@@ -80,10 +81,10 @@
 
 namespace {
 
-rc::Gen<Genes> any_genes(const Range& range = {}) {
-  return rc::gen::map(rc::gen::container<std::vector<int>>(kGenes, rc::gen::inRange(0, 1000)),
+rc::Gen<DrawnNumbers> any_numbers(const Range& range = {}) {
+  return rc::gen::map(rc::gen::container<std::vector<int>>(kDrawnNumbers, rc::gen::inRange(0, 1000)),
                       [range](std::vector<int> values) {
-                        return Genes{std::move(values), range};
+                        return DrawnNumbers{std::move(values), range};
                       });
 }
 
@@ -125,9 +126,9 @@
   return text;
 }
 
-void run_script(const Site& site, const std::vector<Step>& script, Ending ending = Ending::kRunOut) {
+void run_script(const Deployment& site, const std::vector<Step>& script, Ending ending = Ending::kRunOut) {
   constexpr std::uint64_t kRouterSeed = 7;
-  ScriptRunner runner(site.settings, site.endpoints, kRouterSeed);
+  ScriptRunner runner(deployment.settings, deployment.endpoints, kRouterSeed);
   try {
     runner.start();
     for (const Step& step : script) runner.run(step);
@@ -141,8 +142,8 @@
 
 TEST(AnySettings, DrawnSettingsAreValid) {
   expect_holds(1, 1000, [] {
-    const Site site = draw(*any_genes());
-    for (const Settings& settings : site.settings) {
+    const Deployment site = draw(*any_numbers());
+    for (const Settings& settings : deployment.settings) {
       for (const settings::Finding& finding : settings::check(settings))
         RC_ASSERT(finding.severity != settings::Severity::kError);
     }
@@ -150,17 +151,17 @@
 }
 
 TEST(AnySettings, InvariantsHoldInShortScripts) {
-  expect_holds(2, 400, [] { run_script(draw(*any_genes()), *any_script(60)); });
+  expect_holds(2, 400, [] { run_script(draw(*any_numbers()), *any_script(60)); });
 }
 
 TEST(AnySettings, InvariantsHoldInLongScripts) {
-  expect_holds(3, 60, [] { run_script(draw(*any_genes()), *any_script(600)); });
+  expect_holds(3, 60, [] { run_script(draw(*any_numbers()), *any_script(600)); });
 }
 
 TEST(AnySettings, InvariantsHoldWithExtremeTimes) {
   Range range;
   range.extreme = true;
-  expect_holds(4, 300, [&] { run_script(draw(*any_genes(range)), *any_script(60), Ending::kDisconnect); });
+  expect_holds(4, 300, [&] { run_script(draw(*any_numbers(range)), *any_script(60), Ending::kDisconnect); });
 }
 
 // Draws limits below min_reservation_limit() of tests/fixtures/settings_draw.cpp, which is 67 ms if 20 ms are
@@ -168,8 +169,8 @@
 // because the next check of the queue comes too late.
 TEST(AnySettings, InvariantsHoldWithReservationLimitsOfAFewTicks) {
   Range range;
-  range.short_pins = true;
-  expect_holds(5, 2000, [&] { run_script(draw(*any_genes(range)), *any_script(60)); });
+  range.short_reservation_limits = true;
+  expect_holds(5, 2000, [&] { run_script(draw(*any_numbers(range)), *any_script(60)); });
 }
 
 // The router learns up to a tick late that an attempt has timed out, and answers the request only then. With
@@ -178,7 +179,7 @@
 TEST(AnySettings, InvariantsHoldWithAnAnswerSlackUnderATick) {
   Range range;
   range.slack_under_tick = true;
-  expect_holds(6, 2000, [&] { run_script(draw(*any_genes(range)), *any_script(60)); });
+  expect_holds(6, 2000, [&] { run_script(draw(*any_numbers(range)), *any_script(60)); });
 }
 
 }  // namespace
