--- a/src/upstream/attempt_runner.cpp
+++ b/src/upstream/attempt_runner.cpp
@@ -14,11 +14,12 @@
 
 namespace {
 
-// A replica is told its time in whole milliseconds: with less, it would be told that there is none.
+// The shortest time left for which a request is written. The time left is sent to the endpoint in whole
+// milliseconds, so a shorter one would be sent as zero.
 constexpr Duration kMinTimeLeft = std::chrono::milliseconds(1);
 
-// The result of an attempt of which nothing was written.
-engine::AttemptResult unsent(AttemptStatus status, AttemptEvidence evidence, AttemptEndReason reason) {
+// Returns the result of an attempt of which nothing was written.
+engine::AttemptResult unsent_result(AttemptStatus status, AttemptEvidence evidence, AttemptEndReason reason) {
   engine::AttemptResult result{status, 0, evidence, {}};
   result.reason = reason;
   return result;
@@ -41,15 +42,16 @@
   const Duration timeout = std::clamp(requested, Duration(0), usual);
   const SlotId id = pool_.acquire(parameters.endpoint, timeout, ExchangeKind::kAttempt);
   if (!id)
-    return fail_unsent(attempt, unsent(AttemptStatus::kConnectFailed, AttemptEvidence::kNone,
-                                       AttemptEndReason::kNoConnectionAllowed));
+    return fail_unsent(attempt, unsent_result(AttemptStatus::kConnectFailed, AttemptEvidence::kNone,
+                                              AttemptEndReason::kNoConnectionAllowed));
   connections_[attempt] = id;
   exchanges_.start(
       id, *this,
       {ExchangeKind::kAttempt, attempt, parameters.request->id, parameters.request, parameters.deadline});
 }
 
-// Nothing was sent. The engine must not be notified before its own call has returned.
+// Ends an attempt of which nothing was sent. Notifies the engine from a timer, because the engine must not be
+// called back before its own call has returned.
 void AttemptRunner::fail_unsent(AttemptId attempt, const engine::AttemptResult& result) {
   connections_[attempt] = SlotId{};
   timers_.add(clock_(), [this, attempt, result] {
@@ -94,17 +96,18 @@
 
 std::optional<std::string> AttemptRunner::compose_request(const ExchangeRequest& request) {
   if (!engine_->is_still_needed(request.attempt)) {
-    fail_unsent(request.attempt, unsent(AttemptStatus::kNeverSent, AttemptEvidence::kNone,
-                                        AttemptEndReason::kClientDisconnected));
+    fail_unsent(request.attempt, unsent_result(AttemptStatus::kNeverSent, AttemptEvidence::kNone,
+                                               AttemptEndReason::kClientDisconnected));
     return std::nullopt;
   }
   const Duration time_left = request.deadline - clock_();
-  if (time_left < kMinTimeLeft) {  // as where its deadline had ended it before its connection was up
-    fail_unsent(request.attempt, unsent(AttemptStatus::kConnectFailed, AttemptEvidence::kEndpointRunning,
-                                        AttemptEndReason::kNoTimeLeft));
+  if (time_left < kMinTimeLeft) {  // same result as if the deadline had ended it while connecting
+    fail_unsent(request.attempt,
+                unsent_result(AttemptStatus::kConnectFailed, AttemptEvidence::kEndpointRunning,
+                              AttemptEndReason::kNoTimeLeft));
     return std::nullopt;
   }
-  reservations_.cancel_release(request.request_id);  // the attempt may be about to leave a reservation
+  reservations_.cancel_release(request.request_id);  // the attempt may leave a reservation, which must stay
   return request_text(*request.message, time_left);
 }
 
--- a/src/upstream/attempt_runner.hpp
+++ b/src/upstream/attempt_runner.hpp
@@ -1,4 +1,4 @@
-// The attempts under way: which connection carries each, and what the engine is notified of.
+// Runs attempts on connections to endpoints and notifies the engine of their progress.
 #ifndef DISPATCHER_UPSTREAM_ATTEMPT_RUNNER_HPP_
 #define DISPATCHER_UPSTREAM_ATTEMPT_RUNNER_HPP_
 
@@ -15,38 +15,43 @@
 
 namespace dispatcher::upstream {
 
-// What an attempt is to do, and by when.
+// The request of an attempt, its endpoint and its time limits.
 struct AttemptParameters {
   AttemptId attempt;
   EndpointId endpoint;
   std::shared_ptr<const engine::UpstreamRequest> request;
-  Time deadline{};    // of the attempt; the time left until then is sent to the replica
-  Time connect_by{};  // when a new connection must be up; zero: within the usual time
+  Time deadline{};    // of the attempt; the time left until then is sent to the endpoint
+  Time connect_by{};  // when a new connection must be established; zero: usual timeout
 };
 
-// Starts, pauses and ends attempts. Owned by ReplicaClient; runs on the event loop's thread, and calls the
-// engine only from events and timers, except Engine::is_still_needed().
+// Starts, pauses and ends attempts. Owned by ReplicaClient. Runs on the event loop's thread. Calls the engine
+// only from events and timers, except for Engine::is_still_needed() and Engine::on_attempt_written().
 class AttemptRunner : public ExchangeHandler {
  public:
   AttemptRunner(ConnectionPool& pool, ExchangeRunner& exchanges, ReservationClient& reservations,
                 engine::TimerQueue& timers, engine::Clock clock);
-  // Must be called before the first attempt; `engine` must outlive the last event.
+  // Sets the engine to notify. Must be called before the first attempt; `engine` must outlive the last event.
   void attach(engine::Engine& engine) { engine_ = &engine; }
 
+  // Starts an attempt on a pooled or a new connection. If no connection is allowed, the attempt fails from a
+  // timer, after this call has returned.
   void start(const AttemptParameters& parameters);
-  // Ends an attempt without notifying the engine. False: the replica can't have received the complete
-  // request.
+  // Ends an attempt without notifying the engine. Returns false if the endpoint can't have received the
+  // complete request.
   [[nodiscard]] bool abandon(AttemptId attempt);
   // Stops reading an attempt's response until resume().
   void pause(AttemptId attempt);
   void resume(AttemptId attempt);
+  // Returns whether the attempt has an established connection.
   [[nodiscard]] bool is_connected(AttemptId attempt);
-  // Whether nothing has come from the attempt's endpoint since its request was written.
+  // Returns whether no bytes have arrived from the attempt's endpoint since its request was written.
   [[nodiscard]] bool is_endpoint_silent(AttemptId attempt);
 
-  // For StreamHandover: an attempt's connection, if it has one; and its entry or removal.
+  // For StreamHandover: returns the attempt's connection, or null if it has none.
   [[nodiscard]] PooledConnection* connection_of(AttemptId attempt);
+  // For StreamHandover: adds an attempt that runs on `connection`.
   void add(AttemptId attempt, SlotId connection) { connections_[attempt] = connection; }
+  // For StreamHandover: removes an attempt, which must be known, and returns its connection.
   [[nodiscard]] SlotId remove(AttemptId attempt) { return connections_.extract(attempt).mapped(); }
 
  private:
@@ -62,7 +67,8 @@
   engine::TimerQueue& timers_;
   engine::Clock clock_;
   engine::Engine* engine_ = nullptr;
-  // An empty id: the attempt has failed, and the engine has not been notified yet.
+  // The connection of each attempt. An empty id marks a failed attempt whose failure the engine has not been
+  // notified of yet.
   std::map<AttemptId, SlotId> connections_;
 };
 
--- a/src/upstream/connect_timeout_estimator.cpp
+++ b/src/upstream/connect_timeout_estimator.cpp
@@ -12,9 +12,11 @@
 constexpr double kDeviationGain = 1.0 / 4;
 constexpr double kDeviationFactor = 4;
 
-// Several endpoints must time out in a row before the cause is taken to be common to all.
+// The number of timeouts in a row that doubles the timeout. Several are required, as they indicate a cause
+// common to all endpoints.
 constexpr int kTimeoutsPerDoubling = 3;
-// Past any bound: the exponent must not grow in a long outage.
+// Limits the exponent, which would otherwise grow during a long outage. The estimate has reached its maximum
+// long before.
 constexpr int kMaxTimeoutsInARow = 48;
 
 }  // namespace
--- a/src/upstream/connect_timeout_estimator.hpp
+++ b/src/upstream/connect_timeout_estimator.hpp
@@ -1,5 +1,5 @@
-// How long to wait for a new connection: the retransmission timer of RFC 6298 (smoothed time, mean deviation,
-// exponential backoff), applied to connection establishment. No I/O.
+// Estimates how long to wait for a new connection: the retransmission timer of RFC 6298 (smoothed time, mean
+// deviation, exponential backoff), applied to connection establishment. No I/O.
 #ifndef DISPATCHER_UPSTREAM_CONNECT_TIMEOUT_ESTIMATOR_HPP_
 #define DISPATCHER_UPSTREAM_CONNECT_TIMEOUT_ESTIMATOR_HPP_
 
@@ -7,21 +7,23 @@
 
 namespace dispatcher::upstream {
 
-// Estimates from the connections to all endpoints. One timeout is evidence of its own endpoint only, so the
-// estimate doubles only after several in a row, and stays so until a connection has been established. Not
-// thread-safe; owned by ConnectionPool.
+// Estimates one connect timeout from the connections to all endpoints. A single timeout is evidence of its
+// own endpoint only, so the estimate doubles only after several in a row; it stays doubled until a connection
+// has been established. Not thread-safe; owned by ConnectionPool.
 class ConnectTimeoutEstimator {
  public:
-  // The timeout is never shorter than `minimum`, as a busy machine accepts late, and never longer than
-  // `maximum`, which is also the timeout before any connection was established. Where minimum > maximum,
-  // the maximum holds.
+  // The timeout is never shorter than `minimum`, because a busy machine accepts connections late, and never
+  // longer than `maximum`, which is also the timeout before any connection was established. If minimum >
+  // maximum, `maximum` is used for both.
   ConnectTimeoutEstimator(Duration minimum, Duration maximum);
-  // Exchanges the bounds; what was learned stays.
+  // Replaces the bounds and keeps the estimate.
   void set_bounds(Duration minimum, Duration maximum);
 
+  // Returns how long to wait for a new connection.
   [[nodiscard]] Duration timeout() const;
-  // A connection was established within `elapsed`; a negative time counts as zero.
+  // Called when a connection was established after `elapsed`; a negative time counts as zero.
   void on_connected(Duration elapsed);
+  // Called when a connection was not established in time.
   void on_timeout();
 
  private:
--- a/src/upstream/connection_log.hpp
+++ b/src/upstream/connection_log.hpp
@@ -1,4 +1,4 @@
-// Why connections to replicas are closed, and the log of it.
+// The reasons for which connections to endpoints are closed, and the log of closed connections.
 #ifndef DISPATCHER_UPSTREAM_CONNECTION_LOG_HPP_
 #define DISPATCHER_UPSTREAM_CONNECTION_LOG_HPP_
 
@@ -9,30 +9,31 @@
 
 namespace dispatcher::upstream {
 
-// Why this side closes a connection.
+// Why the dispatcher closes a connection.
 enum class CloseReason {
-  kIdleTimeout,       // idle for so long that the replica may close it
-  kEvicted,           // idle, and another connection needs its place
-  kStale,             // found closed, or with unsolicited bytes, when it was to be used again
-  kUnsolicitedBytes,  // bytes came while it was idle
-  kEndpointDrained,   // idle, and its endpoint takes nothing more
-  kEndpointMoved,     // its endpoint has another address now
-  kNotKept,           // enough idle connections are kept
-  kResponseEnded,     // its response does not allow another exchange
-  kExchangeFailed,    // see the attempt's end
-  kAttemptEnded,      // its attempt was ended from this side
-  kReleaseEnded,      // its release was confirmed elsewhere, or is over
-  kHandedOver,        // continues in another process
+  kIdleTimeout,       // idle for so long that the endpoint may close it
+  kEvicted,           // idle, and closed to make room for another connection
+  kStale,             // found closed, or with unsolicited bytes, when it was to be reused
+  kUnsolicitedBytes,  // bytes arrived while it was idle
+  kEndpointDrained,   // idle, and its endpoint accepts no new requests
+  kEndpointMoved,     // its endpoint has a new address
+  kNotKept,           // its endpoint has its maximum of idle connections
+  kResponseEnded,     // its response has ended and does not allow another exchange
+  kExchangeFailed,    // its exchange failed; an attempt's AttemptEndReason says why
+  kAttemptEnded,      // its attempt was ended by the dispatcher
+  kReleaseEnded,      // its release was confirmed by another endpoint, or has ended
+  kHandedOver,        // its stream continues in another process
 };
 
-// One line for each connection that is closed. Off by default.
+// Writes one line for each connection that is closed. A default-constructed log writes nothing.
 class ConnectionLog {
  public:
   using Sink = std::function<void(std::string_view)>;
   ConnectionLog() = default;
   explicit ConnectionLog(Sink sink) : sink_(std::move(sink)) {}
 
-  // `request`: that the connection carried an exchange of; empty: none.
+  // Logs that a connection to `endpoint` was closed. `request` is the request whose exchange the connection
+  // carried, or empty if it carried none.
   void log_closed(const routing::EndpointId& endpoint, const routing::RequestId& request,
                   CloseReason reason) const;
 
--- a/src/upstream/connection_pool.cpp
+++ b/src/upstream/connection_pool.cpp
@@ -10,41 +10,47 @@
 
 namespace {
 
-// Bytes of a response that one connection buffers: it is read as fast as its client takes it.
+// The maximum size of a connection's input buffer, in bytes. It need not hold a whole response, as a response
+// is read as fast as its client accepts it.
 constexpr std::size_t kMaxInputBytes = std::size_t{64} * 1024;
-// Bytes of requests that one connection buffers: a complete request is queued at once.
+// The maximum size of a connection's output buffer, in bytes. It holds a complete request, which is queued at
+// once.
 constexpr std::size_t kMaxOutputBytes = http::kMaxBodyBytes + 2 * http::kMaxHeadBytes;
 
-// The part of the replica's idle timeout after which a connection is not used any more, so that no request
-// crosses the replica's close on its way.
+// The fraction of the endpoint's idle timeout after which an idle connection is closed, so that no request is
+// sent while the endpoint closes the connection.
 constexpr double kIdleTimeoutFraction = 0.6;
 
-// A connection may bring a second response some milliseconds after the first, which would be taken for the
-// response to the next request. It is not reused for so long; whatever comes while it is idle closes it.
-constexpr Duration kSettleTime = milliseconds(50);
+// For how long a connection is not reused after it became idle. A second response may arrive some
+// milliseconds after the first and would be read as the response to the next request. Any bytes that arrive
+// while the connection is idle close it.
+constexpr Duration kReuseDelay = milliseconds(50);
 
-// A replica that has a response due and sends nothing for so long may have vanished with its machine, whose
-// open connections stay silent. A new one never comes up then, so that nothing can have run.
+// An endpoint that has a response due and sends nothing for longer than this may have lost its machine, so
+// that its open connections stay silent. Only new connections to it are used: if the machine is lost, they
+// are never established, which proves that no request has run.
 constexpr Duration kUnresponsiveAfter = milliseconds(400);
 
-// Where idle connections are reset at their next request, requests that are not idempotent are lost. For so
-// long after such a reset, only new connections are used, at the cost of a handshake each.
+// For how long only new connections are used after a reused one was reset at its next request. Such resets
+// lose non-idempotent requests; new connections avoid them at the cost of a handshake each.
 constexpr Duration kReuseQuarantine = milliseconds(10000);
 
-// The shortest connect timeout is this part of the longest: a busy machine accepts late.
+// The longest connect timeout divided by this is the shortest one. A shorter timeout would fail connections
+// to a busy machine, which accepts late.
 constexpr int kMinConnectTimeoutDivisor = 5;
 
-// Of the connections that may be open, this part is kept for releases.
+// The maximum of open connections divided by this is the number that is set aside for releases.
 constexpr std::size_t kReleaseReserveDivisor = 16;
 
-// The order of idle connections may hold so many entries for each idle connection allowed.
+// The maximum size of the order of idle connections, as a multiple of the maximum of idle connections.
 constexpr std::size_t kIdleOrderFactor = 4;
 
 Duration min_connect_timeout(const Options& options) {
   return options.connect_timeout / kMinConnectTimeoutDivisor;
 }
 
-// After so long a drain no first byte is sent: the rest of the grace is for its way to the replica.
+// Returns how long after the start of a drain a first byte may be sent. The rest of the grace period covers
+// its way to the endpoint.
 Duration last_first_byte(Duration drain_grace) { return drain_grace * 3 / 5; }
 
 }  // namespace
@@ -77,7 +83,7 @@
   for (const EndpointAddress& listed : addresses) {
     Endpoint& endpoint = endpoints_[listed.endpoint];
     if (endpoint.address != listed.address)
-      close_idle(endpoint, CloseReason::kEndpointMoved);  // they lead to its former address
+      close_idle(endpoint, CloseReason::kEndpointMoved);  // they lead to its previous address
     endpoint.address = listed.address;
     endpoint.is_listed = listed.is_ready;
     endpoint.zone = listed.zone;
@@ -101,11 +107,11 @@
   const bool is_ready = endpoint.is_listed && !administratively_drained_.contains(name);
   if (endpoint.is_ready && !is_ready) endpoint.drain_started = clock_();
   endpoint.is_ready = is_ready;
-  // A replica that shuts down waits for its connections to close.
+  // An endpoint that shuts down waits for its connections to close.
   if (!is_ready) close_idle(endpoint, CloseReason::kEndpointDrained);
 }
 
-// Replicas are replaced under new names all day: their state must not pile up.
+// Endpoints are regularly replaced under new names; without this, the state of removed ones would accumulate.
 void ConnectionPool::erase_removed_endpoints() {
   std::erase_if(endpoints_, [](const auto& entry) {
     const Endpoint& endpoint = entry.second;
@@ -150,7 +156,7 @@
 SlotId ConnectionPool::acquire_idle(Endpoint& endpoint) {
   for (std::size_t i = endpoint.idle.size(); i-- > 0;) {
     const SlotId id = endpoint.idle[i];
-    if (!has_settled(id)) continue;
+    if (!is_past_reuse_delay(id)) continue;
     PooledConnection& connection = *connections_.find(id);
     if (connection.transport->is_stale()) {
       close(id, CloseReason::kStale);
@@ -188,7 +194,7 @@
   PooledConnection& connection = *connections_.find(id);
   const auto [entry, is_new] = endpoints_.try_emplace(name);
   Endpoint& endpoint = entry->second;
-  if (is_new) endpoint.is_removed = true;  // it has left the list since the other process connected to it
+  if (is_new) endpoint.is_removed = true;  // it was removed from the list after the other process connected
   ++endpoint.connection_count;
   connection.endpoint = name;
   connection.address = endpoint.address;
@@ -205,12 +211,12 @@
   timers_.drop(connection.timer);
 }
 
-bool ConnectionPool::has_settled(SlotId id) {
-  return clock_() - connections_.find(id)->parked_at >= kSettleTime;
+bool ConnectionPool::is_past_reuse_delay(SlotId id) {
+  return clock_() - connections_.find(id)->parked_at >= kReuseDelay;
 }
 
 bool ConnectionPool::has_reusable_connection(const Endpoint& endpoint) {
-  return !endpoint.idle.empty() && has_settled(endpoint.idle.front());
+  return !endpoint.idle.empty() && is_past_reuse_delay(endpoint.idle.front());
 }
 
 // ---- parking and closing ----
@@ -236,7 +242,7 @@
   const auto max_idle_time = Duration(std::llround(idle_timeout * kIdleTimeoutFraction));
   connection.timer =
       timers_.add(clock_() + max_idle_time, [this, id] { close(id, CloseReason::kIdleTimeout); });
-  connection.transport->read();  // to notice that the replica closes it
+  connection.transport->read();  // to notice when the endpoint closes it
 }
 
 void ConnectionPool::close(SlotId id, CloseReason reason) {
--- a/src/upstream/connection_pool.hpp
+++ b/src/upstream/connection_pool.hpp
@@ -1,4 +1,4 @@
-// Pooled connections to replicas: opening, reuse, limits, and the table of known endpoints.
+// Pooled connections to endpoints: opening, reuse, limits, and the table of known endpoints.
 #ifndef DISPATCHER_UPSTREAM_CONNECTION_POOL_HPP_
 #define DISPATCHER_UPSTREAM_CONNECTION_POOL_HPP_
 
@@ -23,7 +23,7 @@
 
 namespace dispatcher::upstream {
 
-// A connection and what it carries. Owned by ConnectionPool.
+// A connection and the exchange that it carries. Owned by ConnectionPool.
 struct PooledConnection {
   EndpointId endpoint;
   net::tcp::endpoint address;  // where the endpoint listened when the connection was opened
@@ -31,23 +31,23 @@
   Time opened_at{};
   Time parked_at{};
   bool is_connected = false;
-  bool is_reused = false;             // has served an exchange before
+  bool is_reused = false;             // has carried an exchange before
   bool is_reading_suspended = false;  // see StreamHandover
-  bool is_parked = false;             // in its endpoint's idle list; only such a connection may be evicted
+  bool is_parked = false;             // in its endpoint's idle list; only parked connections may be evicted
   Exchange exchange;
-  engine::TimerId timer;  // limits connecting, the wait for a first event, or idleness
+  engine::TimerId timer;  // limits the time to connect, to the first event, or in the idle list
 };
 
-// Who is notified of what happens on the pool's connections; called from the event loop's thread.
+// Notified of events on the pool's connections, on the event loop's thread.
 class ConnectionHandler : public net::Connection::Owner {
  public:
-  // A new connection was not established in time. It is still in the pool.
+  // Called when a new connection was not established in time. It is still in the pool.
   virtual void on_connect_timeout(SlotId id) = 0;
 };
 
-// Opens, keeps and closes the connections to replicas. An idle connection is parked under its endpoint and
-// used again; limits hold for one endpoint, for all idle connections and for all connections. Runs on the
-// event loop's thread, never blocks, and never calls its handler from inside a call.
+// Opens, keeps and closes the connections to endpoints. An idle connection is parked under its endpoint and
+// reused. There are limits on the idle connections of one endpoint, on all idle connections and on all
+// connections. Runs on the event loop's thread, never blocks, and never calls its handler from inside a call.
 class ConnectionPool {
  public:
   ConnectionPool(boost::asio::io_context& io, engine::TimerQueue& timers, engine::Clock clock,
@@ -55,54 +55,56 @@
   // Must be called before the first connection is acquired; `handler` must outlive the pool's last event.
   void set_handler(ConnectionHandler& handler) { handler_ = &handler; }
   void set_log(ConnectionLog log) { log_ = std::move(log); }
-  // Limits and times for what is opened from now on; idle connections past the new limit are closed.
+  // Applies new limits and times to what is opened from now on, and closes idle connections beyond the new
+  // limit on all connections.
   void apply_options(const Options& options);
 
-  // Takes a complete list of service discovery, or a change of it.
+  // Applies a complete list of service discovery, or changes to it.
   void update_endpoints(const std::vector<EndpointAddress>& addresses, ListScope scope);
-  // As operators set it, whether the endpoint is listed or not.
+  // Sets the state that operators give an endpoint. The endpoint need not be listed.
   void set_administrative_state(const EndpointId& name, routing::AdministrativeState state);
 
-  // The connection last used that is fit for reuse, else a new one that fails after `connect_timeout`.
-  // Empty: none may be opened, or the endpoint is unknown. Some are kept for releases: attempts that hang at
-  // silent endpoints must not keep reservations from being released.
+  // Returns the most recently used idle connection that is fit for reuse, else a new one that fails after
+  // `connect_timeout`. Returns an empty id if none may be opened or the endpoint is unknown. Some of the
+  // allowed connections are set aside for releases: attempts that hang at silent endpoints must not prevent
+  // the release of reservations.
   [[nodiscard]] SlotId acquire(const EndpointId& name, Duration connect_timeout, ExchangeKind purpose);
-  // Takes over a connected socket to an endpoint from another process; throws where it is no TCP socket.
+  // Takes over a connected socket to an endpoint from another process. Throws if it is not a TCP socket.
   [[nodiscard]] SlotId adopt(const EndpointId& name, net::UniqueFd socket);
-  // Keeps a connection whose exchange has ended for the next one, or closes it where it can't be kept.
+  // Keeps a connection whose exchange has ended for the next exchange, or closes it if it can't be kept.
   void park(SlotId id);
-  // Closes a connection at once, whatever it carries; its handler is not called any more. Unknown ids are
-  // ignored.
+  // Closes a connection at once, even during an exchange, whose handler is not called any more. Ignores
+  // unknown ids.
   void close(SlotId id, CloseReason reason);
-  // Closes the connection that has been idle for longest. False: none is idle.
+  // Closes the connection that has been idle for longest. Returns false if none is idle.
   bool evict_idle();
 
-  // To be called when a new connection is established: ends its connect timeout.
+  // Must be called when a new connection is established. Ends its connect timeout.
   void on_connected(PooledConnection& connection);
-  // Whether a connection that was just established must not be written to: its endpoint has been draining for
-  // too long or has another address by now, and the router chose it before it was notified of that.
+  // Returns whether a connection that was just established must not be written to, because its endpoint has
+  // been draining for too long or has changed its address since the router chose it.
   [[nodiscard]] bool is_outdated(const PooledConnection& connection);
-  // A reused connection broke without a response: for a while, only new connections are used.
+  // Called when a reused connection broke without a response. For a while, only new connections are used.
   void quarantine_reuse() { last_reuse_failure_ = clock_(); }
 
-  // nullptr: the connection has been closed.
+  // Returns null if the connection has been closed.
   [[nodiscard]] PooledConnection* find(SlotId id) { return connections_.find(id); }
-  // nullptr: unknown. An endpoint is known while it has connections.
+  // Returns null if the endpoint is unknown. An endpoint is known while it is listed or has connections.
   [[nodiscard]] Endpoint* find_endpoint(const EndpointId& name);
   [[nodiscard]] Endpoint& endpoint_of(const PooledConnection& connection);
   [[nodiscard]] const std::map<EndpointId, Endpoint>& endpoints() const { return endpoints_; }
   [[nodiscard]] std::vector<SlotId> ids() const { return connections_.ids(); }
   [[nodiscard]] std::size_t size() const { return connections_.size(); }
-  // How long to wait for a new connection, by how long others took.
+  // Returns how long to wait for a new connection, estimated from the time that earlier ones took.
   [[nodiscard]] Duration connect_timeout() const { return connect_timeout_estimator_.timeout(); }
-  // Whether the endpoint has an idle connection that may be used again.
+  // Returns whether the endpoint has an idle connection that may be reused.
   [[nodiscard]] bool has_reusable_connection(const Endpoint& endpoint);
 
  private:
   [[nodiscard]] SlotId acquire_idle(Endpoint& endpoint);
   [[nodiscard]] SlotId open(const EndpointId& name, Endpoint& endpoint, Time now, Duration connect_timeout);
   [[nodiscard]] std::size_t max_connections_for(ExchangeKind purpose) const;
-  [[nodiscard]] bool has_settled(SlotId id);
+  [[nodiscard]] bool is_past_reuse_delay(SlotId id);
   void update_readiness(const EndpointId& name, Endpoint& endpoint);
   void close_idle(Endpoint& endpoint, CloseReason reason);
   void remove_from_idle(Endpoint& endpoint, SlotId id);
@@ -118,11 +120,12 @@
   net::SlotTable<PooledConnection> connections_;
   std::map<EndpointId, Endpoint> endpoints_;
   std::set<EndpointId> administratively_drained_;
-  // All connections that became idle, oldest first; may name some that were closed or acquired since.
+  // The connections that became idle, the oldest first. May contain connections that have been closed or
+  // acquired since.
   std::deque<SlotId> idle_order_;
   std::size_t idle_count_ = 0;
   ConnectTimeoutEstimator connect_timeout_estimator_;
-  Time last_reuse_failure_{};  // zero: never
+  Time last_reuse_failure_{};  // zero if there was none
 };
 
 }  // namespace dispatcher::upstream
--- a/src/upstream/endpoint.hpp
+++ b/src/upstream/endpoint.hpp
@@ -1,4 +1,4 @@
-// A replica's address as service discovery lists it, and what the connection pool knows of a replica.
+// An endpoint's address as service discovery lists it, and the connection pool's state of an endpoint.
 #ifndef DISPATCHER_UPSTREAM_ENDPOINT_HPP_
 #define DISPATCHER_UPSTREAM_ENDPOINT_HPP_
 
@@ -16,21 +16,21 @@
 using net::SlotId;
 using routing::EndpointId;
 
-// Where a replica listens, as service discovery lists it.
+// The address at which an endpoint listens, as service discovery lists it.
 struct EndpointAddress {
   EndpointId endpoint;
   net::tcp::endpoint address;
-  bool is_ready = false;    // takes new requests
-  bool is_removed = false;  // has left the list
+  bool is_ready = false;    // accepts new requests
+  bool is_removed = false;  // is no longer listed
   std::string zone = {};
-  int cell = 0;  // its failure domain within the zone
+  int cell = 0;  // the endpoint's failure domain within the zone
 };
 
-// What a list of addresses covers: all replicas, so that those it does not name have left, or only those that
-// changed.
+// Whether a list of addresses covers all endpoints, so that an endpoint that it does not name has been
+// removed, or only the endpoints that changed.
 enum class ListScope { kComplete, kChanges };
 
-// The pool's state of one replica. Owned by ConnectionPool, which keeps it for as long as the replica is
+// The pool's state of one endpoint. Owned by ConnectionPool, which keeps it for as long as the endpoint is
 // listed or has open connections.
 struct Endpoint {
   net::tcp::endpoint address;
@@ -38,25 +38,28 @@
   int cell = 0;
   bool is_listed = false;   // service discovery lists it as ready
   bool is_ready = false;    // listed, and not drained by the operators
-  bool is_removed = false;  // has left service discovery's list
+  bool is_removed = false;  // is no longer in service discovery's list
   std::size_t connection_count = 0;
   std::size_t running_attempts = 0;
-  Time drain_started{};     // when it last ceased to be ready
-  Time last_received{};     // when bytes last came from it; zero: never
-  Time awaiting_since{};    // since when the next bytes from it are due; zero: none are
-  std::deque<SlotId> idle;  // parked connections, the last used at the back
+  Time drain_started{};     // when it last stopped being ready
+  Time last_received{};     // when bytes last arrived from it; zero if none have
+  Time awaiting_since{};    // since when its next bytes are due; zero if none are due
+  std::deque<SlotId> idle;  // parked connections, the most recently used at the back
 
-  // Whether bytes that are due from it have not come for longer than `limit`.
+  // Returns whether bytes have been due from it for longer than `limit`.
   [[nodiscard]] bool is_unresponsive(Time now, Duration limit) const {
     return awaiting_since != Time{} && now - awaiting_since > limit;
   }
+  // Called when a request was written to one of its connections.
   void on_request_written(Time now) {
     if (awaiting_since == Time{}) awaiting_since = now;
   }
+  // Called when bytes of a response have arrived from it.
   void on_bytes_received(Time now) {
     last_received = now;
-    awaiting_since = running_attempts > 0 ? now : Time{};  // a running attempt has its next bytes due
+    awaiting_since = running_attempts > 0 ? now : Time{};  // each running attempt has its next bytes due
   }
+  // Called when an exchange has ended with a complete response.
   void on_exchange_completed() {
     if (running_attempts == 0) awaiting_since = {};
   }
--- a/src/upstream/exchange_runner.cpp
+++ b/src/upstream/exchange_runner.cpp
@@ -14,12 +14,13 @@
 
 namespace {
 
-// The head of a response comes with the first token: one that has begun and brings no event soon has failed.
+// The longest time from the start of an attempt's response to its first event. An endpoint sends the head of
+// a response together with the first token, so a response without an event by then has failed.
 constexpr Duration kFirstEventTimeout = std::chrono::milliseconds(1000);
 
 unsigned http_status(Exchange& exchange) { return exchange.reader.message().result_int(); }
 
-// Whether the response carries the events of an attempt's stream.
+// Returns whether the response carries the events of an attempt's stream.
 bool is_event_stream(Exchange& exchange) {
   return exchange.request.kind == ExchangeKind::kAttempt && http_status(exchange) == kHttpOk;
 }
@@ -75,9 +76,9 @@
   if (error) return on_connection_broken(id, AttemptEndReason::kConnectRefused);
   pool_.on_connected(*connection);
   const ExchangeKind kind = connection->exchange.request.kind;
-  const bool gives_work = kind == ExchangeKind::kAttempt || kind == ExchangeKind::kReservation;
-  // A release may be sent to any replica that runs, also to one that is draining.
-  if (gives_work && pool_.is_outdated(*connection))
+  const bool needs_current_endpoint = kind == ExchangeKind::kAttempt || kind == ExchangeKind::kReservation;
+  // A release may be sent to any running endpoint, even to one that is draining.
+  if (needs_current_endpoint && pool_.is_outdated(*connection))
     return on_connection_broken(id, AttemptEndReason::kEndpointChanged);
   write_request(id, *connection);
 }
@@ -103,7 +104,7 @@
       position.chunk_left, position.keep_alive ? http::Persistence::kKeepAlive : http::Persistence::kClose);
   ++pool_.endpoint_of(connection).running_attempts;
   connection.transport->append_input(unread);
-  // The unread bytes may be all that is left of the response. The handler must not be called from in here.
+  // The unread bytes may complete the response, and the handler must not be called before this call returns.
   timers_.add(clock_(), [this, id] {
     if (pool_.find(id) == nullptr) return;
     on_data(id);
@@ -120,8 +121,8 @@
   Exchange& exchange = connection.exchange;
   if (!exchange.is_active()) return pool_.close(id, CloseReason::kUnsolicitedBytes);
   pool_.endpoint_of(connection).on_bytes_received(clock_());
-  if (!exchange.is_request_sent) {  // no response to what was not written yet
-    log_("endpoint " + connection.endpoint.value() + " answered before it was asked");
+  if (!exchange.is_request_sent) {  // its request is not completely written
+    log_("endpoint " + connection.endpoint.value() + " sent a response before its request was written");
     return on_connection_broken(id, AttemptEndReason::kEarlyResponse);
   }
   const http::ReadStatus progress = parse_response(id, connection);
@@ -130,17 +131,17 @@
   if (exchange.reader.is_head_complete() && is_event_stream(exchange)) {
     forward_events(id, exchange.reader.take_body());
   }
-  // The events' receiver may have ended the exchange.
+  // The handler of the events may have ended the exchange.
   PooledConnection* remaining = pool_.find(id);
   if (remaining == nullptr || !remaining->exchange.is_active()) return;
   Exchange& unfinished = remaining->exchange;
   if (unfinished.reader.message().body().size() > http::kMaxBodyBytes || unfinished.framer.is_too_long()) {
-    return on_malformed_response(id, "no end of an event or a body");
+    return on_malformed_response(id, "event or body is too long");
   }
   if (progress == http::ReadStatus::kComplete) complete_exchange(id);
 }
 
-// Skips informational responses, which may come ahead of the one that counts (RFC 9110, section 15.2).
+// Skips informational responses, which may precede the final response (RFC 9110, section 15.2).
 http::ReadStatus ExchangeRunner::parse_response(SlotId id, PooledConnection& connection) {
   Exchange& exchange = connection.exchange;
   net::RingBuffer& input = connection.transport->input();
@@ -152,19 +153,19 @@
   if (!exchange.reader.has_started() || exchange.has_response_started) return progress;
   exchange.has_response_started = true;
   if (exchange.request.kind == ExchangeKind::kAttempt) {
-    connection.timer =
-        timers_.add(clock_() + kFirstEventTimeout, [this, id] { on_malformed_response(id, "no event"); });
+    connection.timer = timers_.add(clock_() + kFirstEventTimeout,
+                                   [this, id] { on_malformed_response(id, "no event in time"); });
   }
   return progress;
 }
 
-// Passes on complete events at once, and notes what they report besides their text.
+// Forwards complete events at once, and records what they report besides their text.
 void ExchangeRunner::forward_events(SlotId id, std::string_view bytes) {
   PooledConnection& connection = *pool_.find(id);
   Exchange& exchange = connection.exchange;
   std::string complete_events;
   for (const std::string& event : exchange.framer.append(bytes)) {
-    note_event(event, exchange.result);
+    record_event_metadata(event, exchange.result);
     complete_events += event;
   }
   if (complete_events.empty()) return;
@@ -176,7 +177,7 @@
   Exchange& exchange = pool_.find(id)->exchange;
   const std::string last_event = exchange.framer.finish();
   if (!last_event.empty()) exchange.handler->on_events(exchange.request.attempt, last_event);
-  // The event's receiver may have ended the exchange.
+  // The handler of the event may have ended the exchange.
   PooledConnection* connection = pool_.find(id);
   if (connection == nullptr || !connection->exchange.is_active()) return;
   finish_complete_exchange(id, *connection);
@@ -195,12 +196,13 @@
     outcome.result.reason = outcome.result.invalid_request ? AttemptEndReason::kInvalidRequest
                                                            : AttemptEndReason::kResponseComplete;
     if (!is_expected_status(status)) {
-      log_("endpoint " + outcome.endpoint.value() + " answered " + std::to_string(status));
+      log_("endpoint " + outcome.endpoint.value() + " answered with unexpected status " +
+           std::to_string(status));
     }
   }
-  // Bytes past the response belong to no exchange; a connection with such is not kept.
-  const bool has_no_excess = connection.transport->input().empty();
-  if (exchange.reader.keep_alive() && has_no_excess && exchange.is_request_sent) {
+  // Bytes after the response belong to no exchange; a connection that has received such bytes is not kept.
+  const bool has_no_excess_bytes = connection.transport->input().empty();
+  if (exchange.reader.keep_alive() && has_no_excess_bytes && exchange.is_request_sent) {
     pool_.park(id);
   } else {
     pool_.close(id, CloseReason::kResponseEnded);
@@ -215,7 +217,7 @@
   PooledConnection* connection = pool_.find(id);
   if (connection == nullptr) return;
   Exchange& exchange = connection->exchange;
-  // The connection's end is that of a body with neither length nor chunks (RFC 9112, section 6.3).
+  // A body with neither a length nor chunks ends with its connection (RFC 9112, section 6.3).
   const bool is_response_end = exchange.is_active() && error == boost::asio::error::eof &&
                                exchange.reader.has_started() &&
                                exchange.reader.end() == http::ReadStatus::kComplete;
@@ -225,7 +227,7 @@
   if (connection != nullptr && connection->exchange.is_active()) complete_exchange(id);
 }
 
-// The connection failed, or was never established.
+// Called when a connection has failed or could not be established.
 void ExchangeRunner::on_connection_broken(SlotId id, AttemptEndReason reason) {
   const PooledConnection* connection = pool_.find(id);
   if (connection == nullptr) return;
@@ -233,7 +235,7 @@
   fail_exchange(id, is_sent ? AttemptStatus::kReset : AttemptStatus::kConnectFailed, reason);
 }
 
-// The replica runs, but its response can't be parsed: it may have executed the request.
+// Called when a response can't be parsed. The endpoint runs and may have executed the request.
 void ExchangeRunner::on_malformed_response(SlotId id, std::string_view reason) {
   const PooledConnection* connection = pool_.find(id);
   if (connection == nullptr) return;
--- a/src/upstream/exchange_runner.hpp
+++ b/src/upstream/exchange_runner.hpp
@@ -1,4 +1,4 @@
-// Runs HTTP/1.1 exchanges on pooled connections: writes a request, reads its response, reports its end.
+// Runs HTTP/1.1 exchanges on pooled connections: writes requests, reads responses and reports the outcomes.
 #ifndef DISPATCHER_UPSTREAM_EXCHANGE_RUNNER_HPP_
 #define DISPATCHER_UPSTREAM_EXCHANGE_RUNNER_HPP_
 
@@ -16,26 +16,28 @@
 
 // The position in a chunked response that another process began to read.
 struct ResponsePosition {
-  std::uint64_t chunk_left = 0;  // bytes that the chunk being read still lacks
+  std::uint64_t chunk_left = 0;  // bytes of the current chunk that are still to be read
   bool keep_alive = true;        // the connection may be reused after the response
 };
 
-// Runs one exchange at a time on each pooled connection. Never repeats a request by itself: the router
-// decides about retries. Owned by ReplicaClient; runs on the event loop's thread. ExchangeHandlers are called
-// from events of connections and timers, and from start() on a connected connection (compose_request() only).
+// Runs one exchange at a time on each pooled connection. Never retries a request: the router decides on
+// retries. Owned by ReplicaClient; runs on the event loop's thread. ExchangeHandlers are called from events
+// of connections and timers. In addition, start() on an established connection calls compose_request() and
+// on_request_written(), and fail_exchange() calls on_exchange_ended().
 class ExchangeRunner : private ConnectionHandler {
  public:
   ExchangeRunner(ConnectionPool& pool, engine::TimerQueue& timers, engine::Clock clock, engine::Log log);
   ExchangeRunner(const ExchangeRunner&) = delete;
   ExchangeRunner& operator=(const ExchangeRunner&) = delete;
 
-  // Begins an exchange on a connection that pool.acquire() gave; the request is written once it is connected.
+  // Begins an exchange on a connection that pool.acquire() returned. Its request is written once the
+  // connection is established.
   void start(SlotId id, ExchangeHandler& handler, ExchangeRequest request);
-  // Continues an attempt's response on a connection that pool.adopt() gave. `unread`: bytes of the response
-  // that came before.
+  // Continues an attempt's response on a connection that pool.adopt() returned. `unread` holds bytes of the
+  // response that the other process has received and not parsed.
   void resume_response(SlotId id, ExchangeHandler& handler, AttemptId attempt,
                        const ResponsePosition& position, std::string_view unread);
-  // Ends an exchange without a response, and closes its connection. Unknown ids are ignored.
+  // Ends an exchange without a complete response and closes its connection. Ignores unknown ids.
   void fail_exchange(SlotId id, routing::AttemptStatus status, engine::AttemptEndReason reason,
                      FailureAttribution attribution = FailureAttribution::kEndpoint);
 
--- a/src/upstream/options.hpp
+++ b/src/upstream/options.hpp
@@ -1,4 +1,4 @@
-// Limits and times of the connections to replicas.
+// Limits and times of the connections to endpoints.
 #ifndef DISPATCHER_UPSTREAM_OPTIONS_HPP_
 #define DISPATCHER_UPSTREAM_OPTIONS_HPP_
 
@@ -12,22 +12,23 @@
 using engine::Duration;
 using engine::Time;
 
-// How connections to replicas are opened, kept and limited. A plain value; ReplicaClient::apply_options()
-// exchanges it while the process runs.
+// Defines how connections to endpoints are opened, kept and limited. A plain value;
+// ReplicaClient::apply_options() replaces it while the process runs.
 struct Options {
-  // The longest that a new connection is waited for; see ConnectTimeoutEstimator.
+  // The longest wait for a new connection; see ConnectTimeoutEstimator.
   Duration connect_timeout{};
-  // A replica closes a connection that has been idle for so long.
+  // The idle time after which an endpoint closes a connection.
   Duration idle_timeout{};
-  // From one round of release calls to the next; see ReleaseTargets.
+  // The time from one round of release calls to the next, at first; see ReleaseTargets.
   Duration release_round_interval{};
+  // The maximum of idle connections, to one endpoint and in total.
   std::size_t max_idle_per_endpoint = 24;
   std::size_t max_idle_total = 160;
-  // Connections open at once, idle ones among them.
+  // The maximum of open connections, including idle ones.
   std::size_t max_connections = 360;
-  // After an endpoint has begun to drain, the time within which a first byte may still reach it.
+  // The time after the start of an endpoint's drain within which a first byte may still reach it.
   Duration drain_grace = std::chrono::milliseconds(250);
-  // From an answered release to its repetition, while something may still leave a reservation behind.
+  // The time from an answered release to its repetition, while a reservation may still be left behind.
   Duration release_repeat_interval = std::chrono::milliseconds(200);
 };
 
--- a/src/upstream/protocol.cpp
+++ b/src/upstream/protocol.cpp
@@ -13,10 +13,10 @@
 
 namespace {
 
-// An event stream's comment that carries a load report, as the response header of the same name does.
+// The start of an event-stream comment that carries a load report, like the response header of that name.
 constexpr std::string_view kLoadComment = ": X-Backend-Load:";
 
-// A number in a load report at or above this is taken for an error of the replica.
+// A load report that contains a number of this size or larger is ignored as an error of the endpoint.
 constexpr double kMaxReportedValue = 1e6;
 
 std::string request_head(std::string_view method, std::string_view target) {
@@ -29,7 +29,7 @@
   return request_head(method, "/kv/leases/" + request_id.value()) + "Content-Length: 0\r\n\r\n";
 }
 
-// Whether the status says that the request itself is invalid, at any replica and at any time or load.
+// Returns whether the status says that the request itself is invalid, at any endpoint, time and load.
 bool rejects_request(int status) {
   const bool is_temporary =
       status == kHttpRequestTimeout || status == kHttpTooEarly || status == kHttpTooManyRequests;
@@ -46,7 +46,7 @@
   return !value || (*value >= 0 && *value < kMaxReportedValue);
 }
 
-// An unreadable report counts as none: the response is valid all the same.
+// Returns an empty report if the text is not a valid report; the response stays valid.
 routing::LoadReport parse_report(std::string_view text) {
   const Json fields = Json::parse(text, nullptr, false);
   if (!fields.is_object()) return {};
@@ -60,8 +60,8 @@
   }
 }
 
-// Interprets the end of a stream: complete, or truncated within an event. A comment at the very end needs no
-// blank line after it.
+// Interprets the end of a stream, which is complete or truncated within an event. A comment at the end of the
+// stream needs no blank line after it.
 void interpret_stream_end(std::string_view unfinished_event, engine::AttemptResult& result) {
   if (unfinished_event.starts_with(kLoadComment)) {
     result.report = parse_report(unfinished_event.substr(kLoadComment.size()));
@@ -91,7 +91,7 @@
   return reservation_text("DELETE", request_id);
 }
 
-void note_event(const std::string& event, engine::AttemptResult& result) {
+void record_event_metadata(const std::string& event, engine::AttemptResult& result) {
   if (event.starts_with(kLoadComment)) {
     result.report = parse_report(std::string_view(event).substr(kLoadComment.size()));
     return;
@@ -126,7 +126,7 @@
       break;
     default:
       result.invalid_request = rejects_request(status);
-      // A request that no replica can use is no sign of this replica's health.
+      // A request that is invalid at every endpoint says nothing about this endpoint's health.
       result.status = result.invalid_request ? AttemptStatus::kNeverSent : AttemptStatus::kError;
   }
   return result;
--- a/src/upstream/protocol.hpp
+++ b/src/upstream/protocol.hpp
@@ -1,5 +1,5 @@
-// The HTTP protocol spoken to replicas: the texts of requests, and the meaning of responses. No I/O and no
-// state: all functions may be called from any thread.
+// The HTTP protocol spoken to endpoints: the texts of requests and the interpretation of responses. No I/O
+// and no state: all functions may be called from any thread.
 #ifndef DISPATCHER_UPSTREAM_PROTOCOL_HPP_
 #define DISPATCHER_UPSTREAM_PROTOCOL_HPP_
 
@@ -13,7 +13,7 @@
 
 namespace dispatcher::upstream {
 
-// Status codes (RFC 9110, section 15) by which replicas answer.
+// Status codes (RFC 9110, section 15) of responses from endpoints.
 constexpr int kHttpOk = 200;
 constexpr int kHttpAccepted = 202;
 constexpr int kHttpRequestTimeout = 408;
@@ -25,20 +25,21 @@
 constexpr int kHttpServiceUnavailable = 503;
 constexpr int kHttpGatewayTimeout = 504;
 
-// The request of an attempt. `time_left`: until the deadline of the client's request.
+// Returns the request of an attempt. `time_left` is the time until the deadline of the client's request.
 [[nodiscard]] std::string request_text(const engine::UpstreamRequest& request, engine::Duration time_left);
-// The calls that reserve a slot for a request, and that release what is reserved for it.
+// Returns the call that reserves a slot for a client's request.
 [[nodiscard]] std::string reserve_text(const engine::RequestId& request_id);
+// Returns the call that releases what is reserved for a client's request.
 [[nodiscard]] std::string release_text(const engine::RequestId& request_id);
 
-// Adds to `result` what a complete event reports besides its text: a load report, the count of cached tokens.
-void note_event(const std::string& event, engine::AttemptResult& result);
-// What a complete response means. `unfinished_event`: what follows its last complete event; `result`: what
-// its events reported.
+// Adds to `result` what a complete event reports besides its text: a load report or a count of cached tokens.
+void record_event_metadata(const std::string& event, engine::AttemptResult& result);
+// Interprets a complete response. `unfinished_event` is the text after its last complete event; `result`
+// holds what its events have reported.
 [[nodiscard]] engine::AttemptResult interpret_response(const http::ResponseReader::Message& response,
                                                        std::string_view unfinished_event,
                                                        engine::AttemptResult result);
-// Whether the protocol defines this status code for responses of replicas.
+// Returns whether the protocol defines this status code for responses of endpoints.
 [[nodiscard]] bool is_expected_status(int status);
 
 }  // namespace dispatcher::upstream
--- a/src/upstream/release_targets.cpp
+++ b/src/upstream/release_targets.cpp
@@ -8,16 +8,17 @@
 
 namespace {
 
-// Calls of one round: the other dispatchers of the fleet may be calling as well.
+// The maximum number of calls in one round, as the other dispatchers of the fleet may be calling at the same
+// time.
 constexpr std::size_t kMaxRoundWidth = 8;
-// Rounds at the first interval: they cover two reservation limits, within which any reachable replica is
-// found.
+// The number of rounds at the first interval. They cover two reservation limits, within which any reachable
+// endpoint is found.
 constexpr int kRoundsBeforeBackoff = 12;
-// After an outage, the next round must not be far.
+// The longest time between two rounds, so that a round follows soon after the end of an outage.
 constexpr Duration kMaxInterval = std::chrono::seconds(1);
 
 template <class Map, class Key>
-int calls_to(const Map& calls, const Key& key) {
+int call_count_of(const Map& calls, const Key& key) {
   const auto it = calls.find(key);
   return it == calls.end() ? 0 : it->second;
 }
@@ -28,12 +29,13 @@
 
 }  // namespace
 
-// Zones and cells with fewer calls come first: what makes one endpoint unreachable mostly does so to its
-// neighbours. Of equals, the first one in the list is taken.
-const ReleaseCandidate* ReleaseTargets::best(const std::vector<ReleaseCandidate>& candidates) const {
+// Prefers zones and cells with fewer calls: what makes one endpoint unreachable usually affects its
+// neighbours too. Chooses the first of several equal candidates.
+const ReleaseCandidate* ReleaseTargets::best_candidate(
+    const std::vector<ReleaseCandidate>& candidates) const {
   const auto rank = [&](const ReleaseCandidate& candidate) {
-    return std::tuple(-calls_to(calls_by_zone_, candidate.zone),
-                      -calls_to(calls_by_cell_, routing::CellId{candidate.zone, candidate.cell}),
+    return std::tuple(-call_count_of(calls_by_zone_, candidate.zone),
+                      -call_count_of(calls_by_cell_, routing::CellId{candidate.zone, candidate.cell}),
                       !candidate.is_unresponsive, candidate.has_idle_connection, candidate.last_received);
   };
   const ReleaseCandidate* found = nullptr;
@@ -50,23 +52,23 @@
   if (has_expired(now) || max_targets == 0) return targets;
   ++round_count_;
   while (targets.size() < std::min({width_, candidates.size(), max_targets})) {
-    const ReleaseCandidate* next = best(candidates);
-    if (next == nullptr) {  // all were called: from the start
+    const ReleaseCandidate* next = best_candidate(candidates);
+    if (next == nullptr) {  // all have been called: starts over
       if (!targets.empty()) break;
       called_.clear();
       continue;
     }
-    // Where even the best may not be reachable, a single call would lose a round.
+    // If even the best candidate may be unreachable, a single call could waste a round.
     const bool is_first_call = call_count_ == 0 && targets.empty();
     if (is_first_call && !is_known_reachable(*next)) width_ = 2;
     targets.push_back(next->endpoint);
-    note_call(*next);
+    record_call(*next);
   }
   width_ = std::min(2 * width_, kMaxRoundWidth);
   return targets;
 }
 
-void ReleaseTargets::note_call(const ReleaseCandidate& target) {
+void ReleaseTargets::record_call(const ReleaseCandidate& target) {
   called_.insert(target.endpoint);
   ++calls_by_zone_[target.zone];
   ++calls_by_cell_[{target.zone, target.cell}];
--- a/src/upstream/replica_client.cpp
+++ b/src/upstream/replica_client.cpp
@@ -25,7 +25,7 @@
   pool_.set_administrative_state(endpoint, state);
   if (state == routing::AdministrativeState::kInService) return;
   for (const SlotId id : pool_.ids()) {
-    const PooledConnection* connection = pool_.find(id);  // an exchange that fails may end others
+    const PooledConnection* connection = pool_.find(id);  // a failing exchange may end others
     if (connection == nullptr || connection->endpoint != endpoint || connection->is_connected) continue;
     exchanges_.fail_exchange(id, routing::AttemptStatus::kConnectFailed,
                              engine::AttemptEndReason::kEndpointChanged, FailureAttribution::kNone);
--- a/src/upstream/replica_client.hpp
+++ b/src/upstream/replica_client.hpp
@@ -1,4 +1,4 @@
-// The client of the replicas: the engine's UpstreamClient over pooled HTTP/1.1 connections.
+// The client of the endpoints: implements the engine's UpstreamClient over pooled HTTP/1.1 connections.
 #ifndef DISPATCHER_UPSTREAM_REPLICA_CLIENT_HPP_
 #define DISPATCHER_UPSTREAM_REPLICA_CLIENT_HPP_
 
@@ -19,25 +19,25 @@
 namespace dispatcher::upstream {
 
 // Composes the connection pool, attempts, reservation calls and stream handover. Owned by the daemon's
-// Dispatcher; runs on the event loop's thread, and must outlive the loop's last event. Calls the engine from
-// events and timers only, except Engine::is_still_needed().
+// Dispatcher; runs on the event loop's thread, and must outlive the loop's last event. Calls the engine only
+// from events and timers, except for Engine::is_still_needed() and Engine::on_attempt_written().
 class ReplicaClient : public engine::UpstreamClient {
  public:
   ReplicaClient(boost::asio::io_context& io, engine::TimerQueue& timers, const engine::Clock& clock,
                 const engine::Log& log, const Options& options);
   ReplicaClient(const ReplicaClient&) = delete;
   ReplicaClient& operator=(const ReplicaClient&) = delete;
-  // Must be called before the first attempt or reservation.
+  // Sets the engine to notify. Must be called before the first attempt or reservation.
   void attach(engine::Engine& engine);
 
   // See ConnectionPool::update_endpoints().
   void update_endpoints(const std::vector<EndpointAddress>& addresses, ListScope scope);
-  // A drained endpoint gets no first byte of anything any more: exchanges that wait for a connection to it
-  // fail as not sent. Those that run go on.
+  // Sets the state that operators give an endpoint. No exchange sends its first byte to a drained endpoint:
+  // exchanges that wait for a connection to it fail as not sent, and running exchanges continue.
   void set_administrative_state(const EndpointId& endpoint, routing::AdministrativeState state);
-  // Logs each connection that is closed from now on.
+  // Sets the log of the connections that are closed from now on.
   void set_connection_log(ConnectionLog log) { pool_.set_log(std::move(log)); }
-  // Limits and times for what is opened from now on.
+  // Applies new limits and times to what is opened from now on.
   void apply_options(const Options& options);
 
   // See StreamHandover.
@@ -46,7 +46,8 @@
   [[nodiscard]] DetachedStream detach_stream(AttemptId attempt) { return handover_.detach_stream(attempt); }
   void adopt_stream(AttemptId attempt, DetachedStream stream);
 
-  // Closes the connection that has been idle for longest, where descriptors are short. False: none is idle.
+  // Closes the connection that has been idle for longest, for use when file descriptors run short. Returns
+  // false if none is idle.
   bool evict_idle() { return pool_.evict_idle(); }
   [[nodiscard]] std::size_t open_connections() const { return pool_.size(); }
   [[nodiscard]] std::size_t known_endpoints() const { return pool_.endpoints().size(); }
--- a/src/upstream/reservation_client.cpp
+++ b/src/upstream/reservation_client.cpp
@@ -8,7 +8,8 @@
 
 namespace {
 
-// Release calls may have this part of all connections: a burst of them must leave capacity for attempts.
+// The maximum of open connections divided by this is the maximum of active release calls, so that a burst of
+// releases leaves capacity for attempts.
 constexpr std::size_t kReleaseConnectionsDivisor = 4;
 
 ReservationReleaser::Limits release_limits(const Options& options) {
@@ -40,7 +41,7 @@
 }
 
 void ReservationClient::release(const RequestId& request_id, const engine::LateReads& late_reads) {
-  // A reservation call that still waits for its connection would come after the release.
+  // A reservation call that still waits for its connection would be sent after the release.
   for (const SlotId id : pool_.ids()) {
     const PooledConnection& connection = *pool_.find(id);
     const ExchangeRequest& request = connection.exchange.request;
@@ -54,7 +55,7 @@
   const SlotId id = pool_.acquire(endpoint, round_interval_, ExchangeKind::kRelease);
   if (!id) return {};
   exchanges_.start(id, *this, {ExchangeKind::kRelease, {}, request_id});
-  timers_.drop(pool_.find(id)->timer);  // its response counts also while further replicas are called
+  timers_.drop(pool_.find(id)->timer);  // its response counts even after further endpoints were called
   return id;
 }
 
--- a/src/upstream/reservation_client.hpp
+++ b/src/upstream/reservation_client.hpp
@@ -1,4 +1,4 @@
-// The calls to replicas that reserve a slot for a request, or release what is reserved for it.
+// Makes the calls to endpoints that reserve a slot for a request or release what is reserved for it.
 #ifndef DISPATCHER_UPSTREAM_RESERVATION_CLIENT_HPP_
 #define DISPATCHER_UPSTREAM_RESERVATION_CLIENT_HPP_
 
@@ -14,28 +14,30 @@
 
 namespace dispatcher::upstream {
 
-// Makes the calls about reservations. ReservationReleaser decides which replicas a release is sent to, and
-// how often; unlike attempts, releases are idempotent and go to further replicas by themselves. Owned by
-// ReplicaClient; runs on the event loop's thread, and calls the engine only from events.
+// Makes the calls that create and release reservations. ReservationReleaser decides which endpoints a release
+// is sent to, and how often. Unlike attempts, releases are idempotent and are sent to further endpoints
+// without a decision by the router. Owned by ReplicaClient; runs on the event loop's thread, and calls the
+// engine only from events.
 class ReservationClient : private ExchangeHandler, private ReservationReleaser::ReleaseTransport {
  public:
   ReservationClient(ConnectionPool& pool, ExchangeRunner& exchanges, engine::TimerQueue& timers,
                     const engine::Clock& clock, const engine::Log& log, const Options& options);
-  // Without an engine, results of calls are dropped.
+  // Sets the engine to notify. Must be called before the first reservation. Without an engine, the results of
+  // releases are dropped.
   void attach(engine::Engine& engine) { engine_ = &engine; }
   void apply_options(const Options& options);
 
-  // Requests a slot for the request from an endpoint; Engine::on_reservation_result() is called with its
-  // answer.
+  // Requests a slot for the request from an endpoint, whose answer is passed to
+  // Engine::on_reservation_result().
   void reserve(AttemptId attempt, const EndpointId& endpoint, const RequestId& request_id);
-  // As engine::UpstreamClient::release_reservation().
+  // See engine::UpstreamClient::release_reservation().
   void release(const RequestId& request_id, const engine::LateReads& late_reads);
-  // Ends the calls of a release under way: they must not release what an attempt written now reserves.
+  // Ends a release and its active calls, which must not release what an attempt written now reserves.
   void cancel_release(const RequestId& request_id) { releaser_.cancel(request_id); }
 
-  // Releases that have not ended.
+  // Returns the number of releases that have not ended.
   [[nodiscard]] std::size_t pending_releases() const { return releaser_.pending(); }
-  // Those of them that the process's end must wait for.
+  // Returns the number of those releases that the end of the process must wait for.
   [[nodiscard]] std::size_t releases_blocking_shutdown() const { return releaser_.blocking_shutdown(); }
 
  private:
--- a/src/upstream/reservation_releaser.cpp
+++ b/src/upstream/reservation_releaser.cpp
@@ -8,11 +8,13 @@
 
 namespace {
 
-// A network partition may last for many seconds; a release that reached no replica for longer is abandoned.
+// A release that has reached no endpoint for this long is abandoned. A network partition may last for many
+// seconds.
 constexpr Duration kGiveUpAfter = std::chrono::seconds(30);
-// A graceful shutdown waits this long for a replica that can be reached.
+// How long a graceful shutdown waits for a release to reach an endpoint.
 constexpr Duration kMaxShutdownWait = std::chrono::seconds(3);
-// Calls under way at once for one request: older ones hardly succeed any more.
+// The maximum of active calls for one request. Further calls replace older ones, which rarely succeed any
+// more.
 constexpr std::size_t kMaxCallsPerRelease = 12;
 
 }  // namespace
@@ -46,12 +48,12 @@
   return std::max(earliest_end, release.late_reads.silent_until);
 }
 
-// A reader that answers the first round at once has a link that works, and has noticed that its attempt was
-// ended before; one more release covers the moment.
-void ReservationReleaser::note_reachable(Release& release, const EndpointId& endpoint) {
+// No longer treats the reader as silent if it answers the first round at once: its link works, and it has
+// noticed that its attempt was ended before. One more release covers the moment at which it noticed.
+void ReservationReleaser::clear_reachable_reader(Release& release, const EndpointId& endpoint) {
   const Time now = clock_();
-  const bool is_prompt = now - release.targets.started() <= limits_.round_interval;
-  if (endpoint != release.late_reads.silent_reader || !is_prompt) return;
+  const bool is_early_answer = now - release.targets.started() <= limits_.round_interval;
+  if (endpoint != release.late_reads.silent_reader || !is_early_answer) return;
   release.late_reads.silent_reader = {};
   release.repeat_until = std::max(release.repeat_until, now + limits_.repeat_interval);
 }
@@ -78,14 +80,14 @@
   }
 }
 
-// One round of calls, and the next one if none of them is answered soon.
+// Makes one round of calls, and schedules the next one in case none of them is answered soon.
 void ReservationReleaser::start_round(const RequestId& request_id) {
   Release& release = releases_.at(request_id);
   timers_.drop(release.timer);
   const Time now = clock_();
   if (release.targets.has_expired(now)) {
     const std::string calls = std::to_string(release.targets.call_count());
-    log_("release of " + request_id.value() + " reached no replica in " + calls + " calls");
+    log_("release of " + request_id.value() + " reached no endpoint in " + calls + " calls");
     return cancel(request_id);
   }
   start_calls(request_id, release, choose_targets(release, now));
@@ -103,33 +105,34 @@
   return targets;
 }
 
-// Calls that hang at replicas which answer nothing must not keep other releases from those that do.
+// Calls that hang at endpoints without answers must not keep other releases from calling the ones that
+// answer.
 std::size_t ReservationReleaser::available_calls(const Release& release) {
   const Time now = clock_();
   if (call_count_ >= limits_.max_calls && release.calls.empty())
-    close_longest_call(now - limits_.round_interval);
+    close_oldest_call(now - limits_.round_interval);
   const std::size_t unused = limits_.max_calls - std::min(limits_.max_calls, call_count_);
   return std::min(kMaxCallsPerRelease, unused + release.calls.size());
 }
 
-void ReservationReleaser::close_longest_call(Time started_before) {
-  while (!started_calls_.empty() && !is_under_way(started_calls_.front())) started_calls_.pop_front();
+void ReservationReleaser::close_oldest_call(Time started_before) {
+  while (!started_calls_.empty() && !is_active(started_calls_.front())) started_calls_.pop_front();
   if (started_calls_.empty() || started_calls_.front().started > started_before) return;
-  const StartedCall longest = started_calls_.front();
+  const StartedCall oldest = started_calls_.front();
   started_calls_.pop_front();
-  std::erase(releases_.at(longest.request_id).calls, longest.call);
+  std::erase(releases_.at(oldest.request_id).calls, oldest.call);
   --call_count_;
-  transport_.close_release_call(longest.call);
+  transport_.close_release_call(oldest.call);
 }
 
-bool ReservationReleaser::is_under_way(const StartedCall& started) const {
+bool ReservationReleaser::is_active(const StartedCall& started) const {
   const auto it = releases_.find(started.request_id);
   if (it == releases_.end()) return false;
   const std::deque<SlotId>& calls = it->second.calls;
   return std::find(calls.begin(), calls.end(), started.call) != calls.end();
 }
 
-// The round's calls replace the release's older ones where the limit leaves no room for both.
+// The round's calls replace the release's older calls if the limit leaves no room for both.
 void ReservationReleaser::start_calls(const RequestId& request_id, Release& release,
                                       const std::vector<EndpointId>& targets) {
   close_calls(release, kMaxCallsPerRelease - targets.size());
@@ -146,7 +149,7 @@
   drop_oldest_started_calls();
 }
 
-// Bounds started_calls_, which may name calls that have ended.
+// Bounds the size of started_calls_, which may contain calls that have ended.
 void ReservationReleaser::drop_oldest_started_calls() {
   constexpr std::size_t kOrderFactor = 4;
   while (started_calls_.size() > kOrderFactor * limits_.max_calls) started_calls_.pop_front();
@@ -158,8 +161,9 @@
   Release& release = it->second;
   if (std::erase(release.calls, call) == 0) return;
   --call_count_;
-  if (release.is_awaiting_repeat) return;  // the release was answered; the next call comes on schedule
-  // Where all replicas refuse the connection at once, the next round starts on schedule.
+  if (release.is_awaiting_repeat) return;  // answered; the next call is made on schedule
+  // Starts the next round at once unless all endpoints have been called. If all refuse the connection at
+  // once, the next round starts on schedule.
   const auto calls_made = static_cast<std::size_t>(release.targets.call_count());
   if (release.calls.empty() && calls_made < transport_.release_candidates().size()) start_round(request_id);
 }
@@ -169,7 +173,7 @@
   const auto it = releases_.find(request_id);
   if (it == releases_.end()) return {};
   Release& release = it->second;
-  call_count_ -= std::erase(release.calls, call);  // its connection stays with the pool
+  call_count_ -= std::erase(release.calls, call);  // its connection stays in the pool
   const Time now = clock_();
   const Time started = release.targets.started();
   const Progress progress{release.targets.call_count(), now - started};
@@ -178,7 +182,7 @@
     log_("release of " + request_id.value() + " took " + std::to_string(progress.calls) + " calls, " +
          std::to_string(elapsed.count()) + " ms");
   }
-  note_reachable(release, endpoint);
+  clear_reachable_reader(release, endpoint);
   if (started >= repeated_until(release)) {
     cancel(request_id);
   } else {
@@ -187,8 +191,8 @@
   return progress;
 }
 
-// The last repetition comes once nothing can leave a reservation any more. A call to a silent reader is kept
-// up to then: its answer tells that the reader can be reached.
+// The last repetition is made once nothing can leave a reservation any more. While a reader is silent, calls
+// stay open until the next repetition, because an answer from that reader shows that it can be reached.
 void ReservationReleaser::schedule_repeat(const RequestId& request_id, Release& release, Time now) {
   timers_.drop(release.timer);
   if (release.late_reads.silent_reader.empty()) close_calls(release, 0);
--- a/src/upstream/stream_handover.cpp
+++ b/src/upstream/stream_handover.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-// A detached stream may have so many unread bytes: they pass to the other process in one message.
+// The maximum of unread bytes of a detached stream. They are passed to the other process in one message.
 constexpr std::size_t kMaxUnreadBytes = 4096;
 
 }  // namespace
--- a/src/upstream/stream_handover.hpp
+++ b/src/upstream/stream_handover.hpp
@@ -1,4 +1,4 @@
-// Hands running streams to another process of the dispatcher, for a hot restart.
+// Hands running streams over to another process of the dispatcher in a hot restart.
 #ifndef DISPATCHER_UPSTREAM_STREAM_HANDOVER_HPP_
 #define DISPATCHER_UPSTREAM_STREAM_HANDOVER_HPP_
 
@@ -12,7 +12,7 @@
 
 namespace dispatcher::upstream {
 
-// A running stream without its attempt: all that another process needs to read on.
+// A running stream without its attempt: everything that another process needs to continue reading it.
 struct DetachedStream {
   net::UniqueFd socket;
   EndpointId endpoint;
@@ -20,21 +20,22 @@
   ResponsePosition position;
 };
 
-// Detaches streams from this process and adopts those of another, as http::Server does on the clients' side.
-// Owned by ReplicaClient; runs on the event loop's thread.
+// Detaches streams from this process and adopts streams of another one, as http::Server does on the side of
+// the clients. Owned by ReplicaClient; runs on the event loop's thread.
 class StreamHandover {
  public:
   StreamHandover(ConnectionPool& pool, ExchangeRunner& exchanges, AttemptRunner& attempts)
       : pool_(pool), exchanges_(exchanges), attempts_(attempts) {}
 
-  // Stops reading the attempt's response. True: it is between two events with no read under way, and may
-  // be detached; else try again later.
+  // Stops reading the attempt's response. Returns true if the stream is between two events with no read
+  // active, so that it may be detached. If it returns false, the caller should try again later.
   [[nodiscard]] bool suspend_stream(AttemptId attempt);
-  // Reads the response again, where suspend_stream() had stopped that.
+  // Resumes reading the response if suspend_stream() has stopped it.
   void resume_stream(AttemptId attempt);
-  // Ends the attempt here without closing the connection itself. Only after suspend_stream() returned true.
+  // Ends the attempt in this process without closing the TCP connection. Must be called only after
+  // suspend_stream() has returned true.
   [[nodiscard]] DetachedStream detach_stream(AttemptId attempt);
-  // Continues a detached stream as `attempt`. Throws where the socket is no TCP socket.
+  // Continues a detached stream as `attempt`. Throws if the socket is not a TCP socket.
   void adopt_stream(AttemptId attempt, DetachedStream stream);
 
  private:
