--- a/src/upstream/reservation_releaser.hpp
+++ b/src/upstream/reservation_releaser.hpp
@@ -91,8 +91,8 @@
   void start_round(const RequestId& request_id);
   void start_calls(const RequestId& request_id, Release& release, const std::vector<EndpointId>& targets);
   // Returns how many calls a round of the release may make: the unused part of the limit plus the release's
-  // own active calls, which the new ones replace. If there is neither, first closes the call of another
-  // release that was started first.
+  // own active calls, which the new ones replace. If there is neither, first closes the oldest call
+  // of another release.
   [[nodiscard]] std::size_t available_calls(const Release& release);
   void close_oldest_call(Time started_before);
   [[nodiscard]] bool is_active(const StartedCall& started) const;
--- a/tests/fault_injection/reservation_faults_test.cpp
+++ b/tests/fault_injection/reservation_faults_test.cpp
@@ -1,6 +1,6 @@
-// Reservations under faults, on a real daemon: whatever a replica holds for a request is fetched or released
-// while the client still waits, also where an attempt was written to a link that delivers nothing. Verdicts
-// follow from the order of events at the stand-in replicas and clients, not from durations.
+// Reservations under faults, with a real daemon: each reservation that an endpoint holds for a request is
+// fetched or released while the client still waits, even if an attempt was written to a link that delivers
+// nothing. Results depend on the order of events at the fake endpoints and clients, not on durations.
 #include <signal.h>
 
 #include <algorithm>
@@ -18,12 +18,13 @@
 namespace dispatcher::testing {
 namespace {
 
-// What the replicas hold for requests, as the protocol has it: a read leaves a state, a writer fetches it, a
-// release ends it unless a writer that has received the request waits for it.
+// Records the reservations that endpoints hold for requests, as the protocol defines them: a read leaves a
+// state, a writer fetches it, and a release ends it unless a writer that has received the request waits for
+// it.
 class ReservationLedger {
  public:
   void on_read(const std::string& id) { held_.insert(id); }
-  // Whether the writer finds a state to fetch.
+  // Returns whether the writer finds a state to fetch.
   [[nodiscard]] bool fetch(const std::string& id) { return held_.erase(id) > 0; }
   void on_release(const std::string& id) {
     held_.erase(id);
@@ -43,9 +44,9 @@
 };
 
 // A daemon with two readers and two writers, each behind a proxy.
-class FaultSite {
+class FaultInjectionFixture {
  public:
-  explicit FaultSite(Cancellation cancellation = Cancellation::kAllowed) {
+  explicit FaultInjectionFixture(Cancellation cancellation = Cancellation::kAllowed) {
     const auto read = [this](FakeReplica& replica, SlotId client, const ReceivedRequest& request) {
       on_read_request(replica, client, request);
     };
@@ -74,7 +75,7 @@
     client->post(platform_headers(id, request_class, time_left_ms), kPlatformBody);
     return client;
   }
-  // Waits in real time; the number of rounds only ends a test that has failed.
+  // Waits in real time until the condition holds. The number of rounds only bounds a test that has failed.
   template <class Condition>
   bool until(Condition condition) {
     constexpr int kMaxRounds = 10;
@@ -83,7 +84,7 @@
     }
     return false;
   }
-  // Has some requests served, so that the daemon keeps connections to replicas of both kinds.
+  // Sends some requests, so that the daemon keeps connections to endpoints of both kinds.
   void open_connections() {
     constexpr int kRequests = 8;
     for (int i = 0; i < kRequests; ++i) {
@@ -92,7 +93,7 @@
       REQUIRE(client->status == 200);
     }
   }
-  // What the daemon has logged of the requests whose states are held, for a failed check.
+  // Returns what the daemon has logged about the requests whose states are held, to explain a failed check.
   [[nodiscard]] std::string log_of_held() const {
     std::istringstream log(daemon.log());
     std::string found;
@@ -102,7 +103,7 @@
     }
     return found;
   }
-  // The links to all replicas of a kind.
+  // Returns the links to all endpoints of a kind.
   std::vector<FaultProxy*> links(const std::string& kind) {
     std::vector<FaultProxy*> found;
     for (const Replica& replica : replicas_) {
@@ -117,7 +118,7 @@
     }
     return count;
   }
-  // Whether a request is held back by a link to a replica of this kind.
+  // Returns whether a link to an endpoint of this kind holds back a request.
   [[nodiscard]] bool is_undelivered(const std::string& kind) const {
     return std::any_of(replicas_.begin(), replicas_.end(), [&](const Replica& replica) {
       return replica.kind == kind && replica.proxy->is_holding_back(FaultProxy::Direction::kToReplica);
@@ -164,114 +165,118 @@
   for (FaultProxy* link : links) link->silence_both();
 }
 
-// The incident: the link to the writer falls silent under a connection that is kept open, and the state that
-// the reader holds is released only when the request's time is over.
-TEST_CASE("a state is released in time behind a silent writer, for each class, cancellable or not",
+// Guards against a failure in which the link to the writer became silent while its connection stayed open,
+// and the state that the reader held was released only when the request's time was over.
+TEST_CASE("a reservation is released in time when its writer is silent, for each class, cancellable or not",
           "[faults]") {
   const auto* request_class = GENERATE("command", "ask");
   const auto cancellation = GENERATE(Cancellation::kAllowed, Cancellation::kForbidden);
-  FaultSite site(cancellation);
-  site.open_connections();
-  silence(site.links("writer"));
-  const auto client = site.post("bbbb01", request_class);
-  REQUIRE(site.until([&] { return site.ledger.is_held("bbbb01"); }));
-  REQUIRE(site.until([&] { return !site.ledger.is_held("bbbb01") || client->is_finished(); }));
+  FaultInjectionFixture fixture(cancellation);
+  fixture.open_connections();
+  silence(fixture.links("writer"));
+  const auto client = fixture.post("bbbb01", request_class);
+  REQUIRE(fixture.until([&] { return fixture.ledger.is_held("bbbb01"); }));
+  REQUIRE(fixture.until([&] { return !fixture.ledger.is_held("bbbb01") || client->is_finished(); }));
   CHECK_FALSE(client->is_finished());
-  CHECK(site.until([&] { return client->is_finished(); }));
-  CHECK(site.ledger.held_count() == 0);
-  // What was held back arrives late: the writer has nothing to fetch, and nothing runs.
-  for (FaultProxy* link : site.links("writer")) link->restore();
-  CHECK(site.until([&] { return !site.is_undelivered("writer"); }));
-  CHECK(site.ledger.held_count() == 0);
+  CHECK(fixture.until([&] { return client->is_finished(); }));
+  CHECK(fixture.ledger.held_count() == 0);
+  // The requests that were held back arrive late. The writer has nothing to fetch, and nothing runs.
+  for (FaultProxy* link : fixture.links("writer")) link->restore();
+  CHECK(fixture.until([&] { return !fixture.is_undelivered("writer"); }));
+  CHECK(fixture.ledger.held_count() == 0);
 }
 
-TEST_CASE("the states of many requests are released in time when their writers fall silent at once",
+TEST_CASE("the reservations of many requests are released in time when their writers become silent at once",
           "[faults]") {
   constexpr int kRequests = 40;
-  FaultSite site;
-  site.open_connections();
-  silence(site.links("writer"));
+  FaultInjectionFixture fixture;
+  fixture.open_connections();
+  silence(fixture.links("writer"));
   std::vector<std::unique_ptr<FakeClient>> clients;
   clients.reserve(kRequests);
   for (int i = 0; i < kRequests; ++i)
-    clients.push_back(site.post("cccc" + std::to_string(1000 + i), i % 2 == 0 ? "command" : "ask"));
-  // Some are rejected at once, as no other writer is left; these wait until their time is over.
+    clients.push_back(fixture.post("cccc" + std::to_string(1000 + i), i % 2 == 0 ? "command" : "ask"));
+  // Some clients are rejected at once, as no other writer is left. The others wait until their time is over,
+  // which has_timed_out detects.
   const auto has_timed_out = [](const auto& client) { return client->status == 504; };
   std::size_t reads = 0;
-  REQUIRE(site.until([&] {
+  REQUIRE(fixture.until([&] {
     reads = 0;
     for (int i = 0; i < kRequests; ++i) {
       const std::string id = "cccc" + std::to_string(1000 + i);
-      if (site.attempts("reader", id) > 0) ++reads;
+      if (fixture.attempts("reader", id) > 0) ++reads;
     }
     return reads == kRequests;
   }));
-  REQUIRE(site.until([&] {
-    return site.ledger.held_count() == 0 || std::any_of(clients.begin(), clients.end(), has_timed_out);
+  REQUIRE(fixture.until([&] {
+    return fixture.ledger.held_count() == 0 || std::any_of(clients.begin(), clients.end(), has_timed_out);
   }));
-  INFO(site.log_of_held());
-  CHECK(site.ledger.held_count() == 0);
+  INFO(fixture.log_of_held());
+  CHECK(fixture.ledger.held_count() == 0);
 }
 
-TEST_CASE("a state that a broken read may have left is released in time behind a silent second reader",
-          "[faults]") {
-  FaultSite site;
-  site.open_connections();
-  site.broken_reads.insert("dddd01");
-  for (FaultProxy* link : site.links("reader")) link->silence(FaultProxy::Direction::kToReplica);
-  const auto client = site.post("dddd01", "command");
-  REQUIRE(site.until([&] { return site.is_undelivered("reader"); }));
-  // One link delivers the read, which leaves a state and breaks; the next attempt's link stays silent.
-  const std::vector<FaultProxy*> links = site.links("reader");
+TEST_CASE(
+    "a reservation that a broken read may have left is released in time when the second reader is silent",
+    "[faults]") {
+  FaultInjectionFixture fixture;
+  fixture.open_connections();
+  fixture.broken_reads.insert("dddd01");
+  for (FaultProxy* link : fixture.links("reader")) link->silence(FaultProxy::Direction::kToReplica);
+  const auto client = fixture.post("dddd01", "command");
+  REQUIRE(fixture.until([&] { return fixture.is_undelivered("reader"); }));
+  // One link delivers the read, which leaves a state and breaks its connection. The link of the next attempt
+  // stays silent.
+  const std::vector<FaultProxy*> links = fixture.links("reader");
   const bool is_at_first = links[0]->is_holding_back(FaultProxy::Direction::kToReplica);
   links[is_at_first ? 0 : 1]->restore();
-  REQUIRE(site.until([&] { return site.ledger.is_held("dddd01"); }));
-  REQUIRE(site.until([&] { return !site.ledger.is_held("dddd01") || client->is_finished(); }));
+  REQUIRE(fixture.until([&] { return fixture.ledger.is_held("dddd01"); }));
+  REQUIRE(fixture.until([&] { return !fixture.ledger.is_held("dddd01") || client->is_finished(); }));
   CHECK_FALSE(client->is_finished());
-  CHECK(site.ledger.releases("dddd01") > 0);
+  CHECK(fixture.ledger.releases("dddd01") > 0);
 }
 
-TEST_CASE("a state behind a silent writer is released in time during a drain", "[faults]") {
-  FaultSite site;
-  site.open_connections();
-  silence(site.links("writer"));
-  const auto client = site.post("eeee01", "command");
-  REQUIRE(site.until([&] { return site.ledger.is_held("eeee01"); }));
-  site.daemon.signal(SIGTERM);
-  site.daemon.signal(SIGHUP);
-  site.daemon.signal(SIGTERM);
-  REQUIRE(site.until([&] { return !site.ledger.is_held("eeee01") || client->is_finished(); }));
+TEST_CASE("a reservation whose writer is silent is released in time during a drain", "[faults]") {
+  FaultInjectionFixture fixture;
+  fixture.open_connections();
+  silence(fixture.links("writer"));
+  const auto client = fixture.post("eeee01", "command");
+  REQUIRE(fixture.until([&] { return fixture.ledger.is_held("eeee01"); }));
+  fixture.daemon.signal(SIGTERM);
+  fixture.daemon.signal(SIGHUP);
+  fixture.daemon.signal(SIGTERM);
+  REQUIRE(fixture.until([&] { return !fixture.ledger.is_held("eeee01") || client->is_finished(); }));
   CHECK_FALSE(client->is_finished());
-  CHECK(site.until([&] { return client->is_finished(); }));
-  CHECK(site.until([&] { return site.daemon.has_ended(); }));
-  CHECK(site.daemon.wait_end() == 0);
+  CHECK(fixture.until([&] { return client->is_finished(); }));
+  CHECK(fixture.until([&] { return fixture.daemon.has_ended(); }));
+  CHECK(fixture.daemon.wait_end() == 0);
 }
 
-TEST_CASE("a state behind a silent writer is released in time by a daemon that was stopped for a moment",
-          "[faults]") {
-  FaultSite site;
-  site.open_connections();
-  silence(site.links("writer"));
-  const auto client = site.post("eeee02", "command");
-  REQUIRE(site.until([&] { return site.ledger.is_held("eeee02"); }));
-  site.daemon.signal(SIGSTOP);
+TEST_CASE(
+    "a reservation whose writer is silent is released in time by a daemon that was stopped for a moment",
+    "[faults]") {
+  FaultInjectionFixture fixture;
+  fixture.open_connections();
+  silence(fixture.links("writer"));
+  const auto client = fixture.post("eeee02", "command");
+  REQUIRE(fixture.until([&] { return fixture.ledger.is_held("eeee02"); }));
+  fixture.daemon.signal(SIGSTOP);
   std::this_thread::sleep_for(milliseconds(150));
-  site.daemon.signal(SIGCONT);
-  REQUIRE(site.until([&] { return !site.ledger.is_held("eeee02") || client->is_finished(); }));
+  fixture.daemon.signal(SIGCONT);
+  REQUIRE(fixture.until([&] { return !fixture.ledger.is_held("eeee02") || client->is_finished(); }));
   CHECK_FALSE(client->is_finished());
 }
 
-TEST_CASE("a state that a cancelled read leaves behind a silent link is released", "[faults]") {
-  FaultSite site;
-  site.open_connections();
-  site.slow_reads.insert("ffff01");
-  const auto client = site.post("ffff01", "command");
-  REQUIRE(site.until([&] { return site.attempts("reader", "ffff01") == 1; }));
-  silence(site.links("reader"));
+TEST_CASE("a reservation that a cancelled read leaves behind a silent link is released", "[faults]") {
+  FaultInjectionFixture fixture;
+  fixture.open_connections();
+  fixture.slow_reads.insert("ffff01");
+  const auto client = fixture.post("ffff01", "command");
+  REQUIRE(fixture.until([&] { return fixture.attempts("reader", "ffff01") == 1; }));
+  silence(fixture.links("reader"));
   client->close();
-  REQUIRE(site.until([&] { return site.ledger.releases("ffff01") > 0; }));
-  site.ledger.on_read("ffff01");
-  CHECK(site.until([&] { return !site.ledger.is_held("ffff01"); }));
+  REQUIRE(fixture.until([&] { return fixture.ledger.releases("ffff01") > 0; }));
+  fixture.ledger.on_read("ffff01");
+  CHECK(fixture.until([&] { return !fixture.ledger.is_held("ffff01"); }));
 }
 
 }  // namespace
--- a/tests/upstream/attempt_chaos_test.cpp
+++ b/tests/upstream/attempt_chaos_test.cpp
@@ -1,4 +1,5 @@
-// Random failures of replicas and clients all together: no command may run twice, and nothing may stay held.
+// Concurrent random failures of endpoints and clients. No non-idempotent request may run twice, and no
+// reservation may remain.
 #include <map>
 #include <random>
 #include <set>
@@ -8,56 +9,58 @@
 namespace dispatcher::testing {
 namespace {
 
-// Replicas that do whatever they may, and what they then hold and have run.
+// Endpoints that react to each request at random, within what the protocol allows, and a record of the
+// reservations that they hold and of the requests that they have run.
 struct ChaosFixture {
   explicit ChaosFixture(unsigned seed) : random(seed) {}
   int draw_percent() { return std::uniform_int_distribution<int>(0, 99)(random); }
-  engine::Duration draw_wait(int max_ms) { return milliseconds(draw_percent() * max_ms / 100); }
+  engine::Duration draw_delay(int max_ms) { return milliseconds(draw_percent() * max_ms / 100); }
   [[nodiscard]] engine::Time now() const { return fixture.now; }
   void hold(const std::string& id) {
     if (!started.contains(id)) held_since[id] = now();
   }
-  // Whether what was written is lost on its way: the replica knows of no attempt, and its link stays open.
+  // Returns whether a written request is lost on its way: the endpoint does not know of the attempt, and its
+  // connection stays open.
   bool is_lost() { return draw_percent() < 12; }
-  void read(FakeReplica& replica, SlotId client, const ReceivedRequest& seen) {
+  void read(FakeReplica& replica, SlotId client, const ReceivedRequest& request) {
     if (is_lost()) return;
     const int percent = draw_percent();
     if (percent < 40) {
       replica.respond(client, 202, "{}");
-      hold(seen.id);
+      hold(request.id);
     } else if (percent < 65) {
       replica.server.abort(client);
       if (percent < 55)
-        delayed_states.emplace_back(now() + std::min<engine::Duration>(draw_wait(1500), seen.time_left),
-                                    seen.id);
+        delayed_states.emplace_back(now() + std::min<engine::Duration>(draw_delay(1500), request.time_left),
+                                    request.id);
     } else if (percent < 75) {
       replica.reject_unprocessed(client, 503);
     } else {
-      unanswered_reads[{&replica, client}] = seen.id;
-      if (percent < 90) delayed_answers.push_back({now() + draw_wait(400), &replica, client});
+      unanswered_attempts[{&replica, client}] = request.id;
+      if (percent < 90) delayed_answers.push_back({now() + draw_delay(400), &replica, client});
     }
   }
-  void write(FakeReplica& replica, SlotId client, const ReceivedRequest& seen) {
+  void write(FakeReplica& replica, SlotId client, const ReceivedRequest& request) {
     if (is_lost()) return;
     const int percent = draw_percent();
-    if (!held_since.contains(seen.id)) return replica.reject_unprocessed(client, 410);
+    if (!held_since.contains(request.id)) return replica.reject_unprocessed(client, 410);
     if (percent < 20) return replica.reject_unprocessed(client, 503);
-    ++runs_by_id[seen.id];
+    ++runs_by_id[request.id];
     if (percent < 50) {
-      started.insert(seen.id);
-      held_since.erase(seen.id);
+      started.insert(request.id);
+      held_since.erase(request.id);
       replica.stream_words(client, {"a"});
     } else if (percent < 70) {
-      if (percent < 60) held_since.erase(seen.id);  // fetched
+      if (percent < 60) held_since.erase(request.id);  // the state was fetched
       replica.server.abort(client);
     } else if (percent < 85) {
       replica.respond(client, 500);
     } else {
-      unanswered_reads[{&replica, client}] = seen.id;
-      waiting_writes[{&replica, client}] = seen.id;
+      unanswered_attempts[{&replica, client}] = request.id;
+      waiting_writes[{&replica, client}] = request.id;
     }
   }
-  // A release spares the state that a writer waits for.
+  // Ends the reservation of a request, unless a writer waits for its state.
   void release(const std::string& id) {
     const bool is_awaited = std::any_of(waiting_writes.begin(), waiting_writes.end(),
                                         [&](const auto& entry) { return entry.second == id; });
@@ -68,11 +71,11 @@
     for (auto& replica : fixture.replicas) {
       std::size_t& processed = processed_count[replica.get()];
       for (; processed < replica->received.size(); ++processed) {
-        const ReceivedRequest& seen = replica->received[processed];
-        if (seen.method == "DELETE") release(seen.target.substr(seen.target.rfind('/') + 1));
+        const ReceivedRequest& request = replica->received[processed];
+        if (request.method == "DELETE") release(request.target.substr(request.target.rfind('/') + 1));
       }
       for (const SlotId client : replica->disconnected_clients) {
-        unanswered_reads.erase({replica.get(), client});
+        unanswered_attempts.erase({replica.get(), client});
         waiting_writes.erase({replica.get(), client});
       }
     }
@@ -82,18 +85,18 @@
     });
     std::erase_if(delayed_answers, [&](const DelayedAnswer& delayed) {
       if (delayed.at > now()) return false;
-      if (const auto it = unanswered_reads.find({delayed.replica, delayed.client});
-          it != unanswered_reads.end()) {
+      if (const auto it = unanswered_attempts.find({delayed.replica, delayed.client});
+          it != unanswered_attempts.end()) {
         delayed.replica->respond(delayed.client, 202, "{}");
         hold(it->second);
-        unanswered_reads.erase(it);
+        unanswered_attempts.erase(it);
       }
       return true;
     });
     for (auto& held : held_since) {
       const std::string& id = held.first;
       engine::Time& since = held.second;
-      const bool is_active = std::any_of(unanswered_reads.begin(), unanswered_reads.end(),
+      const bool is_active = std::any_of(unanswered_attempts.begin(), unanswered_attempts.end(),
                                          [&](const auto& entry) { return entry.second == id; });
       if (is_active) since = now();
       if (now() - since > fixture.settings.reservation_limit + milliseconds(300)) overdue.insert(id);
@@ -105,8 +108,8 @@
     SlotId client;
   };
   std::mt19937 random;
-  std::map<std::string, engine::Time> held_since;  // since when, with no attempt out
-  std::map<std::pair<FakeReplica*, SlotId>, std::string> unanswered_reads;
+  std::map<std::string, engine::Time> held_since;  // since when, while no attempt is unanswered
+  std::map<std::pair<FakeReplica*, SlotId>, std::string> unanswered_attempts;
   std::map<std::pair<FakeReplica*, SlotId>, std::string> waiting_writes;  // those of them at writers
   std::map<std::string, int> runs_by_id;
   std::set<std::string> started;
@@ -114,15 +117,16 @@
   std::vector<std::pair<engine::Time, std::string>> delayed_states;
   std::vector<DelayedAnswer> delayed_answers;
   std::map<FakeReplica*, std::size_t> processed_count;
-  DirectFixture fixture{[this](FakeReplica& replica, SlotId client, const ReceivedRequest& seen) {
-                          read(replica, client, seen);
+  DirectFixture fixture{[this](FakeReplica& replica, SlotId client, const ReceivedRequest& request) {
+                          read(replica, client, request);
                         },
-                        [this](FakeReplica& replica, SlotId client, const ReceivedRequest& seen) {
-                          write(replica, client, seen);
+                        [this](FakeReplica& replica, SlotId client, const ReceivedRequest& request) {
+                          write(replica, client, request);
                         }};
 };
 
-TEST_CASE("under random concurrent events no command runs twice and no reservation remains", "[endings]") {
+TEST_CASE("under random concurrent events no non-idempotent request runs twice and no reservation remains",
+          "[endings]") {
   const unsigned seed = GENERATE(1U, 2U, 3U, 4U, 5U, 6U, 7U, 8U);
   CAPTURE(seed);
   ChaosFixture chaos(seed);
@@ -130,7 +134,7 @@
   auto settings = make_settings();
   settings.may_cancel = seed % 2 == 0;
   settings.reservation_expires_until_delivery = true;
-  fixture.adopt(settings);
+  fixture.use_settings(settings);
   fixture.pool.apply_options({milliseconds(250), seconds(15), milliseconds(50)});
   std::vector<SlotId> requests;
   for (int i = 0; i < 250; ++i) {
@@ -149,7 +153,7 @@
   CHECK(fixture.engine.open_request_count() == 0);
   CHECK(fixture.engine.unanswered_count() == 0);
   CHECK(fixture.pool.pending_releases() == 0);
-  CHECK(chaos.started.size() > 3);  // some are served all the same
+  CHECK(chaos.started.size() > 3);  // some requests are served despite the failures
   for (const auto& [id, runs] : chaos.runs_by_id) {
     if (std::stoi(id) % 2 == 0) CHECK(runs == 1);
   }
--- a/tests/upstream/attempt_endings_fixture.hpp
+++ b/tests/upstream/attempt_endings_fixture.hpp
@@ -1,4 +1,4 @@
-// What the tests of the ends of attempts share: a dispatcher whose requests come from the test itself, and a
+// Shared by the tests of how attempts end: a dispatcher that gets its requests directly from the test, and a
 // peer on a raw socket.
 #ifndef DISPATCHER_TESTS_UPSTREAM_ATTEMPT_ENDINGS_FIXTURE_HPP_
 #define DISPATCHER_TESTS_UPSTREAM_ATTEMPT_ENDINGS_FIXTURE_HPP_
@@ -21,14 +21,15 @@
 
 using ReceivedRequest = FakeReplica::ReceivedRequest;
 
-// Rejects a request that it has no capacity for; nothing of it has run.
-inline void full(FakeReplica& replica, SlotId client, const ReceivedRequest&) {
+// The behavior of an endpoint that rejects every request for lack of capacity, before any of it has run.
+inline void reject_as_full(FakeReplica& replica, SlotId client, const ReceivedRequest&) {
   replica.reject_unprocessed(client, 503);
 }
 
 class RawSocketPeer;
 
-// A dispatcher whose requests come from the test itself, so that nothing runs between two steps.
+// A dispatcher that gets its requests directly from the test, so that nothing runs between two steps of the
+// test.
 struct DirectFixture : Fixture, private engine::ResponseSink {
   DirectFixture(const Behavior& reader_behavior, const Behavior& writer_behavior)
       : Fixture(reader_behavior, writer_behavior) {}
@@ -43,10 +44,10 @@
     request.client_deadline = now + seconds(request_class == "ask" ? 6 : 3);
     return engine.submit(*this, {1, 1}, request, std::move(message));
   }
-  void adopt(const routing::Settings& changed) {
+  void use_settings(const routing::Settings& changed) {
     engine.apply_settings(std::make_shared<const routing::Settings>(changed));
   }
-  void send_writes_to(const RawSocketPeer& peer);  // both writers are the peer
+  void send_writes_to(const RawSocketPeer& peer);  // at the address of both writers
   // Answers the reads that are pending at the readers.
   void complete_reads() {
     for (const std::size_t index : {0U, 1U})
@@ -76,11 +77,11 @@
   std::string body;
 };
 
-// A peer on the bare socket: it reads, writes and ends its connections as the test says. Its segments are
+// A peer on a raw socket that reads, writes and closes its connections as the test says. Its segments are
 // short, so that a long request does not fit into the kernel's buffers.
 class RawSocketPeer {
  public:
-  explicit RawSocketPeer(TestEventLoop& work) : work_(work), acceptor_(work.io) {
+  explicit RawSocketPeer(TestEventLoop& loop) : loop_(loop), acceptor_(loop.io) {
     acceptor_.open(net::tcp::v4());
     const int segment_bytes = 536;
     const int receive_buffer = 4096;
@@ -92,7 +93,7 @@
   }
   [[nodiscard]] net::tcp::endpoint address() const { return acceptor_.local_endpoint(); }
   bool accepted() {
-    net::tcp::socket socket(work_.io);
+    net::tcp::socket socket(loop_.io);
     net::error_code error;
     acceptor_.accept(socket, error);
     if (error) return !sockets_.empty();
@@ -124,7 +125,7 @@
   }
 
  private:
-  TestEventLoop& work_;
+  TestEventLoop& loop_;
   net::tcp::acceptor acceptor_;
   std::vector<net::tcp::socket> sockets_;
 };
--- a/tests/upstream/attempt_endings_test.cpp
+++ b/tests/upstream/attempt_endings_test.cpp
@@ -1,6 +1,6 @@
-// Events that race with the end of an attempt: its client's disconnect, its connection's establishment or
-// break, its deadline, a drain. Each race is forced; no test depends on timing. docs/design/endings.md lists
-// them.
+// Events that race with the end of an attempt: its client disconnects, its connection is established or
+// breaks, its deadline passes, or its endpoint drains. Each race is forced, so that no test depends on
+// timing. docs/design/endings.md lists the races.
 #include "attempt_endings_fixture.hpp"
 
 namespace dispatcher::testing {
@@ -8,19 +8,19 @@
 
 // ---- the client disconnects ----
 
-// Without the right to cancel, the router cancels nothing; the request was sent after its client's
-// disconnect.
+// A router that may not cancel attempts cancels nothing, and the request was sent although its client had
+// disconnected.
 TEST_CASE("a request whose client disconnects during connection setup is not sent", "[endings]") {
   DirectFixture fixture(healthy_reader, healthy_writer);
   auto settings = make_settings();
   settings.may_cancel = GENERATE(false, true);
-  fixture.adopt(settings);
+  fixture.use_settings(settings);
   const SlotId id = fixture.submit("a1");
   fixture.engine.on_client_disconnected(id);
   CHECK(fixture.engine.open_request_count() == 0);
   fixture.advance(milliseconds(400));
   CHECK(fixture.posts() == 0);
-  CHECK(fixture.releases() == 0);  // nothing can have been left
+  CHECK(fixture.releases() == 0);  // no endpoint can hold a reservation
 }
 
 TEST_CASE("a request whose client has disconnected unnoticed is not sent on a new connection", "[endings]") {
@@ -33,7 +33,8 @@
   CHECK(fixture.calls.empty());
 }
 
-TEST_CASE("a request whose client has disconnected unnoticed is not sent on a pooled one", "[endings]") {
+TEST_CASE("a request whose client has disconnected unnoticed is not sent on a pooled connection",
+          "[endings]") {
   DirectFixture fixture(healthy_reader, healthy_writer);
   for (const std::string id : {"a1", "a2", "a3", "a4"}) {
     fixture.submit(id);
@@ -63,13 +64,13 @@
   CHECK(fixture.engine.open_request_count() == 0);
 }
 
-// The reservation remains though its read was cancelled: the response was under way.
-TEST_CASE("a 202 that arrives as its read is cancelled has its reservation released", "[endings]") {
+// The reservation remains although its read was cancelled, because the response was already on its way.
+TEST_CASE("a reservation whose 202 response arrives as its read is cancelled is released", "[endings]") {
   DirectFixture fixture(silent_replica, healthy_writer);
   const SlotId id = fixture.submit("a1");
   REQUIRE(fixture.until([&] { return fixture.posts() == 1; }));
   fixture.complete_reads();
-  fixture.engine.on_client_disconnected(id);  // the answer is written, and not read
+  fixture.engine.on_client_disconnected(id);  // the response has been written and not read
   fixture.advance(milliseconds(400));
   CHECK(fixture.releases() >= 1);  // two calls at once, as no connection is pooled
   CHECK(fixture.pool.pending_releases() == 0);
@@ -83,14 +84,14 @@
   DirectFixture fixture(healthy_reader, healthy_writer);
   fixture.submit("a1", "command");
   fixture.now += milliseconds(300);
-  fixture.timers.run(fixture.now);  // the connect timeout; the connection is up, which nobody has read yet
+  fixture.timers.run(fixture.now);  // the connect timeout, before the connection's event is handled
   fixture.advance(milliseconds(400));
   CHECK(fixture.request_count("POST", Role::kReader) == 1);
   CHECK(fixture.request_count("POST", Role::kWriter) == 1);
   CHECK(fixture.calls == std::vector<std::string>{"begin", "finish"});
 }
 
-TEST_CASE("an endpoint that returned at another address gets no request at its old one", "[endings]") {
+TEST_CASE("an endpoint that returned at a new address gets no request at its old address", "[endings]") {
   DirectFixture fixture(healthy_reader, healthy_writer);
   FakeReplica new_address(fixture, healthy_reader);
   fixture.submit("a1");
@@ -114,7 +115,7 @@
   fixture.complete_reads();
   REQUIRE(fixture.until([&] { return fixture.count("finish") == 1; }));
   fixture.advance(milliseconds(60));
-  CHECK(fixture.pool.open_connections() == 1);  // the writer's
+  CHECK(fixture.pool.open_connections() == 1);  // only the writer's
 }
 
 TEST_CASE("a drain during connection establishment holds the request back once part of the grace has passed",
@@ -137,9 +138,9 @@
 
 // ---- breaks ----
 
-// Submits a command that is too long for the kernel's buffers; true once the peer, as its writer, has
-// accepted the connection. The peer reads nothing of it.
-bool starts_long_command(DirectFixture& fixture, RawSocketPeer& peer) {
+// Submits a non-idempotent request that is too long for the kernel's buffers. Returns whether the peer, as
+// its writer, has accepted the connection. The peer reads nothing of the request.
+bool starts_long_request(DirectFixture& fixture, RawSocketPeer& peer) {
   fixture.send_writes_to(peer);
   fixture.submit("a1", "command", 200000);
   const bool is_accepted = fixture.until([&] { return peer.accepted(); });
@@ -150,19 +151,19 @@
 TEST_CASE("a request whose connection breaks before its last byte is written has not run", "[endings]") {
   DirectFixture fixture(healthy_reader, healthy_writer);
   RawSocketPeer peer(fixture);
-  REQUIRE(starts_long_command(fixture, peer));
+  REQUIRE(starts_long_request(fixture, peer));
   peer.reset();
   for (int i = 0; i < 200 && fixture.calls.empty(); ++i) {
     fixture.advance(milliseconds(20));
-    if (peer.accepted()) peer.reset();  // the other writer's as well
+    if (peer.accepted()) peer.reset();  // the connection to the other writer as well
   }
-  CHECK(fixture.calls == std::vector<std::string>{"refuse"});  // it can't have run
+  CHECK(fixture.calls == std::vector<std::string>{"refuse"});  // rejected, as it can't have run
 }
 
 TEST_CASE("a response that arrives before the request's last byte is written is discarded", "[endings]") {
   DirectFixture fixture(healthy_reader, healthy_writer);
   RawSocketPeer peer(fixture);
-  REQUIRE(starts_long_command(fixture, peer));
+  REQUIRE(starts_long_request(fixture, peer));
   peer.write(stream_head() + http::chunk("data: {\"of\":\"another\"}\n\n") + http::chunk("data: [DONE]\n\n") +
              "0\r\n\r\n");
   fixture.advance(milliseconds(100));
@@ -184,7 +185,7 @@
   CHECK(fixture.calls == std::vector<std::string>{"fail"});
 }
 
-// Half a line, half a chunk, a truncated event: none of it is forwarded as complete.
+// Covers responses that end within a line, a chunk or an event, and between events.
 TEST_CASE("a response truncated anywhere is not forwarded as complete", "[endings]") {
   const std::string event = "data: {\"a\":1}\n\n";
   const auto [bytes, begins] = GENERATE_COPY(
@@ -212,8 +213,9 @@
 
 // ---- pooled connections ----
 
-// A second answer some milliseconds after the first would be taken as the response to the next request.
-TEST_CASE("a connection is quarantined after a response, and data that arrives then closes it", "[endings]") {
+// A second response some milliseconds after the first would be read as the response to the next request.
+TEST_CASE("a connection is quarantined after a response, and data during the quarantine closes it",
+          "[endings]") {
   Fixture fixture(healthy_reader, healthy_writer);
   const std::string answer =
       stream_head() + http::chunk("data: {\"a\":1}\n\n") + http::chunk("data: [DONE]\n\n") + "0\r\n\r\n";
@@ -227,19 +229,19 @@
   fixture.advance(milliseconds(20));
   const auto second = fixture.post("a2", "command");
   REQUIRE(fixture.until([&] { return second->is_finished(); }));
-  CHECK(fixture.pool.open_connections() == 4);  // new ones: the others are in quarantine
+  CHECK(fixture.pool.open_connections() == 4);  // two are new, as the others are in quarantine
   writer.send_more();
   fixture.settle();
-  CHECK(fixture.pool.open_connections() == 2);  // the readers' alone
+  CHECK(fixture.pool.open_connections() == 2);  // only those to the readers
   CHECK(second->body.find("late") == std::string::npos);
 }
 
-TEST_CASE("of the connections past their quarantine the most recently used one is reused", "[endings]") {
+TEST_CASE("the most recently used connection that is past its quarantine is reused", "[endings]") {
   std::vector<SlotId> used;
   Fixture fixture(healthy_reader, healthy_writer);
-  FakeReplica one(fixture, [&](FakeReplica& replica, SlotId client, const ReceivedRequest& seen) {
+  FakeReplica one(fixture, [&](FakeReplica& replica, SlotId client, const ReceivedRequest& request) {
     used.push_back(client);
-    if (seen.target.ends_with("now")) replica.respond(client, 409);
+    if (request.target.ends_with("now")) replica.respond(client, 409);
   });
   fixture.pool.update_endpoints({{"w1", one.server.local(), true}}, upstream::ListScope::kChanges);
   const auto call = [&](int attempt, const std::string& id) {
@@ -248,28 +250,28 @@
     REQUIRE(fixture.until([&] { return used.size() == before + 1; }));
     fixture.settle();
   };
-  call(1, "x");    // A, out
-  call(2, "now");  // B, parked at 0 ms
+  call(1, "x");    // opens A, whose response is delayed
+  call(2, "now");  // opens B, which is parked at 0 ms
   fixture.advance(milliseconds(40));
-  one.respond(used[0], 409);  // A, parked at 40 ms
+  one.respond(used[0], 409);  // A is parked at 40 ms
   fixture.settle();
-  fixture.advance(milliseconds(20));  // B alone has left quarantine
+  fixture.advance(milliseconds(20));  // only B is past its quarantine
   call(3, "now");
-  CHECK(used[2] == used[1]);          // ... and parked again at 60 ms
-  fixture.advance(milliseconds(35));  // 95 ms: A alone has left it
+  CHECK(used[2] == used[1]);          // B is parked again at 60 ms
+  fixture.advance(milliseconds(35));  // 95 ms: only A is past its quarantine
   call(4, "now");
   CHECK(used[3] == used[0]);
-  fixture.advance(milliseconds(20));  // 115 ms: B alone
+  fixture.advance(milliseconds(20));  // 115 ms: only B is past its quarantine
   call(5, "x");
   CHECK(used[4] == used[1]);
-  call(6, "x");  // A is in quarantine: a new one
+  call(6, "x");  // opens a new connection, as A is in quarantine
   CHECK(used[5] != used[0]);
   CHECK(used[5] != used[1]);
 }
 
 // ---- deadlines ----
 
-TEST_CASE("a response in the tick of the deadline ends the request once", "[endings]") {
+TEST_CASE("a response that arrives at the deadline ends the request once", "[endings]") {
   const int status = GENERATE(200, 503, 500);
   const bool timer_first = GENERATE(false, true);
   DirectFixture fixture(healthy_reader, silent_replica);
--- a/tests/upstream/connection_pool_test.cpp
+++ b/tests/upstream/connection_pool_test.cpp
@@ -1,4 +1,4 @@
-// Connections to replicas and release calls, against stand-in replicas on loopback.
+// Connections to endpoints and release calls, against fake endpoints on loopback.
 #include <sys/socket.h>
 
 #include <array>
@@ -9,22 +9,22 @@
 namespace dispatcher::testing {
 namespace {
 
-// Longer than an idle connection must stand before it is used again.
-constexpr auto kSettleTime = milliseconds(60);
+// Longer than the time for which a connection is not reused after it became idle.
+constexpr auto kPastReuseDelay = milliseconds(60);
 
-bool is_reservation_call(const FakeReplica::ReceivedRequest& seen) {
-  return seen.target.starts_with("/kv/leases/");
+bool is_reservation_call(const FakeReplica::ReceivedRequest& request) {
+  return request.target.starts_with("/kv/leases/");
 }
 
-// A connection that has been idle stays named in the order of idle ones after it is acquired. Parked again
-// while the pool holds its maximum of idle connections, it must not be evicted by that entry: it would be
-// parked although it no longer exists, and be acquired for the next exchange.
-TEST_CASE("a connection that returns to the pool is not the one evicted for it", "[upstream]") {
+// After a connection is acquired, its entry stays in the order of idle connections. When the connection is
+// parked again while the pool holds its maximum of idle connections, it must not be evicted because of that
+// entry: it would be parked although it no longer exists, and would be acquired for the next exchange.
+TEST_CASE("a connection that returns to the pool is not evicted to make room for itself", "[upstream]") {
   std::vector<SlotId> unanswered;  // clients of the writer whose responses are delayed
   Fixture fixture(healthy_reader,
-                  [&](FakeReplica& replica, SlotId client, const FakeReplica::ReceivedRequest& seen) {
-                    if (!is_reservation_call(seen)) return healthy_writer(replica, client, seen);
-                    if (seen.target.ends_with("/slow")) return unanswered.push_back(client);
+                  [&](FakeReplica& replica, SlotId client, const FakeReplica::ReceivedRequest& request) {
+                    if (!is_reservation_call(request)) return healthy_writer(replica, client, request);
+                    if (request.target.ends_with("/slow")) return unanswered.push_back(client);
                     replica.respond(client, 200);
                   });
   upstream::Options options;
@@ -43,25 +43,25 @@
   };
   reserve(1, "first");  // opens connection A, which is parked: the one idle connection
   REQUIRE(has_calls(1));
-  fixture.advance(kSettleTime);
+  fixture.advance(kPastReuseDelay);
   reserve(2, "slow");  // acquires A, whose response is delayed
   REQUIRE(fixture.until([&] { return unanswered.size() == 1; }));
   reserve(3, "third");  // opens B, which is parked while A is in use
   REQUIRE(has_calls(3));
-  fixture.advance(kSettleTime);
+  fixture.advance(kPastReuseDelay);
   fixture.writer().respond(unanswered[0], 200);  // A is parked again while B is the one idle connection
-  fixture.advance(kSettleTime);
+  fixture.advance(kPastReuseDelay);
   reserve(4, "fourth");  // acquires whichever connection is idle
   REQUIRE(has_calls(4));
   fixture.settle();
   CHECK(fixture.pool.open_connections() <= 2);
 }
 
-// A machine that has vanished: connections to it are never established. The queue of a listener that accepts
-// nobody is full.
+// Stands for a lost machine, to which connections are never established: a listener that accepts no
+// connection and whose queue is full.
 class UnreachableListener {
  public:
-  explicit UnreachableListener(TestEventLoop& clockwork) : acceptor_(clockwork.io) {
+  explicit UnreachableListener(TestEventLoop& loop) : acceptor_(loop.io) {
     acceptor_.open(net::tcp::v4());
     acceptor_.bind(loopback());
     acceptor_.listen(0);
@@ -86,7 +86,8 @@
   return {name, address, true, false, zone, 0};
 }
 
-// A client of replicas without an engine, a replica that takes releases, and a zone whose replicas vanished.
+// A client of endpoints without an engine, an endpoint that accepts releases, and a zone whose endpoints are
+// unreachable.
 struct ReleaseFixture : TestEventLoop {
   ReleaseFixture() {
     for (int i = 0; i < 8; ++i) unreachable.push_back(std::make_unique<UnreachableListener>(*this));
@@ -106,7 +107,7 @@
 
   std::vector<std::unique_ptr<UnreachableListener>> unreachable;
   std::vector<std::string> logs;
-  bool is_silent = false;  // the replica answers nothing
+  bool is_silent = false;  // the endpoint does not answer
   FakeReplica replica{*this, [this](FakeReplica& called, SlotId client, const FakeReplica::ReceivedRequest&) {
                         answer(called, client);
                       }};
@@ -117,8 +118,9 @@
                                           {milliseconds(250), seconds(15), milliseconds(50)}};
 };
 
-// Reservations outlive their limit where the only release call is answered late or never.
-TEST_CASE("a release reaches the one running replica though a zone does not answer", "[upstream]") {
+// If a release made only one call and it were answered late or never, its reservation would outlive its
+// limit.
+TEST_CASE("a release reaches the only running endpoint although a zone does not answer", "[upstream]") {
   ReleaseFixture fixture;
   auto addresses = fixture.unreachable_zone();
   addresses.push_back(ready_endpoint("reachable", fixture.replica.server.local(), "y"));
@@ -127,10 +129,10 @@
   fixture.advance(milliseconds(200));
   CHECK(fixture.calls() == 1);
   CHECK(fixture.upstream_client.pending_releases() == 0);
-  CHECK(fixture.upstream_client.open_connections() <= 1);  // the unanswered calls are over as well
+  CHECK(fixture.upstream_client.open_connections() <= 1);  // the unanswered calls have been closed
 }
 
-TEST_CASE("a release is not delayed by an idle connection to a replica that fell silent", "[upstream]") {
+TEST_CASE("a release is not delayed by an idle connection to an endpoint that became silent", "[upstream]") {
   ReleaseFixture fixture;
   FakeReplica other(fixture, [](FakeReplica& called, SlotId client, const FakeReplica::ReceivedRequest&) {
     called.respond(client, 204);
@@ -150,22 +152,22 @@
   CHECK(fixture.upstream_client.pending_releases() == 0);
 }
 
-TEST_CASE("with no replica reachable a release is retried, and abandoned after a limit", "[upstream]") {
+TEST_CASE("a release is retried while no endpoint is reachable, and abandoned after a limit", "[upstream]") {
   ReleaseFixture fixture;
   fixture.upstream_client.update_endpoints(fixture.unreachable_zone(), upstream::ListScope::kComplete);
   fixture.upstream_client.release_reservation("1", {});
   fixture.advance(milliseconds(400));
   CHECK(fixture.upstream_client.pending_releases() == 1);
-  SECTION("a replica listed meanwhile is called") {
+  SECTION("an endpoint that is listed meanwhile is called") {
     auto addresses = fixture.unreachable_zone();
     addresses.push_back(ready_endpoint("new", fixture.replica.server.local(), "y"));
     fixture.upstream_client.update_endpoints(addresses, upstream::ListScope::kComplete);
     fixture.advance(milliseconds(150));
     CHECK(fixture.calls() == 1);
   }
-  SECTION("no replica is ever reachable") {
+  SECTION("no endpoint ever becomes reachable") {
     fixture.advance(seconds(2));
-    CHECK(fixture.upstream_client.pending_releases() == 1);  // a network partition may last for longer
+    CHECK(fixture.upstream_client.pending_releases() == 1);  // a network partition may last longer
     fixture.advance(seconds(30));
     CHECK_FALSE(fixture.logs.empty());
   }
--- a/tests/upstream/pooled_connections_test.cpp
+++ b/tests/upstream/pooled_connections_test.cpp
@@ -1,4 +1,4 @@
-// Pooled connections to replicas: when they are reused, closed and dropped.
+// When pooled connections to endpoints are reused, closed and dropped.
 #include <set>
 
 #include "tests/fixtures/dispatcher_fixture.hpp"
@@ -6,8 +6,9 @@
 namespace dispatcher::testing {
 namespace {
 
-// Writing to a connection that the replica has closed would end as a reset, which a command can't survive.
-TEST_CASE("a pooled connection is checked for its end before use", "[pool]") {
+// Writing to a connection that the endpoint has closed would end with a reset, after which a non-idempotent
+// request can't be retried.
+TEST_CASE("a pooled connection is checked for closure before it is reused", "[pool]") {
   Fixture fixture(healthy_reader, healthy_writer);
   auto client = fixture.platform_client();
   for (int i = 0; i < 6; ++i) {
@@ -15,13 +16,13 @@
     client->post(platform_headers("a" + std::to_string(i), "command"), kPlatformBody);
     REQUIRE(fixture.until([&] { return client->is_complete; }));
     CHECK(client->status == 200);
-    fixture.advance(milliseconds(60));  // from then on the connection would be used again
+    fixture.advance(milliseconds(60));  // after this time the connection would be reused
     for (auto& replica : fixture.replicas) replica->server.close_idle();
   }
   CHECK(fixture.request_count("POST", Role::kWriter) == 6);
 }
 
-TEST_CASE("idle connections are pooled, and closed well before the replica closes them", "[pool]") {
+TEST_CASE("idle connections are pooled, and closed well before the endpoint closes them", "[pool]") {
   Fixture fixture(healthy_reader, healthy_writer);
   std::vector<std::string> closed;
   fixture.pool.set_connection_log(
@@ -40,18 +41,20 @@
   for (const std::string& line : closed) CHECK(line.ends_with(" closed reason=idle-timeout"));
 }
 
-TEST_CASE("a command whose writers refuse connections has not run, and is rejected", "[pool]") {
+TEST_CASE("a non-idempotent request whose writers refuse connections is rejected as not run", "[pool]") {
   Fixture fixture(healthy_reader, healthy_writer);
   for (const std::size_t index : {0U, 1U}) fixture.writer(index).server.stop_accepting();
   auto client = fixture.post("a1", "command");
   for (int i = 0; i < 150 && !client->is_finished(); ++i) fixture.advance(milliseconds(20));
   CHECK(client->status == 503);
-  CHECK(fixture.until(
-      [&] { return fixture.request_count("DELETE", Role::kReader) == 1; }));  // what was read is released
+  CHECK(fixture.until([&] {
+    return fixture.request_count("DELETE", Role::kReader) == 1;
+  }));  // the read's reservation is released
 }
 
-// A replica that vanished answers nothing: the call must reach a running one within the reservation limit.
-TEST_CASE("a release is sent to the next replica until one accepts it", "[pool]") {
+// An endpoint whose machine is lost does not answer. The call must reach a running endpoint within the
+// reservation limit.
+TEST_CASE("a release is sent to further endpoints until one accepts it", "[pool]") {
   Fixture fixture(silent_replica, healthy_writer);
   auto client = fixture.post("a1", "ask");
   REQUIRE(fixture.until([&] { return fixture.request_count("POST", Role::kReader) == 1; }));
@@ -61,7 +64,8 @@
   fixture.advance(milliseconds(400));
   const auto accepted = [&] { return fixture.writer(1).count("DELETE", "a1"); };
   CHECK(accepted() >= 1);
-  // The reader may not have noticed that its attempt was cancelled, and leave a state up to its deadline.
+  // The reader may not have noticed that its attempt was cancelled, and may leave a reservation until its
+  // deadline.
   const engine::Duration deadline = seconds(6);
   int before = accepted();
   for (engine::Duration elapsed = milliseconds(400); elapsed < deadline; elapsed += milliseconds(300)) {
@@ -76,12 +80,14 @@
   CHECK(accepted() == at_end);
 }
 
-// The machine has vanished: its open connections stay open and silent. A new one never comes up, which proves
-// that a command did not run, where a pooled one would cost the client its whole deadline.
-TEST_CASE("a replica with an overdue response gets no command on a pooled connection", "[pool]") {
-  bool vanished = false;
+// When a machine is lost, its open connections stay open and silent. A new connection is never established,
+// which proves that a non-idempotent request did not run. On a pooled one, the client would wait until its
+// deadline.
+TEST_CASE("an endpoint with an overdue response gets no non-idempotent request on a pooled connection",
+          "[pool]") {
+  bool is_machine_lost = false;
   Fixture fixture(healthy_reader, [&](FakeReplica& replica, SlotId client, const ReceivedRequest& request) {
-    if (!vanished) healthy_writer(replica, client, request);
+    if (!is_machine_lost) healthy_writer(replica, client, request);
   });
   fixture.engine.update_endpoints(
       {routing::ListKind::kDelta, {make_endpoint("w2", routing::EndpointState::kRemoved)}});
@@ -90,18 +96,18 @@
   auto third = fixture.platform_client();
   REQUIRE(fixture.until([&] { return first->is_complete && second->is_complete; }));
   fixture.advance(milliseconds(60));  // pooled connections may be reused
-  vanished = true;
+  is_machine_lost = true;
   fixture.writer(0).server.stop_accepting();
   first->post(platform_headers("a3", "ask"), kPlatformBody);
   REQUIRE(fixture.until([&] { return fixture.writer(0).count("POST", "a3") == 1; }));
   fixture.advance(milliseconds(500));
   third->post(platform_headers("a4", "command"), kPlatformBody);
   for (int i = 0; i < 50 && !third->is_finished(); ++i) fixture.advance(milliseconds(20));
-  CHECK(third->status == 503);  // it never ran
+  CHECK(third->status == 503);  // rejected, as it never ran
   CHECK(fixture.writer(0).count("POST", "a4") == 0);
 }
 
-TEST_CASE("after a pooled connection is reset at its next request, new ones are used", "[pool]") {
+TEST_CASE("new connections are used after a pooled one is reset at its next request", "[pool]") {
   std::set<SlotId> used;
   Fixture fixture(healthy_reader, [&](FakeReplica& replica, SlotId client, const ReceivedRequest& request) {
     const bool is_first_request = used.insert(client).second;
@@ -114,14 +120,14 @@
   auto second = fixture.post("a2", "ask");
   REQUIRE(fixture.until([&] { return first->is_complete && second->is_complete; }));
   fixture.advance(milliseconds(60));  // pooled connections may be reused
-  const auto command = [&](const std::string& id) {
+  const auto post_non_idempotent = [&](const std::string& id) {
     first->is_complete = false;
     first->post(platform_headers(id, "command"), kPlatformBody);
     REQUIRE(fixture.until([&] { return first->is_finished(); }));
     return first->status;
   };
-  CHECK(command("a3") == 502);
-  CHECK(command("a4") == 200);
+  CHECK(post_non_idempotent("a3") == 502);
+  CHECK(post_non_idempotent("a4") == 200);
 }
 
 TEST_CASE("the pool's state of removed endpoints is dropped", "[pool]") {
--- a/tests/upstream/release_targets_test.cpp
+++ b/tests/upstream/release_targets_test.cpp
@@ -1,4 +1,4 @@
-// The estimate of connect timeouts, and the choice of the endpoints that a release is sent to.
+// The estimate of the connect timeout, and the choice of the endpoints that a release is sent to.
 #include "upstream/release_targets.hpp"
 
 #include <algorithm>
@@ -39,14 +39,14 @@
   CHECK(estimator.timeout() <= milliseconds(250));
 }
 
-// Where all connections have become slow, none would be established within a short timeout, and nothing
-// would be learned.
+// If all connections became slow, none would be established within a short timeout, and the estimate would
+// not adapt.
 TEST_CASE("timeouts in a row double the connect timeout until a connection is established", "[upstream]") {
   ConnectTimeoutEstimator estimator(milliseconds(50), milliseconds(250));
   for (int i = 0; i < 20; ++i) estimator.on_connected(milliseconds(3));
   estimator.on_timeout();
   estimator.on_timeout();
-  CHECK(estimator.timeout() == milliseconds(50));  // two endpoints tell nothing of the others
+  CHECK(estimator.timeout() == milliseconds(50));  // two timeouts are no evidence of other endpoints
   estimator.on_timeout();
   CHECK(estimator.timeout() == milliseconds(100));
   for (int i = 0; i < 1000; ++i) estimator.on_timeout();
@@ -55,7 +55,7 @@
   CHECK(estimator.timeout() == milliseconds(50));
 }
 
-TEST_CASE("of contradictory bounds on the connect timeout, the maximum holds", "[upstream]") {
+TEST_CASE("the maximum is used if the bounds on the connect timeout are contradictory", "[upstream]") {
   ConnectTimeoutEstimator estimator(milliseconds(500), milliseconds(250));
   estimator.on_connected(milliseconds(1));
   CHECK(estimator.timeout() == milliseconds(250));
@@ -70,7 +70,7 @@
   CHECK(targets.next_round(milliseconds(1000), candidates, kNoLimit) == std::vector<EndpointId>{"b"});
 }
 
-// Where calls are short, an endpoint that was not called must come first again.
+// If few calls are allowed, an endpoint that was not called must be chosen first in the next round.
 TEST_CASE("an endpoint that no call may be made to does not count as called", "[upstream]") {
   ReleaseTargets targets(milliseconds(1000), milliseconds(1200), milliseconds(50));
   const std::vector<ReleaseCandidate> candidates = {candidate("a", "x"), candidate("b", "x", 0, true, true)};
@@ -79,7 +79,7 @@
   CHECK(targets.next_round(milliseconds(1100), candidates, 1) == std::vector<EndpointId>{"b"});
 }
 
-TEST_CASE("where no endpoint is known to be reachable, two in different zones are called", "[upstream]") {
+TEST_CASE("if no endpoint is known to be reachable, two in different zones are called", "[upstream]") {
   ReleaseTargets targets(milliseconds(1000), milliseconds(1200), milliseconds(50));
   const std::vector<ReleaseCandidate> candidates = {candidate("a", "x", 0, false, false, milliseconds(900)),
                                                     candidate("b", "x", 0, false, false, milliseconds(800)),
@@ -87,9 +87,9 @@
   CHECK(targets.next_round(milliseconds(1000), candidates, kNoLimit) == std::vector<EndpointId>{"a", "c"});
 }
 
-// All twelve endpoints of the zone that has just become unreachable were heard from last, and would come
+// All twelve endpoints of the zone that has just become unreachable were heard from last and would be chosen
 // first.
-TEST_CASE("the second round leaves a zone that does not answer", "[upstream]") {
+TEST_CASE("the second round calls an endpoint outside a zone that does not answer", "[upstream]") {
   std::vector<ReleaseCandidate> candidates;
   candidates.reserve(13);
   for (int i = 0; i < 12; ++i)
@@ -106,7 +106,7 @@
   CHECK(called.contains("reachable"));
 }
 
-TEST_CASE("rounds widen up to a limit, and no endpoint is called twice before all were", "[upstream]") {
+TEST_CASE("rounds grow up to a limit, and no endpoint is called twice before all were called", "[upstream]") {
   std::vector<ReleaseCandidate> candidates;
   candidates.reserve(40);
   for (int i = 0; i < 40; ++i) candidates.push_back(candidate("h" + std::to_string(i), "x", i / 5));
@@ -120,19 +120,20 @@
     REQUIRE(round < 20);
   }
   CHECK(widths == std::vector<std::size_t>{1, 2, 4, 8, 8, 8, 8, 1});
-  CHECK(targets.next_round(milliseconds(500), candidates, kNoLimit).size() == 8);  // from the start again
+  CHECK(targets.next_round(milliseconds(500), candidates, kNoLimit).size() == 8);  // starts over
 }
 
 TEST_CASE("without candidates or after the time is over, a round has no targets", "[upstream]") {
   ReleaseTargets targets(Time{}, milliseconds(1200), milliseconds(50));
   CHECK(targets.next_round(Time{}, {}, kNoLimit).empty());
   CHECK(targets.next_round(milliseconds(10), {candidate("a", "x", 0, false)}, kNoLimit).size() ==
-        1);  // it came into the list
+        1);  // now there is a candidate
   CHECK(targets.next_round(milliseconds(1200), {candidate("a", "x")}, kNoLimit).empty());
   CHECK(targets.has_expired(milliseconds(1200)));
 }
 
-// In a network partition, calls at the first interval would only pile up; after it, the next must not be far.
+// During a network partition, calls at the first interval would only accumulate. After it, the next round
+// must follow soon.
 TEST_CASE("intervals between unanswered rounds grow up to a limit", "[upstream]") {
   ReleaseTargets targets(Time{}, std::chrono::seconds(30), milliseconds(50));
   const std::vector<ReleaseCandidate> candidates = {candidate("a", "x"), candidate("b", "y")};
@@ -144,7 +145,7 @@
     now += targets.next_interval();
   }
   CHECK(intervals[0] == milliseconds(50));
-  CHECK(intervals[10] == milliseconds(50));  // two reservation limits' worth at the first interval
+  CHECK(intervals[10] == milliseconds(50));  // the first interval covers two reservation limits
   CHECK(std::is_sorted(intervals.begin(), intervals.end()));
   CHECK(intervals.back() == milliseconds(1000));
   CHECK(intervals.size() < 60);
--- a/tests/upstream/replica_answers_test.cpp
+++ b/tests/upstream/replica_answers_test.cpp
@@ -1,4 +1,4 @@
-// Answers of replicas that are malformed, truncated or rejections, and what clients get then.
+// Malformed, truncated and rejecting responses of endpoints, and what clients get then.
 #include <algorithm>
 
 #include "tests/fixtures/dispatcher_fixture.hpp"
@@ -6,12 +6,12 @@
 namespace dispatcher::testing {
 namespace {
 
-// A streamed answer up to its last chunk.
+// Returns a streamed response without its last chunk.
 std::string stream() {
   return stream_head() + http::chunk("data: {\"a\":1}\n\n") + http::chunk("data: [DONE]\n\n");
 }
 
-// Both writers answer with these bytes.
+// Replaces both writers with endpoints that answer with the given bytes.
 struct RawWriters {
   RawWriters(Fixture& fixture, const std::string& bytes, const std::string& more = {})
       : first(fixture, bytes, more), second(fixture, bytes, more) {
@@ -61,19 +61,20 @@
   auto client = fixture.post("a1", "command");
   REQUIRE(fixture.until([&] { return writers.requests() == 1; }));
   fixture.settle();
-  fixture.advance(milliseconds(1100));  // what has begun and does not go on
+  fixture.advance(milliseconds(1100));  // past the time limit for the first event of a response
   REQUIRE(client->is_finished());
   CHECK(client->status == 502);
   fixture.advance(milliseconds(500));
   CHECK(writers.requests() == 1);
   CHECK(fixture.until(
       [&] { return writers.first.closed_connections + writers.second.closed_connections == 1; }));
-  // An ask is read again, as its state was lost with the first attempt, and then written again.
-  auto asking = fixture.post("a2", "ask");
-  for (int i = 0; i < 200 && !asking->is_finished(); ++i) fixture.advance(milliseconds(20));
+  // An idempotent request is read again, as its state was lost with the first attempt, and then written
+  // again.
+  auto idempotent_client = fixture.post("a2", "ask");
+  for (int i = 0; i < 200 && !idempotent_client->is_finished(); ++i) fixture.advance(milliseconds(20));
   CHECK(writers.requests() == 3);
   CHECK(fixture.request_count("POST", Role::kReader, "a2") == 2);
-  CHECK(asking->status == 503);
+  CHECK(idempotent_client->status == 503);
 }
 
 TEST_CASE("a stream malformed after its first event ends its client's connection at once", "[pool]") {
@@ -92,7 +93,8 @@
       [&] { return writers.first.closed_connections + writers.second.closed_connections == 1; }));
 }
 
-TEST_CASE("a request that replicas reject as invalid is the client's error and ejects no replica", "[pool]") {
+TEST_CASE("a request that endpoints reject as invalid is the client's error and ejects no endpoint",
+          "[pool]") {
   Fixture fixture(
       [](FakeReplica& replica, SlotId client, const ReceivedRequest&) { replica.respond(client, 400); },
       healthy_writer, kChatConfig);
--- a/tests/upstream/reservation_release_test.cpp
+++ b/tests/upstream/reservation_release_test.cpp
@@ -1,16 +1,16 @@
-// The calls that release a request's reservations at replicas, and the events that race with them.
+// The calls that release a request's reservations at endpoints, and the events that race with them.
 #include "attempt_endings_fixture.hpp"
 
 namespace dispatcher::testing {
 namespace {
 
-// See also engine_test.cpp, where the call is pending as the next read is written.
+// See also engine_test.cpp, for a release call that is pending as the next read is written.
 TEST_CASE("a reservation that a broken read may have left is released after rejected reads", "[endings]") {
   int reads = 0;
   DirectFixture fixture(
       [&](FakeReplica& replica, SlotId client, const ReceivedRequest&) {
         if (++reads == 1) return replica.server.abort(client);
-        full(replica, client, {});
+        reject_as_full(replica, client, {});
       },
       healthy_writer);
   fixture.submit("a1");
@@ -22,7 +22,7 @@
 
 TEST_CASE("a pending release is cancelled when an attempt of its request is written", "[endings]") {
   DirectFixture fixture(healthy_reader, silent_replica);
-  // Nobody accepts the calls: they stay pending.
+  // No endpoint accepts the calls, so they stay pending.
   RawSocketPeer peer(fixture);
   fixture.pool.update_endpoints({{"r1", peer.address(), true},
                                  {"r2", peer.address(), true},
@@ -38,7 +38,7 @@
   CHECK(fixture.pool.open_connections() == 1);
 }
 
-// A read whose connection broke may run on at its replica, and leave a reservation up to its deadline.
+// A read whose connection broke may continue at its endpoint and leave a reservation until its deadline.
 TEST_CASE("a reservation that a broken read may leave is released until its deadline", "[endings]") {
   DirectFixture fixture(
       [](FakeReplica& replica, SlotId client, const ReceivedRequest&) { replica.server.abort(client); },
@@ -61,8 +61,8 @@
   CHECK(fixture.pool.pending_releases() == 0);
 }
 
-// Ended while nothing was heard of its reader, whose link works: two releases tell so much, and no more are
-// made.
+// The read is cancelled before anything has arrived from its reader, whose link works. Two releases show that
+// the link works, and no more are made.
 TEST_CASE("a cancelled read whose reader can be reached is released twice", "[endings]") {
   DirectFixture fixture(silent_replica, healthy_writer);
   const SlotId id = fixture.submit("a1");
@@ -91,7 +91,7 @@
   std::vector<upstream::EndpointId> targets;  // of the calls, whose handles are numbered from 1
 };
 
-// Its release was answered by another replica: the failed call must not begin another round.
+// The release was answered by another endpoint, so the failed call must not start another round.
 TEST_CASE("a call to a silent reader that fails after the release was answered changes nothing",
           "[endings]") {
   TestEventLoop loop;
@@ -105,10 +105,10 @@
   releaser.on_call_failed("a1", {2, 1});
   CHECK(transport.targets.size() == 2);
   loop.advance(milliseconds(220));
-  CHECK(transport.targets.size() == 4);  // the repetition, on schedule
+  CHECK(transport.targets.size() == 4);  // the repetition is made on schedule
 }
 
-TEST_CASE("a release that is requested again while its calls are out is repeated after their answer",
+TEST_CASE("a release that is requested again while its calls are active is repeated after their answer",
           "[endings]") {
   DirectFixture fixture(healthy_reader, healthy_writer);
   fixture.pool.release_reservation("a1", {});
@@ -119,12 +119,12 @@
   CHECK(fixture.pool.pending_releases() == 0);
 }
 
-TEST_CASE("after a first token no release is sent", "[endings]") {
+TEST_CASE("no release is sent after a first token", "[endings]") {
   int reads = 0;
   DirectFixture fixture(
-      [&](FakeReplica& replica, SlotId client, const ReceivedRequest& seen) {
+      [&](FakeReplica& replica, SlotId client, const ReceivedRequest& request) {
         if (++reads == 1) return replica.server.abort(client);
-        healthy_reader(replica, client, seen);
+        healthy_reader(replica, client, request);
       },
       healthy_writer);
   fixture.submit("a1");
@@ -134,18 +134,18 @@
   CHECK(fixture.pool.pending_releases() == 0);
 }
 
-// Sent while a later read's state waits for its writer, a release would remove it.
+// A release that is sent while the state of a later read waits for its writer would remove that state.
 TEST_CASE("releases for a broken read do not remove the reservation that the router tracks", "[endings]") {
   int reads = 0;
   int writes = 0;
   DirectFixture fixture(
-      [&](FakeReplica& replica, SlotId client, const ReceivedRequest& seen) {
+      [&](FakeReplica& replica, SlotId client, const ReceivedRequest& request) {
         if (++reads == 1) return replica.server.abort(client);
-        healthy_reader(replica, client, seen);
+        healthy_reader(replica, client, request);
       },
-      [&](FakeReplica& replica, SlotId client, const ReceivedRequest& seen) {
-        if (++writes == 1) return full(replica, client, seen);
-        healthy_writer(replica, client, seen);
+      [&](FakeReplica& replica, SlotId client, const ReceivedRequest& request) {
+        if (++writes == 1) return reject_as_full(replica, client, request);
+        healthy_writer(replica, client, request);
       });
   fixture.submit("a1");
   for (int i = 0; i < 100 && fixture.count("begin") == 0; ++i) fixture.advance(milliseconds(5));
@@ -154,7 +154,8 @@
   CHECK(fixture.releases() == 0);
 }
 
-// The call to reserve a slot waits for its connection: sent after the release, it would reserve one for ever.
+// The call that reserves a slot waits for its connection. Sent after the release, it would reserve a slot
+// forever.
 TEST_CASE("a slot reservation that waits for its connection is cancelled by the release", "[endings]") {
   DirectFixture fixture(healthy_reader, healthy_writer);
   fixture.pool.reserve_slot({SlotId{}, 0}, "w1", "a1");
@@ -164,7 +165,7 @@
   CHECK(fixture.releases() >= 1);
 }
 
-// Both endpoints of a zone that accepts connections and never answers.
+// A client of endpoints whose only two endpoints are in a zone that accepts connections and never answers.
 struct PartitionFixture : TestEventLoop {
   PartitionFixture() {
     pool.update_endpoints(
@@ -179,15 +180,15 @@
                                {milliseconds(250), seconds(15), milliseconds(50), 24, 160, 40}};
 };
 
-// Found by 40 requests whose writers fell silent at once: a release at the limit of calls went through its
-// targets from the best to the worst, each call replacing the one before, and was left with a silent writer
-// each time.
-TEST_CASE("releases beyond the limit of calls all reach the replica that answers", "[endings]") {
+// Guards against a failure that occurred when the writers of 40 requests became silent at once: a release at
+// the limit of calls called its targets from the best to the worst, each call replacing the one before, and
+// was left with a silent writer each time.
+TEST_CASE("releases beyond the limit of calls all reach the endpoint that answers", "[endings]") {
   constexpr int kReleases = 40;
   DirectFixture fixture(healthy_reader, healthy_writer);
   const RawSocketPeer silent(fixture);
   fixture.pool.apply_options(
-      {milliseconds(250), seconds(15), milliseconds(50), 4, 8, 24});  // 6 calls at once
+      {milliseconds(250), seconds(15), milliseconds(50), 4, 8, 24});  // at most 6 active calls
   fixture.pool.update_endpoints(
       {{"r2", silent.address(), true}, {"w1", silent.address(), true}, {"w2", silent.address(), true}},
       upstream::ListScope::kChanges);
@@ -212,7 +213,7 @@
         0);
 }
 
-TEST_CASE("during a partition releases are retried ever more slowly, on few connections", "[endings]") {
+TEST_CASE("during a partition releases are retried at growing intervals on few connections", "[endings]") {
   PartitionFixture fixture;
   for (int i = 0; i < 60; ++i) fixture.pool.release_reservation("a" + std::to_string(i), {});
   std::size_t maximum = 0;
--- a/tests/upstream/time_left_test.cpp
+++ b/tests/upstream/time_left_test.cpp
@@ -1,12 +1,13 @@
-// The time that an attempt tells its replica: it is what is left to the client as the request is written, not
-// as the attempt was started, and a request whose time is over is not written.
+// The remaining time that an attempt passes to its endpoint. It is what is left to the client when the
+// request is written, not when the attempt was started. A request whose time is over is not written.
 #include "attempt_endings_fixture.hpp"
 
 namespace dispatcher::testing {
 namespace {
 
-// Whether each attempt told its replica some time, and no more than was left until the deadline.
-bool tells_time_left(const Fixture& fixture, engine::Time deadline) {
+// Returns whether each attempt passed a remaining time to its endpoint that is positive and no more than was
+// left until the deadline.
+bool passes_time_left(const Fixture& fixture, engine::Time deadline) {
   return std::ranges::all_of(fixture.replicas, [&](const auto& replica) {
     return std::ranges::all_of(replica->received, [&](const ReceivedRequest& request) {
       if (request.method != "POST") return true;
@@ -15,10 +16,10 @@
   });
 }
 
-// Runs one handler after another, so that the loop stops between the start of a connection and its
-// establishment.
+// Runs one handler at a time until the condition holds, so that the loop can stop between the start of a
+// connection and its establishment. Returns whether the condition holds.
 template <class Condition>
-bool runs_until(Fixture& fixture, Condition condition) {
+bool run_handlers_until(Fixture& fixture, Condition condition) {
   constexpr int kMaxHandlers = 1000;
   for (int i = 0; i < kMaxHandlers && !condition(); ++i) {
     fixture.io.restart();
@@ -27,7 +28,7 @@
   return condition();
 }
 
-TEST_CASE("a request on a connection that is established late tells the time that is left then",
+TEST_CASE("a request on a connection that is established late passes the time that is left then",
           "[time_left]") {
   const auto setup_time = GENERATE(milliseconds(0), milliseconds(200), milliseconds(900));
   DirectFixture fixture(silent_replica, silent_replica);
@@ -36,10 +37,10 @@
   fixture.now += setup_time;  // nothing has run: the connection is not established yet
   fixture.settle();
   REQUIRE(fixture.posts() == 1);
-  CHECK(tells_time_left(fixture, deadline));
+  CHECK(passes_time_left(fixture, deadline));
 }
 
-TEST_CASE("a retry tells its replica less time than the attempt before it", "[time_left]") {
+TEST_CASE("a retry passes less remaining time to its endpoint than the attempt before it", "[time_left]") {
   DirectFixture fixture(silent_replica, silent_replica);
   fixture.submit("a1");
   const engine::Time deadline = fixture.now + seconds(6);
@@ -50,14 +51,14 @@
   };
   REQUIRE(fixture.until([&] { return fixture.posts() == 1; }));
   reject_reads();
-  REQUIRE(runs_until(fixture, [&] { return fixture.pool.open_connections() == 2; }));
+  REQUIRE(run_handlers_until(fixture, [&] { return fixture.pool.open_connections() == 2; }));
   fixture.now += milliseconds(200);  // the retry's connection is not established yet
   fixture.settle();
   REQUIRE(fixture.posts() == 2);
-  CHECK(tells_time_left(fixture, deadline));
+  CHECK(passes_time_left(fixture, deadline));
 }
 
-// On an event loop that was held up, the connection's event may come before the deadline's timer.
+// If the event loop was delayed, the connection's event may be handled before the deadline's timer.
 TEST_CASE("a request whose time is over is not written, and its client gets one answer", "[time_left]") {
   const auto time_left = GENERATE(std::chrono::microseconds(999), std::chrono::microseconds(0),
                                   std::chrono::microseconds(-100'000));
@@ -73,23 +74,24 @@
   CHECK(fixture.engine.open_request_count() == 0);
 }
 
-TEST_CASE("a request with very little time left is answered in time, and tells no more than that",
+TEST_CASE("a request with very little time left is answered in time, and passes no more than that",
           "[time_left]") {
   const int time_left_ms = GENERATE(0, 1, 5, 20, 50, 100, 150, 300);
   const auto setup_time = GENERATE(milliseconds(0), milliseconds(4), milliseconds(60));
-  const auto replica = GENERATE(silent_replica, full);
-  constexpr milliseconds kMaxAnswerDelay{500};  // an answer later than that is a lost one
+  const auto replica = GENERATE(silent_replica, reject_as_full);
+  constexpr milliseconds kMaxAnswerDelay{500};  // a later answer counts as lost
   Fixture fixture(replica, replica);
   auto client = fixture.platform_client();
   client->post(platform_headers("a1", "ask", time_left_ms), kPlatformBody);
   const engine::Time deadline = fixture.now + milliseconds(time_left_ms);
-  REQUIRE(runs_until(fixture, [&] { return client->is_finished() || fixture.pool.open_connections() > 0; }));
+  REQUIRE(run_handlers_until(fixture,
+                             [&] { return client->is_finished() || fixture.pool.open_connections() > 0; }));
   fixture.now += setup_time;
   fixture.settle();
   while (!client->is_finished() && fixture.now < deadline + kMaxAnswerDelay) fixture.advance(milliseconds(5));
   CHECK(client->is_complete);
   CHECK(client->status >= 500);
-  CHECK(tells_time_left(fixture, deadline));
+  CHECK(passes_time_left(fixture, deadline));
 }
 
 }  // namespace
