--- a/src/upstream/attempt_runner.cpp
+++ b/src/upstream/attempt_runner.cpp
@@ -59,7 +59,7 @@
   });
 }
 
-bool AttemptRunner::abandon(AttemptId attempt) {
+bool AttemptRunner::cancel(AttemptId attempt) {
   const auto it = connections_.find(attempt);
   if (it == connections_.end()) return true;
   const SlotId id = it->second;
--- a/src/upstream/attempt_runner.hpp
+++ b/src/upstream/attempt_runner.hpp
@@ -38,7 +38,7 @@
   void start(const AttemptParameters& parameters);
   // Ends an attempt without notifying the engine. Returns false if the endpoint can't have received the
   // complete request.
-  [[nodiscard]] bool abandon(AttemptId attempt);
+  [[nodiscard]] bool cancel(AttemptId attempt);
   // Stops reading an attempt's response until resume().
   void pause(AttemptId attempt);
   void resume(AttemptId attempt);
--- a/src/upstream/replica_client.cpp
+++ b/src/upstream/replica_client.cpp
@@ -47,7 +47,7 @@
   attempts_.start({attempt, endpoint, std::move(message), deadline, connect_by});
 }
 
-bool ReplicaClient::cancel_attempt(AttemptId attempt) { return attempts_.abandon(attempt); }
+bool ReplicaClient::cancel_attempt(AttemptId attempt) { return attempts_.cancel(attempt); }
 
 void ReplicaClient::pause_reading(AttemptId attempt) { attempts_.pause(attempt); }
 
--- a/tests/fault_injection/reservation_faults_test.cpp
+++ b/tests/fault_injection/reservation_faults_test.cpp
@@ -127,7 +127,7 @@
 
   TestEventLoop loop;
   ReservationLedger ledger;
-  // Reads of these requests are not answered until the test does so.
+  // Reads of these requests are left unanswered, and leave a state only once the test records it.
   std::set<std::string> slow_reads;
   // The first read of these requests leaves a state and breaks its connection.
   std::set<std::string> broken_reads;
--- a/tests/upstream/attempt_chaos_test.cpp
+++ b/tests/upstream/attempt_chaos_test.cpp
@@ -110,7 +110,7 @@
   std::mt19937 random;
   std::map<std::string, engine::Time> held_since;  // since when, while no attempt is unanswered
   std::map<std::pair<FakeReplica*, SlotId>, std::string> unanswered_attempts;
-  std::map<std::pair<FakeReplica*, SlotId>, std::string> waiting_writes;  // those of them at writers
+  std::map<std::pair<FakeReplica*, SlotId>, std::string> waiting_writes;  // the subset at writers
   std::map<std::string, int> runs_by_id;
   std::set<std::string> started;
   std::set<std::string> overdue;
--- a/tests/upstream/attempt_endings_test.cpp
+++ b/tests/upstream/attempt_endings_test.cpp
@@ -136,7 +136,7 @@
   CHECK(fixture.request_count("POST", Role::kReader) == (late ? 0 : 1));
 }
 
-// ---- breaks ----
+// ---- broken connections ----
 
 // Submits a non-idempotent request that is too long for the kernel's buffers. Returns whether the peer, as
 // its writer, has accepted the connection. The peer reads nothing of the request.
--- a/tests/upstream/reservation_release_test.cpp
+++ b/tests/upstream/reservation_release_test.cpp
@@ -88,7 +88,7 @@
       candidates.push_back({name, "here", 0, true});
     return candidates;
   }
-  std::vector<upstream::EndpointId> targets;  // of the calls, whose handles are numbered from 1
+  std::vector<upstream::EndpointId> targets;  // of the calls; a call's handle is its number, from 1
 };
 
 // The release was answered by another endpoint, so the failed call must not start another round.
