--- a/src/upstream/replica_client.cpp
+++ b/src/upstream/replica_client.cpp
@@ -25,7 +25,7 @@
   pool_.set_administrative_state(endpoint, state);
   if (state == routing::AdministrativeState::kInService) return;
   for (const SlotId id : pool_.ids()) {
-    const PooledConnection* connection = pool_.find(id);  // an exchange that fails may end others
+    const PooledConnection* connection = pool_.find(id);  // a failing exchange may end others
     if (connection == nullptr || connection->endpoint != endpoint || connection->is_connected) continue;
     exchanges_.fail_exchange(id, routing::AttemptStatus::kConnectFailed,
                              engine::AttemptEndReason::kEndpointChanged, FailureAttribution::kNone);
@@ -47,7 +47,7 @@
   attempts_.start({attempt, endpoint, std::move(message), deadline, connect_by});
 }
 
-bool ReplicaClient::cancel_attempt(AttemptId attempt) { return attempts_.abandon(attempt); }
+bool ReplicaClient::cancel_attempt(AttemptId attempt) { return attempts_.cancel(attempt); }
 
 void ReplicaClient::pause_reading(AttemptId attempt) { attempts_.pause(attempt); }
 
--- a/tests/settings/settings_property_test.cpp
+++ b/tests/settings/settings_property_test.cpp
@@ -126,7 +126,8 @@
   return text;
 }
 
-void run_script(const Deployment& site, const std::vector<Step>& script, Ending ending = Ending::kRunOut) {
+void run_script(const Deployment& deployment, const std::vector<Step>& script,
+                Ending ending = Ending::kRunOut) {
   constexpr std::uint64_t kRouterSeed = 7;
   ScriptRunner runner(deployment.settings, deployment.endpoints, kRouterSeed);
   try {
@@ -142,7 +143,7 @@
 
 TEST(AnySettings, DrawnSettingsAreValid) {
   expect_holds(1, 1000, [] {
-    const Deployment site = draw(*any_numbers());
+    const Deployment deployment = draw(*any_numbers());
     for (const Settings& settings : deployment.settings) {
       for (const settings::Finding& finding : settings::check(settings))
         RC_ASSERT(finding.severity != settings::Severity::kError);
