--- a/src/service_discovery/backoff.cpp
+++ b/src/service_discovery/backoff.cpp
@@ -16,7 +16,8 @@
   const auto maximum = static_cast<double>(policy_.maximum.count());
   const auto initial = static_cast<double>(policy_.initial.count());
   const double full_pause = std::min(maximum, initial * std::pow(policy_.multiplier, failures_));
-  // Counted only until the maximum is reached, so that a long outage doesn't overflow the exponent.
+  // Counts failures only until the pause reaches its maximum, so that the power doesn't overflow in a long
+  // outage.
   if (full_pause < maximum) ++failures_;
   const double fraction = policy_.min_fraction + (1 - policy_.min_fraction) * std::clamp(jitter, 0.0, 1.0);
   return Duration(std::max<long long>(1, std::llround(full_pause * fraction)));
--- a/src/service_discovery/endpoint_snapshot.cpp
+++ b/src/service_discovery/endpoint_snapshot.cpp
@@ -17,7 +17,7 @@
 
 namespace {
 
-// The platform's names of the fields.
+// The field names of the platform's JSON format.
 namespace key {
 constexpr const char* kVersion = "seq";
 constexpr const char* kIsComplete = "whole";
@@ -29,7 +29,7 @@
 constexpr const char* kCell = "block";
 constexpr const char* kState = "health";
 constexpr const char* kWeight = "share";
-constexpr const char* kStartedMs = "born_ms";  // Unix time in milliseconds; 0: long ago
+constexpr const char* kStartedMs = "born_ms";  // Unix time in milliseconds; 0 means long ago
 }  // namespace key
 
 constexpr std::array kStateNames{
@@ -38,9 +38,9 @@
     std::pair{"removed", EndpointState::kRemoved},
 };
 
-constexpr double kMaxMagnitude = 1e15;  // of a number: casts to 64-bit integers stay defined
+constexpr double kMaxMagnitude = 1e15;  // the bound of numbers, which keeps casts to 64-bit integers defined
 constexpr double kUsPerMs = 1000;
-constexpr int kCellMask = 0x7fffffff;  // cells are not negative
+constexpr int kCellMask = 0x7fffffff;  // keeps 31 bits, as cells are not negative
 
 const char* describe(SnapshotProblem problem) {
   switch (problem) {
@@ -117,7 +117,7 @@
   info.kind = parse_text(object, key::kKind);
   info.cell = static_cast<int>(std::lround(parse_number(object, key::kCell, 0)) & kCellMask);
   info.weight = parse_number(object, key::kWeight, 1);
-  // Unix time, as is the dispatcher's clock.
+  // The platform's field and the dispatcher's clock are both Unix time.
   info.started = routing::Time(std::llround(parse_number(object, key::kStartedMs, 0) * kUsPerMs));
   return info;
 }
@@ -135,7 +135,7 @@
   return (at.address().is_v6() ? "[" + address + "]" : address) + ":" + port;
 }
 
-// Removes the endpoints that the changes name; the others keep their order.
+// Removes the endpoints that are keys of `changes`. The others keep their order.
 void erase_changed(EndpointSnapshot& snapshot,
                    const std::unordered_map<routing::EndpointId, std::size_t>& changes) {
   auto& entries = snapshot.list.entries;
@@ -200,7 +200,8 @@
     return;
   }
   snapshot.version = update.version;
-  std::unordered_map<routing::EndpointId, std::size_t> last_change;  // of an endpoint that is listed twice
+  // The index of each endpoint's last entry, as an endpoint may be listed twice.
+  std::unordered_map<routing::EndpointId, std::size_t> last_change;
   for (std::size_t i = 0; i < update.list.entries.size(); ++i)
     last_change[update.list.entries[i].endpoint] = i;
   erase_changed(snapshot, last_change);
--- a/src/service_discovery/endpoint_watcher.cpp
+++ b/src/service_discovery/endpoint_watcher.cpp
@@ -7,9 +7,9 @@
 
 namespace {
 
-// Bytes of a response that are buffered; the framer holds longer objects.
+// The input buffer of a connection, in bytes. JsonFramer accumulates objects that are longer.
 constexpr std::size_t kMaxInputBytes = 256UL * 1024;
-constexpr std::size_t kMaxOutputBytes = 4096;  // a request is far shorter
+constexpr std::size_t kMaxOutputBytes = 4096;  // far more than a request needs
 constexpr unsigned kStatusOk = 200;
 
 bool is_blank(std::string_view text) { return text.find_first_not_of(" \t\r\n") == std::string_view::npos; }
@@ -38,7 +38,7 @@
   execute(schedule_.restart(clock_()));
 }
 
-// The router may request a restart on the configured list already, before start(): there is no watch yet.
+// The router may request a restart when it gets the configured list, before start() has opened a watch.
 void EndpointWatcher::restart() {
   if (schedule_.is_started()) execute(schedule_.restart(clock_()));
 }
@@ -78,7 +78,7 @@
 void EndpointWatcher::on_timer() {
   timer_ = {};
   const PollSchedule::Actions actions = schedule_.on_timer(clock_(), draw_jitter());
-  if (actions.needs_complete_list) mark_unhealthy("an object did not end");
+  if (actions.needs_complete_list) mark_unhealthy("a list was not completed in time");
   if (actions.has_timed_out) mark_unhealthy("silent");
   execute(actions);
 }
@@ -159,8 +159,8 @@
   return true;
 }
 
-// Reporting a list may lead to restart() or set_address(), which end this call: what it has brought beyond
-// that list is not read.
+// The callback for a list may call restart() or set_address(), which close this call. The rest of its data is
+// then discarded.
 void EndpointWatcher::handle_body(CallId id, Call& call, const std::string& text) {
   const bool was_inside_object = call.framer.is_inside_object();
   const auto objects = call.framer.append(text);
@@ -178,7 +178,7 @@
   update_object_timeout(id, call, objects.size());
 }
 
-// An object that has begun must end in time, and so must the wait for a complete list.
+// Sets the time limit for an object that has begun, or for a complete list that was requested.
 void EndpointWatcher::update_object_timeout(CallId id, Call& call, std::size_t completed_objects) {
   const bool awaits_complete_list = call.requested_complete_list && !call.has_complete_list;
   if (!call.framer.is_inside_object() && !awaits_complete_list) {
@@ -211,7 +211,7 @@
     needs_complete_list_ = false;
     call.has_complete_list = true;
   } else if (snapshot.version < version_) {
-    return;  // this change was reported already
+    return;  // a later version is known already
   }
   version_ = snapshot.version;
   on_change_(snapshot);
@@ -220,7 +220,8 @@
 void EndpointWatcher::handle_end_of_response(CallId id, Call& call) {
   if (!call.requested_complete_list) return fail_call(id, FailureKind::kConnectionLost, "the watch ended");
   if (!call.has_complete_list) return fail_call(id, FailureKind::kUnreadable, "no list");
-  // The server closes the connection after the list: service discovery is not lost by that.
+  // Service discovery is still healthy if it closes the connection after the complete list, so no loss is
+  // logged.
   if (!call.reader->keep_alive()) return fail_call(id, FailureKind::kConnectionLost);
   send_request(call);
 }
--- a/src/service_discovery/endpoint_watcher.hpp
+++ b/src/service_discovery/endpoint_watcher.hpp
@@ -1,9 +1,9 @@
-// Follows service discovery's endpoint list over HTTP/1.1 (RFC 9112): carries out what PollSchedule decides
-// and reads what the calls bring.
+// Follows service discovery's endpoint list over HTTP/1.1 (RFC 9112): opens and closes calls as PollSchedule
+// decides, and parses their responses.
 //
 // GET /v1/servers answers with the complete list as one JSON object. GET /v1/servers?follow=1&since=VERSION
-// opens a watch: a chunked response that stays open and brings a JSON object for each change after VERSION,
-// with empty lines in between to keep it alive.
+// opens a watch: a chunked response that stays open and carries a JSON object for each change after VERSION,
+// with empty lines in between as keep-alives.
 #ifndef DISPATCHER_SERVICE_DISCOVERY_ENDPOINT_WATCHER_HPP_
 #define DISPATCHER_SERVICE_DISCOVERY_ENDPOINT_WATCHER_HPP_
 
@@ -27,16 +27,17 @@
 
 namespace dispatcher::service_discovery {
 
-// How this dispatcher polls.
+// The options of an EndpointWatcher.
 struct EndpointWatcherOptions {
-  int dispatcher_count = 1;  // how many dispatchers call the same service discovery; see PollSchedule
-  std::uint64_t seed = 0;    // of the jitter of pauses
+  int dispatcher_count = 1;  // the number that shares the service discovery; see PollSchedule
+  std::uint64_t seed = 0;    // of the random numbers for jitter
   ListDelivery delivery = ListDelivery::kPush;
 };
 
-// Owned by the daemon; used on the thread of its event loop only. `on_change` is called from the event loop,
-// for each list and each change in the order of versions, and may call restart() and set_address(). Losing
-// and regaining service discovery is logged once each; the lists reported so far stay valid meanwhile.
+// Watches the endpoint list and reports each list and each change to a callback. Owned by the daemon and used
+// on its event loop's thread only. `on_change` is called from the event loop, in the order of versions, and
+// may call restart() and set_address(). The loss and the recovery of service discovery are logged once each.
+// The lists reported so far stay valid in between.
 class EndpointWatcher : private net::Connection::Owner {
  public:
   using OnChange = std::function<void(const EndpointSnapshot&)>;
@@ -44,33 +45,34 @@
   EndpointWatcher(boost::asio::io_context& io, const net::tcp::endpoint& address, engine::TimerQueue& timers,
                   engine::Clock clock, engine::Log log, OnChange on_change,
                   const EndpointWatcherOptions& options = {});
-  // Closes all calls; nothing is reported any more.
+  // Closes all calls. Reports nothing after that.
   ~EndpointWatcher() override;
   EndpointWatcher(const EndpointWatcher&) = delete;
   EndpointWatcher& operator=(const EndpointWatcher&) = delete;
 
-  // Opens the watch for the changes after `version`.
+  // Opens a watch for the changes after `version`.
   void start(std::uint64_t version);
-  // Opens the watch again at once; does nothing before start().
+  // Reopens the watch at once. Does nothing before start().
   void restart();
-  // Follows service discovery at another address from now on. Versions of the old address mean nothing there,
-  // so the complete list is requested first. Before start() no call is opened.
+  // Follows service discovery at another address from now on. Requests the complete list first, since
+  // versions of the old address have no meaning at the new one. Opens no call before start().
   void set_address(const net::tcp::endpoint& address);
-  // Of the last list or change that was reported.
+  // Returns the version of the last list or change that was reported, or the one given to start().
   [[nodiscard]] std::uint64_t version() const { return version_; }
-  // When a call last succeeded or brought data; none before the first.
+  // Returns when a call last succeeded or received data, or nullopt before the first time.
   [[nodiscard]] std::optional<engine::Time> last_response_at() const { return last_response_at_; }
 
  private:
   using CallId = PollSchedule::CallId;
-  // One connection to service discovery, and the response that is being read on it.
+  // One connection to service discovery and the response that is being read from it.
   struct Call {
     std::shared_ptr<net::Connection> connection;
     std::optional<http::ResponseReader> reader;
     JsonFramer framer;
-    bool requested_complete_list = false;  // else it is a watch
+    bool requested_complete_list = false;  // false for a watch
     bool has_complete_list = false;
-    std::optional<engine::Time> object_started_at;  // of the object that is incomplete, or that is awaited
+    // The start of the time limit for the incomplete object or the awaited complete list, if there is one.
+    std::optional<engine::Time> object_started_at;
   };
   enum class FailureKind { kRejected, kConnectionLost, kUnreadable };
 
@@ -83,9 +85,10 @@
   void open_call(CallId id);
   void close_call(CallId id);
   void send_request(Call& call);
-  [[nodiscard]] bool handle_head(CallId id, Call& call);  // false: the call has ended
+  [[nodiscard]] bool handle_head(CallId id, Call& call);  // returns false if the call has ended
   void handle_body(CallId id, Call& call, const std::string& text);
-  [[nodiscard]] bool handle_object(Call& call, const std::string& text);  // false: it is no list
+  // Returns false if the object isn't a usable list.
+  [[nodiscard]] bool handle_object(Call& call, const std::string& text);
   void handle_end_of_response(CallId id, Call& call);
   void update_object_timeout(CallId id, Call& call, std::size_t completed_objects);
   void report(Call& call, const EndpointSnapshot& snapshot);
@@ -105,10 +108,10 @@
   engine::Log log_;
   OnChange on_change_;
   std::uint64_t version_ = 0;
-  bool needs_complete_list_ = false;  // before changes can be followed
+  bool needs_complete_list_ = false;  // whether the next call requests the complete list
   PollSchedule schedule_;
   std::map<CallId, std::shared_ptr<Call>> calls_;
-  bool is_healthy_ = true;  // so that a loss is logged once
+  bool is_healthy_ = true;  // kept so that each loss and recovery is logged once
   engine::TimerId timer_;
   std::optional<engine::Time> last_response_at_;
   std::mt19937_64 random_;
--- a/src/service_discovery/json_framer.hpp
+++ b/src/service_discovery/json_framer.hpp
@@ -1,4 +1,4 @@
-// Splits a byte stream of JSON objects (RFC 8259), separated by any white space or none, into single objects.
+// Splits a byte stream of JSON objects (RFC 8259), separated by optional white space, into single objects.
 #ifndef DISPATCHER_SERVICE_DISCOVERY_JSON_FRAMER_HPP_
 #define DISPATCHER_SERVICE_DISCOVERY_JSON_FRAMER_HPP_
 
@@ -9,19 +9,19 @@
 
 namespace dispatcher::service_discovery {
 
-// Finds where each object ends by counting braces outside of strings, however the objects are indented and
-// the stream is cut. A value type, used by one thread.
+// Finds the end of each object by counting braces outside of strings. The objects may be indented and the
+// stream split in any way. A value type, used by one thread.
 class JsonFramer {
  public:
   static constexpr std::size_t kMaxObjectBytes = 16UL * 1024 * 1024;
   explicit JsonFramer(std::size_t max_object_bytes = kMaxObjectBytes) : max_object_bytes_(max_object_bytes) {}
 
-  // Adds the next bytes and returns the objects that they complete. Whether an object is valid JSON inside
-  // its braces is for the parser to find out. Returns nothing more once is_malformed().
+  // Appends the next bytes and returns the objects that they complete. Doesn't check that the text inside an
+  // object's braces is valid JSON, which the parser does. Returns no further objects once is_malformed().
   [[nodiscard]] std::vector<std::string> append(std::string_view bytes);
-  // An object has begun and not ended.
+  // Returns whether an object has begun and not ended.
   [[nodiscard]] bool is_inside_object() const { return depth_ > 0; }
-  // There was something other than white space between two objects, or an object was too long.
+  // Returns whether there was anything but white space between two objects, or an object was too long.
   [[nodiscard]] bool is_malformed() const { return is_malformed_; }
 
  private:
@@ -29,9 +29,9 @@
 
   std::size_t max_object_bytes_;
   std::string partial_object_;
-  std::size_t depth_ = 0;  // of open braces
+  std::size_t depth_ = 0;  // the number of open braces
   bool is_in_string_ = false;
-  bool is_escaped_ = false;  // the byte before was a backslash in a string
+  bool is_escaped_ = false;  // whether the previous byte was an escaping backslash in a string
   bool is_malformed_ = false;
 };
 
--- a/src/service_discovery/poll_schedule.cpp
+++ b/src/service_discovery/poll_schedule.cpp
@@ -11,10 +11,12 @@
 
 namespace {
 
-constexpr std::size_t kMaxCalls = 2;  // a pushed watch and the call that is to replace it
-// A call that lived for less counts as failed at once: several of these in a row would spin.
+constexpr std::size_t kMaxCalls = 2;  // the watch and the call that may replace it; see ListDelivery::kPush
+// A failure of a call that was open for less than this is rapid. Several rapid failures in a row would cause
+// a busy loop without a backoff.
 constexpr Duration kRapidFailureLifetime = milliseconds(1000);
-// Spreads out the dispatchers that lost their watch at the same moment, where calls cost nothing.
+// The upper bound of the pause after the first failure of a pushed call, which spreads out dispatchers that
+// lost their watch at the same moment. It is short, as these calls cost nothing.
 constexpr Duration kReconnectJitter = milliseconds(5);
 
 }  // namespace
@@ -96,7 +98,7 @@
   Call* call = find(id);
   if (call == nullptr) return actions;
   call->last_activity = now;
-  // A watch that was silent and resumes may have missed something: the call that joined it stays.
+  // A watch that resumes after a silence may have missed a change, so a second call stays open.
   if (std::exchange(call->is_answered, true)) return actions;
   rejection_backoff_.on_success();
   const std::vector<Call> all_calls = calls_;
--- a/src/service_discovery/poll_timing.cpp
+++ b/src/service_discovery/poll_timing.cpp
@@ -8,12 +8,12 @@
 
 namespace {
 
-constexpr Duration kPausePerDispatcher = milliseconds(20);  // about what one call costs service discovery
-constexpr Duration kMinInitialPause = milliseconds(200);    // small fleets need no more to be spread
-constexpr Duration kMaxInitialPause = milliseconds(2000);   // kMaxRejectionPause is for repeated rejections
+constexpr Duration kPausePerDispatcher = milliseconds(20);  // about what a call costs service discovery
+constexpr Duration kMinInitialPause = milliseconds(200);    // enough to spread a small fleet
+constexpr Duration kMaxInitialPause = milliseconds(2000);   // repeated rejections get kMaxRejectionPause
 constexpr int kMaxCountedDispatchers = 1000;                // keeps the product from overflowing
-constexpr Duration kInitialRapidPause = milliseconds(20);   // the second failure in a row
-constexpr Duration kMaxRapidPause = milliseconds(250);      // four calls a second load one machine's agent
+constexpr Duration kInitialRapidPause = milliseconds(20);   // after the second failure in a row
+constexpr Duration kMaxRapidPause = milliseconds(250);      // before jitter: 4 calls/s to the machine's agent
 constexpr double kMinJitterFraction = 0.5;
 constexpr double kDoubling = 2;
 constexpr double kNoGrowth = 1;
--- a/tests/service_discovery/endpoint_watcher_fixture.hpp
+++ b/tests/service_discovery/endpoint_watcher_fixture.hpp
@@ -1,5 +1,5 @@
-// What the tests of EndpointWatcher share: an agent of service discovery that does only what the test says,
-// and a watcher that records what it reports.
+// Fixtures for the tests of EndpointWatcher: an agent of service discovery that is controlled by the test,
+// and a watcher whose logs and reports are recorded.
 #ifndef DISPATCHER_TESTS_SERVICE_DISCOVERY_ENDPOINT_WATCHER_FIXTURE_HPP_
 #define DISPATCHER_TESTS_SERVICE_DISCOVERY_ENDPOINT_WATCHER_FIXTURE_HPP_
 
@@ -20,29 +20,29 @@
 
 namespace dispatcher::testing {
 
-// One endpoint as the agent lists it.
+// Returns one entry of the agent's endpoint list.
 inline std::string list_entry(const std::string& endpoint, const std::string& health) {
   return R"({"host":")" + endpoint + R"(","health":")" + health +
          R"(","dial":"127.0.0.1:3000","site":"here","class":"reader","block":0,"share":1,"born_ms":0})";
 }
 
-// A list of the one endpoint a, on one line.
+// Returns a list with the single endpoint "a" on one line.
 inline std::string list(int version, routing::ListKind kind, const std::string& health = "up") {
   const bool is_full = kind == routing::ListKind::kFull;
   return R"({"seq":)" + std::to_string(version) + R"(,"whole":)" + (is_full ? "true" : "false") +
          R"(,"hosts":[)" + list_entry("a", health) + "]}\n";
 }
 
-// The same list, indented by `width` spaces.
+// Returns the same list, indented by `width` spaces.
 inline std::string indented(int version, routing::ListKind kind, int width) {
   return nlohmann::json::parse(list(version, kind)).dump(width) + "\n";
 }
 
-// An agent that does nothing by itself but accept connections and record the requests on them.
+// An agent that accepts connections and records the requests on them. The test sends all responses.
 class Agent {
  public:
   explicit Agent(TestEventLoop& work) : io_(work.io), address_(loopback()) { listen(); }
-  ~Agent() { reject(); }
+  ~Agent() { stop_listening(); }
   Agent(const Agent&) = delete;
   Agent& operator=(const Agent&) = delete;
   [[nodiscard]] net::tcp::endpoint address() const { return address_; }
@@ -51,13 +51,13 @@
   struct Call {
     explicit Call(boost::asio::io_context& io) : socket(io) {}
     net::tcp::socket socket;
-    std::vector<std::string> targets;  // of its requests
+    std::vector<std::string> targets;  // the targets of its requests
     std::string unread;
     bool is_closed = false;
     bool has_response_head = false;
   };
   std::vector<std::shared_ptr<Call>> calls;
-  std::function<void(Call&)> on_request;  // for what is to be answered at once
+  std::function<void(Call&)> on_request;  // called for each request, to answer it at once
 
   [[nodiscard]] int open_calls() const {
     return static_cast<int>(
@@ -74,7 +74,7 @@
     boost::system::error_code ignored;
     boost::asio::write(call.socket, boost::asio::buffer(text), ignored);
   }
-  // The next part of a watch; its response's head comes before the first one.
+  // Sends the next part of a watch, and the head of its response before the first part.
   static void write_chunk(Call& call, const std::string& text) {
     if (!std::exchange(call.has_response_head, true))
       write(call, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
@@ -89,8 +89,8 @@
     call.socket.close(ignored);
     call.is_closed = true;
   }
-  // Connections are refused from now on, as by a machine where nobody listens.
-  void reject() { acceptor_.reset(); }
+  // Connections are refused from now on, as by a machine without a listening process.
+  void stop_listening() { acceptor_.reset(); }
   void listen() {
     acceptor_.emplace(io_, address_);
     address_ = acceptor_->local_endpoint();
@@ -116,11 +116,11 @@
                                      return;
                                    }
                                    call->unread.append(bytes->data(), size);
-                                   take_requests(*call);
+                                   parse_requests(*call);
                                    if (!call->is_closed) read(call);
                                  });
   }
-  void take_requests(Call& call) {
+  void parse_requests(Call& call) {
     constexpr std::string_view kHeadEnd = "\r\n\r\n";
     constexpr std::size_t kTargetAt = std::string_view("GET ").size();
     for (std::size_t end = call.unread.find(kHeadEnd); end != std::string::npos;
@@ -138,15 +138,15 @@
   std::optional<net::tcp::acceptor> acceptor_;
 };
 
-// A watcher, and what it logged and reported.
-struct Follower {
-  explicit Follower(TestEventLoop& work, Agent& agent, int fleet = 300,
-                    service_discovery::ListDelivery lists = service_discovery::ListDelivery::kPush)
+// A watcher that records its logs and its reported lists.
+struct RecordingWatcher {
+  explicit RecordingWatcher(TestEventLoop& work, Agent& agent, int dispatcher_count = 300,
+                            service_discovery::ListDelivery delivery = service_discovery::ListDelivery::kPush)
       : watcher(
             work.io, agent.address(), work.timers, work.clock(),
             [this](std::string_view text) { logs.emplace_back(text); },
             [this](const service_discovery::EndpointSnapshot& snapshot) { snapshots.push_back(snapshot); },
-            {fleet, 3, lists}) {}
+            {dispatcher_count, 3, delivery}) {}
   std::vector<std::string> logs;
   std::vector<service_discovery::EndpointSnapshot> snapshots;
   service_discovery::EndpointWatcher watcher;
@@ -155,25 +155,25 @@
   }
 };
 
-// A watch that has its first list, after which the agent sends nothing by itself.
-struct Established {
-  explicit Established(int fleet = 300,
-                       service_discovery::ListDelivery lists = service_discovery::ListDelivery::kPush)
-      : agent(work), follower(work, agent, fleet, lists) {
-    follower.watcher.start(40);
+// A watch that has received its first list. The agent sends nothing more until the test does.
+struct EstablishedWatch {
+  explicit EstablishedWatch(int dispatcher_count = 300,
+                            service_discovery::ListDelivery delivery = service_discovery::ListDelivery::kPush)
+      : agent(work), recorder(work, agent, dispatcher_count, delivery) {
+    recorder.watcher.start(40);
     REQUIRE(work.until([&] { return agent.request_count() == 1; }));
     Agent::write_chunk(*agent.calls[0], list(41, routing::ListKind::kFull));
-    REQUIRE(work.until([&] { return follower.snapshots.size() == 1; }));
+    REQUIRE(work.until([&] { return recorder.snapshots.size() == 1; }));
   }
   bool has_requests(std::size_t count) {
     return work.until([&] { return agent.request_count() >= count; });
   }
   bool has_snapshots(std::size_t count) {
-    return work.until([&] { return follower.snapshots.size() >= count; });
+    return work.until([&] { return recorder.snapshots.size() >= count; });
   }
   TestEventLoop work;
   Agent agent;
-  Follower follower;
+  RecordingWatcher recorder;
 };
 
 }  // namespace dispatcher::testing
--- a/tests/service_discovery/fleet_test.cpp
+++ b/tests/service_discovery/fleet_test.cpp
@@ -1,5 +1,5 @@
-// How one dispatcher among many backs off from service discovery, at sizes where what each does alone adds
-// up.
+// Tests the backoff of dispatchers that share a service discovery, with fleets that are large enough to
+// overload it.
 #include <algorithm>
 #include <boost/asio/write.hpp>
 #include <queue>
@@ -16,15 +16,15 @@
 using service_discovery::Backoff;
 using service_discovery::BackoffPolicy;
 
-// What a fleet has reached some time after an outage.
+// The state of a fleet some time after an outage.
 struct Recovery {
   int recovered = 0;  // dispatchers that have their endpoint list again
-  int calls = 0;      // that all of them have made
+  int calls = 0;      // the calls that all dispatchers together have made
 };
 
-// A discovery of fixed capacity: calls wait in turn, each costs it the same, and one that has waited for
-// kOverloadedResponseDelay is rejected. All dispatchers lose their watch in one moment, and retry after their
-// backoff.
+// Simulates a service discovery of fixed capacity: calls wait in a queue, each takes the same time, and a
+// call that has waited for kOverloadedResponseDelay is rejected. All dispatchers lose their watch at the same
+// moment and retry after their backoff.
 Recovery recover(int dispatchers, const BackoffPolicy& policy, engine::Duration after,
                  engine::Duration cost = milliseconds(50)) {
   const engine::Duration max_wait = service_discovery::kOverloadedResponseDelay;
@@ -35,7 +35,7 @@
   std::priority_queue<Call, std::vector<Call>, std::greater<>> calls;
   for (std::size_t i = 0; i < fleet.size(); ++i) calls.emplace(fleet[i].on_failure(draw(random)), i);
   Recovery result;
-  engine::Time idle_at{};  // when discovery has served all calls so far
+  engine::Time idle_at{};  // when discovery will have served all calls so far
   while (!calls.empty() && calls.top().first < after) {
     const auto [at, caller] = calls.top();
     calls.pop();
@@ -49,10 +49,10 @@
 }
 
 TEST_CASE("an overloaded discovery recovers through the fleet's backoff", "[fleet]") {
-  const BackoffPolicy fixed{milliseconds(200), milliseconds(200), 1, 1};  // as it was
+  const BackoffPolicy fixed{milliseconds(200), milliseconds(200), 1, 1};  // no growth and no jitter
   CHECK(recover(100, fixed, seconds(120)).recovered < 50);
-  // A change must be known 6 s after it could be, so no pause is longer than kMaxRejectionPause, and a fleet
-  // that is rejected retries within 5 s: 300 dispatchers can only recover where they can be served so fast.
+  // A change must be known within 6 s, so no pause is longer than kMaxRejectionPause and a rejected fleet
+  // retries within 5 s. So 300 dispatchers can only recover if discovery can serve them in that time.
   const engine::Duration cost = milliseconds(50);
   const engine::Duration less = milliseconds(20);
   CHECK(recover(300, fixed, seconds(120), less).recovered < 150);
@@ -62,7 +62,7 @@
     CHECK(recovery.recovered == dispatchers);
     CHECK(recovery.calls <= 6 * dispatchers);
   }
-  // Few have no reason to wait.
+  // A small fleet recovers without a long wait.
   CHECK(recover(3, service_discovery::rejection_backoff(3), milliseconds(400)).recovered == 3);
 }
 
@@ -85,12 +85,12 @@
   CHECK(backoff.failures() <= 3);
   backoff.on_success();
   CHECK(backoff.on_failure(0.0) == milliseconds(200));
-  Backoff clamped({milliseconds(0), milliseconds(0), -3, 7});  // nonsense is clamped to something that works
+  Backoff clamped({milliseconds(0), milliseconds(0), -3, 7});  // invalid values are clamped to valid ones
   CHECK(clamped.on_failure(-1) >= engine::Duration(1));
   CHECK(clamped.on_failure(5) >= engine::Duration(1));
 }
 
-TEST_CASE("a watch whose discovery rejects every call polls ever less often, up to its cap",
+TEST_CASE("a watcher whose calls are all rejected polls less and less often, up to the maximum pause",
           "[fleet][discovery]") {
   TestEventLoop work;
   boost::asio::ip::tcp::acceptor agent(work.io, loopback());
@@ -99,7 +99,7 @@
     agent.async_accept([&](boost::system::error_code error, boost::asio::ip::tcp::socket socket) {
       if (error) return;
       ++connections;
-      // Rejected, each time.
+      // Rejects each call.
       boost::asio::write(socket,
                          boost::asio::buffer(std::string("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")));
       accept();
@@ -112,7 +112,7 @@
   watch.start(1);
   work.settle();
   work.advance(seconds(10));
-  // At 200 ms, as before, it would have asked 50 times.
+  // A fixed pause of 200 ms would result in 50 calls.
   CHECK(connections >= 2);
   CHECK(connections <= 5);
 }
--- a/tests/service_discovery/json_framer_test.cpp
+++ b/tests/service_discovery/json_framer_test.cpp
@@ -1,4 +1,4 @@
-// JsonFramer: JSON objects split out of a stream of bytes.
+// Tests how JsonFramer splits a stream of bytes into JSON objects.
 #include "service_discovery/json_framer.hpp"
 
 #include <algorithm>
@@ -34,7 +34,7 @@
   return object;
 }
 
-TEST_CASE("objects are framed however they are indented, separated and cut", "[discovery][framer]") {
+TEST_CASE("objects are framed correctly with any indentation, separators and splits", "[discovery][framer]") {
   std::mt19937_64 random(11);
   const std::vector<std::string> between{"", "\n", "\r\n", "\n\n", " \t\r\n\r\n", "\n \n"};
   for (int round = 0; round < 300; ++round) {
@@ -44,7 +44,7 @@
     for (std::size_t i = 1 + random() % 5; i > 0; --i) {
       sent.push_back(drawn_object(random));
       std::string one = sent.back().dump(static_cast<int>(random() % 6) - 1);
-      if (random() % 3 == 0) {  // line ends as other systems have them, which strings never hold raw
+      if (random() % 3 == 0) {  // uses CRLF line ends; strings hold no raw line ends
         std::string other;
         for (const char byte : one) {
           if (byte == '\n') other += '\r';
@@ -62,17 +62,18 @@
   }
 }
 
-TEST_CASE("input that is no object is malformed, after the objects before it", "[discovery][framer]") {
+TEST_CASE("input that is not an object is malformed, and the objects before it are returned",
+          "[discovery][framer]") {
   for (const std::string& noise :
        std::vector<std::string>{"x", "}", "]", "[1]", "null", "\"{}\"", ",", std::string(1, '\0')}) {
     JsonFramer framer;
     CHECK(framer.append("{} \n{\"a\":{}}" + noise + "{}") == std::vector<std::string>{"{}", "{\"a\":{}}"});
     CHECK(framer.is_malformed());
-    CHECK(framer.append("{}").empty());  // nobody knows where an object begins
+    CHECK(framer.append("{}").empty());  // the start of the next object is unknown
   }
 }
 
-TEST_CASE("the length of one object is limited, not that of the stream", "[discovery][framer]") {
+TEST_CASE("the length of each object is limited, but not that of the stream", "[discovery][framer]") {
   JsonFramer framer(32);
   for (int i = 0; i < 100; ++i)
     REQUIRE(framer
--- a/tests/service_discovery/poll_schedule_test.cpp
+++ b/tests/service_discovery/poll_schedule_test.cpp
@@ -1,4 +1,4 @@
-// PollSchedule in virtual time: when service discovery is called.
+// Tests in virtual time when PollSchedule calls service discovery.
 #include "service_discovery/poll_schedule.hpp"
 
 #include <algorithm>
@@ -19,7 +19,7 @@
 using service_discovery::PollSchedule;
 using CallId = PollSchedule::CallId;
 
-// How a call ends. All but kAnswer are outages.
+// The outcome of a call. All but kAnswer are failures.
 enum class CallOutcome {
   kAnswer,
   kSilent,
@@ -27,67 +27,74 @@
   kRejectNow,
   kReset,
   kResetLate,
-  kNeverUp,
+  kNeverConnected,
   kUnreadable,
   kStall
 };
-constexpr std::array kOutages{CallOutcome::kSilent,     CallOutcome::kRejectLate, CallOutcome::kRejectNow,
-                              CallOutcome::kReset,      CallOutcome::kResetLate,  CallOutcome::kNeverUp,
-                              CallOutcome::kUnreadable, CallOutcome::kStall};
+constexpr std::array kFailures{
+    CallOutcome::kSilent,    CallOutcome::kRejectLate,     CallOutcome::kRejectNow,  CallOutcome::kReset,
+    CallOutcome::kResetLate, CallOutcome::kNeverConnected, CallOutcome::kUnreadable, CallOutcome::kStall};
 
-// A discovery with an outage until `back`, and one dispatcher's schedule that meets it. Outages follow one
-// another or come mixed. From `back` on all calls opened are answered, each after its own time, and what had
-// been left open from before is answered at once, never, or reset.
+// Simulates an outage of service discovery from `outage_at_` to `recovery_at_`, and the schedule of one
+// dispatcher. The calls during the outage have either one common outcome or mixed ones. Calls that are opened
+// after the recovery are answered, each after a random delay. Calls that are still open from before are
+// answered at once, never, or reset.
 class Outage {
  public:
-  // `slowest` answer once discovery is back; so many calls opened after the return never come up.
-  Outage(ListDelivery lists, int fleet, std::uint64_t seed, engine::Duration slowest, int lose)
-      : lists_(lists), slowest_(slowest), lose_(lose), random_(seed), schedule_(lists, fleet) {}
+  // `max_response_delay` is the longest time to a response after the recovery. The first `calls_to_lose`
+  // calls that are opened after the recovery never connect.
+  Outage(ListDelivery delivery, int dispatcher_count, std::uint64_t seed, engine::Duration max_response_delay,
+         int calls_to_lose)
+      : delivery_(delivery),
+        max_response_delay_(max_response_delay),
+        calls_to_lose_(calls_to_lose),
+        random_(seed),
+        schedule_(delivery, dispatcher_count) {}
 
-  engine::Duration known_after{};  // the return, or the last refusal that came later
+  engine::Duration known_after{};  // since the recovery, or since a later rejection
   std::vector<engine::Time> opened;
   std::size_t max_calls = 0;
-  engine::Duration longest_gap{};  // with no call out, and without a refusal before it
+  engine::Duration longest_gap{};  // the longest time without an open call, except after a rejection
 
   void run() {
     const engine::Time start = seconds(100);
-    outage_ = start + milliseconds(random_() % 4000);
-    back_ = outage_ + milliseconds(random_() % 14000);
-    mixed_ = random_() % 2 == 0;
-    same_ = kOutages[random_() % kOutages.size()];
-    watch_dies_ = random_() % 2 == 0;
-    old_answer_at_return_ = lists_ == ListDelivery::kPush && random_() % 2 == 0;
+    outage_at_ = start + milliseconds(random_() % 4000);
+    recovery_at_ = outage_at_ + milliseconds(random_() % 14000);
+    has_mixed_outcomes_ = random_() % 2 == 0;
+    common_outcome_ = kFailures[random_() % kFailures.size()];
+    watch_goes_silent_ = random_() % 2 == 0;
+    answers_old_calls_ = delivery_ == ListDelivery::kPush && random_() % 2 == 0;
     execute(schedule_.restart(start), start);
-    for (engine::Time now = start; !known_;) {
-      REQUIRE(now < back_ + seconds(30));
+    for (engine::Time now = start; !is_change_known_;) {
+      REQUIRE(now < recovery_at_ + seconds(30));
       now = step(now);
     }
   }
 
  private:
-  enum class EventKind { kHead, kByte, kHalf, kRejected, kFailed, kUnreadable };
+  enum class EventKind { kHead, kWatchByte, kPartialObject, kRejected, kFailed, kUnreadable };
   struct Event {
     engine::Time at;
     CallId id;
     EventKind kind;
     bool operator>(const Event& other) const { return at > other.at; }
   };
-  ListDelivery lists_;
-  engine::Duration slowest_;
-  int lose_;
+  ListDelivery delivery_;
+  engine::Duration max_response_delay_;
+  int calls_to_lose_;
   std::mt19937_64 random_;
   PollSchedule schedule_;
   std::priority_queue<Event, std::vector<Event>, std::greater<>> events_;
   std::map<CallId, CallOutcome> calls_;
-  engine::Time back_{};
-  engine::Time outage_{};
-  engine::Time empty_since_{};
-  CallOutcome same_{};
-  bool mixed_ = false;
-  bool watch_dies_ = false;
-  bool old_answer_at_return_ = false;
-  bool known_ = false;
-  bool after_refusal_ = false;
+  engine::Time recovery_at_{};
+  engine::Time outage_at_{};
+  engine::Time no_call_since_{};
+  CallOutcome common_outcome_{};
+  bool has_mixed_outcomes_ = false;
+  bool watch_goes_silent_ = false;
+  bool answers_old_calls_ = false;
+  bool is_change_known_ = false;
+  bool is_after_rejection_ = false;
 
   double draw() { return std::uniform_real_distribution<double>(0, 1)(random_); }
   engine::Time step(engine::Time now) {
@@ -109,15 +116,15 @@
     switch (event.kind) {
       case EventKind::kHead:
         execute(schedule_.on_answered(event.id, now), now);
-        if (calls_[event.id] == CallOutcome::kAnswer && now >= back_) return on_change_known(now);
+        if (calls_[event.id] == CallOutcome::kAnswer && now >= recovery_at_) return on_change_known(now);
         return schedule_.on_data_received(event.id, now, std::nullopt);
-      case EventKind::kByte:
+      case EventKind::kWatchByte:
         return on_watch_byte(event.id, now);
-      case EventKind::kHalf:
+      case EventKind::kPartialObject:
         return schedule_.on_data_received(event.id, now, now);
       case EventKind::kRejected:
-        back_ = std::max(back_, now);
-        after_refusal_ = true;
+        recovery_at_ = std::max(recovery_at_, now);
+        is_after_rejection_ = true;
         return execute(schedule_.on_rejected(event.id, now, draw()), now);
       case EventKind::kFailed:
         return execute(schedule_.on_failed(event.id, now, draw()), now);
@@ -125,56 +132,57 @@
         return execute(schedule_.on_unreadable(event.id, now, draw()), now);
     }
   }
-  // The watch from before the outage: an empty line every 2 s, then nothing or a reset.
+  // Handles the watch from before the outage: an empty line every 2 s, then silence or a reset.
   void on_watch_byte(CallId id, engine::Time now) {
-    if (now >= outage_) {
-      if (!watch_dies_) execute(schedule_.on_failed(id, now, draw()), now);
+    if (now >= outage_at_) {
+      if (!watch_goes_silent_) execute(schedule_.on_failed(id, now, draw()), now);
       return;
     }
     schedule_.on_data_received(id, now, std::nullopt);
-    events_.push({now + seconds(2), id, EventKind::kByte});
+    events_.push({now + seconds(2), id, EventKind::kWatchByte});
   }
   void on_change_known(engine::Time now) {
-    known_ = true;
-    known_after = now - back_;
+    is_change_known_ = true;
+    known_after = now - recovery_at_;
   }
   void execute(const PollSchedule::Actions& actions, engine::Time now) {
     for (const CallId id : actions.close) calls_.erase(id);
     if (actions.open != 0) open(actions.open, now);
     if (calls_.empty()) {
       if (actions.close.empty()) return;
-      empty_since_ = now;
+      no_call_since_ = now;
     }
     max_calls = std::max(max_calls, calls_.size());
   }
   void open(CallId id, engine::Time now) {
     opened.push_back(now);
-    if (calls_.empty() && empty_since_ != engine::Time{} && !after_refusal_)
-      longest_gap = std::max(longest_gap, now - empty_since_);
-    after_refusal_ = false;
+    if (calls_.empty() && no_call_since_ != engine::Time{} && !is_after_rejection_)
+      longest_gap = std::max(longest_gap, now - no_call_since_);
+    is_after_rejection_ = false;
     calls_[id] = CallOutcome::kAnswer;
-    if (now < outage_) {  // the watch of calm times
+    if (now < outage_at_) {  // the watch before the outage
       events_.push({now, id, EventKind::kHead});
-      events_.push({now + milliseconds(1), id, EventKind::kByte});
-    } else if (now >= back_) {
-      if (lose_-- > 0) {
-        calls_[id] = CallOutcome::kNeverUp;
+      events_.push({now + milliseconds(1), id, EventKind::kWatchByte});
+    } else if (now >= recovery_at_) {
+      if (calls_to_lose_-- > 0) {
+        calls_[id] = CallOutcome::kNeverConnected;
         return;
       }
-      events_.push({now + engine::Duration(std::llround(draw() * static_cast<double>(slowest_.count()))), id,
-                    EventKind::kHead});
+      events_.push(
+          {now + engine::Duration(std::llround(draw() * static_cast<double>(max_response_delay_.count()))),
+           id, EventKind::kHead});
     } else {
-      fail_call(id, now, mixed_ ? kOutages[random_() % kOutages.size()] : same_);
+      fail_call(id, now, has_mixed_outcomes_ ? kFailures[random_() % kFailures.size()] : common_outcome_);
     }
   }
   void fail_call(CallId id, engine::Time now, CallOutcome outcome) {
     calls_[id] = outcome;
     const auto later = [&](int ms, EventKind kind) { events_.push({now + milliseconds(ms), id, kind}); };
     switch (outcome) {
-      case CallOutcome::kSilent:  // answered when discovery is back, or never
-        if (!old_answer_at_return_) return;
+      case CallOutcome::kSilent:  // answered when discovery recovers, or never
+        if (!answers_old_calls_) return;
         calls_[id] = CallOutcome::kAnswer;
-        return events_.push({back_, id, EventKind::kHead});
+        return events_.push({recovery_at_, id, EventKind::kHead});
       case CallOutcome::kRejectLate:
         return later(2000, EventKind::kRejected);
       case CallOutcome::kRejectNow:
@@ -182,15 +190,15 @@
       case CallOutcome::kReset:
         return later(0, EventKind::kFailed);
       case CallOutcome::kResetLate:
-        if (now + milliseconds(700) < back_) later(700, EventKind::kFailed);
+        if (now + milliseconds(700) < recovery_at_) later(700, EventKind::kFailed);
         return;
       case CallOutcome::kUnreadable:
         later(0, EventKind::kHead);
         return later(1, EventKind::kUnreadable);
       case CallOutcome::kStall:
         later(0, EventKind::kHead);
-        return later(1, EventKind::kHalf);
-      case CallOutcome::kNeverUp:
+        return later(1, EventKind::kPartialObject);
+      case CallOutcome::kNeverConnected:
       case CallOutcome::kAnswer:
         return;
     }
@@ -198,13 +206,14 @@
 };
 
 template <class Check>
-void over_outages(ListDelivery lists, engine::Duration slowest, int lose, Check check) {
-  for (const int fleet : {1, 3, 100, 300}) {
+void over_outages(ListDelivery delivery, engine::Duration max_response_delay, int calls_to_lose,
+                  Check check) {
+  for (const int dispatcher_count : {1, 3, 100, 300}) {
     for (std::uint64_t seed = 1; seed <= 400; ++seed) {
-      Outage outage{lists, fleet, seed, slowest, lose};
+      Outage outage{delivery, dispatcher_count, seed, max_response_delay, calls_to_lose};
       outage.run();
-      CAPTURE(fleet, seed);
-      check(outage, fleet);
+      CAPTURE(dispatcher_count, seed);
+      check(outage, dispatcher_count);
     }
   }
 }
@@ -217,10 +226,11 @@
     REQUIRE(outage.max_calls <= 2);
     REQUIRE(outage.longest_gap <= milliseconds(250));
   });
-  CHECK(worst > milliseconds(3000));  // the outages drawn do reach the edges
+  CHECK(worst > milliseconds(3000));  // checks that the random outages include long ones
 }
 
-TEST_CASE("push: a change is known within 6 s though the first call is lost", "[discovery][plan]") {
+TEST_CASE("push: a change is known within 6 s even if the first call after an outage is lost",
+          "[discovery][plan]") {
   over_outages(ListDelivery::kPush, milliseconds(50), 1, [&](const Outage& outage, int) {
     REQUIRE(outage.known_after < seconds(6) - service_discovery::kSchedulingMargin);
   });
@@ -228,19 +238,20 @@
 
 TEST_CASE("poll: a change is known within 6 s after any outage", "[discovery][plan]") {
   engine::Duration worst{};
-  over_outages(ListDelivery::kPoll, milliseconds(2100), 0, [&](const Outage& outage, int fleet) {
+  over_outages(ListDelivery::kPoll, milliseconds(2100), 0, [&](const Outage& outage, int dispatcher_count) {
     worst = std::max(worst, outage.known_after);
     REQUIRE(outage.known_after < seconds(6) - service_discovery::kSchedulingMargin);
     REQUIRE(outage.max_calls <= 1);
-    // Each further call comes after a pause by the fleet's size.
+    // Each further call follows a pause that depends on the fleet's size.
     for (std::size_t i = 1; i < outage.opened.size(); ++i)
       REQUIRE(outage.opened[i] - outage.opened[i - 1] >=
-              service_discovery::silence_backoff(fleet).initial / 2);
+              service_discovery::silence_backoff(dispatcher_count).initial / 2);
   });
   CHECK(worst > milliseconds(4000));
 }
 
-TEST_CASE("push: calls that fail at once get a growing backoff, up to 250 ms", "[discovery][plan]") {
+TEST_CASE("push: calls that fail at once are followed by a growing backoff of up to 250 ms",
+          "[discovery][plan]") {
   for (const bool unreadable : {false, true}) {
     PollSchedule schedule(ListDelivery::kPush, 300);
     std::mt19937_64 random(5);
@@ -266,7 +277,7 @@
       REQUIRE(pauses[i] >= milliseconds(125));
       REQUIRE(pauses[i] <= milliseconds(250));
     }
-    // One that lived starts again from nearly nothing.
+    // After a call that was open for longer, the backoff starts again with a short pause.
     std::ignore = schedule.on_answered(id, now);
     now += milliseconds(1500);
     std::ignore = schedule.on_failed(id, now, 0.5);
@@ -274,7 +285,7 @@
   }
 }
 
-TEST_CASE("push: an unanswered call gets a second one beside it, and the older of two is closed for a third",
+TEST_CASE("push: a second call is opened beside an unanswered one, and a third replaces the older of the two",
           "[discovery][plan]") {
   PollSchedule schedule(ListDelivery::kPush, 300);
   const engine::Time start = seconds(50);
@@ -296,8 +307,9 @@
   CHECK(schedule.next_deadline() == start + seconds(5) + service_discovery::kWatchTimeout);
 }
 
-TEST_CASE("push: a silent watch gets a second call and may still deliver until that one answers",
-          "[discovery][plan]") {
+TEST_CASE(
+    "push: a second call is opened beside a silent watch, which may deliver until that call is answered",
+    "[discovery][plan]") {
   PollSchedule schedule(ListDelivery::kPush, 300);
   const engine::Time start = seconds(50);
   const CallId watch = schedule.restart(start).open;
@@ -307,39 +319,41 @@
   CHECK(joined.close.empty());
   REQUIRE(joined.open != 0);
   const engine::Time later = start + seconds(3);
-  CHECK(schedule.on_answered(watch, later).close.empty());  // as with any byte of it
+  CHECK(schedule.on_answered(watch, later).close.empty());  // as for any data on the watch
   schedule.on_data_received(watch, later, std::nullopt);
   CHECK(schedule.open_calls() == 2);
   CHECK(schedule.on_answered(joined.open, later).close == std::vector<CallId>{watch});
 }
 
-TEST_CASE("push: after a rejection there is a backoff by the fleet's size, whatever happens during it",
-          "[discovery][plan]") {
-  for (const int fleet : {1, 300}) {
-    PollSchedule schedule(ListDelivery::kPush, fleet);
+TEST_CASE(
+    "push: the backoff after a rejection depends on the fleet's size and is not shortened by other events",
+    "[discovery][plan]") {
+  for (const int dispatcher_count : {1, 300}) {
+    PollSchedule schedule(ListDelivery::kPush, dispatcher_count);
     engine::Time now = seconds(50);
     const CallId first = schedule.restart(now).open;
     now += service_discovery::kCallTimeout;
     const CallId second = schedule.on_timer(now, 0).open;
     CHECK(schedule.on_rejected(second, now, 1).open == 0);
     CHECK(schedule.on_failed(first, now, 0).open == 0);
-    CHECK(schedule.next_deadline() == now + service_discovery::rejection_backoff(fleet).initial);
+    CHECK(schedule.next_deadline() == now + service_discovery::rejection_backoff(dispatcher_count).initial);
     CHECK(schedule.on_timer(now + milliseconds(100), 0).open == 0);
     CHECK(schedule.on_timer(*schedule.next_deadline(), 0).open != 0);
   }
 }
 
-// An outage of refusals, each after 2 s, that ends round the end of one of our pauses.
-TEST_CASE("discovery that returns just before, at and just after the end of a backoff is read in time",
-          "[discovery][plan]") {
-  for (const ListDelivery lists : {ListDelivery::kPush, ListDelivery::kPoll}) {
-    for (const int refusals : {1, 2, 3, 8}) {
+// Discovery rejects each call after 2 s and recovers close to the end of a pause.
+TEST_CASE(
+    "a change is known in time if discovery recovers just before, at or just after the end of a backoff",
+    "[discovery][plan]") {
+  for (const ListDelivery delivery : {ListDelivery::kPush, ListDelivery::kPoll}) {
+    for (const int rejections : {1, 2, 3, 8}) {
       for (const engine::Duration off : {milliseconds(-1), milliseconds(0), milliseconds(1)}) {
-        PollSchedule schedule(lists, 300);
+        PollSchedule schedule(delivery, 300);
         engine::Time now = seconds(50);
         engine::Duration pause{};
         CallId id = schedule.restart(now).open;
-        for (int i = 0; i < refusals; ++i) {
+        for (int i = 0; i < rejections; ++i) {
           now += service_discovery::kOverloadedResponseDelay;
           std::ignore = schedule.on_rejected(id, now, 1.0);
           pause = *schedule.next_deadline() - now;
@@ -348,7 +362,7 @@
           REQUIRE(id != 0);
         }
         CHECK(pause <= service_discovery::kMaxRejectionPause);
-        // Back after the pause's end, discovery knows nothing of the call, which stays silent.
+        // If discovery recovers after the end of the pause, it never got this call, which stays silent.
         const engine::Time back = now + off;
         if (off > engine::Duration(0)) {
           for (id = 0; id == 0;) {
@@ -363,14 +377,15 @@
   }
 }
 
-TEST_CASE("an object that stalls ends its call, and the complete list is requested", "[discovery][plan]") {
-  for (const ListDelivery lists : {ListDelivery::kPush, ListDelivery::kPoll}) {
-    PollSchedule schedule(lists, 3);
+TEST_CASE("an object that stalls closes its call, and the complete list is requested", "[discovery][plan]") {
+  for (const ListDelivery delivery : {ListDelivery::kPush, ListDelivery::kPoll}) {
+    PollSchedule schedule(delivery, 3);
     const engine::Time start = seconds(50);
     engine::Time now = start;
     const CallId watch = schedule.restart(now).open;
     std::ignore = schedule.on_answered(watch, now);
-    for (; now < start + service_discovery::kObjectTimeout; now += milliseconds(100)) {  // it trickles
+    for (; now < start + service_discovery::kObjectTimeout;
+         now += milliseconds(100)) {  // it still receives data
       REQUIRE(*schedule.next_deadline() > now);
       schedule.on_data_received(watch, now, start);
     }
@@ -383,10 +398,10 @@
   }
 }
 
-TEST_CASE("a change of address opens a call despite any backoff, and a silent first call costs under 4 s",
+TEST_CASE("a change of address opens a call during any backoff, and a second one within 4 s if it is silent",
           "[discovery][plan]") {
-  for (const ListDelivery lists : {ListDelivery::kPush, ListDelivery::kPoll}) {
-    PollSchedule schedule(lists, 300);
+  for (const ListDelivery delivery : {ListDelivery::kPush, ListDelivery::kPoll}) {
+    PollSchedule schedule(delivery, 300);
     engine::Time now = seconds(50);
     CallId id = schedule.restart(now).open;
     for (int i = 0; i < 5; ++i) {
@@ -396,7 +411,7 @@
     }
     std::ignore = schedule.on_rejected(id, now, 0.99);
     const engine::Time moved = now + milliseconds(1);
-    REQUIRE(schedule.restart_at_new_address(moved).open != 0);  // this one stays silent
+    REQUIRE(schedule.restart_at_new_address(moved).open != 0);  // this call stays silent
     CallId next = 0;
     while (next == 0) {
       REQUIRE(schedule.next_deadline());
