--- a/src/hot_restart/drained_endpoint_store.cpp
+++ b/src/hot_restart/drained_endpoint_store.cpp
@@ -21,8 +21,8 @@
 
 namespace {
 
-constexpr std::uintmax_t kMaxFileBytes = 1024UL * 1024;  // far more than the ids of any fleet need
-constexpr mode_t kFileMode = 0600;  // read and written by this dispatcher's processes only
+constexpr std::uintmax_t kMaxFileBytes = 1024UL * 1024;  // far more than the endpoint ids of any fleet need
+constexpr mode_t kFileMode = 0600;  // only this dispatcher's processes read and write the file
 constexpr const char* kEndpointsKey = "offline";
 
 bool write_all(int fd, std::string_view text) {
@@ -34,7 +34,7 @@
   return true;
 }
 
-// Empty where the file can't be read.
+// Returns an empty string if the file can't be read.
 std::string read_file(const std::string& path) {
   std::error_code error;
   const bool is_readable = std::filesystem::is_regular_file(path, error) &&
@@ -52,7 +52,7 @@
   const Json object = Json::parse(read_file(path_), nullptr, false);
   const auto endpoints = object.is_object() ? object.find(kEndpointsKey) : object.end();
   if (endpoints == object.end() || !endpoints->is_array()) {
-    log_("drained endpoints: '" + path_ + "' can't be read: no endpoint is drained by it");
+    log_("drained endpoints: '" + path_ + "' can't be read: it drains no endpoint");
     return;
   }
   for (const Json& endpoint : *endpoints) {
@@ -74,11 +74,11 @@
   for (const routing::EndpointId& endpoint : endpoints_) endpoints.push_back(endpoint.value());
   const Json object{{kEndpointsKey, endpoints}};
   if (replace_file(object.dump(-1, ' ', false, Json::error_handler_t::replace))) return;
-  log_("drained endpoints: '" + path_ + "' can't be written: a restarted process will not know of them");
+  log_("drained endpoints: '" + path_ + "' can't be written: a restart will lose them");
 }
 
-// Writes a new file and renames it over the old one: readers find the complete old or new content, whenever
-// this process is killed.
+// Writes a new file and renames it over the old one, so that readers find either the complete old or the
+// complete new content even if this process is killed.
 bool DrainedEndpointStore::replace_file(const std::string& text) const {
   const std::string new_path = path_ + "." + std::to_string(::getpid());
   const net::UniqueFd file(::open(new_path.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, kFileMode));
--- a/src/hot_restart/handover_channel.cpp
+++ b/src/hot_restart/handover_channel.cpp
@@ -12,7 +12,8 @@
 
 namespace {
 
-// To a process that does not read: far more than a working one ever leaves unread, and bounded memory.
+// The most messages that are queued for a process that doesn't read. A working process leaves far fewer
+// unread; the limit bounds memory.
 constexpr std::size_t kMaxQueuedMessages = 10000;
 
 }  // namespace
@@ -91,7 +92,7 @@
   }
   const char* text = receive_buffer_.data();
   const Json message = Json::parse(text, text + packet.size, nullptr, false);
-  // Messages of later releases may be of other kinds, and are ignored.
+  // Later releases may send messages of other kinds, which are ignored.
   if (message.is_object()) owner_->on_message(message, std::move(packet.descriptors));
   return true;
 }
@@ -100,7 +101,7 @@
   Owner* owner = std::exchange(owner_, nullptr);
   if (owner == nullptr) return;
   asio::post(socket_.get_executor(), [self = shared_from_this(), owner] {
-    if (!self->socket_.is_open()) return;  // closed by its owner since
+    if (!self->socket_.is_open()) return;  // the owner has called close() in the meantime
     self->close();
     owner->on_channel_closed();
   });
--- a/src/hot_restart/handover_channel.hpp
+++ b/src/hot_restart/handover_channel.hpp
@@ -19,32 +19,34 @@
 
 using Json = nlohmann::json;
 
-// One end of the connection. Used on the event loop's thread only. Its pending reads and writes keep it
-// alive, as its holder does; the owner must call close() before it is destroyed.
+// One end of the connection. Used on the event loop's thread only. Pending reads and writes share ownership
+// of the channel with its holder. The owner must call close() before it is destroyed.
 class HandoverChannel : public std::enable_shared_from_this<HandoverChannel> {
  public:
-  // Called from the event loop only, never from inside a call to the channel, and not after close().
+  // Receives the channel's events. Its functions are called from the event loop only, never from inside a
+  // call to the channel, and not after close().
   class Owner {
    public:
     virtual ~Owner() = default;
-    // A message with the descriptors that were attached to it.
+    // Called for each message, with the descriptors that were attached to it.
     virtual void on_message(const Json& message, Descriptors descriptors) = 0;
-    // The other side has closed the connection, or does not read. Called once, after all other calls.
+    // Called when the other side has closed the connection or has stopped reading. Called once, after all
+    // other calls.
     virtual void on_channel_closed() = 0;
   };
   HandoverChannel(boost::asio::io_context& io, net::UniqueFd socket, Owner& owner);
-  // Null where no process listens at the path.
+  // Returns null if no process listens at the path.
   [[nodiscard]] static std::shared_ptr<HandoverChannel> connect(boost::asio::io_context& io,
                                                                 const std::string& path, Owner& owner);
   // Starts reading.
   void start() { wait_for_packet(); }
-  // Sends the message, now or once the other side has read earlier ones. The descriptors stay the caller's;
-  // the other side gets copies. Where too many messages are queued the channel closes. Returns false where
-  // the message is too long for a packet: it is not sent then.
+  // Sends the message, now or once the other side has read earlier ones. The caller keeps the descriptors,
+  // and the other side gets copies. Closes the channel if too many messages are queued. Returns false and
+  // doesn't send the message if it is too long for a packet.
   bool send(const Json& message, const std::vector<int>& descriptors = {});
-  // Whether no message is queued in this process.
+  // Returns whether no message is queued in this process.
   [[nodiscard]] bool is_all_sent() const { return outgoing_.empty(); }
-  // Disconnects. The owner is not called any more.
+  // Disconnects. The owner is not called after this.
   void close();
 
  private:
@@ -57,7 +59,7 @@
   void send_queued();
   void wait_for_packet();
   void receive_all();
-  [[nodiscard]] bool receive_one();  // false: no packet is available
+  [[nodiscard]] bool receive_one();  // returns false if no packet is available
   void disconnect();
 
   boost::asio::posix::stream_descriptor socket_;
@@ -67,13 +69,13 @@
   bool is_waiting_until_writable_ = false;
 };
 
-// Accepts connections of successors. Owned by HotRestartPeer and used on the event loop's thread only.
+// Accepts connections from successors. Owned by HotRestartPeer and used on the event loop's thread only.
 class HandoverListener {
  public:
-  // Called from the event loop for each process that connects.
+  // Called from the event loop, with the connection's socket, for each process that connects.
   using OnConnected = std::function<void(net::UniqueFd)>;
   HandoverListener(boost::asio::io_context& io, std::string path, OnConnected on_connected);
-  // Replaces whichever process listened at the path. Returns false where listening fails.
+  // Replaces any process that listens at the path. Returns false if listening fails.
   [[nodiscard]] bool open();
   void close();
 
--- a/src/hot_restart/handover_messages.cpp
+++ b/src/hot_restart/handover_messages.cpp
@@ -14,9 +14,9 @@
 
 namespace {
 
-// The names of JSON members. Processes of other releases read and write them: never change one.
+// The names of JSON members. They must never change, since processes of other releases read and write them.
 namespace key {
-// The member by which each kind of message is recognized.
+// The members that identify each kind of message.
 constexpr const char* kHandover = "estate";
 constexpr const char* kServing = "serving";
 constexpr const char* kDrainedEndpoint = "ban";
@@ -30,16 +30,16 @@
 constexpr const char* kOpenRequestIds = "ids";
 constexpr const char* kLearnedState = "knowledge";
 constexpr const char* kDegradationLevel = "level";
-// ... of AdministrativeStateChanged and RequestStatusChanged.
+// Further members of AdministrativeStateChanged and RequestStatusChanged.
 constexpr const char* kIsDrained = "offline";
 constexpr const char* kIsOpen = "open";
-// ... of StreamTransfer.
+// Members of the object in a StreamTransfer.
 constexpr const char* kRequestId = "id";
 constexpr const char* kEndpoint = "host";
 constexpr const char* kUnread = "unread";
 constexpr const char* kChunkLeft = "chunk_left";
 constexpr const char* kKeepAlive = "keep_alive";
-// ... of LearnedState and its endpoints, which have kEndpoint too.
+// Members of LearnedState and its endpoint histories, which use kEndpoint too.
 constexpr const char* kStartCosts = "starts";
 constexpr const char* kFarCost = "far";
 constexpr const char* kServedCounts = "served";
@@ -49,13 +49,13 @@
 constexpr const char* kBackSince = "back";
 }  // namespace key
 
-// Plausible values of another process's statistics; others are ignored or clamped.
-constexpr int kMaxServed = 20000;        // results in the few seconds that they are counted over
-constexpr double kMaxMean = 1e12;        // microseconds
-constexpr double kMaxDeviation = 1e6;    // of MovingAverage::dev
-constexpr double kMaxSampleCount = 1e9;  // fits into an int
+// Bounds of plausible statistics from another process. Other values are ignored or clamped.
+constexpr int kMaxServed = 20000;        // bound of the results that are counted over a few seconds
+constexpr double kMaxMean = 1e12;        // bound of MovingAverage::mean, in microseconds
+constexpr double kMaxDeviation = 1e6;    // bound of MovingAverage::dev
+constexpr double kMaxSampleCount = 1e9;  // bound of MovingAverage::n, which fits in an int
 
-// The member's value; null where there is none.
+// Returns the member's value, or null if there is none.
 const Json& member(const Json& object, const char* name) {
   static const Json none;
   const auto it = object.find(name);
@@ -134,7 +134,7 @@
   handover.degradation_level = member(object, key::kDegradationLevel);
   const Json& names = member(object, key::kListenerNames);
   if (!names.is_array()) return handover;
-  // A name that is not a string becomes an empty one: the descriptors are in the same order as the names.
+  // A name that is not a string becomes an empty name, since names and descriptors are matched by position.
   for (const Json& name : names)
     handover.listener_names.push_back(name.is_string() ? name.get<std::string>() : std::string());
   return handover;
--- a/src/hot_restart/hot_restart_peer.cpp
+++ b/src/hot_restart/hot_restart_peer.cpp
@@ -10,10 +10,10 @@
 
 namespace {
 
-// How long this process waits for the predecessor's Handover: one that is overloaded or hangs must not keep
-// this process from serving.
+// How long this process waits for the predecessor's Handover. A predecessor that is overloaded or hangs must
+// not prevent this process from serving.
 constexpr engine::Duration kHandoverTimeout = std::chrono::milliseconds(1500);
-constexpr std::size_t kStreamDescriptors = 2;  // the client's socket and the replica's
+constexpr std::size_t kStreamDescriptors = 2;  // the sockets of the client and of the endpoint
 
 }  // namespace
 
@@ -31,7 +31,7 @@
   if (!path_.empty()) predecessor_.channel = HandoverChannel::connect(io_, path_, predecessor_);
   if (!has_predecessor()) return start_without_handover();
   handover_timer_ = timers_.add(clock_() + kHandoverTimeout, [this] {
-    log_("upgrade: the serving process sent no hand-over: starting beside it");
+    log_("upgrade: the serving process sent no hand-over in time: starting without it");
     start_without_handover();
   });
   owner_.on_peers_changed();
@@ -45,7 +45,7 @@
 void HotRestartPeer::on_serving() {
   if (has_predecessor()) predecessor_.channel->send(encode(SuccessorServing{}));
   if (!path_.empty() && !listener_.open())
-    log_("upgrade: can't listen at '" + path_ + "': no successor will find this process");
+    log_("upgrade: can't listen at '" + path_ + "': no successor can connect to this process");
 }
 
 void HotRestartPeer::close() {
@@ -56,7 +56,7 @@
 }
 
 void HotRestartPeer::on_successor_connected(net::UniqueFd socket) {
-  if (successor_.channel != nullptr) successor_.channel->close();  // that one failed, and was started again
+  if (successor_.channel != nullptr) successor_.channel->close();  // that one failed and was started again
   is_successor_serving_ = false;
   successor_.channel = std::make_shared<HandoverChannel>(io_, std::move(socket), successor_);
   successor_.channel->start();
@@ -86,7 +86,7 @@
 }
 
 void HotRestartPeer::handle(Handover& message, Descriptors& descriptors) {
-  if (std::exchange(has_state_, true)) return;  // too late: this process started without a hand-over
+  if (std::exchange(has_state_, true)) return;  // it is too late, as this process started without a hand-over
   timers_.drop(handover_timer_);
   HandoverState state;
   state.endpoint_list = std::move(message.endpoint_list);
--- a/src/hot_restart/hot_restart_peer.hpp
+++ b/src/hot_restart/hot_restart_peer.hpp
@@ -1,9 +1,10 @@
-// The other process of this dispatcher during a hot restart: finds it, exchanges messages with it and tracks
-// whether it is connected. docs/upgrade.md describes the procedure for operators.
+// Handles the other process of this dispatcher during a hot restart: finds it, exchanges messages with it and
+// tracks whether it is connected. docs/upgrade.md describes the procedure for operators.
 //
-// The life cycle of a process: it looks for a predecessor and receives a HandoverState from it, or starts
-// without one; it serves, and notifies the predecessor; it listens for a successor, hands over to it and
-// ends.
+// The life cycle of a process:
+// 1. It connects to a predecessor and receives a HandoverState from it, or starts without one.
+// 2. It begins to serve and notifies the predecessor.
+// 3. It listens for a successor, hands over to it and ends.
 #ifndef DISPATCHER_HOT_RESTART_HOT_RESTART_PEER_HPP_
 #define DISPATCHER_HOT_RESTART_HOT_RESTART_PEER_HPP_
 
@@ -20,59 +21,61 @@
 
 namespace dispatcher::hot_restart {
 
-// What the predecessor handed over; all empty where there is none.
+// The state that the predecessor handed over. All members are empty if there is no predecessor.
 struct HandoverState {
-  Json endpoint_list;  // see service_discovery::to_json(); null: none
+  Json endpoint_list;  // see service_discovery::to_json(); null if there is none
   std::vector<routing::RequestId> open_request_ids;
   routing::LearnedState learned_state;
-  Json degradation_level;                                  // see DegradationController::restore(); null: none
-  std::map<std::string, net::UniqueFd> listening_sockets;  // by the name that the predecessor gave them
+  Json degradation_level;  // see DegradationController::restore(); null if there is none
+  std::map<std::string, net::UniqueFd> listening_sockets;  // keyed by the name that the predecessor gave them
 };
 
-// Both sides of a hot restart: towards the predecessor and towards the successor. Owned by the daemon and
-// used on its event loop's thread only.
+// Manages the connections to the predecessor and to the successor. Owned by the daemon and used on its event
+// loop's thread only.
 class HotRestartPeer : public engine::HotRestartObserver {
  public:
-  // The daemon. The getters are called when a successor connects, the other functions from the event loop;
-  // on_handover() may also be called by start() before it returns.
+  // Implemented by the daemon. The getters are called when a successor connects, and the other functions from
+  // the event loop. on_handover() may also be called by start() before it returns.
   class Owner {
    public:
     virtual ~Owner() = default;
-    // See service_discovery::to_json().
+    // Returns the endpoint list in the form of service_discovery::to_json().
     [[nodiscard]] virtual Json endpoint_list() = 0;
-    // By the names under which the successor gets them. The sockets stay the owner's: copies are sent.
+    // Returns the listening sockets, keyed by the names under which the successor gets them. The owner keeps
+    // the sockets, and copies are sent.
     [[nodiscard]] virtual std::map<std::string, int> listening_sockets() = 0;
     [[nodiscard]] virtual std::vector<routing::RequestId> open_request_ids() = 0;
     [[nodiscard]] virtual routing::LearnedState learned_state() = 0;
     [[nodiscard]] virtual Json degradation_level() = 0;
 
-    // Called once. The state is empty where there is no predecessor or it sent none in time.
+    // Called once. The state is empty if there is no predecessor or it sent no state in time.
     virtual void on_handover(HandoverState state) = 0;
-    // Operators drained an endpoint at the other process, or returned it to service there.
+    // Called when operators have drained an endpoint at the other process or returned it to service there.
     virtual void on_administrative_state(const routing::EndpointId& endpoint,
                                          routing::AdministrativeState state) = 0;
-    // The other process accepted a request, or completed it.
+    // Called when the other process has accepted or completed a request.
     virtual void on_peer_request_progress(const routing::RequestId& id, engine::RequestProgress progress) = 0;
-    // The other process forwarded a request to this endpoint.
+    // Called when the other process has forwarded a request to this endpoint.
     virtual void on_peer_forwarded(const routing::EndpointId& endpoint) = 0;
-    // The predecessor handed over a running stream with the sockets of its client and of its endpoint.
+    // Called when the predecessor has handed over a running stream with the sockets of its client and its
+    // endpoint.
     virtual void on_stream(const StreamTransfer& stream, net::UniqueFd client_socket,
                            net::UniqueFd upstream_socket) = 0;
-    // The predecessor has left the VRRP group, in which it had this role.
+    // Called when the predecessor has left the VRRP group, in which it had this role.
     virtual void on_vrrp_left(VrrpRole role) = 0;
-    // A predecessor or successor has connected, begun to serve, or disconnected.
+    // Called when a predecessor or successor has connected, begun to serve or disconnected.
     virtual void on_peers_changed() = 0;
   };
 
-  // `path`: of the Unix socket by which processes find each other; empty: no hot restart. The references must
-  // outlive this.
+  // `path` is the Unix socket by which processes find each other. Hot restart is disabled if it is empty. The
+  // references must outlive this object.
   HotRestartPeer(boost::asio::io_context& io, const std::string& path, engine::TimerQueue& timers,
                  engine::Clock clock, engine::Log log, Owner& owner);
-  // Connects to the predecessor, if there is one; on_handover() follows.
+  // Connects to the predecessor, if there is one. A call of on_handover() follows.
   void start();
-  // To be called once this process serves: notifies the predecessor, and listens for a successor.
+  // Notifies the predecessor and listens for a successor. Must be called once this process serves.
   void on_serving();
-  // Disconnects. The owner is not called any more.
+  // Disconnects. The owner is not called after this.
   void close();
 
   [[nodiscard]] bool has_peer() const { return has_predecessor() || successor_.channel != nullptr; }
@@ -80,15 +83,16 @@
   [[nodiscard]] bool is_successor_serving() const {
     return successor_.channel != nullptr && is_successor_serving_;
   }
-  // Whether the kernel has taken everything that was sent to the successor: a process must not end before, or
-  // the rest of its hand-over is lost.
+  // Returns whether the kernel has accepted everything that was sent to the successor. A process must not end
+  // before this, or the rest of its hand-over is lost.
   [[nodiscard]] bool is_all_sent() const;
 
-  // Notifies the other processes of an operator's command.
+  // Notifies the other processes that an operator drained an endpoint or returned it to service.
   void notify_administrative_state(const routing::EndpointId& endpoint, routing::AdministrativeState state);
-  // Notifies the successor, which may then join the VRRP group.
+  // Notifies the successor that this process has left the VRRP group, so that the successor may join it.
   void notify_vrrp_left(VrrpRole role);
-  // Hands a stream to the successor, which must be serving. The sockets stay the caller's: copies are sent.
+  // Hands a stream over to the successor, which must be serving. The caller keeps the sockets, and copies are
+  // sent.
   void transfer_stream(const StreamTransfer& stream, int client, int upstream);
   // engine::HotRestartObserver
   void on_request_progress(const routing::RequestId& id, engine::RequestProgress progress) override;
@@ -103,8 +107,8 @@
     }
     void on_channel_closed() override { peer.on_channel_closed(*this); }
     HotRestartPeer& peer;
-    PeerRole role;                             // of the other process
-    std::shared_ptr<HandoverChannel> channel;  // null: not connected
+    PeerRole role;                             // the role of the other process
+    std::shared_ptr<HandoverChannel> channel;  // null if it is not connected
   };
 
   void start_without_handover();
@@ -131,7 +135,7 @@
   HandoverListener listener_;
   Connection predecessor_{*this, PeerRole::kPredecessor};
   Connection successor_{*this, PeerRole::kSuccessor};
-  bool has_state_ = false;  // on_handover() was called
+  bool has_state_ = false;  // whether on_handover() was called
   bool is_successor_serving_ = false;
   engine::TimerId handover_timer_;
 };
--- a/src/hot_restart/packet_socket.cpp
+++ b/src/hot_restart/packet_socket.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-constexpr int kSendBufferBytes = 1024 * 1024;  // requested of the kernel; twice the longest packet
+constexpr int kSendBufferBytes = 1024 * 1024;  // requested from the kernel; twice the longest packet
 constexpr int kBacklog = 4;                    // one process connects at a time
 
 struct AncillaryData {
@@ -31,7 +31,7 @@
   return socket;
 }
 
-// Nullopt where the path is empty or too long for an address.
+// Returns nullopt if the path is empty or too long for an address.
 std::optional<sockaddr_un> address_of(const std::string& path) {
   sockaddr_un address{};
   address.sun_family = AF_UNIX;
@@ -40,7 +40,9 @@
   return address;
 }
 
-const sockaddr* generic(const sockaddr_un& address) { return reinterpret_cast<const sockaddr*>(&address); }
+const sockaddr* as_sockaddr(const sockaddr_un& address) {
+  return reinterpret_cast<const sockaddr*>(&address);
+}
 
 void attach_descriptors(msghdr& header, AncillaryData& ancillary, const Descriptors& descriptors) {
   const std::size_t bytes = sizeof(int) * descriptors.size();
@@ -79,7 +81,7 @@
   net::UniqueFd socket = create_socket();
   const auto address = address_of(path);
   if (!socket || !address) return {};
-  if (::connect(socket.get(), generic(*address), sizeof *address) != 0) return {};
+  if (::connect(socket.get(), as_sockaddr(*address), sizeof *address) != 0) return {};
   return socket;
 }
 
@@ -89,7 +91,7 @@
   const auto address = address_of(new_path);
   if (!socket || !address) return {};
   ::unlink(new_path.c_str());
-  if (::bind(socket.get(), generic(*address), sizeof *address) != 0) return {};
+  if (::bind(socket.get(), as_sockaddr(*address), sizeof *address) != 0) return {};
   if (::listen(socket.get(), kBacklog) != 0 || std::rename(new_path.c_str(), path.c_str()) != 0) {
     ::unlink(new_path.c_str());
     return {};
--- a/src/hot_restart/packet_socket.hpp
+++ b/src/hot_restart/packet_socket.hpp
@@ -1,5 +1,6 @@
-// Unix sockets of sequenced packets (unix(7), SOCK_SEQPACKET), which keep each message and the descriptors
-// sent with it (SCM_RIGHTS) together. Thin wrappers around the system calls; none of them blocks.
+// Unix sockets for sequenced packets (unix(7), SOCK_SEQPACKET), which keep each message together with the
+// descriptors that are sent with it (SCM_RIGHTS). These are thin wrappers around system calls that don't
+// block.
 #ifndef DISPATCHER_HOT_RESTART_PACKET_SOCKET_HPP_
 #define DISPATCHER_HOT_RESTART_PACKET_SOCKET_HPP_
 
@@ -14,44 +15,47 @@
 
 using Descriptors = std::vector<net::UniqueFd>;
 
-// Bounds of one packet. At most two descriptors are sent today, of listening sockets or of a stream; where a
-// message is longer, send_packet() returns kTooLong.
+// Limits of one packet. At most two descriptors are sent today: those of the listening sockets, or of a
+// stream. send_packet() returns kTooLong for a message that is longer than the kernel accepts.
 constexpr std::size_t kMaxPacketDescriptors = 8;
 constexpr std::size_t kMaxPacketBytes = 512UL * 1024;
 
 // The result of sending a packet.
 enum class SendStatus {
   kSent,
-  kWouldBlock,  // the other side has to read first
+  kWouldBlock,  // the other side must read earlier packets first
   kTooLong,     // longer than the kernel accepts
   kBroken,      // the connection is lost
 };
 
-// The result of receiving.
+// The result of receiving a packet.
 enum class ReceiveStatus {
   kReceived,
   kWouldBlock,  // there is no packet yet
   kClosed,      // the other side has closed, or the connection is lost
 };
 
-// A packet, or why there is none.
+// A received packet, or the reason why there is none.
 struct ReceivedPacket {
   ReceiveStatus status = ReceiveStatus::kClosed;
-  std::size_t size = 0;  // of the text, in the caller's buffer
+  std::size_t size = 0;  // the length of the text in the caller's buffer, in bytes
   Descriptors descriptors;
 };
 
-// All of these return an empty descriptor where a system call failed.
+// The next three functions return an empty descriptor if a system call fails.
 
+// Connects to the process that listens at the path.
 [[nodiscard]] net::UniqueFd connect_packet_socket(const std::string& path);
-// Replaces whatever file is at the path atomically: a process that connects finds the old socket or the new
-// one.
+// Listens at the path. Replaces any file there atomically, so that a process that connects finds either the
+// old socket or the new one.
 [[nodiscard]] net::UniqueFd listen_packet_socket(const std::string& path);
+// Accepts one connection on a listening socket.
 [[nodiscard]] net::UniqueFd accept_packet_socket(int listener);
 
-// The descriptors, at most kMaxPacketDescriptors, are copied to the other side.
+// Sends one packet. The other side gets copies of the descriptors, of which there may be at most
+// kMaxPacketDescriptors.
 [[nodiscard]] SendStatus send_packet(int socket, std::string_view text, const Descriptors& descriptors);
-// `buffer` is resized to hold kMaxPacketBytes.
+// Receives one packet into `buffer`, which is resized to kMaxPacketBytes.
 [[nodiscard]] ReceivedPacket receive_packet(int socket, std::vector<char>& buffer);
 
 }  // namespace dispatcher::hot_restart
--- a/tests/hot_restart/hot_restart_compatibility_test.cpp
+++ b/tests/hot_restart/hot_restart_compatibility_test.cpp
@@ -1,6 +1,6 @@
-// Hand-over between this release and the one before it, in both directions. The literals are what the
-// previous release wrote to its socket and its file, recorded from its library; they must never be edited to
-// follow the code, since a process of that release may be the other end.
+// Tests the hand-over between this release and the previous one, in both directions. The literals are what
+// the previous release wrote to its socket and its file, recorded from its library. They must never be
+// changed to match the code, since a process of that release may be the other end.
 #include <sys/socket.h>
 #include <sys/un.h>
 #include <unistd.h>
@@ -30,7 +30,7 @@
     R"("class":"reader","dial":"127.0.0.1:3000","health":"up","host":"r1","share":1.0,"site":"here"},)"
     R"({"block":0,"born_ms":1799999999123.5,"class":"writer","dial":"[::1]:3001","health":"draining",)"
     R"("host":"w1","share":0.5,"site":"there"}],"seq":41,"whole":true},"listening":["chat","platform"]})";
-// Of a list that is too long for one message.
+// The hand-over if the endpoint list is too long for one message.
 constexpr std::string_view kHandoverWithoutList =
     R"({"estate":true,"knowledge":{"far":[3.0,0.5,9],"hosts":[{"back":79000000,"host":"r1",)"
     R"("sends":[80000000,81000000]},{"back":0,"host":"w1","sends":[]}],"served":[5,6,0],"since":77000000,)"
@@ -48,13 +48,13 @@
     R"({"stream":{"chunk_left":17,"host":"w1","id":"a1","keep_alive":true,"unread":[100,97,10,255]}})";
 constexpr std::string_view kDrainedEndpointsFile = R"({"offline":["r\"1","w1"]})";
 
-// One packet that was received, its descriptors counted and closed.
+// A received packet. Its descriptors were counted and closed.
 struct Packet {
   std::string text;
   std::size_t descriptors = 0;
 };
 
-// The other process's end as the kernel sees it, without any code of this release.
+// The other process's end of the connection, written with system calls alone and no code of this release.
 class RawSocket {
  public:
   static RawSocket connect(const std::string& path) {
@@ -93,7 +93,7 @@
     }
     REQUIRE(::sendmsg(fd_.get(), &head, MSG_NOSIGNAL) == static_cast<ssize_t>(text.size()));
   }
-  // None: there is no packet yet.
+  // Returns nullopt if there is no packet yet.
   [[nodiscard]] std::optional<Packet> receive() const {
     std::string text(1024UL * 1024, '\0');
     iovec piece{text.data(), text.size()};
@@ -136,7 +136,7 @@
   net::UniqueFd fd_;
 };
 
-// An owner with the state that the previous release had when its messages were recorded.
+// An owner with the state that the previous release had when its messages were recorded. Records all events.
 struct RecordedOwner : hot_restart::HotRestartPeer::Owner {
   Json endpoint_list() override {
     if (long_list) return std::string(600UL * 1024, 'x');
@@ -199,13 +199,13 @@
         work.io, path, work.timers, work.clock(), [](std::string_view) {}, owner);
   }
   ~PeerFixture() { peer->close(); }
-  // This release serves, and a process of the previous one comes to take over.
+  // Starts this release as the predecessor and connects a successor of the previous release.
   RawSocket serve() {
     peer->start();
     peer->on_serving();
     return RawSocket::connect(path);
   }
-  // A process of the previous release serves, and this one comes to take over.
+  // Starts this release as the successor of a process of the previous release.
   RawSocket take_over() {
     const RawSocket listener = RawSocket::listen(path);
     peer->start();
@@ -234,7 +234,7 @@
   std::optional<hot_restart::HotRestartPeer> peer;
 };
 
-TEST_CASE("to a successor of the previous release each message is byte for byte as that release wrote it",
+TEST_CASE("each message to a successor of the previous release is byte for byte as that release wrote it",
           "[upgrade][compatibility]") {
   PeerFixture fixture;
   const RawSocket successor = fixture.serve();
@@ -259,7 +259,7 @@
   fixture.expect(successor, kStream, 2);
 }
 
-TEST_CASE("to a predecessor of the previous release each message is byte for byte as that release wrote it",
+TEST_CASE("each message to a predecessor of the previous release is byte for byte as that release wrote it",
           "[upgrade][compatibility]") {
   PeerFixture fixture;
   const RawSocket predecessor = fixture.take_over();
@@ -271,7 +271,7 @@
   fixture.expect(predecessor, kRequestOpened);
   fixture.peer->on_attempt_started("r1");
   fixture.expect(predecessor, kSent);
-  // The predecessor has left the VRRP group: it is not notified.
+  // Only a successor is notified that this process left the VRRP group.
   fixture.peer->notify_vrrp_left(hot_restart::VrrpRole::kActive);
   fixture.work.settle();
   CHECK_FALSE(predecessor.receive());
@@ -361,7 +361,7 @@
                                                          "request a1 closed", "sent r1"});
 }
 
-TEST_CASE("the file of drained endpoints is read and written as the previous release had it",
+TEST_CASE("the file of drained endpoints is read and written as in the previous release",
           "[upgrade][compatibility]") {
   const TemporaryFolder folder;
   const std::string path = folder / "x.bans";
@@ -369,7 +369,8 @@
   hot_restart::DrainedEndpointStore store(path, [](std::string_view) {});
   store.load();
   CHECK(store.endpoints() == std::set<routing::EndpointId>{"r\"1", "w1"});
-  CHECK(store.set_administrative_state("a", AdministrativeState::kDrained));  // written anew, twice
+  // Each change rewrites the file.
+  CHECK(store.set_administrative_state("a", AdministrativeState::kDrained));
   CHECK(store.set_administrative_state("a", AdministrativeState::kInService));
   std::ifstream file(path);
   const std::string text{std::istreambuf_iterator<char>(file), {}};
--- a/tests/hot_restart/hot_restart_fixture.hpp
+++ b/tests/hot_restart/hot_restart_fixture.hpp
@@ -1,4 +1,4 @@
-// What the tests of hot restart share: a folder for the socket and the files of one dispatcher's processes.
+// Fixture for the tests of hot restart: a folder for the socket and the files of one dispatcher's processes.
 #ifndef DISPATCHER_TESTS_HOT_RESTART_HOT_RESTART_FIXTURE_HPP_
 #define DISPATCHER_TESTS_HOT_RESTART_HOT_RESTART_FIXTURE_HPP_
 
@@ -9,7 +9,7 @@
 
 namespace dispatcher::testing {
 
-// A new folder for temporary files, removed with all that is in it.
+// A new folder for temporary files, which the destructor removes with its contents.
 struct TemporaryFolder {
   TemporaryFolder() {
     std::string name = (std::filesystem::temp_directory_path() / "bitternferry-XXXXXX").string();
--- a/tests/hot_restart/hot_restart_state_test.cpp
+++ b/tests/hot_restart/hot_restart_state_test.cpp
@@ -1,5 +1,5 @@
-// What two processes of one dispatcher share, each part alone: drained endpoints, the channel between them,
-// and what the router learned.
+// Tests separately what two processes of one dispatcher share: drained endpoints, the channel between them,
+// and the router's learned state.
 #include <sys/socket.h>
 
 #include <filesystem>
@@ -20,7 +20,8 @@
 
 void ignore_log(std::string_view) {}
 
-TEST_CASE("drained endpoints persist across processes, and a damaged file prevents no start", "[upgrade]") {
+TEST_CASE("drained endpoints persist across processes, and a damaged file is logged and drains no endpoint",
+          "[upgrade]") {
   TemporaryFolder folder;
   const std::string path = folder / "x.bans";
   hot_restart::DrainedEndpointStore first(path, ignore_log);
@@ -48,7 +49,7 @@
   fs::create_directory(path);
   hot_restart::DrainedEndpointStore hindered(path, ignore_log);
   hindered.load();
-  // Applies, though it can't be stored.
+  // The change applies, although it can't be stored.
   CHECK(hindered.set_administrative_state("c", AdministrativeState::kDrained));
 }
 
@@ -84,7 +85,8 @@
   REQUIRE(near != nullptr);
   net::tcp::acceptor listening(work.io, loopback());
   near->send({{"n", 0}}, {listening.native_handle()});
-  for (int i = 1; i < 2000; ++i) near->send({{"n", i}, {"text", std::string(1000, 'x')}});  // past any buffer
+  // These messages are more than the socket's buffers hold.
+  for (int i = 1; i < 2000; ++i) near->send({{"n", i}, {"text", std::string(1000, 'x')}});
   REQUIRE(work.until([&] { return far_owner.messages.size() == 2000; }));
   for (int i = 0; i < 2000; ++i) CHECK(far_owner.messages[static_cast<std::size_t>(i)]["n"] == i);
   REQUIRE(far_owner.descriptors.size() == 1);
@@ -107,7 +109,8 @@
   listener.close();
 }
 
-TEST_CASE("a router's learned state is encoded completely, and unreadable fields are omitted", "[upgrade]") {
+TEST_CASE("a router's learned state is encoded completely, and invalid fields are decoded to valid values",
+          "[upgrade]") {
   routing::LearnedState learned;
   learned.starts[1] = {12.5, 0.25, 40};
   learned.far = {3, 0.5, 9};
@@ -118,7 +121,7 @@
   const auto back = hot_restart::decode_learned_state(Json::parse(object.dump()));
   CHECK(hot_restart::encode(back) == object);
   std::mt19937 random(5);
-  for (int i = 0; i < 300; ++i) {  // any value replaced by any other kind
+  for (int i = 0; i < 300; ++i) {  // replaces a random value by one of another kind
     Json bad = object.flatten();
     auto it = bad.begin();
     std::advance(it, static_cast<std::ptrdiff_t>(random() % bad.size()));
@@ -130,7 +133,7 @@
   }
 }
 
-TEST_CASE("a router that takes over continues its predecessor's slow-start budget, with no second one",
+TEST_CASE("a successor's router continues its predecessor's slow-start budget and starts no second one",
           "[upgrade]") {
   const auto list = [](engine::Time started) {
     routing::EndpointList all{routing::ListKind::kFull, {}};
@@ -150,7 +153,7 @@
     router.handle(now, learned);
     router.handle(now, routing::PeerForwarded{"r2"});
   }
-  // The endpoint that is warming up is the only one left.
+  // Only the endpoint that is warming up is left.
   router.handle(now, routing::AdministrativeDrain{"r1", AdministrativeState::kDrained});
   int sent = 0;
   for (int i = 0; i < 100; ++i) {
@@ -161,8 +164,8 @@
     for (const auto& action : router.handle(now, request))
       sent += std::holds_alternative<routing::StartAttempt>(action) ? 1 : 0;
   }
-  // 80 results in 8 s of one warm reader: 0.6 * 4 * 0.3 * 10 a second * 2 s, of which three are used.
-  // One that knows no rate has turns by request, one in a window.
+  // 80 results in 8 s of one warm reader give 0.6 * 4 * 0.3 * 10/s * 2 s, of which three are used.
+  // A router that knows no rate sends one request per window.
   CHECK(sent == (is_informed ? 14 - 3 : 1));
 }
 
--- a/tests/hot_restart/hot_restart_stream_test.cpp
+++ b/tests/hot_restart/hot_restart_stream_test.cpp
@@ -1,4 +1,4 @@
-// Streams at a hot restart: where one process stops reading an answer, the other goes on.
+// Tests streams during a hot restart: one process continues a response where the other stopped reading it.
 #include <algorithm>
 #include <random>
 
@@ -22,8 +22,8 @@
   CHECK(client->is_complete);
 }
 
-// At whatever byte one reader stops, the next goes on.
-TEST_CASE("a chunked response that was interrupted anywhere is continued by another reader", "[upgrade]") {
+TEST_CASE("a chunked response that is interrupted at any byte is continued by another ResponseReader",
+          "[upgrade]") {
   std::mt19937 random(23);
   std::string body;
   std::string bytes = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
@@ -40,7 +40,7 @@
     http::ResponseReader first_reader(std::nullopt);
     http::ResponseReader second_reader(std::nullopt);
     std::string received;
-    for (std::size_t at = 0; at < cut;) {  // in pieces of any size
+    for (std::size_t at = 0; at < cut;) {  // in pieces of random size
       const std::size_t size = std::min<std::size_t>(cut - at, 1 + random() % 30);
       first.append(std::string_view(bytes).substr(at, size));
       at += size;
@@ -59,19 +59,19 @@
   }
 }
 
-// Stops reading at both ends of the stream. Are both ready to be handed over?
+// Stops reading at both ends of the stream. Returns whether both are ready to be handed over.
 bool suspend_both_ends(Fixture& fixture, const engine::RunningStream& stream) {
   const bool is_client_suspended = fixture.platform.server().suspend_reading(stream.client);
   return fixture.pool.suspend_stream({stream.request, stream.attempt}) && is_client_suspended;
 }
 
-// The behavior of a writer whose stream stays open after its first event.
+// A writer's behavior: the stream stays open after its first event.
 void begin_stream(FakeReplica& replica, SlotId client, const ReceivedRequest&) {
   replica.stream_words(client, {"one"}, StreamEnd::kOpen);
 }
 
-// The fixture hands the suspended stream "a1" to itself, as it would to another process: its sockets, and
-// what is left of a chunk.
+// Hands the suspended stream "a1" over to the same fixture, as to another process: its sockets and the rest
+// of its current chunk.
 void hand_over(Fixture& fixture, const engine::RunningStream& stream) {
   upstream::DetachedStream replica = fixture.pool.detach_stream({stream.request, stream.attempt});
   net::UniqueFd socket = fixture.platform.server().detach(stream.client);
@@ -84,7 +84,7 @@
   fixture.pool.adopt_stream({request, 0}, std::move(replica));
 }
 
-TEST_CASE("a running stream is handed over without any effect on its client or its replica", "[upgrade]") {
+TEST_CASE("a running stream is handed over without any effect on its client or its endpoint", "[upgrade]") {
   Fixture fixture(healthy_reader, begin_stream);
   auto client = fixture.post("a1", "command");
   REQUIRE(fixture.until([&] { return client->body.find("one") != std::string::npos; }));
@@ -94,7 +94,7 @@
   const engine::AttemptId attempt{streams[0].request, streams[0].attempt};
   REQUIRE(fixture.until([&] { return suspend_both_ends(fixture, streams[0]); }));
   auto& writer = fixture.writer(0).pending_clients.empty() ? fixture.writer(1) : fixture.writer(0);
-  // One that could not be handed over yet is woken, also while its reads are being taken back.
+  // A suspended stream that isn't handed over is resumed, even while its reads are still being cancelled.
   for (int twice = 0; twice < 2; ++twice) {
     fixture.platform.server().resume_reading(streams[0].client);
     fixture.pool.resume_stream(attempt);
@@ -105,7 +105,7 @@
   fixture.settle();
   REQUIRE(fixture.engine.open_request_count() == 1);
   REQUIRE(fixture.until([&] { return suspend_both_ends(fixture, streams[0]); }));
-  writer.server.write_events(writer.pending_clients.back(), "data: two\n\n");  // while nobody reads
+  writer.server.write_events(writer.pending_clients.back(), "data: two\n\n");  // while neither process reads
   hand_over(fixture, streams[0]);
   REQUIRE(fixture.until([&] { return client->body.find("two") != std::string::npos; }));
   CHECK(fixture.engine.is_in_progress("a1"));
@@ -115,7 +115,7 @@
   CHECK(client->is_complete);
   CHECK(writer.disconnected_clients.empty());
   CHECK(fixture.engine.open_request_count() == 0);
-  // The client's connection stays open, and the replica's is pooled for the next request.
+  // The client's connection stays open, and the endpoint's connection is pooled for the next request.
   client->is_complete = false;
   client->get("/healthz");
   CHECK(fixture.until([&] { return client->is_complete; }));
--- a/tests/hot_restart/hot_restart_test.cpp
+++ b/tests/hot_restart/hot_restart_test.cpp
@@ -1,4 +1,4 @@
-// A complete hot restart: a second process of one dispatcher takes over from the first.
+// Tests complete hot restarts, in which a second process of one dispatcher takes over from the first.
 #include <filesystem>
 #include <fstream>
 
@@ -10,9 +10,9 @@
 
 namespace fs = std::filesystem;
 
-// Two dispatchers on one loop, as two processes would be.
+// Two dispatchers on one event loop that represent two processes.
 struct DispatcherPair {
-  // `between`: what happens at the first one before there is a second.
+  // `between` is called after the first dispatcher has started and before the second is created.
   explicit DispatcherPair(const std::string& chat = {}, const std::string& vrrp = {},
                           const std::string& levels = {},
                           const std::function<void(DispatcherPair&)>& between = {}) {
@@ -26,7 +26,7 @@
     first.emplace(loop, config, texts, log("1 "));
     first->start();
     config.listen = first->address();
-    config.initial_endpoints = {};  // the second gets it from the first
+    config.initial_endpoints = {};  // the second gets the list from the first
     if (between) between(*this);
     second.emplace(loop, config, texts, log("2 "));
     second->start();
@@ -38,8 +38,7 @@
   [[nodiscard]] bool logged(const std::string& start) const { return has_entry(logs, start); }
   void run_until(const std::string& start) {
     while (!logged(start)) {
-      if (loop.io().stopped())
-        loop.io().restart();  // the first one ended its loop, which is the second's too
+      if (loop.io().stopped()) loop.io().restart();  // the first dispatcher stopped the loop that both share
       loop.io().run_one();
     }
   }
@@ -73,18 +72,19 @@
   std::optional<daemon::Dispatcher> second;
 };
 
-TEST_CASE("a second process takes over socket, list and drained endpoints, and the first ends", "[upgrade]") {
+TEST_CASE("a second process takes over the socket, endpoint list and drained endpoints, and the first ends",
+          "[upgrade]") {
   DispatcherPair pair;
   CHECK(pair.logged("1 upgrade: another process takes over"));
   CHECK(pair.logged("2 upgrade: taking over"));
   CHECK(pair.second->address() == pair.first->address());
-  CHECK(pair.call(pair.second->admin_address(), "GET", "/control/ready") == 200);  // it has the list: r1
+  CHECK(pair.call(pair.second->admin_address(), "GET", "/control/ready") == 200);  // it has the list with r1
   CHECK(pair.call(pair.first->admin_address(), "POST", "/control/replicas/r1/offline") == 200);
   pair.run_until("2 operators: endpoint r1 offline");
   CHECK(pair.call(pair.second->admin_address(), "POST", "/control/replicas/r1/online") == 200);
   pair.run_until("1 operators: endpoint r1 online");
   CHECK(pair.call(pair.second->admin_address(), "POST", "/control/replicas/r2/offline") == 404);
-  pair.first->drain();  // at once: nobody is owed anything, and the socket is the second one's too
+  pair.first->drain();  // ends at once, as no request is open and the second also has the socket
   pair.loop.run();
   CHECK(pair.logs.back() == "1 drained");
   pair.first.reset();
@@ -93,7 +93,7 @@
   CHECK(pair.logged("2 upgrade: the predecessor has ended"));
 }
 
-TEST_CASE("an operators' override of the level holds in the process that takes over, until it is cleared",
+TEST_CASE("a degradation level that operators pinned stays pinned in the successor until they clear it",
           "[upgrade][levels]") {
   const std::string levels =
       "levels: [{name: \"less\", enter: \"open > 1000\", leave: \"open < 5\", shed: [{classes: [\"ask\"]}]}]";
@@ -107,8 +107,7 @@
   CHECK(pair.logged("2 level less: no longer pinned by operators"));
 }
 
-TEST_CASE("the process that takes over continues as the active VRRP router, and never as a backup",
-          "[upgrade][vrrp]") {
+TEST_CASE("a successor continues as the active VRRP router and never becomes a backup", "[upgrade][vrrp]") {
   TestEventLoop peer;
   boost::asio::ip::udp::socket receiver(peer.io, {boost::asio::ip::address_v4::loopback(), 0});
   DispatcherPair pair(
@@ -116,7 +115,7 @@
       R"({"listen":"127.0.0.1:0","addresses":["127.0.0.1"],"interval_cs":1,"priority":200,"peers":["127.0.0.1:)" +
           std::to_string(receiver.local_endpoint().port()) + "\"]}");
   pair.run_until("1 vrrp: active");
-  CHECK_FALSE(pair.logged("2 vrrp"));  // one of the two speaks
+  CHECK_FALSE(pair.logged("2 vrrp"));  // only one of the two processes sends advertisements
   pair.first->drain();
   pair.run_until("2 vrrp: active");
   CHECK_FALSE(pair.logged("2 vrrp: backup"));
@@ -128,7 +127,8 @@
   for (std::size_t size = receive(); size > 0 && !error; size = receive()) {
     const auto decoded = vrrp::decode({packet.data(), size});
     REQUIRE(std::holds_alternative<vrrp::Advertisement>(decoded));
-    CHECK(std::get<vrrp::Advertisement>(decoded).priority == 200);  // never 0: the partner stays backup
+    // The priority is never 0, so that the other router stays a backup.
+    CHECK(std::get<vrrp::Advertisement>(decoded).priority == 200);
   }
 }
 
