--- a/src/rate_limit/counter_table.cpp
+++ b/src/rate_limit/counter_table.cpp
@@ -10,10 +10,12 @@
 
 __extension__ using Uint128 = unsigned __int128;
 
-// A fifth more entries than keys: hardly any set is full then before the table is.
+// The table has keys / kSpareDivisor entries more than keys, so that hardly any set is full before the table
+// is.
 constexpr std::size_t kSpareDivisor = 5;
 
-// 2^64 over the golden ratio: multiplied by it, a key selects a set that is independent of its primary one.
+// 2^64 divided by the golden ratio. A key multiplied by it selects a set that is independent of the key's
+// primary set.
 constexpr std::uint64_t kGoldenRatio = 0x9E3779B97F4A7C15ULL;
 
 }  // namespace
@@ -24,16 +26,16 @@
   entries_.resize(sets * kWays);
 }
 
-// By the key's high bits: a multiplication in place of a division (Lemire, "Fast Random Integer Generation in
-// an Interval", 2019).
+// Selects the set by the key's high bits, with a multiplication in place of a division (Lemire, "Fast Random
+// Integer Generation in an Interval", 2019).
 std::span<CounterTable::Entry> CounterTable::primary_set(std::uint64_t key) {
   const std::size_t sets = entries_.size() / kWays;
   const auto index = static_cast<std::size_t>((static_cast<Uint128>(key) * sets) >> 64U);
   return std::span(entries_).subspan(index * kWays, kWays);
 }
 
-// Each key may be in either of two sets: with a single one, one key in thirteen found no entry in a table
-// that was five sixths full.
+// A key may be stored in either of two sets. With only one set per key, one key in thirteen found no entry in
+// a table that was five sixths full.
 std::span<CounterTable::Entry> CounterTable::secondary_set(std::uint64_t key) {
   return primary_set(key * kGoldenRatio);
 }
@@ -47,25 +49,27 @@
   return nullptr;
 }
 
-// The entry of a set that is least ahead of its rate.
+// Returns the unprotected entry of a set that is least ahead of its rate.
 CounterTable::Victim CounterTable::choose_victim(std::span<Entry> set, std::int64_t now) {
   Victim victim;
   for (Entry& entry : set) {
     if (entry.key != 0 && entry.is_protected(now)) continue;
-    if (entry.ahead(now) == 0) ++victim.idle;
-    if (victim.entry == nullptr || entry.ahead(now) < victim.entry->ahead(now)) victim.entry = &entry;
+    if (entry.ahead_of_rate(now) == 0) ++victim.idle;
+    if (victim.entry == nullptr || entry.ahead_of_rate(now) < victim.entry->ahead_of_rate(now))
+      victim.entry = &entry;
   }
   return victim;
 }
 
-// The key's entry. A new one replaces an entry that is free or idle, in the set that has more of these, or
-// else the one that is furthest from its limit. A protected entry is never replaced.
+// Returns the key's entry. A new entry replaces a free or idle one, in the set that has more of these, or
+// otherwise the entry that is furthest from its limit. A protected entry is never replaced.
 CounterTable::Entry& CounterTable::find_or_insert(const Charge& charge, std::int64_t now) {
   if (Entry* existing = find(charge.key)) return *existing;
   Victim victim = choose_victim(primary_set(charge.key), now);
   const Victim other = choose_victim(secondary_set(charge.key), now);
-  const bool is_other_better = victim.entry == nullptr || other.idle > victim.idle ||
-                               (other.entry != nullptr && other.entry->ahead(now) < victim.entry->ahead(now));
+  const bool is_other_better =
+      victim.entry == nullptr || other.idle > victim.idle ||
+      (other.entry != nullptr && other.entry->ahead_of_rate(now) < victim.entry->ahead_of_rate(now));
   if (other.entry != nullptr && is_other_better) victim = other;
   if (victim.entry == nullptr) return overflow_entry(charge.limit.id, now);
   *victim.entry = {};
@@ -73,7 +77,7 @@
   return *victim.entry;
 }
 
-// Keys for which the table has no entry left count as one key for each limit.
+// Returns the entry in which a limit counts all keys that have no entry in the table.
 CounterTable::Entry& CounterTable::overflow_entry(std::uint64_t limit_id, std::int64_t now) {
   ++overflow_count_;
   std::erase_if(overflow_,
@@ -86,7 +90,7 @@
   Nanoseconds wait{0};
   if (limit.emission_interval.count() > 0 && over_rate > 0) wait = Nanoseconds(over_rate);
   if (entry.in_progress >= limit.max_in_progress)
-    wait = std::max({wait, limit.retry_after, Nanoseconds(1)});  // not 0, which would admit it
+    wait = std::max({wait, limit.retry_after, Nanoseconds(1)});  // 0 would admit the request
   return wait;
 }
 
@@ -97,7 +101,8 @@
   for (const Charge& charge : charges)
     longest_wait = std::max(longest_wait, wait_time(find_or_insert(charge, now), charge.limit, now));
   if (longest_wait.count() > 0) return longest_wait;
-  // Looked up again: the entry that was inserted for one charge may have been replaced for the next.
+  // Looks up each entry again, because the entry inserted for one charge may have been replaced by that of
+  // the next charge.
   for (std::size_t i = 0; i < charges.size(); ++i) {
     const auto& [limit, key] = charges[i];
     Entry& entry = find_or_insert(charges[i], now);
@@ -125,7 +130,7 @@
   std::vector<Entry> active;
   std::copy_if(entries_.begin(), entries_.end(), std::back_inserter(active),
                [&](const Entry& entry) { return entry.key != 0 && !entry.is_idle(now.count()); });
-  // The most charged first, so that only the least charged may find no entry.
+  // Inserts the most charged entries first, so that only the least charged ones may find no free entry.
   std::sort(active.begin(), active.end(), [](const Entry& left, const Entry& right) {
     return std::pair(left.in_progress, left.theoretical_arrival) >
            std::pair(right.in_progress, right.theoretical_arrival);
--- a/src/rate_limit/explain.cpp
+++ b/src/rate_limit/explain.cpp
@@ -28,7 +28,7 @@
 
 constexpr int kHexadecimal = 16;
 
-// Names of headers are compared without regard to case (RFC 9110, 5.1).
+// Header names are case-insensitive (RFC 9110, 5.1).
 bool is_same_header(std::string_view left, std::string_view right) {
   return std::equal(left.begin(), left.end(), right.begin(), right.end(),
                     [](unsigned char x, unsigned char y) { return std::tolower(x) == std::tolower(y); });
@@ -42,7 +42,7 @@
   return it->second;
 }
 
-// Evaluates a part of a condition by itself.
+// Evaluates one part of a condition on its own.
 expression::Value evaluate(const expression::Node& node, const RuleSet& rules,
                            std::span<const expression::Value> values) {
   const auto program =
@@ -52,8 +52,8 @@
   return program.run(values, scratch);
 }
 
-// Why a rule does not match: the first part of its condition that is false or, where none is, the first that
-// has no value.
+// Returns why a rule does not match: the first part of its condition that is false or, if none is false, the
+// first part that has no value.
 std::string mismatch_reason(const RuleSet& rules, std::size_t rule,
                             std::span<const expression::Value> values) {
   std::string without_value;
@@ -66,18 +66,18 @@
   return without_value;
 }
 
-// One line on a result of a rule. `is_used`: the result replaces the request's own value.
+// Returns one line about a result of a rule. `is_used`: whether the result replaces the request's own value.
 std::string explain_result(const char* what, const expression::Value& value, bool is_used) {
   std::string text = std::string("      ") + what + " = " + expression::to_text(value);
-  if (!is_used) text += ": not known, its own stays";
+  if (!is_used) text += ": not used, the request keeps its own value";
   return text;
 }
 
-// One line on a limit and its key.
+// Returns one line about a limit and its key.
 std::string explain_limit(const Limit& limit, const expression::Value& key) {
   std::string text = "      limit " + limit.name + ": key ";
   if (key.failed()) {
-    text += "shared by all that lack it (" + std::string(expression::name(key.error)) + ")";
+    text += "shared by all requests that have none (" + std::string(expression::name(key.error)) + ")";
   } else {
     text += expression::to_text(key);
   }
@@ -119,7 +119,7 @@
 
 namespace {
 
-// What a rule computes for the request: one line for each result and limit.
+// Appends one line for each result and limit of a rule that matches the request.
 void explain_match(const Rule& rule, const Decision& decision, std::span<const expression::Value> values,
                    expression::Scratch& scratch, std::vector<std::string>& report) {
   const auto add_result = [&](const char* what, const std::optional<expression::Program>& program,
@@ -150,7 +150,7 @@
   for (std::size_t i = first; i < mismatches; ++i)
     report.push_back("no    " + rules.rules()[i].name + ": " + mismatch_reason(rules, i, values));
   if (!decision.rule) {
-    report.emplace_back("no rule matches: the request passes as it is");
+    report.emplace_back("no rule matches: the request stays unchanged");
     return report;
   }
 
--- a/src/rate_limit/explain.hpp
+++ b/src/rate_limit/explain.hpp
@@ -1,4 +1,4 @@
-// An explanation of why a request matches a rule and no earlier one, for operators.
+// Explains to operators why a request matches a rule and no earlier one.
 #ifndef DISPATCHER_RATE_LIMIT_EXPLAIN_HPP_
 #define DISPATCHER_RATE_LIMIT_EXPLAIN_HPP_
 
@@ -11,20 +11,21 @@
 
 namespace dispatcher::rate_limit {
 
-// A request that is read from a file: a record with the names that expressions use. It must not be moved,
-// since the attributes are views of its own members.
+// A sample request read from a file, whose fields are named as in expressions. Must not be moved, since
+// `attributes` refers to the other members.
 struct SampleRequest {
   std::string request_class, account;
   std::optional<std::string> model;
-  std::map<std::string, std::string> headers;  // by their names on the wire
+  std::map<std::string, std::string> headers;  // by the names that HTTP messages use
   RequestAttributes attributes;
 };
 
-// Throws cue::Errors where the file is invalid. `rules`: their headers are those that the sample may have.
+// Reads a sample request. Of its headers, only those that `rules` declares become attributes. Throws
+// cue::Errors if the file is invalid.
 [[nodiscard]] std::unique_ptr<SampleRequest> read_sample(const cue::File& file, const RuleSet& rules);
 
-// A line of text for each rule up to the one that matches (of more than `max_rules` only the last ones), then
-// what that one computes.
+// Returns one line of text for each rule up to the one that matches, then one line for each result and limit
+// of the matching rule. Of the rules that do not match, reports only the last `max_rules`.
 [[nodiscard]] std::vector<std::string> explain(const RuleSet& rules, const RequestAttributes& attributes,
                                                std::size_t max_rules = 50);
 
--- a/src/rate_limit/rate_limiter.cpp
+++ b/src/rate_limit/rate_limiter.cpp
@@ -9,11 +9,12 @@
 
 namespace {
 
-// There may be thousands of rejections a second: one log line reports all of an interval.
+// Interval between two log lines about rejections. There may be thousands of rejections per second, so one
+// line reports all rejections of an interval.
 constexpr routing::Duration kLogInterval = std::chrono::seconds(10);
 
-// Whether a request of class `from` may be treated as one of class `to` without being retried where it must
-// not be. Null: a class that the settings don't define.
+// Returns whether a request of class `from` may be treated as one of class `to` without making retries
+// possible that `from` forbids. A null class is one that the settings don't define.
 bool may_change_class(const routing::RequestClass* from, const routing::RequestClass* to) {
   using routing::Idempotency;
   if (to == nullptr) return false;
@@ -25,7 +26,7 @@
 
 void RateLimiter::replace_rules(std::shared_ptr<const RuleSet> rules, routing::Time now) {
   rules_ = std::move(rules);
-  if (rules_ == nullptr) return;  // the table stays: requests in progress are still counted
+  if (rules_ == nullptr) return;  // keeps the table, which still counts requests in progress
   rules_->reserve(scratch_);
   const bool has_limits = std::any_of(rules_->rules().begin(), rules_->rules().end(),
                                       [](const Rule& rule) { return !rule.limits.empty(); });
--- a/src/rate_limit/request_attributes.cpp
+++ b/src/rate_limit/request_attributes.cpp
@@ -8,12 +8,12 @@
 
 namespace {
 
-// Bytes of a class, an account or a model; a longer one counts as absent. The worst cost of an expression is
-// computed from it.
+// Maximum length of a class, an account or a model, in bytes. A longer one counts as absent. The worst-case
+// cost of an expression is computed from this maximum.
 constexpr std::size_t kMaxNameLength = 128;
 
 // The values of request.front.
-constexpr std::string_view kPlatformFrontend = "platform";  // the longer one
+constexpr std::string_view kPlatformFrontend = "platform";  // the longer of the two
 constexpr std::string_view kOpenAiFrontend = "chat";
 
 SessionText hexadecimal(std::uint64_t session) {
--- a/src/rate_limit/rule_reader.cpp
+++ b/src/rate_limit/rule_reader.cpp
@@ -1,4 +1,4 @@
-// Parsing of a file of rules: RuleSet::read().
+// Parses a rules file: RuleSet::read().
 #include <algorithm>
 #include <cctype>
 #include <cmath>
@@ -43,22 +43,22 @@
 }
 )cue";
 
-// Bounds on a file, so that parsing it takes bounded time and memory.
+// Limits on a rules file, so that parsing it takes bounded time and memory.
 constexpr std::size_t kMaxRules = 20'000;
-constexpr double kMaxProgramBytes = 64e6;  // programs and automata of all conditions together
+constexpr double kMaxProgramBytes = 64e6;  // for programs and automata of all conditions
 constexpr double kBytesPerMegabyte = 1e6;
-// Bytes of a limit's key, which is built for each request.
+// Maximum length of a limit's key, in bytes. The key is built for each request.
 constexpr std::size_t kMaxKeyLength = 1024;
 
-// A field is part of an expression, as header.FIELD.
+// Returns whether a name can stand for FIELD in header.FIELD, as expressions use it.
 bool is_field_name(const std::string& name) {
   if (name.empty() || std::isdigit(static_cast<unsigned char>(name[0])) != 0) return false;
   return std::all_of(name.begin(), name.end(),
                      [](unsigned char letter) { return std::isalnum(letter) != 0 || letter == '_'; });
 }
 
-// Reads one file. Collects all problems, so that operators see them at once; items that have one are left
-// out.
+// Reads one rules file. Collects all problems, so that operators see them at once. Items with a problem are
+// left out.
 class RuleReader {
  public:
   explicit RuleReader(const Vocabulary& vocabulary) : vocabulary_(vocabulary) {
@@ -84,7 +84,7 @@
     std::set<std::string> names;
     double program_bytes = 0;
     for (const cue::Data& item : data.items()) {
-      if (!names.insert(item["name"].text()).second) add_problem(item["name"], "the name stands twice");
+      if (!names.insert(item["name"].text()).second) add_problem(item["name"], "the name is used twice");
       auto condition = expression::compile(item["when"], fields, Kind::kBool, problems);
       rules.push_back(read_rule(item));
       if (condition) {
@@ -100,7 +100,7 @@
     }
   }
 
-  // The parsed file. There are as many conditions as rules where there is no problem.
+  // The contents of the file. There is one condition for each rule unless there are problems.
   std::vector<Header> headers;
   expression::Environment fields;
   std::vector<Rule> rules;
@@ -145,7 +145,8 @@
     return limit;
   }
 
-  // A hash of the limit's definition: its counters survive a reload only where all of it stays the same.
+  // Returns a hash of the limit's definition. The limit's counters survive a reload only if the whole
+  // definition stays the same.
   static std::uint64_t limit_id(const Limit& limit, const std::string& key_text) {
     const std::string max_in_progress = limit.max_in_progress ? std::to_string(*limit.max_in_progress) : "-";
     const std::string definition = limit.name + " " + std::to_string(limit.rate) + " " +
@@ -153,7 +154,7 @@
     return text_hash(definition, 0);
   }
 
-  // A constant result must be a name that the settings define; a computed one is checked with each request.
+  // Reports a constant result that the settings don't define. A computed result is checked for each request.
   void check_constant(const cue::Data& data, const std::optional<expression::Program>& program,
                       const std::vector<std::string>& known_names, const char* what) {
     if (!program || known_names.empty() || program->tree().op != expression::Op::kLiteral) return;
@@ -174,9 +175,9 @@
 std::shared_ptr<const RuleSet> RuleSet::read(const cue::File& file, const Vocabulary& vocabulary) {
   static const cue::Schema schema(kSchema, "#Rules");
   const cue::Data data = schema.read(file);
-  // An empty file, or one truncated before its rules, must not be mistaken for one that has none.
+  // An empty file, or one truncated before its rules, must not be taken for a file without rules.
   if (!data["rules"].where().in_file())
-    throw cue::Errors(file.name, {{{}, "rules", "missing: a file without rules says rules: []"}});
+    throw cue::Errors(file.name, {{{}, "rules", "missing: a file without rules must contain rules: []"}});
   RuleReader reader(vocabulary);
   reader.read_headers(data["headers"]);
   reader.read_rules(data["rules"]);
--- a/src/rate_limit/rule_warnings.cpp
+++ b/src/rate_limit/rule_warnings.cpp
@@ -1,4 +1,4 @@
-// Finds rules that can never match, because their condition is false of any request or an earlier rule
+// Finds rules that can never match, because their condition is false for every request or an earlier rule
 // matches all of their requests.
 #include <algorithm>
 #include <map>
@@ -10,8 +10,8 @@
 
 namespace {
 
-// The requirements for a rule to match. Conditions are conjunctions: a part that tests whether a field has
-// one of several values is recorded by field and values, any other by its text.
+// What must hold for a rule to match. A condition is a conjunction of parts. A part that tests whether a
+// field has one of several values is recorded by field and values, any other part by its text.
 struct Requirements {
   std::set<std::string> parts;
   std::map<int, std::set<std::string>> values_by_field;
@@ -46,7 +46,7 @@
   return requirements;
 }
 
-// Whether every request that meets the first meets the second, too.
+// Returns whether every request that meets the first requirements also meets the second ones.
 bool implies(const Requirements& first, const Requirements& second) {
   if (!std::includes(first.parts.begin(), first.parts.end(), second.parts.begin(), second.parts.end()))
     return false;
@@ -58,8 +58,9 @@
   });
 }
 
-// Earlier rules, each indexed by one of its requirements. A rule is compared only with those that could match
-// whenever it does: comparing all pairs of ten thousand rules would take a hundred million comparisons.
+// Indexes earlier rules, each by one of its requirements. A rule is compared only with the earlier rules that
+// could match whenever it does, because comparing all pairs of ten thousand rules would take a hundred
+// million comparisons.
 class RuleIndex {
  public:
   void add(std::size_t rule, const Requirements& requirements) {
@@ -73,7 +74,8 @@
     }
   }
 
-  // In the order of the file.
+  // Returns the earlier rules that could match whenever a rule with these requirements does, in the order of
+  // the file.
   [[nodiscard]] std::vector<std::size_t> candidates(const Requirements& requirements) const {
     std::vector<std::size_t> candidates = unconditional_;
     const auto add_candidates = [&](const std::string& requirement) {
@@ -120,8 +122,8 @@
       continue;
     }
     warnings.push_back({rule.at, path,
-                        "rule '" + rule.name + "' can never match: '" + set.rules()[*shadowing].name +
-                            "' before it takes all of its requests"});
+                        "rule '" + rule.name + "' can never match: earlier rule '" +
+                            set.rules()[*shadowing].name + "' matches all of its requests"});
   }
   return warnings;
 }
--- a/src/rate_limit/rules.cpp
+++ b/src/rate_limit/rules.cpp
@@ -9,15 +9,16 @@
 
 namespace {
 
-// Costs in nanoseconds, as measured by the benchmark of rules, with a margin.
-constexpr double kFixedNs = 300;  // of a decision besides its expressions
-constexpr double kHeaderNs = 60;
-constexpr double kHeaderByteNs = 1;
-constexpr double kKeyNs = 200;
-constexpr double kKeyByteNs = 0.5;
+// Costs in nanoseconds, as measured by bench/rules_bench.cpp, with a margin.
+constexpr double kFixedNs = 300;     // for each decision, without headers and expressions
+constexpr double kHeaderNs = 60;     // for each header
+constexpr double kHeaderByteNs = 1;  // for each byte of a header's maximum length
+constexpr double kKeyNs = 200;       // for each class, account, session or limit key that a rule computes
+constexpr double kKeyByteNs = 0.5;   // for each byte of a limit key's maximum length
 constexpr double kNanosecondsPerSecond = 1e9;
 
-// Keeps emission intervals, and sums of them with the clock, within 64 bits.
+// Upper bound on emission intervals and burst tolerances, so that these and their sums with the clock fit in
+// 64 bits.
 constexpr Nanoseconds kMaxInterval = std::chrono::hours(240);
 
 Nanoseconds bounded_interval(double nanoseconds) {
@@ -25,20 +26,21 @@
       static_cast<std::int64_t>(std::min(nanoseconds, static_cast<double>(kMaxInterval.count()))));
 }
 
-// The part of `total` that `instance`, from 0, of `instances` gets: at least one, unless the total is 0.
+// Returns the part of `total` for number `instance`, counted from 0, of `instances`. It is at least one
+// unless the total is 0.
 std::uint32_t share_of(std::int64_t total, std::int64_t instance, std::int64_t instances) {
   if (total == 0) return 0;
   const std::int64_t share = total / instances + (instance < total % instances ? 1 : 0);
   return static_cast<std::uint32_t>(std::max<std::int64_t>(1, share));
 }
 
-// Runs the programs of one rule on one request, and counts the results that can't be used.
+// Runs the programs of one rule on one request and counts the results that cannot be used.
 class Evaluation {
  public:
   Evaluation(std::span<const expression::Value> values, expression::Scratch& scratch)
       : values_(values), scratch_(scratch) {}
 
-  // Nullopt: there is no program, or its result has no value.
+  // Returns the program's result, or nullopt if there is no program or its result has no value.
   std::optional<std::string_view> text(const std::optional<expression::Program>& program) {
     if (!program) return std::nullopt;
     const expression::Value value = program->run(values_, scratch_);
@@ -47,7 +49,7 @@
     return std::nullopt;
   }
 
-  // Null: `name` is none of `names`.
+  // Returns the element of `names` that equals `name`, or null if there is none.
   const std::string* known_name(const std::vector<std::string>& names, std::string_view name) {
     const auto it = std::find(names.begin(), names.end(), name);
     if (it != names.end()) return &*it;
@@ -55,7 +57,8 @@
     return nullptr;
   }
 
-  // Requests for which the key has no value share one, so that leaving out a header does not evade the limit.
+  // Returns the hash of the limit's key. Requests for which the key has no value share one hash, so that a
+  // client cannot evade the limit by leaving out a header.
   std::uint64_t key_hash(const Limit& limit) {
     const expression::Value key = limit.key.run(values_, scratch_);
     if (key.failed()) ++faults;
--- a/src/rate_limit/text_hash.hpp
+++ b/src/rate_limit/text_hash.hpp
@@ -7,7 +7,7 @@
 
 namespace dispatcher::rate_limit {
 
-// The same text and seed give the same hash in every process.
+// Returns the hash of a text, which is the same in every process for the same text and seed.
 [[nodiscard]] std::uint64_t text_hash(std::string_view text, std::uint64_t seed);
 
 }  // namespace dispatcher::rate_limit
--- a/tests/rate_limit/counter_table_test.cpp
+++ b/tests/rate_limit/counter_table_test.cpp
@@ -1,4 +1,4 @@
-// The table of counters: against a plain reference, and when it is full.
+// Tests the counter table: compared with a plain map, and when it is full.
 #include "rate_limit/counter_table.hpp"
 
 #include <algorithm>
@@ -14,14 +14,15 @@
 
 using namespace rate_limit;
 
-// Admits a request under one charge. nullopt: it is rejected.
+// Tries to admit a request under one charge. Returns nullopt if it is rejected.
 std::optional<ChargeHandle> admit(CounterTable& table, const Charge& charge, Nanoseconds now) {
   ChargeHandle handle;
   if (table.admit({&charge, 1}, now, {&handle, 1}).count() > 0) return std::nullopt;
   return handle;
 }
 
-TEST_CASE("keys of a full table share one entry, and free it as their requests end", "[limits]") {
+TEST_CASE("keys without an entry in a full table share one, which is free again when their requests end",
+          "[limits]") {
   CounterTable table(8);
   const InstanceLimit limit{1, {}, {}, 1, milliseconds(5)};
   std::mt19937_64 random(4);
@@ -35,7 +36,7 @@
       ++rejected;
     }
   }
-  CHECK(handles.size() == table.bytes() / 32 + 1);  // each entry one, and one for all the others
+  CHECK(handles.size() == table.bytes() / 32 + 1);  // one request per entry, and one for all other keys
   CHECK(rejected > 50);
   CHECK(table.overflow_count() > 50);
   for (const ChargeHandle& handle : handles) table.release(handle);
@@ -43,7 +44,7 @@
   CHECK(admit(table, {limit, 77}, seconds(1)));
 }
 
-TEST_CASE("a table agrees with a plain map of what is in progress and when", "[limits]") {
+TEST_CASE("a counter table admits and rejects the same requests as a plain map of counters", "[limits]") {
   std::mt19937_64 random(8);
   CounterTable table(4096);
   struct Counter {
--- a/tests/rate_limit/rate_limit_fixture.hpp
+++ b/tests/rate_limit/rate_limit_fixture.hpp
@@ -1,4 +1,4 @@
-// What the tests of rate limits share: rules from a text, their problems, and a limiter with a clock.
+// Helpers for tests of rate limits: rules from a text, their problems, and a rate limiter with a clock.
 #ifndef DISPATCHER_TESTS_RATE_LIMIT_RATE_LIMIT_FIXTURE_HPP_
 #define DISPATCHER_TESTS_RATE_LIMIT_RATE_LIMIT_FIXTURE_HPP_
 
@@ -19,13 +19,13 @@
 // The classes and accounts of make_settings().
 inline const rate_limit::Vocabulary known_names{{"ask", "command"}, {"acme", "other"}};
 
-// Throws cue::Errors.
+// Compiles rules from a text. Throws cue::Errors if they are invalid.
 inline std::shared_ptr<const rate_limit::RuleSet> make_rules(
     const std::string& text, const rate_limit::Vocabulary& vocabulary = known_names) {
   return rate_limit::RuleSet::read({"r.cue", text}, vocabulary);
 }
 
-// What is wrong with a file of rules, as operators read it.
+// Returns the problems of a rules file as operators see them.
 inline Strings rule_problems(const std::string& text) {
   return problems_of("r", [&] { make_rules(text); });
 }
@@ -42,7 +42,7 @@
   return request;
 }
 
-// A rate limiter with a clock of its own.
+// A rate limiter with its own clock.
 struct RateLimiterFixture {
   explicit RateLimiterFixture(const std::string& rules, std::uint64_t seed = 9) : rate_limiter(seed) {
     rate_limiter.replace_rules(make_rules(rules), now);
--- a/tests/rate_limit/rate_limit_front_ends_test.cpp
+++ b/tests/rate_limit/rate_limit_front_ends_test.cpp
@@ -1,4 +1,4 @@
-// Rate limits at both frontends, which apply them equally, and through a reload of the daemon.
+// Tests rate limits at both frontends, which must apply them equally, and across a reload of the daemon.
 #include <catch2/catch.hpp>
 #include <cstdio>
 #include <memory>
@@ -16,7 +16,7 @@
   fixture.platform.attach(rate_limiter);
 }
 
-// A client of one frontend that has sent a request. `id`: of the platform's requests.
+// Returns a client of one frontend that has sent a request. `id`: the request's id at the platform frontend.
 std::unique_ptr<FakeClient> post(Fixture& fixture, bool through_chat, const std::string& id,
                                  const std::string& request_class, const std::string& more_headers = {},
                                  const std::string& prompt = {}) {
@@ -36,11 +36,11 @@
       "{name: \"commands\", when: \"request.class == 'command'\", limits: [{key: \"request.account\", "
       "in_progress: 1, retry_ms: 300}]},\n"
       "{name: \"asks\", limits: [{key: \"request.account\", rate: 2, burst: 2}]}]";
-  std::vector<std::vector<int>> statuses_by_front_end;
+  std::vector<std::vector<int>> statuses_by_frontend;
   for (const bool through_chat : {true, false}) {
     Fixture fixture(
         healthy_reader, [](FakeReplica&, SlotId, const FakeReplica::ReceivedRequest&) {},
-        kChatConfig);  // writers keep silent
+        kChatConfig);  // writers never respond
     RateLimiter rate_limiter(5);
     rate_limiter.replace_rules(make_rules(text), fixture.now);
     attach(fixture, rate_limiter);
@@ -61,26 +61,26 @@
       if (client.status == 429) CHECK_FALSE(client.headers["Retry-After"].empty());
     };
     status("command");
-    status("command");                                      // one in progress
-    status("command", "X-Tier: gold\r\n");                  // its own rule
-    status("command", "X-Tier: goldgoldgold\r\n");          // longer than declared
-    status("command", "X-Tier: gold\r\nX-Tier: gold\r\n");  // twice: absent
+    status("command");                                      // one is in progress
+    status("command", "X-Tier: gold\r\n");                  // matches a rule without limits
+    status("command", "X-Tier: goldgoldgold\r\n");          // longer than declared: counts as absent
+    status("command", "X-Tier: gold\r\nX-Tier: gold\r\n");  // sent twice: counts as absent
     status("command", "X-Tier: " + std::string(8192, 'g') + "\r\n");
     status("ask");
     status("ask");
     status("ask");
-    clients[0]->close();  // its place is free after its disconnect
+    clients[0]->close();  // its disconnect ends the request in progress
     fixture.settle();
     status("command");
     const std::size_t sent = static_cast<std::size_t>(fixture.request_count("POST", Role::kReader));
-    CHECK(sent == 5);  // what is rejected reaches no replica
-    statuses_by_front_end.push_back(statuses);
+    CHECK(sent == 5);  // no rejected request reaches an endpoint
+    statuses_by_frontend.push_back(statuses);
   }
-  CHECK(statuses_by_front_end[0] == std::vector<int>{0, 429, 0, 429, 429, 429, 0, 0, 429, 0});
-  CHECK(statuses_by_front_end[0] == statuses_by_front_end[1]);
+  CHECK(statuses_by_frontend[0] == std::vector<int>{0, 429, 0, 429, 429, 429, 0, 0, 429, 0});
+  CHECK(statuses_by_frontend[0] == statuses_by_frontend[1]);
 }
 
-TEST_CASE("a class that the rules set applies at each frontend, with its deadline and its retries",
+TEST_CASE("a class set by the rules applies at each frontend, with its deadline and its retries",
           "[limits][chat][platform]") {
   for (const bool through_chat : {true, false}) {
     int attempts = 0;
@@ -97,12 +97,12 @@
     const auto client = post(fixture, through_chat, "aa", "ask");
     for (int i = 0; i < 400 && !client->is_finished(); ++i) fixture.advance(milliseconds(20));
     CHECK(client->status == 502);
-    CHECK(attempts == 1);  // an ask would have been retried
+    CHECK(attempts == 1);  // a request of class ask would have been retried
     if (through_chat) CHECK(client->headers["X-Should-Retry"] == "false");
   }
 }
 
-TEST_CASE("a request no longer counts once it has ended, however it ended", "[limits][chat][platform]") {
+TEST_CASE("a request is no longer counted after it has ended in any way", "[limits][chat][platform]") {
   for (const bool through_chat : {true, false}) {
     Fixture fixture(
         healthy_reader,
@@ -119,16 +119,16 @@
     rate_limiter.replace_rules(make_rules("rules: [{name: \"a\", limits: [{in_progress: 1}]}]"), fixture.now);
     attach(fixture, rate_limiter);
     int id = 0;
-    for (const char* fate : {"well", "cut", "error", "silent", "gone", "well"}) {
-      const auto client = post(fixture, through_chat, "a" + std::to_string(++id), "command", {}, fate);
-      if (std::string(fate) == "gone") {
+    for (const char* outcome : {"well", "cut", "error", "silent", "gone", "well"}) {
+      const auto client = post(fixture, through_chat, "a" + std::to_string(++id), "command", {}, outcome);
+      if (std::string(outcome) == "gone") {
         fixture.settle();
         client->close();
         fixture.settle();
         continue;
       }
       for (int i = 0; i < 400 && !client->is_finished(); ++i) fixture.advance(milliseconds(20));
-      INFO(fate);
+      INFO(outcome);
       CHECK(client->is_finished());
       CHECK(client->status != 429);
       fixture.now += seconds(25);
@@ -139,7 +139,7 @@
   }
 }
 
-TEST_CASE("a request that is in progress while the rules change goes on counting under its limits",
+TEST_CASE("a request in progress is still counted under its limits after the rules change",
           "[limits][platform]") {
   Fixture fixture(healthy_reader, [](FakeReplica&, SlotId, const FakeReplica::ReceivedRequest&) {});
   RateLimiter rate_limiter(5);
@@ -154,7 +154,7 @@
   rate_limiter.replace_rules(make_rules(one), fixture.now);
   second->post(platform_headers("a2", "command"), "{}");
   fixture.settle();
-  CHECK(second->status == 429);  // the first one is counted still
+  CHECK(second->status == 429);  // the first one is still counted
   open->close();
   fixture.settle();
   third->post(platform_headers("a3", "command"), "{}");
@@ -162,8 +162,9 @@
   CHECK_FALSE(third->is_finished());  // admitted
 }
 
-TEST_CASE("a reload replaces the rules with the rest of the configuration, or keeps the old ones",
-          "[limits][app]") {
+TEST_CASE(
+    "a reload replaces the rules with the rest of the configuration, or keeps the old rules if it fails",
+    "[limits][app]") {
   daemon::Loop loop;
   const daemon::Config config = make_daemon_config();
   Strings logs;
--- a/tests/rate_limit/rate_limit_rules_test.cpp
+++ b/tests/rate_limit/rate_limit_rules_test.cpp
@@ -1,4 +1,4 @@
-// Rules files: which are accepted, what a decision computes, and what operators are shown.
+// Tests which rules files are accepted, what a decision computes, and what operators are shown.
 #include <algorithm>
 #include <catch2/catch.hpp>
 #include <fstream>
@@ -15,8 +15,9 @@
 using namespace rate_limit;
 
 TEST_CASE("an invalid rules file is rejected with all of its problems and their positions", "[limits]") {
-  CHECK(rule_problems("") == Strings{"r: rules: missing: a file without rules says rules: []"});
-  CHECK(rule_problems("keys: 100\n") == Strings{"r: rules: missing: a file without rules says rules: []"});
+  CHECK(rule_problems("") == Strings{"r: rules: missing: a file without rules must contain rules: []"});
+  CHECK(rule_problems("keys: 100\n") ==
+        Strings{"r: rules: missing: a file without rules must contain rules: []"});
   CHECK(rule_problems("rules: []") == Strings{});
   CHECK(
       rule_problems("rules: [{name: \"a\", when: \"request.clas == 'x'\"},\n {name: \"a\", class: \"'zz'\", "
@@ -30,7 +31,7 @@
       rule_problems("rules: [{name: \"a\", when: \"request.clas == 'x'\"},\n {name: \"a\", class: \"'zz'\", "
                     "account: \"'nobody'\"},\n"
                     " {name: \"b\", limits: [{key: \"1\"}, {rate: 1}]}]") ==
-      Strings{unknown_field, "r:2:9: rules[1].name: the name stands twice",
+      Strings{unknown_field, "r:2:9: rules[1].name: the name is used twice",
               "r:2:21: rules[1].class: no class 'zz' in the settings",
               "r:2:38: rules[1].account: no account 'nobody' in the settings",
               "r:3:23: rules[2].limits[0]: a limit needs a rate, in_progress or both",
@@ -44,19 +45,19 @@
             .find("unknown field 'header.tier'") != std::string::npos);
 }
 
-TEST_CASE("a rules file truncated anywhere is never read as a shorter one", "[limits]") {
+TEST_CASE("a rules file truncated at any point is never read as a shorter valid one", "[limits]") {
   const std::string complete =
       "headers: tier: {name: \"X-Tier\"}\nkeys: 1000\nrules: [\n\t{name: \"a\", when: "
       "\"request.retry\"},\n\t{name: \"b\"},\n]\n";
   for (std::size_t size = 0; size < complete.size(); ++size) {
     const std::string cut = complete.substr(0, size);
-    if (cut.ends_with("]")) continue;  // only its last line's end is missing
+    if (cut.ends_with("]")) continue;  // only the last newline is missing, so the file is valid
     INFO(cut);
     CHECK_FALSE(rule_problems(cut).empty());
   }
 }
 
-TEST_CASE("of the rules that set a field the first match decides", "[limits]") {
+TEST_CASE("only the first rule that matches sets fields", "[limits]") {
   RateLimiterFixture fixture(
       "rules: [{name: \"a\", when: \"request.retry == false\", session: \"'one'\"}, {name: \"b\", session: "
       "\"'two'\", class: \"'command'\"}]");
@@ -65,7 +66,7 @@
   CHECK(request.request_class == "ask");
 }
 
-TEST_CASE("rules that could take too long are rejected, with the name of the costliest", "[limits]") {
+TEST_CASE("rules that could take too long are rejected with the name of the costliest rule", "[limits]") {
   const Strings problems = rule_problems(
       "headers: cookie: {name: \"Cookie\", longest: 8192}\n"
       "rules: [{name: \"cheap\", when: \"request.retry\"},\n {name: \"slow\", when: "
@@ -80,7 +81,7 @@
             "\"},\n";
   CHECK(rule_problems(many + "]").front().find("budget") != std::string::npos);
   CHECK(rule_problems("budget_ns: 1_000_000\n" + many + "]") == Strings{});
-  // Ten thousand that look at one account each are no dearer than a few.
+  // Ten thousand rules that each test for one account cost no more than a few rules.
   std::string accounts = "rules: [\n";
   for (int i = 0; i < 10'000; ++i)
     accounts += "{name: \"r" + std::to_string(i) + "\", when: \"request.account == 'a" + std::to_string(i) +
@@ -107,7 +108,7 @@
   CHECK(decision.limit_count == 1);
 }
 
-TEST_CASE("warnings name rules that can never match, and the rule that shadows them", "[limits]") {
+TEST_CASE("warnings name rules that can never match and the rules that shadow them", "[limits]") {
   const auto set = make_rules(
       "rules: [{name: \"a\", when: \"request.account in ['acme', 'other']\"},\n"
       "{name: \"b\", when: \"request.account == 'acme' && request.retry\"},\n"
@@ -119,11 +120,11 @@
       "{name: \"j\", when: \"request.retry\"}]");
   Strings messages;
   for (const auto& warning : warnings(*set)) messages.push_back(warning.what);
-  CHECK(messages == Strings{"rule 'b' can never match: 'a' before it takes all of its requests",
+  CHECK(messages == Strings{"rule 'b' can never match: earlier rule 'a' matches all of its requests",
                             "rule 'c' can never match", "rule 'd' can never match",
-                            "rule 'f' can never match: 'e' before it takes all of its requests",
+                            "rule 'f' can never match: earlier rule 'e' matches all of its requests",
                             "rule 'h' can never match",
-                            "rule 'j' can never match: 'i' before it takes all of its requests"});
+                            "rule 'j' can never match: earlier rule 'i' matches all of its requests"});
 }
 
 TEST_CASE("explain reports the matched rule, why others did not match, and what was computed", "[limits]") {
@@ -142,13 +143,13 @@
       "no    big: (request.prompt_tokens > (1000 * 2)) is false\n"
       "yes   all: true\n"
       "      class = \"command\"\n"
-      "      session = none: a field that the request lacks: not known, its own stays\n"
+      "      session = none: a field that the request lacks: not used, the request keeps its own value\n"
       "      limit all/0: key \"acme\", 2.5 a second in bursts of 5, 3 in progress, over the whole fleet\n");
   CHECK(daemon::rules_explain(file, {"request", "{clas: \"ask\"}"}, known_names, out, errors) == 1);
   CHECK(errors.str() == "request:1:2: clas: unknown field; 'class' is known\n");
 }
 
-// The examples of the operators' page: each is loaded, and each line of what it should do is tried.
+// Loads each example of the operators' page and checks each documented result.
 TEST_CASE("the examples of docs/rules.md behave as documented", "[limits][deploy]") {
   std::ifstream page(std::string(DISPATCHER_SOURCE) + "/docs/rules.md");
   std::string line, text, block;
@@ -165,7 +166,7 @@
       ++examples;
     } else if (!block.empty()) {
       text += line + "\n";
-    } else if (line.starts_with("- `{")) {  // a request, and the rule that it matches
+    } else if (line.starts_with("- `{")) {  // a request and the rule that it matches
       const std::size_t end = line.find("}`: ");
       const auto sample = read_sample({"request", line.substr(3, end - 2)}, *set);
       expression::Scratch scratch;
--- a/tests/rate_limit/rate_limit_test.cpp
+++ b/tests/rate_limit/rate_limit_test.cpp
@@ -1,4 +1,4 @@
-// The rate limiter: what it changes in a request, what it admits and counts, and what a reload keeps.
+// Tests the rate limiter: what it changes in a request, what it admits and counts, and what a reload keeps.
 #include <catch2/catch.hpp>
 #include <memory>
 
@@ -9,7 +9,7 @@
 
 using namespace rate_limit;
 
-TEST_CASE("a request without a field is not rejected for it", "[limits]") {
+TEST_CASE("a request is not rejected because a field is absent", "[limits]") {
   RateLimiterFixture fixture(
       "headers: tier: {name: \"X-Tier\", longest: 8}\nrules: [\n"
       "{name: \"gold\", when: \"header.tier == 'gold'\", session: \"'g'\"},\n"
@@ -23,10 +23,10 @@
   };
   CHECK(rule("gold") == "gold");
   CHECK(rule(std::nullopt) == "none");
-  CHECK(rule("goldgoldg") == "none");  // longer than declared
-  CHECK(rule("g\xffld") == "none");    // not UTF-8
+  CHECK(rule("goldgoldg") == "none");  // longer than declared: counts as absent
+  CHECK(rule("g\xffld") == "none");    // not UTF-8: counts as absent
   CHECK(rule("iron") == "rest");
-  CHECK(fixture.rate_limiter.counts().evaluation_faults == 1);  // no model: its session stays
+  CHECK(fixture.rate_limiter.counts().evaluation_faults == 1);  // without a model, its session stays
   auto request = make_request();
   CHECK_FALSE(fixture.admit(request, {"iron"}).is_rejected());
   CHECK(request.session == kSession);
@@ -34,7 +34,8 @@
   CHECK(request.session != kSession);
 }
 
-TEST_CASE("values that rules compute apply, and a class never makes a command retryable", "[limits]") {
+TEST_CASE("values computed by rules are applied, but no class makes a non-idempotent request retryable",
+          "[limits]") {
   RateLimiterFixture fixture(
       "rules: [{name: \"up\", when: \"request.class == 'ask' && request.account == 'other'\", class: "
       "\"'command'\", "
@@ -47,11 +48,12 @@
   auto command = make_request("command", "other");
   CHECK(fixture.admit(command).rule->name == "down");
   CHECK(command.request_class == "command");
-  CHECK(command.tenant == "other");  // 'otherx' is nobody's
+  CHECK(command.tenant == "other");  // no account is called 'otherx'
   CHECK(fixture.rate_limiter.counts().rejected_class_changes == 1);
 }
 
-TEST_CASE("a rate admits its burst, then one in each interval, with a sufficient Retry-After", "[limits]") {
+TEST_CASE("a rate limit admits its burst, then one request per interval, with a sufficient Retry-After",
+          "[limits]") {
   RateLimiterFixture fixture(
       "rules: [{name: \"a\", limits: [{key: \"request.account\", rate: 4, burst: 3}]}]");
   for (int i = 0; i < 3; ++i) CHECK_FALSE(fixture.admit().is_rejected());
@@ -59,18 +61,20 @@
     const auto retry_after = fixture.admit().retry_after;
     REQUIRE(retry_after);
     CHECK(*retry_after == milliseconds(250));
-    if (round == 0) CHECK_FALSE(fixture.admit("ask", "other").is_rejected());  // keys apart
+    if (round == 0)
+      CHECK_FALSE(fixture.admit("ask", "other").is_rejected());  // another key has its own counter
     fixture.now += *retry_after - std::chrono::microseconds(1);
     CHECK(fixture.admit().is_rejected());
     fixture.now += std::chrono::microseconds(1);
     CHECK_FALSE(fixture.admit().is_rejected());
   }
-  fixture.now += seconds(100);  // no more than the burst is saved up
+  fixture.now += seconds(100);  // an idle key accumulates no more than the burst
   for (int i = 0; i < 3; ++i) CHECK_FALSE(fixture.admit().is_rejected());
   CHECK(fixture.admit().is_rejected());
 }
 
-TEST_CASE("rejections are logged at once, then every ten seconds, with their number", "[limits]") {
+TEST_CASE("the first rejection is logged at once, later ones every ten seconds with their number",
+          "[limits]") {
   Strings logs;
   RateLimiter rate_limiter(1, [&](std::string_view text) { logs.emplace_back(text); });
   RateLimiterFixture fixture("rules: []");
@@ -86,7 +90,7 @@
                         "limits: 100 rejected since the last such line, last by rule 'a'"});
 }
 
-TEST_CASE("requests in progress are counted to their end, and a rejection by one limit charges none",
+TEST_CASE("requests in progress are counted until they end, and a rejection by one limit charges no limit",
           "[limits]") {
   RateLimiterFixture fixture(
       "rules: [{name: \"a\", limits: [{key: \"request.account\", in_progress: 2, retry_ms: 70}, {rate: 1, "
@@ -97,18 +101,18 @@
   for (int i = 0; i < 5; ++i)
     CHECK(fixture.admit().retry_after == std::optional<routing::Duration>(milliseconds(70)));
   fixture.rate_limiter.release(first.ticket);
-  fixture.rate_limiter.release(first.ticket);  // once is enough
+  fixture.rate_limiter.release(first.ticket);  // a second release has no effect
   const auto third = fixture.admit();
-  CHECK_FALSE(third.is_rejected());  // the third of the burst: the rejections took nothing of it
+  CHECK_FALSE(third.is_rejected());  // the third of the burst, as rejections do not use it up
   fixture.rate_limiter.release(second.ticket);
   CHECK(fixture.admit().retry_after > std::optional<routing::Duration>(milliseconds(900)));
   fixture.now += seconds(3);
   CHECK_FALSE(fixture.admit().is_rejected());
   CHECK(fixture.admit().retry_after ==
-        std::optional<routing::Duration>(milliseconds(70)));  // the second's end counted once
+        std::optional<routing::Duration>(milliseconds(70)));  // the end of the second request is counted once
 }
 
-TEST_CASE("the instances' parts add up to the limit", "[limits]") {
+TEST_CASE("the parts that the instances enforce add up to the limit", "[limits]") {
   Limit limit;
   limit.rate = 90;
   limit.burst = 72;
@@ -129,7 +133,8 @@
       if (total < count) CHECK(sum == (total == 0 ? 0 : count));
     }
   }
-  // A fleet of four, each dealt its part of one rush: together no more than the burst and the rate.
+  // Four instances get equal parts of a surge of requests. Together they admit no more than the burst and the
+  // rate allow.
   std::vector<std::unique_ptr<RateLimiterFixture>> fleet;
   for (std::size_t i = 0; i < 4; ++i) {
     fleet.push_back(
@@ -147,7 +152,7 @@
   CHECK(admitted <= 80 + 12);
 }
 
-TEST_CASE("a flood of distinct keys frees no key that is at its limit", "[limits]") {
+TEST_CASE("a flood of distinct keys evicts no key that is at its limit", "[limits]") {
   RateLimiterFixture fixture(
       "keys: 1000\nrules: [{name: \"a\", limits: [{key: \"request.account\", rate: 0.01, burst: 2, "
       "in_progress: 2}]}]");
@@ -160,7 +165,7 @@
       fixture.now);
   const std::size_t bytes = fixture.rate_limiter.table().bytes();
   std::vector<Ticket> tickets;
-  for (int key = 0; key < 50; ++key) {  // fifty keys at both limits
+  for (int key = 0; key < 50; ++key) {  // bring fifty keys to both limits
     for (int i = 0; i < 2; ++i) {
       auto admission = fixture.admit("ask", "held" + std::to_string(key));
       REQUIRE_FALSE(admission.is_rejected());
@@ -183,8 +188,7 @@
   for (Ticket& ticket : tickets) fixture.rate_limiter.release(ticket);
 }
 
-TEST_CASE("counters continue through a reload if key and limit are unchanged, and restart if they change",
-          "[limits]") {
+TEST_CASE("a reload keeps counters whose key and limit are unchanged, and resets the others", "[limits]") {
   const auto text = [](const std::string& rate, const std::string& keys) {
     return "keys: " + keys +
            "\nrules: [{name: \"b\", when: \"request.account == 'other'\"}, {name: \"a\", limits: [{key: "
@@ -197,12 +201,13 @@
   fixture.rate_limiter.replace_rules(make_rules(text("0.1", "50000")), fixture.now);
   CHECK(fixture.admit().is_rejected());
   fixture.rate_limiter.release(first.ticket);
-  CHECK(fixture.admit().retry_after > std::optional<routing::Duration>(seconds(9)));  // the rate's part stays
+  CHECK(fixture.admit().retry_after >
+        std::optional<routing::Duration>(seconds(9)));  // the rate's counter is kept
   fixture.rate_limiter.replace_rules(make_rules(text("0.2", "50000")), fixture.now);
   auto second = fixture.admit();
   CHECK_FALSE(second.is_rejected());
   fixture.rate_limiter.replace_rules(nullptr,
-                                     fixture.now);  // no rules any more: what was admitted is still released
+                                     fixture.now);  // without rules, admitted requests are still released
   CHECK_FALSE(fixture.admit().is_rejected());
   fixture.rate_limiter.release(second.ticket);
 }
