--- a/src/degradation/degradation_controller.cpp
+++ b/src/degradation/degradation_controller.cpp
@@ -9,10 +9,10 @@
 
 namespace {
 
-// The name by which operators clear an override.
+// The name that operators set instead of a level's name to clear an override.
 constexpr const char* kAutomatic = "auto";
 
-// Keys of status(), which operators' scripts and other processes read.
+// Keys of status(), which operators' scripts and the successor in a hot restart read.
 constexpr const char* kLevelKey = "level";
 constexpr const char* kOverriddenKey = "pinned";
 
@@ -91,7 +91,7 @@
   rate_limit::SessionText session_text{};
   rate_limit::fill_request_fields(attributes, session_text, request_values);
 
-  // In the order of the environment that read() declares.
+  // Appends the values in the order of the environment that read() builds.
   std::vector<expression::Value> values = last_signals_;
   values.resize(fields_.fields().size(), expression::Value::of(expression::EvaluationError::kAbsent));
   values.push_back(signals_.quota_usage(request.tenant, clock_()));
--- a/src/degradation/levels.cpp
+++ b/src/degradation/levels.cpp
@@ -41,19 +41,20 @@
 }
 )cue";
 
-// ---- conditions that contradict each other ----
+// ---- levels whose conditions to enter and to leave overlap ----
 
-// The values of each field, by the field's index, at which a condition may change.
+// The values of each field, by the field's index, at which the result of a condition may change.
 using SamplePoints = std::map<std::int64_t, std::set<double>>;
 
-// Combinations of sample points that are tried at most, which takes a few milliseconds.
+// Maximum number of combinations of sample points that are tried, which takes a few milliseconds.
 constexpr std::size_t kMaxSamples = 4096;
 
-// How far beside a floating-point number its neighbouring sample points are.
-constexpr double kRelativeStep = 1e-3;
-constexpr double kMinStep = 1e-6;
+// Distance of a floating-point number from its neighbouring sample points.
+constexpr double kRelativeStep = 1e-3;  // as a fraction of the number
+constexpr double kMinStep = 1e-6;       // the minimum distance
 
-// Adds the numbers that a condition compares each signal with, and a value a little to either side of each.
+// Adds the numbers that a condition compares each signal with, and a value slightly below and slightly above
+// each of them.
 void collect_sample_points(const expression::Node& node, SamplePoints& points) {
   for (const expression::Node& field : node.children) {
     if (field.op != expression::Op::kField) continue;
@@ -68,7 +69,7 @@
   for (const expression::Node& child : node.children) collect_sample_points(child, points);
 }
 
-// The number of combinations of sample points, or kMaxSamples + 1 where there are more.
+// Returns the number of combinations of sample points, or kMaxSamples + 1 if there are more.
 std::size_t count_combinations(const SamplePoints& points) {
   std::size_t combinations = 1;
   for (const auto& [field, values] : points)
@@ -76,13 +77,14 @@
   return combinations;
 }
 
-// A number as the value of a signal of the kind.
+// Returns a number as the value of a signal of the given kind.
 Value value_of_kind(Kind kind, double number) {
   if (kind == Kind::kInt) return Value::of(static_cast<std::int64_t>(number));
   return Value::of(number);
 }
 
-// Sets each field to one of its sample points. `choose` gets the number of points and returns an index.
+// Sets each field to one of its sample points. `choose` is called with the number of points and returns an
+// index.
 template <class Choose>
 void set_fields(const SamplePoints& points, const expression::Environment& signals, const Choose& choose,
                 std::vector<Value>& values) {
@@ -94,8 +96,8 @@
   }
 }
 
-// Whether both conditions of a level can hold at once. Tries every combination of the points at which either
-// changes or, where there are too many, a random sample of them, the same in each run.
+// Returns whether both conditions of a level can hold at once. Tries every combination of the points at which
+// either condition changes or, if there are too many, a random sample of them, which is the same in each run.
 bool conditions_overlap(const Level& level, const expression::Environment& signals) {
   SamplePoints points;
   collect_sample_points(level.enter.tree(), points);
@@ -111,7 +113,7 @@
   const bool is_exhaustive = combinations <= kMaxSamples;
   std::mt19937 random(1);
   for (std::size_t sample = 0; sample < std::min(combinations, kMaxSamples); ++sample) {
-    std::size_t remaining = sample;  // the combination's number, in a mixed radix
+    std::size_t remaining = sample;  // the number of the combination, in a mixed radix
     const auto choose = [&](std::size_t count) -> std::size_t {
       if (!is_exhaustive) return random() % count;
       return std::exchange(remaining, remaining / count) % count;
@@ -122,12 +124,12 @@
   return false;
 }
 
-// ---- the file ----
+// ---- reading the levels file ----
 
 Duration milliseconds_of(const cue::Data& data) { return std::chrono::milliseconds(data.integer()); }
 
-// Reads the levels of one file. Collects all problems, so that operators see them at once; items that have
-// one are left out.
+// Reads the levels of one file. Collects all problems, so that operators see them at once. Items with a
+// problem are left out.
 class LevelReader {
  public:
   LevelReader(const expression::Environment& signals, const expression::Environment& request,
@@ -136,12 +138,12 @@
 
   std::vector<Level> read_levels(const cue::Data& data) {
     if (data.items().size() > kMaxLevels)
-      add_problem(data,
-                  "more than " + std::to_string(kMaxLevels) + " levels: the bound on changes would not hold");
+      add_problem(data, "more than " + std::to_string(kMaxLevels) +
+                            " levels: the limits on level changes would not hold");
     std::vector<Level> levels;
     std::set<std::string> names;
     for (const cue::Data& item : data.items()) {
-      if (!names.insert(item["name"].text()).second) add_problem(item["name"], "the name stands twice");
+      if (!names.insert(item["name"].text()).second) add_problem(item["name"], "the name is used twice");
       if (auto level = read_level(item)) levels.push_back(std::move(*level));
     }
     return levels;
@@ -150,7 +152,7 @@
   std::vector<cue::Problem> take_problems() { return std::move(problems_); }
 
  private:
-  // Nullopt: a condition does not compile.
+  // Returns nullopt if a condition does not compile.
   std::optional<Level> read_level(const cue::Data& data) {
     Level level;
     level.name = data["name"].text();
@@ -169,11 +171,11 @@
     level.enter = std::move(*enter);
     level.leave = std::move(*leave);
     if (conditions_overlap(level, signals_))
-      add_problem(data["leave"], "can hold while 'enter' does: the level would swing");
+      add_problem(data["leave"], "can hold while 'enter' does: the level would oscillate");
     return level;
   }
 
-  // Nullopt: its condition does not compile.
+  // Returns nullopt if the rule's condition does not compile.
   std::optional<SheddingRule> read_shedding_rule(const cue::Data& data) {
     SheddingRule rule;
     for (const cue::Data& name : data["classes"].items()) {
@@ -208,9 +210,9 @@
                                                const std::vector<std::string>& classes) {
   static const cue::Schema schema(kSchema, "#Levels");
   const cue::Data data = schema.read(file);
-  // An empty file, or one truncated before its levels, must not be mistaken for one that has none.
+  // An empty file, or one truncated before its levels, must not be taken for a file without levels.
   if (!data["levels"].where().in_file())
-    throw cue::Errors(file.name, {{{}, "levels", "missing: a file without levels says levels: []"}});
+    throw cue::Errors(file.name, {{{}, "levels", "missing: a file without levels must contain levels: []"}});
   LevelReader reader(signals, request, classes);
   auto set = std::make_shared<LevelSet>();
   set->levels_ = reader.read_levels(data["levels"]);
--- a/src/degradation/signals.cpp
+++ b/src/degradation/signals.cpp
@@ -13,11 +13,11 @@
 
 namespace {
 
-// The endpoint list is polled about once a second: one that is older than this may be outdated.
+// The endpoint list is polled about once a second, so a list that is older than this may be outdated.
 constexpr Duration kMaxListAge = std::chrono::seconds(10);
-// With fewer events a fraction would be mostly chance.
+// Minimum number of events for a fraction. With fewer events, it would depend mostly on chance.
 constexpr std::size_t kMinEvents = 20;
-// Represents all zones together: no zone has an empty name.
+// Stands for all zones together, as no zone has an empty name.
 constexpr const char* kAllZones = "";
 constexpr std::array kRoles = {Role::kReader, Role::kWriter};
 
@@ -81,7 +81,7 @@
 
 void Signals::request_not_served(const std::string& request_class, engine::NotServedReason reason, Time now) {
   if (!has_class(request_class)) return;
-  // A request that was rejected or failed had no first token in time either.
+  // A request that was rejected or failed counts as late, because it had no first token in time either.
   late_[request_class].record(Event::kMatching, now);
   const bool is_rejected = reason == engine::NotServedReason::kRejected;
   rejected_.record(is_rejected ? Event::kMatching : Event::kOther, now);
@@ -142,7 +142,7 @@
   for (const Role role : kRoles)
     values.push_back(is_list_fresh ? ready_fraction({kAllZones, role}, now) : absent());
   for (const Role role : kRoles) {
-    // Also computed from a list that is too old, so that the maxima are updated.
+    // Also computed if the list is too old, so that the maxima are updated.
     const Value minimum = min_zone_ready_fraction(role, now);
     values.push_back(is_list_fresh ? minimum : absent());
   }
@@ -150,7 +150,7 @@
   values.push_back(Value::of(static_cast<std::int64_t>(in_progress)));
   for (const std::string& request_class : classes_)
     values.push_back(value_or_absent(late_[request_class].ratio(kMinEvents, now)));
-  // Zones that had no ready endpoint in both periods are regarded as removed.
+  // Zones without a ready endpoint in the current and the previous period count as removed.
   std::erase_if(ready_maxima_, [](const auto& entry) { return entry.second.maximum() == 0; });
   return values;
 }
--- a/src/degradation/signals.hpp
+++ b/src/degradation/signals.hpp
@@ -1,6 +1,6 @@
-// The signals that conditions of degradation levels are evaluated on: how this dispatcher served requests
-// over the last seconds, and how much of the fleet is ready. No I/O; the clock is passed in. A signal without
-// a current value is absent.
+// The signals on which the conditions of degradation levels are evaluated: how this dispatcher served
+// requests during the last seconds, and how much of the fleet is ready. A signal without a current value is
+// absent. No I/O; the clock is passed in.
 #ifndef DISPATCHER_DEGRADATION_SIGNALS_HPP_
 #define DISPATCHER_DEGRADATION_SIGNALS_HPP_
 
@@ -20,37 +20,41 @@
 
 using engine::FirstTokenTiming;
 
-// Collects events of requests and endpoint lists, and computes the signals from them. Owned by the
+// Collects request events and endpoint lists and computes the signals from them. Owned by the
 // DegradationController and used on its event loop only.
 class Signals {
  public:
-  // The fields, in the order of values():
-  //   ready.readers, ready.writers     endpoints that are ready over those that were lately, 0 to 1
-  //   ready.least_zone_readers, ready.least_zone_writers     the same, of the zone that has fewest
+  // Returns the signals as fields, in the order of values():
+  //   ready.readers, ready.writers     ready endpoints as a fraction of their recent maximum, 0 to 1
+  //   ready.least_zone_readers, ready.least_zone_writers     the same for the zone with the smallest fraction
   //   refused                          the fraction of requests that were rejected
   //   open                             requests in progress
-  //   late.CLASS, for each class       the fraction of first tokens past the class's latency objective
+  //   late.CLASS, for each class       the fraction of requests whose first token missed the class's latency
+  //                                    objective, including requests without a first token
   [[nodiscard]] static expression::Environment fields(const routing::Settings& settings);
 
   explicit Signals(const routing::Settings& settings) { apply_settings(settings); }
 
-  // Drops classes, accounts and endpoint kinds that the settings no longer define.
+  // Replaces the settings. Drops classes, accounts and endpoint kinds that they no longer define.
   void apply_settings(const routing::Settings& settings);
 
-  // Takes a complete endpoint list or a change to the last one.
+  // Applies a complete endpoint list or a change to the last one.
   void update_endpoints(const routing::EndpointList& list, Time now);
-  // A request got its first token. Classes that the settings don't define are ignored here and below.
+  // Records that a request got its first token. Requests of classes that the settings don't define are
+  // ignored here and in request_not_served().
   void first_token(const std::string& request_class, FirstTokenTiming timing, Time now);
-  // A request ended without a first token.
+  // Records that a request ended without a first token.
   void request_not_served(const std::string& request_class, engine::NotServedReason reason, Time now);
-  // A request of the account arrived, whether it is served or not.
+  // Records that a request of the account arrived, whether or not it is served.
   void request_arrived(const std::string& account, Time now);
 
-  // `in_progress`: requests. `endpoints_updated_at`: when service discovery last confirmed the endpoint list;
-  // readiness is absent once that is too long ago.
+  // Returns the signals at `now`. `in_progress`: number of requests in progress. `endpoints_updated_at`: when
+  // service discovery last confirmed the endpoint list. If that was never or too long ago, the signals on
+  // ready endpoints are absent.
   [[nodiscard]] std::vector<expression::Value> values(std::size_t in_progress,
                                                       std::optional<Time> endpoints_updated_at, Time now);
-  // The account's request rate over this dispatcher's part of its quota; absent where it has no quota.
+  // Returns the account's request rate divided by this dispatcher's part of the account's quota, or absent if
+  // the account has no quota.
   [[nodiscard]] expression::Value quota_usage(const std::string& account, Time now) const;
 
  private:
@@ -59,7 +63,7 @@
     routing::Role role{};
     bool ready = false;
   };
-  // The endpoints of a role in a zone. kAllZones: of the complete fleet.
+  // Identifies the endpoints of a role in a zone, or in the whole fleet if the zone is kAllZones.
   struct ZoneRole {
     std::string zone;
     routing::Role role{};
@@ -72,7 +76,7 @@
   expression::Value min_zone_ready_fraction(routing::Role role, Time now);
 
   std::map<std::string, routing::Role> roles_by_kind_;
-  std::map<std::string, double> quotas_;  // requests a second that this dispatcher's part allows, by account
+  std::map<std::string, double> quotas_;  // this dispatcher's part, in requests per second, by account
   std::vector<std::string> classes_;
   std::map<routing::EndpointId, Endpoint> endpoints_;
   std::map<ZoneRole, RecentMaximum> ready_maxima_;
--- a/src/degradation/sliding_window.hpp
+++ b/src/degradation/sliding_window.hpp
@@ -1,4 +1,4 @@
-// Statistics over a sliding window of time, at a fixed cost in memory. No I/O; the clock is passed in.
+// Statistics over a sliding time window, in a fixed amount of memory. No I/O; the clock is passed in.
 #ifndef DISPATCHER_DEGRADATION_SLIDING_WINDOW_HPP_
 #define DISPATCHER_DEGRADATION_SLIDING_WINDOW_HPP_
 
@@ -16,22 +16,23 @@
 using routing::Duration;
 using routing::Time;
 
-// The fraction of recent events that match, in buckets of one second each. Not synchronized: the event loop
-// that owns it is its only user.
+// Computes the fraction of recent events that match, from buckets of one second each. Not synchronized; used
+// on its owner's event loop only.
 class WindowedRatio {
  public:
   static constexpr Duration kWindow = std::chrono::seconds(10);
 
-  // Whether an event counts into the numerator of the ratio.
+  // Whether an event counts in the numerator of the ratio.
   enum class Event { kMatching, kOther };
 
-  // Counts one event at `now`, which must not be before that of an earlier call.
+  // Counts one event at `now`, which must not be before the `now` of an earlier call.
   void record(Event event, Time now);
 
-  // All events of the window, per second.
+  // Returns the number of all events in the window, per second.
   [[nodiscard]] double events_per_second(Time now) const;
 
-  // Matching events over all events; nullopt while the window holds fewer than `min_events`.
+  // Returns the matching events divided by all events, or nullopt if the window holds fewer than
+  // `min_events`.
   [[nodiscard]] std::optional<double> ratio(std::size_t min_events, Time now) const;
 
  private:
@@ -48,17 +49,17 @@
   std::array<Bucket, kBuckets> buckets_{};
 };
 
-// The greatest value observed in the current and the previous period, so in the last 15 to 30 minutes. Not
-// synchronized.
+// Computes the greatest value observed in the current and the previous period, that is, in the last 15 to 30
+// minutes. Not synchronized.
 class RecentMaximum {
  public:
-  // `now` must not be before that of an earlier call.
+  // Records a value at `now`, which must not be before the `now` of an earlier call.
   void observe(std::size_t value, Time now);
-  // 0 before the first observation.
+  // Returns the greatest recent value, or 0 before the first observation.
   [[nodiscard]] std::size_t maximum() const { return std::max(current_, previous_); }
 
  private:
-  // Long enough to outlast a rolling restart, short enough to accept a fleet that was made smaller.
+  // Long enough to outlast a rolling restart, and short enough that a smaller fleet soon counts as complete.
   static constexpr Duration kPeriod = std::chrono::minutes(15);
 
   std::size_t current_ = 0, previous_ = 0;
--- a/src/degradation/state_machine.cpp
+++ b/src/degradation/state_machine.cpp
@@ -7,11 +7,11 @@
 
 namespace {
 
-// Doublings of a level's min_stay that are counted at most: max_stay is reached by then, and the shift below
-// does not overflow.
+// Maximum number of counted re-entries, each of which doubles a level's min_stay. max_stay is reached by
+// then, and the shift in StateMachine::min_stay() does not overflow.
 constexpr unsigned kMaxReentries = 16;
 
-// Records since when a condition has held without interruption.
+// Updates the time since when a condition has held without interruption.
 void update_since(std::optional<Time>& since, bool holds, Time now) {
   if (!holds) {
     since.reset();
@@ -24,8 +24,8 @@
   return since && now - *since >= duration;
 }
 
-// The level of `next` that replaces `level` of `current`: that of the same name, or else of the next milder
-// level.
+// Returns the level of `next` that replaces `level` of `current`: the level of the same name or, if there is
+// none, the one that has the name of the next milder level.
 std::size_t matching_level(const LevelSet& current, std::size_t level, const LevelSet& next) {
   for (std::size_t i = level; i > kNormalLevel; --i) {
     if (const auto same_name = next.find(current.name(i))) return *same_name;
@@ -36,7 +36,7 @@
 }  // namespace
 
 const char* name(LevelChange::Cause cause) {
-  // Operators' scripts parse these names, in which an override is "pinned".
+  // Operators' scripts parse these names, which call an override "pinned".
   constexpr std::array<const char*, 4> kNames = {"entered", "left", "pinned", "reloaded"};
   return kNames[static_cast<std::size_t>(cause)];
 }
@@ -53,7 +53,7 @@
   return step_up(signals, now) || step_down(signals, now);
 }
 
-// A condition without a value, as of an absent signal, does not hold.
+// A condition without a value, for example because a signal is absent, does not hold.
 void StateMachine::update_timers(std::span<const expression::Value> signals, Time now) {
   for (std::size_t i = kNormalLevel + 1; i < timers_.size(); ++i) {
     const Level& level = levels_->level(i);
@@ -62,7 +62,7 @@
   }
 }
 
-// To the highest level whose condition has held.
+// Enters the highest level above the current one whose condition has held for its time.
 bool StateMachine::step_up(std::span<const expression::Value> signals, Time now) {
   for (std::size_t i = timers_.size(); --i > level_;) {
     const Level& level = levels_->level(i);
@@ -97,7 +97,7 @@
   const Duration longest_window = kChangeLimits.back().window;
   while (!recent_changes_.empty() && recent_changes_.front() < now - longest_window)
     recent_changes_.pop_front();
-  const std::size_t steps_up_left = levels_->levels().size() - (level_ - 1);  // after the step down
+  const std::size_t steps_up_left = levels_->levels().size() - (level_ - 1);  // counted after the step down
   return std::all_of(kChangeLimits.begin(), kChangeLimits.end(), [&](const ChangeLimit& limit) {
     const auto first = std::lower_bound(recent_changes_.begin(), recent_changes_.end(), now - limit.window);
     const auto changes = static_cast<std::size_t>(recent_changes_.end() - first);
--- a/tests/degradation/degradation_fleet_test.cpp
+++ b/tests/degradation/degradation_fleet_test.cpp
@@ -1,4 +1,4 @@
-// Degradation levels in a dispatcher: signals, both frontends, the admin interface, a reload and a hot
+// Tests degradation levels in a dispatcher: signals, both frontends, the admin interface, a reload and a hot
 // restart.
 #include <algorithm>
 #include <catch2/catch.hpp>
@@ -21,7 +21,7 @@
     R"(levels: [{name: "mild", enter: "late.command > 0.3", leave: "late.command < 0.1", shed: [{classes: ["ask"], when: "account.use > 1.5"}]},
 {name: "hard", enter: "ready.readers < 0.4", leave: "ready.readers > 0.6", shed: [{classes: ["ask"], retry_ms: {least: 700, most: 900}}]}])";
 
-// A controller whose clock stands still unless the test moves it or passes another, and what it logs.
+// A controller with its log. Its clock changes only if the test advances it, unless another clock is passed.
 struct ControllerFixture {
   explicit ControllerFixture(const std::string& text, const engine::Clock& clock = {})
       : controller(
@@ -43,9 +43,9 @@
   return expression::to_text(values[static_cast<std::size_t>(fields.find(name))]);
 }
 
-// Both frontends of a fixture behind one rate limiter without rules, and one controller.
-struct AttachedFrontEnds {
-  AttachedFrontEnds(Fixture& attached, DegradationController& controller) : fixture(attached) {
+// Attaches one rate limiter without rules and one controller to both frontends of a fixture.
+struct AttachedFrontends {
+  AttachedFrontends(Fixture& attached, DegradationController& controller) : fixture(attached) {
     fixture.platform.attach(rate_limiter);
     fixture.platform.attach(controller);
     fixture.chat->attach(rate_limiter);
@@ -62,7 +62,7 @@
   rate_limit::RateLimiter rate_limiter{1};
 };
 
-TEST_CASE("signals are fractions of the known values, and absent where none is known", "[levels]") {
+TEST_CASE("signals are fractions of the known values, and absent if none is known", "[levels]") {
   Signals signals(make_settings());
   Time now = seconds(1'800'000'000);
   const std::string absent = "none: a field that the request lacks";
@@ -71,7 +71,7 @@
   CHECK(text("open") == "3");
   for (int i = 0; i < 19; ++i)
     signals.first_token("ask", i < 5 ? FirstTokenTiming::kLate : FirstTokenTiming::kInTime, now);
-  CHECK(text("late.ask") == absent);  // too few
+  CHECK(text("late.ask") == absent);  // too few events
   signals.request_not_served("ask", engine::NotServedReason::kRejected, now);
   CHECK(text("late.ask") == "0.3");
   CHECK(text("refused") == "0.05");
@@ -95,10 +95,9 @@
   signals.update_endpoints(lost, now);
   CHECK(text("ready.readers") == "0.6");
   CHECK(text("ready.least_zone_readers") == expression::to_text(Value::of(1.0 / 3)));
-  CHECK(signal_text(signals, "ready.readers", now - seconds(11), now) ==
-        absent);  // an old list is no evidence
+  CHECK(signal_text(signals, "ready.readers", now - seconds(11), now) == absent);  // the list is too old
   CHECK(signal_text(signals, "ready.readers", std::nullopt, now) == absent);
-  for (int i = 0; i < 40; ++i) {  // after half an hour what is left is what there is
+  for (int i = 0; i < 40; ++i) {  // after half an hour, the remaining endpoints count as the complete fleet
     now += seconds(60);
     text("ready.readers");
   }
@@ -110,7 +109,7 @@
   CHECK(signals.quota_usage("nobody", now).failed());
 }
 
-TEST_CASE("both frontends shed the classes that the level names at once, and no request in progress",
+TEST_CASE("both frontends immediately shed the classes that the level names, but no request in progress",
           "[levels][chat][platform]") {
   for (const bool through_chat : {true, false}) {
     Fixture fixture(
@@ -120,11 +119,11 @@
         },
         kChatConfig);
     ControllerFixture levels(kTwoLevels, fixture.clock());
-    const AttachedFrontEnds front_ends(fixture, levels.controller);
+    const AttachedFrontends frontends(fixture, levels.controller);
     std::vector<std::unique_ptr<FakeClient>> clients;
     const auto send = [&](const std::string& request_class) -> FakeClient& {
       clients.push_back(
-          front_ends.post(through_chat, "a" + std::to_string(clients.size() + 1), request_class));
+          frontends.post(through_chat, "a" + std::to_string(clients.size() + 1), request_class));
       fixture.settle();
       fixture.settle();
       return *clients.back();
@@ -148,7 +147,7 @@
   }
 }
 
-TEST_CASE("an account over its quota is shed though all others are idle, and served once its rate falls",
+TEST_CASE("an account over its quota is shed even if all others are idle, and served once its rate falls",
           "[levels][chat][platform]") {
   for (const bool through_chat : {true, false}) {
     Fixture fixture(healthy_reader, healthy_writer, kChatConfig);
@@ -156,12 +155,12 @@
     routing::Settings narrow = make_settings();
     narrow.tenants = {{"acme", 1.0}};  // one request a second
     levels.controller.apply_settings(narrow, DegradationController::read({"l.cue", kTwoLevels}, narrow));
-    const AttachedFrontEnds front_ends(fixture, levels.controller);
+    const AttachedFrontends frontends(fixture, levels.controller);
     int id = 0;
     const auto served = [&](const std::string& request_class, int requests) {
       int count = 0;
       for (int i = 0; i < requests; ++i) {
-        const auto client = front_ends.post(through_chat, "c" + std::to_string(++id), request_class);
+        const auto client = frontends.post(through_chat, "c" + std::to_string(++id), request_class);
         REQUIRE(fixture.until([&] { return client->is_finished(); }));
         count += client->status == 200 ? 1 : 0;
         CHECK((client->status == 200 || client->status == 503));
@@ -171,15 +170,14 @@
     CHECK(served("ask", 20) == 20);  // normal service sheds nothing
     fixture.now += seconds(11);
     REQUIRE(levels.controller.set_override("mild"));
-    CHECK(served("ask", 30) == 15);  // up to one and a half times its quota in the last ten seconds
+    CHECK(served("ask", 30) == 15);  // up to 1.5 times its quota in the last ten seconds
     CHECK(served("command", 5) == 5);
     fixture.now += seconds(11);
     CHECK(served("ask", 10) == 10);
   }
 }
 
-TEST_CASE("events of the engine change the level, and each change is logged with its cause",
-          "[levels][core]") {
+TEST_CASE("engine events change the level, and each change is logged with its cause", "[levels][core]") {
   Fixture fixture(healthy_reader, healthy_writer);
   ControllerFixture levels(kTwoLevels, fixture.clock());
   fixture.engine.set_request_observer(&levels.controller);
@@ -212,18 +210,18 @@
   CHECK(changes["changes"][0]["condition"] == "late.command > 0.3");
 }
 
-TEST_CASE("the admin interface shows levels, and sets and clears an override", "[levels][console]") {
+TEST_CASE("the admin interface shows the levels, and sets and clears an override", "[levels][console]") {
   TestEventLoop work;
   ControllerFixture levels(kTwoLevels, work.clock());
-  admin::AdminServer console(
+  admin::AdminServer admin_server(
       work.io, loopback(), work.timers, work.clock(),
       {[] { return true; }, [](const engine::EndpointId&, engine::AdministrativeState) { return false; },
        [&] { return levels.controller.status(); }, [&] { return levels.controller.history(); },
        [&](const std::string& name) { return levels.controller.set_override(name); }},
       {});
-  console.open();
+  admin_server.open();
   const auto call = [&](const std::string& method, const std::string& path) {
-    FakeClient client(work, console.local());
+    FakeClient client(work, admin_server.local());
     client.send(method + " " + path + " HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n");
     REQUIRE(work.until([&] { return client.is_finished(); }));
     return std::pair(client.status, client.body);
--- a/tests/degradation/degradation_test.cpp
+++ b/tests/degradation/degradation_test.cpp
@@ -1,4 +1,5 @@
-// Degradation levels in virtual time: when they change, how often, why, and which requests they shed.
+// Tests degradation levels in virtual time: when, how often and why the level changes, and which requests are
+// shed.
 #include <algorithm>
 #include <catch2/catch.hpp>
 #include <cmath>
@@ -56,10 +57,10 @@
   return problems_of("l", [&] { levels_of(text); });
 }
 
-// A state machine that is stepped by a clock of its own, and the changes it made.
+// A state machine with its own clock and a record of the changes of its level.
 struct MachineFixture {
   explicit MachineFixture(const std::string& text = kLevels) : machine(levels_of(text)) {}
-  // `late`, `ready`: negative: the signal is missing.
+  // Advances the clock and steps the machine. A negative `late` or `ready` means that the signal is missing.
   void step(double late, double ready, Duration time = seconds(1)) {
     const auto value = [](double number) {
       return number < 0 ? Value::of(expression::EvaluationError::kAbsent) : Value::of(number);
@@ -89,16 +90,17 @@
   std::vector<LevelChange> changes;
 };
 
-TEST_CASE("a level is entered once its condition has held, and left one level at a time", "[levels]") {
+TEST_CASE("a level is entered once its condition has held for its time, and left one level at a time",
+          "[levels]") {
   MachineFixture run;
   run.steps(60, 0.01, 1.0);
   CHECK(run.machine.level() == 0);
   run.step(0.3, 0.3);
   CHECK(run.machine.level() == 0);
   run.step(0.3, 0.3);
-  CHECK(run.machine.level_name() == "commands-only");  // straight to the highest that holds
+  CHECK(run.machine.level_name() == "commands-only");  // directly to the highest level whose condition holds
   run.steps(29, 0.01, 1.0);
-  CHECK(run.machine.level_name() == "commands-only");  // its minimum stay
+  CHECK(run.machine.level_name() == "commands-only");  // the minimum stay has not passed
   run.steps(2, 0.01, 1.0);
   CHECK(run.machine.level_name() == "reduced");
   run.steps(29, 0.01, 1.0);
@@ -137,7 +139,7 @@
   }
 }
 
-TEST_CASE("load that swings with the period of the minimum stay makes the level stay longer each time",
+TEST_CASE("load that oscillates with the period of the minimum stay makes the level stay longer each time",
           "[levels]") {
   for (const int period : {30, 31, 35, 45, 60}) {
     MachineFixture run;
@@ -148,11 +150,12 @@
     for (const LevelChange& change : run.changes)
       entered += change.cause == LevelChange::Cause::kEntered ? 1 : 0;
     CHECK(entered >= 1);
-    CHECK(run.changes.size() <= 30);  // two hours; the load swings up to 120 times
+    CHECK(run.changes.size() <= 30);  // in two hours, in which the load oscillates up to 120 times
   }
 }
 
-TEST_CASE("overlapping failures keep the highest level that holds, until the last one ends", "[levels]") {
+TEST_CASE("overlapping failures keep the highest level whose condition holds, until the last failure ends",
+          "[levels]") {
   MachineFixture run;
   run.steps(10, 0.15, 1.0);
   CHECK(run.machine.level_name() == "spare");
@@ -160,25 +163,25 @@
   CHECK(run.machine.level_name() == "reduced");
   run.steps(10, 0.15, 0.3);
   CHECK(run.machine.level_name() == "commands-only");
-  run.steps(600, 0.01, 0.6);  // the first and the last one end; the zone stays lost
+  run.steps(600, 0.01, 0.6);  // the first and the last failure end; the zone stays lost
   CHECK(run.machine.level_name() == "reduced");
   run.steps(3000, 0.01, 1.0);
   CHECK(run.machine.level() == 0);
   run.check_change_limits();
 }
 
-TEST_CASE("a missing signal enters no level and leaves none", "[levels]") {
+TEST_CASE("a missing signal causes no level to be entered or left", "[levels]") {
   MachineFixture run;
   run.steps(600, -1, -1);
   CHECK(run.changes.empty());
-  run.steps(10, -1, 0.3);  // what is known is enough
+  run.steps(10, -1, 0.3);  // the known signal is sufficient
   CHECK(run.machine.level_name() == "commands-only");
   run.steps(3600, -1, -1);
   CHECK(run.machine.level_name() == "commands-only");
   run.steps(3600, -1, 1.0);
-  CHECK(run.machine.level_name() == "reduced");  // whose condition to leave needs both signals
+  CHECK(run.machine.level_name() == "reduced");  // its condition to leave needs both signals
   run.step(0.01, 1.0);
-  for (int i = 0; i < 200; ++i) {  // known every other time: nothing holds for its time
+  for (int i = 0; i < 200; ++i) {  // with signals only every other second, no condition holds for its time
     run.step(0.01, 1.0);
     run.step(-1, -1);
   }
@@ -198,11 +201,11 @@
   run.machine.set_override(0, run.now);
   CHECK(run.machine.level() == 0);
   CHECK(run.machine.history().back().cause == LevelChange::Cause::kOverridden);
-  run.machine.set_override(0, run.now);  // no change, so no entry in the history
+  run.machine.set_override(0, run.now);  // no change, so no new entry in the history
   CHECK(run.machine.history().size() == 3);
 }
 
-TEST_CASE("a reload keeps the level by name, or selects the next milder one", "[levels]") {
+TEST_CASE("a reload keeps the level of the same name, or else selects the next milder one", "[levels]") {
   MachineFixture run;
   run.steps(10, 0.3, 0.6);
   REQUIRE(run.machine.level_name() == "reduced");
@@ -238,12 +241,12 @@
   CHECK_FALSE(run.machine.shed("command", request("acme"), 0.5));
 }
 
-TEST_CASE("a file with a level whose conditions overlap, or another problem, is rejected", "[levels]") {
+TEST_CASE("a levels file is rejected if a level's conditions overlap, or for any other problem", "[levels]") {
   const auto one = [](const std::string& more) { return "levels: [{name: \"a\", " + more + "}]"; };
-  CHECK(problems("") == Strings{"l: levels: missing: a file without levels says levels: []"});
+  CHECK(problems("") == Strings{"l: levels: missing: a file without levels must contain levels: []"});
   CHECK(problems("levels: []") == Strings{});
   CHECK(problems(one("enter: \"late.command > 0.2\", leave: \"late.command < 0.3\"")) ==
-        Strings{"l:1:58: levels[0].leave: can hold while 'enter' does: the level would swing"});
+        Strings{"l:1:58: levels[0].leave: can hold while 'enter' does: the level would oscillate"});
   CHECK(problems(one("enter: \"late.command >= 0.2\", leave: \"late.command <= 0.2\"")).size() == 1);
   CHECK(problems(one("enter: \"late.command > 0.2 && open > 3\", leave: \"open < 5 && late.command > 0.1\""))
             .size() == 1);
@@ -260,20 +263,20 @@
   CHECK(problems(four + "]").front().find("more than 3 levels") != std::string::npos);
 }
 
-// Numbers that tests draw, from a generator of fixed seed.
+// Generates random numbers from a fixed seed.
 class Draw {
  public:
   double between(double low, double high) {
     return std::uniform_real_distribution<double>(low, high)(random_);
   }
-  // From 0 to `limit` - 1.
+  // Returns a number from 0 to `limit` - 1.
   unsigned below(unsigned limit) { return random_() % limit; }
 
  private:
   std::mt19937 random_{2026};
 };
 
-// A file of one to three levels, whose conditions to enter and to leave do not overlap.
+// Returns a random levels file of one to three levels whose conditions to enter and to leave do not overlap.
 std::string draw_levels(Draw& draw) {
   std::string text = "levels: [";
   const unsigned count = 1 + draw.below(3);
@@ -288,7 +291,7 @@
   return text + "]";
 }
 
-// Checks that a change is one step down or any step up, and that its condition holds by its signals.
+// Checks that a change is a step up or a single step down, and that its condition holds for its signals.
 void check_is_justified(const LevelSet& levels, const LevelChange& change) {
   CHECK_FALSE(change.condition.empty());
   const bool is_step_down = change.cause == LevelChange::Cause::kLeft;
@@ -302,7 +305,7 @@
   CHECK(condition.run(change.signals, scratch).is(true));
 }
 
-TEST_CASE("for any signals the change limits hold, and the history has each change and its cause",
+TEST_CASE("the change limits hold for any signals, and the history has each change with its cause",
           "[levels]") {
   Draw draw;
   std::size_t changes = 0;
