--- a/tests/confine/confine_test.cpp
+++ b/tests/confine/confine_test.cpp
@@ -115,7 +115,7 @@
   Agent discovery(site.work);
   ConfinedProcess daemon(DISPATCHER_DAEMON, {});
   daemon.write_config(configuration(site.port, discovery.address().port(), site.reader, site.writer));
-  discovery.reject();  // its socket must not be inherited, which would keep the port open
+  discovery.stop_listening();  // its socket must not be inherited, which would keep the port open
   {
     const InheritedDescriptorLimit limit(96);
     daemon.start();
@@ -123,7 +123,7 @@
   discovery.listen();
   REQUIRE(becomes_healthy(site.work, site.port));
   REQUIRE(site.until_late([&] { return discovery.request_count() == 1; }));
-  discovery.reject();
+  discovery.stop_listening();
   Agent::reset(*discovery.calls[0]);
   std::vector<std::unique_ptr<FakeClient>> idle_clients;
   for (int i = 0; i < 300; ++i) {
