--- a/src/daemon/address_text.hpp
+++ b/src/daemon/address_text.hpp
@@ -1,4 +1,4 @@
-// Addresses as log lines print them.
+// Formats addresses for log lines.
 #ifndef DISPATCHER_DAEMON_ADDRESS_TEXT_HPP_
 #define DISPATCHER_DAEMON_ADDRESS_TEXT_HPP_
 
@@ -8,7 +8,7 @@
 
 namespace dispatcher::daemon {
 
-// "127.0.0.1:3000".
+// Returns an address and port such as "127.0.0.1:3000".
 [[nodiscard]] inline std::string to_text(const net::tcp::endpoint& address) {
   return address.address().to_string() + ":" + std::to_string(address.port());
 }
--- a/src/daemon/command_line.hpp
+++ b/src/daemon/command_line.hpp
@@ -9,17 +9,17 @@
 
 namespace dispatcher::daemon {
 
-// The sub-command. kServe is the default, without one.
+// The sub-command. kServe is the default if none is given.
 enum class Command { kServe, kVersion, kCheckConfig, kShowConfig, kRulesCheck, kRulesExplain, kRulesBench };
 
-// A file with a default path. `is_named`: the command line or the environment names it, so that it must
-// exist.
+// A file with a default path. `is_named` is true if the command line or the environment names the file; it
+// must then exist.
 struct OptionalFile {
   std::string path;
   bool is_named = false;
 };
 
-// The command line as parsed.
+// The parsed command line.
 struct CommandLine {
   Command command = Command::kServe;
   OptionalFile chat{"deploy/chat.json"};
@@ -27,12 +27,12 @@
   OptionalFile rules{"deploy/rules.cue"};
   OptionalFile levels{"deploy/levels.cue"};
   bool logs_requests = false;
-  std::string config_path;  // of check-config and show-config, in place of PROXY_CONFIG; may be empty
-  std::string names_path;   // of rules: the configuration whose names the rules may use; may be empty
+  std::string config_path;              // of check-config and show-config; empty: PROXY_CONFIG names it
+  std::string names_path;               // of rules: defines the names for rules; empty: PROXY_CONFIG, if set
   std::vector<std::string> rule_files;  // of rules check
   bool shows_costs = false;             // of rules check
   std::string rule_file;                // of rules explain and rules bench
-  std::string sample;                   // of rules explain: a file, or the record itself
+  std::string sample;  // of rules explain: a request record, or the path of a file that has one
   std::size_t bench_requests = 1'000'000;
 };
 
--- a/src/daemon/components.cpp
+++ b/src/daemon/components.cpp
@@ -9,10 +9,12 @@
 
 namespace {
 
-// Makes the watcher's jitter independent of the other random numbers drawn from the configuration's seed.
+// Applied to the configuration's seed, so that the watcher's jitter is independent of the other random
+// numbers.
 constexpr std::uint64_t kWatcherSeedMask = 0x5bd1e995;
 
-// A file of this dispatcher in the directory that its processes share; empty where there is no directory.
+// Returns the path of a file of this dispatcher in the directory that its processes share, or an empty string
+// if there is no such directory.
 std::string shared_path(const Config& config, const char* suffix) {
   if (config.shared_directory.empty()) return {};
   std::string name = config.name;
@@ -70,12 +72,12 @@
           descriptor_reclaimer()};
 }
 
-// Where descriptors run short, an idle connection to an endpoint is closed for the new connection.
+// When descriptors run short, an idle connection to an endpoint is closed to make room for a new connection.
 http::DescriptorReclaimer Components::descriptor_reclaimer() {
   return [this] { return replica_client.evict_idle(); };
 }
 
-// All frontends share the counters of rate limits and the degradation level.
+// All frontends share the rate limit counters and the degradation level.
 void Components::attach_admission(http::Frontend& frontend) {
   frontend.attach(rate_limiter);
   frontend.attach(degradation_controller);
@@ -117,7 +119,8 @@
     server->set_limits(options.max_clients, options.max_body_bytes);
 }
 
-// Two processes of one dispatcher count as two instances: each enforces half of the dispatcher's part.
+// Two processes of one dispatcher count as two instances, each of which enforces half of the dispatcher's
+// share.
 void Components::apply_rate_limit_share() {
   const std::size_t processes_per_dispatcher = count_of(processes());
   const auto dispatcher = static_cast<std::size_t>(std::max(0, config.settings.router_number));
--- a/src/daemon/components.hpp
+++ b/src/daemon/components.hpp
@@ -1,5 +1,5 @@
-// The composition root: the parts of one dispatcher process, built from its configuration and connected to
-// each other. Nothing here listens, connects or runs until Dispatcher::start().
+// The composition root: builds the components of one dispatcher process from its configuration and connects
+// them to each other. Nothing here listens, connects or runs until Dispatcher::start().
 #ifndef DISPATCHER_DAEMON_COMPONENTS_HPP_
 #define DISPATCHER_DAEMON_COMPONENTS_HPP_
 
@@ -28,50 +28,51 @@
 
 namespace dispatcher::daemon {
 
-// By which the parts notify and query their owner. All are called on the event loop thread, once it runs.
+// Callbacks by which the components notify and query their owner. All are called on the event loop thread,
+// once it runs.
 struct ComponentCallbacks {
-  // A complete endpoint list or an update of it has arrived.
+  // Called when a complete endpoint list or an update of it has arrived.
   std::function<void(const service_discovery::EndpointSnapshot&)> on_endpoints;
-  // Whether this process serves; for GET /control/ready.
+  // Returns whether this process serves; for GET /control/ready.
   std::function<bool()> is_ready;
-  // Drains an endpoint or returns it to service. Returns false where the endpoint is unknown.
+  // Drains an endpoint or returns it to service. Returns false if the endpoint is unknown.
   std::function<bool(const routing::EndpointId& endpoint, routing::AdministrativeState state)>
       set_administrative_state;
   hot_restart::HotRestartPeer::Owner& hot_restart_owner;
 };
 
-// Owns the parts. They refer to each other, so the order of the members is that of their construction, and a
-// Components is neither copied nor moved. Used on the event loop thread only.
+// Owns the components. They refer to each other, so members are declared in the order in which they must be
+// constructed, and a Components object is neither copied nor moved. Used on the event loop thread only.
 struct Components {
-  // The loop outlives the components. Throws ConfigError or cue::Errors where a file is invalid.
+  // The loop must outlive the components. Throws ConfigError or cue::Errors if a file is invalid.
   Components(Loop& loop, const Config& config, const FeatureFiles& files, const engine::Log& log,
              const ComponentCallbacks& callbacks);
   Components(const Components&) = delete;
   Components& operator=(const Components&) = delete;
 
-  // The servers of the client frontends.
+  // Returns the servers of the client frontends.
   [[nodiscard]] std::vector<http::Server*> client_servers();
-  // Adapts connection and rate limits to whether another process of this dispatcher runs.
+  // Sets the connection and rate limits, which are lower while another process of this dispatcher runs.
   void apply_resource_limits();
-  // The part of it that concerns rate limits.
+  // Sets the rate limits alone, as apply_resource_limits() does.
   void apply_rate_limit_share();
-  // Passes a complete list, or an update of the current one, to every part that keeps endpoints.
+  // Passes a complete list, or an update of the current one, to every component that keeps endpoints.
   void update_endpoints(const service_discovery::EndpointSnapshot& snapshot);
 
   Loop& loop;
   Config config;
   engine::Log log;
   engine::SettingsSnapshot settings;
-  std::optional<openai_api::Config> chat_config;             // before the frontends, which share its limits
+  std::optional<openai_api::Config> chat_config;  // declared before the frontends, whose limits depend on it
   std::shared_ptr<const rate_limit::RuleSet> initial_rules;  // parsed before anything is opened
   rate_limit::RateLimiter rate_limiter;
-  std::mt19937_64 random;  // spreads the retries of requests that degradation sheds
+  std::mt19937_64 random;  // spreads the retries of requests that a degradation level sheds
   degradation::DegradationController degradation_controller;
   upstream::ReplicaClient replica_client;
   engine::Engine engine;
   platform_api::Frontend platform_frontend;
-  std::optional<openai_api::Frontend> chat_frontend;  // none: the configuration names no address for it
-  std::optional<admin::AdminServer> admin_server;     // none: the configuration names no address for it
+  std::optional<openai_api::Frontend> chat_frontend;  // nullopt if the configuration names no address for it
+  std::optional<admin::AdminServer> admin_server;     // nullopt if the configuration names no address for it
   service_discovery::EndpointWatcher endpoint_watcher;
   hot_restart::DrainedEndpointStore drained_endpoints;
   hot_restart::HotRestartPeer hot_restart_peer;
@@ -79,7 +80,7 @@
 
  private:
   [[nodiscard]] ProcessCount processes() const;
-  // Client frontends of this process: the platform's, and the chat frontend where it is on.
+  // Number of client frontends of this process: the platform's, and the chat frontend if it is on.
   [[nodiscard]] std::size_t frontend_count() const { return chat_config ? 2 : 1; }
   [[nodiscard]] http::FrontendContext frontend_context();
   [[nodiscard]] http::DescriptorReclaimer descriptor_reclaimer();
--- a/src/daemon/config.cpp
+++ b/src/daemon/config.cpp
@@ -47,26 +47,27 @@
 }  // namespace variable
 
 constexpr int kHexadecimal = 16;
-// Largest value of a resource limit: conversions from floating point stay exact.
+// Largest value of a resource limit, so that its conversion from floating point is exact.
 constexpr double kMaxLimit = 1e9;
-// On sockets an attempt counts once its last byte is written. Failed connections do not, but there are at
-// most this many for each attempt, so that a request does not try unreachable endpoints until its deadline.
+// Maximum of failed connections for each attempt of a request. An attempt on a socket is counted once its
+// last byte is written, so failed connections are not counted; without this maximum a request would try
+// unreachable endpoints until its deadline.
 constexpr int kConnectFailuresPerAttempt = 4;
 
-// Null where the field is absent or null.
+// Returns null if the field is absent or null.
 const Json* member(const Json& object, const char* field) {
   const auto it = object.find(field);
   return it == object.end() || it->is_null() ? nullptr : &*it;
 }
 
-// Reads fields of the file's top level. Problems are added to `findings`; a field that has one gets its
-// default.
+// Reads the top-level fields of the file. Adds problems to `findings`; a field with a problem gets its
+// default value.
 class FieldReader {
  public:
   FieldReader(const Json& object, const Environment& environment, std::vector<Finding>& findings)
       : object_(object), environment_(environment), findings_(findings) {}
 
-  // The text of an environment variable or, where it is not set, of a field; empty where neither is.
+  // Returns the text of an environment variable or, if it is not set, of a field. Empty if neither is set.
   [[nodiscard]] std::string text(const char* field, const char* variable) const {
     if (const auto it = environment_.find(variable); it != environment_.end()) return it->second;
     const Json* value = member(object_, field);
@@ -75,7 +76,7 @@
     add_error(field, "no text", "text");
     return {};
   }
-  // As text(), an address and port.
+  // Returns the address and port in the text that text() returns.
   [[nodiscard]] net::tcp::endpoint endpoint(const char* field, const char* variable) const {
     const std::size_t before = findings_.size();
     const std::string value = text(field, variable);
@@ -84,7 +85,7 @@
     if (findings_.size() == before) add_error(field, "'" + value + "'" + from, "address and port");
     return {};
   }
-  // Hexadecimal text, or a number.
+  // Returns the seed, which is hexadecimal text or a number.
   [[nodiscard]] std::uint64_t seed() const {
     const Json* value = member(object_, key::kSeed);
     if (value == nullptr) return 0;
@@ -96,20 +97,20 @@
     if (error != std::errc() || last != end) add_error(key::kSeed, "no number", "hexadecimal text");
     return seed;
   }
-  // Null, which is an error, where the field is missing or not an object.
+  // Returns null and reports an error if the field is missing or not an object.
   [[nodiscard]] const Json* required_object(const char* field) const {
     if (member(object_, field) != nullptr) return optional_object(field);
     add_error(field, "missing", "object");
     return nullptr;
   }
-  // Null where the field is missing or, which is an error, not an object.
+  // Returns null if the field is missing or not an object; the latter is reported as an error.
   [[nodiscard]] const Json* optional_object(const char* field) const {
     const Json* value = member(object_, field);
     if (value == nullptr || value->is_object()) return value;
     add_error(field, "no object", "object");
     return nullptr;
   }
-  // A field of key::kLimits.
+  // Returns a field of the object key::kLimits.
   [[nodiscard]] std::size_t limit(const Json& limits, const char* field, std::size_t default_value) const {
     const Json* value = member(limits, field);
     if (value == nullptr) return default_value;
@@ -129,7 +130,7 @@
   std::vector<Finding>& findings_;
 };
 
-// Adds findings of the settings, whose fields are named within the settings.
+// Adds findings about the settings, whose field names are relative to the settings object.
 void add_settings_findings(std::vector<Finding>& findings, std::vector<Finding> settings_findings) {
   for (Finding& finding : settings_findings) {
     finding.field.insert(0, std::string(key::kSettings) + ".");
@@ -166,7 +167,7 @@
   return endpoints;
 }
 
-// Throws ConfigError, with the line where the text is not JSON.
+// Throws a ConfigError that names the line, if the text is not JSON.
 Json parse_json(const std::string& file, const std::string& source) {
   try {
     Json object = Json::parse(source);
@@ -216,7 +217,7 @@
 
 namespace {
 
-// Fields of the top level that the environment may override.
+// Reads the top-level fields that the environment may override.
 void read_addresses(const FieldReader& reader, Config& config) {
   config.name = reader.text(key::kName, variable::kName);
   config.listen = reader.endpoint(key::kListen, variable::kListen);
@@ -260,7 +261,7 @@
 
 namespace {
 
-// An object with the keys that all elements of an array have. Null where one of them is not an object.
+// Returns an object with the keys that all elements of an array have, or null if an element is not an object.
 Json common_keys(const Json& array) {
   Json keys;
   for (const Json& element : array) {
--- a/src/daemon/config_commands.cpp
+++ b/src/daemon/config_commands.cpp
@@ -48,7 +48,7 @@
 void check_config(const Config& config, const FeatureFiles& files, std::ostream& out) {
   const bool has_chat =
       !files.chat.text.empty() && openai_api::parse_config(files.chat, config.settings).has_value();
-  // Parsed for their errors, which are thrown.
+  // The files are parsed only for the errors that parsing throws.
   if (files.rules)
     std::ignore = rate_limit::RuleSet::read(*files.rules, rate_limit::vocabulary_of(config.settings));
   if (files.levels) std::ignore = degradation::DegradationController::read(*files.levels, config.settings);
--- a/src/daemon/config_commands.hpp
+++ b/src/daemon/config_commands.hpp
@@ -11,12 +11,12 @@
 
 namespace dispatcher::daemon {
 
-// Checks the files against the configuration and prints a summary. Throws ConfigError or cue::Errors where a
+// Checks the files against the configuration and prints a summary. Throws ConfigError or cue::Errors if a
 // file is invalid.
 void check_config(const Config& config, const FeatureFiles& files, std::ostream& out);
 
-// Prints the parsed configuration, and this instance's part of the limits of `rules`, if given. Throws
-// cue::Errors where that file is invalid.
+// Prints the parsed configuration and, if `rules` is given, this instance's part of the limits in that file.
+// Throws cue::Errors if that file is invalid.
 void show_config(const Config& config, const std::optional<cue::File>& rules, std::ostream& out);
 
 }  // namespace dispatcher::daemon
--- a/src/daemon/configuration_reloader.hpp
+++ b/src/daemon/configuration_reloader.hpp
@@ -1,5 +1,5 @@
-// Reload of the configuration in a running process: the files are read again and take effect completely or,
-// where one of them is invalid, not at all.
+// Reloads the configuration of a running process. The files are read again and take effect completely or, if
+// one of them is invalid, not at all.
 #ifndef DISPATCHER_DAEMON_CONFIGURATION_RELOADER_HPP_
 #define DISPATCHER_DAEMON_CONFIGURATION_RELOADER_HPP_
 
@@ -12,37 +12,39 @@
 
 namespace dispatcher::daemon {
 
-// Owned by the Dispatcher and used on its event loop only; the components outlive it.
+// Reads the configuration files and applies them to the components. Owned by the Dispatcher and used on its
+// event loop only; the components outlive it.
 class ConfigurationReloader {
  public:
-  // Throws ConfigError or cue::Errors where a file can't be read or is invalid.
+  // Reads all files. Throws ConfigError or cue::Errors if a file can't be read or is invalid.
   using ReadFiles = std::function<ConfigurationFiles()>;
 
-  // Without `read_files`, reload() does nothing.
-  ConfigurationReloader(Components& parts, ReadFiles read_files)
-      : parts_(parts), read_files_(std::move(read_files)) {}
+  // If `read_files` is empty, reload() does nothing.
+  ConfigurationReloader(Components& components, ReadFiles read_files)
+      : components_(components), read_files_(std::move(read_files)) {}
 
-  // Never throws; success and failure are logged. docs/reload.md lists when each field takes effect.
+  // Reloads all files. Never throws; success and failure are logged. docs/reload.md lists when each field
+  // takes effect.
   void reload();
 
  private:
-  // What the files contain, as the parts take it.
+  // The content of the files in the form that the components accept.
   struct ParsedFiles {
     engine::SettingsSnapshot settings;
     std::optional<openai_api::Config> chat;
     std::shared_ptr<const rate_limit::RuleSet> rules;
     std::shared_ptr<const degradation::LevelSet> levels;
   };
-  // Throws ConfigError or cue::Errors where a file is invalid; changes nothing.
+  // Throws ConfigError or cue::Errors if a file is invalid. Changes nothing.
   [[nodiscard]] ParsedFiles parse(const ConfigurationFiles& files) const;
-  // Throws nothing, so that the new configuration takes effect completely.
+  // Applies the new configuration. Throws nothing, so that it takes effect completely.
   void apply(const Config& next, const ParsedFiles& parsed);
   void log_deferred_changes(const Config& next, const std::optional<openai_api::Config>& chat) const;
   void log_reloaded() const;
   void log_failure(const ConfigError& error) const;
   void log_failure(const std::exception& error) const;
 
-  Components& parts_;
+  Components& components_;
   ReadFiles read_files_;
 };
 
--- a/src/daemon/dispatcher.hpp
+++ b/src/daemon/dispatcher.hpp
@@ -1,5 +1,4 @@
-// The life cycle of a dispatcher process: start or take-over from a predecessor, service, reload, graceful
-// shutdown.
+// The life cycle of a dispatcher process: start or hot restart, service, reload and graceful shutdown.
 #ifndef DISPATCHER_DAEMON_DISPATCHER_HPP_
 #define DISPATCHER_DAEMON_DISPATCHER_HPP_
 
@@ -19,42 +18,45 @@
 // One dispatcher process. Owned by main(); runs on the thread that runs the loop, which outlives it.
 class Dispatcher : private hot_restart::HotRestartPeer::Owner {
  public:
-  // `read_files`: reads the files again on SIGHUP; may be empty. Throws ConfigError or cue::Errors where a
+  // `read_files` reads the files again on SIGHUP; it may be empty. Throws ConfigError or cue::Errors if a
   // file is invalid.
   Dispatcher(Loop& loop, const Config& config, const FeatureFiles& files, const engine::Log& log,
              ConfigurationReloader::ReadFiles read_files = {});
 
-  // Takes over from a running process, if there is one, then serves. Throws boost::system::system_error where
-  // an address can't be bound.
+  // Takes over from a running process, if there is one, then serves. Throws boost::system::system_error if an
+  // address can't be bound.
   void start();
-  // Logs each event of each request and the end of each connection from now on: docs/on-call.md.
+  // Enables logging of each event of each request and of the end of each connection; see docs/on-call.md.
   void log_requests();
-  // What SIGHUP does: reads all files again. Where one of them is invalid, nothing changes.
+  // Reads all files again, as on SIGHUP. If one of them is invalid, nothing changes.
   void reload() { reloader_.reload(); }
-  // What SIGTERM does: accepts connections for a while longer, finishes all work, then ends the loop.
+  // Shuts down gracefully, as on SIGTERM: accepts connections for a while longer, finishes all work, then
+  // stops the loop.
   void drain();
-  // The bound address of the platform's frontend.
-  [[nodiscard]] net::tcp::endpoint address() { return parts_.platform_frontend.server().local(); }
-  // The bound admin address. Call it only where the configuration has one.
-  [[nodiscard]] net::tcp::endpoint admin_address() const { return parts_.admin_server->local(); }
+  // Returns the bound address of the platform's frontend.
+  [[nodiscard]] net::tcp::endpoint address() { return components_.platform_frontend.server().local(); }
+  // Returns the bound admin address. Must be called only if the configuration has one.
+  [[nodiscard]] net::tcp::endpoint admin_address() const { return components_.admin_server->local(); }
 
  private:
   // hot_restart::HotRestartPeer::Owner
-  hot_restart::Json endpoint_list() override { return service_discovery::to_json(parts_.endpoints); }
+  hot_restart::Json endpoint_list() override { return service_discovery::to_json(components_.endpoints); }
   std::map<std::string, int> listening_sockets() override;
-  std::vector<routing::RequestId> open_request_ids() override { return parts_.engine.open_request_ids(); }
-  routing::LearnedState learned_state() override { return parts_.engine.learned_state(); }
-  hot_restart::Json degradation_level() override { return parts_.degradation_controller.status(); }
+  std::vector<routing::RequestId> open_request_ids() override {
+    return components_.engine.open_request_ids();
+  }
+  routing::LearnedState learned_state() override { return components_.engine.learned_state(); }
+  hot_restart::Json degradation_level() override { return components_.degradation_controller.status(); }
   void on_handover(hot_restart::HandoverState handover) override;
   void on_administrative_state(const routing::EndpointId& endpoint,
                                routing::AdministrativeState state) override {
     change_administrative_state(endpoint, state);
   }
   void on_peer_request_progress(const routing::RequestId& id, engine::RequestProgress progress) override {
-    parts_.engine.on_peer_request_progress(id, progress);
+    components_.engine.on_peer_request_progress(id, progress);
   }
   void on_peer_forwarded(const routing::EndpointId& endpoint) override {
-    parts_.engine.on_peer_attempt_started(endpoint);
+    components_.engine.on_peer_attempt_started(endpoint);
   }
   void on_stream(const hot_restart::StreamTransfer& stream, net::UniqueFd client_socket,
                  net::UniqueFd upstream_socket) override;
@@ -76,7 +78,7 @@
   void finish_draining();
   [[nodiscard]] bool is_work_left();
 
-  Components parts_;
+  Components components_;
   ChatAddress chat_address_;
   ConfigurationReloader reloader_;
   StreamHandover stream_handover_;
--- a/src/daemon/feature_files.hpp
+++ b/src/daemon/feature_files.hpp
@@ -1,4 +1,4 @@
-// The files of optional features: their texts, and their parsers for given settings.
+// The configuration files of optional features and the functions that parse them.
 #ifndef DISPATCHER_DAEMON_FEATURE_FILES_HPP_
 #define DISPATCHER_DAEMON_FEATURE_FILES_HPP_
 
@@ -14,27 +14,27 @@
 
 namespace dispatcher::daemon {
 
-// Contents of the feature files. Without a file, or with an empty one, the feature is off.
+// The contents of the feature files. A feature is off if its file is missing or empty.
 struct FeatureFiles {
   cue::File chat = {}, vrrp = {};
   std::optional<cue::File> rules = {}, levels = {};
 };
 
-// Everything that a reload reads again.
+// All files that a reload reads again.
 struct ConfigurationFiles {
   Config config;
   FeatureFiles features;
 };
 
-// All of these throw cue::Errors where the file is invalid.
+// All of these functions throw cue::Errors if the file is invalid.
 
-// Nullopt: the chat frontend is off.
+// Returns nullopt if the chat frontend is off.
 [[nodiscard]] std::optional<openai_api::Config> parse_chat(const FeatureFiles& files,
                                                            const routing::Settings& settings);
-// Rate limiting rules. Null: there are none.
+// Returns the rate limiting rules, or null if there is no file of them.
 [[nodiscard]] std::shared_ptr<const rate_limit::RuleSet> parse_rules(const FeatureFiles& files,
                                                                      const routing::Settings& settings);
-// Degradation levels. Never null; without a file the set is empty.
+// Returns the degradation levels. Never null; without a file the set is empty.
 [[nodiscard]] std::shared_ptr<const degradation::LevelSet> parse_levels(const FeatureFiles& files,
                                                                         const routing::Settings& settings);
 
--- a/src/daemon/loop.hpp
+++ b/src/daemon/loop.hpp
@@ -14,16 +14,17 @@
 // Runs all handlers and timers of one process, on the thread that calls run(). Owns the timer queue.
 class Loop {
  public:
-  Loop() : timer_(io_), anchor_(system_now() - steady_now()) {
+  Loop() : timer_(io_), unix_offset_(system_now() - steady_now()) {
     timers_.set_earlier_deadline_callback([this] { arm(); });
   }
-  // Has a clock of the caller's, who also runs the timer queue by it: for tests in virtual time.
+  // Uses the caller's clock, for tests in virtual time. The caller also runs the timer queue by that clock.
   explicit Loop(engine::Clock clock) : timer_(io_), clock_(std::move(clock)) {}
   boost::asio::io_context& io() { return io_; }
   engine::TimerQueue& timers() { return timers_; }
-  // A steady clock that counts from the Unix epoch, since service discovery reports start times in Unix time.
-  // The system clock is read once, at the start: later adjustments of it move no deadline.
-  [[nodiscard]] engine::Time now() const { return clock_ ? clock_() : anchor_ + steady_now(); }
+  // Returns the time of a steady clock that counts from the Unix epoch, since service discovery reports start
+  // times in Unix time. The system clock is read only once, at construction, so that later adjustments of it
+  // move no deadline.
+  [[nodiscard]] engine::Time now() const { return clock_ ? clock_() : unix_offset_ + steady_now(); }
   engine::Clock clock() {
     return [this] { return now(); };
   }
@@ -40,9 +41,9 @@
   void arm() {
     const auto next = timers_.next();
     if (!next) return;
-    timer_.expires_at(std::chrono::steady_clock::time_point(*next - anchor_));
+    timer_.expires_at(std::chrono::steady_clock::time_point(*next - unix_offset_));
     timer_.async_wait([this](boost::system::error_code error) {
-      if (error) return;  // cancelled, as it was armed again for an earlier deadline
+      if (error) return;  // cancelled, because arm() was called for an earlier deadline
       timers_.run(now());
       arm();
     });
@@ -51,8 +52,8 @@
   boost::asio::io_context io_{1};
   boost::asio::steady_timer timer_;
   engine::TimerQueue timers_;
-  engine::Time anchor_{};  // Unix time minus steady time, at construction
-  engine::Clock clock_;    // empty: the system's
+  engine::Time unix_offset_{};  // Unix time minus steady time, at construction
+  engine::Clock clock_;         // empty if the system's clock is used
 };
 
 }  // namespace dispatcher::daemon
--- a/src/daemon/main.cpp
+++ b/src/daemon/main.cpp
@@ -1,4 +1,4 @@
-// llm-dispatcher: the daemon and its sub-commands.
+// Entry point of llm-dispatcher: the daemon and its sub-commands.
 #include <CLI/CLI.hpp>
 #include <chrono>
 #include <cstdio>
@@ -27,7 +27,7 @@
 constexpr int kExitFailure = 1;
 constexpr const char* kVersion = "bitternferry 0.1.0";
 
-// Writes one line to standard error: Unix time in seconds, then the text.
+// Writes one line to standard error: the Unix time in seconds with milliseconds, then the text.
 void log_line(engine::Time now, std::string_view text) {
   const auto since_epoch = std::chrono::duration_cast<std::chrono::milliseconds>(now);
   const auto seconds = std::chrono::duration_cast<std::chrono::seconds>(since_epoch);
@@ -36,7 +36,7 @@
                static_cast<long long>(milliseconds.count()), static_cast<int>(text.size()), text.data());
 }
 
-// The configuration that PROXY_CONFIG names, or the one at `path` where that is not empty.
+// Loads the configuration at `path` or, if that is empty, the one that PROXY_CONFIG names.
 daemon::Config load(const std::string& path) {
   daemon::Environment environment = daemon::read_environment();
   if (!path.empty()) environment["PROXY_CONFIG"] = path;
@@ -45,24 +45,26 @@
 
 cue::File read_cue_file(const std::string& path) { return {path, daemon::read_file(path)}; }
 
-// A file that was named must exist. One at its default path need not: its text is empty then.
+// Reads a file. If it was not named and does not exist at its default path, its text is empty.
 cue::File read_if_present(const OptionalFile& file) {
   if (file.is_named || std::filesystem::exists(file.path)) return read_cue_file(file.path);
   return {file.path, ""};
 }
 
+// Returns nullopt if the file was not named: a file at its default path is ignored.
 std::optional<cue::File> read_if_named(const OptionalFile& file) {
   if (!file.is_named) return std::nullopt;
   return read_cue_file(file.path);
 }
 
-// A check also reads a file at its default path, which is not in use until it is named.
+// Reads a file for a check, which covers a file at its default path too, although serving ignores that file
+// unless it is named. Returns nullopt if there is no file.
 std::optional<cue::File> read_for_check(const OptionalFile& file) {
   if (!file.is_named && !std::filesystem::exists(file.path)) return std::nullopt;
   return read_cue_file(file.path);
 }
 
-// The files that the dispatcher serves with.
+// Reads the files that the dispatcher serves with.
 daemon::FeatureFiles read_feature_files(const CommandLine& command_line) {
   return {read_if_present(command_line.chat), read_if_present(command_line.vrrp),
           read_if_named(command_line.rules), read_if_named(command_line.levels)};
@@ -95,13 +97,13 @@
   daemon::show_config(load(command_line.config_path), rules, std::cout);
 }
 
-// The names that the configuration defines; without a configuration, none.
+// Returns the names that the configuration defines, or none if there is no configuration.
 rate_limit::Vocabulary known_names(const std::string& config_path) {
   const bool has_config = !config_path.empty() || daemon::read_environment().contains("PROXY_CONFIG");
   return has_config ? rate_limit::vocabulary_of(load(config_path).settings) : rate_limit::Vocabulary{};
 }
 
-// A request that is given as a record, or as the path of a file that has one.
+// Returns a request record that is given as such, or as the path of a file that contains it.
 cue::File read_sample(const std::string& record_or_path) {
   if (record_or_path.starts_with('{')) return {"request", record_or_path};
   return read_cue_file(record_or_path);
@@ -157,7 +159,7 @@
 
 int main(int argc, char** argv) {
   CommandLine command_line;
-  CLI::App cli("The bitternferry dispatcher: takes requests and sends them on to model replicas.");
+  CLI::App cli("The bitternferry dispatcher: accepts requests and forwards them to model endpoints.");
   daemon::define_command_line(cli, command_line);
   try {
     cli.parse(argc, argv);
--- a/src/daemon/resource_limits.cpp
+++ b/src/daemon/resource_limits.cpp
@@ -14,24 +14,28 @@
 
 namespace {
 
-// Rounds of calls that release a reservation: several must fit into the time that it may last.
+// Number of rounds of release calls within the time that a reservation may last: several must fit into it.
 constexpr int kReleaseRounds = 6;
-// Between two rounds at least, however short that time: endpoints must not be flooded with calls.
+// Minimum time between two rounds of release calls, however short a reservation may last, so that endpoints
+// are not flooded with calls.
 constexpr engine::Duration kMinReleaseInterval = milliseconds(20);
-// Of the descriptors that are left for connections.
+// Percentages of the descriptors that are left for connections: those to endpoints and those from clients.
 constexpr std::size_t kEndpointPercent = 46;
 constexpr std::size_t kClientPercent = 54;
 constexpr std::size_t kBytesPerMegabyte = std::size_t{1024} * 1024;
-// Divides the memory for request bodies. A body is in memory up to three times: as received, kept for a
-// retry, and in the send buffer.
+// The part of the configured memory that request bodies may use is one divided by this. A body is in memory
+// up to three times: as received, kept for a retry, and in the send buffer.
 constexpr std::size_t kBodyMemoryDivisor = 8;
-// Descriptors for all that is neither a client nor an endpoint: listeners, files, the event loop's own.
+// Descriptors that are reserved for other uses than client and endpoint connections: listeners, files and the
+// event loop.
 constexpr std::size_t kInternalDescriptors = 32;
-// Operators must be able to connect however many clients and endpoints are connected.
+// Includes descriptors for admin connections, so that operators can connect however many clients and
+// endpoints are connected.
 constexpr std::size_t kSpareDescriptors = kInternalDescriptors + admin::kMaxConnections;
 
-// What the kernel lets this process open, which may be fewer than configured: clients would otherwise take
-// those that are kept for discovery, endpoints and releases.
+// Returns the number of descriptors that the kernel lets this process open, which may be lower than the
+// configured one. If that were ignored, clients would take the descriptors that are kept for discovery,
+// endpoints and releases.
 std::size_t max_open_files() {
   rlimit limit{};
   if (::getrlimit(RLIMIT_NOFILE, &limit) != 0) return std::numeric_limits<std::size_t>::max();
--- a/src/daemon/resource_limits.hpp
+++ b/src/daemon/resource_limits.hpp
@@ -1,5 +1,5 @@
-// How the configured descriptors, or those that the kernel allows where they are fewer, and the configured
-// memory are divided between clients, endpoints and other uses.
+// Divides the configured descriptors, or those that the kernel allows if they are fewer, and the configured
+// memory between clients, endpoints and other uses.
 #ifndef DISPATCHER_DAEMON_RESOURCE_LIMITS_HPP_
 #define DISPATCHER_DAEMON_RESOURCE_LIMITS_HPP_
 
@@ -11,17 +11,18 @@
 
 namespace dispatcher::daemon {
 
-// How many processes of one dispatcher run. There are two during a hot restart, and each then uses half of
-// the limits of one.
+// The number of running processes of one dispatcher. There are two during a hot restart, each of which then
+// uses half of the limits.
 enum class ProcessCount { kOne, kTwo };
 
 [[nodiscard]] constexpr std::size_t count_of(ProcessCount processes) {
   return processes == ProcessCount::kTwo ? 2 : 1;
 }
 
-// Limits and times of the connections to endpoints.
+// Returns the limits and timeouts of the connections to endpoints.
 [[nodiscard]] upstream::Options upstream_options(const Config& config, ProcessCount processes);
-// Limits of one client frontend. `frontends`: how many this process has; they divide its part equally.
+// Returns the limits of one client frontend. `frontends` is the number of client frontends of this process,
+// which share its limits equally.
 [[nodiscard]] http::ServerOptions server_options(const Config& config, std::size_t frontends,
                                                  ProcessCount processes);
 
--- a/src/daemon/rules_command.cpp
+++ b/src/daemon/rules_command.cpp
@@ -16,7 +16,8 @@
 
 namespace {
 
-// Possible values of each text field: those that conditions compare it with, and one that none does.
+// The possible values of each text field: those that conditions compare it with, and one that no condition
+// names.
 class FieldValues {
  public:
   explicit FieldValues(const RuleSet& rules) : by_field_(rules.fields().fields().size()) {
@@ -24,7 +25,7 @@
       collect(rules.conditions().condition(i).tree(), kNoField);
     for (auto& values : by_field_) values.emplace_back("another");
   }
-  // A random value of the field with this index.
+  // Returns a random value of the field with this index.
   [[nodiscard]] const std::string& draw(std::size_t field, std::mt19937_64& random) const {
     return by_field_[field][random() % by_field_[field].size()];
   }
@@ -32,7 +33,8 @@
  private:
   static constexpr int kNoField = -1;
 
-  // Adds the string literals under `node`. `field`: the one that an enclosing node compares them with.
+  // Adds the string literals under `node`. `field` is the index of the field that an enclosing node compares
+  // them with, or kNoField.
   void collect(const expression::Node& node, int field) {
     if (node.op == expression::Op::kField) return;
     for (const expression::Node& child : node.children) {
@@ -45,7 +47,7 @@
   std::vector<std::vector<std::string>> by_field_;
 };
 
-// Null where the file is invalid, which is reported to `errors`.
+// Returns null if the file is invalid, which is reported to `errors`.
 std::shared_ptr<const RuleSet> load(const cue::File& file, const rate_limit::Vocabulary& names,
                                     std::ostream& errors) {
   try {
@@ -56,11 +58,11 @@
   }
 }
 
-// Bounds of the numbers that requests are drawn with.
+// Exclusive upper bounds of the random numeric fields of requests.
 constexpr std::uint64_t kPromptTokensBound = 32'768;
 constexpr std::uint64_t kTimeLeftMsBound = 10'000;
 
-// Draws a request, with text fields mostly of values that the rules name.
+// Draws a random request, whose text fields mostly have values that the rules name.
 rate_limit::RequestAttributes draw_request(const RuleSet& rules, const FieldValues& values,
                                            std::mt19937_64& random) {
   rate_limit::RequestAttributes attributes;
@@ -82,10 +84,10 @@
 
 // The result of a benchmark, of at least one decision.
 struct Measurement {
-  std::vector<float> times_ns;  // of each decision, ascending
+  std::vector<float> times_ns;  // time of each decision in nanoseconds, ascending
   std::size_t matched = 0;      // requests that matched a rule
 
-  // `share`: from 0 to 1.
+  // `share` is from 0 to 1.
   [[nodiscard]] float quantile(double share) const {
     return times_ns[static_cast<std::size_t>(share * static_cast<double>(times_ns.size() - 1))];
   }
@@ -125,7 +127,7 @@
   out << "; computed worst " << rules.worst_ns() << "\n";
 }
 
-// One line for each rule: its worst cost.
+// Prints one line for each rule, with its worst cost.
 void print_costs(const RuleSet& rules, std::ostream& out) {
   constexpr int kCostWidth = 9;
   for (std::size_t i = 0; i < rules.rules().size(); ++i)
--- a/src/daemon/stream_handover.cpp
+++ b/src/daemon/stream_handover.cpp
@@ -10,38 +10,38 @@
 
 namespace {
 
-// A stream that can't be handed over yet reads on during one pass of this many, so that it comes to an end of
-// an event.
+// A stream that can't be handed over yet resumes reading in one of this many passes, so that it reaches the
+// end of an event.
 constexpr int kPassesPerResume = 3;
 
 }  // namespace
 
 void StreamHandover::hand_over() {
-  if (!parts_.hot_restart_peer.is_successor_serving()) return;
+  if (!components_.hot_restart_peer.is_successor_serving()) return;
   for (const engine::RunningStream& stream :
-       parts_.engine.running_streams(parts_.platform_frontend.response_sink()))
+       components_.engine.running_streams(components_.platform_frontend.response_sink()))
     hand_over(stream);
   ++passes_;
 }
 
-// Cancels the pending reads of both sockets first. The stream is handed over once both are cancelled and no
-// bytes have arrived since.
+// Cancels the pending reads of both sockets first. Hands the stream over once both are cancelled and no bytes
+// have arrived since.
 void StreamHandover::hand_over(const engine::RunningStream& stream) {
-  http::Server& server = parts_.platform_frontend.server();
+  http::Server& server = components_.platform_frontend.server();
   const engine::AttemptId attempt{stream.request, stream.attempt};
   const bool is_client_suspended = server.suspend_reading(stream.client);
-  const bool is_endpoint_suspended = parts_.replica_client.suspend_stream(attempt);
+  const bool is_endpoint_suspended = components_.replica_client.suspend_stream(attempt);
   if (is_client_suspended && is_endpoint_suspended) {
-    const upstream::DetachedStream state = parts_.replica_client.detach_stream(attempt);
+    const upstream::DetachedStream state = components_.replica_client.detach_stream(attempt);
     const net::UniqueFd client_socket = server.detach(stream.client);
-    parts_.platform_frontend.forget_detached_stream(stream.client);
-    parts_.hot_restart_peer.transfer_stream(
+    components_.platform_frontend.forget_detached_stream(stream.client);
+    components_.hot_restart_peer.transfer_stream(
         {stream.id, state.endpoint, state.unread, state.position.chunk_left, state.position.keep_alive},
         client_socket.get(), state.socket.get());
-    parts_.engine.release_stream(stream.request);
+    components_.engine.release_stream(stream.request);
   } else if (passes_ % kPassesPerResume == kPassesPerResume - 1) {
     server.resume_reading(stream.client);
-    parts_.replica_client.resume_stream(attempt);
+    components_.replica_client.resume_stream(attempt);
   }
 }
 
@@ -50,12 +50,12 @@
   try {
     upstream::DetachedStream state{
         std::move(endpoint), transfer.endpoint, transfer.unread, {transfer.chunk_left, transfer.keep_alive}};
-    parts_.engine.on_peer_request_progress(transfer.request_id, engine::RequestProgress::kCompleted);
+    components_.engine.on_peer_request_progress(transfer.request_id, engine::RequestProgress::kCompleted);
     const net::SlotId request =
-        parts_.platform_frontend.adopt_stream(std::move(client), transfer.request_id, state.endpoint);
-    parts_.replica_client.adopt_stream({request, 0}, std::move(state));
+        components_.platform_frontend.adopt_stream(std::move(client), transfer.request_id, state.endpoint);
+    components_.replica_client.adopt_stream({request, 0}, std::move(state));
   } catch (const std::exception& error) {
-    parts_.log(std::string("upgrade: can't continue a stream: ") + error.what());
+    components_.log(std::string("upgrade: can't continue a stream: ") + error.what());
   }
 }
 
--- a/src/daemon/stream_handover.hpp
+++ b/src/daemon/stream_handover.hpp
@@ -1,4 +1,4 @@
-// Hand-over of running streams from a process that shuts down to its successor.
+// Hands over running streams from a process that shuts down to its successor.
 #ifndef DISPATCHER_DAEMON_STREAM_HANDOVER_HPP_
 #define DISPATCHER_DAEMON_STREAM_HANDOVER_HPP_
 
@@ -7,24 +7,25 @@
 
 namespace dispatcher::daemon {
 
-// Owned by the Dispatcher and used on its event loop only; the components outlive it.
+// Hands over streams to the successor and adopts those of the predecessor. Owned by the Dispatcher and used
+// on its event loop only; the components outlive it.
 class StreamHandover {
  public:
-  explicit StreamHandover(Components& parts) : parts_(parts) {}
+  explicit StreamHandover(Components& components) : components_(components) {}
 
-  // One pass over the streams of the platform's clients: each that is between two events is handed to the
-  // successor, with both sockets and the unread rest of the current chunk. To be called until no stream is
-  // left; does nothing where no successor serves.
+  // Makes one pass over the streams of the platform's clients. Hands each stream that is between two events
+  // to the successor, with both sockets and the unread rest of the current chunk. Must be called until no
+  // stream is left; does nothing if no successor serves.
   void hand_over();
-  // Continues a stream of the predecessor. Where that fails the error is logged and the client's connection
+  // Continues a stream of the predecessor. If that fails, the error is logged and the client's connection is
   // closed.
   void adopt(const hot_restart::StreamTransfer& transfer, net::UniqueFd client, net::UniqueFd endpoint);
 
  private:
   void hand_over(const engine::RunningStream& stream);
 
-  Components& parts_;
-  int passes_ = 0;  // calls of hand_over() so far
+  Components& components_;
+  int passes_ = 0;  // passes over the streams so far
 };
 
 }  // namespace dispatcher::daemon
--- a/tests/daemon/config_test.cpp
+++ b/tests/daemon/config_test.cpp
@@ -1,5 +1,5 @@
-// All findings about a configuration are reported, each with its file, line number and field; a reload that
-// has errors applies nothing.
+// Tests that all findings about a configuration are reported, each with its file, line number and field, and
+// that a reload with errors applies nothing.
 #include <random>
 
 #include "daemon/dispatcher.hpp"
@@ -13,7 +13,8 @@
 using dispatcher::settings::JsonLineIndex;
 using Json = nlohmann::json;
 
-TEST_CASE("a field has the line number of its key, an array element its own", "[config]") {
+TEST_CASE("a field has the line number of its key, and an array element has its own line number",
+          "[config]") {
   const JsonLineIndex index(
       "{\n"
       " \"a\": 1,\n"
@@ -36,7 +37,7 @@
   }
 }
 
-// A random value, whose objects and arrays are nested at most `depth` deep.
+// Returns a random value, whose objects and arrays are nested at most `depth` levels deep.
 Json random_json(std::mt19937& random, int depth) {
   const auto kind = random() % (depth > 0 ? 7 : 5);
   if (kind == 0) return random() % 1000;
@@ -56,7 +57,7 @@
   return container;
 }
 
-// Checks that each path within `value` is found on the line of the text that has its key or its value.
+// Checks that the index finds each path within `value` on the line of the text that has its key or its value.
 void check_lines(const Json& value, const std::string& path, const std::vector<std::string>& lines,
                  const JsonLineIndex& index) {
   const auto line_of = [&](const std::string& inner_path) -> const std::string& {
@@ -79,7 +80,7 @@
   }
 }
 
-TEST_CASE("line numbers are right in random texts, and in range for any part of them", "[config]") {
+TEST_CASE("line numbers are right in random texts, and in range in any truncated text", "[config]") {
   std::mt19937 random(23);
   for (int i = 0; i < 200; ++i) {
     const Json value{{"top", random_json(random, 4)}, {"more", random_json(random, 3)}};
@@ -121,7 +122,8 @@
 
 using Replacement = std::pair<std::string, std::string>;
 
-// kValidConfig with the first occurrence of each first text replaced by the second, one after the other.
+// Returns kValidConfig after the replacements in order, each of which replaces the first occurrence of its
+// first text by its second text.
 std::string changed(const std::vector<Replacement>& replacements) {
   std::string text = kValidConfig;
   for (const auto& [before, after] : replacements) text.replace(text.find(before), before.size(), after);
@@ -132,7 +134,7 @@
 }
 using Messages = std::vector<std::string>;
 
-// The error's messages, one for each finding; empty: the configuration is accepted.
+// Returns the error messages, one for each finding, or nothing if the configuration is accepted.
 Messages error_messages(const std::string& text) {
   try {
     parse(text);
@@ -198,7 +200,7 @@
           "its tenant's share; wanted: a quotaRps above 0"});
 }
 
-TEST_CASE("a reload of contradictory settings applies nothing, and logs each finding", "[config][app]") {
+TEST_CASE("a reload of contradictory settings applies nothing and logs each finding", "[config][app]") {
   daemon::Loop loop;
   std::string next = kValidConfig;
   Messages log_lines;
@@ -208,7 +210,7 @@
       [&] {
         return daemon::ConfigurationFiles{parse(next), {{"chat.json", kChatConfig}, {}}};
       });
-  // A new class, which the log line of a successful reload would name, beside a contradiction.
+  // The file has a contradiction and a new class, which the log line of a successful reload would name.
   const Replacement new_class{
       "[\n",
       "[{\"name\":\"new\",\"repeat\":\"safe\",\"objectiveMs\":900,\"deadlineMs\":2000,\"worth\":1},\n"};
--- a/tests/daemon/daemon_test.cpp
+++ b/tests/daemon/daemon_test.cpp
@@ -1,4 +1,4 @@
-// The watch of service discovery, and a complete dispatcher from start to drain.
+// Tests the watch of service discovery, and a complete dispatcher from its start until it is drained.
 #include <csignal>
 #include <filesystem>
 #include <fstream>
@@ -23,14 +23,15 @@
 
 TEST_CASE("a watch applies events as they arrive, and reconnects from the last version", "[discovery]") {
   TestEventLoop work;
-  FakeReplica agent(work, [](FakeReplica& replica, SlotId client, const FakeReplica::ReceivedRequest& seen) {
-    // An unreadable event may have been any change, so the complete list is requested again.
-    if (seen.target == "/v1/servers")
+  FakeReplica agent(work, [](FakeReplica& replica, SlotId client,
+                             const FakeReplica::ReceivedRequest& request) {
+    // An unreadable event may have been any change, so the watch requests the complete list again.
+    if (request.target == "/v1/servers")
       return replica.respond(client, 200, list(43, ListKind::kFull, entry("a", "draining")));
     replica.server.begin_stream(client);
     if (replica.received.size() == 1) {
       const std::string event = list(41, ListKind::kFull, entry("a", "up"));
-      replica.server.write_events(client, "\n" + event.substr(0, 20));  // cut anywhere
+      replica.server.write_events(client, "\n" + event.substr(0, 20));  // an event may be split at any byte
       replica.server.write_events(
           client, event.substr(20) + "not JSON\n" + list(42, ListKind::kDelta, entry("a", "removed")));
     } else {
@@ -42,7 +43,7 @@
   service_discovery::EndpointWatcher watch(
       work.io, agent.server.local(), work.timers, work.clock(),
       [&](std::string_view entry) { logs.emplace_back(entry); },
-      [&](const service_discovery::EndpointSnapshot& servers) { snapshots.push_back(servers); });
+      [&](const service_discovery::EndpointSnapshot& snapshot) { snapshots.push_back(snapshot); });
   watch.start(40);
   REQUIRE(work.until([&] { return snapshots.size() == 1; }));
   CHECK(snapshots[0].scope == upstream::ListScope::kComplete);
@@ -55,29 +56,31 @@
   CHECK(agent.received[0].target == "/v1/servers?follow=1&since=40");
   CHECK(agent.received[1].target == "/v1/servers");
   CHECK(agent.received[2].target == "/v1/servers?follow=1&since=43");
-  CHECK(logs.size() == 3);         // the bad line, the loss, the return
-  work.now += milliseconds(2600);  // an empty line should have come every 2 s
+  CHECK(logs.size() == 3);         // the unreadable line, the loss of discovery, and its return
+  work.now += milliseconds(2600);  // the watch expects at least an empty line every 2 s
   work.timers.run(work.now);
   work.advance(milliseconds(300));
   CHECK(work.until([&] { return agent.received.size() == 4; }));
 }
 
-TEST_CASE("a watch with a new address takes its complete list, then follows it", "[discovery]") {
+TEST_CASE("a watch that gets a new address requests its complete list, then follows its changes",
+          "[discovery]") {
   TestEventLoop work;
   FakeReplica old(work, [](FakeReplica& replica, SlotId client, const FakeReplica::ReceivedRequest&) {
     replica.server.begin_stream(client);
     replica.server.write_events(client, list(41, ListKind::kFull, entry("a", "up")));
   });
-  FakeReplica agent(work, [](FakeReplica& replica, SlotId client, const FakeReplica::ReceivedRequest& seen) {
-    if (seen.target == "/v1/servers")
-      return replica.respond(client, 200, list(7, ListKind::kFull, entry("b", "up")));
-    replica.server.begin_stream(client);
-    replica.server.write_events(client, list(8, ListKind::kDelta, entry("b", "draining")));
-  });
+  FakeReplica agent(work,
+                    [](FakeReplica& replica, SlotId client, const FakeReplica::ReceivedRequest& request) {
+                      if (request.target == "/v1/servers")
+                        return replica.respond(client, 200, list(7, ListKind::kFull, entry("b", "up")));
+                      replica.server.begin_stream(client);
+                      replica.server.write_events(client, list(8, ListKind::kDelta, entry("b", "draining")));
+                    });
   std::vector<service_discovery::EndpointSnapshot> snapshots;
   service_discovery::EndpointWatcher watch(
       work.io, old.server.local(), work.timers, work.clock(), [](std::string_view) {},
-      [&](const service_discovery::EndpointSnapshot& servers) { snapshots.push_back(servers); });
+      [&](const service_discovery::EndpointSnapshot& snapshot) { snapshots.push_back(snapshot); });
   watch.start(40);
   REQUIRE(work.until([&] { return snapshots.size() == 1; }));
   watch.set_address(agent.server.local());
@@ -89,8 +92,8 @@
   CHECK(work.until([&] { return old.disconnected_clients.size() == 1; }));
 }
 
-// Discovery is silent here: what the configuration knows must serve.
-TEST_CASE("a dispatcher serves from its configured endpoint list, and ends once it is drained", "[app]") {
+// Discovery does not answer here, so the dispatcher must serve from the endpoints in its configuration.
+TEST_CASE("a dispatcher serves from its configured endpoint list and stops once it is drained", "[app]") {
   daemon::Loop loop;
   const daemon::Config config = make_daemon_config();
   std::vector<std::string> logs;
@@ -117,12 +120,12 @@
   CHECK(client.connection->input().size() > 0);
 }
 
-TEST_CASE("SIGHUP reloads or, with an invalid file, changes nothing, and SIGTERM still drains", "[app]") {
+TEST_CASE("SIGHUP changes nothing if a file is invalid, else reloads, and SIGTERM still drains", "[app]") {
   daemon::Loop loop;
   const daemon::Config config = make_daemon_config();
   net::tcp::acceptor agent(loop.io(), loopback());
-  bool moved = false;
-  agent.async_accept([&](net::error_code, net::tcp::socket) { moved = true; });
+  bool is_new_address_in_use = false;
+  agent.async_accept([&](net::error_code, net::tcp::socket) { is_new_address_in_use = true; });
   daemon::ConfigurationFiles next{config, {{"chat.json", kChatConfig}, {}}};
   next.config.discovery = agent.local_endpoint();
   next.config.name = "another";
@@ -137,27 +140,27 @@
       },
       [&] { return read(); });
   dispatcher.start();
-  const auto hang_up = [&] {
+  const auto raise_sighup = [&] {
     const std::size_t before = logs.size();
     std::raise(SIGHUP);
     while (logs.size() == before) loop.io().run_one();
   };
-  hang_up();
+  raise_sighup();
   CHECK(logs.back() == "reload failed, the old configuration stays: field 'x': bad");
   read = [&] {
     return daemon::ConfigurationFiles{next.config,
                                       {{"chat.json", R"({"listen":"127.0.0.1:0","models":[]})"}, {}}};
   };
-  hang_up();
+  raise_sighup();
   CHECK(logs.back() ==
         "reload failed, the old configuration stays: chat.json:1:34: models: at least one expected; "
         "chat.json: account: expected where no keys are set");
-  CHECK_FALSE(moved);
+  CHECK_FALSE(is_new_address_in_use);
   read = [&] { return next; };
-  hang_up();
+  raise_sighup();
   CHECK(logs[logs.size() - 2] == "reload: changed, but taking effect at the next start only: name");
   CHECK(logs.back().starts_with("reloaded: discovery at 127.0.0.1:"));
-  while (!moved) loop.io().run_one();
+  while (!is_new_address_in_use) loop.io().run_one();
   std::raise(SIGTERM);
   loop.run();
   CHECK(logs.back() == "drained");
@@ -169,11 +172,11 @@
   daemon::Environment environment{{"PROXY_CONFIG", path}, {"PROXY_DISCOVERY", "nowhere"}};
   CHECK_THROWS_WITH(daemon::load_config(environment), Catch::Contains("field 'discovery'"));
   CHECK_THROWS_WITH(daemon::reload_config(environment),
-                    Catch::Contains("field 'settings'"));  // the next field
+                    Catch::Contains("field 'settings'"));  // the next field in error
   std::filesystem::remove(path);
 }
 
-// Of a pair only the active instance listens at the chat address.
+// Only the active instance of a pair listens at the chat address.
 TEST_CASE("the chat frontend listens only while VRRP is active", "[app][vrrp]") {
   const int priority = GENERATE(255, 100);
   daemon::Loop loop;
--- a/tests/daemon/drain_test.cpp
+++ b/tests/daemon/drain_test.cpp
@@ -1,5 +1,5 @@
-// The graceful shutdown of a complete dispatcher: it finishes the requests it has accepted, and ends by
-// itself.
+// Tests the graceful shutdown of a complete dispatcher: it finishes the requests that it has accepted, then
+// stops.
 #include <array>
 #include <csignal>
 
@@ -8,7 +8,7 @@
 namespace dispatcher::testing {
 namespace {
 
-// A dispatcher that runs.
+// A running dispatcher.
 struct DrainFixture : ProcessFixture {
   DrainFixture(FakeReplica::Behavior reads, FakeReplica::Behavior writes)
       : ProcessFixture(std::move(reads), std::move(writes)) {
@@ -53,7 +53,7 @@
   CHECK(fixture.writer.count("POST", "a1") == 1);
 }
 
-TEST_CASE("a draining dispatcher rejects a request that no replica takes before it ends", "[drain]") {
+TEST_CASE("a draining dispatcher rejects a request that no endpoint accepts before it stops", "[drain]") {
   DrainFixture fixture([](FakeReplica& replica, SlotId client,
                           const FakeReplica::ReceivedRequest&) { replica.reject_unprocessed(client, 503); },
                        silent_replica);
@@ -69,26 +69,26 @@
 TEST_CASE("a draining dispatcher answers late requests, and closes idle connections gracefully", "[drain]") {
   DrainFixture fixture(healthy_reader, healthy_writer);
   auto idle = fixture.client();
-  auto partial = fixture.client();  // has sent a part of its request
+  auto partial = fixture.client();  // sends a part of its request before the drain
   idle->post(platform_headers("a1", "ask"), "{}");
   REQUIRE(fixture.until([&] { return idle->is_complete; }));
   partial->send("POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\n" + platform_headers("a2", "ask") +
                 "Content-Length: 2\r\n\r\n{");
   fixture.settle();
   fixture.dispatcher->drain();
-  auto late = fixture.client();  // connections still come for 0.4 s
+  auto late = fixture.client();  // clients may still connect for 0.4 s
   late->post(platform_headers("a3", "command"), "{}");
   REQUIRE(fixture.until([&] { return late->is_complete; }));
   CHECK(late->status == 200);
   CHECK(late->headers["Connection"] == "close");
-  REQUIRE(fixture.until([&] { return idle->is_closed; }));  // accepting is over
+  REQUIRE(fixture.until([&] { return idle->is_closed; }));  // the dispatcher no longer accepts connections
   CHECK(idle->close_error == boost::asio::error::eof);
   partial->send("}");
   REQUIRE(fixture.until([&] { return partial->is_complete; }));
   CHECK(partial->status == 200);
   CHECK(partial->headers["Connection"] == "close");
   const std::size_t requests_before = fixture.reader.received.size();
-  idle->post(platform_headers("a4", "command"), "{}");  // after the half-close
+  idle->post(platform_headers("a4", "command"), "{}");  // after the dispatcher's half-close
   partial->close();
   late->close();
   fixture.settle();
@@ -97,9 +97,9 @@
   CHECK(fixture.reader.received.size() == requests_before);
 }
 
-// A request whose client has disconnected leaves nothing to do but the release of what a reader reserved for
+// Once the client of a request has disconnected, the only work left is to release what a reader reserved for
 // it.
-TEST_CASE("a draining dispatcher ends only once the reservations of its requests are released", "[drain]") {
+TEST_CASE("a draining dispatcher stops only after the reservations of its requests are released", "[drain]") {
   DrainFixture fixture(healthy_reader, silent_replica);
   auto client = fixture.client();
   client->post(platform_headers("a1", "command"), "{}");
@@ -110,7 +110,8 @@
   CHECK(fixture.reader.count("DELETE", "a1") + fixture.writer.count("DELETE", "a1") >= 1);
 }
 
-// Replicas and discovery are silent from some moment on, and what is written to them arrives after the end.
+// A dispatcher whose endpoints and discovery stop answering when `is_partitioned` is set. What is written to
+// them then arrives after the partition has ended.
 struct PartitionFixture : ProcessFixture {
   PartitionFixture() : ProcessFixture(healthy_reader, silent_replica), other_writer(network, silent_replica) {
     add("w2", other_writer);
@@ -139,10 +140,11 @@
   std::vector<std::unique_ptr<FakeClient>> requests;
 };
 
-TEST_CASE("SIGTERM in a partition: every request is answered, no command runs twice, and the process ends",
-          "[drain]") {
-  constexpr milliseconds kLateAnswer{500};  // later than this a request counts as lost
-  constexpr seconds kReleaseWait{3};        // for a reservation that can't be released
+TEST_CASE(
+    "on SIGTERM in a partition the dispatcher answers all requests, repeats no non-idempotent one, and stops",
+    "[drain]") {
+  constexpr milliseconds kLateAnswer{500};  // a response this long after the deadline counts as lost
+  constexpr seconds kReleaseWait{3};  // how long the process waits for a reservation that can't be released
   constexpr milliseconds kLingering{500};
   PartitionFixture fixture;
   fixture.post("held", "command");  // its reservation is not released
--- a/tests/daemon/large_list_test.cpp
+++ b/tests/daemon/large_list_test.cpp
@@ -1,5 +1,5 @@
-// Endpoint lists of several thousand replicas: requests are served while one arrives, and the work of
-// applying one grows with its length alone.
+// Tests endpoint lists of several thousand endpoints: requests are served while a list arrives, and the work
+// of applying a list grows in proportion to its length.
 #include <csignal>
 
 #include "tests/fixtures/allocations.hpp"
@@ -12,9 +12,9 @@
 
 using routing::ListKind;
 
-constexpr int kLargestFleet = 3200;  // replicas, by the platform's terms
+constexpr int kLargestFleet = 3200;  // endpoints in the largest fleet by the platform's terms
 
-// A dispatcher whose discovery sends what the test says.
+// A dispatcher whose discovery sends what the test passes to send().
 struct LargeListFixture : ProcessFixture {
   LargeListFixture() : ProcessFixture(healthy_reader, healthy_writer), agent(network) {
     config.discovery = agent.address();
@@ -39,7 +39,7 @@
   Agent agent;
 };
 
-// A list of `count` readers and writers at two addresses, whose names have the same length.
+// Returns a list of `count` readers and writers at two addresses. All their names have the same length.
 std::string large_list(int version, ListKind kind, int count, const FakeReplica& reader,
                        const FakeReplica& writer, const std::string& health = "up",
                        const std::string& generation = "") {
@@ -57,7 +57,7 @@
 }
 
 TEST_CASE(
-    "a dispatcher serves from what it knows while a list of 3,200 replicas arrives, then from that list",
+    "a dispatcher serves from its old list while a list of 3,200 endpoints arrives, then from the new list",
     "[daemon][large]") {
   LargeListFixture fixture;
   FakeReplica new_reader(fixture.network, healthy_reader);
@@ -72,10 +72,10 @@
   CHECK(new_writer.count("POST", "after") == 1);
 }
 
-// Comparisons and allocations, which are counted alike on every machine.
-TEST_CASE("the work of applying a list or a reload grows with the number of replicas, not faster",
+// Work is measured in comparisons and allocations, whose counts are the same on every machine.
+TEST_CASE("the work of applying a list or a reload grows no faster than the number of endpoints",
           "[daemon][large]") {
-  constexpr std::size_t kMaxWorkPerReplica = 400;
+  constexpr std::size_t kMaxWorkPerEndpoint = 400;
   LargeListFixture fixture;
   const auto list = [&](int version, ListKind kind, const std::string& health,
                         const std::string& generation = "") {
@@ -85,19 +85,19 @@
     const std::size_t before = comparisons + allocations;
     change();
     INFO(name);
-    const std::size_t work_per_replica = (comparisons + allocations - before) / kLargestFleet;
-    CHECK(work_per_replica <= kMaxWorkPerReplica);
+    const std::size_t work_per_endpoint = (comparisons + allocations - before) / kLargestFleet;
+    CHECK(work_per_endpoint <= kMaxWorkPerEndpoint);
   };
   const std::vector<std::pair<const char*, std::string>> lists{
       {"a first list", list(1, ListKind::kFull, "up")},
-      {"the same again", list(2, ListKind::kFull, "up")},
-      {"a change of each replica", list(3, ListKind::kDelta, "draining")},
-      {"as many others", list(4, ListKind::kDelta, "up", "b")},
-      {"others in place of all", list(5, ListKind::kFull, "up", "c")},
-      {"the removal of each replica", list(6, ListKind::kDelta, "removed", "c")}};
+      {"the same list again", list(2, ListKind::kFull, "up")},
+      {"a change of each endpoint", list(3, ListKind::kDelta, "draining")},
+      {"as many additional endpoints", list(4, ListKind::kDelta, "up", "b")},
+      {"a replacement of all endpoints", list(5, ListKind::kFull, "up", "c")},
+      {"the removal of each endpoint", list(6, ListKind::kDelta, "removed", "c")}};
   for (const auto& [name, text] : lists) {
     check_work(name, [&, &message = text] { fixture.send(message); });
-    if (std::string_view(name) != "others in place of all") continue;
+    if (std::string_view(name) != "a replacement of all endpoints") continue;
     check_work("a reload", [&] {
       std::raise(SIGHUP);
       fixture.settle();
--- a/tests/daemon/settings_test.cpp
+++ b/tests/daemon/settings_test.cpp
@@ -1,4 +1,5 @@
-// Settings that change at run time: the check of a new file, and which settings apply to which requests.
+// Tests settings that change at run time: how a new file is checked, and which settings apply to which
+// requests.
 #include <algorithm>
 #include <random>
 
@@ -23,7 +24,8 @@
         "tipMultiple":4.0,"tipAfterMs":2000.0}}})");
 }
 
-// The error with which a reload would reject the file; empty: it would accept it.
+// Returns the error with which a reload would reject the file, or an empty string if it would accept the
+// file.
 std::string reload_error(const std::string& text) {
   try {
     daemon::check_keys(valid_file(), daemon::parse_config(text, {}).source);
@@ -45,7 +47,7 @@
     if (!less[parent].is_object()) continue;
     less[parent].erase(at.back());
     INFO(path);
-    // A key that only some classes had may be missing in any of them.
+    // A key that only some classes had before may be missing in any of them.
     CHECK(reload_error(less.dump()).empty() == (path == "/settings/categories/0/lateValue"));
   }
 }
@@ -71,7 +73,8 @@
   CHECK(reload_error(next.dump()).empty());
 }
 
-// The fixture's settings, but with fewer attempts, an idempotent "command", and "more" in place of "ask".
+// Returns the fixture's settings with fewer attempts, an idempotent class "command", and the class "more" in
+// place of "ask".
 engine::SettingsSnapshot changed_settings() {
   routing::Settings settings = make_settings();
   settings.max_attempts = 2;
@@ -80,7 +83,7 @@
   return std::make_shared<const routing::Settings>(settings);
 }
 
-// Readers work, and each writer answers with an error.
+// Readers work, and each writer responds with an error.
 TEST_CASE("an open request keeps the settings under which it arrived, and the next one gets the new ones",
           "[settings]") {
   Fixture fixture(healthy_reader, [](FakeReplica&, SlotId, const FakeReplica::ReceivedRequest&) {});
@@ -102,13 +105,14 @@
       fixture.writer(i).respond(client, 500);
   }
   REQUIRE(fixture.until([&] { return before->is_complete && after->is_complete; }));
-  CHECK(before->status == 502);  // it was not idempotent, and may have been executed
+  CHECK(before->status == 502);  // it was not idempotent and may have been executed
   CHECK(writes("a1") == 1);
-  CHECK(after->status == 503);  // idempotent, but neither of its two attempts is left
+  CHECK(after->status == 503);  // idempotent, but both of its two attempts have been used
   CHECK(writes("a2") == 1);
 }
 
-TEST_CASE("a request admitted with four attempts has four, also after the limit became two", "[settings]") {
+TEST_CASE("a request admitted with four attempts has four even after the limit is lowered to two",
+          "[settings]") {
   const bool is_changed_before = GENERATE(false, true);
   Fixture fixture([](FakeReplica&, SlotId, const FakeReplica::ReceivedRequest&) {}, healthy_writer);
   const auto client = fixture.platform_client();
@@ -129,7 +133,7 @@
   }
 }
 
-TEST_CASE("the chat frontend serves the models of the new settings' classes", "[settings][chat]") {
+TEST_CASE("the chat frontend serves the models of the classes in the new settings", "[settings][chat]") {
   Fixture fixture(healthy_reader, healthy_writer, kChatConfig);
   const std::string next =
       R"({"listen":"127.0.0.1:0","account":"acme","models":[{"id":"more","class":"more"}]})";
