--- a/src/admin/admin_server.cpp
+++ b/src/admin/admin_server.cpp
@@ -1,4 +1,4 @@
-// Routing of the operators' requests to the daemon's callbacks.
+// Routes admin requests to the daemon's callbacks.
 #include "admin/admin_server.hpp"
 
 #include <chrono>
@@ -14,15 +14,15 @@
 constexpr std::string_view kReadyPath = "/control/ready";
 constexpr std::string_view kLevelPath = "/control/level";
 constexpr std::string_view kLevelsPath = "/control/levels";
-constexpr std::string_view kLevelPrefix = "/control/level/";  // and the name of a level
+constexpr std::string_view kLevelPrefix = "/control/level/";  // followed by the name of a level
 
-// Operators' tools wait for a response for one second at most: a caller that takes longer to send its request
-// no longer waits.
+// Operators' tools wait for a response for one second at most, so a caller that takes longer to send its
+// request no longer waits for the response.
 http::ServerOptions server_options() {
   using std::chrono::milliseconds;
   constexpr milliseconds kCallerTimeout{1000};
   constexpr milliseconds kLingerTimeout{200};
-  constexpr std::size_t kMaxBodyBytes = std::size_t{64} * 1024;  // no request needs a body: little, yet not 0
+  constexpr std::size_t kMaxBodyBytes = std::size_t{64} * 1024;  // no request needs a body: small but not 0
   http::ServerOptions options;
   options.max_clients = kMaxConnections;
   options.max_body_bytes = kMaxBodyBytes;
--- a/src/admin/admin_server.hpp
+++ b/src/admin/admin_server.hpp
@@ -1,4 +1,4 @@
-// The operators' HTTP interface: readiness, draining of endpoints and the degradation level.
+// The admin HTTP interface for operators: readiness, draining of endpoints and the degradation level.
 #ifndef DISPATCHER_ADMIN_ADMIN_SERVER_HPP_
 #define DISPATCHER_ADMIN_ADMIN_SERVER_HPP_
 
@@ -12,20 +12,22 @@
 
 namespace dispatcher::admin {
 
-/// Connections at once. One too many replaces the one that has been open longest without finishing a request.
+/// Maximum of concurrent connections. A further one replaces the connection that has been open longest
+/// without finishing a request.
 inline constexpr std::size_t kMaxConnections = 12;
 
-/// The daemon's functions that requests call. Called on the event loop, from inside a request.
+/// The daemon's functions that handle admin requests. Called on the event loop, from inside a request.
 struct AdminCallbacks {
-  /// Whether this process accepts clients and knows an endpoint.
+  /// Returns whether this process accepts clients and knows at least one endpoint.
   std::function<bool()> is_ready;
-  /// Drains an endpoint or returns it to service. Returns false where the endpoint is unknown.
+  /// Drains an endpoint or returns it to service. Returns false if the endpoint is unknown.
   std::function<bool(const engine::EndpointId& endpoint, engine::AdministrativeState state)>
       set_administrative_state;
-  /// The degradation level in force, and the latest changes of it. Empty: there are no levels.
+  /// Return the degradation level in force, and its latest changes. If level_status is empty, there are no
+  /// levels and their paths are not served.
   std::function<nlohmann::json()> level_status = {};
   std::function<nlohmann::json()> level_history = {};
-  /// Overrides the degradation level by its name, or clears the override ("auto"). Returns false where there
+  /// Overrides the degradation level by its name, or clears the override ("auto"). Returns false if there
   /// is no such level.
   std::function<bool(const std::string& name)> set_level_override = {};
 };
@@ -35,15 +37,15 @@
 /// event loop only.
 class AdminServer : private http::Server::Handler {
  public:
-  /// Listens at `address` once open() is called. The references must outlive the server.
+  /// Listens at `address` once open() is called. The referenced objects must outlive the server.
   AdminServer(boost::asio::io_context& io, const net::tcp::endpoint& address, engine::TimerQueue& timers,
               engine::Clock clock, AdminCallbacks callbacks, http::DescriptorReclaimer reclaim_descriptor);
   AdminServer(const AdminServer&) = delete;
   AdminServer& operator=(const AdminServer&) = delete;
 
-  /// Throws boost::system::system_error where the address can't be bound.
+  /// Begins to listen. Throws boost::system::system_error if the address can't be bound.
   void open() { server_.open(); }
-  /// The bound address, with the port that the system chose where the configured one is 0.
+  /// Returns the bound address, with the port that the system chose if the configured one is 0.
   [[nodiscard]] net::tcp::endpoint local() const { return server_.local(); }
 
  private:
--- a/src/admin/endpoint_command.cpp
+++ b/src/admin/endpoint_command.cpp
@@ -1,4 +1,4 @@
-// Parsing of /control/replicas/ID/offline and /control/replicas/ID/online.
+// Parses /control/replicas/ID/offline and /control/replicas/ID/online.
 #include "admin/endpoint_command.hpp"
 
 #include <algorithm>
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr std::string_view kEndpointsPrefix = "/control/replicas/";
-constexpr std::size_t kMaxIdLength = 128;  // characters: longer than any endpoint's
+constexpr std::size_t kMaxIdLength = 128;  // in characters; longer than any endpoint's ID
 
 bool is_id_character(unsigned char byte) {
   constexpr std::string_view kPunctuation = "-_.:~";
--- a/tests/admin/admin_test.cpp
+++ b/tests/admin/admin_test.cpp
@@ -1,4 +1,4 @@
-// The operators' interface, and the effect of a drained endpoint in the router and the connection pool.
+// Tests the admin interface, and the effect of a drained endpoint in the router and the connection pool.
 #include <algorithm>
 #include <random>
 #include <set>
@@ -24,7 +24,7 @@
     server.open();
   }
   std::unique_ptr<FakeClient> connect() { return std::make_unique<FakeClient>(*this, server.local()); }
-  // The status of the answer to a request, which is its connection's only one.
+  // Sends a request on a new connection and returns the status of its response.
   int status_of(const std::string& bytes) {
     auto client = connect();
     client->send(bytes);
@@ -36,12 +36,12 @@
   admin::AdminServer server;
 };
 
-// A POST request without a body.
+// Returns a POST request without a body.
 std::string post(const std::string& path) {
   return "POST " + path + " HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n";
 }
 
-TEST_CASE("the admin interface serves its calls, and answers all others with 4xx", "[console]") {
+TEST_CASE("the admin interface serves its calls and responds to all others with 4xx", "[console]") {
   AdminFixture fixture;
   CHECK(fixture.status_of("GET /control/ready HTTP/1.1\r\nHost: x\r\n\r\n") == 503);
   fixture.is_ready = true;
@@ -67,10 +67,10 @@
     slow.back()->send("GET /control/re");
   }
   fixture.settle();
-  fixture.advance(milliseconds(300));  // younger ones may have their call on the way
+  fixture.advance(milliseconds(300));  // younger connections are evicted last, as a request may be on its way
   fixture.is_ready = true;
   CHECK(fixture.status_of("GET /control/ready HTTP/1.1\r\nHost: x\r\n\r\n") == 200);
-  fixture.advance(milliseconds(1300));  // their deadline and a time to read their response
+  fixture.advance(milliseconds(1300));  // the deadline of their requests, and a time to read the response
   CHECK(fixture.until([&] {
     return std::all_of(slow.begin(), slow.end(), [](const auto& client) { return client->is_closed; });
   }));
@@ -114,7 +114,7 @@
   };
   CHECK(problem({}).find("'console'") != std::string::npos);
   CHECK(problem({{"PROXY_CONSOLE", "127.0.0.1:5"}}) ==
-        "configuration:1: field 'settings': missing; wanted: object");  // all that is left
+        "configuration:1: field 'settings': missing; wanted: object");  // the only error left
 }
 
 // ---- the router ----
@@ -128,12 +128,12 @@
     for (const std::string& endpoint : endpoints) all.entries.push_back(make_endpoint(endpoint, state));
     router.handle(now, all);
   }
-  // The endpoint at which a new request is read; empty: none.
+  // Returns the endpoint that reads the prompt of a new request, or an empty string if there is none.
   std::string reader_of_next() {
     routing::Request request;
     request.id = "q" + std::to_string(++count);
     request.request_class = "ask";
-    request.session = 1;  // its prefix is cached at one endpoint
+    request.session = 1;  // one session, whose prefix is cached at one endpoint
     request.prompt_tokens = 1000;
     request.client_deadline = now + seconds(6);
     std::string endpoint;
@@ -163,49 +163,54 @@
   int count = 0;
 };
 
-TEST_CASE("an endpoint that operators drained gets no requests, whatever lists say", "[console]") {
+TEST_CASE("an endpoint that operators drained gets no requests, whatever endpoint lists say", "[console]") {
   using routing::EndpointState;
   using routing::ListKind;
   RouterFixture fixture;
-  const std::string home = fixture.reader_of_next();
-  const std::string other = home == "r1" ? "r2" : "r1";
-  fixture.set_administrative_state(home, AdministrativeState::kDrained);
-  fixture.set_administrative_state(home, AdministrativeState::kDrained);
-  CHECK(fixture.readers(5) == std::set{other});
+  const std::string caching_reader = fixture.reader_of_next();
+  const std::string other_reader = caching_reader == "r1" ? "r2" : "r1";
+  fixture.set_administrative_state(caching_reader, AdministrativeState::kDrained);
+  fixture.set_administrative_state(caching_reader, AdministrativeState::kDrained);
+  CHECK(fixture.readers(5) == std::set{other_reader});
   fixture.list(ListKind::kFull, {"r1", "r2", "w1", "w2"});
-  CHECK(fixture.readers(5) == std::set{other});
-  fixture.list(ListKind::kDelta, {home}, EndpointState::kRemoved);
-  fixture.list(ListKind::kDelta, {home});
-  CHECK(fixture.readers(5) == std::set{other});
-  fixture.set_administrative_state(home, AdministrativeState::kInService);  // one for any number
-  CHECK(fixture.readers(5).contains(home));
+  CHECK(fixture.readers(5) == std::set{other_reader});
+  fixture.list(ListKind::kDelta, {caching_reader}, EndpointState::kRemoved);
+  fixture.list(ListKind::kDelta, {caching_reader});
+  CHECK(fixture.readers(5) == std::set{other_reader});
+  // One return to service undoes any number of drains.
+  fixture.set_administrative_state(caching_reader, AdministrativeState::kInService);
+  CHECK(fixture.readers(5).contains(caching_reader));
 }
 
-TEST_CASE("an endpoint that operators return gets requests within its slow-start budget", "[console]") {
+TEST_CASE("an endpoint that operators return to service gets requests within its slow-start budget",
+          "[console]") {
   RouterFixture fixture;
-  CHECK(fixture.readers(100).size() == 1);  // all go where the conversation's texts are
-  const std::string home = fixture.reader_of_next();
-  const std::string other = home == "r1" ? "r2" : "r1";
-  fixture.set_administrative_state(other, AdministrativeState::kDrained);
-  fixture.set_administrative_state(other, AdministrativeState::kInService);
-  CHECK(fixture.reader_of_next() == other);  // at once, though no prefix is cached there
-  // Now the starting one is the only one.
-  fixture.set_administrative_state(home, AdministrativeState::kDrained);
+  CHECK(fixture.readers(100).size() == 1);  // all go to the endpoint that caches the session's prefix
+  const std::string caching_reader = fixture.reader_of_next();
+  const std::string other_reader = caching_reader == "r1" ? "r2" : "r1";
+  fixture.set_administrative_state(other_reader, AdministrativeState::kDrained);
+  fixture.set_administrative_state(other_reader, AdministrativeState::kInService);
+  CHECK(fixture.reader_of_next() == other_reader);  // at once, although it has no cached prefix
+  // From here on the endpoint in slow start is the only reader in service.
+  fixture.set_administrative_state(caching_reader, AdministrativeState::kDrained);
   int served = 0;
-  for (int i = 0; i < 20; ++i) served += fixture.reader_of_next() == other ? 1 : 0;
-  // 10 requests a second, of which a starting endpoint may get 4 times 0.3 of a warm one's rate.
+  for (int i = 0; i < 20; ++i) served += fixture.reader_of_next() == other_reader ? 1 : 0;
+  // There are 10 requests a second. An endpoint in slow start may get 4 times 0.3 of the rate of a warm one.
   CHECK(served >= 2);
   CHECK(served <= 20 * 4 * 0.3);
 }
 
 // ---- the connection pool ----
 
-TEST_CASE("an attempt that waits for a connection to a drained endpoint fails unsent", "[console][pool]") {
-  const std::size_t left_out = GENERATE(0, 1);  // whichever the module chooses, one of them is it
-  const std::string endpoint = left_out == 0 ? "r1" : "r2";
+TEST_CASE("an attempt that waits for a connection to a drained endpoint fails without being sent",
+          "[console][pool]") {
+  // The router chooses one of the two readers, so that in one of the two runs the chosen one is drained.
+  const std::size_t drained = GENERATE(0, 1);
+  const std::string endpoint = drained == 0 ? "r1" : "r2";
   Fixture fixture(healthy_reader, healthy_writer);
   auto client = fixture.post("a1", "command");
-  // The reader's connection is being opened within the very call that takes the request.
+  // The connection to the reader is opened in the same call that accepts the request, and is not established
+  // yet.
   while (fixture.pool.open_connections() == 0) {
     fixture.io.restart();
     fixture.io.run_one();
@@ -214,8 +219,8 @@
   fixture.pool.set_administrative_state(endpoint, AdministrativeState::kDrained);
   REQUIRE(fixture.until([&] { return client->is_complete; }));
   CHECK(client->status == 200);
-  CHECK(fixture.reader(left_out).received.empty());
-  CHECK(fixture.reader(1 - left_out).count("POST", "a1") == 1);
+  CHECK(fixture.reader(drained).received.empty());
+  CHECK(fixture.reader(1 - drained).count("POST", "a1") == 1);
 }
 
 }  // namespace
