--- a/src/vrrp/config.cpp
+++ b/src/vrrp/config.cpp
@@ -1,4 +1,4 @@
-// Reads the configuration of VRRP.
+// Parses the configuration of VRRP.
 #include <boost/asio/ip/address_v4.hpp>
 #include <string_view>
 #include <utility>
@@ -13,7 +13,7 @@
 
 constexpr std::string_view kSchema = R"cue(
 #Vrrp: {
-	listen:      *null | string // address and port; null: VRRP is off
+	listen:      *null | string // address and port; VRRP is off if null
 	peers:       *[] | [...string]
 	vrid:        *1 | (int & >=1 & <=255)
 	priority:    *100 | (int & >=1 & <=255)
@@ -23,10 +23,10 @@
 }
 )cue";
 
-constexpr std::size_t kMaxListSize = 255;  // an advertisement counts its addresses in one byte
+constexpr std::size_t kMaxListSize = 255;  // an advertisement has the number of its addresses in one byte
 
-// Checks what the schema can't express: the form of addresses, and lists that may be empty only while VRRP is
-// off. Collects the problems.
+// Checks what the schema can't express: the form of addresses, and that lists are not empty if VRRP is on.
+// Collects the problems.
 class FieldReader {
  public:
   udp::endpoint endpoint(const cue::Data& field) {
--- a/src/vrrp/packet.cpp
+++ b/src/vrrp/packet.cpp
@@ -7,10 +7,10 @@
 
 namespace {
 
-constexpr std::uint8_t kVersionAndType = 0x31;  // version 3, type 1 (advertisement), the only type there is
+constexpr std::uint8_t kVersionAndType = 0x31;  // version 3, type 1 (advertisement), which is the only type
 constexpr std::size_t kHeaderBytes = 8;
 
-// Offsets of the header's fields.
+// Offsets of the header fields in bytes.
 constexpr std::size_t kVridOffset = 1;
 constexpr std::size_t kPriorityOffset = 2;
 constexpr std::size_t kAddressCountOffset = 3;
@@ -28,7 +28,7 @@
   return static_cast<std::uint16_t>(packet[offset] << 8U | packet[offset + 1]);
 }
 
-// The Internet checksum (RFC 1071). Over a packet that carries its own checksum it is 0.
+// Returns the Internet checksum (RFC 1071). For a packet that contains its own checksum it is 0.
 std::uint16_t checksum(std::span<const std::uint8_t> packet) {
   std::uint32_t sum = 0;
   for (std::size_t i = 0; i < packet.size(); ++i) sum += i % 2 == 0 ? packet[i] << 8U : packet[i];
@@ -36,7 +36,7 @@
   return static_cast<std::uint16_t>(~sum);
 }
 
-// What is wrong with the packet as a whole, before its fields are read.
+// Returns what is wrong with the packet as a whole, if anything. Called before its fields are read.
 std::optional<DecodeError> check_frame(std::span<const std::uint8_t> packet) {
   if (packet.size() < kHeaderBytes) return DecodeError::kTooShort;
   if (packet[0] != kVersionAndType) return DecodeError::kWrongVersionOrType;
--- a/src/vrrp/packet.hpp
+++ b/src/vrrp/packet.hpp
@@ -1,4 +1,4 @@
-// VRRPv3 advertisements (RFC 9568, section 5): their content and their bytes.
+// VRRPv3 advertisements (RFC 9568, section 5), and their encoding and decoding.
 #ifndef DISPATCHER_VRRP_PACKET_HPP_
 #define DISPATCHER_VRRP_PACKET_HPP_
 
@@ -11,10 +11,11 @@
 
 namespace dispatcher::vrrp {
 
-/// An IPv4 address in network byte order, so that two compare as RFC 9568 requires.
+/// An IPv4 address in network byte order, so that addresses compare as RFC 9568 requires.
 using Address = std::array<std::uint8_t, 4>;
 
-/// Priority of an active router that stops: the backups need not wait for its silence.
+/// Priority that an active router advertises when it stops, so that backups need not wait until its
+/// advertisements are missing.
 inline constexpr std::uint8_t kShutdownPriority = 0;
 /// Priority of the router that owns the virtual addresses.
 inline constexpr std::uint8_t kOwnerPriority = 255;
@@ -28,7 +29,7 @@
   bool operator==(const Advertisement&) const = default;
 };
 
-/// Why a packet is no valid advertisement.
+/// Why a packet is not a valid advertisement.
 enum class DecodeError {
   kTooShort,
   kWrongVersionOrType,
@@ -38,14 +39,14 @@
   kZeroVrid,
   kZeroInterval
 };
-/// The error's description for the log.
+/// Returns the description of an error for the log.
 [[nodiscard]] std::string_view to_text(DecodeError error);
 
-/// The packet of an advertisement. It is carried over UDP, where no IP header is at hand for a pseudo-header;
-/// as RFC 9568 has it for IPv4, the checksum covers the message alone.
+/// Encodes an advertisement as a packet. Packets are carried over UDP, where no IP header is available for a
+/// pseudo-header; as RFC 9568 specifies for IPv4, the checksum covers the message alone.
 [[nodiscard]] std::vector<std::uint8_t> encode(const Advertisement& advertisement);
 
-/// The advertisement in a packet, or why there is none.
+/// Returns the advertisement in a packet, or why the packet is not a valid one.
 [[nodiscard]] std::variant<Advertisement, DecodeError> decode(std::span<const std::uint8_t> packet);
 
 }  // namespace dispatcher::vrrp
--- a/src/vrrp/state_machine.cpp
+++ b/src/vrrp/state_machine.cpp
@@ -4,9 +4,9 @@
 
 namespace {
 
-// Advertisements that may be lost before the active router counts as failed.
+// Number of missed advertisements after which, plus the skew time, the active router is considered failed.
 constexpr int kMissedAdvertisements = 3;
-// Skew_Time divides the interval by the number of priorities.
+// Number of priorities, by which Skew_Time divides the interval.
 constexpr int kPriorityCount = 256;
 
 Duration centiseconds(std::uint16_t count) { return std::chrono::milliseconds(10) * count; }
@@ -54,12 +54,12 @@
 
 StateMachine::Advertisements StateMachine::timer(Time now) {
   if (!timer_ || now < *timer_) return {};
-  return become_active(now);  // a backup takes over; the active router advertises once more
+  return become_active(now);  // a backup takes over; an active router advertises again
 }
 
 StateMachine::Advertisements StateMachine::receive(Time now, const Advertisement& advertisement,
                                                    const Address& sender) {
-  // The owner yields its own addresses to nobody.
+  // The owner never yields its own addresses.
   if (advertisement.vrid != parameters_.vrid || is_owner()) return {};
   switch (state_) {
     case State::kInitialize:
@@ -78,7 +78,7 @@
     timer_ = now + skew_time();
     return;
   }
-  // A lower priority is ignored under preemption: Active_Down_Timer then runs out.
+  // With preemption, an advertisement of lower priority is ignored, so that Active_Down_Timer expires.
   if (parameters_.preempt && advertisement.priority < parameters_.priority) return;
   active_interval_cs_ = advertisement.interval_cs;
   timer_ = now + active_down_interval();
@@ -88,7 +88,7 @@
                                                              const Address& sender) {
   const bool is_higher = advertisement.priority > parameters_.priority ||
                          (advertisement.priority == parameters_.priority && sender > parameters_.primary);
-  // Another active router that stops, or that must yield: advertise at once that this one is active.
+  // If the other active router stops or must yield, this one advertises at once that it is active.
   if (advertisement.priority == kShutdownPriority || !is_higher) return become_active(now);
   active_interval_cs_ = advertisement.interval_cs;
   become_backup(now);
--- a/src/vrrp/state_machine.hpp
+++ b/src/vrrp/state_machine.hpp
@@ -13,17 +13,17 @@
 
 namespace dispatcher::vrrp {
 
-/// A point of the caller's monotonic clock, since that clock's epoch.
+/// A time of the caller's monotonic clock, since that clock's epoch.
 using Time = std::chrono::microseconds;
 using Duration = std::chrono::microseconds;
 
 /// The states of RFC 9568, section 6.3.
 enum class State { kInitialize, kBackup, kActive };
 
-/// How a router enters the protocol.
+/// The state in which a router enters the protocol.
 enum class StartMode {
-  kNormal,       // as RFC 9568 has it: the address owner as active, any other router as backup
-  kResumeActive  // as active: it replaces a process of this router that was active and stopped silently
+  kNormal,       // as RFC 9568 specifies: the address owner as active, any other router as backup
+  kResumeActive  // as active, in place of a process of this router that was active and stopped silently
 };
 
 /// The parameters of one virtual router (RFC 9568, section 6.1).
@@ -32,8 +32,8 @@
   std::uint8_t priority = 100;      // 1 to 254, or kOwnerPriority
   std::uint16_t interval_cs = 100;  // Advertisement_Interval in centiseconds, 1 to 4095
   bool preempt = true;              // Preempt_Mode: take over from an active router of lower priority
-  Address primary{};                // our own address; among equal priorities the higher address wins
-  std::vector<Address> addresses;   // the virtual addresses
+  Address primary{};  // this router's own address; among equal priorities the higher address wins
+  std::vector<Address> addresses;  // the virtual addresses
 };
 
 /// One router's view of one virtual router. Not thread-safe.
@@ -49,17 +49,18 @@
   Advertisements startup(Time now, StartMode mode = StartMode::kNormal);
   /// Returns to kInitialize. An active router advertises kShutdownPriority.
   Advertisements shutdown();
-  /// To be called at or after next_timer(); does nothing before.
+  /// Handles the expiry of the timer. Must be called at or after next_timer(); does nothing before.
   Advertisements timer(Time now);
   /// Handles the advertisement of another router, whose primary address is `sender`.
   Advertisements receive(Time now, const Advertisement& advertisement, const Address& sender);
 
   [[nodiscard]] State state() const { return state_; }
-  /// When timer() is due; nullopt in kInitialize.
+  /// Returns the time at which timer() is due, or nullopt in kInitialize.
   [[nodiscard]] std::optional<Time> next_timer() const { return timer_; }
-  /// Skew_Time: shorter for a higher priority, so that the best backup acts first.
+  /// Returns Skew_Time, which is shorter for a higher priority, so that the best backup takes over first.
   [[nodiscard]] Duration skew_time() const;
-  /// Active_Down_Interval: the silence after which a backup takes the active router for failed.
+  /// Returns Active_Down_Interval, the time without advertisements after which a backup considers the active
+  /// router failed.
   [[nodiscard]] Duration active_down_interval() const;
   [[nodiscard]] bool is_owner() const { return parameters_.priority == kOwnerPriority; }
 
@@ -72,7 +73,7 @@
 
   Parameters parameters_;
   State state_ = State::kInitialize;
-  std::uint16_t active_interval_cs_;  // Active_Adver_Interval, as the active router last advertised
+  std::uint16_t active_interval_cs_;  // Active_Adver_Interval that the active router last advertised
   std::optional<Time> timer_;         // Active_Down_Timer of a backup, Adver_Timer of the active router
 };
 
--- a/src/vrrp/vrrp_instance.cpp
+++ b/src/vrrp/vrrp_instance.cpp
@@ -61,7 +61,8 @@
   socket_.async_receive_from(boost::asio::buffer(receive_buffer_), sender_,
                              [this](boost::system::error_code error, std::size_t size) {
                                if (!socket_.is_open()) return;
-                               // An error here is the ICMP error of an advertisement to a peer that is down.
+                               // An error here is the ICMP error for an advertisement that was sent to a peer
+                               // that is down.
                                if (!error) handle_packet(size);
                                receive();
                              });
--- a/src/vrrp/vrrp_instance.hpp
+++ b/src/vrrp/vrrp_instance.hpp
@@ -1,4 +1,4 @@
-// Runs the VRRP state machine over UDP between the two instances of a pair, and reads its configuration.
+// Runs the VRRP state machine over UDP between the two instances of a pair, and parses its configuration.
 #ifndef DISPATCHER_VRRP_VRRP_INSTANCE_HPP_
 #define DISPATCHER_VRRP_VRRP_INSTANCE_HPP_
 
@@ -18,41 +18,42 @@
 
 using boost::asio::ip::udp;
 
-/// The addresses by which an instance exchanges advertisements, and its virtual router.
+/// The addresses between which an instance exchanges advertisements, and the parameters of its virtual
+/// router.
 struct Config {
   udp::endpoint listen;              // also the source address of advertisements
-  std::vector<udp::endpoint> peers;  // packets of any other sender are ignored
+  std::vector<udp::endpoint> peers;  // packets from any other sender are ignored
   Parameters parameters;
 };
 
-/// The configuration in `file`; nullopt where it names no address to listen on: VRRP is off.
-/// Throws cue::Errors with every problem of the file.
+/// Returns the configuration in `file`, or nullopt if it names no address to listen on and VRRP is therefore
+/// off. Throws cue::Errors with every problem of the file.
 [[nodiscard]] std::optional<Config> parse_config(const cue::File& file);
 
 /// This process as a member of one virtual router. Used on the event loop's thread only. The event loop's
-/// context and the timer queue must outlive it, and it must outlive its pending operations: stop() or
+/// context and the timer queue must outlive it, and it must outlive its pending operations: call stop() or
 /// hand_over(), then run the loop until the cancelled receive has completed.
 class VrrpInstance {
  public:
   /// Called after each change of state.
   using OnState = std::function<void(State)>;
 
-  /// Binds the socket; throws boost::system::system_error where that fails.
+  /// Binds the socket. Throws boost::system::system_error if that fails.
   VrrpInstance(boost::asio::io_context& io, const Config& config, engine::TimerQueue& timers,
                engine::Clock clock, engine::Log log, OnState on_state);
 
   /// Enters the protocol and begins to receive.
   void start(StartMode mode = StartMode::kNormal);
-  /// Leaves the protocol. An active instance advertises that it stops; on_state is called.
+  /// Leaves the protocol. An active instance advertises that it stops. `on_state` is called.
   void stop();
-  /// Leaves the protocol silently, without a call of on_state: another process of this router continues in
-  /// its state.
+  /// Leaves the protocol without an advertisement or a call of `on_state`, because another process of this
+  /// router continues in its state.
   void hand_over();
 
   [[nodiscard]] State state() const { return machine_.state(); }
-  /// The bound endpoint, with the port that the system chose where the configured port is 0.
+  /// Returns the bound address, with the port that the system chose if the configured port is 0.
   [[nodiscard]] udp::endpoint local() const { return socket_.local_endpoint(); }
-  /// Advertises to one more peer, and accepts its advertisements.
+  /// Adds a peer to which advertisements are sent and from which they are accepted.
   void add_peer(const udp::endpoint& peer) { config_.peers.push_back(peer); }
 
  private:
@@ -73,9 +74,9 @@
   engine::Log log_;
   OnState on_state_;
   StateMachine machine_;
-  State reported_state_ = State::kInitialize;  // the last one that on_state_ was called with
+  State reported_state_ = State::kInitialize;  // the last state that on_state_ was called with
   udp::socket socket_;
-  udp::endpoint sender_;  // of the packet in receive_buffer_
+  udp::endpoint sender_;  // sender of the packet in receive_buffer_
   std::array<std::uint8_t, kReceiveBufferBytes> receive_buffer_{};
   engine::TimerId timer_;
 };
--- a/tests/vrrp/vrrp_test.cpp
+++ b/tests/vrrp/vrrp_test.cpp
@@ -1,4 +1,4 @@
-// The VRRP state machine under a passed-in clock, its packets, and one election over loopback UDP.
+// Tests the VRRP state machine with a passed-in clock, the packets, and one election over loopback UDP.
 #include <random>
 
 #include "tests/fixtures/dispatcher_fixture.hpp"
@@ -37,11 +37,11 @@
   CHECK(machine.timer(milliseconds(4610)) == StateMachine::Advertisements{from(100)});
 }
 
-TEST_CASE("the better backup is the first to act", "[vrrp]") {
-  StateMachine better(parameters(200)), worse(parameters(100));
-  better.startup(seconds(0));
-  worse.startup(seconds(0));
-  CHECK(better.next_timer() < worse.next_timer());
+TEST_CASE("the backup of higher priority is the first to take over", "[vrrp]") {
+  StateMachine higher(parameters(200)), lower(parameters(100));
+  higher.startup(seconds(0));
+  lower.startup(seconds(0));
+  CHECK(higher.next_timer() < lower.next_timer());
 }
 
 TEST_CASE("the address owner starts as active and never yields", "[vrrp]") {
@@ -52,17 +52,17 @@
   CHECK(machine.state() == State::kActive);
 }
 
-TEST_CASE("an advertisement of at least its priority keeps a backup in its state", "[vrrp]") {
+TEST_CASE("a backup remains backup after an advertisement of at least its own priority", "[vrrp]") {
   StateMachine machine(parameters(100));
   machine.startup(seconds(0));
   machine.receive(seconds(3), from(100, 200), kLow);
   CHECK(machine.state() == State::kBackup);
   CHECK(machine.active_down_interval() ==
-        std::chrono::microseconds(7218750));  // from the active router's interval
+        std::chrono::microseconds(7218750));  // computed from the interval of the active router
   CHECK(machine.next_timer() == vrrp::Time(std::chrono::microseconds(10218750)));
 }
 
-TEST_CASE("an active router of lower priority is preempted only under preempt mode", "[vrrp]") {
+TEST_CASE("an active router of lower priority is preempted only in preempt mode", "[vrrp]") {
   const bool preempt = GENERATE(true, false);
   vrrp::Parameters changed = parameters(100);
   changed.preempt = preempt;
@@ -73,7 +73,7 @@
   CHECK((machine.next_timer() == before) == preempt);
 }
 
-TEST_CASE("after an advertisement of priority 0 a backup waits for its skew time only", "[vrrp]") {
+TEST_CASE("after an advertisement of priority 0 a backup waits only for its skew time", "[vrrp]") {
   StateMachine machine(parameters(100));
   machine.startup(seconds(0));
   machine.receive(seconds(1), from(0), kHigh);
@@ -81,10 +81,11 @@
   machine.timer(seconds(2));
   CHECK(machine.state() == State::kActive);
   CHECK(machine.receive(seconds(3), from(0), kHigh) ==
-        StateMachine::Advertisements{from(100)});  // as active: advertises at once
+        StateMachine::Advertisements{from(100)});  // an active router advertises at once
 }
 
-TEST_CASE("an active router yields to the higher priority, then the higher address", "[vrrp]") {
+TEST_CASE("an active router yields to a higher priority, or to a higher address of equal priority",
+          "[vrrp]") {
   struct Case {
     int priority;
     Address address;
@@ -101,7 +102,7 @@
     REQUIRE(machine.state() == State::kActive);
     const auto sent = machine.receive(seconds(5), from(priority), address);
     CHECK((machine.state() == State::kBackup) == yields);
-    CHECK(sent.empty() == yields);  // one that stays active advertises at once
+    CHECK(sent.empty() == yields);  // a router that remains active advertises at once
   }
 }
 
@@ -127,7 +128,7 @@
   CHECK(machine.next_timer() == before);
 }
 
-TEST_CASE("packets are encoded as RFC 9568 has it, and invalid ones are rejected", "[vrrp]") {
+TEST_CASE("packets are encoded as RFC 9568 specifies, and invalid ones are rejected", "[vrrp]") {
   const auto packet = vrrp::encode(from(100));
   CHECK(packet == std::vector<std::uint8_t>{0x31, 7, 100, 1, 0, 100, 0xeb, 0x89, 127, 0, 0, 9});
   CHECK(std::get<Advertisement>(vrrp::decode(packet)) == from(100));
@@ -148,7 +149,7 @@
   CHECK(vrrp::to_text(vrrp::DecodeError::kTooShort) == "too short");
   std::mt19937 random(8);
   int rejected = 0;
-  for (int i = 0; i < 5000; ++i) {  // one changed byte never passes
+  for (int i = 0; i < 5000; ++i) {  // a packet with one changed byte is never valid
     auto bad = packet;
     bad[random() % bad.size()] ^= static_cast<std::uint8_t>(1 + random() % 255);
     rejected += std::holds_alternative<vrrp::DecodeError>(vrrp::decode(bad)) ? 1 : 0;
@@ -156,7 +157,7 @@
   CHECK(rejected == 5000);
 }
 
-TEST_CASE("each field of VRRP's file is checked", "[vrrp]") {
+TEST_CASE("each field of the VRRP configuration file is checked", "[vrrp]") {
   const auto parse = [](const std::string& text) { return vrrp::parse_config({"vrrp.json", text}); };
   CHECK_FALSE(parse(R"({"listen":null})"));
   const std::string other_fields = R"("peers":["127.0.0.2:9"],"addresses":["127.0.0.9"])";
@@ -192,7 +193,7 @@
   CHECK(pair[1].states == std::vector{State::kBackup});
   pair[0].vrrp->stop();
   loop.settle();
-  loop.advance(milliseconds(700));  // its skew time, not three intervals
+  loop.advance(milliseconds(700));  // the backup waits for its skew time, not for three intervals
   CHECK(pair[1].states == std::vector{State::kBackup, State::kActive});
   pair[1].vrrp->stop();
 }
