--- a/tests/confine/confine.cpp
+++ b/tests/confine/confine.cpp
@@ -1,13 +1,14 @@
-// A stand-in of the fleet's process terms, loaded into a process with LD_PRELOAD. Its constructor installs a
-// seccomp filter on this process alone (no privileges: no_new_privs is set first) before `main` runs, so that
-// all threads made later inherit it. Refused calls trap; the SIGSYS handler writes one line naming the call
-// to the file named by CONFINE_REPORT and has the call return what the fleet's bench returns: ENOSYS, EINVAL
-// for splice, and EAFNOSUPPORT for a socket that is not IPv4. The process goes on as it would there; the test
-// reads the report.
+// Emulates the fleet's process restrictions in a process that loads this library with LD_PRELOAD. The
+// constructor installs a seccomp filter on this process alone before `main` runs, so that all threads created
+// later inherit it. This needs no privileges, since no_new_privs is set first. Denied calls trap. The SIGSYS
+// handler writes one line that names the call to the file named by CONFINE_REPORT, and makes the call return
+// what the fleet's bench returns: ENOSYS, EINVAL for splice, and EAFNOSUPPORT for a socket that is not IPv4.
+// The process then continues as it would on the fleet, and the test reads the report.
 //
-// Refused: fork, vfork, clone without CLONE_THREAD (posix_spawn, system), execve, execveat, io_uring_*,
-// splice, sendfile, socketpair, socket of any family but AF_INET. clone3 gets ENOSYS unreported: its flags
-// lie behind a pointer that the filter can't read, and the C library falls back to clone, whose flags it can.
+// Denied calls: fork, vfork, clone without CLONE_THREAD (posix_spawn, system), execve, execveat, io_uring_*,
+// splice, sendfile, socketpair, and socket of any family but AF_INET. clone3 returns ENOSYS and is not
+// reported: its flags are behind a pointer that the filter can't read, and the C library falls back to clone,
+// whose flags the filter can read.
 #include <dlfcn.h>
 #include <errno.h>
 #include <fcntl.h>
@@ -25,12 +26,12 @@
 #include <cstring>
 
 #if !defined(__x86_64__)
-#error "the stand-in of the process terms reads x86-64 registers"
+#error "the emulation of the process restrictions reads x86-64 registers"
 #endif
 
 namespace {
 
-// A system call that the filter traps, and what it returns in the place of an effect.
+// A system call that the filter traps, and the error that it returns instead of taking effect.
 struct DeniedCall {
   const char* name;
   int number;
@@ -54,8 +55,8 @@
 
 int report_fd = -1;
 
-// A line of the report, put together without allocation: a signal handler writes it. What exceeds the buffer
-// is left out.
+// A line of the report. It is composed without allocation, because a signal handler writes it. Text that
+// exceeds the buffer is left out.
 class ReportLine {
  public:
   ReportLine& append(const char* text) {
@@ -67,7 +68,7 @@
     return *this;
   }
   ReportLine& append(unsigned number) {
-    char digits[11] = {};  // of 32 bits, with the terminating zero
+    char digits[11] = {};  // the digits of a 32-bit number and the terminating zero
     std::size_t first = sizeof digits - 1;
     do {
       --first;
@@ -98,13 +99,13 @@
   return kUnknownCall;
 }
 
-// Runs in the thread that made the call; only what is safe in a signal handler.
+// Runs in the thread that made the call. Uses only what is safe in a signal handler.
 void on_sigsys(int, siginfo_t* info, void* context) {
   auto* registers = static_cast<ucontext_t*>(context)->uc_mcontext.gregs;
   const DeniedCall& call = find_denied_call(info->si_syscall);
   ReportLine line;
   line.append("refused ").append(call.name);
-  // The family, so that a report says which socket was asked for.
+  // Names the family, so that the report says which kind of socket was requested.
   if (call.number == SYS_socket) line.append(" family ").append(static_cast<unsigned>(registers[REG_RDI]));
   line.append("\n").write();
   registers[REG_RAX] = -call.error;
@@ -133,7 +134,7 @@
   return is_loaded;
 }
 
-// The C library's own function of this name and type.
+// Returns the C library's function of this name and type.
 template <class Function>
 Function* next_function(Function*, const char* name) {
   return reinterpret_cast<Function*>(::dlsym(RTLD_NEXT, name));
@@ -148,14 +149,15 @@
   sigemptyset(&action.sa_mask);
   if (sigaction(SIGSYS, &action, nullptr) != 0 || !install_filter()) {
     report("confine: the filter could not be installed");
-    std::_Exit(125);  // a test must not pass because nothing was filtered
+    std::_Exit(125);  // otherwise a test could pass because nothing was filtered
   }
   report("confined");
 }
 
 }  // namespace
 
-// In front of the C library's own: each says that it was called, then lets the real one meet the filter.
+// Wrappers of functions of the C library. Each reports the call, then calls the real function, which the
+// filter denies.
 extern "C" {
 
 pid_t fork() {
@@ -163,7 +165,7 @@
   return next_function(&fork, "fork")();
 }
 
-pid_t vfork() {  // the real one could not return into this frame; no process is made either way
+pid_t vfork() {  // the real one could not return into this frame, and the filter would deny it anyway
   report_denied("vfork");
   errno = ENOSYS;
   return -1;
--- a/tests/confine/confine_test.cpp
+++ b/tests/confine/confine_test.cpp
@@ -1,6 +1,6 @@
-// The real daemon under a stand-in of the fleet's process terms (tests/confine/confine.cpp): it must start,
-// serve a streamed answer, take a new file at SIGHUP and drain at SIGTERM, and try nothing that is refused
-// there.
+// Tests the real daemon under an emulation of the fleet's process restrictions (tests/confine/confine.cpp).
+// It must start, serve a streamed response, reload its file on SIGHUP and drain on SIGTERM, and make no call
+// that is denied there.
 #include <signal.h>
 #include <sys/resource.h>
 
@@ -13,7 +13,7 @@
 namespace dispatcher::testing {
 namespace {
 
-// A process under the stand-in, which reports what it denied.
+// A process under the emulation, which reports the calls that it denied.
 class ConfinedProcess : public ChildProcess {
  public:
   ConfinedProcess(const std::string& program, std::vector<std::string> environment)
@@ -35,37 +35,39 @@
       .text();
 }
 
-// The writers never answer it.
+// ID of a request that writers never answer.
 constexpr const char* kHeldRequest = "c0ffee99";
 
 void hold_or_write(FakeReplica& replica, SlotId client, const ReceivedRequest& request) {
   if (request.id != kHeldRequest) healthy_writer(replica, client, request);
 }
 
-struct Site {
-  TestEventLoop work;
-  FakeReplica reader{work, healthy_reader};
-  FakeReplica writer{work, hold_or_write};
+// A reader and a writer for a daemon that listens at `port`, and the loop on which they run.
+struct ConfineFixture {
+  TestEventLoop loop;
+  FakeReplica reader{loop, healthy_reader};
+  FakeReplica writer{loop, hold_or_write};
   int port = free_port();
   std::unique_ptr<FakeClient> client() {
     const auto loopback_address = boost::asio::ip::address_v4::loopback();
     return std::make_unique<FakeClient>(
-        work, net::tcp::endpoint(loopback_address, static_cast<unsigned short>(port)));
+        loop, net::tcp::endpoint(loopback_address, static_cast<unsigned short>(port)));
   }
   [[nodiscard]] int releases() const {
     return reader.count("DELETE", kHeldRequest) + writer.count("DELETE", kHeldRequest);
   }
-  // Waits in real time; the number of rounds only ends a test that has failed.
+  // Waits in real time, up to kMaxRounds times as long as TestEventLoop::until(). The bound only limits the
+  // duration of a test that fails.
   template <class Condition>
-  bool until_late(Condition condition) {
+  bool until_extended(Condition condition) {
     constexpr int kMaxRounds = 10;
     for (int round = 0; round < kMaxRounds; ++round)
-      if (work.until(condition)) return true;
+      if (loop.until(condition)) return true;
     return false;
   }
 };
 
-// Lets the processes that are started from now on open only so many descriptors.
+// Limits the descriptors that a process may open if it is started during the lifetime of this object.
 class InheritedDescriptorLimit {
  public:
   explicit InheritedDescriptorLimit(rlim_t max_descriptors) {
@@ -81,102 +83,104 @@
   rlimit before_{};
 };
 
-TEST_CASE("confined as on the fleet, the daemon starts, streams, reloads and drains", "[confine]") {
-  Site site;
+TEST_CASE("under the fleet's process restrictions the daemon starts, streams, reloads and drains",
+          "[confine]") {
+  ConfineFixture fixture;
   ConfinedProcess daemon(DISPATCHER_DAEMON, {});
-  daemon.write_config(configuration(site.port, 1, site.reader, site.writer));
+  daemon.write_config(configuration(fixture.port, 1, fixture.reader, fixture.writer));
   daemon.start();
-  REQUIRE(becomes_healthy(site.work, site.port));
+  REQUIRE(becomes_healthy(fixture.loop, fixture.port));
 
-  const auto client = site.client();
+  const auto client = fixture.client();
   client->post(platform_headers("c0ffee01", "ask"), chat_body("ask", ResponseMode::kStream));
-  REQUIRE(site.work.until([&] { return client->is_complete; }));
+  REQUIRE(fixture.loop.until([&] { return client->is_complete; }));
   CHECK(client->status == 200);
   CHECK(client->body.find("yes") != std::string::npos);
-  CHECK(site.writer.count("POST", "c0ffee01") == 1);
+  CHECK(fixture.writer.count("POST", "c0ffee01") == 1);
 
-  daemon.write_config(configuration(site.port, 2, site.reader, site.writer));
+  daemon.write_config(configuration(fixture.port, 2, fixture.reader, fixture.writer));
   daemon.signal(SIGHUP);
-  CHECK(site.work.until(
+  CHECK(fixture.loop.until(
       [&] { return daemon.log().find("reloaded: discovery at 127.0.0.1:2") != std::string::npos; }));
 
   daemon.signal(SIGTERM);
   CHECK(daemon.wait_end() == 0);
   CHECK(daemon.log().find("drained") != std::string::npos);
-  // The stand-in was on, and nothing that the fleet refuses was tried.
+  // The emulation was on, and no call was made that the fleet denies.
   CHECK(daemon.report() == "confined\n");
 }
 
-// The kernel allows fewer descriptors than the file (256), and more idle clients come than there are of
-// either.
-TEST_CASE("with its descriptors full of idle clients the daemon reaches discovery and replicas",
+// The kernel allows fewer descriptors than the configuration file (256), and more idle clients connect than
+// either number.
+TEST_CASE("the daemon reaches discovery and endpoints even if idle clients use up all descriptors",
           "[confine]") {
-  Site site;
-  Agent discovery(site.work);
+  ConfineFixture fixture;
+  Agent discovery(fixture.loop);
   ConfinedProcess daemon(DISPATCHER_DAEMON, {});
-  daemon.write_config(configuration(site.port, discovery.address().port(), site.reader, site.writer));
-  discovery.reject();  // its socket must not be inherited, which would keep the port open
+  daemon.write_config(
+      configuration(fixture.port, discovery.address().port(), fixture.reader, fixture.writer));
+  discovery.reject();  // the daemon must not inherit its socket, which would keep the port open
   {
     const InheritedDescriptorLimit limit(96);
     daemon.start();
   }
   discovery.listen();
-  REQUIRE(becomes_healthy(site.work, site.port));
-  REQUIRE(site.until_late([&] { return discovery.request_count() == 1; }));
+  REQUIRE(becomes_healthy(fixture.loop, fixture.port));
+  REQUIRE(fixture.until_extended([&] { return discovery.request_count() == 1; }));
   discovery.reject();
   Agent::reset(*discovery.calls[0]);
   std::vector<std::unique_ptr<FakeClient>> idle_clients;
   for (int i = 0; i < 300; ++i) {
-    idle_clients.push_back(site.client());
+    idle_clients.push_back(fixture.client());
     idle_clients.back()->get("/healthz");
-    REQUIRE(site.work.until([&] { return idle_clients.back()->is_finished(); }));
+    REQUIRE(fixture.loop.until([&] { return idle_clients.back()->is_finished(); }));
   }
   discovery.listen();
-  CHECK(site.until_late([&] { return discovery.request_count() >= 2; }));
-  const auto served = site.client();
+  CHECK(fixture.until_extended([&] { return discovery.request_count() >= 2; }));
+  const auto served = fixture.client();
   served->post(platform_headers("c0ffee01", "ask"), kPlatformBody);
-  CHECK(site.until_late([&] { return served->is_finished(); }));
+  CHECK(fixture.until_extended([&] { return served->is_finished(); }));
   CHECK(served->status == 200);
-  const auto leaving = site.client();
-  leaving->post(platform_headers(kHeldRequest, "ask"), kPlatformBody);
-  CHECK(site.until_late([&] { return site.writer.count("POST", kHeldRequest) == 1; }));
-  leaving->close();
-  CHECK(site.until_late([&] { return site.releases() > 0; }));
+  const auto disconnecting = fixture.client();
+  disconnecting->post(platform_headers(kHeldRequest, "ask"), kPlatformBody);
+  CHECK(fixture.until_extended([&] { return fixture.writer.count("POST", kHeldRequest) == 1; }));
+  disconnecting->close();
+  CHECK(fixture.until_extended([&] { return fixture.releases() > 0; }));
   daemon.signal(SIGTERM);
-  CHECK(site.until_late([&] { return daemon.log().find("drained") != std::string::npos; }));
+  CHECK(fixture.until_extended([&] { return daemon.log().find("drained") != std::string::npos; }));
   CHECK(daemon.wait_end() == 0);
 }
 
-TEST_CASE("a hand-over socket in TMPDIR that the filter refuses is logged, and the daemon starts",
+TEST_CASE("the daemon starts although the filter denies and reports its hot restart socket in TMPDIR",
           "[confine]") {
-  Site site;
+  ConfineFixture fixture;
   ConfinedProcess daemon(DISPATCHER_DAEMON, {});
-  ConfinedProcess with_folder(DISPATCHER_DAEMON, {"TMPDIR=" + daemon.folder().string()});
-  with_folder.write_config(configuration(site.port, 1, site.reader, site.writer));
-  with_folder.start();
-  REQUIRE(becomes_healthy(site.work, site.port));
-  with_folder.signal(SIGTERM);
-  CHECK(with_folder.wait_end() == 0);
-  CHECK(with_folder.report().find("refused socket family 1\n") != std::string::npos);
-  CHECK(with_folder.log().find("drained") != std::string::npos);
+  ConfinedProcess with_tmpdir(DISPATCHER_DAEMON, {"TMPDIR=" + daemon.folder().string()});
+  with_tmpdir.write_config(configuration(fixture.port, 1, fixture.reader, fixture.writer));
+  with_tmpdir.start();
+  REQUIRE(becomes_healthy(fixture.loop, fixture.port));
+  with_tmpdir.signal(SIGTERM);
+  CHECK(with_tmpdir.wait_end() == 0);
+  CHECK(with_tmpdir.report().find("refused socket family 1\n") != std::string::npos);
+  CHECK(with_tmpdir.log().find("drained") != std::string::npos);
 }
 
-TEST_CASE("the filter refuses and reports the fleet's forbidden calls, and permits threads and IPv4",
+TEST_CASE("the filter denies and reports the calls that the fleet denies, and permits threads and IPv4",
           "[confine]") {
   ConfinedProcess probe(CONFINE_PROBE, {});
   probe.start();
   REQUIRE(probe.wait_end() == 0);
-  const std::string said = probe.log(), report = probe.report();
-  CHECK(said.find("fork -1 38\n") != std::string::npos);  // ENOSYS
-  CHECK(said.find("posix_spawn -1 38\n") != std::string::npos);
-  CHECK(said.find("execve -1 38\n") != std::string::npos);
-  CHECK(said.find("socket_unix -1 97\n") != std::string::npos);  // EAFNOSUPPORT
-  CHECK(said.find("socketpair -1 97\n") != std::string::npos);
-  CHECK(said.find("splice -1 22\n") != std::string::npos);  // EINVAL
-  CHECK(said.find("sendfile -1 38\n") != std::string::npos);
-  CHECK(said.find("io_uring_setup -1 38\n") != std::string::npos);
-  CHECK(said.find("socket_inet 0 0\n") != std::string::npos);
-  CHECK(said.find("thread 0 0\n") != std::string::npos);
+  const std::string output = probe.log(), report = probe.report();
+  CHECK(output.find("fork -1 38\n") != std::string::npos);  // ENOSYS
+  CHECK(output.find("posix_spawn -1 38\n") != std::string::npos);
+  CHECK(output.find("execve -1 38\n") != std::string::npos);
+  CHECK(output.find("socket_unix -1 97\n") != std::string::npos);  // EAFNOSUPPORT
+  CHECK(output.find("socketpair -1 97\n") != std::string::npos);
+  CHECK(output.find("splice -1 22\n") != std::string::npos);  // EINVAL
+  CHECK(output.find("sendfile -1 38\n") != std::string::npos);
+  CHECK(output.find("io_uring_setup -1 38\n") != std::string::npos);
+  CHECK(output.find("socket_inet 0 0\n") != std::string::npos);
+  CHECK(output.find("thread 0 0\n") != std::string::npos);
   for (const char* call : {"fork", "posix_spawnp", "execve", "socket family 1", "socketpair", "splice",
                            "sendfile", "io_uring_setup"}) {
     CAPTURE(call);
--- a/tests/confine/probe.cpp
+++ b/tests/confine/probe.cpp
@@ -1,5 +1,6 @@
-// A program that tries each call that the fleet's process terms refuse, and two that they allow, and prints
-// what each returned: "name result errno". Started under the stand-in, it shows that the stand-in can fail.
+// A program that tries each call that the fleet's process restrictions deny, and two that they allow, and
+// prints what each returned: "name result errno". Started under the emulation, it shows that the emulation
+// denies calls, so that a test under it can fail.
 #include <fcntl.h>
 #include <spawn.h>
 #include <sys/sendfile.h>
@@ -21,7 +22,7 @@
   std::fflush(stdout);
 }
 
-// The descriptor is closed, so that only whether there was one matters.
+// Closes the descriptor, if there is one: only whether the call succeeded matters.
 long close_after(long fd) {
   if (fd >= 0) ::close(static_cast<int>(fd));
   return fd;
