--- a/src/membership/indirect_probes.hpp
+++ b/src/membership/indirect_probes.hpp
@@ -12,18 +12,19 @@
 
 namespace dispatcher::membership {
 
-// A ping on behalf of another member.
+// A ping that this member sent on behalf of another member.
 struct IndirectProbe {
   MemberIndex origin = 0;             // the member that requested it
-  std::uint32_t origin_sequence = 0;  // of its probe
-  std::uint32_t sequence = 0;         // of the ping
-  MemberIndex target = 0;
-  Time nack_at{};
-  Time deadline{};  // the end of the origin's probe interval: later acks are of no use to it
+  std::uint32_t origin_sequence = 0;  // the sequence number of the origin's probe
+  std::uint32_t sequence = 0;         // the sequence number of the ping
+  MemberIndex target = 0;             // the member that is pinged
+  Time nack_at{};                     // when the origin is sent a nack if the target has not answered
+  Time deadline{};  // the end of the origin's probe interval; the origin has no use for a later ack
   bool is_nacked = false;
 };
 
-// The pings whose acks are awaited, at most kMaxCount. Part of a Membership; used on its thread.
+// Tracks the indirect probes that are waiting for an ack, at most kMaxCount. Part of a Membership; used on
+// its thread.
 class IndirectProbes {
  public:
   static constexpr std::size_t kMaxCount = 32;  // bounds the memory that ping requests take
@@ -31,13 +32,15 @@
   explicit IndirectProbes(const Parameters& parameters) : parameters_(parameters) {}
 
   [[nodiscard]] bool is_full() const { return probes_.size() >= kMaxCount; }
-  // A ping request arrived, and its target is pinged with `sequence`. Not while is_full().
+  // Records that `request` arrived from `origin` and that its target is pinged with `sequence`. Must not be
+  // called while is_full().
   void start(Time now, MemberIndex origin, const Probe& request, std::uint32_t sequence);
-  // An ack arrived. Returns the ack to send to the origin; none where it answers none of these pings.
+  // Called when an ack arrives. Returns the ack to send to the origin, or nullopt if the received ack answers
+  // none of these pings.
   [[nodiscard]] std::optional<OutgoingMessage> on_ack(MemberIndex from, std::uint32_t sequence);
-  // Adds the nacks that are due, and removes pings past their deadline.
+  // Appends the nacks that are due to `out`, and removes pings past their deadline.
   void tick(Time now, std::vector<OutgoingMessage>& out);
-  // When the next nack or deadline is due; none where no ack is awaited.
+  // Returns when the next nack or deadline is due, or nullopt if no ack is awaited.
   [[nodiscard]] std::optional<Time> next_deadline() const;
   void clear() { probes_.clear(); }
 
--- a/src/membership/member_table.cpp
+++ b/src/membership/member_table.cpp
@@ -46,7 +46,7 @@
 
 void MemberTable::start_suspicion(Time now, Member& member, MemberIndex accuser) {
   ++counts_.suspicions;
-  // By all members but the accused and its accuser.
+  // All members except the suspect and its accuser can confirm the suspicion.
   const unsigned possible_confirmations = count() > 2 ? count() - 2 : 0;
   const Duration min_timeout = min_suspicion_timeout();
   const double max_timeout = static_cast<double>(min_timeout.count()) * parameters_.suspicion_max_multiplier;
@@ -74,7 +74,8 @@
   MemberUpdate& own = members_[self_].update;
   if (update.version < own.version) return MergeOutcome::kMerged;
   if (update.version.incarnation > own.version.incarnation) {
-    // An earlier process of this member; the clock has been set back since. This process takes the next one.
+    // The update is about an earlier process of this member, and the clock has been set back since. This
+    // process continues with the next higher incarnation.
     if (update.version.incarnation + 1 > kMaxIncarnation) return MergeOutcome::kMerged;
     own.version = {update.version.incarnation + 1, 0};
     changes_.push_back({self_, MemberState::kAlive, MemberState::kAlive, true});
@@ -99,7 +100,7 @@
   }
   const bool is_same = update.precedence() == member.update.precedence();
   if (is_same && member.suspicion && member.suspicion->confirm(update.accuser))
-    member.remaining_sends = max_sends();  // other members need the confirmation, too
+    member.remaining_sends = max_sends();  // other members need the confirmation as well
   return MergeOutcome::kMerged;
 }
 
@@ -144,9 +145,10 @@
   std::vector<const Member*> found;
   for (const Member& member : members_) {
     const MemberState state = member.update.state;
-    // Each message carries its sender's version, so an own update is needed only when this member leaves.
+    // Each message carries its sender's version, so an update about this member is needed only when it
+    // leaves.
     const bool is_implied = member.update.member == self_ && state == MemberState::kAlive;
-    // Lifeguard's buddy system: a suspect must be notified of the suspicion to refute it.
+    // Lifeguard's buddy system: a suspect can refute a suspicion only if it is notified of it.
     const bool is_accused_receiver = member.update.member == to && state >= MemberState::kSuspect;
     const bool passes_filter = filter == UpdateFilter::kAll || state == MemberState::kSuspect;
     const bool is_due = member.remaining_sends > 0 && passes_filter;
@@ -161,7 +163,7 @@
   for (const Member* member : found) {
     updates.push_back(member->update);
     if (!member->suspicion) continue;
-    // The accusers take turns: each is a new confirmation to some receiver.
+    // Rotates through the accusers, as each of them is a new confirmation to some receiver.
     const auto& accusers = member->suspicion->accusers();
     updates.back().accuser = accusers[member->remaining_sends % accusers.size()];
   }
--- a/src/membership/member_table.hpp
+++ b/src/membership/member_table.hpp
@@ -1,5 +1,5 @@
-// One process's view of its fleet: the latest update about each member, the timers of suspicions, and which
-// updates are still to be disseminated (SWIM's infection-style dissemination). No I/O; the clock is passed
+// One process's view of its fleet: the latest update about each member, the suspicion timers, and the updates
+// that are still to be disseminated (SWIM's infection-style dissemination). Does no I/O; the time is passed
 // in.
 #ifndef DISPATCHER_MEMBERSHIP_MEMBER_TABLE_HPP_
 #define DISPATCHER_MEMBERSHIP_MEMBER_TABLE_HPP_
@@ -18,43 +18,46 @@
 // Which updates a receiver needs.
 enum class UpdateFilter : std::uint8_t {
   kAll,
-  kSuspicionsOnly,  // its view_hash() equals ours
+  kSuspicionsOnly,  // enough for a receiver whose view_hash() equals this process's
 };
 
-// The view. Part of a Membership; used on its thread, with no callbacks. Members are below count() in all
-// calls but merge(), which ignores others.
+// Holds the view. Part of a Membership; used on its thread, with no callbacks. Member indexes must be below
+// count() in all calls except merge(), which ignores updates about any other index.
 class MemberTable {
  public:
-  // `self` is below `count`; `incarnation` is at least 1, see MemberVersion.
+  // `self` must be below `count`, and `incarnation` at least 1 (see MemberVersion).
   MemberTable(const Parameters& parameters, MemberIndex self, MemberIndex count, std::uint64_t incarnation,
               Time now);
 
-  // Whether this member had to refute the update, as it is about itself.
+  // kRefuted means that the update was about this member itself and had to be refuted.
   enum class MergeOutcome : std::uint8_t { kMerged, kRefuted };
-  // Merges the update into the view, see MemberUpdate: any order and repetition of the same updates gives the
-  // same view.
+  // Merges the update into the view (see MemberUpdate). The same updates give the same view in any order and
+  // with any repetitions.
   MergeOutcome merge(Time now, const MemberUpdate& update);
-  // This process suspects the member, where it is live.
+  // Records that this process suspects the member. Has no effect if the member is not live.
   void suspect(Time now, MemberIndex member);
-  // Declares members dead whose suspicions have timed out.
+  // Declares dead the members whose suspicions have timed out.
   void expire_suspicions(Time now);
-  // Adds time in which this process did not run to all suspicions.
+  // Extends all suspicions by `pause`, a time in which this process did not run.
   void extend_suspicions(Duration pause);
-  // When the next suspicion times out.
+  // Returns when the next suspicion times out, or nullopt if there is no suspicion.
   [[nodiscard]] std::optional<Time> next_deadline() const;
-  // Marks this member as dead, for its last messages.
+  // Marks this member as dead, so that its last messages announce that it leaves.
   void leave();
 
-  // Updates worth sending to `to`, the most valuable first: those about itself that it must refute, then
-  // those that were sent the least often. The caller reports by mark_sent() which ones it sent.
+  // Returns the updates to send to the member `to`, in order of importance: first the one that `to` must
+  // refute because it is about itself, then the others by the number of times they were sent, lowest first.
+  // The caller reports each update that it sent by mark_sent().
   [[nodiscard]] std::vector<MemberUpdate> update_queue(MemberIndex to, UpdateFilter filter) const;
   void mark_sent(MemberIndex member);
-  // At most `max_updates` updates about known members, continuing after the last page, for a receiver
-  // whose view_hash() differs.
+  // Returns at most `max_updates` updates about known members, continuing after the previous page. Meant for
+  // a receiver whose view_hash() differs.
   [[nodiscard]] std::vector<MemberUpdate> next_page(std::size_t max_updates);
-  // Equal where the same members are alive, in the same incarnations.
+  // Returns a hash that is equal for views in which the same members are known, in the same incarnations, and
+  // the same ones of them are dead.
   [[nodiscard]] std::uint32_t view_hash() const;
-  // Another member's view_hash() equals ours: the updates that it covers need one transmission less.
+  // Called when another member's view_hash() equals this process's. The updates that the hash covers then
+  // need one transmission less.
   void mark_view_agreed();
 
   [[nodiscard]] MemberIndex self() const { return self_; }
@@ -64,30 +67,31 @@
     return members_[member].update;
   }
   [[nodiscard]] MemberState state(MemberIndex member) const { return members_[member].update.state; }
-  // When its state or its incarnation last changed in this view.
+  // Returns when the member's state or incarnation last changed in this view.
   [[nodiscard]] Time state_since(MemberIndex member) const { return members_[member].since; }
-  // Alive or suspect.
+  // Returns true if the member is alive or suspect.
   [[nodiscard]] bool is_live(MemberIndex member) const;
-  // Changes since the last call, in their order.
+  // Returns the changes since the last call, in the order in which they happened.
   [[nodiscard]] std::vector<MemberChange> take_changes() { return std::exchange(changes_, {}); }
 
   // Totals since the start of the process.
   struct Counts {
     std::uint64_t suspicions = 0;   // of others, by any accuser
-    std::uint64_t refutations = 0;  // of this member's suspicions and earlier incarnations
+    std::uint64_t refutations = 0;  // by this member, of any update about itself
     std::uint64_t deaths = 0;       // of others
   };
   [[nodiscard]] const Counts& counts() const { return counts_; }
   [[nodiscard]] std::size_t page_position() const { return page_position_; }
-  // Appends what decides future behaviour, with times relative to `now`, for tests that explore all states.
+  // Appends all values that determine future behaviour to `state`, with times relative to `now`. For tests
+  // that explore all states.
   void append_state(Time now, std::vector<std::uint64_t>& state) const;
 
  private:
   struct Member {
     MemberUpdate update;
     Time since{};                        // see state_since()
-    std::optional<Suspicion> suspicion;  // while its state is kSuspect
-    unsigned remaining_sends = 0;        // of the update
+    std::optional<Suspicion> suspicion;  // set while the member's state is kSuspect
+    unsigned remaining_sends = 0;        // how many more times the update is to be sent
   };
   MergeOutcome merge_own(const MemberUpdate& update);
   void replace(Time now, const MemberUpdate& update);
@@ -98,7 +102,7 @@
   Parameters parameters_;
   MemberIndex self_;
   std::vector<Member> members_;
-  std::size_t page_position_ = 0;  // the last member of the last page
+  std::size_t page_position_ = 0;  // the last member that next_page() looked at
   std::vector<MemberChange> changes_;
   Counts counts_;
 };
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -21,7 +21,7 @@
       last_seen_(now) {
   probe_rotation_.shuffle(random_);
   reconnect_rotation_.shuffle(random_);
-  // Members that start at the same time must not probe at the same time.
+  // A random first interval, so that members that start at the same time do not probe at the same time.
   boost::random::uniform_int_distribution<Duration::rep> draw(0, parameters_.probe_interval.count() - 1);
   probe_at_ = now + Duration(draw(random_));
 }
@@ -40,8 +40,8 @@
   return found;
 }
 
-// A random choice of as many members as help with an indirect probe.
-std::vector<MemberIndex> Membership::draw_some(std::vector<MemberIndex> members) {
+// Returns a random sample of `members`, of as many as help with an indirect probe.
+std::vector<MemberIndex> Membership::draw_sample(std::vector<MemberIndex> members) {
   shuffle(members, random_);
   members.resize(std::min<std::size_t>(members.size(), parameters_.indirect_probes));
   return members;
@@ -61,7 +61,7 @@
 void Membership::detect_pause(Time now) {
   const Duration gap = now - std::max(last_seen_, next_deadline());
   last_seen_ = std::max(last_seen_, now);
-  if (gap < parameters_.probe_interval) return;  // a busy event loop; LocalHealth accounts for it
+  if (gap < parameters_.probe_interval) return;  // a busy event loop, which LocalHealth accounts for
   ++pauses_;
   pending_probe_.reset();
   indirect_probes_.clear();
@@ -104,7 +104,8 @@
   out.push_back({request.target, Probe::ping(sequence_)});
 }
 
-// Whether the pending probe is acked by this message: from the target, or from a helper on its behalf.
+// Returns whether this message acks the pending probe, as an ack from the target or from a helper on its
+// behalf.
 bool Membership::is_acked_by(MemberIndex from, std::uint32_t sequence) const {
   if (!pending_probe_ || sequence != pending_probe_->sequence) return false;
   return from == pending_probe_->target || pending_probe_->is_indirect;
@@ -125,7 +126,7 @@
   const PendingProbe probe = *std::exchange(pending_probe_, std::nullopt);
   if (probe.is_acked) return health_.improve();
   ++failed_probes_;
-  // Lifeguard: helpers that send no nack either make it more likely that this member is the faulty one.
+  // Lifeguard: if helpers send no nack either, it is more likely that this member is the faulty one.
   if (probe.helpers == 0) {
     health_.degrade();
   } else if (probe.nacks < probe.helpers) {
@@ -168,7 +169,7 @@
   std::erase_if(helpers, [this](MemberIndex member) {
     return member == pending_probe_->target || state(member) != MemberState::kAlive;
   });
-  helpers = draw_some(std::move(helpers));
+  helpers = draw_sample(std::move(helpers));
   pending_probe_->helpers = static_cast<unsigned>(helpers.size());
   const Probe request = Probe::ping_request(pending_probe_->sequence, pending_probe_->target);
   for (const MemberIndex helper : helpers) out.push_back({helper, request});
@@ -197,7 +198,7 @@
 
 std::vector<OutgoingMessage> Membership::leave() {
   table_.leave();
-  const std::vector<MemberIndex> receivers = draw_some(live_members());
+  const std::vector<MemberIndex> receivers = draw_sample(live_members());
   std::vector<OutgoingMessage> out;
   out.reserve(receivers.size());
   for (const MemberIndex receiver : receivers) out.push_back({receiver, std::nullopt});
--- a/src/membership/probe_rotation.cpp
+++ b/src/membership/probe_rotation.cpp
@@ -13,7 +13,7 @@
 
 std::optional<MemberIndex> ProbeRotation::next(Random& random,
                                                const std::function<bool(MemberIndex)>& is_eligible) {
-  // Two rounds, as the end of this one and the beginning of the next may contain the same members.
+  // Tries two rounds, as the end of this one and the beginning of the next may contain the same members.
   for (std::size_t tried = 0; tried < 2 * order_.size(); ++tried) {
     if (position_ >= order_.size()) {
       position_ = 0;
--- a/src/membership/probe_rotation.hpp
+++ b/src/membership/probe_rotation.hpp
@@ -1,5 +1,5 @@
-// SWIM's round-robin order of probes (section 4.3 of the paper): each member once a round, in an order that
-// is drawn anew for each, so that the time until a member is probed is bounded.
+// SWIM's round-robin order of probes (section 4.3 of the paper): each member is probed once per round, and
+// each round has a new random order. This bounds the time until a member is probed.
 #ifndef DISPATCHER_MEMBERSHIP_PROBE_ROTATION_HPP_
 #define DISPATCHER_MEMBERSHIP_PROBE_ROTATION_HPP_
 
@@ -13,18 +13,18 @@
 
 namespace dispatcher::membership {
 
-// Puts the members into a random order, with one draw for each but the first.
+// Puts the members into a random order, with one random draw for each member except the first.
 void shuffle(std::vector<MemberIndex>& members, Random& random);
 
-// The order, and the position in it. Part of a Membership; used on its thread.
+// Holds the order of a round and the position in it. Part of a Membership; used on its thread.
 class ProbeRotation {
  public:
-  // The first round has the members in the order given, until shuffle().
+  // The first round has the members in the given order unless shuffle() is called.
   explicit ProbeRotation(std::vector<MemberIndex> members) : order_(std::move(members)) {}
 
-  // Draws the order of the current round.
+  // Draws a new order for the current round.
   void shuffle(Random& random) { membership::shuffle(order_, random); }
-  // The next eligible member, of this round or the next one; none where no member is eligible.
+  // Returns the next eligible member of this round or the next one, or nullopt if no member is eligible.
   [[nodiscard]] std::optional<MemberIndex> next(Random& random,
                                                 const std::function<bool(MemberIndex)>& is_eligible);
 
--- a/tests/membership/membership_fleet_test.cpp
+++ b/tests/membership/membership_fleet_test.cpp
@@ -1,4 +1,5 @@
-// Membership of fleets in virtual time, over a network that loses, delays, repeats and partitions.
+// Membership of whole fleets in virtual time, over a network that loses, delays and repeats datagrams and
+// that may be partitioned.
 #include <set>
 
 #include "tests/fixtures/fleet_fixture.hpp"
@@ -6,7 +7,7 @@
 namespace dispatcher::testing {
 namespace {
 
-TEST_CASE("a fleet that starts together has all members alive, and sends little when idle", "[membership]") {
+TEST_CASE("members that start together all become alive, and an idle fleet sends little", "[membership]") {
   const MemberIndex count = GENERATE(2, 3, 30);
   FleetFixture fixture(count, 1);
   REQUIRE(fixture.start_and_join(seconds(10)));
@@ -20,7 +21,7 @@
   CHECK(fixture.all_alive());
 }
 
-TEST_CASE("a member that dies is considered dead by all, and one that restarts is alive again",
+TEST_CASE("a killed member is considered dead by all others, and alive again after a restart",
           "[membership]") {
   FleetFixture fixture(12, 2);
   fixture.network.loss = 0.1;
@@ -31,7 +32,7 @@
   CHECK(fixture.until_all_alive(seconds(20)));
 }
 
-TEST_CASE("a restart faster than detection is seen as a new incarnation, and its earlier entries are dropped",
+TEST_CASE("a restart before the failure is detected is a new incarnation, and earlier entries are dropped",
           "[membership]") {
   FleetFixture fixture(6, 3);
   REQUIRE(fixture.start_and_join(seconds(10)));
@@ -59,10 +60,10 @@
   for (const MemberIndex member : {0U, 1U, 3U, 4U, 5U}) CHECK(entries(member) == 0);
 }
 
-TEST_CASE("the next process of a member whose clock was set back is accepted", "[membership]") {
+TEST_CASE("a member that restarts with its clock set back is accepted", "[membership]") {
   FleetFixture fixture(5, 4);
   REQUIRE(fixture.start_and_join(seconds(10)));
-  fixture.run(seconds(30));  // nobody spreads its first incarnation any more
+  fixture.run(seconds(30));  // long enough that no member sends its first incarnation any more
   const int& suspicions = fixture.count_changes_to(MemberState::kSuspect);
   fixture.kill(1);
   fixture.skew[1] = -std::chrono::hours(2);
@@ -76,7 +77,7 @@
     return fixture.all_alive();
   };
   CHECK_FALSE(is_accepted());
-  CHECK(fixture.until(is_accepted, seconds(3)));  // its first ping is answered with its later incarnation
+  CHECK(fixture.until(is_accepted, seconds(3)));  // the answer to its first ping has the higher incarnation
   fixture.run(seconds(10));
   CHECK(suspicions == 0);
   CHECK(fixture.node(0).counts().dropped[static_cast<std::size_t>(DropReason::kStaleIncarnation)] > 0);
@@ -94,7 +95,7 @@
   CHECK(deaths == 0);
 }
 
-TEST_CASE("a stopped member is considered dead, and once it resumes, its queued datagrams disturb nobody",
+TEST_CASE("a stopped member is considered dead, and its queued datagrams cause no suspicions when it resumes",
           "[membership]") {
   FleetFixture fixture(8, 6);
   REQUIRE(fixture.start_and_join(seconds(10)));
@@ -108,12 +109,12 @@
   fixture.resume(3);
   CHECK(fixture.until_all_alive(seconds(20)));
   fixture.run(seconds(30));
-  CHECK(accused == 0);  // it did not take its own pause for the others' silence
+  CHECK(accused == 0);  // it does not mistake its own pause for silence of the others
   CHECK(fixture.node(3).members().counts().pauses >= 1);
   CHECK(fixture.node(0).members().latest_update(3).version.refutations >= 1);
 }
 
-TEST_CASE("each side of a partitioned fleet considers the other dead, and they find each other again",
+TEST_CASE("both sides of a partitioned fleet consider each other dead, and reconnect after the partition",
           "[membership]") {
   FleetFixture fixture(10, 7);
   REQUIRE(fixture.start_and_join(seconds(10)));
@@ -121,7 +122,7 @@
   const std::set<MemberIndex> right{4, 5, 6, 7, 8, 9};
   fixture.block(left, right);
   fixture.block(right, left);
-  const auto apart = [&] {
+  const auto is_partitioned = [&] {
     for (const MemberIndex on_left : left) {
       for (const MemberIndex on_right : right) {
         if (fixture.node(on_left).members().state(on_right) != MemberState::kDead) return false;
@@ -130,7 +131,7 @@
     }
     return true;
   };
-  CHECK(fixture.until(apart, seconds(60)));
+  CHECK(fixture.until(is_partitioned, seconds(60)));
   fixture.run(seconds(60));
   for (const MemberIndex observer : left) {
     for (const MemberIndex member : left)
@@ -140,7 +141,8 @@
   CHECK(fixture.until_all_alive(seconds(40)));
 }
 
-TEST_CASE("a member that few paths connect to the others stays alive by indirect probes", "[membership]") {
+TEST_CASE("a member whose messages do not reach some of the others stays alive by indirect probes",
+          "[membership]") {
   FleetFixture fixture(8, 8);
   REQUIRE(fixture.start_and_join(seconds(10)));
   const int& deaths = fixture.count_changes_to(MemberState::kDead);
@@ -152,9 +154,8 @@
   CHECK(fixture.all_alive());
 }
 
-TEST_CASE(
-    "a member whose messages reach nobody is considered dead, though it receives, and it accuses no others",
-    "[membership]") {
+TEST_CASE("a member that can receive but not send is considered dead, and the others stay alive",
+          "[membership]") {
   FleetFixture fixture(6, 9);
   REQUIRE(fixture.start_and_join(seconds(10)));
   fixture.block({0}, {1, 2, 3, 4, 5});
@@ -167,7 +168,7 @@
   CHECK(fixture.until_all_alive(seconds(40)));
 }
 
-TEST_CASE("under loss, repetition and delays of seconds all live members are considered alive eventually",
+TEST_CASE("after loss, repetition and delays of seconds, all live members are considered alive",
           "[membership]") {
   FleetFixture fixture(15, 10);
   fixture.network = {0.3, 0.2, milliseconds(1), milliseconds(3000)};
@@ -177,7 +178,7 @@
   CHECK(fixture.until_all_alive(seconds(60)));
 }
 
-TEST_CASE("a member that leaves is known to be dead without a suspicion", "[membership]") {
+TEST_CASE("a member that leaves is considered dead without being suspected first", "[membership]") {
   FleetFixture fixture(8, 11);
   REQUIRE(fixture.start_and_join(seconds(10)));
   const int& suspicions = fixture.count_changes_to(MemberState::kSuspect);
--- a/tests/membership/membership_protocol_test.cpp
+++ b/tests/membership/membership_protocol_test.cpp
@@ -1,4 +1,4 @@
-// The parts of membership without a network: suspicions, local health, merging of updates, and probes.
+// Tests the parts of membership without a network: suspicions, local health, merging of updates, and probes.
 #include <algorithm>
 #include <random>
 #include <set>
@@ -15,9 +15,9 @@
 TEST_CASE("a suspicion's timeout is longest for a lone accuser and shortest for many", "[membership]") {
   Suspicion suspicion(seconds(100), 1, 3, seconds(6), seconds(24));
   CHECK(suspicion.timeout() == seconds(24));
-  CHECK_FALSE(suspicion.confirm(1));  // the same again confirms nothing
+  CHECK_FALSE(suspicion.confirm(1));  // the first accuser cannot confirm its own suspicion
   CHECK(suspicion.confirm(2));
-  CHECK(suspicion.timeout() == seconds(15));  // log 2 / log 4 of the way
+  CHECK(suspicion.timeout() == seconds(15));  // halfway to the minimum: log 2 / log 4
   CHECK(suspicion.confirm(3));
   CHECK(suspicion.timeout() > seconds(9));
   CHECK(suspicion.confirm(4));
@@ -45,7 +45,7 @@
   return {Parameters{}, self, count, incarnation, now, membership::Random(self + 1)};
 }
 
-TEST_CASE("updates in any order, repeated, give one view", "[membership]") {
+TEST_CASE("merging the same updates in any order and with repetitions gives the same view", "[membership]") {
   holds(
       [] {
         std::mt19937 random(*rc::gen::arbitrary<std::uint32_t>());
@@ -73,7 +73,7 @@
       500);
 }
 
-TEST_CASE("a member refutes suspicions of it, and takes an incarnation after its own later one",
+TEST_CASE("a member refutes suspicions of itself, and exceeds a higher incarnation of an earlier process",
           "[membership]") {
   Membership observer = make_member(0, 3);
   const auto receive = [&](const MemberUpdate& update) {
@@ -82,18 +82,19 @@
   receive({0, {1000, 0}, MemberState::kSuspect, 1});
   CHECK(observer.version() == MemberVersion{1000, 1});
   CHECK(observer.health_score() == 1);
-  receive({0, {1000, 0}, MemberState::kDead, 1});  // late: answered already
+  receive({0, {1000, 0}, MemberState::kDead, 1});  // refuted already
   CHECK(observer.version() == MemberVersion{1000, 1});
-  receive({0, {900, 7}, MemberState::kDead, 1});  // of an earlier incarnation: ignored
+  receive({0, {900, 7}, MemberState::kDead, 1});  // ignored, as it is about an earlier incarnation
   CHECK(observer.version() == MemberVersion{1000, 1});
-  receive({0, {2000, 4}, MemberState::kAlive, 0});  // our clock was set back since
+  receive({0, {2000, 4}, MemberState::kAlive, 0});  // its clock has been set back since
   CHECK(observer.version() == MemberVersion{2001, 0});
   receive({0, {membership::kMaxIncarnation, 0}, MemberState::kAlive, 0});
   CHECK(observer.version() == MemberVersion{2001, 0});
   CHECK(observer.state(0) == MemberState::kAlive);
 }
 
-TEST_CASE("a suspicion is sent first to its subject, whatever else is queued", "[membership]") {
+TEST_CASE("a suspicion is still sent to the suspect when its transmissions to others are used up",
+          "[membership]") {
   Membership observer = make_member(0, 4);
   observer.on_received(seconds(100), 1, {5, 0}, std::nullopt,
                        {{2, {5, 0}, MemberState::kSuspect, 1}, {3, {5, 0}, MemberState::kAlive, 3}});
@@ -105,7 +106,7 @@
   CHECK(observer.update_queue(2)[0].state == MemberState::kSuspect);
 }
 
-TEST_CASE("a helper pings on behalf of the prober, and sends a nack while the target is silent",
+TEST_CASE("a helper pings on behalf of the prober, and sends a nack while the target has not answered",
           "[membership]") {
   Membership helper = make_member(2, 4);
   helper.tick(helper.next_deadline());
@@ -115,7 +116,7 @@
   CHECK(out[0].to == 1);
   CHECK(out[0].probe->type == Probe::Type::kPing);
   const std::uint32_t sequence = out[0].probe->sequence;
-  // No answer within four fifths of the prober's timeout: one nack.
+  // The helper sends one nack if there is no answer within four fifths of the prober's timeout.
   std::size_t nacks = 0;
   for (Time at = now; at < now + milliseconds(400); at += milliseconds(10)) {
     for (const OutgoingMessage& message : helper.tick(at))
@@ -123,16 +124,15 @@
   }
   CHECK(nacks == 1);
   out = helper.on_received(now + milliseconds(400), 3, {5, 0}, Probe{Probe::Type::kAck, sequence, 0}, {});
-  CHECK(out.empty());  // not from the one that was pinged
+  CHECK(out.empty());  // the ack is not from the member that was pinged
   out = helper.on_received(now + milliseconds(400), 1, {5, 0}, Probe{Probe::Type::kAck, sequence, 0}, {});
   REQUIRE(out.size() == 1);
   CHECK(out[0].to == 0);
   CHECK(out[0].probe == Probe{Probe::Type::kAck, 77, 0});
 }
 
-TEST_CASE(
-    "an unanswered ping is repeated and sent through helpers, and each live member is probed once a round",
-    "[membership]") {
+TEST_CASE("an unanswered ping is repeated and sent through helpers, and a round probes each live member once",
+          "[membership]") {
   Membership observer = make_member(0, 8);
   for (MemberIndex member = 1; member < 4; ++member)
     observer.on_received(seconds(100), member, {5, 0}, std::nullopt, {});
@@ -149,7 +149,7 @@
       if (round == 0 && probe == 0) {
         const Time again = observer.next_deadline();
         out = observer.tick(again);
-        REQUIRE(out.size() == 3);  // the same ping, and two helpers
+        REQUIRE(out.size() == 3);  // the same ping, and ping requests to two helpers
         CHECK(out[0].to == first.to);
         CHECK(out[0].probe == first.probe);
         CHECK(out[1].probe->type == Probe::Type::kPingRequest);
--- a/tests/membership/membership_test.cpp
+++ b/tests/membership/membership_test.cpp
@@ -1,5 +1,5 @@
-// Membership of three members under every sequence of faults up to a bound: all that may be lost, delayed,
-// repeated, stopped or restarted is tried, and the fleet must recover once the faults end.
+// Explores the membership of three members under every sequence of faults up to a bound. A fault loses,
+// delays or repeats a message, or stops or restarts a member. The fleet must recover once the faults end.
 #define XXH_INLINE_ALL
 #include <xxhash.h>
 
@@ -15,7 +15,7 @@
 namespace dispatcher::testing {
 namespace {
 
-// A message that was sent and may arrive.
+// A message that was sent and has not arrived yet.
 struct InFlightMessage {
   MemberIndex from;
   MemberIndex to;
@@ -29,7 +29,7 @@
   std::vector<Membership> members;
   std::vector<bool> is_stopped{false, false, false};
   std::vector<InFlightMessage> in_flight;
-  std::vector<InFlightMessage> delayed;  // beyond others
+  std::vector<InFlightMessage> delayed;  // overtaken, or queued in a stopped member's socket
   Time now = seconds(100);
   std::uint64_t incarnation = 10;
   int faults = 0;
@@ -55,7 +55,7 @@
     }
   }
   void deliver(const InFlightMessage& message) {
-    if (is_stopped[message.to]) return delayed.push_back(message);  // in its socket
+    if (is_stopped[message.to]) return delayed.push_back(message);  // stays in the socket's queue
     Membership& receiver = members[message.to];
     send(message.to,
          receiver.on_received(now, message.from, message.version, message.probe, message.updates));
@@ -90,7 +90,7 @@
         send(member, members[member].tick(now));
     }
   }
-  // Without faults from here on.
+  // Takes the next step without a fault: delivers a message, or advances the time if none is in flight.
   void step() {
     if (in_flight.empty()) return advance_time();
     deliver(take_first());
@@ -111,7 +111,8 @@
     }
     return false;
   }
-  // No view has an incarnation or a refutation that its member never had.
+  // Returns true if no view contains an incarnation or a refutation that its member never had, and each
+  // member considers itself alive.
   [[nodiscard]] bool is_consistent() const {
     for (const Membership& observer : members) {
       if (observer.state(observer.self()) != MemberState::kAlive) return false;
@@ -144,7 +145,7 @@
   }
 };
 
-// The states after each fault that may come next.
+// Returns the states after each fault that may come next.
 std::vector<ThreeMembers> faults(const ThreeMembers& system) {
   std::vector<ThreeMembers> found;
   const auto add = [&](int cost, auto change) {
@@ -153,12 +154,12 @@
     change(next);
   };
   if (!system.in_flight.empty()) {
-    add(1, [](ThreeMembers& next) { next.take_first(); });                          // lost
-    add(1, [](ThreeMembers& next) { next.delayed.push_back(next.take_first()); });  // past the last fault
+    add(1, [](ThreeMembers& next) { next.take_first(); });                          // is lost
+    add(1, [](ThreeMembers& next) { next.delayed.push_back(next.take_first()); });  // is delayed
     add(1, [](ThreeMembers& next) {
       next.delayed.push_back(next.in_flight.front());
       next.step();
-    });  // repeated
+    });  // is repeated
     return found;
   }
   for (MemberIndex member = 0; member < 3; ++member) {
@@ -173,16 +174,16 @@
   return found;
 }
 
-// What an exploration has found.
+// The result of an exploration.
 struct Exploration {
   std::size_t states = 0;
-  std::size_t ends = 0;  // states in which the time for faults was over
+  std::size_t ends = 0;  // distinct states at the end of the time for faults
   std::size_t inconsistent = 0;
   std::size_t unrecovered = 0;
-  std::size_t false_deaths = 0;  // ends at which a member was considered dead: the faults reach that far
+  std::size_t false_deaths = 0;  // ends with a member considered dead, which shows that faults have effects
 };
 
-// Whether all consider all alive soon after the faults have ended.
+// Returns whether all members consider all others alive soon after the faults have ended.
 bool recovers(ThreeMembers& system) {
   for (MemberIndex member = 0; member < 3; ++member) system.resume(member);
   const Time deadline = system.now + seconds(60);
@@ -192,7 +193,7 @@
 
 Exploration explore(int max_faults, Time max_time, std::size_t max_states) {
   Exploration found;
-  // First without faults, until all are alive to all.
+  // Starts without faults, until all members consider all others alive.
   ThreeMembers first;
   while (!(first.all_alive() && first.now > seconds(105) && first.in_flight.empty())) first.step();
   const Time end = first.now + max_time;
@@ -225,38 +226,38 @@
   return found;
 }
 
-TEST_CASE("three members, every fault of up to two at any point: all are alive to all once the faults end",
-          "[membership]") {
+TEST_CASE("three members recover from every combination of up to two faults at any point", "[membership]") {
   const Exploration found = explore(2, seconds(5), 200'000);
   INFO(found.states << " states, " << found.ends << " ends, " << found.false_deaths
                     << " with a member considered dead");
   CHECK(found.states > 5'000);
-  CHECK(found.states < 200'000);  // all of them
+  CHECK(found.states < 200'000);  // the exploration was complete
   CHECK(found.false_deaths > 0);
   CHECK(found.inconsistent == 0);
   CHECK(found.unrecovered == 0);
 }
 
-// An exploration: up to so many faults, at any point in so much time.
+// The bounds of an exploration: up to `max_faults` faults at any point within `time`.
 struct Depth {
   int max_faults;
   seconds time;
 };
 
-// More faults than the test above in less time, and two faults over a longer one.
+// Returns explorations with more faults than the test above in less time, and with two faults in a longer
+// time.
 std::vector<Depth> greater_depths() {
   if (is_deep_run()) return {{2, seconds(12)}, {3, seconds(5)}, {4, seconds(3)}};
   return {{2, seconds(7)}, {3, seconds(2)}, {4, seconds(1)}};
 }
 
-TEST_CASE("three members, up to four faults: all are alive to all once the faults end", "[membership]") {
+TEST_CASE("three members recover from up to four faults", "[membership]") {
   constexpr std::size_t kMaxStates = 3'000'000;
   for (const auto& [max_faults, time] : greater_depths()) {
     const Exploration found = explore(max_faults, time, kMaxStates);
     INFO(max_faults << " faults in " << time.count() << " s: " << found.states << " states, " << found.ends
                     << " ends, " << found.false_deaths << " with a member considered dead");
     CHECK(found.states > 5'000);
-    CHECK((is_deep_run() || found.states < kMaxStates));  // all of them
+    CHECK((is_deep_run() || found.states < kMaxStates));  // the exploration was complete
     CHECK(found.inconsistent == 0);
     CHECK(found.unrecovered == 0);
   }
