--- a/src/replicated_state/anti_entropy.cpp
+++ b/src/replicated_state/anti_entropy.cpp
@@ -21,8 +21,9 @@
 
 MemberIndex OwnerGroups::size() const { return (owner_count + count() - 1) / count(); }
 
-// Hashes must not cover entries that are still being disseminated, as they would always differ. Nor those
-// near their max_age, which are not worth a repair, and which some members drop earlier than others.
+// Returns whether hashes cover the entry. They do not cover entries that are still being disseminated, as the
+// hashes would then always differ. They do not cover entries near their max_age either, because those are not
+// worth a repair and some members drop them earlier than others.
 bool AntiEntropy::is_settled(const EntryKey& key, const StoredEntry& stored) const {
   const Duration age = now_ - stored.written_at;
   return age >= kSettleTime && age < kinds_.find(key.kind)->max_age * 3 / 4;
--- a/src/replicated_state/bounded_counter.cpp
+++ b/src/replicated_state/bounded_counter.cpp
@@ -11,8 +11,9 @@
 
 namespace {
 
-constexpr Duration kMaxBurst = std::chrono::minutes(10);  // keeps the accrual within 64 bits
-// How long a closed consumable budget is remembered, so that a late open() cannot give it units again.
+constexpr Duration kMaxBurst = std::chrono::minutes(10);  // keeps the accrued amount within 64 bits
+// How long a closed consumable budget is remembered, so that a late open() does not give the process its
+// initial quota again.
 constexpr Duration kClosedRetention = std::chrono::minutes(10);
 
 bool is_within_bounds(const Budget& budget) {
@@ -23,7 +24,7 @@
   return static_cast<std::uint64_t>(static_cast<double>(units) * policy.reserved_fraction);
 }
 
-// The numbers that decide future behaviour, with times relative to `now`.
+// Collects the values that determine future behaviour, with times relative to `now`.
 class StateFields {
  public:
   explicit StateFields(Time now) : now_(now) {}
@@ -31,7 +32,7 @@
     fields_.insert(fields_.end(), values.begin(), values.end());
   }
   void add_time(Time at) { fields_.push_back(static_cast<std::uint64_t>((at - now_).count())); }
-  // A time that makes no difference once it has passed.
+  // Adds a time that has no effect on behaviour once it has passed.
   void add_future_time(Time at) { add_time(std::max(now_, at)); }
   void add(const QuotaAllocation& allocation);
   [[nodiscard]] std::uint64_t hash() const {
--- a/src/replicated_state/bounded_counter.hpp
+++ b/src/replicated_state/bounded_counter.hpp
@@ -1,24 +1,25 @@
-// A bounded counter, also known as an escrow counter: members of a fleet have parts (quotas) of a budget
-// whose sum never exceeds it, whatever messages are lost, late or repeated, and whatever processes are
-// partitioned, stopped or restarted. After O'Neil, "The escrow transactional method" (1986), and Balegas et
-// al., "Extending eventually consistent cloud databases for enforcing numeric invariants" (2015). No I/O: the
-// clock, the randomness and the messages are passed in.
+// A bounded counter, also known as an escrow counter: the members of a fleet hold parts (quotas) of a budget,
+// and the sum of these parts never exceeds the budget, even if messages are lost, late or repeated and
+// processes are partitioned, stopped or restarted. Based on O'Neil, "The escrow transactional method" (1986),
+// and Balegas et al., "Extending eventually consistent cloud databases for enforcing numeric invariants"
+// (2015). Does no I/O: the time, the randomness and the messages are passed in.
 //
-// Each member has an initial quota of each budget, by the configured count of members: the amount that it may
-// use without any communication. Two types of budget:
-// - kConsumable: units that are used once. A unit is transferred by a grant: the lender subtracts it before
-// it
-//   sends the grant, and the borrower adds it once; if the grant is lost, the unit is lost. A process has an
-//   initial quota only of a budget whose start it observed: an earlier process of this member may have spent
-//   that of any other, so the process has no units until it is granted some.
-// - kRate: units a second, refilled continuously, that accrue for `max_burst` at most. A fraction of the
-// quota
-//   is reserved and never lent; the remainder is lent for a lease. The borrower counts the lease from before
-//   its request, by its own clock, and checks the clock at each use, so that a stopped process has lost the
-//   loan when it resumes. The lender reclaims the loan lease_with_drift(lease) after it granted it: its
-//   clock, at most `max_drift` fast, has then passed the lease of a clock at most `max_drift` slow that began
-//   no later. Network latency does not matter. A process that starts may follow one that had lent quota: it
-//   uses the reserved part only, until lease_with_drift(kMaxLease) after its start. Accrual starts at zero.
+// Each member has an initial quota of each budget, which depends on the configured number of members. It may
+// use this amount without any communication. There are two types of budget:
+//
+// kConsumable: units that are used once. A unit is transferred by a grant: the lender subtracts it before it
+// sends the grant, and the borrower adds it once. If the grant is lost, the unit is lost. A process has an
+// initial quota only of a budget whose start it observed. An earlier process of the member may have spent the
+// initial quota of any other budget, so the process has no units of it until it is granted some.
+//
+// kRate: units per second, refilled continuously, which accrue for `max_burst` at most. A fraction of the
+// quota is reserved and never lent; the remainder can be lent for a lease. The borrower counts the lease by
+// its own clock, from a time before it sent the request, and checks the clock at each use, so a process that
+// was stopped has lost the loan when it resumes. The lender reclaims the loan lease_with_drift(lease) after
+// it granted it. The lender's clock is at most `max_drift` fast, the borrower's at most `max_drift` slow, and
+// the borrower's lease began no later, so the lease has ended by then, whatever the network latency. A
+// process that starts may follow one that had lent quota, so it uses only the reserved part until
+// lease_with_drift(kMaxLease) after its start. Accrual starts at zero.
 //
 // Clocks are steady, continue while the process is stopped, and are each within `max_drift` of the true rate.
 // Readings of different clocks are never compared. docs/design/fleet-as-one.md has the proof.
@@ -37,9 +38,10 @@
 
 namespace dispatcher::replicated_state {
 
-// Whether a process knows that no earlier process can have used a budget: see kConsumable above.
+// Whether a process knows that no earlier process of its member can have used a budget (see kConsumable
+// above).
 enum class BudgetStart : std::uint8_t {
-  kObserved,  // it was running before the budget existed
+  kObserved,  // the process was running before the budget existed
   kUnknown,   // an earlier process of this member may have used it
 };
 
@@ -47,57 +49,59 @@
 // one thread, with no callbacks.
 class BoundedCounter {
  public:
-  // `self` is below `count`; `incarnation` is this process's.
+  // `self` must be below `count`. `incarnation` is this process's incarnation.
   BoundedCounter(const LendingPolicy& policy, MemberIndex self, MemberIndex count, std::uint64_t incarnation,
                  Time now, Random random);
 
-  // Opens a budget: this process has a quota of it from now on. False where there are too many budgets, where
-  // the budget exceeds its bounds, or where it is kConsumable and has been closed. No effect on an open
-  // budget.
+  // Opens a budget, so that this process has a quota of it from now on. Returns false if there are too many
+  // budgets, if the budget exceeds its bounds, or if it is kConsumable and has been closed. Has no effect on
+  // an open budget.
   bool open(Time now, const Budget& budget, BudgetStart start);
-  // Ends the use of a budget, if it is open. Loans of it are returned with the next tick().
+  // Ends the use of a budget if it is open. Its borrowed loans are returned by the next tick().
   void close(Time now, const BudgetId& id);
 
-  // The amount that may be used now, in units; for kRate that is what has accrued.
+  // Returns the amount that may be used now, in units. For kRate this is the accrued amount.
   [[nodiscard]] std::uint64_t available(Time now, const BudgetId& id) const;
-  // kRate: units a second, loans included.
+  // Returns the rate of a kRate budget in units per second, including borrowed loans.
   [[nodiscard]] std::uint64_t rate(Time now, const BudgetId& id) const;
-  // Uses `amount` units. False, and no units are used, where fewer are available.
+  // Uses `amount` units. Returns false and uses none if fewer are available.
   bool consume(Time now, const BudgetId& id, std::uint64_t amount);
-  // Sets the amount that this process needs, in units, or for kRate units a second: what is missing is
-  // requested from other members, and only what exceeds it is lent.
+  // Sets the amount that this process needs, in units, or for kRate in units per second. An amount that is
+  // missing is requested from other members, and only an amount beyond the demand is lent.
   void set_demand(const BudgetId& id, std::uint64_t amount);
 
-  // Does what is due, at or after next_deadline(). Returns the messages to send.
+  // Expires and returns loans, sends and repeats requests, and forgets closed budgets, as far as this is due.
+  // Called at or after next_deadline(). Returns the messages to send.
   std::vector<QuotaMessage> tick(Time now, const std::vector<MemberIndex>& live_members);
   // Handles the messages of one datagram. Returns the answers to send.
   std::vector<QuotaMessage> on_received(Time now, MemberIndex from, std::uint64_t incarnation,
                                         const std::vector<QuotaRequest>& requests,
                                         const std::vector<QuotaGrant>& grants,
                                         const std::vector<QuotaReturn>& returns);
-  // A member is considered dead or has restarted: a request that is pending there is abandoned.
+  // Called when a member is considered dead or has restarted. Abandons the requests that are pending there.
   void on_member_lost(MemberIndex member);
-  // This process's own incarnation has changed.
+  // Called when this process's own incarnation has changed. Abandons all pending requests.
   void set_own_incarnation(std::uint64_t incarnation);
-  // When tick() is due next, such as for a request or the end of a loan; none where nothing is scheduled.
+  // Returns when tick() is due next, such as for a request or the end of a loan, or nullopt if nothing is
+  // scheduled.
   [[nodiscard]] std::optional<Time> next_deadline() const;
 
   // Totals since the start of the process.
   struct Counts {
-    std::uint64_t requests = 0;  // as a borrower, repetitions left out
-    std::uint64_t granted = 0;   // requests of others
-    std::uint64_t denied = 0;    // requests of others
+    std::uint64_t requests = 0;  // sent as a borrower, without repetitions
+    std::uint64_t granted = 0;   // requests from other members
+    std::uint64_t denied = 0;    // requests from other members
     std::uint64_t borrowed = 0;  // grants received
-    std::uint64_t returned = 0;  // loans to others that were returned before their lease ended
+    std::uint64_t returned = 0;  // loans to other members that were returned before their lease ended
     std::uint64_t expired = 0;   // borrowed loans whose lease ended
-    std::uint64_t ignored = 0;   // grants that answer no pending request
+    std::uint64_t ignored = 0;   // grants that did not answer a pending request
   };
   [[nodiscard]] const Counts& counts() const { return counts_; }
   [[nodiscard]] std::size_t size() const { return allocations_.size(); }
   [[nodiscard]] const std::map<BudgetId, QuotaAllocation>& allocations() const { return allocations_; }
 
-  // A hash of all state that decides future behaviour, but the randomness; times are relative to `now`. For
-  // tests that explore all states.
+  // Returns a hash of all state that determines future behaviour except the randomness, with times relative
+  // to `now`. For tests that explore all states.
   [[nodiscard]] std::uint64_t state_hash(Time now) const;
 
  private:
@@ -114,7 +118,7 @@
   MemberIndex self_;
   MemberIndex count_;
   std::uint64_t incarnation_;
-  Time lending_starts_at_;  // from here on all loans of earlier processes of this member have ended
+  Time lending_starts_at_;  // when all loans by earlier processes of this member have ended
   QuotaBorrower borrower_;
   std::map<BudgetId, QuotaAllocation> allocations_;
   Counts counts_;
--- a/src/replicated_state/entry.hpp
+++ b/src/replicated_state/entry.hpp
@@ -1,4 +1,4 @@
-// Entries of the replicated map: their keys, and their form when they are sent. Plain values.
+// The keys of the replicated map's entries, and the form in which entries are sent. Plain values.
 #ifndef DISPATCHER_REPLICATED_STATE_ENTRY_HPP_
 #define DISPATCHER_REPLICATED_STATE_ENTRY_HPP_
 
@@ -23,14 +23,14 @@
 // An entry as it is sent.
 struct Entry {
   EntryKey key;
-  std::uint64_t incarnation = 0;  // the owner's
-  std::uint64_t version = 0;      // from 1 to kMaxVersion, by one counter of the owner's incarnation
-  bool is_tombstone = false;      // the owner has erased it
-  Duration age{};                 // since the owner wrote it, as estimated by the sender
+  std::uint64_t incarnation = 0;  // the owner's incarnation when it wrote the entry
+  std::uint64_t version = 0;      // from 1 to kMaxVersion; counts the writes of the owner's incarnation
+  bool is_tombstone = false;      // true if the owner has erased the entry
+  Duration age{};                 // time since the owner wrote the entry, as estimated by the sender
   Payload payload;
 };
-inline constexpr std::uint64_t kMaxVersion = std::uint64_t{1}
-                                             << 48U;  // no writer counts this far; higher ones are invalid
+// An entry with a higher version is invalid. No writer counts this far.
+inline constexpr std::uint64_t kMaxVersion = std::uint64_t{1} << 48U;
 
 }  // namespace dispatcher::replicated_state
 
--- a/src/replicated_state/entry_kinds.cpp
+++ b/src/replicated_state/entry_kinds.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-// The error in the kind's own bounds; none where they are valid.
+// Returns the error in the kind's own bounds, or nullopt if they are valid.
 std::optional<EntryKindErrorCode> check_bounds(const EntryKind& kind) {
   if (kind.id == 0 || kind.id > kMaxKindId) return EntryKindErrorCode::kInvalidId;
   if (kind.max_payload_bytes > kMaxPayloadBytes) return EntryKindErrorCode::kPayloadTooLong;
@@ -23,15 +23,15 @@
 std::string describe(const EntryKindProblem& problem) {
   switch (problem.code) {
     case EntryKindErrorCode::kInvalidId:
-      return "bad number";
+      return "invalid id";
     case EntryKindErrorCode::kPayloadTooLong:
       return "payload too long";
     case EntryKindErrorCode::kNoValidator:
-      return "declares no bounds";
+      return "no payload validator";
     case EntryKindErrorCode::kInvalidSpread:
-      return "bad age, half-life or spread";
+      return "invalid maximum age, half-life or number of transmissions";
     case EntryKindErrorCode::kIdTaken:
-      return "number taken by " + problem.registered_name;
+      return "id taken by " + problem.registered_name;
   }
   return {};
 }
--- a/src/replicated_state/entry_kinds.hpp
+++ b/src/replicated_state/entry_kinds.hpp
@@ -1,5 +1,5 @@
-// The kinds of entries that members replicate. A package that replicates something registers its kind here;
-// ReplicatedMap carries any kind and interprets none.
+// The kinds of entries that members replicate. A package that replicates values registers their kind here.
+// ReplicatedMap replicates entries of any kind without interpreting them.
 #ifndef DISPATCHER_REPLICATED_STATE_ENTRY_KINDS_HPP_
 #define DISPATCHER_REPLICATED_STATE_ENTRY_KINDS_HPP_
 
@@ -18,46 +18,48 @@
 
 using routing::Duration;
 using routing::Time;
-using MemberIndex = std::uint32_t;  // a dispatcher's in its fleet, from 0
+using MemberIndex = std::uint32_t;  // the index of a dispatcher in its fleet, from 0
 using ByteView = std::span<const std::uint8_t>;
 
-inline constexpr std::size_t kMaxPayloadBytes = 40;  // several entries fit one datagram
-inline constexpr std::uint32_t kMaxKindId = 1000;    // two bytes on the wire
+inline constexpr std::size_t kMaxPayloadBytes = 40;  // small enough for several entries in one datagram
+inline constexpr std::uint32_t kMaxKindId = 1000;    // takes two bytes on the wire
 
-// How entries of one kind are bounded and spread.
+// Describes one kind of entry: its bounds, and how its entries are disseminated.
 struct EntryKind {
-  std::uint32_t id = 0;  // on the wire; 1 to kMaxKindId, never reused for another kind
-  std::string name;      // for error messages
+  std::uint32_t id = 0;  // sent on the wire; from 1 to kMaxKindId, and never reused for another kind
+  std::string name;      // used in error messages
   std::size_t max_payload_bytes = 8;
-  Duration max_age = std::chrono::seconds(60);    // an older entry is dropped
-  Duration half_life = std::chrono::seconds(10);  // of an entry's weight once its owner is silent
-  Duration min_write_interval =
-      std::chrono::seconds(2);             // earlier writes of a key are deferred; the last wins
+  Duration max_age = std::chrono::seconds(60);    // older entries are dropped
+  Duration half_life = std::chrono::seconds(10);  // of an entry's weight while its owner is silent
+  // A write within this time after the key's last write is deferred. Of several deferred writes, only the
+  // last one is made.
+  Duration min_write_interval = std::chrono::seconds(2);
   unsigned max_transmissions = 4;          // by each member that accepted the entry
-  double priority = 1;                     // higher values are sent first
-  bool is_broadcast = false;               // sent to all members at once, where the byte budget allows it
-  std::function<bool(ByteView)> is_valid;  // checks a payload; others are rejected
+  double priority = 1;                     // entries of a higher priority are sent first
+  bool is_broadcast = false;               // sent to all members at once if the byte budget allows it
+  std::function<bool(ByteView)> is_valid;  // returns whether a payload is valid; invalid ones are rejected
 };
 
-// Why a kind can't be registered.
+// Why a kind cannot be registered.
 enum class EntryKindErrorCode : std::uint8_t {
-  kInvalidId,       // not from 1 to kMaxKindId
-  kPayloadTooLong,  // max_payload_bytes above kMaxPayloadBytes
+  kInvalidId,       // the id is not from 1 to kMaxKindId
+  kPayloadTooLong,  // max_payload_bytes is above kMaxPayloadBytes
   kNoValidator,     // is_valid is empty
-  kInvalidSpread,   // max_age, half_life or max_transmissions not positive
-  kIdTaken,
+  kInvalidSpread,   // max_age, half_life or max_transmissions is not positive
+  kIdTaken,         // another kind has the id
 };
 
-// A kind that was not registered, and why.
+// Describes a kind that was not registered, and the reason.
 struct EntryKindProblem {
   EntryKindErrorCode code{};
   std::uint32_t id = 0;
   std::string name;
-  std::string registered_name;  // kIdTaken: of the kind that has this id
+  std::string registered_name;  // for kIdTaken, the name of the kind that has this id
 };
-[[nodiscard]] std::string to_text(const EntryKindProblem& problem);  // one line
+// Returns a description of the problem in one line.
+[[nodiscard]] std::string to_text(const EntryKindProblem& problem);
 
-// A programming error that is detected at start-up; what() is the problem's text.
+// Thrown for a programming error that is detected at start-up. what() returns the problem's text.
 struct EntryKindError : std::logic_error {
   explicit EntryKindError(const EntryKindProblem& cause) : std::logic_error(to_text(cause)), problem(cause) {}
   EntryKindProblem problem;
@@ -66,16 +68,17 @@
 // A registry of kinds. Filled at start-up, before any ReplicatedMap uses it, and constant from then on.
 class EntryKinds {
  public:
-  // Throws EntryKindError where the kind's bounds are invalid or its id is taken.
+  // Registers the kind. Throws EntryKindError if its bounds are invalid or its id is taken.
   const EntryKind& add(EntryKind kind);
-  // Null where no kind has this id.
+  // Returns the kind with this id, or null if there is none.
   [[nodiscard]] const EntryKind* find(std::uint32_t id) const;
 
  private:
   std::map<std::uint32_t, EntryKind> kinds_;
 };
 
-// An entry's id from a name, such as an endpoint's: 40 bits of its hash, six bytes on the wire.
+// Derives an entry's id from a name, such as an endpoint's. The id is 40 bits of the name's hash, which take
+// six bytes on the wire.
 [[nodiscard]] std::uint64_t entry_id(std::string_view name);
 
 }  // namespace dispatcher::replicated_state
--- a/src/replicated_state/quota_allocation.cpp
+++ b/src/replicated_state/quota_allocation.cpp
@@ -6,9 +6,10 @@
 
 namespace {
 
-constexpr std::uint64_t kMicrosPerUnit = 1'000'000;  // a rate of one unit a second accrues 1 a microsecond
-constexpr Duration kMaxAccrual =
-    std::chrono::minutes(10);  // the maximum burst; keeps products within 64 bits
+constexpr std::uint64_t kMicrosPerUnit = 1'000'000;  // one unit per second accrues 1 per microsecond
+// Limits the time for which the own rate accrues at once to the maximum burst. Keeps the products within 64
+// bits.
+constexpr Duration kMaxAccrual = std::chrono::minutes(10);
 
 std::uint64_t saturating_subtract(std::uint64_t minuend, std::uint64_t subtrahend) {
   return minuend > subtrahend ? minuend - subtrahend : 0;
@@ -48,9 +49,9 @@
   return saturating_subtract(units - lent_total(now), std::max(reserved_units, demand));
 }
 
-// Since the last accrual the own rate can only have grown, by loans to others that ended, and borrowed rates
-// can only have ended. So the sum of the own rate as it was then, and of borrowed rates until their ends, is
-// a lower bound of what has accrued.
+// Since the last accrual the own rate can only have grown (when loans to others ended), and borrowed rates
+// can only have ended. So the own rate at the last accrual, plus each borrowed rate until its end, gives a
+// lower bound of the accrued amount.
 std::uint64_t QuotaAllocation::accrued_until(Time now) const {
   const std::uint64_t own = own_rate(accrued_at);
   const std::uint64_t elapsed = non_negative_micros(now - accrued_at);
--- a/src/replicated_state/quota_borrower.cpp
+++ b/src/replicated_state/quota_borrower.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-constexpr int kMaxBackoffFactor = 16;  // of the initial backoff: caps the exponential growth
+constexpr int kMaxBackoffFactor = 16;  // the maximum backoff, as a multiple of the initial one
 
 }  // namespace
 
@@ -41,8 +41,8 @@
   return_loans(now, allocation, out);
 }
 
-// A request is pending for half a lease at most. Its loan, which may be granted already, is then returned,
-// unless the request was to renew a loan that is in use.
+// Abandons a request that has been pending for half a lease. The loan may have been granted already, so it is
+// returned, unless the request was to renew a loan that is in use.
 void QuotaBorrower::abandon_request(Time now, QuotaAllocation& allocation,
                                     std::vector<QuotaMessage>& out) const {
   if (!allocation.pending || allocation.is_consumable()) return;
@@ -53,7 +53,7 @@
   out.push_back({pending.lender, QuotaReturn{allocation.budget.id, pending.request.sequence}});
 }
 
-// Expired loans have been removed by accrue().
+// Returns loans that are no longer needed. accrue() has already removed the expired ones.
 void QuotaBorrower::return_loans(Time now, QuotaAllocation& allocation, std::vector<QuotaMessage>& out) {
   for (auto it = allocation.borrowed.begin(); it != allocation.borrowed.end();) {
     const auto& [lender, loan] = *it;
@@ -75,7 +75,7 @@
   out.push_back({pending.lender, pending.request});
 }
 
-// The lender of the loan that ends first, of those in the second half of their lease.
+// Returns the lender of the loan that ends first among the loans in the second half of their lease.
 std::optional<MemberIndex> QuotaBorrower::lender_to_renew(Time now, const QuotaAllocation& allocation) const {
   std::optional<MemberIndex> first;
   for (const auto& [lender, loan] : allocation.borrowed) {
--- a/src/replicated_state/quota_lender.cpp
+++ b/src/replicated_state/quota_lender.cpp
@@ -19,7 +19,7 @@
   return amount;
 }
 
-// Grants the same amount for another lease, unless the lender's own demand exceeds its quota by now.
+// Grants the same amount for another lease, unless the lender's own demand now exceeds the quota it has left.
 std::uint64_t renew_loan(Time now, const QuotaAllocation& allocation, LentQuota& loan,
                          const Borrower& borrower, const QuotaRequest& request, Time until) {
   const bool is_same_loan = loan.is_running(now) && borrower.incarnation == loan.incarnation &&
@@ -35,7 +35,7 @@
                         LentQuota& latest, const Borrower& borrower, const QuotaRequest& request) {
   const Time until = now + lease_with_drift(policy.lease, policy.max_drift);
   if (request.renews != 0) return renew_loan(now, allocation, latest, borrower, request, until);
-  // One loan to a borrower at a time; it may be an earlier incarnation's.
+  // A borrower has one loan at a time. The running one may be a loan to an earlier incarnation.
   if (latest.is_running(now)) return 0;
   const std::uint64_t amount = grant_amount(now, allocation, request);
   latest = {borrower.incarnation, request.sequence, amount, std::nullopt};
--- a/src/replicated_state/replicated_map.cpp
+++ b/src/replicated_state/replicated_map.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-constexpr int kRefreshDivisor = 3;  // an unchanged entry is refreshed after max_age divided by this
+constexpr int kRefreshDivisor = 3;  // an unchanged entry is written again after max_age / kRefreshDivisor
 
 Payload copy(ByteView bytes) { return {bytes.begin(), bytes.end()}; }
 
@@ -110,7 +110,7 @@
   if (key.owner == self_) return MergeResult::kOwnEntry;
   const OwnerState& owner = store_.owner(key.owner);
   if (entry.incarnation < owner.incarnation) return MergeResult::kStaleIncarnation;
-  // The membership announces incarnations; the entry will be sent again.
+  // The membership announces the new incarnation, and the entry will be sent again.
   if (entry.incarnation > owner.incarnation) return MergeResult::kUnknownIncarnation;
   const EntryKind* kind = kinds_.find(key.kind);
   if (kind == nullptr) return MergeResult::kUnknownKind;
@@ -119,7 +119,7 @@
   if (entry.version <= owner.evicted_version) return MergeResult::kAlreadyKnown;
   const auto same_version = owner.keys_by_version.find(entry.version);
   if (same_version != owner.keys_by_version.end() && same_version->second != key)
-    return MergeResult::kInvalid;  // an owner writes one entry under each version
+    return MergeResult::kInvalid;  // an owner writes only one entry per version
   const StoredEntry* stored = store_.find(key);
   const bool is_known = stored != nullptr && stored->version >= entry.version;
   return is_known ? MergeResult::kAlreadyKnown : MergeResult::kAccepted;
@@ -146,9 +146,10 @@
 void ReplicatedMap::merge_known(const Entry& entry, Time written_at) {
   StoredEntry* stored = store_.find(entry.key);
   if (stored == nullptr || stored->version != entry.version) return;
-  // Network latency makes an entry look younger than it is, never older: the earlier time is more exact.
+  // Network latency makes an entry look younger than it is, never older, so the earlier time is more exact.
   stored->written_at = std::min(stored->written_at, written_at);
-  // An owner never writes two payloads under one version; should a faulty one do, all members still agree.
+  // An owner never writes two payloads under one version. If a faulty owner does, the higher one wins, so
+  // that all members still agree.
   if (std::tie(stored->is_tombstone, stored->payload) >= std::tie(entry.is_tombstone, entry.payload)) return;
   stored->is_tombstone = entry.is_tombstone;
   stored->payload = entry.payload;
--- a/tests/replicated_state/bounded_counter_test.cpp
+++ b/tests/replicated_state/bounded_counter_test.cpp
@@ -1,6 +1,6 @@
-// The invariant of bounded counters: the sum over all members never exceeds the budget, whatever happens to
-// messages, clocks and processes. One explorer tries everything up to a depth, one property draws long
-// histories at random.
+// Tests the invariant of bounded counters: the sum over all members never exceeds the budget, whatever
+// happens to messages, clocks and processes. Explorations try every sequence of events up to a depth, and a
+// property test draws long random histories.
 #include <algorithm>
 #include <set>
 #include <unordered_set>
@@ -14,8 +14,8 @@
 
 using Arrival = LendingFleet::Arrival;
 
-// The states after each event that may come next. A loss is an arrival that never comes, a stop a member that
-// never ticks.
+// Returns the states after each event that may come next. A lost message is one that never arrives, and a
+// stopped member is one that never ticks.
 std::vector<LendingFleet> successors(const LendingFleet& fleet) {
   constexpr std::size_t kMaxInFlight = 3;
   constexpr int kMaxRestarts = 2;
@@ -49,11 +49,11 @@
   return found;
 }
 
-// What an exploration has found.
+// The result of an exploration.
 struct Exploration {
   std::size_t states = 0;
   std::uint64_t max_held = 0;
-  bool has_lent = false;  // something moved at all
+  bool has_lent = false;  // any quota was lent or transferred
 };
 
 Exploration explore(const LendingFleet& first, int depth, std::size_t max_states) {
@@ -77,8 +77,8 @@
   return found;
 }
 
-// A fleet whose first member wants all of the budget. The borrower's clock is as slow, and a lender's as
-// fast, as the bound allows; requests are repeated at once.
+// Returns a fleet whose first member has a demand for the whole budget. The borrower's clock is as slow, and
+// a lender's clock as fast, as the bound allows. Requests are repeated without delay.
 LendingFleet fleet_to_explore(const Budget& budget) {
   LendingPolicy policy;
   policy.lease = replicated_state::kMaxLease;
@@ -90,8 +90,8 @@
   return fleet;
 }
 
-// Explores all states up to the depth: the members together never hold more than the budget, nor less. A deep
-// run goes on to longer sequences, until there are more states than are kept.
+// Explores all states up to the depth and checks that the members together hold at most the budget, and all
+// of it in some state. A deep run continues with longer sequences until there are more states than are kept.
 void check_all_states(const Budget& budget, int depth) {
   constexpr std::size_t kMaxStates = 600'000;
   constexpr int kDeepestDepth = 14;
@@ -103,21 +103,21 @@
     CHECK(found.has_lent);
     CHECK(found.max_held == 6);
     CHECK(found.states > 200'000);
-    CHECK((is_deep_run() || found.states < kMaxStates));  // all of them
+    CHECK((is_deep_run() || found.states < kMaxStates));  // the exploration was complete
   }
 }
 
-TEST_CASE("three members, every sequence of events up to a depth: rates never add up to more than the budget",
+TEST_CASE("the rates of three members never exceed the budget after any sequence of events up to a depth",
           "[bounded_counter]") {
   check_all_states(kRateBudget, 9);
 }
 
-TEST_CASE("three members, every sequence of events up to a depth: units never add up to more than the budget",
+TEST_CASE("the units of three members never exceed the budget after any sequence of events up to a depth",
           "[bounded_counter]") {
   check_all_states(kUnitsBudget, 8);
 }
 
-// A random history, and what it has used so far.
+// A random history of a fleet, and the amount that its members have used so far.
 class History {
  public:
   History(LendingFleet fleet, std::uint32_t seed)
@@ -174,7 +174,7 @@
     }
     if (draw(10) == 0) others.clear();
     fleet_.tick(member, others);
-    // A caller that sleeps until then must not spin.
+    // A past deadline would make a caller that sleeps until the deadline spin.
     if (const auto next = fleet_.members[member].next_deadline()) RC_ASSERT(*next > fleet_.clock(member));
   }
   void lose_or_deliver() {
@@ -192,7 +192,8 @@
   std::uint64_t used_ = 0;
 };
 
-TEST_CASE("long random histories keep the sum constant, and usage within the rate", "[bounded_counter]") {
+TEST_CASE("long random histories keep the sum within the budget, and usage within the rate",
+          "[bounded_counter]") {
   for (const BudgetType type : {BudgetType::kRate, BudgetType::kConsumable}) {
     holds(
         [type] {
@@ -204,7 +205,7 @@
           std::vector<double> rates;
           for (MemberIndex i = 0; i < count; ++i) rates.push_back(*rc::gen::element(0.99, 1.0, 1.01));
           const LendingFleet fleet(count, {{1, key}, type, amount, seconds(5)}, policy, rates);
-          // Drawn from one number: what shrinks is the length.
+          // Drawn from a single seed, so that only the length of the history shrinks.
           History history(fleet, *rc::gen::arbitrary<std::uint32_t>());
           const int steps = *rc::gen::inRange(0, 1500);
           for (int i = 0; i < steps; ++i) {
--- a/tests/replicated_state/lending_fixture.cpp
+++ b/tests/replicated_state/lending_fixture.cpp
@@ -44,7 +44,7 @@
     members.emplace_back(policy, member, count, 1, clock(member), replicated_state::Random(member + 1));
     members[member].open(clock(member), budget, BudgetStart::kObserved);
   }
-  real_time += seconds(20);  // past the time after a start in which nothing is lent
+  real_time += seconds(20);  // past the time after a start in which members do not lend
 }
 
 Time LendingFleet::clock(MemberIndex member) const {
--- a/tests/replicated_state/lending_fixture.hpp
+++ b/tests/replicated_state/lending_fixture.hpp
@@ -1,5 +1,5 @@
-// Members of a fleet that lend one another quota of a budget, in virtual time, with clocks of different rates
-// and a network that may do anything to their messages.
+// A fleet whose members lend one another quota of a budget, in virtual time, with clocks of different rates
+// and a network that may lose, delay, reorder or repeat their messages.
 #ifndef DISPATCHER_TESTS_REPLICATED_STATE_LENDING_FIXTURE_HPP_
 #define DISPATCHER_TESTS_REPLICATED_STATE_LENDING_FIXTURE_HPP_
 
@@ -17,7 +17,7 @@
 using replicated_state::LendingPolicy;
 using replicated_state::QuotaMessage;
 
-// A budget of either type, small enough to explore all that may happen to it.
+// A budget of each type, small enough to explore all sequences of events up to a depth.
 inline constexpr Budget kRateBudget{{1, 7}, BudgetType::kRate, 6, seconds(10)};
 inline constexpr Budget kUnitsBudget{{2, 7}, BudgetType::kConsumable, 6, {}};
 
@@ -28,9 +28,9 @@
   QuotaMessage message;
 };
 
-// Members with clocks of different rates, and messages in flight that arrive in any order, late, never or
-// twice, also those of processes that have ended. Nothing filters them: the datagrams' own checks come on
-// top.
+// Members with clocks of different rates, and messages in flight, which may arrive in any order, late, never
+// or repeatedly. This includes messages of processes that have ended. The messages are not filtered; in
+// production, the checks of the datagrams are made in addition.
 struct LendingFleet {
   std::vector<BoundedCounter> members;
   std::vector<std::uint64_t> incarnations;
@@ -49,14 +49,14 @@
   [[nodiscard]] Time clock(MemberIndex member) const;
   void send(MemberIndex from, const std::vector<QuotaMessage>& messages);
   void tick(MemberIndex member, const std::vector<MemberIndex>& live_members);
-  // A message in flight arrives; a repeated one stays in flight, too.
+  // How a message in flight arrives. With kRepeated, it stays in flight and may arrive again.
   enum class Arrival { kOnce, kRepeated };
   void arrive(std::size_t index, Arrival arrival);
-  void restart(MemberIndex member);  // a new process with the same demand
-  // What all members may use together, and have used.
+  void restart(MemberIndex member);  // starts a new process with the same demand
+  // Returns the sum of the quotas that all members hold, plus the units that were spent.
   [[nodiscard]] std::uint64_t held() const;
   [[nodiscard]] std::uint64_t hash() const;
-  // Of the only budget.
+  // These functions refer to the fleet's only budget.
   [[nodiscard]] std::uint64_t available(MemberIndex member) const;
   [[nodiscard]] std::uint64_t rate(MemberIndex member) const;
   [[nodiscard]] std::uint64_t demand(MemberIndex member) const;
@@ -64,7 +64,7 @@
   [[nodiscard]] bool consume(MemberIndex member, std::uint64_t amount);
 };
 
-// Two members, one that has demand and one that does not; messages arrive at once.
+// Two members that share a rate of 1000 units per second. Messages arrive at once.
 struct TwoMembers {
   LendingFleet fleet;
 
--- a/tests/replicated_state/quota_lending_test.cpp
+++ b/tests/replicated_state/quota_lending_test.cpp
@@ -1,4 +1,4 @@
-// Lending of quota between members, case by case: loans, renewals, returns, restarts and bad messages.
+// Tests single cases of lending between members: loans, renewals, returns, restarts and invalid messages.
 #include "lending_fixture.hpp"
 
 namespace dispatcher::testing {
@@ -13,7 +13,7 @@
   pair.run(milliseconds(200));
   CHECK(pair.fleet.rate(0) == 600);
   CHECK(pair.fleet.rate(1) == 400);
-  pair.run(seconds(60));  // renewed before it ends, without a gap
+  pair.run(seconds(60));  // the loan is renewed before it ends, without a gap
   CHECK(pair.fleet.rate(0) == 600);
   CHECK(pair.fleet.members[0].counts().expired == 0);
   pair.fleet.set_demand(0, 500);
@@ -23,7 +23,8 @@
   CHECK(pair.fleet.members[1].counts().returned == 1);
 }
 
-TEST_CASE("a part of each quota is never lent, and a lender retains its own demand", "[bounded_counter]") {
+TEST_CASE("a part of each quota is never lent, and a lender keeps enough for its own demand",
+          "[bounded_counter]") {
   TwoMembers pair;
   pair.fleet.set_demand(0, 1000);
   pair.run(seconds(5));
@@ -36,7 +37,7 @@
   CHECK(busy.fleet.rate(1) >= 450);
 }
 
-TEST_CASE("a dead borrower's loan returns to the lender, and not before the lease has ended on any clock",
+TEST_CASE("a lender reclaims the loan of a dead borrower only after the lease has ended on every clock",
           "[bounded_counter]") {
   TwoMembers pair;
   pair.fleet.set_demand(0, 700);
@@ -50,23 +51,23 @@
   };
   tick_lender(granted + seconds(10));
   CHECK(pair.fleet.rate(1) == 500 - lent);
-  CHECK(pair.fleet.rate(0) == 500);  // stopped all the while: by its own clock the lease has ended
+  CHECK(pair.fleet.rate(0) == 500);  // it was stopped, and the lease has ended by its own clock
   tick_lender(granted + lease_with_drift(seconds(10), 0.001));
   CHECK(pair.fleet.rate(1) == 500);
 }
 
-TEST_CASE("a stopped borrower has lost its loan when it resumes, and its possible accrual is bounded",
+TEST_CASE("a borrower that was stopped has lost its loan when it resumes, and its accrual is bounded",
           "[bounded_counter]") {
   TwoMembers pair;
   pair.fleet.set_demand(0, 700);
   pair.run(seconds(5));
   pair.fleet.real_time += seconds(300);
-  // Ten seconds' worth of its own rate, not of the borrowed one.
+  // At most ten seconds of its own rate have accrued, and nothing of the borrowed one.
   CHECK(pair.fleet.rate(0) == 500);
   CHECK(pair.fleet.available(0) <= 5000);
 }
 
-TEST_CASE("a loan accrues nothing after its end, however late that is noticed", "[bounded_counter]") {
+TEST_CASE("a loan accrues nothing after its end, even if its end is noticed late", "[bounded_counter]") {
   TwoMembers pair;
   pair.fleet.budget.max_burst = std::chrono::minutes(10);
   for (const MemberIndex member : {0U, 1U}) {
@@ -85,7 +86,7 @@
   CHECK(pair.fleet.available(0) == before + 300UL * 500 + 10 * borrowed);
 }
 
-TEST_CASE("a restarted lender uses only the reserved part until its earlier loans are over",
+TEST_CASE("a restarted lender uses only the reserved part until its earlier loans have ended",
           "[bounded_counter]") {
   TwoMembers pair;
   pair.fleet.set_demand(0, 700);
@@ -105,16 +106,16 @@
   pair.fleet.real_time += milliseconds(5100);
   pair.fleet.tick(0, {1});
   REQUIRE(pair.fleet.in_flight.size() == 1);
-  pair.fleet.arrive(0, Arrival::kOnce);  // the lender goes on with the loan, and its answer is lost
+  pair.fleet.arrive(0, Arrival::kOnce);  // the lender renews the loan, and its answer is lost
   pair.fleet.in_flight.clear();
-  pair.fleet.real_time += milliseconds(4880);  // given up, and the loan runs for some ms yet
+  pair.fleet.real_time += milliseconds(4880);  // the request is abandoned, and the loan runs for some more ms
   pair.fleet.tick(0, {1});
   pair.deliver_all();
   CHECK(pair.fleet.rate(0) == 600);
   CHECK(pair.fleet.held() == 1000);
 }
 
-TEST_CASE("two processes of one member, as in a hot restart: the earlier one's loan stays counted",
+TEST_CASE("a loan to the predecessor in a hot restart stays counted when the successor sends requests",
           "[bounded_counter]") {
   TwoMembers pair;
   pair.fleet.set_demand(0, 600);
@@ -123,7 +124,7 @@
   REQUIRE(pair.fleet.rate(1) == 400);
   const auto& lent = lender.allocations().begin()->second.lent.at(0);
   const replicated_state::BudgetId id = pair.fleet.budget.id;
-  // The new process counts its requests from one, too.
+  // The new process numbers its requests from 1 as well.
   const auto out = lender.on_received(pair.fleet.clock(1), 0, 2, {{id, lent.sequence, 0, 100}}, {}, {});
   REQUIRE(out.size() == 1);
   CHECK(std::get<QuotaGrant>(out[0].content).amount == 0);
@@ -133,7 +134,7 @@
   CHECK(pair.fleet.rate(1) == 500);
 }
 
-TEST_CASE("without lending the complete quota is available at once", "[bounded_counter]") {
+TEST_CASE("the complete quota is usable at once if lending is disabled", "[bounded_counter]") {
   LendingPolicy policy;
   policy.lending_enabled = false;
   BoundedCounter alone(policy, 0, 4, 1, seconds(5), replicated_state::Random(1));
@@ -147,9 +148,9 @@
   CHECK(std::get<QuotaGrant>(out[0].content).amount == 0);
 }
 
-TEST_CASE("accrual starts at zero, and a restarted member brings no burst", "[bounded_counter]") {
+TEST_CASE("accrual starts at zero, so that a restarted member has no burst", "[bounded_counter]") {
   TwoMembers pair;
-  CHECK(pair.fleet.available(0) == 2500);  // 10 s of the part that is never lent: since its start
+  CHECK(pair.fleet.available(0) == 2500);  // 10 s of the part that is never lent have accrued since the start
   pair.run(seconds(20));
   CHECK(pair.fleet.available(0) == 5000);
   CHECK(pair.fleet.consume(0, 5000));
@@ -175,10 +176,10 @@
   CHECK(grant(1, request.sequence, request.amount + 1) == 3);
   CHECK(borrower.counts().ignored == 3);
   CHECK(grant(1, request.sequence, 2) == 5);
-  CHECK(grant(1, request.sequence, 2) == 5);  // once
+  CHECK(grant(1, request.sequence, 2) == 5);  // a repeated grant is not added again
 }
 
-TEST_CASE("units: repeated requests move nothing twice, and a lost grant is sent again",
+TEST_CASE("repeated requests for units transfer them once, and a lost grant is sent again",
           "[bounded_counter]") {
   LendingFleet fleet(2, kUnitsBudget, LendingPolicy{}, {1.0, 1.0});
   fleet.set_demand(0, 5);
@@ -186,7 +187,7 @@
   fleet.arrive(0, Arrival::kRepeated);
   fleet.arrive(0, Arrival::kRepeated);
   fleet.arrive(0, Arrival::kOnce);
-  CHECK(fleet.available(1) == 1);  // half of the three went, once
+  CHECK(fleet.available(1) == 1);  // half of the three units, rounded up, were transferred once
   fleet.in_flight.erase(fleet.in_flight.begin(), fleet.in_flight.begin() + 2);
   fleet.arrive(0, Arrival::kOnce);
   CHECK(fleet.available(0) == 5);
@@ -211,7 +212,7 @@
   CHECK(std::get<QuotaRequest>(fleet.in_flight.back().message.content).sequence > first.sequence);
 }
 
-TEST_CASE("the number of budgets is bounded, and a closed budget of units does not open again",
+TEST_CASE("the number of budgets is bounded, and a closed consumable budget does not open again",
           "[bounded_counter]") {
   LendingPolicy policy;
   policy.max_budgets = 3;
--- a/tests/replicated_state/replicated_map_test.cpp
+++ b/tests/replicated_state/replicated_map_test.cpp
@@ -1,4 +1,4 @@
-// The replicated map: merging as a join, bounds, ages, limits, anti-entropy.
+// Tests the replicated map: merging as a join, bounds, ages, limits, and anti-entropy.
 #include "replicated_state/replicated_map.hpp"
 
 #include <map>
@@ -44,7 +44,7 @@
   return {{5, id, owner}, 1, version, false, age, Payload{value}};
 }
 
-// All that a replica has, as text that shows any difference.
+// Returns all entries of a replica as text, so that any difference shows.
 std::string describe(const ReplicatedMap& map) {
   std::string text;
   for (MemberIndex member = 0; member < 4; ++member) {
@@ -60,8 +60,8 @@
   return text;
 }
 
-// What three owners wrote in their incarnations, as it may arrive: with different ages, and now and then
-// with a payload that the owner never wrote.
+// Returns entries that three owners wrote in their incarnations, in the form in which they may arrive: with
+// different ages, and sometimes with a payload that the owner never wrote.
 std::vector<Entry> history(std::mt19937& random, int length, std::uint64_t incarnations) {
   std::vector<Entry> entries;
   std::map<std::pair<MemberIndex, std::uint64_t>, std::uint64_t> versions;
@@ -85,7 +85,8 @@
   return entries;
 }
 
-TEST_CASE("merging in any order, with repetitions, gives one state", "[replicated_state]") {
+TEST_CASE("merging the same entries in any order and with repetitions gives the same state",
+          "[replicated_state]") {
   holds(
       [] {
         std::mt19937 random(*rc::gen::arbitrary<std::uint32_t>());
@@ -101,7 +102,7 @@
         }
         RC_ASSERT(describe(one.map) == describe(other.map));
         RC_ASSERT(other.map.size() <= 4 * max_per_owner);
-        // Idempotent.
+        // Merging is idempotent.
         const std::string before = describe(one.map);
         for (const Entry& entry : entries) one.map.merge(kNow, entry);
         RC_ASSERT(describe(one.map) == before);
@@ -109,7 +110,7 @@
       500);
 }
 
-TEST_CASE("incarnations learned at any time during a merge: once all entries were received again, one state",
+TEST_CASE("replicas that learn incarnations at different times agree once they receive all entries again",
           "[replicated_state]") {
   holds([] {
     std::mt19937 random(*rc::gen::arbitrary<std::uint32_t>());
@@ -130,11 +131,12 @@
   });
 }
 
-TEST_CASE("two replicas that have different parts agree after they exchange digests", "[replicated_state]") {
+TEST_CASE("two replicas with different entries agree after they exchange digests and deltas",
+          "[replicated_state]") {
   holds([] {
     std::mt19937 random(*rc::gen::arbitrary<std::uint32_t>());
     std::vector<Entry> entries = history(random, *rc::gen::inRange(0, 60), 1);
-    // Of one age each, neither spreading still nor near its end.
+    // All entries have an age at which they are neither being disseminated nor near their max_age.
     for (Entry& entry : entries) entry.age = seconds(10);
     std::erase_if(entries, [](const Entry& entry) { return entry.payload.size() > 1; });
     Replica one;
@@ -155,7 +157,7 @@
   });
 }
 
-TEST_CASE("entries beyond the bounds are rejected, and each result is counted", "[replicated_state]") {
+TEST_CASE("entries beyond the bounds are rejected, and each merge result is counted", "[replicated_state]") {
   Replica replica;
   const auto merge = [&](const Entry& entry) { return replica.map.merge(kNow, entry); };
   const Entry valid_entry = make_entry(1, 1, 5);
@@ -195,12 +197,13 @@
   CHECK(merge(valid_entry) == MergeResult::kAccepted);
   CHECK(merge(valid_entry) == MergeResult::kAlreadyKnown);
   entry = make_entry(1, 2, 5);
-  CHECK(merge(entry) == MergeResult::kInvalid);  // one entry a version
+  CHECK(merge(entry) == MergeResult::kInvalid);  // an owner has only one entry per version
   CHECK(replica.map.merge_counts()[static_cast<std::size_t>(MergeResult::kInvalid)] == 7);
   CHECK(replica.map.merge_counts()[static_cast<std::size_t>(MergeResult::kOwnEntry)] == 1);
 }
 
-TEST_CASE("failed attempts of evidence are a part of its attempts", "[replicated_state]") {
+TEST_CASE("failure evidence is valid only if its failed attempts do not exceed its attempts",
+          "[replicated_state]") {
   const EntryKind kind = failure_evidence_kind();
   CHECK(kind.is_valid(encode({0, 1})));
   CHECK(kind.is_valid(encode({7, 7})));
@@ -211,7 +214,7 @@
   CHECK(encode({kMaxAttempts, kMaxAttempts}).size() <= kind.max_payload_bytes);
 }
 
-TEST_CASE("a kind must be complete, and its id unused", "[replicated_state]") {
+TEST_CASE("a kind is not registered if it is incomplete or its id is taken", "[replicated_state]") {
   EntryKinds kinds;
   kinds.add(test_kind(5));
   CHECK_THROWS_WITH(kinds.add(test_kind(5)), Catch::Contains("taken"));
@@ -219,19 +222,20 @@
   CHECK_THROWS(kinds.add(test_kind(kMaxKindId + 1)));
   EntryKind bad = test_kind(7);
   bad.is_valid = {};
-  CHECK_THROWS_WITH(kinds.add(bad), Catch::Contains("bounds"));
+  CHECK_THROWS_WITH(kinds.add(bad), Catch::Contains("no payload validator"));
   bad = test_kind(7);
   bad.max_payload_bytes = kMaxPayloadBytes + 1;
   CHECK_THROWS(kinds.add(bad));
 }
 
-TEST_CASE("each error of a kind has its text", "[replicated_state]") {
+TEST_CASE("each registration error of a kind has its own text", "[replicated_state]") {
   const auto text = [](EntryKindErrorCode code) { return to_text({code, 7, "test", "other"}); };
-  CHECK(text(EntryKindErrorCode::kInvalidId) == "kind 7 (test): bad number");
+  CHECK(text(EntryKindErrorCode::kInvalidId) == "kind 7 (test): invalid id");
   CHECK(text(EntryKindErrorCode::kPayloadTooLong) == "kind 7 (test): payload too long");
-  CHECK(text(EntryKindErrorCode::kNoValidator) == "kind 7 (test): declares no bounds");
-  CHECK(text(EntryKindErrorCode::kInvalidSpread) == "kind 7 (test): bad age, half-life or spread");
-  CHECK(text(EntryKindErrorCode::kIdTaken) == "kind 7 (test): number taken by other");
+  CHECK(text(EntryKindErrorCode::kNoValidator) == "kind 7 (test): no payload validator");
+  CHECK(text(EntryKindErrorCode::kInvalidSpread) ==
+        "kind 7 (test): invalid maximum age, half-life or number of transmissions");
+  CHECK(text(EntryKindErrorCode::kIdTaken) == "kind 7 (test): id taken by other");
   EntryKind never_sent = test_kind(7);
   never_sent.max_transmissions = 0;
   EntryKinds kinds;
@@ -250,7 +254,7 @@
   return found;
 }
 
-TEST_CASE("an entry ages by the receiver's clock from the age it was sent with, and expires",
+TEST_CASE("an entry ages by the receiver's clock, starting from the age that it was sent with, and expires",
           "[replicated_state]") {
   Replica replica;
   replica.map.merge(kNow, make_entry(1, 1, 1, 1, seconds(20)));
@@ -287,7 +291,7 @@
   CHECK(replica.map.merge(kNow, entry) == MergeResult::kAccepted);
 }
 
-TEST_CASE("own writes: early ones are deferred, the last wins, an unchanged one waits for its refresh",
+TEST_CASE("an early own write is deferred, the last one wins, and an unchanged one waits for its refresh",
           "[replicated_state]") {
   Replica replica;
   const auto set = [&](Time now, std::uint8_t value) {
@@ -323,12 +327,12 @@
   for (std::uint64_t id = 7; id < 10; ++id)
     CHECK(replica.map.set(kNow + seconds(1), 5, id, std::vector<std::uint8_t>{2}));
   CHECK(visible(replica.map, kNow)[0].id == 7);
-  // A flood by another owner evicts nothing of ours.
+  // Many entries by another owner evict none of this replica's own entries.
   for (std::uint64_t version = 1; version < 100; ++version)
     replica.map.merge(kNow, make_entry(1, version, version));
   CHECK(replica.map.size() == 6);
   CHECK(replica.map.merge(kNow, make_entry(1, 1, 1)) ==
-        MergeResult::kAlreadyKnown);  // evicted: it does not return
+        MergeResult::kAlreadyKnown);  // it was evicted and is not stored again
   CHECK(replica.map.size() == 6);
 }
 
