--- a/src/net/address.hpp
+++ b/src/net/address.hpp
@@ -13,7 +13,7 @@
 using boost::system::error_code;
 
 /// Parses a numeric address with a port, such as "127.0.0.1:3000" or "[::1]:3000". Names are not resolved.
-/// Returns nullopt where the text is anything else.
+/// Returns nullopt for any other text.
 [[nodiscard]] std::optional<tcp::endpoint> parse_endpoint(std::string_view text);
 
 }  // namespace dispatcher::net
--- a/src/net/connection.cpp
+++ b/src/net/connection.cpp
@@ -108,7 +108,8 @@
     return;
   }
   is_write_pending_ = true;
-  // Output appended meanwhile may reallocate the ring: the operation keeps the storage it reads from alive.
+  // Output that is appended during the write may reallocate the ring buffer, so the operation keeps the
+  // storage that it reads from alive.
   const auto on_written = [self = shared_from_this(), storage = output_.storage()](error_code error,
                                                                                    std::size_t byte_count) {
     self->is_write_pending_ = false;
--- a/src/net/listener.cpp
+++ b/src/net/listener.cpp
@@ -17,7 +17,8 @@
   tcp::acceptor acceptor(acceptor_.get_executor());
   acceptor.open(address_.protocol());
   acceptor.set_option(tcp::acceptor::reuse_address(true));
-  // During a hot restart without a handover of the socket, both processes listen here for a while.
+  // During a hot restart in which the socket is not handed over, both processes listen on this address for a
+  // while.
   acceptor.set_option(asio::detail::socket_option::boolean<SOL_SOCKET, SO_REUSEPORT>(true));
   acceptor.bind(address_);
   acceptor.listen(asio::socket_base::max_listen_connections);
--- a/src/net/ring_buffer.hpp
+++ b/src/net/ring_buffer.hpp
@@ -1,4 +1,4 @@
-// A byte queue in a circular buffer: input that is not parsed yet, or output that is not sent yet.
+// A byte queue in a circular buffer, for input that is not parsed yet or output that is not sent yet.
 #ifndef DISPATCHER_NET_RING_BUFFER_HPP_
 #define DISPATCHER_NET_RING_BUFFER_HPP_
 
@@ -15,42 +15,42 @@
 
 /// A queue of bytes that grows in powers of two up to a limit and frees large storage once it is empty.
 ///
-/// An asynchronous read writes into the space from prepare(): until commit() that space stays where it is,
-/// whatever is consumed meanwhile. An asynchronous write reads from data(): it holds storage(), which a
-/// growing queue leaves untouched. Not thread-safe.
+/// An asynchronous read writes into the space returned by prepare(). That space stays valid until commit(),
+/// even if bytes are consumed in between. An asynchronous write reads from data() and must hold storage(),
+/// which stays unchanged when the queue grows into new storage. Not thread-safe.
 class RingBuffer {
  public:
-  /// Storage of this size is kept while the queue is empty; anything larger is freed.
+  /// Capacity of the first storage. An empty queue keeps storage of up to this size and frees larger storage.
   static constexpr std::size_t kInitialCapacityBytes = 4096;
 
-  /// `max_bytes`: the limit on what is queued. Nothing is allocated yet.
+  /// `max_bytes` limits the number of queued bytes. Allocates nothing.
   explicit RingBuffer(std::size_t max_bytes) : max_bytes_(max_bytes) {}
 
-  /// Bytes queued.
+  /// Returns the number of queued bytes.
   [[nodiscard]] std::size_t size() const { return size_; }
   [[nodiscard]] bool empty() const { return size_ == 0; }
-  /// Bytes that may be added before the limit is reached.
+  /// Returns how many bytes may be added before the limit is reached.
   [[nodiscard]] std::size_t free_space() const { return max_bytes_ - size_; }
 
-  /// The queued bytes, oldest first, in at most two pieces.
+  /// Returns the queued bytes, oldest first, in at most two pieces.
   [[nodiscard]] std::array<boost::asio::const_buffer, 2> data() const {
     const std::size_t first = std::min(size_, capacity_ - head_);
     return {boost::asio::const_buffer(bytes_.get() + head_, first),
             boost::asio::const_buffer(bytes_.get(), size_ - first)};
   }
 
-  /// A copy of the queued bytes.
+  /// Returns a copy of the queued bytes.
   [[nodiscard]] std::string text() const {
     std::string all;
     for (const auto& piece : data()) all.append(static_cast<const char*>(piece.data()), piece.size());
     return all;
   }
 
-  /// The storage behind data(), to be held for as long as an operation reads from it.
+  /// Returns the storage behind data(), which must be held for as long as an operation reads from it.
   [[nodiscard]] std::shared_ptr<const char[]> storage() const { return bytes_; }
 
-  /// Free space for at least one byte (none where the limit is reached). A commit() has to follow, with 0
-  /// where nothing was read.
+  /// Returns free space for at least one byte, or none if the limit is reached. commit() must be called
+  /// afterwards, with 0 if nothing was read.
   [[nodiscard]] std::array<boost::asio::mutable_buffer, 2> prepare() {
     if (size_ == capacity_) grow(size_ + 1);
     is_prepared_ = true;
@@ -72,7 +72,8 @@
     reset_if_empty();
   }
 
-  /// Appends all of the text or nothing: false past the limit, or between prepare() and commit().
+  /// Appends the text. Returns false, and appends nothing, if the text would exceed the limit or the call
+  /// comes between prepare() and commit().
   bool append(std::string_view text) {
     if (is_prepared_ || text.size() > free_space()) return false;
     if (size_ + text.size() > capacity_) grow(size_ + text.size());
--- a/src/net/slot_table.hpp
+++ b/src/net/slot_table.hpp
@@ -1,4 +1,4 @@
-// A generational slot table: entries addressed by handles that stay invalid after their entry is erased.
+// A generational slot table, whose handles stay invalid after their entry is erased.
 #ifndef DISPATCHER_NET_SLOT_TABLE_HPP_
 #define DISPATCHER_NET_SLOT_TABLE_HPP_
 
@@ -12,11 +12,11 @@
 
 namespace dispatcher::net {
 
-/// The handle of an entry. A slot's index is used again, its generation is not (until 2^32 uses of one slot):
-/// a handle that outlived its entry finds nothing instead of the slot's next entry.
+/// The handle of an entry. A slot's index is reused, but its generation is not (until 2^32 uses of one slot).
+/// The handle of an erased entry therefore finds nothing instead of the slot's next entry.
 struct SlotId {
   std::uint32_t index = 0;
-  /// 0: a null handle.
+  /// 0 in a null handle.
   std::uint32_t generation = 0;
   explicit operator bool() const { return generation != 0; }
   auto operator<=>(const SlotId&) const = default;
@@ -27,7 +27,7 @@
 template <class T>
 class SlotTable {
  public:
-  /// Constructs an entry in a free slot.
+  /// Constructs an entry in a free slot and returns its handle.
   template <class... Args>
   SlotId emplace(Args&&... args) {
     if (free_slots_.empty()) {
@@ -42,14 +42,14 @@
     return {index, slot.generation};
   }
 
-  /// Returns nullptr where the entry has been erased.
+  /// Returns the entry, or nullptr if it has been erased or the handle is null.
   [[nodiscard]] T* find(SlotId id) {
     if (!id || id.index >= slots_.size()) return nullptr;
     Slot& slot = slots_[id.index];
     return slot.generation == id.generation && slot.value ? &*slot.value : nullptr;
   }
 
-  /// Does nothing where the entry has been erased already.
+  /// Erases the entry. Does nothing if it has been erased already.
   void erase(SlotId id) {
     if (find(id) == nullptr) return;
     Slot& slot = slots_[id.index];
@@ -59,10 +59,11 @@
     --size_;
   }
 
-  /// How many entries there are.
+  /// Returns the number of entries.
   [[nodiscard]] std::size_t size() const { return size_; }
 
-  /// Handles of all entries in the order of their slots; the caller may erase entries while iterating them.
+  /// Returns the handles of all entries in the order of their slots. The caller may erase entries while it
+  /// iterates the result.
   [[nodiscard]] std::vector<SlotId> ids() const {
     std::vector<SlotId> result;
     for (std::uint32_t i = 0; i < slots_.size(); ++i) {
@@ -76,7 +77,7 @@
     std::uint32_t generation = 1;
     std::optional<T> value;
   };
-  std::deque<Slot> slots_;  // a deque: growing must not move entries
+  std::deque<Slot> slots_;  // a deque, because growing must not move entries
   std::vector<std::uint32_t> free_slots_;
   std::size_t size_ = 0;
 };
--- a/src/net/unique_fd.hpp
+++ b/src/net/unique_fd.hpp
@@ -1,4 +1,4 @@
-// An owning handle of a file descriptor.
+// An owning wrapper of a file descriptor.
 #ifndef DISPATCHER_NET_UNIQUE_FD_HPP_
 #define DISPATCHER_NET_UNIQUE_FD_HPP_
 
@@ -8,11 +8,12 @@
 
 namespace dispatcher::net {
 
-/// Owns a file descriptor and closes it on destruction, as std::unique_ptr does with memory. -1: none.
+/// Owns a file descriptor and closes it on destruction, as std::unique_ptr does with memory. Holds -1 if it
+/// owns none.
 class UniqueFd {
  public:
   UniqueFd() = default;
-  /// Takes ownership.
+  /// Takes ownership of `fd`.
   explicit UniqueFd(int fd) : fd_(fd) {}
   UniqueFd(UniqueFd&& other) noexcept : fd_(other.release()) {}
   UniqueFd& operator=(UniqueFd&& other) noexcept {
@@ -21,11 +22,11 @@
   }
   ~UniqueFd() { reset(); }
   explicit operator bool() const { return fd_ >= 0; }
-  /// The descriptor, still owned; -1: none.
+  /// Returns the descriptor, which this object still owns, or -1 if there is none.
   [[nodiscard]] int get() const { return fd_; }
-  /// Gives up ownership without closing.
+  /// Returns the descriptor and gives up its ownership without closing it.
   int release() { return std::exchange(fd_, -1); }
-  /// Closes what is owned and takes ownership of `fd`.
+  /// Closes the owned descriptor and takes ownership of `fd`.
   void reset(int fd = -1) {
     if (fd_ >= 0) ::close(fd_);
     fd_ = fd;
