--- a/src/http/arrival_times.cpp
+++ b/src/http/arrival_times.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-// Bytes that arrive within this time count as arrived together, so that a client that sends single bytes
-// costs little memory.
+// Bytes that arrive within this time of a segment's first byte belong to that segment, so that a client that
+// sends single bytes costs little memory.
 constexpr engine::Duration kMaxSegmentTime = std::chrono::milliseconds(10);
 
 }  // namespace
--- a/src/http/arrival_times.hpp
+++ b/src/http/arrival_times.hpp
@@ -1,4 +1,4 @@
-// When the bytes that wait in a connection's input arrived.
+// Arrival times of the unconsumed bytes in a connection's input.
 #ifndef DISPATCHER_HTTP_ARRIVAL_TIMES_HPP_
 #define DISPATCHER_HTTP_ARRIVAL_TIMES_HPP_
 
@@ -12,18 +12,19 @@
 
 using engine::Time;
 
-/// The arrival times of the bytes that a connection has received and nobody has consumed yet: a pipelined
-/// request waits behind others, and its time runs from its own first byte. A value without I/O.
+/// Records when the received bytes that are not consumed yet arrived. A pipelined request waits in the input
+/// behind earlier ones, but its time runs from the arrival of its own first byte. Performs no I/O.
 class ArrivalTimes {
  public:
-  /// To be called where bytes may have arrived, or been consumed, since the last call; not for both at once.
-  /// `waiting_bytes`: how many have arrived and not been consumed.
+  /// Must be called after bytes may have arrived and after bytes may have been consumed; one call can't cover
+  /// both. `waiting_bytes` is the number of bytes that have arrived and are not consumed yet.
   void update(std::size_t waiting_bytes, Time now);
-  /// When the first of the waiting bytes arrived, or up to 10 ms earlier. Nothing: no byte waits.
+  /// Returns when the first of the waiting bytes arrived, or a time up to 10 ms earlier. Returns nullopt if
+  /// no byte is waiting.
   [[nodiscard]] std::optional<Time> first() const;
 
  private:
-  // Bytes that arrived together.
+  // Bytes that count as having arrived together.
   struct Segment {
     std::size_t bytes = 0;
     Time arrival{};
@@ -31,8 +32,8 @@
   void append(std::size_t bytes, Time now);
   void consume(std::size_t bytes);
 
-  std::vector<Segment> segments_;  // in the order of arrival
-  std::size_t waiting_bytes_ = 0;  // of all segments
+  std::vector<Segment> segments_;  // in order of arrival
+  std::size_t waiting_bytes_ = 0;  // sum over all segments
 };
 
 }  // namespace dispatcher::http
--- a/src/http/client_acceptor.cpp
+++ b/src/http/client_acceptor.cpp
@@ -1,4 +1,4 @@
-// Accepting, and eviction of clients where connections run out.
+// Accepting of clients, and their eviction when connections run out.
 #include "http/client_acceptor.hpp"
 
 #include <algorithm>
@@ -8,9 +8,10 @@
 
 namespace {
 
-// Pause after accepting failed: descriptors that are short now may be free again by then.
+// Delay before accepting is retried after a failure. If the process was out of descriptors, some may be free
+// again by then.
 constexpr Duration kAcceptRetryDelay = std::chrono::milliseconds(20);
-// The last eighth of the client limit is reserved for orderly closes, which take a while.
+// The last 1/kReservedLimitDivisor of the client limit is reserved for orderly closes, which take a while.
 constexpr std::size_t kReservedLimitDivisor = 8;
 constexpr SlotId kNoNewcomer{};
 
@@ -44,7 +45,8 @@
   enforce_limit(id);
 }
 
-// The process is most likely out of descriptors: further clients wait in the kernel's backlog meanwhile.
+// The process is most likely out of descriptors. Further clients wait in the kernel's backlog until accepting
+// is retried.
 void ClientAcceptor::on_accept_failed(net::error_code error) {
   const bool was_aborted_by_client = error == boost::asio::error::connection_aborted;
   if (!was_aborted_by_client && !evict_client(kNoNewcomer) && reclaim_descriptor_) reclaim_descriptor_();
@@ -81,8 +83,8 @@
   return true;
 }
 
-// A request may be on its way on the connection that is closed. So it is closed in an orderly way while the
-// limit is near, and at once only where it is reached.
+// The client may have sent a request that has not arrived yet. Near the limit a connection is therefore
+// closed in an orderly way; it is closed at once only when the limit is reached.
 void ClientAcceptor::enforce_limit(SlotId newcomer) {
   const std::size_t count = clients_.size();
   if (count >= max_clients_) {
--- a/src/http/client_table.cpp
+++ b/src/http/client_table.cpp
@@ -1,4 +1,4 @@
-// Deadlines, body memory and the choice of connections to close.
+// Deadlines, body memory and the selection of clients to evict.
 #include "http/client_table.hpp"
 
 #include <optional>
@@ -8,11 +8,11 @@
 namespace dispatcher::http {
 
 namespace {
-// A connection younger than this may have its request still on its way.
+// A client that connected less than this ago may have a request that is still on its way.
 constexpr Duration kRequestGrace = std::chrono::milliseconds(250);
 }  // namespace
 
-// In ascending order of what is lost by closing the connection.
+// In ascending order of the loss that closing the connection would cause.
 enum class ClientTable::RetentionValue { kLingering, kSilent, kIdle, kPartialRequest, kRecent };
 
 ClientTable::ClientTable(engine::TimerQueue& timers, engine::Clock clock, std::size_t max_body_bytes,
--- a/src/http/client_table.hpp
+++ b/src/http/client_table.hpp
@@ -1,4 +1,4 @@
-// The connections of an HTTP server's clients, with their deadlines and the memory that their bodies take.
+// The table of an HTTP server's clients: their connections, deadlines and body memory.
 #ifndef DISPATCHER_HTTP_CLIENT_TABLE_HPP_
 #define DISPATCHER_HTTP_CLIENT_TABLE_HPP_
 
@@ -21,49 +21,52 @@
 using engine::Time;
 using net::SlotId;
 
-/// What a client's connection is doing.
+/// The state of a client's connection.
 enum class ClientState {
-  kReading,    // between requests, or a request is arriving
-  kAnswering,  // the handler owes an answer, or a stream is under way
-  kLingering,  // the last answer was given: a lingering close is under way
+  kReading,    // the connection is between requests, or a request is arriving
+  kAnswering,  // the handler owes an answer, or a stream is in progress
+  kLingering,  // the last answer was given, and a lingering close is in progress
 };
 
 /// One client's connection and the request on it. Owned by ClientTable.
 struct Client {
   /// Never null.
   std::shared_ptr<net::Connection> connection;
-  /// Holds the request until its response has ended.
+  /// Reads the request and holds it until its response has ended.
   RequestReader reader{kMaxBodyBytes};
   ClientState state = ClientState::kReading;
-  /// The response is an event stream that has begun and not ended.
+  /// Whether the response is an event stream that has begun and not ended.
   bool is_streaming = false;
-  /// How the end of a stream to this client is marked.
+  /// How this client detects the end of a stream.
   StreamFraming framing = StreamFraming::kChunked;
-  /// The stream's output is above its high watermark; Handler::on_writable() is owed.
+  /// Whether the stream's output has reached the high watermark. Handler::on_writable() is called once it has
+  /// fallen to the low watermark.
   bool is_backpressured = false;
-  /// Reading was cancelled, as the stream is to go to another process.
+  /// Whether reading was cancelled because the stream is about to move to another process.
   bool is_reading_suspended = false;
-  /// The connection may carry another request after this one.
+  /// Whether the connection may carry another request after this one.
   bool keep_alive = true;
-  /// The interim response 100 (RFC 9110, section 10.1.1) was considered for this request.
-  bool has_sent_continue = false;
-  /// A first byte has arrived on this connection.
+  /// Whether the request's Expect field was checked, and the interim response 100 sent if the client expects
+  /// it (RFC 9110, section 10.1.1).
+  bool has_checked_expect = false;
+  /// Whether the first byte has arrived on this connection.
   bool has_received_data = false;
-  /// Bytes of the request's body that count towards the server's limit.
+  /// Bytes of the request's body that count towards ServerOptions::max_body_bytes.
   std::size_t reserved_body_bytes = 0;
-  /// Bytes that arrived after the last request and were thrown away.
+  /// Bytes that arrived behind the current or last request and were discarded.
   std::size_t discarded_bytes = 0;
-  /// Of the bytes in the connection's input.
+  /// Arrival times of the bytes in the connection's input.
   ArrivalTimes arrival_times;
-  /// When the first byte of the request arrived.
+  /// When the request's first byte arrived.
   Time request_arrival{};
-  /// When the connection was accepted, went idle or began to linger.
+  /// When the connection was accepted, started to carry a request, became idle or last restarted its linger
+  /// deadline.
   Time state_since{};
-  /// Of what the client or this side has to do next; see ServerOptions.
+  /// The timer of the timeout that applies now; see ServerOptions.
   engine::TimerId deadline;
 
-  /// Whether bytes of a request have arrived that nobody has begun to read: behind the current request, or on
-  /// a connection between requests. Queries the kernel, beyond the bytes received so far.
+  /// Whether bytes of a request that is not being read yet have arrived, either behind the current request or
+  /// on a connection between requests. Also asks the kernel for bytes that were not received yet.
   [[nodiscard]] bool has_waiting_request() const {
     const bool is_reading_request = state == ClientState::kReading && reader.has_started();
     return !is_reading_request && (!connection->input().empty() || connection->is_readable());
@@ -77,53 +80,54 @@
 /// Owns the clients of one server. Used on its event loop only.
 class ClientTable {
  public:
-  /// Called where a client's deadline has passed; the deadline is no longer set then.
+  /// Called when a client's deadline has passed. The deadline is no longer set by then.
   using DeadlineHandler = std::function<void(SlotId, Client&)>;
 
-  /// `max_body_bytes`: see reserve_body_bytes(). `on_deadline` runs from the timer queue.
+  /// `max_body_bytes` limits what reserve_body_bytes() grants. `on_deadline` is called from the timer queue.
   ClientTable(engine::TimerQueue& timers, engine::Clock clock, std::size_t max_body_bytes,
               DeadlineHandler on_deadline);
 
-  /// Adds a client without a deadline. Returns its handle, which is never used again.
+  /// Adds a client without a deadline. Returns its handle, which is never reused for another client.
   SlotId add(std::shared_ptr<net::Connection> connection);
-  /// Returns nullptr where the client has been removed.
+  /// Returns nullptr if the client has been removed.
   [[nodiscard]] Client* find(SlotId id) { return clients_.find(id); }
-  /// Closes the connection at once and forgets the client. Returns false where it has been removed already.
+  /// Closes the connection at once and removes the client. Returns false if it was removed already.
   bool remove(SlotId id);
-  /// Logs why a client's connection is about to be closed, unless that was logged as it began to linger.
+  /// Logs why a client's connection is about to be closed, unless that was logged when it began to linger.
   void log_close(SlotId id, CloseReason reason);
-  /// Off by default.
+  /// Sets the log for log_close(). Nothing is logged by default.
   void set_log(engine::Log log) { log_ = std::move(log); }
-  /// How many clients are connected, lingering ones included.
+  /// Returns the number of connected clients, including lingering ones.
   [[nodiscard]] std::size_t size() const { return clients_.size(); }
-  /// All clients; they may be removed while the result is iterated.
+  /// Returns the handles of all clients, which may be removed while the caller iterates the result.
   [[nodiscard]] std::vector<SlotId> ids() const { return clients_.ids(); }
 
-  /// Replaces the client's deadline, which is `timeout` from now.
+  /// Replaces the client's deadline with one that expires `timeout` from now.
   void set_deadline(SlotId id, Duration timeout);
-  /// Does nothing where the client has no deadline.
+  /// Does nothing if the client has no deadline.
   void cancel_deadline(Client& client) { timers_.drop(client.deadline); }
 
-  /// Replaces the client's reservation. Returns false where it is above 0 and the reservations of all clients
-  /// together exceed the limit; it counts all the same until it is released.
+  /// Replaces the client's reservation of memory for its request's body. Returns false if it is above 0 and
+  /// the reservations of all clients together exceed the limit. It counts until it is released even then.
   [[nodiscard]] bool reserve_body_bytes(Client& client, std::size_t bytes);
-  /// Ends the client's reservation.
+  /// Releases the client's reservation.
   void release_body_bytes(Client& client);
-  /// Changes the limit for reservations from now on.
+  /// Changes the limit for later reservations.
   void set_max_body_bytes(std::size_t max_body_bytes) { max_body_bytes_ = max_body_bytes; }
 
-  /// The client whose connection is of least value: the first to be closed when connections run out. A null
-  /// handle where there is none to close.
+  /// Returns the client whose connection is of least value and is closed first when connections run out.
+  /// Returns a null handle if no client may be evicted.
   ///
-  /// In this order, and the longest in its state first: lingering closes; connections that have sent nothing;
-  /// idle ones; those with part of a request; those so young that a request may be on its way. Hundreds of
-  /// clients that are silent or never finish a request thus can't keep others out. Never chosen are
-  /// `newcomer`, clients that are owed an answer or still have output, and those with unread input.
+  /// Clients are evicted in this order, and within each group the one longest in its state first: connections
+  /// in a lingering close, connections that have sent nothing, idle ones, those with part of a request, and
+  /// those so recent that a request may be on its way. Hundreds of clients that are silent or never finish a
+  /// request thus can't keep others out. Never chosen are `newcomer`, clients that are owed an answer or
+  /// still have output, and those with unread input.
   [[nodiscard]] SlotId find_eviction_candidate(SlotId newcomer);
-  /// Whether the client's connection may be closed in an orderly way before connections run out: it is idle
-  /// or has been silent.
+  /// Whether the client's connection may be closed in an orderly way before connections run out, because it
+  /// is idle or has not sent anything.
   [[nodiscard]] bool is_dispensable(const Client& client) const;
-  /// Whether the client may have a request on its way, as it connected only just now.
+  /// Whether the client entered its state so recently that its request may still be on its way.
   [[nodiscard]] bool is_recent(const Client& client) const;
 
  private:
@@ -134,7 +138,7 @@
   engine::Clock clock_;
   net::SlotTable<Client> clients_;
   std::size_t max_body_bytes_;
-  std::size_t reserved_body_bytes_ = 0;  // of all clients
+  std::size_t reserved_body_bytes_ = 0;  // sum over all clients
   DeadlineHandler on_deadline_;
   engine::Log log_;
 };
--- a/src/http/close_reason.hpp
+++ b/src/http/close_reason.hpp
@@ -1,4 +1,4 @@
-/// Why connections of clients are closed.
+// Reasons for closing clients' connections.
 #ifndef DISPATCHER_HTTP_CLOSE_REASON_HPP_
 #define DISPATCHER_HTTP_CLOSE_REASON_HPP_
 
@@ -6,20 +6,20 @@
 
 namespace dispatcher::http {
 
-/// What ends a client's connection, for the log.
+/// Why a client's connection is closed, for the log.
 enum class CloseReason {
-  kClientClosed,   ///< the client closed it, or it broke
-  kNoRequest,      ///< no request came in time
-  kWriteTimeout,   ///< the client did not take its answer
-  kTooMuchInput,   ///< the client sent more than may wait behind its request
-  kLastResponse,   ///< its response was its last: the client or this side said so
-  kStreamAborted,  ///< its stream broke off
-  kDraining,       ///< idle, and the process is ending
-  kEvicted,        ///< another client needed its place
-  kHandedOver,     ///< its stream continues in another process
+  kClientClosed,   ///< the client closed the connection, or it failed
+  kNoRequest,      ///< no request arrived in time
+  kWriteTimeout,   ///< the client did not read its answer in time
+  kTooMuchInput,   ///< the client sent more bytes behind its request than may wait there
+  kLastResponse,   ///< its last response was sent, as announced by the client or this side
+  kStreamAborted,  ///< its stream was aborted
+  kDraining,       ///< the connection was idle while the process drained
+  kEvicted,        ///< evicted in favor of another client
+  kHandedOver,     ///< its stream moved to another process
 };
 
-/// The name that the log has.
+/// Returns the reason's name in the log.
 [[nodiscard]] std::string_view name_of(CloseReason reason);
 
 }  // namespace dispatcher::http
--- a/src/http/event_framer.cpp
+++ b/src/http/event_framer.cpp
@@ -1,4 +1,4 @@
-// Framing of server-sent events and reading of their fields.
+// Framing of server-sent events and extraction of their fields.
 #include "http/event_framer.hpp"
 
 namespace dispatcher::http {
--- a/src/http/frontend.cpp
+++ b/src/http/frontend.cpp
@@ -1,4 +1,4 @@
-// Admission and book-keeping of requests between a server and the engine.
+// Admission and bookkeeping of requests between a server and the engine.
 #include "http/frontend.hpp"
 
 #include <iterator>
@@ -9,7 +9,8 @@
 
 namespace {
 
-// A field that occurs more than once has no single value: it counts as absent.
+// Returns the field's value, or nullopt if it is absent or occurs more than once, in which case it has no
+// single value.
 std::optional<std::string_view> single_value(const Server::Request& request, std::string_view name) {
   const auto [first, last] = request.equal_range({name.data(), name.size()});
   if (first == last || std::next(first) != last) return std::nullopt;
@@ -46,36 +47,36 @@
   return degradation_ != nullptr && degradation_->active();
 }
 
-void Frontend::add_request_facts(const Server::Request& http_request, const routing::Request& request,
-                                 engine::Time now, rate_limit::RequestAttributes& facts) const {
-  facts.request_class = request.request_class;
-  facts.account = request.tenant;
-  facts.session = request.session;
-  facts.prompt_tokens = request.prompt_tokens;
-  facts.shared_tokens = request.prefix_tokens;
-  facts.max_tokens = request.max_tokens;
-  facts.time_left_ms =
+void Frontend::add_request_attributes(const Server::Request& http_request, const routing::Request& request,
+                                      engine::Time now, rate_limit::RequestAttributes& attributes) const {
+  attributes.request_class = request.request_class;
+  attributes.account = request.tenant;
+  attributes.session = request.session;
+  attributes.prompt_tokens = request.prompt_tokens;
+  attributes.shared_tokens = request.prefix_tokens;
+  attributes.max_tokens = request.max_tokens;
+  attributes.time_left_ms =
       std::chrono::duration_cast<std::chrono::milliseconds>(request.client_deadline - now).count();
-  facts.is_retry = request.client_retry;
+  attributes.is_retry = request.client_retry;
   if (rate_limiter_->rules() == nullptr) return;
   for (const rate_limit::Header& field : rate_limiter_->rules()->headers())
-    facts.headers.push_back(single_value(http_request, field.name));
+    attributes.headers.push_back(single_value(http_request, field.name));
 }
 
 bool Frontend::admit(SlotId client, const Server::Request& http_request, routing::Request& request,
-                     rate_limit::RequestAttributes facts, const routing::Settings& settings) {
+                     rate_limit::RequestAttributes attributes, const routing::Settings& settings) {
   if (!has_admission_rules()) return true;
   const engine::Time now = clock_();
-  add_request_facts(http_request, request, now, facts);
+  add_request_attributes(http_request, request, now, attributes);
   bool is_shed = false;
   const auto shed = [&](const routing::Request& classified) -> std::optional<engine::Duration> {
     if (degradation_ == nullptr) return std::nullopt;
-    const auto retry_after = degradation_->shed(classified, facts);
+    const auto retry_after = degradation_->shed(classified, attributes);
     is_shed = retry_after.has_value();
     return retry_after;
   };
   const rate_limit::RateLimiter::Admission admission =
-      rate_limiter_->admit(request, facts, settings, now, shed);
+      rate_limiter_->admit(request, attributes, settings, now, shed);
   if (!admission.is_rejected()) {
     if (!admission.ticket.empty()) tickets_.insert_or_assign(client, admission.ticket);
     return true;
--- a/src/http/message.cpp
+++ b/src/http/message.cpp
@@ -12,7 +12,8 @@
 
 namespace {
 
-// Fields of one connection (RFC 9110, section 7.6.1) or of the body's framing, which each hop writes anew.
+// Fields that concern one connection (RFC 9110, section 7.6.1) or the body's framing; each hop writes its
+// own.
 constexpr std::array<std::string_view, 12> kHopByHopFields = {
     "Connection",         "Proxy-Connection",    "Keep-Alive", "TE",   "Trailer", "Transfer-Encoding",
     "Proxy-Authenticate", "Proxy-Authorization", "Upgrade",    "Host", "Expect",  "Content-Length"};
@@ -54,10 +55,11 @@
 }
 
 std::string response(int status, std::string_view content_type, std::string_view body,
-                     Persistence persistence, std::initializer_list<Header> more) {
+                     Persistence persistence, std::initializer_list<Header> extra_headers) {
   std::string text = head(status, persistence);
   if (!body.empty()) text.append("Content-Type: ").append(content_type).append("\r\n");
-  for (const Header& field : more) text.append(field.name).append(": ").append(field.value).append("\r\n");
+  for (const Header& field : extra_headers)
+    text.append(field.name).append(": ").append(field.value).append("\r\n");
   text += "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n";
   text += body;
   return text;
--- a/src/http/message_reader.hpp
+++ b/src/http/message_reader.hpp
@@ -1,4 +1,4 @@
-// Incremental reading of HTTP/1.1 messages from a connection's ring buffer, over Beast's parsers.
+// Incremental reading of HTTP/1.1 messages from a connection's ring buffer with Beast's parsers.
 #ifndef DISPATCHER_HTTP_MESSAGE_READER_HPP_
 #define DISPATCHER_HTTP_MESSAGE_READER_HPP_
 
@@ -15,28 +15,28 @@
 
 namespace dispatcher::http {
 
-/// The largest request body in bytes, and the largest answer that a replica gives outside a stream.
+/// Maximum size in bytes of a request's body, and of an endpoint's response that is not a stream.
 inline constexpr std::size_t kMaxBodyBytes = std::size_t{256} * 1024;
-/// The largest head (start line and fields) of a message in bytes.
+/// Maximum size in bytes of a message's head (start line and fields).
 inline constexpr std::size_t kMaxHeadBytes = std::size_t{16} * 1024;
-/// The largest chunk in bytes: one that claims more is malformed, so that it need not be read to its end.
+/// Maximum size in bytes of a chunk. A chunk that declares more is malformed and need not be read to its end.
 inline constexpr std::uint64_t kMaxChunkBytes = std::size_t{16} * 1024 * 1024;
 
 /// How far a message has been read.
 enum class ReadStatus {
-  kNeedMore,   // all bytes that have arrived were read
-  kComplete,   // with its body
+  kNeedMore,   // all bytes that have arrived were read, and the message is incomplete
+  kComplete,   // the message was read, including its body
   kMalformed,  // the message breaks the protocol or a limit; nothing more can be read from the connection
 };
 
-/// Reads one HTTP/1.1 message (RFC 9112) after another from a connection's input. Owned by the connection's
-/// owner and used on its event loop only.
+/// Reads successive HTTP/1.1 messages (RFC 9112) from a connection's input. Owned by the connection's owner
+/// and used on its event loop only.
 template <bool kIsRequest>
 class MessageReader {
  public:
   using Message = beast_http::message<kIsRequest, beast_http::string_body>;
 
-  /// `max_body_bytes`: nullopt where the body is taken piece by piece and may have any length.
+  /// `max_body_bytes` is nullopt if the caller takes the body in parts and it may have any length.
   explicit MessageReader(std::optional<std::size_t> max_body_bytes) : max_body_bytes_(max_body_bytes) {
     reset();
   }
@@ -49,11 +49,11 @@
     make_parser();
   }
 
-  /// Consumes the bytes that belong to this message; those after its end stay in the buffer.
+  /// Consumes the bytes that belong to this message. Bytes after its end stay in the buffer.
   ///
-  /// A head is parsed anew from its first byte each time more of it arrives: once Beast's parser has reported
-  /// need_more, it searches for the end of the head only, and whether a malformed head is rejected would
-  /// depend on how the network split it.
+  /// An incomplete head is parsed again from its first byte each time more of it arrives. Once Beast's parser
+  /// has reported need_more, it only searches for the end of the head; whether a malformed head is rejected
+  /// would then depend on how the network split it.
   ReadStatus read(net::RingBuffer& input) {
     has_started_ = has_started_ || !input.empty();
     while (!parser_->is_done() && !input.empty()) {
@@ -72,8 +72,8 @@
     return parser_->is_done() ? ReadStatus::kComplete : ReadStatus::kNeedMore;
   }
 
-  /// To be called at the connection's end. That completes a body with neither length nor chunks; any other
-  /// message was truncated.
+  /// Must be called at the connection's end, which completes a body with neither length nor chunks. Returns
+  /// kMalformed for any other message, as it was truncated.
   ReadStatus end() {
     error_.clear();
     if (!parser_->is_header_done()) return ReadStatus::kMalformed;
@@ -85,15 +85,15 @@
   [[nodiscard]] bool is_head_complete() const { return parser_->is_header_done(); }
   /// Whether any byte of the message has arrived.
   [[nodiscard]] bool has_started() const { return has_started_; }
-  /// Whether the message lets the connection carry another one (RFC 9112, section 9.3). Its head must be
-  /// complete.
+  /// Whether the connection may carry another message after this one (RFC 9112, section 9.3). The head must
+  /// be complete.
   [[nodiscard]] bool keep_alive() const { return parser_->keep_alive(); }
-  /// Why the last read() returned kMalformed.
+  /// Returns why the last read() returned kMalformed.
   [[nodiscard]] const boost::system::error_code& error() const { return error_; }
-  /// The message as far as it has been read; valid until reset().
+  /// Returns the message as far as it has been read. Valid until reset().
   [[nodiscard]] Message& message() { return parser_->get(); }
 
-  /// Moves out the part of the body that has arrived since the last call.
+  /// Returns the part of the body that has arrived since the last call, and removes it from the message.
   [[nodiscard]] std::string take_body() {
     std::string part = std::move(parser_->get().body());
     parser_->get().body().clear();
@@ -101,12 +101,13 @@
     return part;
   }
 
-  /// Bytes of the current chunk's data that have not arrived yet. 0 between chunks, and where only the line
-  /// end after the data is missing.
+  /// Returns the number of bytes of the current chunk's data that have not arrived yet. It is 0 between
+  /// chunks and when only the line end after the data is missing.
   [[nodiscard]] std::uint64_t chunk_bytes_left() const { return chunk_bytes_left_; }
 
-  /// Continues a chunked response that another reader began, at the byte where that one stopped, by parsing
-  /// an equivalent head and the start of a chunk that lacks `chunk_bytes_left` bytes (0: its line end).
+  /// Continues a chunked response that another reader began, at the byte where that one stopped. To do so, it
+  /// parses an equivalent head and the start of a chunk of which `chunk_bytes_left` bytes are missing; with
+  /// 0, only the chunk's line end is missing.
   void resume_chunked(std::uint64_t chunk_bytes_left, Persistence persistence) {
     constexpr std::size_t kMaxPreambleBytes = 1024;
     reset();
@@ -120,7 +121,7 @@
                     static_cast<unsigned long long>(chunk_bytes_left));
       preamble.append(chunk_header);
     } else {
-      preamble.append("1\r\n.");  // a chunk of one byte that lacks its line end
+      preamble.append("1\r\n.");  // a chunk of one byte whose line end is missing
     }
     read(preamble);
     static_cast<void>(take_body());
@@ -160,16 +161,16 @@
 
   ChunkHeaderHandler on_chunk_header_{this};  // the parser keeps a reference to it
   std::uint64_t chunk_bytes_left_ = 0;
-  std::size_t counted_body_bytes_ = 0;  // bytes of the body that chunk_bytes_left_ accounts for
+  std::size_t counted_body_bytes_ = 0;  // body bytes already subtracted from chunk_bytes_left_
   std::optional<std::size_t> max_body_bytes_;
   bool has_started_ = false;
   std::optional<beast_http::parser<kIsRequest, beast_http::string_body>> parser_;
   boost::system::error_code error_;
 };
 
-/// Reads what a client sends.
+/// Reads the requests of a client.
 using RequestReader = MessageReader<true>;
-/// Reads what a replica sends.
+/// Reads the responses of an endpoint.
 using ResponseReader = MessageReader<false>;
 
 }  // namespace dispatcher::http
--- a/src/http/request_checks.cpp
+++ b/src/http/request_checks.cpp
@@ -1,4 +1,4 @@
-// Checks of a request's form and length.
+// Checks of a request's syntax and length.
 #include "http/request_checks.hpp"
 
 #include <boost/beast/core/string.hpp>
--- a/src/http/request_checks.hpp
+++ b/src/http/request_checks.hpp
@@ -1,4 +1,4 @@
-// The checks of HTTP that a request must pass before it reaches a handler.
+// HTTP-level checks that a request must pass before it reaches a handler.
 #ifndef DISPATCHER_HTTP_REQUEST_CHECKS_HPP_
 #define DISPATCHER_HTTP_REQUEST_CHECKS_HPP_
 
@@ -9,14 +9,14 @@
 
 namespace dispatcher::http {
 
-/// Why a request is rejected: the answer that it gets.
+/// The error response to a rejected request.
 struct RequestRejection {
   int status = 400;
   std::string message;
 };
 
-/// Checks a request as far as it has been read. `read_status` is what the last read() returned. Returns
-/// nullopt where nothing is wrong so far.
+/// Checks a request as far as it has been read. `read_status` is the result of the last read(). Returns
+/// nullopt if no error has been found so far.
 [[nodiscard]] std::optional<RequestRejection> check_request(RequestReader& reader, ReadStatus read_status);
 
 /// Whether the client waits for an interim response before it sends the body (RFC 9110, section 10.1.1). The
--- a/src/http/server.cpp
+++ b/src/http/server.cpp
@@ -10,15 +10,18 @@
 
 namespace {
 
+// Limits of a connection's input and output buffers.
 constexpr std::size_t kMaxInputBytes = std::size_t{64} * 1024;
 constexpr std::size_t kMaxOutputBytes = std::size_t{1024} * 1024;
-// Queued output above which a stream has to wait, and below which it may continue.
+// Bytes of queued output at which a stream must wait, and down to which the output must drain before the
+// stream continues.
 constexpr std::size_t kHighWatermarkBytes = std::size_t{64} * 1024;
 constexpr std::size_t kLowWatermarkBytes = std::size_t{16} * 1024;
-// What a client may send after its last request, to be thrown away; TCP flow control holds back the rest.
+// Maximum bytes that are read and discarded after a client's last request. TCP flow control holds back the
+// rest.
 constexpr std::size_t kMaxDiscardedBytes = kMaxBodyBytes;
-// The rejection of a request for which there is no memory now.
-constexpr std::string_view kBodyMemoryExhausted = "too much is being sent at once";
+// The error message for a request that exceeds ServerOptions::max_body_bytes.
+constexpr std::string_view kBodyMemoryExhausted = "the memory for request bodies is exhausted";
 
 }  // namespace
 
@@ -59,13 +62,14 @@
 }
 
 void Server::on_deadline(SlotId id, Client& client) {
-  if (client.state == ClientState::kAnswering) return abandon_client(id, CloseReason::kWriteTimeout);
+  if (client.state == ClientState::kAnswering) return disconnect_client(id, CloseReason::kWriteTimeout);
   if (client.state == ClientState::kLingering) return acceptor_.remove(id, CloseReason::kLastResponse);
-  if (client.reader.has_started()) return reject(id, client, {408, "the request did not come whole in time"});
+  if (client.reader.has_started())
+    return reject(id, client, {408, "the request was not received completely in time"});
   begin_lingering_close(id, CloseReason::kNoRequest);
 }
 
-void Server::abandon_client(SlotId id, CloseReason reason) {
+void Server::disconnect_client(SlotId id, CloseReason reason) {
   acceptor_.remove(id, reason);
   handler_.on_disconnected(id);
 }
@@ -74,7 +78,7 @@
   for (const SlotId id : clients_.ids()) {
     Client& client = *clients_.find(id);
     if (client.state != ClientState::kReading) continue;
-    // A request that has begun, or that may be on its way, is still read and answered.
+    // A request that has begun to arrive, or that may be on its way, is still read and answered.
     if (client.reader.has_started() || client.has_waiting_request()) continue;
     if (!client.has_received_data && clients_.is_recent(client)) continue;
     begin_lingering_close(id, CloseReason::kDraining);
@@ -103,14 +107,14 @@
   }
 }
 
-// Input that arrives while an answer is owed waits in the buffer. Once that is full, the end of the
-// connection behind it would not be seen: from there on input is discarded, and the answer is the
-// connection's last.
+// Input that arrives while an answer is owed waits in the buffer. With a full buffer nothing more is read,
+// and a close by the client would go undetected. From then on input is therefore discarded, and the answer is
+// the connection's last.
 void Server::limit_early_input(SlotId id, Client& client) {
   if (client.connection->input().free_space() > 0) return;
   client.keep_alive = false;
   discard_input(client);
-  if (client.discarded_bytes > kMaxDiscardedBytes) abandon_client(id, CloseReason::kTooMuchInput);
+  if (client.discarded_bytes > kMaxDiscardedBytes) disconnect_client(id, CloseReason::kTooMuchInput);
 }
 
 void Server::discard_input(Client& client) {
@@ -120,8 +124,8 @@
   if (client.discarded_bytes > kMaxDiscardedBytes) client.connection->pause_reading();
 }
 
-// A pipelined request arrived while the one before it was being answered: its client's time runs since then,
-// while that for the rest of it to arrive begins now.
+// A pipelined request may have arrived while an earlier one was being answered. The request's arrival time is
+// that of its first byte, while the timeout for the rest of it begins now.
 void Server::start_request(SlotId id, Client& client) {
   const Time now = clock_();
   client.request_arrival = client.arrival_times.first().value_or(now);
@@ -132,7 +136,7 @@
   client.state_since = now;
 }
 
-// Reads from the input, and hands the request to the handler once it is complete.
+// Reads from the input and passes the request to the handler once it is complete.
 void Server::read_request(SlotId id) {
   Client& client = *clients_.find(id);
   RequestReader& reader = client.reader;
@@ -150,8 +154,8 @@
 void Server::deliver_request(SlotId id, Client& client) {
   RequestReader& reader = client.reader;
   client.state = ClientState::kAnswering;
-  // The answer to a HEAD must lack its body, which answers here never do: the connection's end after it keeps
-  // the client from reading the body as the next answer.
+  // The answer to a HEAD request must not have a body, but answers are always sent with theirs. Closing the
+  // connection afterwards keeps the client from reading the body as the next answer.
   const bool is_head_request = reader.message().method() == beast_http::verb::head;
   client.keep_alive = reader.keep_alive() && !options_.is_single_request && !is_head_request;
   constexpr unsigned kHttp11 = 11;
@@ -162,17 +166,18 @@
 }
 
 void Server::send_continue_if_expected(Client& client) {
-  if (!client.reader.is_head_complete() || std::exchange(client.has_sent_continue, true)) return;
+  if (!client.reader.is_head_complete() || std::exchange(client.has_checked_expect, true)) return;
   if (expects_continue(client.reader)) client.connection->write("HTTP/1.1 100 Continue\r\n\r\n");
 }
 
-// Answers a request that may not have arrived completely: what follows on its connection can't be parsed.
+// Answers a request that may be incomplete. The connection is closed afterwards, because the bytes that
+// follow can't be parsed.
 void Server::reject(SlotId id, Client& client, const RequestRejection& rejection,
-                    std::initializer_list<Header> more) {
+                    std::initializer_list<Header> extra_headers) {
   clients_.cancel_deadline(client);
   client.state = ClientState::kAnswering;
   client.keep_alive = false;
-  respond_error(id, rejection.status, rejection.message, more);
+  respond_error(id, rejection.status, rejection.message, extra_headers);
 }
 
 void Server::on_sent(SlotId id) {
@@ -191,7 +196,7 @@
   const Client* client = clients_.find(id);
   if (client == nullptr) return;
   if (client->state == ClientState::kAnswering) {
-    abandon_client(id, CloseReason::kClientClosed);
+    disconnect_client(id, CloseReason::kClientClosed);
   } else {
     acceptor_.remove(id, CloseReason::kClientClosed);
   }
@@ -200,17 +205,17 @@
 // ---- responses ----
 
 void Server::respond(SlotId id, int status, std::string_view content_type, std::string_view body,
-                     std::initializer_list<Header> more) {
+                     std::initializer_list<Header> extra_headers) {
   Client* client = clients_.find(id);
   if (client == nullptr || client->state != ClientState::kAnswering) return;
   client->keep_alive = client->keep_alive && may_continue(*client);
-  client->connection->write(response(status, content_type, body, client->persistence(), more));
+  client->connection->write(response(status, content_type, body, client->persistence(), extra_headers));
   end_response(id);
 }
 
 void Server::respond_error(SlotId id, int status, std::string_view message,
-                           std::initializer_list<Header> more) {
-  respond(id, status, "application/json", handler_.error_body(status, message), more);
+                           std::initializer_list<Header> extra_headers) {
+  respond(id, status, "application/json", handler_.error_body(status, message), extra_headers);
 }
 
 void Server::begin_stream(SlotId id) {
@@ -242,14 +247,14 @@
   const bool was_streaming = std::exchange(client->is_streaming, false);
   if (was_streaming && client->is_chunked()) client->connection->write(kLastChunk);
   client->is_backpressured = false;
-  client->has_sent_continue = false;
+  client->has_checked_expect = false;
   if (!client->keep_alive || !may_continue(*client))
     return begin_lingering_close(id, CloseReason::kLastResponse);
   await_next_request(id, *client);
 }
 
-// During a drain there might be no process left to answer a request that is yet to come; one that has arrived
-// behind the current one (pipelining) is owed its answer.
+// Whether the connection may stay open for another request. During a drain the process may end before a later
+// request arrives, so only a pipelined request that has already arrived is still answered.
 bool Server::may_continue(const Client& client) const {
   return !is_draining_ || client.has_waiting_request();
 }
@@ -261,8 +266,8 @@
   client.state_since = clock_();
   clients_.release_body_bytes(client);
   if (client.connection->input().empty()) return acceptor_.on_client_idle();
-  client.connection->read();  // reading stops at a full buffer
-  // A pipelined request is read from the event loop: a long series of them must not nest on the stack.
+  client.connection->read();  // reading may have stopped because the buffer was full
+  // A pipelined request is read from a timer, because a long series of them must not nest on the stack.
   timers_.add(clock_(), [this, id] {
     const Client* pipelining_client = clients_.find(id);
     if (pipelining_client != nullptr && pipelining_client->state == ClientState::kReading) read_request(id);
@@ -271,9 +276,9 @@
 
 // ---- the end of a connection ----
 
-// Every connection that is closed from this side in an orderly way gets a lingering close (RFC 9112, section
-// 9.6): queued output is sent, then FIN; input is discarded, never answered, until the client closes too. A
-// close over unread input would reset the connection and destroy the answer in transit.
+// Every connection that this side closes in an orderly way gets a lingering close (RFC 9112, section 9.6):
+// queued output is sent, followed by FIN, and input is discarded without an answer until the client closes
+// too. Closing a socket with unread input would reset the connection and destroy the answer in transit.
 void Server::begin_lingering_close(SlotId id, CloseReason reason) {
   Client* client = clients_.find(id);
   if (client == nullptr || client->state == ClientState::kLingering) return;
@@ -289,7 +294,8 @@
   restart_linger_deadline(id, *client);
 }
 
-// The time of a lingering close runs from the last byte sent: a slow reader gets all of its answer.
+// The timeout of a lingering close runs from the last byte sent, so that a slow client receives all of its
+// answer.
 void Server::restart_linger_deadline(SlotId id, Client& client) {
   client.state_since = clock_();
   const bool is_sent = client.connection->output().empty();
--- a/src/http/server.hpp
+++ b/src/http/server.hpp
@@ -1,4 +1,4 @@
-// An HTTP/1.1 server: reads requests and writes responses, complete or as event streams.
+// An HTTP/1.1 server that reads requests and writes responses, either complete or as event streams.
 #ifndef DISPATCHER_HTTP_SERVER_HPP_
 #define DISPATCHER_HTTP_SERVER_HPP_
 
@@ -21,47 +21,50 @@
 
 /// Limits and timeouts of a server.
 struct ServerOptions {
-  /// Connections open at once.
+  /// Maximum number of open connections.
   std::size_t max_clients = 500;
-  /// Bytes of request bodies in memory at once, over all clients, until their answers begin.
+  /// Maximum bytes of request bodies in memory, summed over all clients. A body counts until its stream
+  /// begins or its response ends.
   std::size_t max_body_bytes = 16U << 20U;
-  /// For the first byte of a new connection.
+  /// Time for the first byte of a new connection to arrive.
   Duration first_byte_timeout = std::chrono::seconds(2);
-  /// For a request to arrive, from its first byte. The first request of a connection is timed from the
-  /// connection's start, so that a client that delays both its first byte and the rest is answered no later.
+  /// Time for a request to arrive completely, from its first byte. The first request of a connection is timed
+  /// from the connection's start, so that a client that delays both its first byte and the rest is answered
+  /// no later.
   Duration request_timeout = std::chrono::milliseconds(2500);
-  /// Between requests.
+  /// Time that a connection may be idle between requests.
   Duration idle_timeout = std::chrono::seconds(60);
-  /// For a client to take more of its answer.
+  /// Time in which a client must read more of its answer.
   Duration write_timeout = std::chrono::seconds(20);
-  /// Of a lingering close, from the last byte sent.
+  /// Duration of a lingering close, from the last byte sent.
   Duration linger_timeout = std::chrono::milliseconds(500);
-  /// Every connection carries one request and ends with its answer.
+  /// Whether each connection carries a single request and is closed after its answer.
   bool is_single_request = false;
 };
 
 /// Serves one address with HTTP/1.1 (RFC 9110, RFC 9112): persistent connections, pipelining, chunked
 /// transfer coding and lingering closes. Used on the thread of its io_context only; the owner also owns the
-/// handler and outlives both. Handler callbacks run from the event loop or a timer, or from inside a call to
-/// the server: an answer given inside on_request() may be followed by the next request's on_request() later,
-/// never nested in it.
+/// handler and outlives both. Handler callbacks run from the event loop, from a timer or from inside a call
+/// to the server. After an answer given inside on_request(), the next request's on_request() is called later,
+/// never nested.
 class Server : private net::Connection::Owner, private ClientAcceptor::Owner {
  public:
   /// A complete request with its body.
   using Request = RequestReader::Message;
 
-  /// Receives the requests.
+  /// Receives requests and answers them.
   class Handler {
    public:
     virtual ~Handler() = default;
-    /// A request has arrived; `arrival` is when its first byte did. The request stays valid until it is
-    /// answered. Exactly one answer is owed: respond(), or begin_stream() and then end_response() or abort().
+    /// Called when a request has arrived completely; `arrival` is the arrival time of its first byte. The
+    /// request stays valid until it is answered. Each request must be answered exactly once: by respond(), or
+    /// by begin_stream() and then end_response() or abort().
     virtual void on_request(SlotId client, Request& request, Time arrival) = 0;
-    /// The client disconnected while its answer was owed; nothing is owed any more.
+    /// Called when the client disconnected before its answer was complete. No answer is owed any more.
     virtual void on_disconnected(SlotId client) = 0;
-    /// The stream for which write_events() returned false may continue.
+    /// Called when the stream for which write_events() returned false may continue.
     virtual void on_writable(SlotId client) = 0;
-    /// The JSON body of an error, in the form of the API served.
+    /// Returns the JSON body of an error response in the API's format.
     virtual std::string error_body(int status, std::string_view message) = 0;
   };
 
@@ -71,68 +74,71 @@
          engine::TimerQueue& timers, engine::Clock clock, const ServerOptions& options,
          DescriptorReclaimer reclaim_descriptor);
 
-  // ---- answers; no effect where the client has disconnected ----
+  // ---- answers; these have no effect if the client has disconnected ----
 
-  /// Sends a complete response. `more`: further header fields.
+  /// Sends a complete response.
   void respond(SlotId client, int status, std::string_view content_type, std::string_view body,
-               std::initializer_list<Header> more = {});
-  /// Sends a complete response with the handler's error_body().
+               std::initializer_list<Header> extra_headers = {});
+  /// Sends a complete response whose body is the handler's error_body().
   void respond_error(SlotId client, int status, std::string_view message,
-                     std::initializer_list<Header> more = {});
+                     std::initializer_list<Header> extra_headers = {});
   /// Sends the head of an event stream.
   void begin_stream(SlotId client);
-  /// Sends complete events, never an empty text. Returns false where the client's output is above its high
-  /// watermark: wait for on_writable().
+  /// Sends complete events; `events` must not be empty. Returns false if the client's output has reached the
+  /// high watermark, in which case the caller must wait for on_writable().
   bool write_events(SlotId client, std::string_view events);
-  /// Completes the answer; the connection goes on to its next request or is closed.
+  /// Completes the answer. The connection then waits for its next request or is closed.
   void end_response(SlotId client);
-  /// Closes the connection without the stream's last chunk, by which the client sees that it is truncated.
+  /// Closes the connection without the stream's last chunk, so that the client detects the truncation.
   void abort(SlotId client) { begin_lingering_close(client, CloseReason::kStreamAborted); }
-  /// Whether a client that is owed an answer is still connected. Queries the kernel, beyond the bytes read so
-  /// far.
+  /// Whether a client that is owed an answer is still connected. Also asks the kernel for a close that was
+  /// not read yet.
   [[nodiscard]] bool is_connected(SlotId client);
 
   // ---- life cycle ----
 
-  /// Logs why each connection is closed from now on.
+  /// Sets the log for the reason why each connection is closed.
   void set_connection_log(engine::Log log) { clients_.set_log(std::move(log)); }
-  /// Listens, on the socket given where it is bound to this address, and accepts. Throws
-  /// boost::system::system_error where the address can't be bound. May follow stop_accepting().
+  /// Starts to listen and accept. Uses `listening_socket` if that is bound to this address, and a new socket
+  /// otherwise. Throws boost::system::system_error if the address can't be bound. May be called after
+  /// stop_accepting().
   void open(net::UniqueFd listening_socket = {}) { acceptor_.open(std::move(listening_socket)); }
-  /// Accepts what the kernel's backlog holds, as closing over it would reset those connections, and closes
-  /// the listening socket.
+  /// Accepts the connections in the kernel's backlog, which would be reset otherwise, and closes the
+  /// listening socket.
   void stop_accepting() { acceptor_.stop(); }
-  /// From now on each answer is its connection's last, unless further requests have arrived behind it. Idle
-  /// connections stay until close_idle().
+  /// Makes each later answer the last one of its connection, unless further requests have arrived behind it.
+  /// Idle connections stay open until close_idle().
   void drain() { is_draining_ = true; }
-  /// Closes the connections that carry no request, with a lingering close.
+  /// Starts a lingering close of each connection that carries no request.
   void close_idle();
   /// Changes the limits. Clients above the new maximum are evicted as far as possible.
   void set_limits(std::size_t max_clients, std::size_t max_body_bytes);
 
   // ---- migration of a stream to another process ----
 
-  /// Cancels reading from a streaming client. Returns true once all output is written and nothing is in
-  /// transit, so that detach() may follow; to be called again until then, or resume_reading() to give up.
+  /// Cancels reading from a streaming client. Returns true once all output is written and no bytes are in
+  /// transit inside this process, so that detach() may be called. Until then the caller repeats the call, or
+  /// gives up and calls resume_reading().
   [[nodiscard]] bool suspend_reading(SlotId client);
-  /// Reads from the client again. Does nothing where reading was not suspended.
+  /// Resumes reading from the client. Does nothing if reading was not suspended.
   void resume_reading(SlotId client);
-  /// Closes this process's side of the connection, forgets the client and returns a duplicate of its socket.
+  /// Closes this process's descriptor of the connection, removes the client and returns a duplicate of its
+  /// socket.
   [[nodiscard]] net::UniqueFd detach(SlotId client);
   /// Adds a client whose chunked stream began in another process and continues here. Throws
-  /// boost::system::system_error where the descriptor is no socket.
+  /// boost::system::system_error if the descriptor is not a socket.
   SlotId adopt_stream(net::UniqueFd socket);
 
   // ---- state ----
 
-  /// Whether it listens.
+  /// Whether the server is listening.
   [[nodiscard]] bool is_open() const { return acceptor_.is_open(); }
   [[nodiscard]] bool is_draining() const { return is_draining_; }
-  /// How many clients are connected, lingering ones included.
+  /// Returns the number of connected clients, including lingering ones.
   [[nodiscard]] std::size_t client_count() const { return clients_.size(); }
-  /// The address listened on, with the port that the kernel chose where none was configured.
+  /// Returns the listening address, with the port that the kernel chose if none was configured.
   [[nodiscard]] net::tcp::endpoint local() const { return acceptor_.local(); }
-  /// The listening descriptor, to be handed to another process. Still owned by this server.
+  /// Returns the listening descriptor, to be handed over to another process. Still owned by this server.
   [[nodiscard]] int listening_socket() { return acceptor_.native_handle(); }
 
  private:
@@ -144,14 +150,14 @@
 
   void on_deadline(SlotId id, Client& client);
   SlotId create_client(net::tcp::socket socket);
-  void abandon_client(SlotId id, CloseReason reason);
+  void disconnect_client(SlotId id, CloseReason reason);
 
   void read_request(SlotId id);
   void start_request(SlotId id, Client& client);
   static void send_continue_if_expected(Client& client);
   void limit_early_input(SlotId id, Client& client);
   void reject(SlotId id, Client& client, const RequestRejection& rejection,
-              std::initializer_list<Header> more = {});
+              std::initializer_list<Header> extra_headers = {});
   void deliver_request(SlotId id, Client& client);
   [[nodiscard]] bool may_continue(const Client& client) const;
   void await_next_request(SlotId id, Client& client);
--- a/tests/http/frontends_test.cpp
+++ b/tests/http/frontends_test.cpp
@@ -1,4 +1,4 @@
-// The same traffic through both frontends: the same outcomes, and each effect once.
+// The same traffic through both frontends has the same outcomes and runs no non-idempotent request twice.
 #include <map>
 #include <random>
 #include <set>
@@ -8,10 +8,10 @@
 namespace dispatcher::testing {
 namespace {
 
-// What became of a series of requests.
+// The results of a series of requests.
 struct Replay {
   std::vector<std::string> outcomes;
-  std::map<std::string, int> effects;  // by the words of the request: how often a writer began it
+  std::map<std::string, int> effects;  // how often a writer began each job, by the job's name
 };
 
 std::string outcome_of(const FakeClient& client) {
@@ -23,7 +23,7 @@
 
 enum class Api { kPlatform, kOpenAi };
 
-// One request through either frontend, whose client is returned.
+// Posts one request through the given frontend and returns its client.
 std::unique_ptr<FakeClient> post_job(Fixture& fixture, Api api, int number, const std::string& request_class,
                                      const std::string& job) {
   const std::string body = chat_body(request_class, ResponseMode::kStream, job);
@@ -41,42 +41,43 @@
 
 Replay replay(Api api, unsigned seed) {
   Replay result;
-  // What happens to a request is written in its text, so that it is the same through either frontend.
-  const auto reader = [](FakeReplica& replica, SlotId client, const ReceivedRequest& request) {
-    if (request.body.find("read-full") != std::string::npos) return replica.reject_unprocessed(client, 503);
-    healthy_reader(replica, client, request);
+  // The request's text states how the endpoints treat it, so that it is the same through both frontends.
+  const auto reader = [](FakeReplica& endpoint, SlotId client, const ReceivedRequest& request) {
+    if (request.body.find("read-full") != std::string::npos) return endpoint.reject_unprocessed(client, 503);
+    healthy_reader(endpoint, client, request);
   };
-  const auto writer = [&result](FakeReplica& replica, SlotId client, const ReceivedRequest& request) {
-    const auto at = request.body.find("job-");
-    const std::string job = request.body.substr(at, request.body.find('"', at) - at);
-    const int before = result.effects[job]++;
+  const auto writer = [&result](FakeReplica& endpoint, SlotId client, const ReceivedRequest& request) {
+    const auto start = request.body.find("job-");
+    const std::string job = request.body.substr(start, request.body.find('"', start) - start);
+    const int earlier_runs = result.effects[job]++;
     if (job.find("breaks") != std::string::npos) {
-      replica.stream_words(client, {"half"}, StreamEnd::kOpen);
-      return replica.server.abort(client);
+      endpoint.stream_words(client, {"half"}, StreamEnd::kOpen);
+      return endpoint.server.abort(client);
     }
-    if (job.find("reset") != std::string::npos && before == 0) return replica.server.abort(client);
-    if (job.find("error") != std::string::npos && before == 0) return replica.respond(client, 500);
-    healthy_writer(replica, client, request);
+    if (job.find("reset") != std::string::npos && earlier_runs == 0) return endpoint.server.abort(client);
+    if (job.find("error") != std::string::npos && earlier_runs == 0) return endpoint.respond(client, 500);
+    healthy_writer(endpoint, client, request);
   };
   Fixture fixture(reader, writer, kChatConfig);
   std::mt19937 random(seed);
   for (int i = 0; i < 40; ++i) {
-    const std::vector<std::string> fates = {"well", "breaks", "reset", "error", "read-full"};
+    const std::vector<std::string> treatments = {"well", "breaks", "reset", "error", "read-full"};
     std::string job = "job-" + std::to_string(i) + "-";
-    job += fates[random() % fates.size()];
+    job += treatments[random() % treatments.size()];
     const std::string request_class = random() % 2 == 0 ? "ask" : "command";
     auto client = post_job(fixture, api, i + 1, request_class, job);
     for (int step = 0; step < 400 && !client->is_finished(); ++step) fixture.advance(milliseconds(20));
     result.outcomes.push_back(request_class);
     result.outcomes.back().append(" ").append(job).append(" ").append(outcome_of(*client));
-    fixture.now += seconds(25);  // ejected endpoints return: each request meets the same fleet
+    fixture.now += seconds(25);  // ejected endpoints return, so that each request has the same fleet
     fixture.advance(milliseconds(100));
   }
   CHECK(fixture.engine.open_request_count() == 0);
   return result;
 }
 
-TEST_CASE("both frontends give mixed traffic the same outcomes and run no command twice", "[chat][replay]") {
+TEST_CASE("both frontends give mixed traffic the same outcomes and run no non-idempotent request twice",
+          "[chat][replay]") {
   const Replay chat = replay(Api::kOpenAi, 11);
   const Replay platform = replay(Api::kPlatform, 11);
   CHECK(chat.outcomes == platform.outcomes);
--- a/tests/http/http_server_test.cpp
+++ b/tests/http/http_server_test.cpp
@@ -1,4 +1,4 @@
-// Limits of the HTTP server: connections and body memory.
+// Limits of the HTTP server on connections and body memory.
 #include <algorithm>
 #include <memory>
 #include <string>
@@ -9,39 +9,40 @@
 namespace dispatcher::testing {
 namespace {
 
-void answer_ok(FakeReplica& replica, SlotId client, const ReceivedRequest&) {
-  replica.respond(client, 200, "ok");
+void answer_ok(FakeReplica& endpoint, SlotId client, const ReceivedRequest&) {
+  endpoint.respond(client, 200, "ok");
 }
 
 TEST_CASE("silent and unfinished connections are evicted for a client with a request", "[server]") {
   TestEventLoop loop;
   http::ServerOptions options;
   options.max_clients = 4;
-  FakeReplica replica(loop, answer_ok, options);
+  FakeReplica endpoint(loop, answer_ok, options);
   const std::string start = GENERATE("", "GET / HT");
   std::vector<std::string> closed;
-  replica.server.set_connection_log([&](std::string_view line) { closed.emplace_back(line); });
-  std::vector<std::unique_ptr<FakeClient>> crowd;
-  const auto join = [&](int client_count) {
+  endpoint.server.set_connection_log([&](std::string_view line) { closed.emplace_back(line); });
+  std::vector<std::unique_ptr<FakeClient>> new_clients;
+  const auto connect_clients = [&](int client_count) {
     for (int i = 0; i < client_count; ++i) {
-      crowd.push_back(std::make_unique<FakeClient>(loop, replica.server.local()));
-      crowd.back()->send(start);
+      new_clients.push_back(std::make_unique<FakeClient>(loop, endpoint.server.local()));
+      new_clients.back()->send(start);
     }
     loop.settle();
   };
-  FakeClient steady(loop, replica.server.local());
-  steady.get("/first");
-  REQUIRE(loop.until([&] { return steady.is_complete; }));
-  join(2);
+  FakeClient served_client(loop, endpoint.server.local());
+  served_client.get("/first");
+  REQUIRE(loop.until([&] { return served_client.is_complete; }));
+  connect_clients(2);
   loop.advance(milliseconds(300));
-  join(1);
-  if (start.empty()) CHECK_FALSE(steady.is_closed);  // one that has asked before is of more use
-  join(20);
-  CHECK(replica.server.client_count() <= 4);
-  FakeClient real(loop, replica.server.local());
-  real.get("/real");
-  REQUIRE(loop.until([&] { return real.is_finished(); }));
-  CHECK(real.status == 200);
+  connect_clients(1);
+  if (start.empty())
+    CHECK_FALSE(served_client.is_closed);  // a client that has sent a request before is kept longer
+  connect_clients(20);
+  CHECK(endpoint.server.client_count() <= 4);
+  FakeClient requesting_client(loop, endpoint.server.local());
+  requesting_client.get("/real");
+  REQUIRE(loop.until([&] { return requesting_client.is_finished(); }));
+  CHECK(requesting_client.status == 200);
   CHECK(std::any_of(closed.begin(), closed.end(),
                     [](const std::string& line) { return line.ends_with(" closed reason=evicted"); }));
 }
@@ -50,8 +51,8 @@
   TestEventLoop loop;
   http::ServerOptions options;
   options.max_body_bytes = 1000;
-  FakeReplica replica(loop, answer_ok, options);
-  FakeClient first(loop, replica.server.local()), second(loop, replica.server.local());
+  FakeReplica endpoint(loop, answer_ok, options);
+  FakeClient first(loop, endpoint.server.local()), second(loop, endpoint.server.local());
   first.send("POST / HTTP/1.1\r\nContent-Length: 900\r\n\r\n" + std::string(800, 'x'));
   loop.settle();
   second.send("POST / HTTP/1.1\r\nContent-Length: 900\r\n\r\n" + std::string(300, 'x'));
--- a/tests/http/parsers_test.cpp
+++ b/tests/http/parsers_test.cpp
@@ -1,5 +1,5 @@
-// The parsers against valid messages and random garbage, both split at random from fixed seeds: a message
-// must parse alike however it is split, and garbage must end in the same error however it arrives.
+// Parsers with valid messages and random garbage, which are split at random from fixed seeds. A message must
+// parse equally and garbage must cause the same error, however they are split.
 #include <deque>
 #include <random>
 
@@ -22,7 +22,7 @@
   return pieces;
 }
 
-// What a reader parses from a connection's bytes, as text.
+// Returns what a reader parses from a connection's bytes, as text.
 template <bool kRequest>
 std::string transcript_of(const std::vector<std::string>& pieces) {
   http::MessageReader<kRequest> reader(http::kMaxBodyBytes);
@@ -56,7 +56,7 @@
   return text;
 }
 
-// A valid message with a few bytes changed, dropped or added.
+// Returns the valid message with a few bytes changed, removed or added.
 std::string corrupt(std::string text, Random& random) {
   for (unsigned i = 0; i <= random() % 4; ++i) {
     const std::size_t at = random() % text.size();
@@ -118,18 +118,17 @@
     REQUIRE(transcript_of<false>(split(response)) == transcript_of<false>({response}));
     rejected += transcript.find("bad: ") != std::string::npos ? 1 : 0;
   }
-  CHECK(rejected > 500);  // the garbage is such that errors do occur
+  CHECK(rejected > 500);  // checks that the garbage is malformed often enough
 }
 
-TEST_CASE("a head or body past its limit is rejected", "[parsers]") {
+TEST_CASE("a head or body above its limit is rejected", "[parsers]") {
   const std::string head = "POST / HTTP/1.1\r\n";
   CHECK(transcript_of<true>({head + "Content-Length: 262145\r\n\r\n"}) == "bad: body limit exceeded");
   CHECK(transcript_of<true>({head + "X: " + std::string(http::kMaxHeadBytes, 'y') + "\r\n\r\n"}) ==
         "bad: header limit exceeded");
 }
 
-TEST_CASE("events come out complete and unchanged, however they are split and whatever ends their lines",
-          "[parsers]") {
+TEST_CASE("events are framed completely and without changes for each split and line ending", "[parsers]") {
   const std::string end = GENERATE("\n", "\r\n", "\r");
   std::vector<std::string> events;
   for (const std::string text : {"data: one", "event: x|data: a|data: b", ": note", "data:"}) {
@@ -161,7 +160,7 @@
   CHECK(framer.incomplete_event().empty());
 }
 
-TEST_CASE("the event framer passes garbage on unchanged", "[parsers]") {
+TEST_CASE("the event framer returns garbage unchanged", "[parsers]") {
   Random random(4);
   for (int i = 0; i < 500; ++i) {
     std::string noise = random_bytes(random, random() % 400);
@@ -187,13 +186,13 @@
     R"({"seq":43,"whole":false,"hosts":[{"host":"s-1","dial":"127.0.0.1:3000","site":"a","class":"reader",)"
     R"("block":3,"health":"draining","share":1.5,"born_ms":1500}]})";
 
-TEST_CASE("the list of endpoints is parsed, and malformed ones are rejected by their field", "[parsers]") {
-  const auto servers = service_discovery::parse_endpoint_snapshot(nlohmann::json::parse(endpoint_list));
-  CHECK(servers.version == 43);
-  CHECK(servers.list.kind == routing::ListKind::kDelta);
-  CHECK(servers.list.entries[0].state == routing::EndpointState::kDraining);
-  CHECK(servers.list.entries[0].started == milliseconds(1500));
-  CHECK_FALSE(servers.addresses[0].is_ready);
+TEST_CASE("an endpoint list is parsed, and the error of a malformed one names its field", "[parsers]") {
+  const auto snapshot = service_discovery::parse_endpoint_snapshot(nlohmann::json::parse(endpoint_list));
+  CHECK(snapshot.version == 43);
+  CHECK(snapshot.list.kind == routing::ListKind::kDelta);
+  CHECK(snapshot.list.entries[0].state == routing::EndpointState::kDraining);
+  CHECK(snapshot.list.entries[0].started == milliseconds(1500));
+  CHECK_FALSE(snapshot.addresses[0].is_ready);
   Random random(5);
   int rejected = 0;
   for (int i = 0; i < 2000; ++i) {
@@ -208,7 +207,7 @@
   CHECK(rejected > 1000);
 }
 
-TEST_CASE("a request's headers are parsed, and errors name the malformed ones", "[parsers]") {
+TEST_CASE("a request's headers are parsed, and the error of a malformed one names it", "[parsers]") {
   const auto settings = make_settings();
   const auto parse = [&](const std::string& headers) {
     http::RequestReader reader(http::kMaxBodyBytes);
@@ -247,7 +246,7 @@
   CHECK(problem(id + service_class + "X-Session-Key: zz\r\n") == "X-Session-Key: not a number");
 }
 
-TEST_CASE("a malformed configuration is rejected by the name of its field", "[parsers]") {
+TEST_CASE("the error of a malformed configuration names its field", "[parsers]") {
   const nlohmann::json good =
       nlohmann::json::parse(R"({"name":"n1","listen":"127.0.0.1:1","discovery":"127.0.0.1:2",
     "seed":"8c1f","limits":{"sockets":512,"memory_mb":192},"settings":{"myNumber":0,"balancers":2,"myZone":"here",
@@ -329,7 +328,7 @@
   timers.add(seconds(3), [&] { ran.push_back(3); });
   timers.add(seconds(2), [&] {
     ran.push_back(2);
-    timers.add(seconds(1), [&] { ran.push_back(9); });  // already past: for the next run
+    timers.add(seconds(1), [&] { ran.push_back(9); });  // its time has passed, so it runs in the next run()
   });
   timers.drop(dropped);
   CHECK(timers.next() == engine::Time(seconds(2)));
