--- a/src/openai_api/config.cpp
+++ b/src/openai_api/config.cpp
@@ -15,9 +15,9 @@
 
 constexpr std::string_view kSchema = R"cue(
 #Chat: {
-	listen: *null | string // address and port; null: the front is off
+	listen: *null | string // address and port; if null, the frontend is off
 	models: *[] | [...#Model]
-	account: *null | (string & !="") // where there are no keys
+	account: *null | (string & !="") // charged if there are no keys
 	keys: *[] | [...#Key]
 	max_open: *256 | (int & >=1 & <=100_000) | null
 	default_max_tokens: *300 | (int & >=1 & <=1_000_000) | null
@@ -25,7 +25,7 @@
 #Model: {
 	id:    string & !=""
 	class: string & !=""
-	deadline_ms: *null | (int & >=1 & <=3_600_000) // null: the class's
+	deadline_ms: *null | (int & >=1 & <=3_600_000) // if null, the class's deadline applies
 }
 #Key: {
 	key:     string & !=""
@@ -33,7 +33,7 @@
 }
 )cue";
 
-// Reads the values whose names must occur in the platform's settings, which the schema can't check, and
+// Reads the values that must be names from the platform's settings, which the schema can't check, and
 // collects the problems of all of them.
 class ConfigReader {
  public:
@@ -56,7 +56,7 @@
     if (data.is_null()) return {};
     const auto& tenants = settings_.tenants;
     const auto is_named = [&](const auto& tenant) { return tenant.name == data.text(); };
-    // Settings without tenants leave accounts open.
+    // Settings without tenants allow any account.
     if (!tenants.empty() && std::none_of(tenants.begin(), tenants.end(), is_named))
       add_problem(data, "no account '" + data.text() + "' in the settings");
     return data.text();
--- a/src/openai_api/frontend.cpp
+++ b/src/openai_api/frontend.cpp
@@ -19,7 +19,7 @@
 constexpr std::string_view kModelsPath = "/v1/models";
 constexpr std::string_view kModelPathPrefix = "/v1/models/";
 constexpr std::string_view kHealthPath = "/healthz";
-// The Retry-After of rejections for which the router gives none.
+// The Retry-After of rejections for which the router gives no delay.
 constexpr engine::Duration kDefaultRetryAfter = milliseconds(500);
 
 // The resource that a path names.
@@ -36,8 +36,8 @@
 
 std::string allowed_method(Route route) { return route == Route::kCompletion ? "POST" : "GET"; }
 
-// Compares in a time that does not depend on where the texts differ.
-bool is_same_secret(std::string_view expected, std::string_view given) {
+// Compares two secrets in a time that does not depend on the position of their first difference.
+bool equals_in_constant_time(std::string_view expected, std::string_view given) {
   std::size_t difference = expected.size() ^ given.size();
   for (std::size_t i = 0; i < expected.size(); ++i) {
     const char other = given.empty() ? '\0' : given[i % given.size()];
@@ -81,8 +81,8 @@
   if (!token.starts_with(kScheme)) return std::nullopt;
   token.remove_prefix(kScheme.size());
   std::optional<std::string> account;
-  for (const ApiKey& key : config_.keys) {  // all of them, so that the time does not depend on which matches
-    if (is_same_secret(key.key, token)) account = key.account;
+  for (const ApiKey& key : config_.keys) {  // all keys, so that the time does not depend on which one matches
+    if (equals_in_constant_time(key.key, token)) account = key.account;
   }
   return account;
 }
@@ -93,7 +93,7 @@
   if (!route) return server_.respond_error(client, 404, "no such path: " + std::string(path));
   const std::string allowed = allowed_method(*route);
   if (method != allowed)
-    return server_.respond_error(client, 405, "this path takes " + allowed, {{"Allow", allowed}});
+    return server_.respond_error(client, 405, "this path accepts only " + allowed, {{"Allow", allowed}});
   if (*route == Route::kHealth) return respond_health(client);
   const auto account = authenticate(request);
   if (!account) return respond_error(client, invalid_api_key(), {{"WWW-Authenticate", "Bearer"}});
@@ -131,10 +131,10 @@
   routing.id = request_ids_.next();
   routing.client_deadline = arrival + time_to_first_token(chat, *model.request_class);
   routing.client_retry = is_client_retry(request);
-  rate_limit::RequestAttributes facts;
-  facts.is_openai_api = true;
-  facts.model = model.id;
-  if (!admit(client, request, routing, facts, *config_.settings)) return;
+  rate_limit::RequestAttributes attributes;
+  attributes.is_openai_api = true;
+  attributes.model = model.id;
+  if (!admit(client, request, routing, attributes, *config_.settings)) return;
   const routing::RequestClass& request_class = admitted_class(routing, model);
   if (&request_class != model.request_class)
     routing.client_deadline = arrival + time_to_first_token(chat, request_class);
@@ -152,7 +152,8 @@
           .include_usage = chat.include_usage};
 }
 
-// The rate limiter's rules may have put the request into another class than its model's.
+// Returns the class of an admitted request. The rate limiter's rules may have changed it from the model's
+// class.
 const routing::RequestClass& Frontend::admitted_class(const routing::Request& request,
                                                       const Model& model) const {
   const routing::RequestClass* admitted = routing::find_class(*config_.settings, request.request_class);
@@ -180,7 +181,8 @@
   if (translator.is_too_long()) {
     const routing::Idempotency request_idempotency = idempotency;  // cancelling erases the entry
     cancel_request(client);
-    respond_possibly_executed(client, server_error(502, ErrorCode::kAnswerTooLong, "the answer is too long"),
+    respond_possibly_executed(client,
+                              server_error(502, ErrorCode::kAnswerTooLong, "the response is too long"),
                               request_idempotency);
     return true;
   }
@@ -198,14 +200,14 @@
   server_.respond(client, 200, "application/json", translator.completion());
 }
 
-// After the first token nothing is retried, and the response must not look complete: a streaming client gets
-// an error event and its connection is closed, any other gets an error status.
+// Nothing is retried after the first token, and the response must not look complete. A streaming client gets
+// an error event and its connection is closed; any other client gets an error status.
 void Frontend::abort_stream(SlotId client) {
   const auto pending = pending_responses_.find(client);
   if (pending == pending_responses_.end()) return;
   const bool is_stream = pending->second.translator.is_stream();
   const routing::Idempotency idempotency = pending->second.idempotency;
-  const ApiError error = server_error(502, ErrorCode::kStreamBroken, "the answer broke off");
+  const ApiError error = server_error(502, ErrorCode::kStreamBroken, "the response ended prematurely");
   forget_request(client);
   if (!is_stream) return respond_possibly_executed(client, error, idempotency);
   server_.write_events(client, "data: " + to_body(error) + "\n\n");
@@ -216,44 +218,50 @@
   forget_request(client);
   respond_retry_later(
       client,
-      server_error(503, ErrorCode::kOverloaded, "the service is busy: nothing was done, try again later"),
+      server_error(503, ErrorCode::kOverloaded,
+                   "the service is overloaded: the request was not processed, try again later"),
       retry_after.value_or(kDefaultRetryAfter));
 }
 
-void Frontend::fail(SlotId client, engine::Failure why) {
+void Frontend::fail(SlotId client, engine::Failure failure) {
   const auto pending = pending_responses_.find(client);
   const bool is_known = pending != pending_responses_.end();
   const auto idempotency = is_known ? pending->second.idempotency : routing::Idempotency::kNonIdempotent;
   forget_request(client);
-  switch (why) {
+  switch (failure) {
     case engine::Failure::kInvalidRequest:
-      return respond_error(client, invalid_request("the model can't use this request"));
+      return respond_error(client, invalid_request("the model can't process this request"));
     case engine::Failure::kDeadlineExceeded:
       return respond_possibly_executed(
-          client, server_error(504, ErrorCode::kTimeout, "no answer came in time; it may have run"),
+          client,
+          server_error(504, ErrorCode::kTimeout,
+                       "no response before the deadline; the request may have been executed"),
           idempotency);
     case engine::Failure::kUpstream:
-      return respond_possibly_executed(
-          client, server_error(502, ErrorCode::kUpstreamFailed, "the attempt failed; it may have run"),
-          idempotency);
+      return respond_possibly_executed(client,
+                                       server_error(502, ErrorCode::kUpstreamFailed,
+                                                    "the attempt failed; the request may have been executed"),
+                                       idempotency);
   }
 }
 
-// ---- responses of the frontend's own ----
+// ---- the frontend's own responses ----
 
 void Frontend::reject_rate_limited(SlotId client, engine::Duration retry_after) {
-  respond_retry_later(client, rate_limit_exceeded("a limit is reached: nothing was done, try again later"),
-                      retry_after);
+  respond_retry_later(
+      client, rate_limit_exceeded("a limit is exceeded: the request was not processed, try again later"),
+      retry_after);
 }
 
 void Frontend::reject_overloaded(SlotId client, engine::Duration retry_after) {
-  respond_retry_later(
-      client, server_error(503, ErrorCode::kOverloaded, "reduced service: nothing was done, try again later"),
-      retry_after);
+  respond_retry_later(client,
+                      server_error(503, ErrorCode::kOverloaded,
+                                   "load is shed: the request was not processed, try again later"),
+                      retry_after);
 }
 
-// The API's client libraries retry these statuses unless X-Should-Retry is "false". A request that may have
-// been executed must not be executed twice.
+// The API's client libraries retry these statuses unless X-Should-Retry is "false". A non-idempotent request
+// that may have been executed must not be executed twice.
 void Frontend::respond_possibly_executed(SlotId client, const ApiError& error,
                                          routing::Idempotency idempotency) {
   if (idempotency == routing::Idempotency::kIdempotent) return respond_error(client, error);
@@ -269,8 +277,9 @@
                  {"X-Should-Retry", "true"}});
 }
 
-void Frontend::respond_error(SlotId client, const ApiError& error, std::initializer_list<http::Header> more) {
-  server_.respond(client, error.status, "application/json", to_body(error), more);
+void Frontend::respond_error(SlotId client, const ApiError& error,
+                             std::initializer_list<http::Header> extra_headers) {
+  server_.respond(client, error.status, "application/json", to_body(error), extra_headers);
 }
 
 std::string Frontend::error_body(int status, std::string_view message) {
--- a/src/openai_api/frontend.hpp
+++ b/src/openai_api/frontend.hpp
@@ -1,4 +1,4 @@
-// The OpenAI-compatible frontend: chat completions, complete or streamed, over the same engine as the
+// The OpenAI-compatible frontend: complete or streamed chat completions, served by the same engine as the
 // platform's API.
 #ifndef DISPATCHER_OPENAI_API_FRONTEND_HPP_
 #define DISPATCHER_OPENAI_API_FRONTEND_HPP_
@@ -24,18 +24,18 @@
 /// and used on its event loop only.
 class Frontend : public http::Frontend {
  public:
-  /// `seed`: of the request ids, which must differ between the dispatchers of a platform.
+  /// `seed` initializes the request ids. It must differ between the dispatchers of a platform.
   Frontend(const http::FrontendContext& context, const Config& config, std::uint64_t seed);
 
-  /// Replaces models, keys, accounts and limits for all later requests. The address stays; requests in
-  /// progress continue with what they began with.
+  /// Replaces models, keys, accounts and limits for all later requests. The address does not change, and
+  /// requests in progress keep the configuration that they started with.
   void apply_config(const Config& config) { config_ = config; }
 
  private:
   // The response to a request that was submitted to the engine.
   struct PendingResponse {
     ResponseTranslator translator;
-    routing::Idempotency idempotency;  // whether the client may send it again after it may have run
+    routing::Idempotency idempotency;  // whether the client may retry a request that may have run
   };
 
   void on_request(SlotId client, http::Server::Request& request, engine::Time arrival) override;
@@ -46,13 +46,13 @@
   void finish_stream(SlotId client) override;
   void abort_stream(SlotId client) override;
   void reject(SlotId client, std::optional<engine::Duration> retry_after) override;
-  void fail(SlotId client, engine::Failure why) override;
+  void fail(SlotId client, engine::Failure failure) override;
 
   void reject_rate_limited(SlotId client, engine::Duration retry_after) override;
   void reject_overloaded(SlotId client, engine::Duration retry_after) override;
   void forget_request(SlotId client) override;
 
-  // The account that the request is charged to. Nullopt: its API key is missing or unknown.
+  // Returns the account that the request is charged to, or nullopt if its API key is missing or unknown.
   [[nodiscard]] std::optional<std::string> authenticate(const http::Server::Request& request) const;
   void handle_models(SlotId client);
   void handle_model(SlotId client, std::string_view id);
@@ -63,13 +63,14 @@
   [[nodiscard]] const routing::RequestClass& admitted_class(const routing::Request& request,
                                                             const Model& model) const;
 
-  void respond_error(SlotId client, const ApiError& error, std::initializer_list<http::Header> more = {});
+  void respond_error(SlotId client, const ApiError& error,
+                     std::initializer_list<http::Header> extra_headers = {});
   void respond_retry_later(SlotId client, const ApiError& error, engine::Duration retry_after);
   void respond_possibly_executed(SlotId client, const ApiError& error, routing::Idempotency idempotency);
 
   Config config_;
   RequestIdGenerator request_ids_;
-  std::map<SlotId, PendingResponse> pending_responses_;  // by client
+  std::map<SlotId, PendingResponse> pending_responses_;  // keyed by client
 };
 
 }  // namespace dispatcher::openai_api
--- a/src/openai_api/request.cpp
+++ b/src/openai_api/request.cpp
@@ -1,4 +1,4 @@
-// Validation of chat completion requests, and the keys by which they are routed.
+// Validation of chat completion requests and derivation of their routing keys.
 #include "openai_api/request.hpp"
 
 #include <algorithm>
@@ -12,18 +12,18 @@
 
 namespace {
 
-// Levels of nesting: far above what requests need.
+// Maximum nesting depth, which is far above what requests need.
 constexpr int kMaxJsonDepth = 64;
-// The usual estimate for English text where there is no tokenizer.
+// The usual estimate for English text when no tokenizer is available.
 constexpr std::size_t kCharactersPerToken = 4;
-// Largest number of tokens or choices: above any model's context length.
+// Maximum number of tokens or choices, which is above any model's context length.
 constexpr std::int64_t kMaxCount = 1'000'000;
 
 [[noreturn]] void throw_invalid(const char* field, std::string message) {
   throw invalid_field(field, std::move(message));
 }
 
-// ---- typed fields; null counts as absent ----
+// ---- typed fields; a null value counts as absent ----
 
 const Json* find_member(const Json& object, const char* field) {
   const auto member = object.find(field);
@@ -55,15 +55,16 @@
 
 // ---- prompts ----
 
-// Of FNV-1a (Fowler, Noll, Vo), 64 bits. The basis is not the published one (14695981039346656037): it stays,
-// as other dispatchers of a fleet compute the same keys with it.
+// Constants of the 64-bit FNV-1a hash (Fowler, Noll, Vo). The basis differs from the published one
+// (14695981039346656037). It must not change, because other dispatchers of a fleet compute the same keys with
+// it.
 constexpr std::uint64_t kFnvOffsetBasis = 1469598103934665603ULL;
 constexpr std::uint64_t kFnvPrime = 1099511628211ULL;
 
-// FNV-1a, chained by `state`: the same conversation must give the same key at every dispatcher and after
-// every restart. Never 0, which means "no key".
+// Returns the FNV-1a hash of the text, chained from `state`. The same conversation must give the same key at
+// every dispatcher and after every restart. Never returns 0, which means "no key".
 std::uint64_t hash(std::string_view text, std::uint64_t state = kFnvOffsetBasis) {
-  constexpr std::uint64_t kTerminator = 0xff;  // in no UTF-8 text, so that "a","bc" is not "ab","c"
+  constexpr std::uint64_t kTerminator = 0xff;  // not in UTF-8 text, so that "a","bc" and "ab","c" differ
   for (const char byte : text) state = (state ^ static_cast<unsigned char>(byte)) * kFnvPrime;
   state = (state ^ kTerminator) * kFnvPrime;
   return state == 0 ? 1 : state;
@@ -72,12 +73,12 @@
 // Lengths and keys of a conversation's messages.
 struct Prompt {
   std::size_t characters = 0;
-  std::size_t system_characters = 0;   // of the system message, which conversations share
-  std::uint64_t system_key = 0;        // hash of its text; 0: there is none
-  std::uint64_t conversation_key = 0;  // hash of all messages up to the first of the user
+  std::size_t system_characters = 0;   // length of the system message, which conversations share
+  std::uint64_t system_key = 0;        // hash of the system message; 0 if there is none
+  std::uint64_t conversation_key = 0;  // hash of all messages up to the first user message
 };
 
-// A message's text: a string, or an array of parts of which some are text.
+// Returns a message's text. Its content is a string, or an array of parts of which some are text.
 std::string message_text(const Json& message) {
   const Json* value = find_member(message, "content");
   if (value == nullptr) return {};
@@ -105,7 +106,7 @@
     throw_invalid("messages", "messages must be an array with at least one message");
   Prompt prompt;
   prompt.conversation_key = hash(read_text(object, "user"));
-  bool has_user_message = false;  // what follows the first one differs from turn to turn
+  bool has_user_message = false;  // the messages after the first one differ from turn to turn
   for (const Json& message : *messages) {
     if (!message.is_object()) throw_invalid("messages", "each message must be an object");
     const std::string role = read_role(message);
@@ -142,8 +143,7 @@
   const Json* options = find_member(object, "stream_options");
   if (options == nullptr) return;
   if (!options->is_object()) throw_invalid("stream_options", "stream_options must be an object");
-  if (!request.is_stream)
-    throw_invalid("stream_options", "stream_options is only allowed where stream is true");
+  if (!request.is_stream) throw_invalid("stream_options", "stream_options is only allowed if stream is true");
   request.include_usage = read_flag(*options, "include_usage");
 }
 
@@ -154,14 +154,15 @@
   return max_tokens.value_or(config.default_max_tokens);
 }
 
-// A conversation is identified by the client's own name for it or, without one, by its first messages.
+// Returns the key of a conversation. The client's prompt_cache_key identifies it or, without one, its first
+// messages do.
 std::uint64_t session_key(const Json& object, const std::string& account, const Prompt& prompt) {
   const std::string cache_key = read_text(object, "prompt_cache_key");
   const std::uint64_t conversation_key = cache_key.empty() ? prompt.conversation_key : hash(cache_key);
   return hash(account, conversation_key);
 }
 
-// The client's request, changed to be streamed with the usage at the stream's end.
+// Returns the client's request with the options set that stream the response, with the usage at its end.
 std::string upstream_body(Json object) {
   object["stream"] = true;
   object["stream_options"] = {{"include_usage", true}};
--- a/src/openai_api/request_id_generator.hpp
+++ b/src/openai_api/request_id_generator.hpp
@@ -1,4 +1,4 @@
-// Ids for requests whose API has none of its own.
+// Generation of request ids for an API whose requests have none.
 #ifndef DISPATCHER_OPENAI_API_REQUEST_ID_GENERATOR_HPP_
 #define DISPATCHER_OPENAI_API_REQUEST_ID_GENERATOR_HPP_
 
@@ -8,15 +8,15 @@
 
 namespace dispatcher::openai_api {
 
-/// Generates request ids of sixteen hexadecimal digits, the form that endpoints expect. No two ids of one
-/// generator are equal: splitmix64 (Steele, Lea and Flood, "Fast Splittable Pseudorandom Number Generators",
-/// 2014) is a bijection of its counter. Not thread-safe.
+/// Generates request ids of sixteen hexadecimal digits, the format that endpoints expect. No two ids of one
+/// generator are equal, because splitmix64 (Steele, Lea and Flood, "Fast Splittable Pseudorandom Number
+/// Generators", 2014) is a bijection of its counter. Not thread-safe.
 class RequestIdGenerator {
  public:
-  /// Generators of different seeds give different sequences, which may meet only by chance.
+  /// Generators with different seeds produce different sequences, which share ids only by chance.
   explicit RequestIdGenerator(std::uint64_t seed) : seed_(seed) {}
 
-  /// An id that this generator has not given before.
+  /// Returns an id that this generator has not returned before.
   [[nodiscard]] std::string next() {
     std::uint64_t bits = seed_ + 0x9e3779b97f4a7c15ULL * ++count_;
     bits = (bits ^ (bits >> 30U)) * 0xbf58476d1ce4e5b9ULL;
--- a/src/openai_api/response_translator.cpp
+++ b/src/openai_api/response_translator.cpp
@@ -33,7 +33,7 @@
   return object.contains(field) && object[field].is_number_integer();
 }
 
-// Adds the total, which clients read and an endpoint may leave out.
+// Adds the total number of tokens, which clients read and an endpoint may leave out.
 void add_total_tokens(Json& usage) {
   if (usage.contains("total_tokens")) return;
   if (!has_integer(usage, "prompt_tokens") || !has_integer(usage, "completion_tokens")) return;
@@ -41,7 +41,7 @@
       usage["prompt_tokens"].get<std::int64_t>() + usage["completion_tokens"].get<std::int64_t>();
 }
 
-// The role belongs to the first delta of a stream.
+// Adds the role to a choice's delta if it is missing. The first delta of a stream must have it.
 void add_role(Json& choice) {
   if (!choice.is_object() || !choice.contains("delta") || !choice["delta"].is_object()) return;
   if (!choice["delta"].contains("role")) choice["delta"]["role"] = "assistant";
@@ -60,7 +60,7 @@
 
 std::string ResponseTranslator::translate_event(std::string_view event) {
   const std::string data = http::event_field(event, "data");
-  if (data.empty() || is_complete_) return {};  // comments carry load reports, which are not for clients
+  if (data.empty() || is_complete_) return {};  // comments carry load reports, which clients must not get
   if (data == kEndOfStream) {
     is_complete_ = true;
     return is_stream() ? data_event(kEndOfStream) : std::string();
@@ -88,7 +88,7 @@
   collected_bytes_ += text.size();
 }
 
-// Adds the fields that the API's clients read and an endpoint may leave out; changes none that exists.
+// Adds the fields that the API's clients read and an endpoint may leave out. Existing fields are not changed.
 std::string ResponseTranslator::complete_chunk(Json chunk) {
   const bool has_choices = chunk.contains("choices") && chunk["choices"].is_array();
   const bool is_only_usage = has_choices && chunk["choices"].empty() && chunk.contains("usage");
--- a/src/openai_api/response_translator.hpp
+++ b/src/openai_api/response_translator.hpp
@@ -1,4 +1,4 @@
-// Translation of an endpoint's event stream into the OpenAI API's chunks or into one completion object.
+// Translation of an endpoint's event stream into the OpenAI API's chunks or into a single completion object.
 #ifndef DISPATCHER_OPENAI_API_RESPONSE_TRANSLATOR_HPP_
 #define DISPATCHER_OPENAI_API_RESPONSE_TRANSLATOR_HPP_
 
@@ -11,41 +11,42 @@
 
 namespace dispatcher::openai_api {
 
-/// The form of a client's response, and the values of its fixed fields.
+/// The format of a client's response and the values of its fixed fields.
 struct ResponseFormat {
-  /// Of the completion, "chatcmpl-" and the request's id.
+  /// The completion's id, which is "chatcmpl-" followed by the request's id.
   std::string id;
-  /// As the client named it.
+  /// The model's name as the client gave it.
   std::string model;
-  /// Seconds since the Unix epoch.
+  /// When the request was submitted, in seconds since the Unix epoch.
   std::int64_t created = 0;
-  /// Server-sent events (WHATWG HTML, section 9.2), else one completion object.
+  /// Whether the response consists of server-sent events (WHATWG HTML, section 9.2) instead of a single
+  /// completion object.
   bool is_stream = false;
-  /// Whether a stream ends with an event of the usage.
+  /// Whether a stream ends with an event that contains the usage.
   bool include_usage = false;
 };
 
-/// Translates one response: forwards chunks of the OpenAI API, with the fields added that an endpoint left
+/// Translates one response. Forwards the chunks of the OpenAI API and adds the fields that the endpoint left
 /// out. Owned by the frontend's record of the request; not thread-safe.
 class ResponseTranslator {
  public:
   explicit ResponseTranslator(ResponseFormat format);
 
-  /// Takes complete events. Returns the events to send to a streaming client; empty for any other, whose
-  /// completion is collected.
+  /// Translates complete events. Returns the events to send to a streaming client, or an empty string for any
+  /// other client, whose completion is collected.
   [[nodiscard]] std::string translate(std::string_view events);
-  /// Whether the stream's own end marker has arrived. A stream that ends without it was truncated.
+  /// Whether the stream's end marker has arrived. A stream that ends without it was truncated.
   [[nodiscard]] bool is_complete() const { return is_complete_; }
-  /// The completion object, for a client that does not stream.
+  /// Returns the completion object for a client that does not stream.
   [[nodiscard]] std::string completion() const;
-  /// Whether the client reads a stream.
+  /// Whether the client requested a stream.
   [[nodiscard]] bool is_stream() const { return format_.is_stream; }
-  /// Whether the collected text exceeds what any limit on tokens allows: an endpoint that does not stop must
-  /// not exhaust the memory.
+  /// Whether the collected text is longer than any token limit allows. An endpoint that does not stop must
+  /// not exhaust the dispatcher's memory.
   [[nodiscard]] bool is_too_long() const { return collected_bytes_ > kMaxCollectedBytes; }
 
  private:
-  // 4 MiB: about a million tokens.
+  // 4 MiB hold about a million tokens.
   static constexpr std::size_t kMaxCollectedBytes = std::size_t{4} * 1024 * 1024;
 
   std::string translate_event(std::string_view event);
@@ -53,11 +54,11 @@
   std::string complete_chunk(nlohmann::json chunk);
 
   ResponseFormat format_;
-  bool has_role_ = false;  // the first choice was sent, with its role
+  bool has_role_ = false;  // whether the first choice was sent, which includes the role
   bool is_complete_ = false;
   std::size_t collected_bytes_ = 0;
   http::EventFramer framer_;
-  // Of the completion object, as collected so far.
+  // Parts of the completion object that were collected so far.
   nlohmann::json message_;
   nlohmann::json finish_reason_;
   nlohmann::json usage_;
--- a/tests/openai_api/openai_api_test.cpp
+++ b/tests/openai_api/openai_api_test.cpp
@@ -1,4 +1,4 @@
-// The OpenAI-compatible frontend: the API's forms, and its answers when replicas fail.
+// The OpenAI-compatible frontend: the API's formats, and its responses when endpoints fail.
 #include "tests/fixtures/dispatcher_fixture.hpp"
 
 namespace dispatcher::testing {
@@ -14,7 +14,7 @@
   return data;
 }
 
-// A client that has posted the body.
+// Returns a client that has posted the body.
 std::unique_ptr<FakeClient> post_chat(Fixture& fixture, const std::string& body,
                                       const std::string& more_headers = {}) {
   auto client = fixture.chat_client();
@@ -22,7 +22,7 @@
   return client;
 }
 
-// A client that has posted the body and received its response.
+// Returns a client that has posted the body and received its response.
 std::unique_ptr<FakeClient> answered_client(Fixture& fixture, const std::string& body,
                                             const std::string& more_headers = {}) {
   auto client = post_chat(fixture, body, more_headers);
@@ -36,7 +36,7 @@
   CHECK(client->status == 200);
   CHECK(client->headers["Content-Type"] == "text/event-stream");
   const auto data = data_of(client->body);
-  REQUIRE(data.size() == 4);  // two words, the finish, the end; usage was not asked for
+  REQUIRE(data.size() == 4);  // two words, the finish reason and the end marker; usage was not requested
   const Json first = Json::parse(data[0]);
   CHECK(first["object"] == "chat.completion.chunk");
   CHECK(first["model"] == "ask");
@@ -47,7 +47,7 @@
   CHECK(fixture.request_count("POST", Role::kWriter) == 1);
 }
 
-TEST_CASE("a completion that is not streamed joins the replica's chunks and usage", "[chat]") {
+TEST_CASE("a completion that is not streamed joins the endpoint's chunks and usage", "[chat]") {
   Fixture fixture(healthy_reader, healthy_writer, kChatConfig);
   const auto client = answered_client(fixture, chat_body("ask", ResponseMode::kCompletion));
   const Json answer = Json::parse(client->body);
@@ -56,10 +56,10 @@
   CHECK(answer["choices"][0]["finish_reason"] == "stop");
   CHECK(answer["usage"]["total_tokens"] == 9);
   const Json sent = Json::parse(fixture.only_request("POST", Role::kReader).body);
-  CHECK(sent["stream"] == true);  // a replica always streams
+  CHECK(sent["stream"] == true);  // an endpoint always streams
 }
 
-TEST_CASE("a stream includes the usage where include_usage is set", "[chat]") {
+TEST_CASE("a stream includes the usage if include_usage is set", "[chat]") {
   Fixture fixture(healthy_reader, healthy_writer, kChatConfig);
   Json body = Json::parse(chat_body("ask", ResponseMode::kStream));
   body["stream_options"] = {{"include_usage", true}};
@@ -69,7 +69,7 @@
   CHECK(Json::parse(data[3])["usage"]["prompt_tokens"] == 7);
 }
 
-TEST_CASE("the models are listed, and an unknown one is not found", "[chat]") {
+TEST_CASE("the models are listed, and an unknown model is not found", "[chat]") {
   Fixture fixture(healthy_reader, healthy_writer, kChatConfig);
   auto client = fixture.chat_client();
   client->get("/v1/models");
@@ -82,7 +82,7 @@
   CHECK(Json::parse(client->body)["error"]["code"] == "model_not_found");
 }
 
-TEST_CASE("invalid requests get the API's errors and reach no replica", "[chat]") {
+TEST_CASE("invalid requests get the API's errors and reach no endpoint", "[chat]") {
   Fixture fixture(healthy_reader, healthy_writer, kChatConfig);
   struct Case {
     std::string body;
@@ -113,19 +113,19 @@
   constexpr std::size_t kAboveMaxBodyBytes = std::size_t{300} * 1024;
   const auto large = answered_client(fixture, std::string(kAboveMaxBodyBytes, 'x'));
   CHECK(large->status == 413);
-  auto lost = fixture.chat_client();
-  lost->get("/v2/models");
-  REQUIRE(fixture.until([&] { return lost->is_complete; }));
-  CHECK(lost->status == 404);
-  auto wrong = fixture.chat_client();
-  wrong->get("/v1/chat/completions");
-  REQUIRE(fixture.until([&] { return wrong->is_complete; }));
-  CHECK(wrong->status == 405);
-  CHECK(wrong->headers["Allow"] == "POST");
+  auto misdirected = fixture.chat_client();
+  misdirected->get("/v2/models");
+  REQUIRE(fixture.until([&] { return misdirected->is_complete; }));
+  CHECK(misdirected->status == 404);
+  auto wrong_method = fixture.chat_client();
+  wrong_method->get("/v1/chat/completions");
+  REQUIRE(fixture.until([&] { return wrong_method->is_complete; }));
+  CHECK(wrong_method->status == 405);
+  CHECK(wrong_method->headers["Allow"] == "POST");
   CHECK(fixture.request_count("POST", Role::kReader) + fixture.request_count("POST", Role::kWriter) == 0);
 }
 
-TEST_CASE("where API keys are configured, only requests with one are served", "[chat]") {
+TEST_CASE("with configured API keys, only requests that present one are served", "[chat]") {
   Json config = Json::parse(kChatConfig);
   config["keys"] = {{{"key", "k-1"}, {"account", "acme"}}};
   Fixture fixture(healthy_reader, healthy_writer, config.dump());
@@ -139,14 +139,14 @@
   }
 }
 
-TEST_CASE("a non-idempotent request whose stream breaks is sent once and gets no regular end", "[chat]") {
+TEST_CASE("a non-idempotent request whose stream is aborted is sent once and gets no regular end", "[chat]") {
   const ResponseMode mode = GENERATE(ResponseMode::kStream, ResponseMode::kCompletion);
   Fixture fixture(
       healthy_reader,
-      [](FakeReplica& replica, SlotId client, const ReceivedRequest&) {
-        replica.stream_words(client, {"valve"}, StreamEnd::kOpen);
-        replica.server.write_events(client, "data: {\"choices\":[{\"ind");  // cut mid-event
-        replica.server.abort(client);
+      [](FakeReplica& endpoint, SlotId client, const ReceivedRequest&) {
+        endpoint.stream_words(client, {"valve"}, StreamEnd::kOpen);
+        endpoint.server.write_events(client, "data: {\"choices\":[{\"ind");  // cut mid-event
+        endpoint.server.abort(client);
       },
       kChatConfig);
   auto client = post_chat(fixture, chat_body("command", mode));
@@ -166,24 +166,24 @@
   CHECK(fixture.engine.open_request_count() == 0);
 }
 
-TEST_CASE("a stream without its end marker is not answered as a complete completion", "[chat]") {
+TEST_CASE("a stream without its end marker does not result in a complete completion", "[chat]") {
   Fixture fixture(
       healthy_reader,
-      [](FakeReplica& replica, SlotId client, const ReceivedRequest&) {
-        replica.stream_words(client, {"half"}, StreamEnd::kOpen);
-        replica.server.end_response(client);  // the last chunk, but no [DONE]
+      [](FakeReplica& endpoint, SlotId client, const ReceivedRequest&) {
+        endpoint.stream_words(client, {"half"}, StreamEnd::kOpen);
+        endpoint.server.end_response(client);  // sends the last chunk, but no [DONE]
       },
       kChatConfig);
   const auto client = answered_client(fixture, chat_body("ask", ResponseMode::kCompletion));
   CHECK(client->status == 502);
 }
 
-// A replica that never stops must not fill the memory of a dispatcher that collects the completion.
+// An endpoint that never stops must not exhaust the memory of a dispatcher that collects the completion.
 TEST_CASE("an endless response is aborted at a maximum length", "[chat]") {
   Fixture fixture(
       healthy_reader,
-      [](FakeReplica& replica, SlotId client, const ReceivedRequest&) {
-        replica.stream_words(client, {std::string(250'000, 'x')}, StreamEnd::kOpen);
+      [](FakeReplica& endpoint, SlotId client, const ReceivedRequest&) {
+        endpoint.stream_words(client, {std::string(250'000, 'x')}, StreamEnd::kOpen);
       },
       kChatConfig);
   auto client = post_chat(fixture, chat_body("command", ResponseMode::kCompletion));
@@ -202,33 +202,33 @@
   CHECK(fixture.engine.open_request_count() == 0);
 }
 
-enum class ReplicaFailure { kReset, kError, kAtCapacity, kStateLost, kSilence };
+enum class EndpointFailure { kReset, kError, kAtCapacity, kStateLost, kSilence };
 
-FakeReplica::Behavior failing_by(ReplicaFailure failure) {
-  return [failure](FakeReplica& replica, SlotId client, const ReceivedRequest&) {
+FakeReplica::Behavior failing_by(EndpointFailure failure) {
+  return [failure](FakeReplica& endpoint, SlotId client, const ReceivedRequest&) {
     switch (failure) {
-      case ReplicaFailure::kReset:
-        return replica.server.abort(client);
-      case ReplicaFailure::kError:
-        return replica.respond(client, 500);
-      case ReplicaFailure::kAtCapacity:
-        return replica.reject_unprocessed(client, 503);
-      case ReplicaFailure::kStateLost:
-        return replica.reject_unprocessed(client, 410);
-      case ReplicaFailure::kSilence:
+      case EndpointFailure::kReset:
+        return endpoint.server.abort(client);
+      case EndpointFailure::kError:
+        return endpoint.respond(client, 500);
+      case EndpointFailure::kAtCapacity:
+        return endpoint.reject_unprocessed(client, 503);
+      case EndpointFailure::kStateLost:
+        return endpoint.reject_unprocessed(client, 410);
+      case EndpointFailure::kSilence:
         return;
     }
   };
 }
 
-TEST_CASE("an idempotent request always gets a final answer, whatever the replicas do", "[chat]") {
-  const auto failing_replica =
-      failing_by(GENERATE(ReplicaFailure::kReset, ReplicaFailure::kError, ReplicaFailure::kAtCapacity,
-                          ReplicaFailure::kStateLost, ReplicaFailure::kSilence));
+TEST_CASE("an idempotent request always gets a final answer when endpoints fail", "[chat]") {
+  const auto failing_endpoint =
+      failing_by(GENERATE(EndpointFailure::kReset, EndpointFailure::kError, EndpointFailure::kAtCapacity,
+                          EndpointFailure::kStateLost, EndpointFailure::kSilence));
   const Role failing_role = GENERATE(Role::kReader, Role::kWriter);
   const bool readers_fail = failing_role == Role::kReader;
-  Fixture fixture(readers_fail ? failing_replica : FakeReplica::Behavior(healthy_reader),
-                  readers_fail ? FakeReplica::Behavior(healthy_writer) : failing_replica, kChatConfig);
+  Fixture fixture(readers_fail ? failing_endpoint : FakeReplica::Behavior(healthy_reader),
+                  readers_fail ? FakeReplica::Behavior(healthy_writer) : failing_endpoint, kChatConfig);
   auto client = post_chat(fixture, chat_body("ask", ResponseMode::kStream));
   fixture.until([&] { return fixture.request_count("POST", Role::kReader) > 0; });
   for (int i = 0; i < 130 && !client->is_finished(); ++i) fixture.advance(milliseconds(50));
@@ -242,18 +242,18 @@
 
 TEST_CASE("an idempotent request is retried after a reset, a non-idempotent one is not", "[chat]") {
   const std::string model = GENERATE("ask", "command");
-  int calls = 0;
+  int call_count = 0;
   Fixture fixture(
       healthy_reader,
-      [&calls](FakeReplica& replica, SlotId client, const ReceivedRequest& request) {
-        if (++calls == 1) return replica.server.abort(client);  // after the request has arrived
-        healthy_writer(replica, client, request);
+      [&call_count](FakeReplica& endpoint, SlotId client, const ReceivedRequest& request) {
+        if (++call_count == 1) return endpoint.server.abort(client);  // after the request has arrived
+        healthy_writer(endpoint, client, request);
       },
       kChatConfig);
   const auto client = answered_client(fixture, chat_body(model, ResponseMode::kCompletion));
   fixture.advance(seconds(1));
   CHECK(client->status == (model == "ask" ? 200 : 502));
-  CHECK(calls == (model == "ask" ? 2 : 1));
+  CHECK(call_count == (model == "ask" ? 2 : 1));
 }
 
 TEST_CASE("a disconnect before the first token cancels the attempt and releases the reservation", "[chat]") {
@@ -265,7 +265,7 @@
   client->close();
   const auto stopped = [&] {
     std::size_t disconnected = 0;
-    for (const auto& replica : fixture.replicas) disconnected += replica->disconnected_clients.size();
+    for (const auto& endpoint : fixture.replicas) disconnected += endpoint->disconnected_clients.size();
     return disconnected == 1;
   };
   CHECK(fixture.until(stopped));
@@ -278,7 +278,7 @@
   CHECK(fixture.request_count("POST", Role::kWriter) == (while_reading ? 0 : 1));
 }
 
-TEST_CASE("a silent replica costs the client no more than its deadline", "[chat]") {
+TEST_CASE("a silent endpoint delays the client no longer than its deadline", "[chat]") {
   Fixture fixture(healthy_reader, silent_replica, kChatConfig);
   auto client = post_chat(fixture, chat_body("command", ResponseMode::kCompletion));
   REQUIRE(fixture.until([&] { return fixture.request_count("POST", Role::kWriter) == 1; }));
@@ -300,7 +300,7 @@
   CHECK(second->headers["Retry-After"] == "1");
 }
 
-TEST_CASE("a conversation keeps its session and prefix keys from turn to turn", "[chat]") {
+TEST_CASE("the turns of a conversation have the same session and prefix keys", "[chat]") {
   const auto settings = make_settings();
   const auto config = *openai_api::parse_config({"chat.json", kChatConfig}, settings);
   Json body = Json::parse(chat_body("ask", ResponseMode::kCompletion));
@@ -318,7 +318,7 @@
   CHECK(openai_api::parse_request(body.dump(), config, "other").routing.session != second.routing.session);
 }
 
-TEST_CASE("an invalid chat.json is rejected by the name of its field", "[chat]") {
+TEST_CASE("the error of an invalid chat.json names its field", "[chat]") {
   const auto settings = make_settings();
   const auto problem = [&](const char* path, const Json& value) {
     Json config = Json::parse(kChatConfig);
