--- a/src/platform_api/frontend.hpp
+++ b/src/platform_api/frontend.hpp
@@ -1,4 +1,5 @@
-// The frontend of the platform's own API: chat completions described by X- headers, streamed unchanged.
+// The frontend of the platform's own API: chat completions that are described by X- headers and streamed
+// unchanged.
 #ifndef DISPATCHER_PLATFORM_API_FRONTEND_HPP_
 #define DISPATCHER_PLATFORM_API_FRONTEND_HPP_
 
@@ -15,7 +16,8 @@
 /// Serves POST /v1/chat/completions and GET /healthz. Owned by the daemon and used on its event loop only.
 class Frontend : public http::Frontend {
  public:
-  /// `settings`: the request classes that headers may name, and whether rejections carry a Retry-After.
+  /// `settings` contains the request classes that headers may name, and states whether rejections carry a
+  /// Retry-After.
   Frontend(const http::FrontendContext& context, const net::tcp::endpoint& address,
            engine::SettingsSnapshot settings);
 
@@ -33,7 +35,7 @@
   void finish_stream(SlotId client) override;
   void abort_stream(SlotId client) override;
   void reject(SlotId client, std::optional<engine::Duration> retry_after) override;
-  void fail(SlotId client, engine::Failure why) override;
+  void fail(SlotId client, engine::Failure failure) override;
 
   void reject_rate_limited(SlotId client, engine::Duration retry_after) override;
   void reject_overloaded(SlotId client, engine::Duration retry_after) override;
--- a/src/platform_api/header_error.hpp
+++ b/src/platform_api/header_error.hpp
@@ -19,16 +19,17 @@
 inline constexpr std::string_view kFacts = "X-Facts";
 }  // namespace header_names
 
-/// What is wrong with a header field's value.
+/// The reason why a header field's value is rejected.
 enum class HeaderProblem { kNotAlphanumeric, kUnknownClass, kNotANumber, kOutOfRange, kIdInProgress };
 
-/// The error message for the client, such as "X-Time-Left-Ms: out of range".
+/// Returns the error message for the client, such as "X-Time-Left-Ms: out of range".
 [[nodiscard]] std::string describe(HeaderProblem problem, std::string_view header);
 
-/// A request with an invalid header field. what() is the message of describe(), for the client.
+/// Thrown for a request with an invalid header field. what() returns the message of describe() for the
+/// client.
 class HeaderError : public std::runtime_error {
  public:
-  /// `header`: the field's name; for a part of X-Facts, followed by the part's name ("X-Facts prefix").
+  /// `header` is the field's name, followed by the part's name for a part of X-Facts ("X-Facts prefix").
   HeaderError(HeaderProblem problem, std::string_view header)
       : std::runtime_error(describe(problem, header)), problem_(problem), header_(header) {}
 
--- a/src/platform_api/request.cpp
+++ b/src/platform_api/request.cpp
@@ -16,19 +16,22 @@
 
 namespace {
 
-// Characters of a request id: it is kept, logged and sent to endpoints with each attempt.
+// Maximum number of characters of a request id, which is stored, logged and sent to endpoints with each
+// attempt.
 constexpr std::size_t kMaxIdLength = 64;
-// Far above any context length, and far enough from overflow for sums of counts.
+// Maximum of a token count. It is far above any context length, and small enough that sums of counts don't
+// overflow.
 constexpr int kMaxTokens = 100'000'000;
-// Far above any deadline, and far enough from overflow for sums with the clock.
+// Maximum of X-Time-Left-Ms. It is far above any deadline, and small enough that sums with the clock don't
+// overflow.
 constexpr std::chrono::milliseconds kMaxTimeLeft = std::chrono::hours(24);
-// Values of X-Repeat, for Request::client_retry and Request::resubmitted.
+// Values of X-Repeat that set Request::client_retry and Request::resubmitted.
 constexpr std::string_view kRetryValue = "1";
 constexpr std::string_view kResubmittedValue = "again";
 constexpr int kDecimal = 10;
 constexpr int kHexadecimal = 16;
 
-// A part of X-Facts: its name there, and its name in errors.
+// The name of a part of X-Facts, and its name in error messages.
 struct FactName {
   std::string_view key;
   std::string_view header;
@@ -38,7 +41,7 @@
 constexpr FactName kPrefixLengthFact{"prefix_len", "X-Facts prefix_len"};
 constexpr FactName kMaxOutputFact{"max_out", "X-Facts max_out"};
 
-// The number that the complete text is. Throws HeaderError.
+// Parses the whole text as a number. Throws HeaderError if it is not one.
 template <class T>
 T parse_number(std::string_view text, std::string_view header, int base = kDecimal) {
   T value{};
@@ -54,7 +57,7 @@
   return value;
 }
 
-// One NAME=VALUE of X-Facts; unknown names are ignored.
+// Parses one NAME=VALUE part of X-Facts. Unknown names are ignored.
 void parse_fact(std::string_view fact, routing::Request& request) {
   const std::size_t equals = fact.find('=');
   if (equals == std::string_view::npos) return;
@@ -67,7 +70,7 @@
   if (name == kMaxOutputFact.key) request.max_tokens = parse_tokens(value, kMaxOutputFact.header);
 }
 
-// NAME=VALUE parts, separated by commas with optional spaces after them.
+// Parses the NAME=VALUE parts of X-Facts, which are separated by commas with optional spaces after them.
 void parse_facts(std::string_view facts, routing::Request& request) {
   while (!facts.empty()) {
     const std::size_t comma = facts.find(',');
@@ -92,7 +95,7 @@
   return *found;
 }
 
-// The client's own time limit; without one, the class's.
+// Returns the client's own time limit, or the class's deadline if the client states none.
 engine::Duration parse_time_left(std::string_view text, const routing::RequestClass& request_class) {
   if (text.empty()) return request_class.deadline;
   const std::chrono::milliseconds left(parse_number<std::int64_t>(text, header_names::kTimeLeft));
--- a/src/platform_api/request.hpp
+++ b/src/platform_api/request.hpp
@@ -1,4 +1,4 @@
-// The platform's request headers, parsed into a routing request.
+// Parsing of the platform's request headers into a routing request.
 #ifndef DISPATCHER_PLATFORM_API_REQUEST_HPP_
 #define DISPATCHER_PLATFORM_API_REQUEST_HPP_
 
@@ -9,8 +9,8 @@
 
 namespace dispatcher::platform_api {
 
-/// The routing request that the headers describe; its deadline counts from `arrival`. Throws HeaderError at
-/// the first invalid field.
+/// Returns the routing request that the headers describe. Its deadline is counted from `arrival`. Throws
+/// HeaderError at the first invalid field.
 [[nodiscard]] routing::Request parse_request(const http::RequestReader::Message& request,
                                              const routing::Settings& settings, engine::Time arrival);
 
--- a/tests/platform_api/platform_api_test.cpp
+++ b/tests/platform_api/platform_api_test.cpp
@@ -11,10 +11,10 @@
 
 TEST_CASE("a stream is forwarded unchanged and its connection is kept alive", "[platform]") {
   const std::string events = "data: {\"odd\":  1}\r\n\r\n: note\n\nevent: x\ndata: y\n\ndata: [DONE]\n\n";
-  Fixture fixture(healthy_reader, [&](FakeReplica& replica, SlotId client, const ReceivedRequest&) {
-    replica.server.begin_stream(client);
-    for (const char byte : events) replica.server.write_events(client, std::string(1, byte));
-    replica.server.end_response(client);
+  Fixture fixture(healthy_reader, [&](FakeReplica& endpoint, SlotId client, const ReceivedRequest&) {
+    endpoint.server.begin_stream(client);
+    for (const char byte : events) endpoint.server.write_events(client, std::string(1, byte));
+    endpoint.server.end_response(client);
   });
   auto client = fixture.platform_client();
   for (const std::string id : {"a1", "a2"}) {
@@ -30,8 +30,8 @@
   CHECK(request.body == kPlatformBody);
 }
 
-// Clients of a class with idempotency keys send a key with each request, by which replicas detect a repeat.
-TEST_CASE("end-to-end header fields reach the replica, hop-by-hop fields do not", "[platform]") {
+// Clients of a class with idempotency keys send a key with each request, by which endpoints detect a repeat.
+TEST_CASE("end-to-end header fields reach the endpoint, hop-by-hop fields do not", "[platform]") {
   Fixture fixture(healthy_reader, healthy_writer);
   auto client = fixture.platform_client();
   client->post(platform_headers("a1", "ask") +
@@ -53,7 +53,7 @@
   }
 }
 
-TEST_CASE("malformed and misdirected requests are answered and reach no replica", "[platform]") {
+TEST_CASE("malformed and misdirected requests are answered and reach no endpoint", "[platform]") {
   Fixture fixture(healthy_reader, healthy_writer);
   const auto status = [&](const std::string& bytes) {
     auto client = fixture.platform_client();
@@ -76,22 +76,22 @@
   auto client = fixture.platform_client();
   std::string all;
   for (int i = 0; i < 2000; ++i)
-    all += "GET /healthz HTTP/1.1\r\n\r\n";  // enough to exhaust a stack on which they nest
+    all += "GET /healthz HTTP/1.1\r\n\r\n";  // enough to exhaust the stack if they nested
   client->send(all + "GET /last HTTP/1.1\r\n\r\n");
   CHECK(fixture.until([&] { return client->status == 404; }));
 }
 
-// Commands are not repeated by anybody: each one that was read is forwarded once and answered.
-TEST_CASE("pipelined commands are each forwarded once and answered in order, also during a drain",
+// Nobody retries a non-idempotent request, so each one that was read must be forwarded once and answered.
+TEST_CASE("pipelined non-idempotent requests are forwarded once and answered in order, also during a drain",
           "[platform]") {
-  constexpr int kCommands = 20;
+  constexpr int kRequests = 20;
   const bool is_drained = GENERATE(false, true);
-  Fixture fixture(healthy_reader, [](FakeReplica& replica, SlotId client, const ReceivedRequest& request) {
-    replica.stream_words(client, {request.id}, StreamEnd::kOpen);
+  Fixture fixture(healthy_reader, [](FakeReplica& endpoint, SlotId client, const ReceivedRequest& request) {
+    endpoint.stream_words(client, {request.id}, StreamEnd::kOpen);
   });
   auto client = fixture.platform_client();
   std::vector<std::string> ids;
-  for (int i = 0; i < kCommands; ++i) {
+  for (int i = 0; i < kRequests; ++i) {
     ids.push_back("c" + std::to_string(100 + i));
     client->post(platform_headers(ids.back(), "command"), kPlatformBody);
   }
@@ -116,22 +116,22 @@
   }
 }
 
-TEST_CASE("a broken stream ends the client's connection without the last chunk", "[platform]") {
-  Fixture fixture(healthy_reader, [](FakeReplica& replica, SlotId client, const ReceivedRequest&) {
-    replica.stream_words(client, {"half"}, StreamEnd::kOpen);
-    replica.server.abort(client);
+TEST_CASE("an aborted stream closes the client's connection without the last chunk", "[platform]") {
+  Fixture fixture(healthy_reader, [](FakeReplica& endpoint, SlotId client, const ReceivedRequest&) {
+    endpoint.stream_words(client, {"half"}, StreamEnd::kOpen);
+    endpoint.server.abort(client);
   });
   auto client = fixture.post("a1", "ask");
   REQUIRE(fixture.until([&] { return client->is_finished(); }));
   CHECK(client->is_closed);
   CHECK_FALSE(client->is_complete);
   CHECK(client->body.find("half") != std::string::npos);
-  CHECK(fixture.request_count("POST", Role::kWriter) == 1);  // after a first token nothing is sent again
+  CHECK(fixture.request_count("POST", Role::kWriter) == 1);  // nothing is retried after the first token
 }
 
-TEST_CASE("a client's disconnect cancels its stream at the replica", "[platform]") {
-  Fixture fixture(healthy_reader, [](FakeReplica& replica, SlotId client, const ReceivedRequest&) {
-    replica.stream_words(client, {"on and on"}, StreamEnd::kOpen);
+TEST_CASE("a client's disconnect cancels its stream at the endpoint", "[platform]") {
+  Fixture fixture(healthy_reader, [](FakeReplica& endpoint, SlotId client, const ReceivedRequest&) {
+    endpoint.stream_words(client, {"on and on"}, StreamEnd::kOpen);
   });
   auto client = fixture.post("a1", "command");
   REQUIRE(fixture.until([&] { return !client->body.empty(); }));
@@ -142,17 +142,17 @@
   CHECK(fixture.engine.open_request_count() == 0);
 }
 
-TEST_CASE("a request that the router rejects is answered at once, with Retry-After", "[platform]") {
-  Fixture fixture(healthy_reader, [](FakeReplica& replica, SlotId client, const ReceivedRequest&) {
-    replica.reject_unprocessed(client, 503);
+TEST_CASE("a request that the router rejects is answered at once with Retry-After", "[platform]") {
+  Fixture fixture(healthy_reader, [](FakeReplica& endpoint, SlotId client, const ReceivedRequest&) {
+    endpoint.reject_unprocessed(client, 503);
   });
   auto client = fixture.platform_client();
-  const auto begun = fixture.now;
+  const auto start = fixture.now;
   client->post(platform_headers("a1", "command"), kPlatformBody);
   for (int i = 0; i < 40 && !client->is_finished(); ++i) fixture.advance(milliseconds(20));
   CHECK(client->status == 503);
   CHECK(client->headers["Retry-After"] == "0.500");
-  CHECK(fixture.now - begun < milliseconds(500));
+  CHECK(fixture.now - start < milliseconds(500));
 }
 
 TEST_CASE("a second request with an id in progress is rejected", "[platform]") {
@@ -183,23 +183,23 @@
 
 TEST_CASE("a silent connection is closed and a partial request answered 408 within 3 s", "[platform]") {
   Fixture fixture(healthy_reader, healthy_writer);
-  auto silent_one = fixture.platform_client(), half = fixture.platform_client(),
+  auto silent = fixture.platform_client(), partial = fixture.platform_client(),
        late = fixture.platform_client();
-  half->send("POST /v1/chat/completions HTTP/1.1\r\nContent-Le");
+  partial->send("POST /v1/chat/completions HTTP/1.1\r\nContent-Le");
   fixture.settle();
   fixture.advance(milliseconds(1900));
   late->send("POST /v1/chat/completions HTTP/1.1\r\nContent-Length: 9\r\n\r\n{");
-  CHECK_FALSE(silent_one->is_closed);
+  CHECK_FALSE(silent->is_closed);
   fixture.advance(milliseconds(900));
-  CHECK(silent_one->is_closed);
-  CHECK(half->status == 408);
+  CHECK(silent->is_closed);
+  CHECK(partial->status == 408);
   CHECK(late->status == 408);
-  CHECK(fixture.platform.server().client_count() == 2);  // given a limited time to read their responses
+  CHECK(fixture.platform.server().client_count() == 2);  // they have a limited time to read their responses
   fixture.advance(milliseconds(600));
   CHECK(fixture.platform.server().client_count() == 0);
 }
 
-TEST_CASE("requests with invalid framing or headers are rejected and reach no replica", "[platform]") {
+TEST_CASE("requests with invalid framing or headers are rejected and reach no endpoint", "[platform]") {
   Fixture fixture(healthy_reader, healthy_writer, kChatConfig);
   const auto [head, status] = GENERATE(table<std::string, int>({
       {platform_headers("a1", "ask") + "Transfer-Encoding: chunked\r\nContent-Length: 3\r\n", 400},
@@ -229,13 +229,13 @@
   CHECK(fixture.request_count("POST", Role::kReader) == 0);
 }
 
-#ifndef __SANITIZE_ADDRESS__  // the sanitizer's probes of memory need a descriptor too
-// Lets the process open so many descriptors more until end().
+#ifndef __SANITIZE_ADDRESS__  // the sanitizer's memory probes also need a descriptor
+// Limits the process to `free_descriptors` further descriptors until end().
 class DescriptorShortage {
  public:
   explicit DescriptorShortage(rlim_t free_descriptors) {
     REQUIRE(getrlimit(RLIMIT_NOFILE, &before_) == 0);
-    // The iterator's own descriptor is among them, which is free again afterwards.
+    // The count includes the iterator's own descriptor, which is free again afterwards.
     const auto listed = std::distance(std::filesystem::directory_iterator("/proc/self/fd"), {});
     const rlimit few{static_cast<rlim_t>(listed) - 1 + free_descriptors, before_.rlim_max};
     REQUIRE(setrlimit(RLIMIT_NOFILE, &few) == 0);
@@ -249,46 +249,47 @@
   rlimit before_{};
 };
 
-// Without a descriptor for it a client waits in the backlog; nobody else is disturbed, and it is served
-// later.
-TEST_CASE("a shortage of descriptors delays new clients and disturbs no others", "[platform]") {
+// A client for which there is no descriptor waits in the backlog and is served later. Other clients are not
+// affected.
+TEST_CASE("a shortage of descriptors delays new clients and affects no others", "[platform]") {
   Fixture fixture(healthy_reader, healthy_writer);
-  auto steady = fixture.platform_client();
-  steady->get("/healthz");
-  REQUIRE(fixture.until([&] { return steady->is_complete; }));
-  std::vector<std::unique_ptr<FakeClient>> crowd;
+  auto first_client = fixture.platform_client();
+  first_client->get("/healthz");
+  REQUIRE(fixture.until([&] { return first_client->is_complete; }));
+  std::vector<std::unique_ptr<FakeClient>> new_clients;
   DescriptorShortage shortage(6);
   for (int i = 0; i < 12; ++i) {
-    crowd.push_back(fixture.platform_client());
-    crowd.back()->get("/healthz");
+    new_clients.push_back(fixture.platform_client());
+    new_clients.back()->get("/healthz");
   }
   fixture.advance(milliseconds(100));
   const auto served = [&] {
-    return std::count_if(crowd.begin(), crowd.end(), [](const auto& client) { return client->is_complete; });
+    return std::count_if(new_clients.begin(), new_clients.end(),
+                         [](const auto& client) { return client->is_complete; });
   };
-  const auto served_then = served();
+  const auto served_in_shortage = served();
   shortage.end();
-  CHECK(served_then < 12);
+  CHECK(served_in_shortage < 12);
   fixture.advance(milliseconds(100));
-  // Those that got no socket of their own.
-  std::erase_if(crowd, [](const auto& client) { return client->is_closed && !client->is_complete; });
-  CHECK(fixture.until([&] { return served() == static_cast<std::ptrdiff_t>(crowd.size()); }));
-  steady->is_complete = false;
-  steady->post(platform_headers("a1", "command"), kPlatformBody);
-  REQUIRE(fixture.until([&] { return steady->is_finished(); }));
-  CHECK(steady->status == 200);
+  // Removes the clients that got no socket of their own.
+  std::erase_if(new_clients, [](const auto& client) { return client->is_closed && !client->is_complete; });
+  CHECK(fixture.until([&] { return served() == static_cast<std::ptrdiff_t>(new_clients.size()); }));
+  first_client->is_complete = false;
+  first_client->post(platform_headers("a1", "command"), kPlatformBody);
+  REQUIRE(fixture.until([&] { return first_client->is_finished(); }));
+  CHECK(first_client->status == 200);
 }
 
-// No client can be evicted, as the only one is owed its answer.
-TEST_CASE("a shortage of descriptors does not make accepting spin", "[platform]") {
+// No client can be evicted, because the only one is owed its answer.
+TEST_CASE("accepting does not busy-loop during a shortage of descriptors", "[platform]") {
   Fixture fixture(healthy_reader, silent_replica);
-  auto steady = fixture.post("a1", "command");
+  auto first_client = fixture.post("a1", "command");
   REQUIRE(fixture.until([&] { return fixture.request_count("POST", Role::kWriter) == 1; }));
   fixture.settle();
-  std::vector<std::unique_ptr<FakeClient>> crowd;
+  std::vector<std::unique_ptr<FakeClient>> new_clients;
   for (int i = 0; i < 3; ++i) {
-    crowd.push_back(fixture.platform_client());
-    crowd.back()->get("/healthz");
+    new_clients.push_back(fixture.platform_client());
+    new_clients.back()->get("/healthz");
   }
   std::size_t handlers = 0;
   const auto count_handlers = [&](int turns) {
@@ -299,8 +300,8 @@
   };
   DescriptorShortage shortage(0);
   constexpr int kTurns = 2000;
-  count_handlers(kTurns);  // time stands still
-  CHECK(handlers <= 20);   // each of the three connects, writes and waits, and one accept fails
+  count_handlers(kTurns);  // the clock does not advance
+  CHECK(handlers <= 20);   // each of the three clients connects, writes and waits, and one accept fails
   handlers = 0;
   constexpr int kRetries = 50;
   for (int retry = 0; retry < kRetries; ++retry) {
@@ -311,8 +312,9 @@
   CHECK(handlers <= kRetries + 20);
   shortage.end();
   fixture.advance(milliseconds(40));
-  CHECK(fixture.until(
-      [&] { return std::ranges::all_of(crowd, [](const auto& client) { return client->is_complete; }); }));
+  CHECK(fixture.until([&] {
+    return std::ranges::all_of(new_clients, [](const auto& client) { return client->is_complete; });
+  }));
 }
 #endif
 
