--- a/src/http/server.cpp
+++ b/src/http/server.cpp
@@ -21,7 +21,7 @@
 // rest.
 constexpr std::size_t kMaxDiscardedBytes = kMaxBodyBytes;
 // The error message for a request that exceeds ServerOptions::max_body_bytes.
-constexpr std::string_view kBodyMemoryExhausted = "the memory for request bodies is exhausted";
+constexpr std::string_view kBodyMemoryExhausted = "too much is being sent at once";
 
 }  // namespace
 
@@ -64,8 +64,7 @@
 void Server::on_deadline(SlotId id, Client& client) {
   if (client.state == ClientState::kAnswering) return disconnect_client(id, CloseReason::kWriteTimeout);
   if (client.state == ClientState::kLingering) return acceptor_.remove(id, CloseReason::kLastResponse);
-  if (client.reader.has_started())
-    return reject(id, client, {408, "the request was not received completely in time"});
+  if (client.reader.has_started()) return reject(id, client, {408, "the request did not come whole in time"});
   begin_lingering_close(id, CloseReason::kNoRequest);
 }
 
--- a/src/openai_api/frontend.cpp
+++ b/src/openai_api/frontend.cpp
@@ -93,7 +93,7 @@
   if (!route) return server_.respond_error(client, 404, "no such path: " + std::string(path));
   const std::string allowed = allowed_method(*route);
   if (method != allowed)
-    return server_.respond_error(client, 405, "this path accepts only " + allowed, {{"Allow", allowed}});
+    return server_.respond_error(client, 405, "this path takes " + allowed, {{"Allow", allowed}});
   if (*route == Route::kHealth) return respond_health(client);
   const auto account = authenticate(request);
   if (!account) return respond_error(client, invalid_api_key(), {{"WWW-Authenticate", "Bearer"}});
@@ -181,8 +181,7 @@
   if (translator.is_too_long()) {
     const routing::Idempotency request_idempotency = idempotency;  // cancelling erases the entry
     cancel_request(client);
-    respond_possibly_executed(client,
-                              server_error(502, ErrorCode::kAnswerTooLong, "the response is too long"),
+    respond_possibly_executed(client, server_error(502, ErrorCode::kAnswerTooLong, "the answer is too long"),
                               request_idempotency);
     return true;
   }
@@ -207,7 +206,7 @@
   if (pending == pending_responses_.end()) return;
   const bool is_stream = pending->second.translator.is_stream();
   const routing::Idempotency idempotency = pending->second.idempotency;
-  const ApiError error = server_error(502, ErrorCode::kStreamBroken, "the response ended prematurely");
+  const ApiError error = server_error(502, ErrorCode::kStreamBroken, "the answer broke off");
   forget_request(client);
   if (!is_stream) return respond_possibly_executed(client, error, idempotency);
   server_.write_events(client, "data: " + to_body(error) + "\n\n");
@@ -218,8 +217,7 @@
   forget_request(client);
   respond_retry_later(
       client,
-      server_error(503, ErrorCode::kOverloaded,
-                   "the service is overloaded: the request was not processed, try again later"),
+      server_error(503, ErrorCode::kOverloaded, "the service is busy: nothing was done, try again later"),
       retry_after.value_or(kDefaultRetryAfter));
 }
 
@@ -230,34 +228,29 @@
   forget_request(client);
   switch (failure) {
     case engine::Failure::kInvalidRequest:
-      return respond_error(client, invalid_request("the model can't process this request"));
+      return respond_error(client, invalid_request("the model can't use this request"));
     case engine::Failure::kDeadlineExceeded:
       return respond_possibly_executed(
-          client,
-          server_error(504, ErrorCode::kTimeout,
-                       "no response before the deadline; the request may have been executed"),
+          client, server_error(504, ErrorCode::kTimeout, "no answer came in time; it may have run"),
           idempotency);
     case engine::Failure::kUpstream:
-      return respond_possibly_executed(client,
-                                       server_error(502, ErrorCode::kUpstreamFailed,
-                                                    "the attempt failed; the request may have been executed"),
-                                       idempotency);
+      return respond_possibly_executed(
+          client, server_error(502, ErrorCode::kUpstreamFailed, "the attempt failed; it may have run"),
+          idempotency);
   }
 }
 
 // ---- the frontend's own responses ----
 
 void Frontend::reject_rate_limited(SlotId client, engine::Duration retry_after) {
-  respond_retry_later(
-      client, rate_limit_exceeded("a limit is exceeded: the request was not processed, try again later"),
-      retry_after);
+  respond_retry_later(client, rate_limit_exceeded("a limit is reached: nothing was done, try again later"),
+                      retry_after);
 }
 
 void Frontend::reject_overloaded(SlotId client, engine::Duration retry_after) {
-  respond_retry_later(client,
-                      server_error(503, ErrorCode::kOverloaded,
-                                   "load is shed: the request was not processed, try again later"),
-                      retry_after);
+  respond_retry_later(
+      client, server_error(503, ErrorCode::kOverloaded, "reduced service: nothing was done, try again later"),
+      retry_after);
 }
 
 // The API's client libraries retry these statuses unless X-Should-Retry is "false". A non-idempotent request
--- a/src/openai_api/request.cpp
+++ b/src/openai_api/request.cpp
@@ -143,7 +143,8 @@
   const Json* options = find_member(object, "stream_options");
   if (options == nullptr) return;
   if (!options->is_object()) throw_invalid("stream_options", "stream_options must be an object");
-  if (!request.is_stream) throw_invalid("stream_options", "stream_options is only allowed if stream is true");
+  if (!request.is_stream)
+    throw_invalid("stream_options", "stream_options is only allowed where stream is true");
   request.include_usage = read_flag(*options, "include_usage");
 }
 
--- a/src/platform_api/frontend.cpp
+++ b/src/platform_api/frontend.cpp
@@ -28,8 +28,7 @@
   const bool is_health = path == kHealthPath;
   if (!is_health && path != kCompletionsPath) return server_.respond_error(client, 404, "no such path");
   const std::string allowed = is_health ? "GET" : "POST";
-  if (method != allowed)
-    return server_.respond_error(client, 405, "method not allowed", {{"Allow", allowed}});
+  if (method != allowed) return server_.respond_error(client, 405, "wrong method", {{"Allow", allowed}});
   if (is_health) return respond_health(client);
   handle_completion(client, request, arrival);
 }
@@ -78,13 +77,11 @@
 }
 
 void Frontend::reject_rate_limited(SlotId client, engine::Duration retry_after) {
-  respond_retry_later(client, 429, "a limit is exceeded: the request was not processed, try again later",
-                      retry_after);
+  respond_retry_later(client, 429, "over a limit: nothing was done, try again later", retry_after);
 }
 
 void Frontend::reject_overloaded(SlotId client, engine::Duration retry_after) {
-  respond_retry_later(client, 503, "load is shed: the request was not processed, try again later",
-                      retry_after);
+  respond_retry_later(client, 503, "reduced service: nothing was done, try again later", retry_after);
 }
 
 void Frontend::respond_retry_later(SlotId client, int status, std::string_view message,
@@ -98,9 +95,9 @@
   forget_request(client);
   switch (failure) {
     case engine::Failure::kInvalidRequest:
-      return server_.respond_error(client, 400, "the endpoints can't process this request");
+      return server_.respond_error(client, 400, "the replicas can't use this request");
     case engine::Failure::kDeadlineExceeded:
-      return server_.respond_error(client, 504, "no response before the deadline");
+      return server_.respond_error(client, 504, "no answer in time");
     case engine::Failure::kUpstream:
       return server_.respond_error(client, 502, "the attempt failed");
   }
