--- a/src/simulation/parameters.cpp
+++ b/src/simulation/parameters.cpp
@@ -56,42 +56,42 @@
 }
 )cue";
 
-// The values of `kind` in a file's faults.
+// The values of `kind` of the faults in a scenario file.
 constexpr std::array<std::pair<std::string_view, Fault::Kind>, 4> kFaultKinds = {
     {{"zone-lost", Fault::Kind::kZoneLost},
      {"readers-dead", Fault::Kind::kReadersLost},
      {"slow-links", Fault::Kind::kSlowLinks},
      {"jump", Fault::Kind::kTrafficSurge}}};
 
-// The kind of a fault; `name` is one of those that the schema permits.
+// Returns the kind of fault with the given name, which must be one that the schema permits.
 Fault::Kind fault_kind(std::string_view name) {
   const auto it = std::find_if(kFaultKinds.begin(), kFaultKinds.end(),
                                [&](const auto& entry) { return entry.first == name; });
   return it->second;
 }
 
-// Idempotent questions and non-idempotent commands.
+// Returns a class of idempotent requests ("ask") and one of non-idempotent requests ("command").
 std::vector<routing::RequestClass> request_classes() {
-  routing::RequestClass question;
-  question.name = "ask";
-  question.idempotency = routing::Idempotency::kIdempotent;
-  question.latency_objective = milliseconds(1500);
-  question.latency_objective_per_1000_tokens = milliseconds(100);
-  question.deadline = milliseconds(6000);
-  question.token_latency_objective = milliseconds(50);
-  question.priority_weight = 1;
-  question.late_weight = 0.3;
-  routing::RequestClass command = question;
-  command.name = "command";
-  command.idempotency = routing::Idempotency::kNonIdempotent;
-  command.latency_objective = milliseconds(800);
-  command.deadline = milliseconds(2500);
-  command.priority_weight = 3;
-  command.late_weight = 0.2;
-  return {question, command};
+  routing::RequestClass idempotent;
+  idempotent.name = "ask";
+  idempotent.idempotency = routing::Idempotency::kIdempotent;
+  idempotent.latency_objective = milliseconds(1500);
+  idempotent.latency_objective_per_1000_tokens = milliseconds(100);
+  idempotent.deadline = milliseconds(6000);
+  idempotent.token_latency_objective = milliseconds(50);
+  idempotent.priority_weight = 1;
+  idempotent.late_weight = 0.3;
+  routing::RequestClass non_idempotent = idempotent;
+  non_idempotent.name = "command";
+  non_idempotent.idempotency = routing::Idempotency::kNonIdempotent;
+  non_idempotent.latency_objective = milliseconds(800);
+  non_idempotent.deadline = milliseconds(2500);
+  non_idempotent.priority_weight = 3;
+  non_idempotent.late_weight = 0.2;
+  return {idempotent, non_idempotent};
 }
 
-// The settings of a deployment like the simulated one.
+// Returns the settings of a deployment that resembles the simulated one.
 routing::Settings dispatcher_settings(const Parameters& parameters) {
   routing::Settings settings;
   settings.router_count = parameters.dispatchers;
@@ -140,7 +140,7 @@
 
 void read_traffic(const cue::Data& data, Parameters& parameters) {
   parameters.request_rate = data["rate"].real();
-  parameters.command_fraction = data["commands"].real();
+  parameters.non_idempotent_fraction = data["commands"].real();
   parameters.mean_prompt = integer_of(data["prompt"]);
   parameters.shared_prefix = integer_of(data["opening"]);
   parameters.mean_answer = integer_of(data["answer"]);
--- a/src/simulation/parameters.hpp
+++ b/src/simulation/parameters.hpp
@@ -1,4 +1,4 @@
-// The parameters of a simulated fleet and its traffic, and their parser: a scenario is a file.
+// The parameters of a simulated fleet and its traffic, and the parser of scenario files, which contain them.
 #ifndef DISPATCHER_SIMULATION_PARAMETERS_HPP_
 #define DISPATCHER_SIMULATION_PARAMETERS_HPP_
 
@@ -13,26 +13,27 @@
 using routing::Duration;
 using routing::Time;
 
-// A fault of the fleet, or a surge of its traffic, for a part of the simulated time.
+// A fault of the fleet, or a surge of its traffic, that lasts for a part of the simulated time.
 struct Fault {
   enum class Kind { kZoneLost, kReadersLost, kSlowLinks, kTrafficSurge };
   Kind kind{};
   Duration start{};  // since the start of the simulation
-  Duration end{};    // likewise; lost endpoints then restart, warming up
-  int zone = 0;      // of kZoneLost
-  // Of kReadersLost: the fraction of each cell's readers. Of kSlowLinks and kTrafficSurge: the factor.
+  Duration end{};    // since the start of the simulation; lost endpoints then restart and warm up
+  int zone = 0;      // the lost zone; used for kZoneLost
+  // For kReadersLost, the fraction of each cell's readers that are lost. For kSlowLinks, the factor on the
+  // time of transfers between cells. For kTrafficSurge, the factor on the request rate.
   double magnitude = 0;
 };
 
-// A scenario as its file describes it. "Reader" and "writer" are the fleet's roles: prefill and decode.
+// A scenario as its file describes it. Readers are the endpoints for prefill, writers those for decode.
 struct Parameters {
-  Duration duration{};  // of the traffic
+  Duration duration{};  // for which requests arrive
   int dispatchers = 1;
   // The fleet.
   int zones = 1;
-  int cells = 1;                    // of each zone
-  int readers = 1;                  // of each cell
-  int writers = 1;                  // of each cell
+  int cells = 1;                    // per zone
+  int readers = 1;                  // per cell
+  int writers = 1;                  // per cell
   int reader_slots = 1;             // requests that a reader serves at a time
   int writer_slots = 1;             // requests that a writer serves at a time
   Duration prefill_time{};          // per token
@@ -41,21 +42,21 @@
   Duration remote_transfer_time{};  // of a KV cache between cells, per token
   Duration network_latency{};       // one way
   Duration discovery_delay{};       // until the endpoint list shows that an endpoint is lost or restored
-  Duration report_interval{};       // the maximum age of load reports
-  int cached_prefixes = 0;          // the capacity of a replica's prefix cache, in prefixes
+  Duration report_interval{};       // the minimum time between updates of an endpoint's load report
+  int cached_prefixes = 0;          // the capacity of an endpoint's prefix cache, in prefixes
   // The traffic. Lengths are in tokens.
-  double request_rate = 0;      // requests a second, over all dispatchers
-  double command_fraction = 0;  // of the requests that are non-idempotent commands, from 0 to 1
-  int mean_prompt = 0;          // length, shared prefix included
-  int shared_prefix = 0;        // length
-  int mean_answer = 0;          // length
-  int sessions = 0;             // distinct ones
-  int prefixes = 0;             // distinct shared prefixes
+  double request_rate = 0;             // requests per second, over all dispatchers
+  double non_idempotent_fraction = 0;  // the fraction of requests that are non-idempotent, from 0 to 1
+  int mean_prompt = 0;                 // mean length of a prompt, including the shared prefix
+  int shared_prefix = 0;               // length of a shared prefix
+  int mean_answer = 0;                 // mean length of an answer
+  int sessions = 0;                    // number of distinct sessions
+  int prefixes = 0;                    // number of distinct shared prefixes
   std::vector<Fault> faults;
-  routing::Settings settings;  // of all dispatchers, except for number and zone
+  routing::Settings settings;  // of all dispatchers, except for their numbers and zones
 };
 
-// Reads a scenario. Throws cue::Errors with all problems.
+// Reads a scenario file. Throws cue::Errors with all problems of the file.
 [[nodiscard]] Parameters read_parameters(const cue::File& file);
 
 }  // namespace dispatcher::simulation
--- a/src/simulation/result.cpp
+++ b/src/simulation/result.cpp
@@ -7,8 +7,8 @@
 namespace dispatcher::simulation {
 
 const char* name(RequestOutcome::End end) {
-  constexpr std::array<const char*, RequestOutcome::kEnds> kNames = {"served", "cut",    "refused",
-                                                                     "shed",   "failed", "open"};
+  constexpr std::array<const char*, RequestOutcome::kEndCount> kNames = {"served", "cut",    "refused",
+                                                                         "shed",   "failed", "open"};
   return kNames[static_cast<std::size_t>(end)];
 }
 
@@ -24,8 +24,8 @@
 }
 
 std::string Result::csv() const {
-  // The columns after the class: all requests, those served in time and late, and the other ends in the order
-  // of the enumeration.
+  // The columns after the class count all requests, those served in time, those served late, and those with
+  // each of the other ends in the order of the enumeration.
   constexpr std::size_t kAll = 0;
   constexpr std::size_t kInTime = 1;
   constexpr std::size_t kLate = 2;
--- a/src/simulation/scenario.cpp
+++ b/src/simulation/scenario.cpp
@@ -16,9 +16,10 @@
 
 using engine::SlotId;
 
-// Time for requests that are open when the traffic ends.
+// How long the simulation runs on after the traffic ends, so that open requests can end.
 constexpr Duration kDrainTime = std::chrono::seconds(60);
-// Gives each dispatcher its own seed, also across simulations with consecutive seeds.
+// The distance between the first dispatchers' seeds of simulations with consecutive seeds, so that each
+// dispatcher has its own seed, also across simulations.
 constexpr std::uint64_t kSeedStride = 1'000'003;
 
 using SharedLevels = std::shared_ptr<const degradation::LevelSet>;
@@ -27,7 +28,7 @@
 
 void discard_log(std::string_view) {}
 
-// The objects that the dispatchers of a simulation share, which must outlive them.
+// The objects that the dispatchers of a simulation share. They must outlive the dispatchers.
 struct DispatcherContext {
   const Parameters& parameters;
   SimulatedFleet& fleet;
@@ -37,8 +38,8 @@
   SharedLevels levels;
 };
 
-// One dispatcher: the real engine between its clients and the simulated fleet. Owned by the Simulation, whose
-// timers call it.
+// One dispatcher, with the real engine between simulated clients and the simulated fleet. Owned by the
+// Simulation and called by its timers.
 class SimulatedDispatcher : public engine::UpstreamClient, public engine::ResponseSink {
  public:
   SimulatedDispatcher(const DispatcherContext& context, int number, std::uint64_t seed)
@@ -62,7 +63,7 @@
   void tick(Time now) { degradation_.tick(engine_.open_request_count(), now); }
   [[nodiscard]] std::size_t level_changes() const { return degradation_.machine().history().size(); }
 
-  // `number`: of the request's outcome.
+  // Submits a request. `number` is the index of its outcome.
   void submit(const Job& job, const routing::Request& request, std::size_t number) {
     rate_limit::RequestAttributes attributes;
     attributes.prompt_tokens = request.prompt_tokens;
@@ -88,7 +89,7 @@
   }
   RequestOutcome& outcome(SlotId client) { return outcomes_[client.index]; }
 
-  // UpstreamClient: calls of the engine to the fleet.
+  // UpstreamClient, through which the engine calls the fleet.
   void start_attempt(engine::AttemptId attempt, const engine::EndpointId& endpoint,
                      std::shared_ptr<const engine::UpstreamRequest> message, Time, Time) override {
     SimulatedFleet::Callbacks callbacks;
@@ -116,11 +117,11 @@
   void cancel_release(const engine::RequestId&) override {}
   bool has_connection(engine::AttemptId attempt) override { return tasks_.contains(attempt); }
 
-  // ResponseSink: calls of the engine to the clients.
+  // ResponseSink, through which the engine calls the clients.
   void start_stream(SlotId client) override {
     RequestOutcome& started = outcome(client);
     started.time_to_first_token = clock_() - started.submitted_at;
-    started.end = RequestOutcome::End::kCut;  // until it is complete
+    started.end = RequestOutcome::End::kCut;  // replaced when the stream is complete
   }
   bool write_events(SlotId, std::string_view) override { return true; }
   void finish_stream(SlotId client) override { outcome(client).end = RequestOutcome::End::kServed; }
@@ -141,7 +142,8 @@
   std::map<engine::AttemptId, SimulatedFleet::TaskId> tasks_;
 };
 
-// One run. Everything happens in timers of one queue, which sets the clock.
+// One run of a scenario. All events are timers of one queue; the clock advances to the time of the next
+// timer.
 class Simulation {
  public:
   // `levels` must not be null.
@@ -201,7 +203,7 @@
     fleet_.lose_endpoints([&](const std::string& zone, routing::Role, int) { return zone == lost; });
   }
 
-  // `fraction`: of each cell's readers.
+  // Loses the given fraction of each cell's readers.
   void lose_readers(double fraction) {
     fleet_.lose_endpoints([&](const std::string&, routing::Role role, int number) {
       return role == routing::Role::kReader && number < fraction * parameters_.readers;
@@ -254,7 +256,7 @@
         result_.served_weight += request_class.priority_weight * weight;
       }
       const bool may_execute_twice = request_class.idempotency != routing::Idempotency::kNonIdempotent;
-      const engine::RequestId id = std::to_string(i + 1);  // as the traffic numbers them
+      const engine::RequestId id = std::to_string(i + 1);  // as assigned by TrafficGenerator
       if (!may_execute_twice && fleet_.execution_count(id) > 1) ++result_.duplicate_executions;
     }
     for (const auto& dispatcher : dispatchers_) result_.level_changes += dispatcher->level_changes();
--- a/src/simulation/simulated_fleet.cpp
+++ b/src/simulation/simulated_fleet.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-// Requests that wait at one endpoint, which rejects further ones as full.
+// The maximum number of requests that wait at one endpoint. It rejects further ones as full.
 constexpr std::size_t kMaxQueue = 64;
 
 }  // namespace
@@ -64,7 +64,7 @@
   task.callbacks = std::move(callbacks);
   endpoint_by_task_[task_id] = &endpoint;
   const bool is_reachable = it != endpoints_.end() && endpoint.is_up;
-  // A request takes one network latency to arrive; a refused connection is known after a round trip.
+  // A request takes one network latency to arrive. A refused connection is reported after a round trip.
   const int latencies = is_reachable ? 1 : 2;
   task.next_step = timers_.add(clock_() + latencies * parameters_.network_latency,
                                [this, &endpoint, task_id, is_reachable] {
@@ -144,7 +144,8 @@
   schedule(endpoint, task, other_tokens, [this, &endpoint, task_id] {
     end(endpoint, task_id, {AttemptStatus::kServed, 0, {}, {}});
   });
-  // Last, and through a copy: the client may close the stream at its first token, which removes the task.
+  // Called last and through a copy, because the client may close the stream at its first token, which removes
+  // the task.
   const auto on_first_token = task.callbacks.on_first_token;
   if (on_first_token) on_first_token();
 }
@@ -164,7 +165,7 @@
   reported.report = endpoint.report;
   if (was_running && endpoint.is_up) serve_next(endpoint);
   if (!callbacks.on_completed) return;
-  // The answer takes one network latency back.
+  // The answer takes one network latency to arrive at the dispatcher.
   timers_.add(clock_() + parameters_.network_latency,
               [on_completed = callbacks.on_completed, reported] { on_completed(reported); });
 }
--- a/src/simulation/traffic.cpp
+++ b/src/simulation/traffic.cpp
@@ -9,13 +9,13 @@
 
 namespace {
 
-// Keys of shared prefixes start above those of sessions, as both are keys of the same caches.
+// Keys of shared prefixes start above those of sessions, because both are keys of the same caches.
 constexpr std::uint64_t kFirstPrefixKey = 1ULL << 40U;
-constexpr int kMaxTokensFactor = 4;       // the clients' limit of an answer's length, over the mean length
-constexpr double kMaxLengthFactor = 8.0;  // the longest drawn length, over the mean length
+constexpr int kMaxTokensFactor = 4;       // max_tokens of requests, as a multiple of the mean answer length
+constexpr double kMaxLengthFactor = 8.0;  // the maximum random length, as a multiple of the mean length
 constexpr double kMicrosecondsPerSecond = 1e6;
 
-// A uniformly distributed number from 0 to `limit` - 1.
+// Returns a uniformly distributed number from 0 to `limit` - 1.
 int uniform_below(Random& random, int limit) {
   return boost::random::uniform_int_distribution<int>(0, limit - 1)(random);
 }
@@ -40,13 +40,13 @@
   return 1 + static_cast<int>(std::min(length, kMaxLengthFactor * mean));
 }
 
-// The order of the draws is part of a scenario's result.
+// The result of a scenario depends on the order in which random numbers are drawn here.
 TrafficGenerator::Arrival TrafficGenerator::next_arrival(Time now) {
   const routing::Settings& settings = parameters_.settings;
   routing::Request request;
   request.id = std::to_string(++request_count_);
-  const bool is_command = uniform(random_) < parameters_.command_fraction;
-  const routing::RequestClass& request_class = settings.classes[is_command ? 1 : 0];
+  const bool is_non_idempotent = uniform(random_) < parameters_.non_idempotent_fraction;
+  const routing::RequestClass& request_class = settings.classes[is_non_idempotent ? 1 : 0];
   request.request_class = request_class.name;
   request.tenant = settings.tenants[static_cast<std::size_t>(uniform_below(random_, 2))].name;
   request.session = 1 + static_cast<std::uint64_t>(uniform_below(random_, parameters_.sessions));
--- a/src/simulation/traffic.hpp
+++ b/src/simulation/traffic.hpp
@@ -1,4 +1,4 @@
-// The traffic of a simulation: the times, dispatchers and contents of requests.
+// Generates the traffic of a simulation: the arrival times, dispatchers and contents of requests.
 #ifndef DISPATCHER_SIMULATION_TRAFFIC_HPP_
 #define DISPATCHER_SIMULATION_TRAFFIC_HPP_
 
@@ -13,14 +13,14 @@
 // Boost's generator and distributions give the same numbers with every standard library.
 using Random = boost::random::mt19937_64;
 
-// A number that is uniformly distributed in [0, 1).
+// Returns a number that is uniformly distributed in [0, 1).
 [[nodiscard]] double uniform(Random& random);
 
-// Requests with exponential gaps and lengths. The parameters must outlive it. The same parameters and seed
-// give the same requests.
+// Generates requests with exponentially distributed gaps and lengths. The same parameters and seed give the
+// same requests. The parameters must outlive the generator.
 class TrafficGenerator {
  public:
-  // A request, and the work that it is to the replicas.
+  // A request, and the work that it causes at endpoints.
   struct Arrival {
     Job job;
     routing::Request request;
@@ -29,15 +29,15 @@
   TrafficGenerator(const Parameters& parameters, std::uint64_t seed)
       : parameters_(parameters), random_(seed) {}
 
-  // The time until the next request, at `rate_factor` times the rate of the parameters.
+  // Returns the time until the next request, at `rate_factor` times the rate of the parameters.
   [[nodiscard]] Duration next_gap(double rate_factor);
-  // A request that arrives at `now`.
+  // Returns a request that arrives at `now`.
   [[nodiscard]] Arrival next_arrival(Time now);
-  // The dispatcher that the request goes to, from 0.
+  // Returns the number of the dispatcher that the request is sent to; numbers start at 0.
   [[nodiscard]] int next_dispatcher();
 
  private:
-  // A length of at least one token, at most eight times the mean.
+  // Returns a random length in tokens: at least one, and at most one more than eight times the mean.
   [[nodiscard]] int exponential_length(int mean);
 
   const Parameters& parameters_;
--- a/src/simulator/run_command.cpp
+++ b/src/simulator/run_command.cpp
@@ -13,7 +13,7 @@
 
 using simulation::RequestOutcome;
 
-using OutcomeCounts = std::array<std::size_t, RequestOutcome::kEnds>;  // by RequestOutcome::End
+using OutcomeCounts = std::array<std::size_t, RequestOutcome::kEndCount>;  // by RequestOutcome::End
 
 std::map<std::string, OutcomeCounts> count_outcomes(const simulation::Result& result) {
   std::map<std::string, OutcomeCounts> counts_by_class;
--- a/src/simulator/run_command.hpp
+++ b/src/simulator/run_command.hpp
@@ -14,11 +14,11 @@
 // The options of the command.
 struct RunOptions {
   std::uint64_t seed = 1;
-  std::string csv_path;  // of the table by second; empty: none
+  std::string csv_path;  // of the table by second and class; empty if none is written
 };
 
-// Simulates the scenario and prints a summary to standard output. `levels`: null: without degradation levels.
-// Throws FileError where the table cannot be written.
+// Simulates the scenario and prints a summary to standard output. If `levels` is null, there are no
+// degradation levels. Throws FileError if the table cannot be written.
 void run_scenario(const simulation::Parameters& parameters,
                   const std::shared_ptr<const degradation::LevelSet>& levels, const RunOptions& options);
 
--- a/src/simulator/sweep_command.cpp
+++ b/src/simulator/sweep_command.cpp
@@ -21,24 +21,24 @@
 // Whether the dispatchers of a run have degradation levels.
 enum class Degradation { kWithoutLevels, kWithLevels };
 
-// The name in the table and the means.
+// Returns the name in the table and in the printed means.
 const char* name(Degradation degradation) {
   return degradation == Degradation::kWithLevels ? "with" : "without";
 }
 
-// One run of a sweep, and its result.
+// One run of a sweep and its result.
 struct SweepPoint {
   double load = 1;  // factor on the scenario's request rate
   std::uint64_t seed = 0;
   Degradation degradation{};
   double served_weight = 0;    // fraction of the total priority weight
-  double ask_in_time = 0;      // fraction of the class's requests
-  double command_in_time = 0;  // fraction of the class's requests
+  double ask_in_time = 0;      // fraction of the requests of class "ask"
+  double command_in_time = 0;  // fraction of the requests of class "command"
   std::size_t level_changes = 0;
   std::size_t duplicate_executions = 0;
 };
 
-// The runs, without their results, in the order of the table.
+// Returns the runs, without their results, in the order of the table.
 std::vector<SweepPoint> make_points(const SweepOptions& options, const SharedLevels& levels) {
   std::vector<Degradation> variants = {Degradation::kWithoutLevels};
   if (levels) variants.push_back(Degradation::kWithLevels);
@@ -69,7 +69,7 @@
   point.duplicate_executions = result.duplicate_executions;
 }
 
-// Simulates all points on all cores; which core takes which point changes nothing in the results.
+// Simulates all points on all cores. The results do not depend on which core simulates which point.
 void simulate_all(std::vector<SweepPoint>& points, const simulation::Parameters& parameters,
                   const SharedLevels& levels) {
   std::atomic<std::size_t> next = 0;
@@ -83,7 +83,7 @@
   std::vector<std::jthread> threads;
   const unsigned cores = std::max(1U, std::thread::hardware_concurrency());
   for (unsigned i = 0; i < cores; ++i) threads.emplace_back(work);
-  threads.clear();  // joins them
+  threads.clear();  // joins the threads
   std::fprintf(stderr, "\n");
 }
 
@@ -96,9 +96,9 @@
   }
 }
 
-// Sums over the seeds of one load.
+// Sums over the runs of one load, with or without degradation levels.
 struct Sums {
-  double points = 0;  // the number of seeds
+  double points = 0;  // the number of runs
   double served_weight = 0;
   double ask_in_time = 0;
   double command_in_time = 0;
@@ -134,7 +134,8 @@
 
 void sweep_scenario(const simulation::Parameters& parameters, const SharedLevels& levels,
                     const SweepOptions& options) {
-  // Before the simulations, which take long: a path that cannot be written is known at once.
+  // Creates the file before the simulations, which take long, so that a path that cannot be written is
+  // reported immediately.
   std::ofstream csv;
   if (!options.csv_path.empty()) csv = create_file(options.csv_path);
   std::vector<SweepPoint> points = make_points(options, levels);
--- a/tests/simulation/fairness_test.cpp
+++ b/tests/simulation/fairness_test.cpp
@@ -1,4 +1,5 @@
-// Who is rejected: at low load nobody throughout, under overload no session, length, class or tenant alone.
+// Checks which requests are rejected. At low load no session is always rejected; under overload the
+// rejections are not limited to one session, prompt length, class or tenant.
 #include <algorithm>
 #include <array>
 #include <catch2/catch.hpp>
@@ -15,15 +16,15 @@
 using End = RouterFixture::End;
 
 constexpr std::size_t kProcesses = 150;
-constexpr double kCapacity = 10;  // requests of mean work a second that a replica can serve
-constexpr int kReplicas = 8;      // of each role
-constexpr int kTurns = 4;         // of a session
+constexpr double kCapacity = 10;  // requests of mean work per second that an endpoint can serve
+constexpr int kEndpointsPerRole = 8;
+constexpr int kTurns = 4;  // requests per session
 
-// One run.
+// The parameters of one run.
 struct Scenario {
-  double load = 0.5;  // of the fleet's capacity
+  double load = 0.5;  // as a fraction of the fleet's capacity
   double seconds = 60;
-  bool has_slow_replicas = false;  // one reader and one writer work at 0.3 of their speed
+  bool has_slow_endpoints = false;  // whether one reader and one writer work at 0.3 of their speed
 };
 
 routing::Settings fairness_settings() {
@@ -38,7 +39,8 @@
     request_class.latency_objective_per_1000_tokens = std::chrono::milliseconds(150);
   }
   settings.classes[2].priority_weight = 0.2;
-  // Within its quota, and over it: at a load of 1 they send 24 and 56 requests a second.
+  // The first tenant stays within its quota and the second exceeds it: at a load of 1 they send 24 and 56
+  // requests per second.
   settings.tenants = {{"modest", 40}, {"greedy", 30}};
   return settings;
 }
@@ -46,7 +48,7 @@
 simulation::Parameters fairness_parameters() {
   simulation::Parameters parameters;
   parameters.zones = 2;
-  parameters.readers = parameters.writers = kReplicas / 2;
+  parameters.readers = parameters.writers = kEndpointsPerRole / 2;
   parameters.mean_prompt = 1000;
   parameters.mean_answer = 50;
   parameters.reader_slots = 1;
@@ -56,19 +58,21 @@
   parameters.transfer_time = parameters.remote_transfer_time = Duration(2);
   parameters.network_latency = Duration(500);
   parameters.settings = fairness_settings();
-  parameters.settings.warmup_initial_share = 0.3;  // of the fleet alone: what is restored stays slow
+  // Only the fleet has this warm-up, not the routers, so that a restored endpoint stays slow.
+  parameters.settings.warmup_initial_share = 0.3;
   parameters.settings.warmup_time = std::chrono::hours(1000);
   return parameters;
 }
 
-// Of requests, those that were served.
+// The number of requests, and how many of them were served.
 struct Ratio {
   double total = 0;
   double served = 0;
   [[nodiscard]] double value() const { return total > 0 ? served / total : 1; }
 };
 
-// Sessions of some turns each, which a client submits one after another on its connection to one process.
+// Simulates sessions of several turns. A client submits the turns one after another on its connection to one
+// process.
 class Simulation {
  public:
   Simulation(const Scenario& scenario, std::uint64_t seed)
@@ -80,7 +84,7 @@
 
   void run() {
     begin_ = fixture_.now();
-    if (scenario_.has_slow_replicas) {
+    if (scenario_.has_slow_endpoints) {
       fixture_.fleet().lose_endpoints(
           [](const std::string& zone, routing::Role, int number) { return zone == "z0" && number == 0; });
       fixture_.fleet().restore_endpoints();
@@ -107,9 +111,9 @@
 
   struct Sessions {
     double total = 0;
-    double rejected = 0;   // of which every turn was rejected
-    double at_once = 0;    // of which every turn was rejected without an attempt
-    double by_chance = 0;  // rejected ones, as many as if rejections were drawn by request
+    double rejected = 0;           // sessions of which every turn was rejected
+    double immediate = 0;          // sessions of which every turn was rejected without an attempt
+    double expected_rejected = 0;  // expected value of `rejected` if each request were rejected independently
   };
   [[nodiscard]] Sessions sessions() const {
     std::map<std::pair<std::int64_t, std::string>, Ratio> not_rejected;  // by time and class
@@ -124,17 +128,17 @@
     struct Session {
       double turns = 0;
       double rejected = 0;
-      double at_once = 0;
-      double chance = 1;  // that all of its turns are rejected
+      double immediate = 0;
+      double chance = 1;  // probability that all of its turns are rejected
     };
     std::map<std::uint64_t, Session> by_session;
     for (const auto& submission : submissions()) {
       Session& session = by_session[submission.request.session];
       const bool is_rejected = submission.end == End::kRejected;
-      const bool is_at_once = is_rejected && submission.ended_at == submission.submitted_at;
+      const bool is_immediate = is_rejected && submission.ended_at == submission.submitted_at;
       session.turns += 1;
       session.rejected += is_rejected ? 1 : 0;
-      session.at_once += is_at_once ? 1 : 0;
+      session.immediate += is_immediate ? 1 : 0;
       session.chance *= 1 - not_rejected_then(submission).value();
     }
     Sessions sessions;
@@ -142,13 +146,13 @@
       if (session.turns < kTurns) continue;
       sessions.total += 1;
       sessions.rejected += session.rejected == session.turns ? 1 : 0;
-      sessions.at_once += session.at_once == session.turns ? 1 : 0;
-      sessions.by_chance += session.chance;
+      sessions.immediate += session.immediate == session.turns ? 1 : 0;
+      sessions.expected_rejected += session.chance;
     }
     return sessions;
   }
 
-  // Of the tenth of a class's requests with the longest prompts, and of the next fifth.
+  // Returns the ratio for the tenth of a class's requests with the longest prompts, and for the next fifth.
   [[nodiscard]] std::array<Ratio, 2> longest(const std::string& request_class) const {
     std::vector<const RouterFixture::Submission*> of_class;
     for (const auto& submission : submissions()) {
@@ -167,7 +171,7 @@
   }
 
  private:
-  // A class by a number drawn from 0 to 1.
+  // Selects a class by a random number from 0 to 1.
   static const char* class_of(double pick) {
     if (pick < 0.05) return "rare";
     return pick < 0.35 ? "command" : "ask";
@@ -175,7 +179,7 @@
   int length(int mean) { return 1 + static_cast<int>(mean * std::min(random_.exponential(1), 8.0)); }
 
   void begin_session() {
-    const double rate = scenario_.load * kCapacity * kReplicas / kTurns;
+    const double rate = scenario_.load * kCapacity * kEndpointsPerRole / kTurns;
     fixture_.at(fixture_.now() + micros(random_.exponential(1 / rate)), [this] {
       if (fixture_.now() > begin_ + micros(scenario_.seconds)) return;
       RouterFixture::Submission submission;
@@ -226,15 +230,15 @@
   for (const char* tenant : {"modest", "greedy"})
     std::printf(" %s %.3f", tenant, simulation.served(of_tenant(tenant)).value());
   const auto sessions = simulation.sessions();
-  int at_once = 0;
+  int immediate = 0;
   int later = 0;
   for (const auto& submission : simulation.submissions()) {
     if (submission.end != End::kRejected) continue;
-    ++(submission.ended_at == submission.submitted_at ? at_once : later);
+    ++(submission.ended_at == submission.submitted_at ? immediate : later);
   }
-  std::printf("; refused at once %d, later %d", at_once, later);
-  std::printf("; sessions %.0f, all turns refused %.0f, by chance %.1f\n", sessions.total, sessions.rejected,
-              sessions.by_chance);
+  std::printf("; rejected immediately %d, later %d", immediate, later);
+  std::printf("; sessions %.0f, all turns rejected %.0f, by chance %.1f\n", sessions.total, sessions.rejected,
+              sessions.expected_rejected);
 }
 
 void check_lengths(const Simulation& simulation, double minimum) {
@@ -248,50 +252,51 @@
   }
 }
 
-TEST_CASE("at low load with a slow replica no session is always rejected, however long its prompt",
+TEST_CASE("at low load with a slow endpoint no session is always rejected, however long its prompts",
           "[fairness]") {
   for (const std::uint64_t seed : {21U, 22U, 23U}) {
-    Simulation simulation({.load = 0.5, .seconds = 40, .has_slow_replicas = true}, seed);
+    Simulation simulation({.load = 0.5, .seconds = 40, .has_slow_endpoints = true}, seed);
     simulation.run();
     print("low load", simulation);
     const auto sessions = simulation.sessions();
-    INFO(sessions.rejected << " of " << sessions.total << " sessions, " << sessions.at_once << " at once");
+    INFO(sessions.rejected << " of " << sessions.total << " sessions, " << sessions.immediate
+                           << " immediately");
     CHECK(sessions.total > 200);
-    CHECK(sessions.at_once == 0);
+    CHECK(sessions.immediate == 0);
     CHECK(sessions.rejected <= 0.005 * sessions.total);
     CHECK(simulation.served(any).value() > 0.95);
     check_lengths(simulation, 2.0 / 3);
   }
 }
 
-// Each process sees few requests and rounds its part of what it rejects by chance, so that this chance shows.
-TEST_CASE("under overload rejections are drawn by request: no session is always rejected beyond chance",
-          "[fairness]") {
+// Each process sees few requests and rounds the number that it rejects at random, so that the effect of
+// chance is visible.
+TEST_CASE("under overload no more sessions than by chance have every request rejected", "[fairness]") {
   Simulation::Sessions sum;
   for (const std::uint64_t seed : {22U, 32U, 42U, 52U}) {
-    Simulation simulation({.load = 2, .seconds = 30, .has_slow_replicas = true}, seed);
+    Simulation simulation({.load = 2, .seconds = 30, .has_slow_endpoints = true}, seed);
     simulation.run();
     print("overload", simulation);
     const auto sessions = simulation.sessions();
     sum.total += sessions.total;
     sum.rejected += sessions.rejected;
-    sum.by_chance += sessions.by_chance;
+    sum.expected_rejected += sessions.expected_rejected;
   }
-  INFO(sum.rejected << " of " << sum.total << ", " << sum.by_chance << " by chance");
-  CHECK(sum.rejected > 0.02 * sum.total);  // an overload
-  CHECK(sum.rejected <= sum.by_chance + 0.05 * sum.total);
+  INFO(sum.rejected << " of " << sum.total << ", " << sum.expected_rejected << " by chance");
+  CHECK(sum.rejected > 0.02 * sum.total);  // confirms that there is an overload
+  CHECK(sum.rejected <= sum.expected_rejected + 0.05 * sum.total);
 }
 
-TEST_CASE("under overload long prompts are answered too", "[fairness]") {
-  Simulation simulation({.load = 1.5, .seconds = 40, .has_slow_replicas = true}, 23);
+TEST_CASE("under overload requests with long prompts are also served", "[fairness]") {
+  Simulation simulation({.load = 1.5, .seconds = 40, .has_slow_endpoints = true}, 23);
   simulation.run();
   print("overload", simulation);
   check_lengths(simulation, 0.5);
 }
 
-// The wait in the queue is the same for all, so that it takes less of a long prompt's time than of a short
-// one's.
-TEST_CASE("a long prompt that meets its objective is not shed because short ones are late", "[fairness]") {
+// The waiting time in the queue is the same for all requests, so that it takes a smaller part of a long
+// prompt's latency objective than of a short prompt's.
+TEST_CASE("a long prompt that meets its objective is not shed when short prompts are late", "[fairness]") {
   const routing::Settings settings = fairness_settings();
   routing::Router router(settings, 1);
   Time now = std::chrono::seconds(1000);
@@ -314,7 +319,8 @@
       return std::holds_alternative<routing::StartAttempt>(action);
     });
   };
-  const auto serve = [&](const std::string& id) {  // late by an eighth, of which little was reading
+  // Serves a request late by an eighth. Only a small part of the time is spent on reading.
+  const auto serve = [&](const std::string& id) {
     const Duration read = std::chrono::milliseconds(50);
     const Duration write = std::chrono::milliseconds(1330);
     router.handle(now, routing::AttemptCompleted{
@@ -334,7 +340,7 @@
   CHECK(is_attempted("long", 20'000));
 }
 
-TEST_CASE("under overload each class and each tenant within its quota is answered", "[fairness]") {
+TEST_CASE("under overload requests of each class and of a tenant within its quota are served", "[fairness]") {
   Simulation simulation({.load = 1.3, .seconds = 60}, 24);
   simulation.run();
   print("overload", simulation);
@@ -345,7 +351,7 @@
   }
   const auto tenant = [&](const char* name) { return simulation.served(of_tenant(name)).value(); };
   CHECK(tenant("modest") >= overall / 2);
-  CHECK(tenant("modest") >= tenant("greedy"));  // what is over its quota is rejected first
+  CHECK(tenant("modest") >= tenant("greedy"));  // requests over a quota are rejected first
 }
 
 }  // namespace
--- a/tests/simulation/router_fixture.cpp
+++ b/tests/simulation/router_fixture.cpp
@@ -179,7 +179,8 @@
   attempt.in_flight = false;
   timers_.drop(attempt.timeout);
   const bool is_served = result.status == AttemptStatus::kServed;
-  const bool has_ended = is_served || attempt.streaming;  // what has begun to stream is not retried
+  // A request is not retried after its stream has begun.
+  const bool has_ended = is_served || attempt.streaming;
   if (has_ended) end(id, is_served ? End::kServed : End::kFailed);
   const routing::AttemptCompleted completed{id,
                                             attempt.endpoint,
--- a/tests/simulation/router_fixture.hpp
+++ b/tests/simulation/router_fixture.hpp
@@ -1,5 +1,6 @@
-// Many routers, driven by events alone, before a simulated fleet in virtual time: each process sees its own
-// traffic only, loses its state when it restarts, and gets the endpoint list when the test says so.
+// Runs many routers in front of a simulated fleet in virtual time, driven only by events. Each process sees
+// only its own traffic, loses its state when it restarts, and gets the endpoint list when the test requests
+// it.
 #ifndef DISPATCHER_TESTS_SIMULATION_ROUTER_FIXTURE_HPP_
 #define DISPATCHER_TESTS_SIMULATION_ROUTER_FIXTURE_HPP_
 
@@ -20,11 +21,11 @@
 using routing::Duration;
 using routing::Time;
 
-// The same numbers on every platform, unlike the standard library's distributions.
+// Generates the same random numbers on every platform, unlike the standard library's distributions.
 class RandomSource {
  public:
   explicit RandomSource(std::uint64_t seed) : generator_(seed) {}
-  double unit() {  // evenly distributed between 0 and 1
+  double unit() {  // uniformly distributed between 0 and 1
     return (static_cast<double>(generator_() >> 11U) + 0.5) / 9007199254740992.0;
   }
   double exponential(double mean) { return -mean * std::log(unit()); }
@@ -36,44 +37,46 @@
   std::mt19937_64 generator_;
 };
 
-// Rounded to microseconds.
+// Converts seconds to a duration, rounded to microseconds.
 [[nodiscard]] Duration micros(double seconds);
 [[nodiscard]] double to_seconds(Duration duration);
 
-// The processes, their clients and the fleet. Single-threaded: all routers run in the timers of one queue.
+// The processes, their clients and the fleet. Single-threaded: all routers run in timers of one queue.
 class RouterFixture {
  public:
-  // An attempt that a process has sent.
+  // An attempt that a process sent.
   struct SentAttempt {
     Time at{};
     std::size_t process = 0;
     routing::EndpointId endpoint;
-    double work = 0;  // over the mean of its stage
+    double work = 0;  // as a multiple of the mean work of its stage
   };
-  // How a request has ended; kOpen: not yet.
+  // How a request ended; kOpen means that it has not ended yet.
   enum class End { kOpen, kServed, kRejected, kFailed };
   // A request that a client submits to one process.
   struct Submission {
     std::size_t process = 0;
-    routing::Request request;  // its deadline is filled in, by class and length
+    routing::Request request;  // submit() sets its id, max_tokens and client_deadline
     int answer_tokens = 1;
     End end = End::kOpen;
     Time submitted_at{};
     Time ended_at{};
   };
 
-  // Settings and fleet as in the parameters, whose mean lengths are those of requests of mean work.
+  // Uses the settings and the fleet of the parameters. A request of mean work has the parameters' mean
+  // lengths.
   RouterFixture(const simulation::Parameters& parameters, std::size_t processes, std::uint64_t seed);
-  // The same with other settings for the routers than for the fleet.
+  // Uses `settings` for the routers, and those of the parameters for the fleet.
   RouterFixture(const simulation::Parameters& parameters, const routing::Settings& settings,
                 std::size_t processes, std::uint64_t seed);
 
-  // Hands the process the endpoint list as it is now.
+  // Passes the current endpoint list to the process.
   void update_list(std::size_t process);
   void update_all_lists();
-  // Its open requests fail; it starts with empty state and the list it had.
+  // Restarts a process. Its open requests fail, and it starts with empty state and its previous endpoint
+  // list.
   void restart(std::size_t process);
-  void submit(Submission submission);  // now
+  void submit(Submission submission);  // at the current time
   void at(Time time, std::function<void()> action) { timers_.add(time, std::move(action)); }
   void run_until(Time time);
 
@@ -81,9 +84,10 @@
   simulation::SimulatedFleet& fleet() { return fleet_; }
   [[nodiscard]] const std::vector<Submission>& submissions() const { return submissions_; }
   [[nodiscard]] const std::vector<SentAttempt>& sent_attempts() const { return sent_attempts_; }
-  // Which endpoints the list has; empty: all.
+  // Selects the endpoints that the list contains; if empty, the list contains all.
   std::function<bool(const routing::EndpointInfo&)> is_listed;
-  // Whether the list has the endpoints' start times; else all look as if started long ago.
+  // Whether the list contains the endpoints' start times; if not, all of them appear to have started long
+  // ago.
   bool lists_start_times = true;
 
  private:
@@ -109,7 +113,7 @@
   void cancel_attempt(std::size_t process, const routing::CancelAttempt& cancel);
   void end_attempt(std::size_t process, const routing::RequestId& id, const engine::AttemptResult& result);
   void end(const routing::RequestId& id, End end);
-  // An event of a process, unless it has restarted since.
+  // Passes an event to a process, unless the process has restarted since the given incarnation.
   void handle_if_running(std::size_t process, int incarnation, const routing::Event& event);
   [[nodiscard]] bool is_running(std::size_t process, int incarnation) const;
   simulation::SimulatedFleet::Callbacks callbacks(std::size_t process, const routing::RequestId& id);
--- a/tests/simulation/simulation_test.cpp
+++ b/tests/simulation/simulation_test.cpp
@@ -1,4 +1,5 @@
-// The simulation: the real engine and routing in virtual time, reproducible, and by the rules of requests.
+// The simulation of a scenario, with the real engine and routing in virtual time. Checks that it is
+// reproducible and that requests are handled by the rules of their classes.
 #include <catch2/catch.hpp>
 #include <map>
 
@@ -10,12 +11,14 @@
 
 using namespace simulation;
 
-// A minute of three dispatchers. `fields`: further ones of the scenario; `traffic`: its record of that name.
+// Returns a scenario of one minute with three dispatchers. `fields` are further fields of the scenario, and
+// `traffic` is its field of that name.
 Parameters make_scenario(const std::string& fields = {}, const std::string& traffic = "{}") {
   return read_parameters({"s.cue", "lasts_s: 60\ninstances: 3\ntraffic: " + traffic + "\n" + fields});
 }
 
-TEST_CASE("the same seed gives the same result, another seed another", "[model]") {
+TEST_CASE("a simulation gives the same result for the same seed and another one for another seed",
+          "[model]") {
   const Parameters parameters =
       make_scenario("troubles: [{kind: \"zone-lost\", zone: 1, from_s: 20, to_s: 40}]");
   const Result first = simulate(parameters, 1);
@@ -26,7 +29,7 @@
   CHECK(first.outcomes.size() > 1000);
 }
 
-TEST_CASE("without faults requests are served in time", "[model]") {
+TEST_CASE("a simulated fleet without faults serves requests in time", "[model]") {
   const Result result = simulate(make_scenario(), 7);
   CHECK(result.in_time_fraction("command") > 0.97);
   CHECK(result.in_time_fraction("ask") > 0.97);
@@ -34,7 +37,7 @@
   CHECK(result.leaked_states == 0);
 }
 
-TEST_CASE("under any fault each request ends once, no command runs twice and no reader retains its state",
+TEST_CASE("under any fault all requests end, no non-idempotent one runs twice and no reader state leaks",
           "[model]") {
   for (const char* fault : {"kind: \"zone-lost\", zone: 0, from_s: 10, to_s: 30",
                             "kind: \"readers-dead\", share: 0.5, from_s: 10, to_s: 30",
@@ -51,7 +54,7 @@
   }
 }
 
-TEST_CASE("levels shed asks under overload, and none without it", "[model][levels]") {
+TEST_CASE("degradation levels shed requests under overload and none without it", "[model][levels]") {
   const Parameters overloaded =
       make_scenario("troubles: [{kind: \"jump\", share: 8, from_s: 10, to_s: 50}]", "{rate: 30}");
   const auto levels = degradation::DegradationController::read(
@@ -67,7 +70,7 @@
   CHECK(simulate(make_scenario(), 5, levels).level_changes == 0);
 }
 
-TEST_CASE("a scenario file is a typed record", "[model]") {
+TEST_CASE("a scenario file with invalid values is rejected with their positions", "[model]") {
   CHECK_THROWS_WITH(make_scenario("fleet: {readers: 0}"),
                     "s.cue:4:18: fleet.readers: expected 4 | int & >0 & <=1000, found 0");
   CHECK_THROWS_WITH(make_scenario("troubles: [{kind: \"zone-lost\", zone: 9, from_s: 9, to_s: 9}]"),
--- a/tests/simulation/slow_start_test.cpp
+++ b/tests/simulation/slow_start_test.cpp
@@ -1,7 +1,7 @@
-// Slow start: what a replica that has just started gets from all processes together, of which each sees its
-// own traffic only. Never more than N + 2 sqrt(N) + 2 requests of mean work in any window of the settings, N
-// being what they allow it at its capacity of the moment; and enough to take its part of the traffic once it
-// is warm.
+// Slow start. Checks the traffic that an endpoint gets from all processes together after it has started,
+// where each process sees only its own traffic. In any window (overload_window of the settings) the endpoint
+// must get at most N + 2 sqrt(N) + 2 requests of mean work, where N is the number that the settings allow at
+// the endpoint's current capacity. It must also get enough to take its part of the traffic once it is warm.
 #include <algorithm>
 #include <catch2/catch.hpp>
 #include <cstdio>
@@ -13,49 +13,51 @@
 namespace dispatcher::testing {
 namespace {
 
-// What clients send, and how fast replicas serve it.
+// The requests of clients, and the speed at which endpoints serve them.
 struct Traffic {
   const char* name;
-  double capacity;                       // requests of mean work a second that a warm replica can serve
-  bool is_uneven = false;                // each fifth process gets five times what the others get
-  double burst_factor = 1;               // for three seconds of the ramp
-  bool has_exponential_lengths = false;  // else between half and one and a half times the mean
+  double capacity;          // requests of mean work per second that a warm endpoint can serve
+  bool is_uneven = false;   // whether every fifth process gets five times the traffic of the others
+  double burst_factor = 1;  // factor on the request rate for three seconds of the ramp
+  bool has_exponential_lengths = false;  // if not, lengths are between 0.5 and 1.5 times the mean
 };
 
-// A fleet of processes before sixteen replicas, some of which restart.
+// Several processes in front of a fleet of sixteen endpoints, some of which restart.
 struct Scenario {
   std::size_t processes = 1;
   Traffic traffic{};
-  double load = 0.5;             // of the warm fleet's capacity
-  bool has_restarts = false;     // each process restarts once during the ramp
-  double overload_multiple = 4;  // these three: of the settings; the window in seconds
-  double initial_share = 0.3;
-  double overload_window = 2;
-  int lost_writers = 0;       // of the first zone, for good
-  int restarted = 1;          // of the four readers and the four writers of each zone
-  double max_list_delay = 4;  // seconds until a process has the list with the restarted replicas
+  double load = 0.5;             // as a fraction of the warm fleet's capacity
+  bool has_restarts = false;     // whether each process restarts once during the ramp
+  double overload_multiple = 4;  // overload_multiple of the settings
+  double initial_share = 0.3;    // warmup_initial_share of the settings
+  double overload_window = 2;    // overload_window of the settings, in seconds
+  int lost_writers = 0;          // writers of the first zone that are never listed
+  // The number of restarted endpoints among the four readers and among the four writers of each zone.
+  int restarted = 1;
+  double max_list_delay = 4;  // maximum seconds until a process gets the list with the restarted endpoints
   double burst_start = 1.5;   // seconds after the restart
 };
 
-// What a run has measured.
+// The measurements of a run.
 struct Measurement {
-  // Requests of mean work, of the window that comes nearest to its bound.
+  // Requests of mean work in the window that comes closest to its bound.
   double allowed = 0;
   double sent = 0;
   double bound = 0;
-  // Requests sent to a restarted replica over those of its peers: in the halves of the ramp, and after it.
+  // Requests sent to a restarted endpoint, divided by those sent to a warm one: in the first and the second
+  // half of the ramp, and after the ramp.
   double early = 0;
   double late = 0;
   double warm = 0;
 };
 
-// Phases, in seconds.
-constexpr double kBefore = 6;
-constexpr double kDown = 1;
-constexpr double kRamp = 8;
-constexpr double kAfter = 5;
+// The phases of a run, in seconds.
+constexpr double kSecondsBeforeLoss = 6;
+constexpr double kSecondsDown = 1;
+constexpr double kRampSeconds = 8;
+constexpr double kSecondsAfterRamp = 5;
 
-// The replica's number within its cell and role.
+// Returns the endpoint's number within its cell and role.
 int number_of(const routing::EndpointId& endpoint) { return endpoint.value().back() - '0'; }
 
 simulation::Parameters parameters_of(const Scenario& scenario) {
@@ -76,7 +78,7 @@
   parameters.settings.tenants.push_back({"other", 1000});
   parameters.settings.tick = std::chrono::milliseconds(20);
   parameters.settings.answer_slack = std::chrono::milliseconds(60);
-  parameters.settings.warmup_time = micros(kRamp);
+  parameters.settings.warmup_time = micros(kRampSeconds);
   parameters.settings.overload_multiple = scenario.overload_multiple;
   parameters.settings.warmup_initial_share = scenario.initial_share;
   parameters.settings.overload_window = micros(scenario.overload_window);
@@ -101,9 +103,9 @@
   }
 
   Measurement run() {
-    const Time loss = fixture_.now() + micros(kBefore);
-    restart_ = loss + micros(kDown);
-    const Time end = restart_ + micros(kRamp + kAfter);
+    const Time loss = fixture_.now() + micros(kSecondsBeforeLoss);
+    restart_ = loss + micros(kSecondsDown);
+    const Time end = restart_ + micros(kRampSeconds + kSecondsAfterRamp);
     fixture_.update_all_lists();
     fixture_.at(loss, [this] {
       fixture_.fleet().lose_endpoints(
@@ -115,7 +117,7 @@
       fixture_.at(restart_ + Duration(1) + micros(scenario_.max_list_delay * random_.unit()),
                   [this, i] { fixture_.update_list(i); });
       if (scenario_.has_restarts)
-        fixture_.at(restart_ + micros(kRamp * random_.unit()), [this, i] { fixture_.restart(i); });
+        fixture_.at(restart_ + micros(kRampSeconds * random_.unit()), [this, i] { fixture_.restart(i); });
     }
     submit_next(end);
     fixture_.run_until(end);
@@ -155,7 +157,7 @@
   }
 
   [[nodiscard]] double allowed(Time time) const {
-    const double age = std::min(1.0, to_seconds(time - restart_) / kRamp);
+    const double age = std::min(1.0, to_seconds(time - restart_) / kRampSeconds);
     return scenario_.overload_multiple * scenario_.traffic.capacity *
            std::lerp(scenario_.initial_share, 1.0, age) * scenario_.overload_window;
   }
@@ -170,26 +172,27 @@
       if (is_restarted(sent.endpoint) && sent.at >= restart_) by_endpoint[sent.endpoint].push_back(&sent);
     }
     for (const auto& [endpoint, sends] : by_endpoint) measure_windows(sends, measurement);
-    measurement.early = relative_share(restart_ + micros(1), restart_ + micros(kRamp / 2));
-    measurement.late = relative_share(restart_ + micros(kRamp / 2), restart_ + micros(kRamp));
-    measurement.warm = relative_share(restart_ + micros(kRamp + 1), restart_ + micros(kRamp + kAfter));
+    measurement.early = relative_share(restart_ + micros(1), restart_ + micros(kRampSeconds / 2));
+    measurement.late = relative_share(restart_ + micros(kRampSeconds / 2), restart_ + micros(kRampSeconds));
+    measurement.warm = relative_share(restart_ + micros(kRampSeconds + 1),
+                                      restart_ + micros(kRampSeconds + kSecondsAfterRamp));
     return measurement;
   }
-  // Slides a window over what was sent to one replica during the ramp.
+  // Slides a window over the attempts that were sent to one endpoint during the ramp.
   void measure_windows(const SentAttempts& sends, Measurement& measurement) const {
     double sum = 0;
     std::size_t first = 0;
     for (const RouterFixture::SentAttempt* latest : sends) {
       sum += latest->work;
       while (sends[first]->at <= latest->at - micros(scenario_.overload_window)) sum -= sends[first++]->work;
-      if (latest->at > restart_ + micros(kRamp)) break;
+      if (latest->at > restart_ + micros(kRampSeconds)) break;
       const double limit = allowed(latest->at);
       const double bound = limit + 2 * std::sqrt(limit) + 2;
       if (measurement.bound == 0 || sum / bound > measurement.sent / measurement.bound)
         measurement = {.allowed = limit, .sent = sum, .bound = bound};
     }
   }
-  // Requests that a restarted replica got, over those of a warm one.
+  // Returns the number of requests per restarted endpoint, divided by the number per warm endpoint.
   [[nodiscard]] double relative_share(Time from, Time to) const {
     double to_restarted = 0;
     double to_warm = 0;
@@ -247,25 +250,25 @@
   return scenario;
 }
 
-TEST_CASE("no window of a replica in slow start exceeds its budget at half load, for any number of processes",
+TEST_CASE("an endpoint in slow start stays within its budget at half load from any number of processes",
           "[cold]") {
   for (const std::size_t processes : kSizes)
     for (const Traffic& traffic : {kThin, kUneven, kBursty, kSpread})
       check({.processes = processes, .traffic = traffic, .load = 0.5}, 11);
 }
 
-TEST_CASE("no window of a replica in slow start exceeds its budget at high load", "[cold]") {
+TEST_CASE("an endpoint in slow start stays within its budget at high load", "[cold]") {
   for (const std::size_t processes : kSizes)
     for (const Traffic& traffic : {kThin, kUnevenBursts, kSpreadBursts})
       check({.processes = processes, .traffic = traffic, .load = 0.8}, 12);
 }
 
-TEST_CASE("processes with a high rate stay within a starting replica's windows too", "[cold]") {
+TEST_CASE("an endpoint in slow start stays within its budget under processes with a high rate", "[cold]") {
   for (const std::size_t processes : {1U, 3U, 20U, 30U})
     check({.processes = processes, .traffic = kDense, .load = 0.8}, 13);
 }
 
-TEST_CASE("processes that restart during the ramp don't overload a replica in slow start", "[cold]") {
+TEST_CASE("processes that restart during the ramp don't overload an endpoint in slow start", "[cold]") {
   for (const std::size_t processes : kSizes) {
     for (const Traffic& traffic : {kThin, kUnevenBursts}) {
       Scenario scenario = small_multiple(processes, traffic, 0.8);
@@ -275,7 +278,7 @@
   }
 }
 
-TEST_CASE("a small multiple over a short window is not exceeded in a burst right after the start", "[cold]") {
+TEST_CASE("a burst right after the start does not exceed a small multiple over a short window", "[cold]") {
   for (const std::size_t processes : {3U, 100U, 300U}) {
     for (const std::uint64_t seed : {101U, 102U, 103U}) {
       Scenario scenario = small_multiple(processes, kSpreadBursts, 0.8);
@@ -286,7 +289,7 @@
   }
 }
 
-TEST_CASE("requests that many starting replicas serve raise no budget at one of them", "[cold]") {
+TEST_CASE("requests served by many endpoints in slow start don't raise the budget of one of them", "[cold]") {
   const Traffic traffic{.name = "uneven bursts", .capacity = 50, .is_uneven = true, .burst_factor = 2.5};
   for (const std::size_t processes : {1U, 3U, 20U}) {
     Scenario scenario = small_multiple(processes, traffic, 0.8);
@@ -299,7 +302,7 @@
   }
 }
 
-TEST_CASE("a cell with few writers does not send all of its requests to a starting one", "[cold]") {
+TEST_CASE("a writer in slow start does not get all requests of a cell with few writers", "[cold]") {
   for (const std::size_t processes : {3U, 30U, 300U}) {
     Scenario scenario = small_multiple(processes, kBursty, 0.5);
     scenario.lost_writers = 3;
@@ -309,7 +312,7 @@
   }
 }
 
-TEST_CASE("a replica in slow start gets requests in proportion to its capacity", "[cold]") {
+TEST_CASE("an endpoint in slow start gets more requests as its capacity grows", "[cold]") {
   for (const std::size_t processes : {1U, 3U, 20U, 300U}) {
     Scenario scenario = small_multiple(processes, {.name = "steady", .capacity = 50}, 0.5);
     scenario.max_list_delay = 0.1;
