--- a/src/cue/bound.hpp
+++ b/src/cue/bound.hpp
@@ -17,10 +17,11 @@
 struct Bound {
   BoundOperator bound_operator;
   Scalar operand;
-  std::shared_ptr<const re2::RE2> regex;  // the compiled operand of kMatch and kNotMatch, null otherwise
+  std::shared_ptr<const re2::RE2> regex;  // compiled operand of kMatch or kNotMatch; otherwise null
 };
 
-/// Whether the scalar is within the bound. One that has no order with the operand meets no bound but `!=`.
+/// Returns whether the scalar satisfies the bound. A scalar that cannot be ordered relative to the operand
+/// satisfies only `!=`.
 [[nodiscard]] bool satisfies(const Scalar& scalar, const Bound& bound);
 
 }  // namespace dispatcher::cue
--- a/src/cue/bound_operator.hpp
+++ b/src/cue/bound_operator.hpp
@@ -12,7 +12,7 @@
 /// The operator of a bound.
 enum class BoundOperator { kNotEqual, kLess, kLessEqual, kGreater, kGreaterEqual, kMatch, kNotMatch };
 
-/// An operator and how a file writes it.
+/// An operator and its notation in a file.
 struct BoundOperatorNotation {
   BoundOperator bound_operator;
   std::string_view text;
@@ -26,12 +26,12 @@
      {BoundOperator::kMatch, "=~"},
      {BoundOperator::kNotMatch, "!~"}}};
 
-/// Whether the operator compares with a regular expression.
+/// Returns whether the operator compares with a regular expression.
 [[nodiscard]] inline bool is_match(BoundOperator bound_operator) {
   return bound_operator == BoundOperator::kMatch || bound_operator == BoundOperator::kNotMatch;
 }
 
-/// How a file writes the operator.
+/// Returns the notation of the operator in a file.
 [[nodiscard]] inline std::string_view to_text(BoundOperator bound_operator) {
   const auto it = std::find_if(kBoundOperators.begin(), kBoundOperators.end(), [&](const auto& notation) {
     return notation.bound_operator == bound_operator;
@@ -39,7 +39,7 @@
   return it == kBoundOperators.end() ? std::string_view() : it->text;
 }
 
-/// The operator written as `text`; nullopt where it is none.
+/// Returns the operator written as `text`, or nullopt if `text` is not an operator.
 [[nodiscard]] inline std::optional<BoundOperator> parse_bound_operator(std::string_view text) {
   const auto it = std::find_if(kBoundOperators.begin(), kBoundOperators.end(),
                                [&](const auto& notation) { return notation.text == text; });
--- a/src/cue/data.hpp
+++ b/src/cue/data.hpp
@@ -15,42 +15,42 @@
 
 namespace dispatcher::cue {
 
-/// A scalar, list or struct that Schema::read() returned. What the schema guarantees is accessed without a
-/// check: calling an accessor of the wrong kind is a bug in the program, whatever the file contains, and
-/// throws std::logic_error. References that accessors return live as long as the Data they were taken from.
+/// A scalar, list or struct that Schema::read() returned. Callers need not check what the schema guarantees:
+/// calling an accessor of the wrong kind is a bug in the program, whatever the file contains, and throws
+/// std::logic_error. References that accessors return are valid as long as the Data they were taken from.
 class Data {
  public:
-  using Fields = std::vector<std::pair<std::string, Data>>;  // in the file's order
+  using Fields = std::vector<std::pair<std::string, Data>>;  // in the order of the file
   using Items = std::vector<Data>;
   using Content = std::variant<Scalar, Items, Fields>;
 
-  /// A null without a position.
+  /// Creates a null without a position.
   Data() = default;
   Data(Position position, std::string path, Content content)
       : position_(position), path_(std::move(path)), content_(std::move(content)) {}
 
-  /// Where the file has the value; not in_file() where it is the schema's default.
+  /// Returns the value's position in the file. in_file() is false for a default of the schema.
   [[nodiscard]] Position where() const { return position_; }
-  /// The field's path, as `rules[2].limit.rate`.
+  /// Returns the path of the value, such as `rules[2].limit.rate`.
   [[nodiscard]] const std::string& path() const { return path_; }
 
-  /// The field of a struct; a null where there is no such field, or no struct.
+  /// Returns a field of a struct, or a null if there is no such field or the value is not a struct.
   [[nodiscard]] const Data& operator[](std::string_view field) const;
-  /// Whether the struct has the field with a value other than null.
+  /// Returns whether the struct has the field with a value other than null.
   [[nodiscard]] bool has(std::string_view field) const { return !(*this)[field].is_null(); }
 
   [[nodiscard]] bool is_null() const;
-  /// The value of a string.
+  /// Returns the value of a string.
   [[nodiscard]] const std::string& text() const;
-  /// The value of an integer.
+  /// Returns the value of an integer.
   [[nodiscard]] std::int64_t integer() const;
-  /// The value of an integer or a floating-point number.
+  /// Returns the value of an integer or a floating-point number.
   [[nodiscard]] double real() const;
-  /// The value of a bool.
+  /// Returns the value of a bool.
   [[nodiscard]] bool flag() const;
-  /// The elements of a list.
+  /// Returns the elements of a list.
   [[nodiscard]] const Items& items() const;
-  /// The fields of a struct.
+  /// Returns the fields of a struct.
   [[nodiscard]] const Fields& fields() const;
 
  private:
--- a/src/cue/data_builder.cpp
+++ b/src/cue/data_builder.cpp
@@ -8,7 +8,8 @@
 
 namespace {
 
-constexpr std::size_t kMaxValues = 500'000;  // of one file: references may repeat values exponentially
+// Maximum number of values in the data of one file. References can multiply values exponentially.
+constexpr std::size_t kMaxValues = 500'000;
 
 Position position_or(const Value& value, Position enclosing) {
   return value.position.in_file() ? value.position : enclosing;
@@ -26,12 +27,12 @@
   if (value.scalar) return {value.position, context_.path(), *value.scalar};
   if (value.kinds == kStructKind && value.bounds.empty()) return build_struct(value, enclosing);
   if (value.kinds == kListKind && value.bounds.empty()) return build_list(value, enclosing);
-  const char* const cause = value.position.in_file() ? "not a value yet: " : "missing: expected ";
-  context_.report(position_or(value, enclosing), cause + describe(value));
+  const char* const prefix = value.position.in_file() ? "incomplete value: " : "missing: expected ";
+  context_.report(position_or(value, enclosing), prefix + describe(value));
   return {};
 }
 
-// The only disjunct, or the only one that is marked as default.
+// Builds the only disjunct, or the only disjunct that is marked as default.
 Data DataBuilder::build_default(const Value& value, Position enclosing) {
   const bool only_defaults = has_default(value.disjuncts);
   std::vector<ValuePtr> candidates;
--- a/src/cue/data_builder.hpp
+++ b/src/cue/data_builder.hpp
@@ -1,4 +1,4 @@
-// Turns a value into plain data: applies the defaults, and reports what is not concrete.
+// Converts a value into plain data: applies defaults and reports values that are not concrete.
 #ifndef DISPATCHER_CUE_DATA_BUILDER_HPP_
 #define DISPATCHER_CUE_DATA_BUILDER_HPP_
 
@@ -15,12 +15,13 @@
  public:
   explicit DataBuilder(EvaluationContext& context) : context_(context) {}
 
-  /// The data of a value, which must have been unified with the schema. What is not concrete is reported and
-  /// null in the result. Throws LimitReached where there are too many values.
+  /// Returns the data of a value, which must have been unified with the schema. A value that is not concrete
+  /// is reported and is null in the result. Throws LimitReached if there are too many values.
   [[nodiscard]] Data build(const ValuePtr& value);
 
  private:
-  // `enclosing`: where the file has the struct or list around the value, for problems of what it leaves out.
+  // `enclosing`: position of the enclosing struct or list in the file, used for problems with values that the
+  // file leaves out.
   Data build(const Value& value, Position enclosing);
   Data build_default(const Value& value, Position enclosing);
   Data build_struct(const Value& value, Position enclosing);
--- a/src/cue/disjunction_unification.cpp
+++ b/src/cue/disjunction_unification.cpp
@@ -1,5 +1,5 @@
-// Unification where at least one of two values is a disjunction: each pair of disjuncts that has a
-// unification gives a disjunct of the result.
+// Unification of two values of which at least one is a disjunction. Each pair of disjuncts that can be
+// unified yields a disjunct of the result.
 #include <algorithm>
 
 #include "cue/unifier.hpp"
@@ -10,7 +10,7 @@
 
 using Disjuncts = std::vector<Value::Disjunct>;
 
-// The disjuncts of a value; any other value counts as its own only disjunct.
+// Returns the disjuncts of a value. A value that is not a disjunction is its own only disjunct.
 Disjuncts disjuncts_of(const ValuePtr& value) {
   if (!value->disjuncts.empty()) return value->disjuncts;
   return {{value, false}};
@@ -51,7 +51,7 @@
     if (value != nullptr) add_disjunct({value, is_default(expected, found)});
   }
 
-  // Adds a disjunct, unless the same scalar is one already.
+  // Adds a disjunct. If an existing disjunct is the same scalar, merges the default mark into it instead.
   void add_disjunct(const Value::Disjunct& added) {
     Disjuncts& disjuncts = unified_->disjuncts;
     const auto same = std::find_if(disjuncts.begin(), disjuncts.end(), [&](const Value::Disjunct& disjunct) {
@@ -65,14 +65,14 @@
     disjuncts.push_back(added);
   }
 
-  // A pair is a default where it is one on each side that has defaults.
+  // A pair is a default if, on each side that has defaults, its disjunct is a default.
   [[nodiscard]] bool is_default(const Value::Disjunct& expected, const Value::Disjunct& found) const {
     if (!expected_has_default_ && !found_has_default_) return false;
     return (!expected_has_default_ || expected.is_default) && (!found_has_default_ || found.is_default);
   }
 
-  // No pair can be unified. Where only one disjunct has the right kind, its own problems are the most
-  // specific report.
+  // Reports that no pair can be unified. If the value found is not a disjunction and exactly one expected
+  // disjunct is similar to it, reports the problems of unifying these two instead, as they are more specific.
   ValuePtr report_failure() {
     if (found_disjuncts_.size() != 1) return unifier_.report_conflict(expected_, found_);
     ValuePtr similar;
@@ -85,8 +85,8 @@
     return unifier_.unify(similar, found_);
   }
 
-  // Whether a disjunct is a struct or list as the value found is, and for lists of the same size if that is
-  // fixed.
+  // Returns whether a disjunct is a struct or list like the value found. A list of fixed size must also have
+  // the size of the list found.
   [[nodiscard]] bool is_similar(const Value& disjunct) const {
     if ((disjunct.kinds & found_->kinds & (kStructKind | kListKind)) == 0) return false;
     const bool has_fixed_size = disjunct.kinds == kListKind && disjunct.further_items == nullptr;
--- a/src/cue/errors.hpp
+++ b/src/cue/errors.hpp
@@ -13,14 +13,14 @@
 /// One error in a file.
 struct Problem {
   Position at;
-  std::string path;  // of the field, as `rules[2].limit.rate`; empty where there is none
+  std::string path;  // of the field, such as `rules[2].limit.rate`; empty if there is none
   std::string what;  // the message, without position and path
 };
 
-/// The problem as one line: `file:line:column: path: what`, without the parts that are not known.
+/// Returns the problem as one line, `file:line:column: path: what`, without the parts that are unknown.
 [[nodiscard]] std::string to_text(const std::string& file, const Problem& problem);
 
-/// All errors of a file, at least one. what() has one line for each problem.
+/// Thrown with all errors of a file, of which there is at least one. what() has one line for each problem.
 struct Errors : std::runtime_error {
   Errors(const std::string& file, std::vector<Problem> all);
   std::vector<Problem> problems;
--- a/src/cue/evaluation_context.cpp
+++ b/src/cue/evaluation_context.cpp
@@ -12,10 +12,14 @@
 
 namespace {
 
-constexpr std::size_t kMaxSteps = 6'000'000;        // enough for files of kMaxBytes
-constexpr std::size_t kMaxDepth = 3 * kMaxNesting;  // of the path: definitions may nest values more deeply
-constexpr std::size_t kMaxProblems = 100;           // more are of no use to a reader
-constexpr std::size_t kMaxLabelBytes = 60;          // of a quoted label in a path
+// Maximum number of steps of one evaluation, enough for files of kMaxBytes.
+constexpr std::size_t kMaxSteps = 6'000'000;
+// Maximum number of elements in a path. Definitions may nest values more deeply than kMaxNesting.
+constexpr std::size_t kMaxDepth = 3 * kMaxNesting;
+// Maximum number of reported problems. More would not help the reader.
+constexpr std::size_t kMaxProblems = 100;
+// Maximum length in bytes of a quoted label in a path.
+constexpr std::size_t kMaxLabelBytes = 60;
 
 bool is_identifier(std::string_view label) {
   return !label.empty() && std::all_of(label.begin(), label.end(), [](unsigned char character) {
@@ -71,17 +75,17 @@
 void EvaluationContext::report(Position position, std::string what) {
   if (problems_.size() >= kMaxProblems)
     stop(position, "more than " + std::to_string(kMaxProblems) + " problems; further ones are not reported");
-  // A trial discards its problems, so their paths are not built.
+  // Problems of a trial are discarded, so their paths are not built.
   problems_.push_back({position, in_trial() ? std::string() : path(), std::move(what)});
 }
 
 void EvaluationContext::count_step(Position position) {
   ++steps_;
-  if (steps_ > kMaxSteps) stop(position, "takes too much work to read");
+  if (steps_ > kMaxSteps) stop(position, "evaluation takes too many steps");
 }
 
 void EvaluationContext::check_depth(Position position) {
-  if (path_.size() > kMaxDepth) stop(position, "takes too much work to read");
+  if (path_.size() > kMaxDepth) stop(position, "values are nested too deeply");
 }
 
 void EvaluationContext::stop(Position position, std::string what) {
--- a/src/cue/evaluation_context.hpp
+++ b/src/cue/evaluation_context.hpp
@@ -11,18 +11,19 @@
 
 namespace dispatcher::cue {
 
-/// Thrown where an evaluation reaches a limit, after the problem that names the limit has been reported.
-/// Schema catches it, so that it leaves no file of this package; it is deliberately no std::exception.
+/// Thrown when an evaluation reaches a limit, after the problem that names the limit has been reported.
+/// Schema catches it, so it never leaves this package. It is deliberately not derived from std::exception.
 struct LimitReached {};
 
 /// The state of one evaluation. Not thread-safe.
 class EvaluationContext {
  public:
-  /// Names a field or item for as long as it lives: problems reported meanwhile have it in their path.
+  /// Appends a field or list item to the current path for the lifetime of this object. Problems reported in
+  /// the meantime have it in their path.
   class PathElement {
    public:
     PathElement(EvaluationContext& context, std::string name);
-    /// The item at `index` of a list.
+    /// Appends the item at `index` of a list.
     PathElement(EvaluationContext& context, std::size_t index);
     ~PathElement();
     PathElement(const PathElement&) = delete;
@@ -32,7 +33,7 @@
     EvaluationContext& context_;
   };
 
-  /// Replaces the path by one that begins at a definition, for as long as it lives.
+  /// Replaces the current path by one that begins at a definition, for the lifetime of this object.
   class DefinitionPath {
    public:
     DefinitionPath(EvaluationContext& context, const std::string& definition);
@@ -45,7 +46,7 @@
     std::vector<std::string> outer_;
   };
 
-  /// An attempt whose problems are discarded: it only finds out whether there are any.
+  /// An attempt that only finds out whether problems occur. succeeded() discards them.
   class Trial {
    public:
     explicit Trial(EvaluationContext& context);
@@ -60,23 +61,23 @@
     std::size_t problems_before_;
   };
 
-  /// Records a problem at the current path. Throws LimitReached where there are too many.
+  /// Records a problem at the current path. Throws LimitReached if there are too many.
   void report(Position position, std::string what);
-  /// Counts a step of work. Throws LimitReached past the limit.
+  /// Counts one step of the evaluation. Throws LimitReached if the number of steps exceeds the limit.
   void count_step(Position position);
-  /// Throws LimitReached where the path is too long.
+  /// Throws LimitReached if the current path is too long.
   void check_depth(Position position);
   /// Records a problem that belongs to the file rather than to a field, and throws LimitReached.
   [[noreturn]] void stop(Position position, std::string what);
 
   [[nodiscard]] bool in_trial() const { return trial_depth_ > 0; }
-  /// The path of the current field, as `rules[2].limit.rate`.
+  /// Returns the path of the current field, such as `rules[2].limit.rate`.
   [[nodiscard]] std::string path() const;
   [[nodiscard]] const std::vector<Problem>& problems() const { return problems_; }
 
  private:
   std::vector<Problem> problems_;
-  std::vector<std::string> path_;  // names of fields, and `[index]` for items
+  std::vector<std::string> path_;  // field labels, and `[index]` for list items
   std::size_t steps_ = 0;
   std::size_t trial_depth_ = 0;
 };
--- a/src/cue/evaluator.cpp
+++ b/src/cue/evaluator.cpp
@@ -8,8 +8,10 @@
 
 namespace {
 
-constexpr std::size_t kMaxReferenceDepth = 64;  // definitions in a chain of references: bounds the recursion
-constexpr std::int64_t kMaxRegexBytes = 1 << 20;  // memory of one compiled regular expression
+// Maximum number of definitions in a chain of references. Bounds the recursion.
+constexpr std::size_t kMaxReferenceDepth = 64;
+// Maximum memory of one compiled regular expression, in bytes.
+constexpr std::int64_t kMaxRegexBytes = 1 << 20;
 
 KindSet kinds_of_type(const std::string& name) {
   static const std::map<std::string, KindSet> kinds = {{"bool", kBoolKind},     {"int", kIntKind},
@@ -18,7 +20,7 @@
   return kinds.at(name);
 }
 
-// The kinds of the scalars that can satisfy a bound.
+// Returns the kinds of scalars that can satisfy a bound.
 KindSet kinds_of_bound(BoundOperator bound_operator, const Value& operand) {
   if (bound_operator == BoundOperator::kNotEqual) return kAllKinds;
   return (operand.kinds & kNumberKinds) != 0 ? kNumberKinds : operand.kinds;
@@ -75,7 +77,7 @@
     case ExpressionKind::kDisjunction:
       return evaluate_disjunction(expression, openness);
     case ExpressionKind::kDefault:
-      context_.report(expression.position, "'*' marks one of several alternatives");
+      context_.report(expression.position, "'*' is allowed only before one of several alternatives");
       return nullptr;
     case ExpressionKind::kStruct:
       return evaluate_struct(expression, openness);
@@ -93,12 +95,12 @@
   }
   if (const auto known = evaluated_.find(name); known != evaluated_.end()) return known->second;
   if (!evaluating_.insert(name).second) {
-    context_.report(position, "'" + name + "' is defined by itself");
+    context_.report(position, "'" + name + "' refers to itself");
     return nullptr;
   }
   if (evaluating_.size() > kMaxReferenceDepth) {
-    context_.report(position, "more than " + std::to_string(kMaxReferenceDepth) +
-                                  " definitions are defined by one another");
+    context_.report(position,
+                    "more than " + std::to_string(kMaxReferenceDepth) + " definitions refer to one another");
     throw LimitReached{};
   }
   const EvaluationContext::DefinitionPath path(context_, name);
@@ -186,14 +188,14 @@
   return apply_own_patterns(*structure);
 }
 
-// Adds a field to the struct. Returns false where it has no value.
+// Adds a field to the struct. Returns false if the field is invalid.
 bool Evaluator::evaluate_field(const Expression::Field& field, Openness openness, Value& structure,
                                FieldIndex& index) {
   using Kind = Expression::Field::Kind;
   const bool is_pattern = field.kind == Kind::kPattern;
   const EvaluationContext::PathElement element(context_, is_pattern ? "[string]" : field.label);
   if (field.kind == Kind::kDefinition) {
-    context_.report(field.position, "definitions are allowed at the top level of the file only");
+    context_.report(field.position, "definitions are allowed only at the top level of the file");
     return false;
   }
   const ValuePtr value = evaluate(field.value.front(), openness);
@@ -205,7 +207,7 @@
   return add_field(field, value, structure, index);
 }
 
-// Adds the field, or unifies it with an existing one of the same label. Returns false where that fails.
+// Adds the field, or unifies it with an existing field of the same label. Returns false if that fails.
 bool Evaluator::add_field(const Expression::Field& field, const ValuePtr& value, Value& structure,
                           FieldIndex& index) {
   const bool is_optional = field.kind == Expression::Field::Kind::kOptional;
@@ -222,7 +224,7 @@
   return true;
 }
 
-// A struct's patterns constrain its own fields as well.
+// Unifies the struct's own fields with its patterns, which constrain them as well.
 ValuePtr Evaluator::apply_own_patterns(const Value& structure) {
   const auto patterns = make_value(structure.position, kStructKind);
   patterns->patterns = structure.patterns;
--- a/src/cue/evaluator.hpp
+++ b/src/cue/evaluator.hpp
@@ -19,21 +19,21 @@
 /// and report problems to the context.
 class Evaluator {
  public:
-  /// Takes the file as parse() returned it. Reports definitions that are repeated, so that it, too, may throw
-  /// LimitReached.
+  /// Takes the file that parse() returned. Reports repeated definitions, so the constructor may throw
+  /// LimitReached too.
   Evaluator(EvaluationContext& context, Expression file);
 
-  /// The struct that the file is, without its definitions, which are evaluated even if nothing uses them.
-  /// Null where it has no value.
+  /// Returns the struct that the file consists of, without its definitions. All definitions are evaluated,
+  /// even if nothing refers to them. Returns null if the struct has no valid value.
   [[nodiscard]] ValuePtr evaluate_file();
-  /// The value of a definition; null where it has none.
+  /// Returns the value of a definition, or null if it has no valid value.
   [[nodiscard]] ValuePtr evaluate_definition(const std::string& name);
 
  private:
-  // Whether structs allow fields that they do not name: within a definition `#Name` only those that end in
-  // `...` do.
+  // Whether structs are open, that is, allow fields that they do not name. Within a definition `#Name`, only
+  // structs that end in `...` are open.
   enum class Openness { kOpen, kClosed };
-  // The index of each label among the fields of the struct that is built.
+  // Maps each label to the index of its field in the struct being built.
   using FieldIndex = std::unordered_map<std::string_view, std::size_t>;
 
   ValuePtr evaluate(const Expression& expression, Openness openness);
@@ -51,8 +51,8 @@
   Unifier unifier_;
   Expression file_;                                // without the definitions
   std::map<std::string, Expression> definitions_;  // by name
-  std::map<std::string, ValuePtr> evaluated_;      // values of definitions; null where one has no value
-  std::set<std::string> evaluating_;               // the current chain of references, to detect cycles
+  std::map<std::string, ValuePtr> evaluated_;      // values of definitions; null if invalid
+  std::set<std::string> evaluating_;               // the current chain of references, used to detect cycles
 };
 
 }  // namespace dispatcher::cue
--- a/src/cue/grammar.hpp
+++ b/src/cue/grammar.hpp
@@ -1,5 +1,5 @@
-// The grammar of the configuration files as PEGTL rules, with the error message of each rule that must match,
-// the nesting limits and the choice of nodes of the parse tree.
+// The grammar of the configuration files as PEGTL rules, the error message of each rule that must match, the
+// nesting limits, and the selection of the rules that become nodes of the parse tree.
 #ifndef DISPATCHER_CUE_GRAMMAR_HPP_
 #define DISPATCHER_CUE_GRAMMAR_HPP_
 
@@ -14,7 +14,7 @@
 
 using namespace tao::pegtl;
 
-// White space. As in CUE, the end of a line separates like a comma: WhiteSpace may contain line ends,
+// White space. As in CUE, the end of a line is a separator like a comma. WhiteSpace may contain line ends,
 // InlineSpace may not.
 struct Comment : seq<string<'/', '/'>, star<not_at<eolf>, any>> {};
 struct InlineSpace : star<one<' ', '\t', '\r'>> {};
@@ -95,10 +95,10 @@
 struct List : if_must<one<'['>, WhiteSpace, Elements, WhiteSpace, CloseBracket> {};
 struct Parenthesized : if_must<one<'('>, WhiteSpace, Value, InlineSpace, CloseParenthesis> {};
 
-// Expressions, from the operators that bind most tightly.
+// Expressions, starting with the operators of highest precedence.
 struct Primary : sor<Struct, List, Parenthesized, Bottom, NullLiteral, BooleanLiteral, TypeName,
                      StringLiteral, FloatLiteral, IntegerLiteral, Top, Reference> {};
-/// The operators of bounds, and signs; the longer one first where one begins another.
+/// The operators of bounds, and signs. An operator comes before any operator that is its prefix.
 struct UnaryOperator : sor<string<'>', '='>, string<'<', '='>, string<'!', '='>, string<'=', '~'>,
                            string<'!', '~'>, one<'>'>, one<'<'>, one<'-'>, one<'+'>> {};
 struct Unary;
@@ -108,17 +108,17 @@
 struct DefaultDisjunct : if_must<one<'*'>, WhiteSpace, Unary> {};
 struct Disjunct : sor<DefaultDisjunct, Conjunction> {};
 struct Disjunction : seq<Disjunct, star<InlineSpace, if_must<one<'|'>, WhiteSpace, Disjunct>>> {};
-// Most values are a lone string or integer. Trying these first halves the time to parse a file.
+// Most values are a single string or integer. Trying these first halves the time to parse a file.
 struct LoneLiteral : seq<sor<StringLiteral, IntegerLiteral>, InlineSpace, at<one<',', '\n', '}', ']'>>> {};
 struct Expression : sor<LoneLiteral, Disjunction> {};
 
-// What the parser starts from: a file in braces, or one declaration of any other file.
+// The start rules of the parser: a file in braces, or one declaration of any other file.
 struct BracedFile : must<Struct, WhiteSpace, eof> {};
 struct EndOfDeclaration : sor<Separator, seq<WhiteSpace, eof>> {};
 struct TopLevelDeclaration : if_must<success, Declaration, EndOfDeclaration> {};
 
-// The error where a rule must match and does not. Each rule that can fail there has its own message below;
-// the general one only ensures that no error ever names a rule of this grammar.
+// The error message for a rule that must match and does not. Each rule that can fail this way has its own
+// message below. The general message ensures that no error ever names a rule of this grammar.
 template <typename Rule>
 inline constexpr const char* kMessage = "syntax error";
 template <>
@@ -152,12 +152,12 @@
 template <>
 inline constexpr const char* kMessage<eof> = "expected end of file";
 
-/// PEGTL's control class: raises the message of a rule that must match as tao::pegtl::parse_error.
+/// The messages for PEGTL's control class, which throws them as tao::pegtl::parse_error.
 struct ErrorMessages {
   // NOLINTBEGIN(readability-identifier-naming): PEGTL's must_if looks these names up
   template <typename Rule>
   static constexpr const char* message = kMessage<Rule>;
-  // Where a rule need not match, its failure is no error.
+  // The failure of a rule that need not match is not an error.
   template <typename Rule>
   static constexpr bool raise_on_failure = false;
   // NOLINTEND(readability-identifier-naming)
@@ -165,7 +165,7 @@
 template <typename Rule>
 struct Control : must_if<ErrorMessages>::control<Rule> {};
 
-/// PEGTL's action class: limits how deeply recursive rules nest, so that no file exhausts the stack.
+/// PEGTL's action class. Limits the nesting depth of recursive rules, so that no file exhausts the stack.
 template <typename Rule>
 struct Action : nothing<Rule> {};
 template <>
--- a/src/cue/line_index.hpp
+++ b/src/cue/line_index.hpp
@@ -1,4 +1,4 @@
-// Finds the line and column of a place in a text.
+// Finds the line and column of an offset in a text.
 #ifndef DISPATCHER_CUE_LINE_INDEX_HPP_
 #define DISPATCHER_CUE_LINE_INDEX_HPP_
 
@@ -12,7 +12,7 @@
 
 namespace dispatcher::cue {
 
-/// The line starts of a text. It does not refer to the text once it is made.
+/// The line starts of a text. Does not refer to the text after construction.
 class LineIndex {
  public:
   explicit LineIndex(std::string_view text) {
@@ -21,7 +21,7 @@
     }
   }
 
-  /// The position of the byte at `offset`, which may be the text's end.
+  /// Returns the position of the byte at `offset`, which may be the end of the text.
   [[nodiscard]] Position position(std::size_t offset) const {
     const auto line = std::upper_bound(line_starts_.begin(), line_starts_.end(), offset) - 1;
     return {static_cast<std::uint32_t>(line - line_starts_.begin() + 1),
--- a/src/cue/nearest.hpp
+++ b/src/cue/nearest.hpp
@@ -1,4 +1,4 @@
-// Suggests the name that was probably meant, for errors about an unknown one.
+// Suggests the name that was probably meant, for errors about an unknown name.
 #ifndef DISPATCHER_CUE_NEAREST_HPP_
 #define DISPATCHER_CUE_NEAREST_HPP_
 
@@ -11,10 +11,11 @@
 
 namespace dispatcher::cue {
 
-/// The Levenshtein distance: how many bytes must be changed, added or removed to turn one text into the
-/// other.
+/// Returns the Levenshtein distance: the number of bytes that must be changed, added or removed to turn one
+/// text into the other.
 [[nodiscard]] inline std::size_t edit_distance(std::string_view left, std::string_view right) {
-  // One row of the matrix of distances between the prefixes of both; `diagonal` is of the row before.
+  // One row of the matrix of distances between the prefixes of both texts. `diagonal` is the value of the
+  // previous row and column.
   std::vector<std::size_t> row(right.size() + 1);
   for (std::size_t j = 0; j <= right.size(); ++j) row[j] = j;
   for (std::size_t i = 1; i <= left.size(); ++i) {
@@ -27,12 +28,12 @@
   return row.back();
 }
 
-/// "; 'name' is known" for the name that is most similar to `given`, or an empty string where none is
+/// Returns "; 'name' is known" for the name that is most similar to `given`, or an empty string if none is
 /// similar. `name_of` returns an element's name as std::string_view. The work is bounded.
 template <class Names, class NameOf>
 [[nodiscard]] std::string nearest(std::string_view given, const Names& names, NameOf name_of) {
-  constexpr std::size_t kMaxLength = 64;   // bytes of `given`: bounds the work of one comparison
-  constexpr std::size_t kMaxDistance = 2;  // a typing error or two; more is another word
+  constexpr std::size_t kMaxLength = 64;   // in bytes, of `given`; bounds the work of one comparison
+  constexpr std::size_t kMaxDistance = 2;  // one or two typing errors; beyond that it is another word
   constexpr std::size_t kMaxNames = 1000;  // bounds the number of comparisons
   if (given.size() > kMaxLength) return {};
   std::size_t minimum = kMaxDistance + 1;
--- a/src/cue/number_literals.cpp
+++ b/src/cue/number_literals.cpp
@@ -24,10 +24,10 @@
   return digits.size() > 1 && digits[0] == '0' && std::isdigit(static_cast<unsigned char>(digits[1])) != 0;
 }
 
-// Multiplies by the factor that `multiplier` names (K, Mi, ...; empty: 1). False where that overflows.
+// Multiplies `value` by the factor of `multiplier` (K, Mi, ...; 1 if empty). Returns false on overflow.
 bool apply_multiplier(std::string_view multiplier, std::uint64_t& value) {
   if (multiplier.empty()) return true;
-  constexpr std::string_view kLetters = "KMGT";  // each a further power of the base
+  constexpr std::string_view kLetters = "KMGT";  // the letter at index i stands for base^(i + 1)
   const std::uint64_t base = multiplier.ends_with('i') ? 1024 : 1000;
   const std::size_t power = kLetters.find(multiplier.front()) + 1;
   for (std::size_t i = 0; i < power; ++i) {
@@ -36,7 +36,8 @@
   return true;
 }
 
-// The magnitude of an integer literal without underscores. False where it does not fit into 64 bits.
+// Parses the magnitude of an integer literal without underscores. Returns false if it does not fit into 64
+// bits.
 bool parse_magnitude(std::string_view digits, std::uint64_t& value) {
   const bool is_hexadecimal = digits.starts_with(kHexadecimalPrefix);
   if (is_hexadecimal) digits.remove_prefix(kHexadecimalPrefix.size());
--- a/src/cue/parser.cpp
+++ b/src/cue/parser.cpp
@@ -1,4 +1,4 @@
-// Parses a file declaration by declaration, so that it can continue after a syntax error.
+// Parses a file declaration by declaration, so that parsing can continue after a syntax error.
 #include <algorithm>
 #include <cctype>
 #include <memory>
@@ -21,12 +21,13 @@
 
 using Input = pegtl::memory_input<pegtl::tracking_mode::lazy, pegtl::eol::lf_crlf, const char*>;
 
-constexpr std::size_t kMaxQuotedBytes = 24;  // of the text that an error quotes
+constexpr std::size_t kMaxQuotedBytes = 24;  // maximum length of the text that an error quotes
 
-// Parses one text. Collects the problems.
+// Parses one text and collects the problems.
 class Parser {
  public:
-  // Parses `text`; positions are those in `original`, which is of the same length. Refers to `text`.
+  // Parses `text`, which must outlive the parser. Positions are reported as in `original`, which has the same
+  // length.
   Parser(std::string_view original, std::string_view text)
       : begin_(text.data()), end_(text.data() + text.size()), builder_(original, text) {
     file_.kind = ExpressionKind::kStruct;
@@ -52,7 +53,7 @@
     return input.current();
   }
 
-  // Parses what `Rule` matches at `next` and moves `next` behind it. Throws SyntaxError.
+  // Parses the text that `Rule` matches at `next` and advances `next` past it. Throws SyntaxError.
   template <typename Rule>
   std::unique_ptr<ParseNode> parse_tree(const char*& next) const {
     Input input(next, end_, "");
@@ -89,7 +90,7 @@
     return skip_white_space(next);
   }
 
-  // Where parsing continues after an error: the next line that has a label in its first column.
+  // Returns where parsing continues after an error: the next line that has a label in its first column.
   [[nodiscard]] const char* find_next_field(const char* begin) const {
     const char* line_end = std::find(begin, end_, '\n');
     while (line_end != end_) {
@@ -131,7 +132,7 @@
 void check_encoding(const File& file) {
   const std::size_t offset = invalid_utf8(file.text);
   if (offset == std::string::npos) return;
-  throw Errors(file.name, {{LineIndex(file.text).position(offset), {}, "not UTF-8 from here on"}});
+  throw Errors(file.name, {{LineIndex(file.text).position(offset), {}, "invalid UTF-8"}});
 }
 
 bool is_json_object(const std::string& text) {
@@ -145,7 +146,7 @@
   if (file.text.size() > kMaxBytes)
     throw Errors(file.name, {{{}, {}, "larger than " + std::to_string(kMaxBytes) + " bytes"}});
   check_encoding(file);
-  // In JSON a line end is mere white space, also before a comma; in CUE it separates.
+  // In JSON, a line end is plain white space, even before a comma. In CUE, it is a separator.
   std::string text = file.text;
   if (is_json_object(text)) std::replace(text.begin(), text.end(), '\n', '\r');
   Parser parser(file.text, text);
--- a/src/cue/scalar.cpp
+++ b/src/cue/scalar.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-constexpr std::size_t kMaxDescribedBytes = 60;  // of a string
+constexpr std::size_t kMaxDescribedBytes = 60;  // of a string in an error message
 
 // long double represents each std::int64_t exactly on x86-64 and AArch64.
 std::optional<long double> number_in(const Scalar& scalar) {
--- a/src/cue/scalar.hpp
+++ b/src/cue/scalar.hpp
@@ -14,14 +14,15 @@
   auto operator<=>(const Null&) const = default;
 };
 
-/// A value without parts. Integers and floating-point numbers are of different kinds: 1 and 1.0 are unequal.
+/// A value that is not composed of other values. Integers and floating-point numbers are of different kinds:
+/// 1 and 1.0 are unequal.
 using Scalar = std::variant<Null, bool, std::int64_t, double, std::string>;
 
-/// The order of two strings, or of two numbers by their value whatever their kinds. Other scalars are
-/// equivalent where they are equal and unordered otherwise.
+/// Returns the order of two strings, or of two numbers by their value regardless of their kinds. Other
+/// scalars are equivalent if they are equal and unordered otherwise.
 [[nodiscard]] std::partial_ordering compare(const Scalar& left, const Scalar& right);
 
-/// The scalar as error messages show it; a long string is cut.
+/// Returns the scalar as error messages show it. A long string is truncated.
 [[nodiscard]] std::string describe(const Scalar& scalar);
 
 }  // namespace dispatcher::cue
--- a/src/cue/schema.cpp
+++ b/src/cue/schema.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-// Positions within the schema are of no use to the author of a file.
+// Clears the positions within the schema, which are of no use to the author of a file.
 void clear_positions(Expression& expression) {
   expression.position = {};
   for (Expression& child : expression.children) clear_positions(child);
@@ -30,9 +30,9 @@
   throw Errors(name, std::move(problems));
 }
 
-// Applies `evaluate` to an evaluator of the file and returns its result; a default-constructed one where a
-// limit was reached. The only place that makes an Evaluator, as already its constructor may throw
-// LimitReached. Problems are left in the context.
+// Applies `evaluate` to an evaluator of the file and returns its result, or a default-constructed result if a
+// limit was reached. Every Evaluator is constructed here, because its constructor may throw LimitReached too.
+// Problems are left in the context.
 template <class Evaluate>
 auto evaluate_within_limits(EvaluationContext& context, Expression file, Evaluate evaluate)
     -> std::invoke_result_t<Evaluate, Evaluator&> {
@@ -44,7 +44,7 @@
   }
 }
 
-// The data of a file that satisfies `root`; null where a problem was reported.
+// Returns the data of a file that satisfies `root`, or a null if a problem was reported.
 Data unify_with_schema(EvaluationContext& context, const ValuePtr& root, const ValuePtr& value) {
   if (value == nullptr) return {};
   const ValuePtr unified = Unifier(context).unify(root, value);
--- a/src/cue/source.hpp
+++ b/src/cue/source.hpp
@@ -8,10 +8,10 @@
 
 namespace dispatcher::cue {
 
-inline constexpr std::size_t kMaxBytes = 8U << 20U;  // of one file: bounds the memory that a reload takes
+inline constexpr std::size_t kMaxBytes = 8U << 20U;  // size limit of one file; bounds the memory of a reload
 
-/// A place in a file. Lines and columns count from 1, columns in bytes. Line 0 is a place in the program's
-/// own schema rather than in the file.
+/// A position in a file. Lines and columns count from 1, columns in bytes. Line 0 stands for a position in
+/// the program's own schema rather than in the file.
 struct Position {
   std::uint32_t line = 0;
   std::uint32_t column = 0;
@@ -20,7 +20,7 @@
 
 /// A configuration file that has been loaded into memory.
 struct File {
-  std::string name;  // as error messages show it
+  std::string name;  // as shown in error messages
   std::string text;
 };
 
--- a/src/cue/string_literals.cpp
+++ b/src/cue/string_literals.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 constexpr std::uint32_t kMaxCodePoint = 0x10FFFF;
-// UTF-16 surrogates: JSON writes a code point beyond 16 bits as a high and a low one.
+// UTF-16 surrogates. JSON escapes a code point beyond 16 bits as a high and a low surrogate.
 constexpr std::uint32_t kFirstHighSurrogate = 0xD800;
 constexpr std::uint32_t kFirstLowSurrogate = 0xDC00;
 constexpr std::uint32_t kLastLowSurrogate = 0xDFFF;
@@ -30,7 +30,7 @@
   return value >= kFirstLowSurrogate && value <= kLastLowSurrogate;
 }
 
-// The value of exactly `count` hexadecimal digits; `at` is the escape sequence that they belong to.
+// Returns the value of exactly `count` hexadecimal digits. `at` is the escape sequence that they belong to.
 std::uint32_t parse_hexadecimal(std::string_view digits, std::size_t count, const char* at) {
   std::uint32_t value = 0;
   const char* const end = digits.data() + digits.size();
@@ -64,7 +64,7 @@
     constexpr std::string_view kCharacters = "\a\b\f\n\r\t\v\\/\"'";
     const char* const escape = content_.data() + offset_;
     ++offset_;
-    // The grammar has a character after each backslash, but dedent() may have removed a line end.
+    // The grammar requires a character after each backslash, but dedent() may have removed a line end.
     if (offset_ == content_.size()) throw SyntaxError{escape, "unknown escape in the text"};
     const char letter = content_[offset_];
     ++offset_;
@@ -75,7 +75,7 @@
     } else if (letter == 'U') {
       append_code_point(kUtf32Digits, escape);
     } else if (letter == '(') {
-      throw SyntaxError{escape, "interpolation is not offered"};
+      throw SyntaxError{escape, "interpolation is not supported"};
     } else {
       throw SyntaxError{escape, "unknown escape in the text"};
     }
@@ -86,11 +86,13 @@
     offset_ += digits;
     if (is_high_surrogate(code_point)) code_point = join_surrogates(code_point, escape);
     const bool is_surrogate = is_high_surrogate(code_point) || is_low_surrogate(code_point);
-    if (code_point > kMaxCodePoint || is_surrogate) throw SyntaxError{escape, "no such character"};
+    if (code_point > kMaxCodePoint || is_surrogate)
+      throw SyntaxError{escape, "not a valid Unicode character"};
     encode_utf8(result_, code_point);
   }
 
-  // The code point of a high surrogate and the escaped low surrogate that follows; `high` where none does.
+  // Returns the code point of a high surrogate and the escaped low surrogate that follows, or `high` if no
+  // low surrogate follows.
   std::uint32_t join_surrogates(std::uint32_t high, const char* escape) {
     const std::string_view following = content_.substr(offset_, kUtf16Escape.size() + kUtf16Digits);
     const bool is_escape = following.size() == kUtf16Escape.size() + kUtf16Digits;
--- a/src/cue/struct_unification.cpp
+++ b/src/cue/struct_unification.cpp
@@ -12,7 +12,7 @@
 
 using FieldIndex = std::unordered_map<std::string_view, const Value::Field*>;
 
-// The fields of a struct by label. Refers to the struct.
+// Returns the fields of a struct by label. The index refers to the struct, which must outlive it.
 FieldIndex index_fields(const Value& structure) {
   FieldIndex index;
   for (const Value::Field& field : structure.fields) index.emplace(field.label, &field);
@@ -28,7 +28,7 @@
   return "unknown field" + nearest(label, structure.fields, label_of);
 }
 
-// The unification of one pair of structs. Continues after a problem, so that all are reported.
+// The unification of one pair of structs. Continues after a problem, so that all problems are reported.
 class StructUnification {
  public:
   StructUnification(Unifier& unifier, EvaluationContext& context, const ValuePtr& left, const ValuePtr& right)
@@ -42,7 +42,7 @@
     unified_->patterns.insert(unified_->patterns.end(), right_.patterns.begin(), right_.patterns.end());
   }
 
-  // The unified struct; null where a problem was reported.
+  // Returns the unified struct, or null if a problem was reported.
   ValuePtr run() {
     const FieldIndex right_fields = index_fields(right_);
     for (const Value::Field& field : left_.fields) {
@@ -62,7 +62,7 @@
   }
 
  private:
-  // Adds a field that only one of the structs has, if the other one allows it.
+  // Adds a field that only one of the structs has, if the other struct allows it.
   void add_unshared_field(const Value::Field& field, const Value& other) {
     const EvaluationContext::PathElement element(context_, field.label);
     if (allows_further_fields(other)) {
@@ -91,7 +91,7 @@
     add_field({left.label, is_optional, position, value});
   }
 
-  // Adds a field after the patterns of both structs were applied to its value.
+  // Applies the patterns of both structs to the value of a field and adds the field.
   void add_field(Value::Field field) {
     for (const ValuePtr& pattern : unified_->patterns) {
       ValuePtr constrained = unify_field(pattern, field.value, field.is_optional);
@@ -102,7 +102,7 @@
     unified_->fields.push_back(std::move(field));
   }
 
-  // An optional field without a possible value is no problem: the field must be absent then.
+  // An optional field without a possible value is not a problem; it means that the field must be absent.
   ValuePtr unify_field(const ValuePtr& expected, const ValuePtr& found, bool is_optional) {
     return is_optional ? unifier_.try_unify(expected, found) : unifier_.unify(expected, found);
   }
--- a/src/cue/syntax.hpp
+++ b/src/cue/syntax.hpp
@@ -14,9 +14,9 @@
 
 namespace dispatcher::cue {
 
-inline constexpr std::size_t kMaxNesting = 48;  // of values, brackets included: bounds the recursion
+inline constexpr std::size_t kMaxNesting = 48;  // of values, including brackets; bounds the recursion
 
-/// What an expression is; the comment names the members of Expression that it uses.
+/// The kind of an expression. The comments name the members of Expression that each kind uses.
 enum class ExpressionKind {
   kLiteral,      // literal
   kType,         // name: null, bool, int, float, number or string
@@ -58,8 +58,9 @@
   bool is_open = false;  // ends in `...`; the last child of an open list constrains all further elements
 };
 
-/// Parses the file into one struct. Throws Errors with all syntax errors: after one, parsing continues at the
-/// next line that begins a field. The work is bounded by a multiple of the text's length.
+/// Parses the file into one struct. Throws Errors with all syntax errors: after a syntax error, parsing
+/// continues at the next line that begins with a label. The work is bounded by a multiple of the text's
+/// length.
 [[nodiscard]] Expression parse(const File& file);
 
 }  // namespace dispatcher::cue
--- a/src/cue/syntax_error.hpp
+++ b/src/cue/syntax_error.hpp
@@ -1,4 +1,4 @@
-// The exception by which the parts of the parser report an error to it.
+// The exception that the parts of the parser throw to report a syntax error.
 #ifndef DISPATCHER_CUE_SYNTAX_ERROR_HPP_
 #define DISPATCHER_CUE_SYNTAX_ERROR_HPP_
 
@@ -6,8 +6,8 @@
 
 namespace dispatcher::cue {
 
-/// Ends the parsing of one declaration. Parser in parser.cpp catches it and adds line and column, so it
-/// leaves no file of this package. `at` points into the text that is parsed.
+/// Thrown to end the parsing of one declaration. Parser in parser.cpp catches it and adds line and column, so
+/// it never leaves this package. `at` points into the text being parsed.
 struct SyntaxError {
   const char* at;
   std::string what;
--- a/src/cue/tree_builder.cpp
+++ b/src/cue/tree_builder.cpp
@@ -22,8 +22,8 @@
   return node.is_type<grammar::NamedField>() || node.is_type<grammar::PatternField>();
 }
 
-// The text between delimiters of `length` bytes at each end.
-std::string_view between(const ParseNode& node, std::size_t length) {
+// Returns the text of a node without the delimiter of `length` bytes at each end.
+std::string_view without_delimiters(const ParseNode& node, std::size_t length) {
   const std::string_view source = node.string_view();
   return source.substr(length, source.size() - 2 * length);
 }
@@ -31,9 +31,9 @@
 std::string multiline_string_value(const ParseNode& node) {
   constexpr std::size_t kTripleQuoteBytes = 3;
   try {
-    return unescape(dedent(between(node, kTripleQuoteBytes)));
+    return unescape(dedent(without_delimiters(node, kTripleQuoteBytes)));
   } catch (SyntaxError& error) {
-    error.at = begin_of(node);  // an escape sequence is in the dedented copy, not in the text
+    error.at = begin_of(node);  // `at` points into the dedented copy, not into the text
     throw;
   }
 }
@@ -42,14 +42,15 @@
   constexpr std::size_t kQuoteBytes = 1;
   constexpr std::size_t kRawQuoteBytes = 2;
   constexpr std::size_t kRawTripleQuoteBytes = 4;
-  if (node.is_type<grammar::PlainString>()) return unescape(between(node, kQuoteBytes));
-  if (node.is_type<grammar::RawString>()) return std::string(between(node, kRawQuoteBytes));
-  if (node.is_type<grammar::RawMultilineString>()) return dedent(between(node, kRawTripleQuoteBytes));
+  if (node.is_type<grammar::PlainString>()) return unescape(without_delimiters(node, kQuoteBytes));
+  if (node.is_type<grammar::RawString>()) return std::string(without_delimiters(node, kRawQuoteBytes));
+  if (node.is_type<grammar::RawMultilineString>())
+    return dedent(without_delimiters(node, kRawTripleQuoteBytes));
   return multiline_string_value(node);
 }
 
-// Whether a bound may have the operand: a number or string, a string for regular expressions, any literal for
-// `!=`.
+// Returns whether a bound may have the operand. Regular expressions must be strings, `!=` takes any
+// literal, and the other operators take a number or string.
 bool is_valid_operand(BoundOperator bound_operator, const Expression& operand) {
   if (operand.kind != ExpressionKind::kLiteral) return false;
   const bool is_string_literal = std::holds_alternative<std::string>(operand.literal);
@@ -88,13 +89,13 @@
   return expression;
 }
 
-// The grammar has a node of each binary operator also where there is one operand and no operator.
+// The grammar creates a node for each binary operator even if there is one operand and no operator.
 Expression TreeBuilder::build_operands(ExpressionKind kind, const ParseNode& node) const {
   if (node.children.size() > 1) return build_with_children(kind, node);
-  const ParseNode& only = *node.children.front();
-  if (only.is_type<grammar::DefaultDisjunct>())
-    throw SyntaxError{begin_of(only), "'*' marks one of several alternatives"};
-  return build(only);
+  const ParseNode& only_operand = *node.children.front();
+  if (only_operand.is_type<grammar::DefaultDisjunct>())
+    throw SyntaxError{begin_of(only_operand), "'*' is allowed only before one of several alternatives"};
+  return build(only_operand);
 }
 
 Expression TreeBuilder::build_struct(const ParseNode& node) const {
@@ -106,7 +107,7 @@
 Expression TreeBuilder::build_list(const ParseNode& node) const {
   Expression expression = make_expression(ExpressionKind::kList, node);
   for (const auto& child : node.children) {
-    if (expression.is_open) throw SyntaxError{begin_of(*child), "'...' must be the last of its list"};
+    if (expression.is_open) throw SyntaxError{begin_of(*child), "'...' must be the last element of its list"};
     if (!child->is_type<grammar::FurtherElements>()) {
       expression.children.push_back(build(*child));
       continue;
@@ -201,7 +202,7 @@
 void TreeBuilder::check_pattern(const ParseNode& pattern) const {
   const Expression expression = build(*pattern.children.front());
   if (expression.kind != ExpressionKind::kType || expression.name != "string")
-    throw SyntaxError{begin_of(pattern), "only [string] is offered as a pattern"};
+    throw SyntaxError{begin_of(pattern), "only [string] is supported as a pattern"};
 }
 
 void TreeBuilder::set_label(Expression::Field& field, const ParseNode& node) const {
@@ -215,7 +216,7 @@
   if (is_optional) field.kind = Kind::kOptional;
 }
 
-// The value of a field; a field in place of a value (a: b: 1) is short for a struct with that field.
+// Builds the value of a field. A field in place of a value (a: b: 1) is short for a struct with that field.
 Expression TreeBuilder::build_field_value(const ParseNode& node) const {
   if (!is_field(node)) return build(node);
   Expression structure = make_expression(ExpressionKind::kStruct, node);
--- a/src/cue/tree_builder.hpp
+++ b/src/cue/tree_builder.hpp
@@ -1,4 +1,4 @@
-// Turns PEGTL's parse tree into the syntax tree.
+// Converts PEGTL's parse tree into the syntax tree.
 #ifndef DISPATCHER_CUE_TREE_BUILDER_HPP_
 #define DISPATCHER_CUE_TREE_BUILDER_HPP_
 
@@ -13,17 +13,17 @@
 using ParseNode = tao::pegtl::parse_tree::node;
 
 /// Builds expressions from the parse tree of one text. Refers to that text, which must outlive it.
-/// Its functions throw SyntaxError where a node matches the grammar but is not valid.
+/// Its functions throw SyntaxError if a node matches the grammar but is not valid.
 class TreeBuilder {
  public:
-  /// Nodes refer to `text`; lines are those of `original`, which is of the same length.
+  /// Nodes refer to `text`. Positions are those in `original`, which has the same length.
   TreeBuilder(std::string_view original, std::string_view text) : text_(text), lines_(original) {}
 
-  /// The line and column of a place within the text.
+  /// Returns the line and column of a location within the text.
   [[nodiscard]] Position position(const char* at) const;
-  /// The expression of a node, which is no field.
+  /// Builds the expression of a node, which must not be a field.
   [[nodiscard]] Expression build(const ParseNode& node) const;
-  /// Adds a declaration, which is a field or an ellipsis, to a struct.
+  /// Adds a declaration, that is, a field or an ellipsis, to a struct.
   void add_declaration(Expression& structure, const ParseNode& node) const;
 
  private:
--- a/src/cue/unifier.cpp
+++ b/src/cue/unifier.cpp
@@ -11,7 +11,7 @@
   return (value.kinds & other.kinds) == kind && value.bounds.empty() && other.bounds.empty();
 }
 
-// The constraint on the item at `index`; null where the list is too short for one.
+// Returns the constraint on the item at `index`, or null if the list is too short to have this item.
 ValuePtr item_at(const Value& list, std::size_t index) {
   return index < list.items.size() ? list.items[index] : list.further_items;
 }
@@ -40,7 +40,7 @@
 }
 
 ValuePtr Unifier::report_conflict(const ValuePtr& expected, const ValuePtr& found) {
-  // The schema's value is the expectation, on whichever side it is.
+  // If only one value is the schema's, it is the expected one, whichever side it is on.
   const bool is_swapped = expected->position.in_file() && !found->position.in_file();
   const Value& expectation = is_swapped ? *found : *expected;
   const Value& finding = is_swapped ? *expected : *found;
@@ -50,7 +50,7 @@
     const Position& other = expectation.position;
     if (other.in_file())
       what +=
-          " (the other stands at " + std::to_string(other.line) + ":" + std::to_string(other.column) + ")";
+          " (the other value is at " + std::to_string(other.line) + ":" + std::to_string(other.column) + ")";
   }
   context_.report(finding.position, std::move(what));
   return nullptr;
@@ -91,7 +91,8 @@
   return unified;
 }
 
-// Reports, at the first item that one list has too many, that the other one is shorter.
+// Reports that the lists differ in size. The current path must be that of the longer list's first surplus
+// item.
 ValuePtr Unifier::report_list_size(const ValuePtr& left, const ValuePtr& right) {
   const bool is_left_shorter = left->items.size() < right->items.size();
   const Value& shorter = is_left_shorter ? *left : *right;
--- a/src/cue/unifier.hpp
+++ b/src/cue/unifier.hpp
@@ -7,7 +7,7 @@
 
 namespace dispatcher::cue {
 
-inline constexpr std::size_t kMaxDisjuncts = 1024;  // of one value: unifying two multiplies their numbers
+inline constexpr std::size_t kMaxDisjuncts = 1024;  // of one value; unification multiplies the numbers of two
 
 /// Unifies values within one evaluation. Refers to the context, which must outlive it. All functions may
 /// throw LimitReached.
@@ -15,12 +15,13 @@
  public:
   explicit Unifier(EvaluationContext& context) : context_(context) {}
 
-  /// The unification of two values; null where there is none, which is then reported. `expected` is the side
-  /// that error messages show as such, unless only it has a place in the file.
+  /// Returns the unification of two values. If there is none, reports that and returns null. Error messages
+  /// show `expected` as the expected value, unless it is the only one with a position in the file; then they
+  /// show `found` as the expected value.
   [[nodiscard]] ValuePtr unify(const ValuePtr& expected, const ValuePtr& found);
-  /// As unify(), but reports nothing.
+  /// Like unify(), but reports nothing.
   [[nodiscard]] ValuePtr try_unify(const ValuePtr& expected, const ValuePtr& found);
-  /// Reports that the two have no unification. Returns null.
+  /// Reports that the two values cannot be unified. Returns null.
   ValuePtr report_conflict(const ValuePtr& expected, const ValuePtr& found);
 
  private:
@@ -31,8 +32,8 @@
   EvaluationContext& context_;
 };
 
-/// The cases of Unifier::unify() that have their own files: two structs, and values of which at least one is
-/// a disjunction.
+/// The cases of Unifier::unify() that are implemented in files of their own: two structs, and two values of
+/// which at least one is a disjunction.
 [[nodiscard]] ValuePtr unify_structs(Unifier& unifier, EvaluationContext& context, const ValuePtr& left,
                                      const ValuePtr& right);
 [[nodiscard]] ValuePtr unify_disjunctions(Unifier& unifier, EvaluationContext& context,
--- a/src/cue/utf8.hpp
+++ b/src/cue/utf8.hpp
@@ -10,8 +10,8 @@
 
 namespace dispatcher::cue {
 
-/// The well-formed sequences of more than one byte by their first byte, as in RFC 3629, section 4. Bytes
-/// after the second one are continuation bytes.
+/// A range of well-formed sequences of more than one byte, as in RFC 3629, section 4, selected by the first
+/// byte. Bytes after the second one are continuation bytes.
 struct Utf8Form {
   unsigned first_min;
   unsigned first_max;
@@ -28,7 +28,7 @@
                                                         {0xF1, 0xF3, 0x80, 0xBF, 4},
                                                         {0xF4, 0xF4, 0x80, 0x8F, 4}}};
 
-/// Whether `text` starts with a sequence of this form, whose first byte is known to fit.
+/// Returns whether `text` starts with a sequence of this form. Its first byte must already match the form.
 [[nodiscard]] inline bool starts_with_form(std::string_view text, const Utf8Form& form) {
   if (text.size() < form.length) return false;
   const auto second = static_cast<unsigned char>(text[1]);
@@ -39,7 +39,7 @@
   return true;
 }
 
-/// The length in bytes of the character at the front of `text`; 0 where none is well-formed there.
+/// Returns the length in bytes of the character at the front of `text`, or 0 if it is not well-formed.
 [[nodiscard]] inline std::size_t utf8_length(std::string_view text) {
   if (text.empty()) return 0;
   const auto first = static_cast<unsigned char>(text.front());
@@ -51,7 +51,8 @@
   return 0;
 }
 
-/// The offset at which `text` stops being well-formed; npos where it is well-formed.
+/// Returns the offset of the first byte that is not well-formed UTF-8, or npos if all of `text` is
+/// well-formed.
 [[nodiscard]] inline std::size_t invalid_utf8(std::string_view text) {
   for (std::size_t i = 0; i < text.size();) {
     const std::size_t length = utf8_length(text.substr(i));
@@ -61,7 +62,7 @@
   return std::string_view::npos;
 }
 
-/// Appends a code point, which must be at most 0x10FFFF and no surrogate.
+/// Appends a code point, which must be at most 0x10FFFF and must not be a surrogate.
 inline void encode_utf8(std::string& out, std::uint32_t code_point) {
   const auto continuation = [&](unsigned shift) {
     return static_cast<char>(0x80U | ((code_point >> shift) & 0x3FU));
@@ -78,7 +79,7 @@
   }
 }
 
-/// The longest prefix of at most `maximum` bytes that ends with a complete, well-formed character.
+/// Returns the longest prefix of at most `maximum` bytes that ends with a complete, well-formed character.
 [[nodiscard]] inline std::string clip_utf8(std::string_view text, std::size_t maximum) {
   std::size_t end = 0;
   while (end < text.size()) {
--- a/src/cue/value.cpp
+++ b/src/cue/value.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-// Of a disjunction in an error message; further disjuncts are omitted.
+// The length in bytes beyond which the further disjuncts of a disjunction are omitted from an error message.
 constexpr std::size_t kMaxDisjunctionBytes = 240;
 
 void append_alternative(std::string& text, std::string_view alternative) {
@@ -50,7 +50,7 @@
 
 std::string describe_bounds(const Value& value) {
   std::string text;
-  // The other kinds follow from the operands.
+  // Kinds other than int follow from the operands of the bounds.
   if ((value.kinds & (kNumberKinds | kStringKind)) == kIntKind) text = "int";
   for (const Bound& bound : value.bounds) {
     if (!text.empty()) text += " & ";
--- a/src/cue/value.hpp
+++ b/src/cue/value.hpp
@@ -1,5 +1,5 @@
 // The values that expressions evaluate to. A value need not be concrete: it may be a type, a bound or a
-// choice.
+// disjunction.
 #ifndef DISPATCHER_CUE_VALUE_HPP_
 #define DISPATCHER_CUE_VALUE_HPP_
 
@@ -33,8 +33,8 @@
 /// A set of Kinds.
 using KindSet = unsigned;
 
-/// A set of concrete values, or a single one. Which members constrain it depends on `kinds`; a disjunction
-/// has disjuncts and no other constraint.
+/// A single concrete value or a set of concrete values. `kinds` determines which members constrain it. A
+/// disjunction has disjuncts and no other constraint.
 struct Value {
   /// A field of a struct.
   struct Field {
@@ -50,29 +50,30 @@
   };
 
   Position position;
-  KindSet kinds = kAllKinds;  // of the concrete values; empty: there is none
+  KindSet kinds = kAllKinds;  // kinds of the concrete values; empty if there are none
   std::optional<Scalar> scalar;
   std::vector<Bound> bounds;
   std::vector<Field> fields;
   std::vector<ValuePtr> patterns;  // constraints on every field, whatever its label
-  bool is_closed = false;          // allows no fields but `fields` and, where there are patterns, any others
+  bool is_closed = false;          // allows only the labels of `fields`, or any label if there are patterns
   std::vector<ValuePtr> items;
-  ValuePtr further_items;  // constraint on the items of a list after `items`; null: there are none
+  ValuePtr further_items;  // constraint on the items of a list after `items`; null if none may follow
   std::vector<Disjunct> disjuncts;
 };
 
-/// A value of any of the kinds, without further constraints. The caller may add some before it shares it.
+/// Creates a value of any of the kinds, without further constraints. The caller may add constraints before it
+/// shares the value.
 [[nodiscard]] std::shared_ptr<Value> make_value(Position position, KindSet kinds);
-/// The value that is just this scalar.
+/// Creates the value that is exactly this scalar.
 [[nodiscard]] ValuePtr make_scalar_value(Position position, Scalar scalar);
-/// Whether the value is `_`: every value is an instance of it.
+/// Returns whether the value is `_`, of which every value is an instance.
 [[nodiscard]] bool is_top(const Value& value);
-/// Whether one of the disjuncts is marked as default.
+/// Returns whether one of the disjuncts is marked as default.
 [[nodiscard]] bool has_default(const std::vector<Value::Disjunct>& disjuncts);
-/// The position of the value that the file gives, rather than that of the schema's: the right one's, if it
-/// has one.
+/// Returns the right value's position if that is in the file, otherwise the left value's. This prefers the
+/// position in the file to the schema's.
 [[nodiscard]] Position file_position(const ValuePtr& left, const ValuePtr& right);
-/// The value as error messages show it: what was expected, or what was found.
+/// Returns the value as error messages show it, as the expected value or as the value found.
 [[nodiscard]] std::string describe(const Value& value);
 
 }  // namespace dispatcher::cue
--- a/tests/cue/cue_test.cpp
+++ b/tests/cue/cue_test.cpp
@@ -1,4 +1,5 @@
-// Configuration files: what is valid, which problems are reported of what is not, and the limits on work.
+// Configuration files: which files are valid, which problems are reported for invalid ones, and the limits on
+// work.
 #include <algorithm>
 #include <catch2/catch.hpp>
 #include <fstream>
@@ -57,7 +58,7 @@
   CHECK_FALSE(data["size"].where().in_file());
 }
 
-TEST_CASE("a file may have definitions, references and conjunctions of its own", "[record]") {
+TEST_CASE("a file may have its own definitions, references and conjunctions", "[record]") {
   const Data data = read(
       "#Small: {rate: <10, ...}\n_name: \"abc\"\nname: _name\n"
       "limits: {a: #Small & {rate: 3}\n b: #Small & {rate: 4, burst: 2}}\n",
@@ -65,15 +66,15 @@
   CHECK(data["name"].text() == "abc");
   CHECK(data["limits"]["b"]["burst"].integer() == 2);
   CHECK(problems("#Small: {rate: <10, ...}\nname: \"a\"\nlimits: a: #Small & {rate: 30}\n") ==
-        Lines{"f:3:28: limits.a.rate: expected <10, found 30 (the other stands at 1:16)"});
-  // A definition is closed, also towards what it is unified with.
+        Lines{"f:3:28: limits.a.rate: expected <10, found 30 (the other value is at 1:16)"});
+  // A definition is closed. It rejects fields that it does not name, whether the file or the schema has them.
   CHECK(problems("#Small: rate: <10\nname: \"a\"\nlimits: a: #Small & {rate: 3, burst: 1}\n") ==
         Lines{"f:3:31: limits.a.burst: unknown field"});
   CHECK(problems("#Small: rate: <10\nname: \"a\"\nlimits: a: #Small & {rate: 3}\n") ==
         Lines{"f:3:21: limits.a.burst: a definition that does not end in '...' leaves out the field"});
 }
 
-TEST_CASE("string and number literals have the values that their notation gives", "[record]") {
+TEST_CASE("string and number literals are parsed to the values that they denote", "[record]") {
   const std::string schema = "#File: {t: string, n: *0 | number}";
   const auto text = [&](const std::string& literal) { return read("t: " + literal, schema)["t"].text(); };
   CHECK(text(R"("a\"\\\/\n\t\u00e9\U0001F600")") == "a\"\\/\n\t\xC3\xA9\xF0\x9F\x98\x80");
@@ -98,14 +99,15 @@
   CHECK(bad("012").front().find("may not begin with 0") != std::string::npos);
   CHECK(bad("1e999").front().find("out of range") != std::string::npos);
   CHECK(bad("12ab").size() == 1);
-  CHECK(problems("t: \"\\(n)\"", schema) == Lines{"f:1:5: interpolation is not offered, found '\\(n)\"'"});
-  CHECK(problems("t: \"\\ud800\"", schema).front().find("no such character") != std::string::npos);
+  CHECK(problems("t: \"\\(n)\"", schema) == Lines{"f:1:5: interpolation is not supported, found '\\(n)\"'"});
+  CHECK(problems("t: \"\\ud800\"", schema).front().find("not a valid Unicode character") !=
+        std::string::npos);
   CHECK(problems("t: \"\"\"\n\ta\\\n\t\"\"\"", schema).front().find("unknown escape") != std::string::npos);
   CHECK(problems("t: \"\"\"\n\t a\n  b\n\t \"\"\"", schema).front().find("indented less") !=
         std::string::npos);
 }
 
-TEST_CASE("every problem is reported with its position, what was expected and what was found", "[record]") {
+TEST_CASE("every problem is reported with its position, the expected and the found value", "[record]") {
   CHECK(problems("name: \"A1\"\nsize: 101\nshare: 2\nmode: \"swift\"\ntags: [1, \"x\", null]\nnmae: 1\n"
                  "limits: {a: {}, b: {rate: \"1\"}, c: {rate: 1, brust: 2}}\n") ==
         Lines{"f:1:7: name: expected =~\"^[a-z]+$\", found \"A1\"",
@@ -116,14 +118,14 @@
               "f:6:1: nmae: unknown field; 'name' is known",
               "f:7:27: limits.b.rate: expected int & >0, found \"1\"",
               "f:7:46: limits.c.brust: unknown field; 'burst' is known"});
-  // Missing fields are reported once there is no other problem.
+  // Missing fields are reported only if there is no other problem.
   CHECK(problems("limits: {a: {}, b: {}}\n") == Lines{"f:1:1: name: missing: expected =~\"^[a-z]+$\"",
                                                       "f:1:13: limits.a.rate: missing: expected int & >0",
                                                       "f:1:20: limits.b.rate: missing: expected int & >0"});
-  CHECK(problems("name: string\n") == Lines{"f:1:7: name: not a value yet: =~\"^[a-z]+$\""});
+  CHECK(problems("name: string\n") == Lines{"f:1:7: name: incomplete value: =~\"^[a-z]+$\""});
   CHECK(problems("name: \"a\"\none: {rate: 0}\n") == Lines{"f:2:13: one.rate: expected int & >0, found 0"});
   CHECK(problems("name: \"a\"\nname: \"b\"\n") ==
-        Lines{"f:2:7: name: expected \"a\", found \"b\" (the other stands at 1:7)"});
+        Lines{"f:2:7: name: expected \"a\", found \"b\" (the other value is at 1:7)"});
 }
 
 TEST_CASE("after a syntax error, parsing continues at the next field", "[record]") {
@@ -133,14 +135,14 @@
   CHECK(lines[0] == "f:2:9: a comma or the line's end expected, found '5'");
 }
 
-TEST_CASE("text after the closing brace of a file in braces is an error at its place", "[record]") {
+TEST_CASE("text after the closing brace of a file in braces is an error at its position", "[record]") {
   const std::string schema = "#File: {...}";
   CHECK(problems("{a: 1}\nb: 2\n", schema) == Lines{"f:2:1: expected end of file, found 'b:'"});
   CHECK(problems("{\"a\": 1}}", schema) == Lines{"f:1:9: expected end of file, found '}'"});
   CHECK(problems("{a: 1} // a comment\n\n", schema) == Lines{});
 }
 
-TEST_CASE("what CUE rejects is rejected", "[record]") {
+TEST_CASE("files that CUE rejects are rejected", "[record]") {
   const std::string schema = "#File: {...}";
   for (const char* good :
        {"a: 1, b: 2", "a: 1\nb: 2", "{a: 1}", "a: [1,\n2]", "a: [1\n2\n]", "a: {b: 1\n}\n", "a: b: c: 1",
@@ -156,25 +158,26 @@
     INFO(bad);
     CHECK(problems(bad, schema).size() >= 1);
   }
-  // JSON as it is, also where a line begins with a comma.
+  // JSON is accepted unchanged, even if a line begins with a comma.
   CHECK(problems("{\"a\" : 1\n , \"b\"\n:\n [1\n,2]\n}\n", schema) == Lines{});
 }
 
 TEST_CASE("a definition that refers to itself is rejected at the reference", "[record]") {
   const std::string schema = "#File: {...}";
-  CHECK(problems("#A: {b: #A}\na: #A", schema) == Lines{"f:1:9: #A.b: '#A' is defined by itself"});
+  CHECK(problems("#A: {b: #A}\na: #A", schema) == Lines{"f:1:9: #A.b: '#A' refers to itself"});
   CHECK(problems("#A: #B\n#B: [#C]\n#C: 1 | #A", schema).size() == 1);
   std::string chain = "#A0: 1\n";
   for (int i = 1; i < 5000; ++i) chain += "#A" + std::to_string(i) + ": #A" + std::to_string(i - 1) + "\n";
-  CHECK(problems("a: #A4999\n" + chain, schema).front().find("defined by one another") != std::string::npos);
+  CHECK(problems("a: #A4999\n" + chain, schema).front().find("definitions refer to one another") !=
+        std::string::npos);
 }
 
-TEST_CASE("a chain of definitions nested in fields is rejected at its limit", "[record]") {
+TEST_CASE("a chain of definitions nested in fields is rejected beyond the length limit", "[record]") {
   std::string chain;
   for (int i = 1; i < 200; ++i)
     chain += "#A" + std::to_string(i) + ": x: y: z: #A" + std::to_string(i + 1) + "\n";
   CHECK(problems(chain + "#A200: 1\n", "#File: {...}") ==
-        Lines{"f:64:16: #A64.x.y.z: more than 64 definitions are defined by one another"});
+        Lines{"f:64:16: #A64.x.y.z: more than 64 definitions refer to one another"});
 }
 
 TEST_CASE("depth, size and work of every file are bounded", "[record]") {
@@ -188,7 +191,7 @@
     INFO(open);
     CHECK(problems(deep, schema).size() == 1);
   }
-  // Each definition doubles the one before: a thousand million values in thirty lines.
+  // Each definition contains the previous one twice, so that thirty lines stand for about a billion values.
   std::string doubles = "#A0: {x: 1}\n";
   for (int i = 1; i < 30; ++i) {
     const std::string before = "#A" + std::to_string(i - 1);
@@ -205,7 +208,9 @@
   CHECK(problems(std::string(cue::kMaxBytes + 1, ' '), schema).front().find("larger than") !=
         std::string::npos);
   CHECK(problems("a: \"" + std::string(cue::kMaxBytes / 2, 'x') + "\"", schema) == Lines{});
-  std::string wide;  // two structs of many fields joined, and a definition that knows none of as many
+  // The fields of two large structs that are unified, and of a definition that is unified with a larger
+  // struct.
+  std::string wide;
   for (int i = 0; i < 60'000; ++i) wide += "x" + std::to_string(i) + ": 1, ";
   CHECK(problems("a: {" + wide + "} & {" + wide + "y: 1}", schema) == Lines{});
   CHECK(problems("#A: {" + wide + "}\n_b: {" + wide + "z1: 1, z2: 1}\na: #A & _b", schema).size() == 2);
@@ -214,10 +219,11 @@
     for (int i = 0; i < 500; ++i) text += "x" + std::to_string(i) + ": 1\n";
     return text;
   }();
-  CHECK(problems(many, "#File: {}").size() == 101);  // and no more
+  // 100 problems and the message that further ones are not reported.
+  CHECK(problems(many, "#File: {}").size() == 101);
 }
 
-TEST_CASE("definitions that are repeated beyond the limit of problems are rejected as Errors", "[record]") {
+TEST_CASE("repeated definitions beyond the problem limit are reported as Errors", "[record]") {
   std::string repeated;
   for (int i = 0; i < 150; ++i) repeated += "#A: 1\n";
   const Lines lines = problems(repeated, "#File: {...}");
@@ -227,7 +233,7 @@
   CHECK_THROWS_AS(cue::Schema(repeated + "#File: {...}", "#File"), cue::Errors);
 }
 
-TEST_CASE("files cut and changed at random are read or rejected", "[record]") {
+TEST_CASE("files truncated and changed at random are read or rejected", "[record]") {
   std::mt19937 random(29);
   const std::string good =
       "#L: {rate: <10, ...} // small\nname: \"abc\"\nsize: 5 & int\nlimits: {a: #L & {rate: 3}, \"b\": rate: "
