--- a/src/expression/ast.cpp
+++ b/src/expression/ast.cpp
@@ -34,7 +34,7 @@
   return real;
 }
 
-// The children from `first` on.
+// Returns the texts of the children from index `first` on, joined by `separator`.
 std::string joined(const std::vector<Node>& children, const std::string& separator, std::size_t first = 0) {
   std::string text;
   for (std::size_t i = first; i < children.size(); ++i) {
--- a/src/expression/ast.hpp
+++ b/src/expression/ast.hpp
@@ -17,7 +17,7 @@
   kLiteral,  // a constant of the node's type, in `integer`, `real` or `text`
   kName,     // text: an identifier
   kSelect,   // child: the object; text: its field
-  kCall,     // text: the function; children: its arguments, before them the object of a method
+  kCall,     // text: the function; children: its arguments, preceded by the object for a method
   kIndex,    // children: a list or map, and an index or key
   kList,     // children: its elements
   kMap,      // children: key, value, key, value ...
@@ -40,30 +40,30 @@
   kRemainder,
   // Made by the type checker:
   kField,    // integer: the field's number in the environment; text: its path
-  kPresent,  // has(); integer and text: as of kField
+  kPresent,  // has(); integer and text: as for kField
 };
 
 // A node's own data, without its children.
 struct NodeAttributes {
   Op op{};
-  std::size_t at = 0;        // offset in the expression's text, in bytes: of its begin or of its operator
-  Type type;                 // set by the type checker; of literals by the parser
-  bool is_method = false;    // of kCall: object.function()
-  std::int64_t integer = 0;  // also of a bool: 0 or 1
+  std::size_t at = 0;        // byte offset of its start, or of its operator, in the expression
+  Type type;                 // set by the type checker, or by the parser for literals
+  bool is_method = false;    // for kCall: it has the form object.function()
+  std::int64_t integer = 0;  // also holds a bool, as 0 or 1
   double real = 0;
   std::string text;
 };
 
-// A node, which owns its children.
+// A node of the tree. Owns its children.
 struct Node : NodeAttributes {
   std::vector<Node> children;
 };
 
-// The symbol of an operator, such as "&&"; empty for nodes that are none.
+// Returns the symbol of an operator, such as "&&", or an empty string if `operation` is not an operator.
 [[nodiscard]] std::string_view symbol(Op operation);
 
-// The tree as text, in one canonical form whatever its spacing and parentheses were. Parsing it gives the
-// same tree, apart from the offsets.
+// Returns the tree as text in a canonical form, which does not depend on the original spacing and
+// parentheses. Parsing that text gives the same tree, except for the offsets.
 [[nodiscard]] std::string to_text(const Node& node);
 
 }  // namespace dispatcher::expression
--- a/src/expression/automaton.cpp
+++ b/src/expression/automaton.cpp
@@ -9,9 +9,10 @@
 
 namespace {
 
-constexpr std::int64_t kMaxRe2Bytes = 1 << 20;  // of memory, for RE2's own program
+constexpr std::int64_t kMaxRe2Bytes = 1 << 20;  // memory limit of RE2's own program
 
-// RE2 decides what is well-formed, so that its syntax needs no second definition here.
+// Throws PatternError if RE2 rejects the pattern. RE2 decides which patterns are well-formed, so that its
+// syntax is not defined a second time here.
 void check_syntax(const std::string& pattern) {
   re2::RE2::Options options;
   options.set_log_errors(false);
--- a/src/expression/automaton.hpp
+++ b/src/expression/automaton.hpp
@@ -12,15 +12,15 @@
 
 namespace dispatcher::expression {
 
-// A pattern as a complete deterministic automaton, built once. Unlike RE2's, which builds its states while it
-// matches, it allocates nothing in matches(). Immutable, so that threads may share it.
+// A pattern that has been compiled to a complete deterministic automaton. matches() allocates no memory,
+// unlike RE2, which builds its states while it matches. Immutable, so that threads may share it.
 class Automaton {
  public:
-  // Builds the automaton of a pattern in the syntax of RE2. Throws PatternError where RE2 does not accept the
-  // pattern, where it uses a feature that is not supported, or where the automaton grows too large.
+  // Builds the automaton of a pattern in the syntax of RE2. Throws PatternError if RE2 does not accept the
+  // pattern, if the pattern uses a feature that is not supported, or if the automaton grows too large.
   explicit Automaton(const std::string& pattern);
 
-  // Whether the text, which must be UTF-8, contains a match.
+  // Returns whether `text`, which must be UTF-8, contains a match.
   [[nodiscard]] bool matches(std::string_view text) const noexcept {
     const std::uint32_t accepting = Dfa::kAccepting * dfa_.row_width;
     const std::uint32_t rejecting = Dfa::kRejecting * dfa_.row_width;
@@ -33,9 +33,10 @@
     return state == accepting || (state != rejecting && dfa_.accepts_at_end[state / dfa_.row_width] != 0);
   }
 
+  // Returns the number of states.
   [[nodiscard]] std::size_t states() const { return dfa_.accepts_at_end.size(); }
 
-  // The memory of its tables, in bytes.
+  // Returns the memory that the tables take, in bytes.
   [[nodiscard]] std::size_t bytes() const {
     return dfa_.transitions.size() * sizeof(dfa_.transitions[0]) + dfa_.accepts_at_end.size() +
            dfa_.byte_class.size();
--- a/src/expression/character_class_parser.cpp
+++ b/src/expression/character_class_parser.cpp
@@ -18,14 +18,15 @@
 Escape parse_perl_class(PatternCursor& cursor, CaseMode case_mode) {
   const auto letter = static_cast<unsigned char>(cursor.next_byte());
   CharacterSet set = perl_class(static_cast<char>(std::tolower(letter)));
-  // Before the complement is taken: \W must not match what \w matches in another case.
+  // The other cases are added before the set is complemented, because \W must not match what \w matches in
+  // another case.
   if (case_mode == CaseMode::kInsensitive) add_other_cases(set);
   const bool is_negated = std::isupper(letter) != 0;
   if (is_negated) set = complement(std::move(set));
   return {std::move(set), true};
 }
 
-// The digits of \x41 or \x{20AC}, after the backslash.
+// Parses an escape such as \x41 or \x{20AC}, after its backslash.
 CharacterSet parse_hexadecimal(PatternCursor& cursor) {
   cursor.advance();
   std::size_t length = 2;
@@ -36,26 +37,26 @@
   return single(static_cast<std::uint32_t>(std::stoul("0" + digits, nullptr, 16)));
 }
 
-// [:name:] or [:^name:], after its "[:".
+// Parses [:name:] or [:^name:], after its "[:".
 CharacterSet parse_posix_class(PatternCursor& cursor, CaseMode case_mode) {
   const std::size_t length = cursor.remaining().find(":]");
   std::string_view name = cursor.remaining().substr(0, length);
   const bool is_negated = name.starts_with('^');
   if (is_negated) name.remove_prefix(1);
   std::optional<CharacterSet> set = posix_class(name);
-  if (!set) throw PatternError("unknown class of characters");
+  if (!set) throw PatternError("unknown character class");
   if (case_mode == CaseMode::kInsensitive) add_other_cases(*set);
   cursor.advance(length + 2);
   return is_negated ? complement(std::move(*set)) : std::move(*set);
 }
 
-// One character or escape between brackets.
+// Parses one character or escape in a bracket expression.
 Escape parse_bracket_item(PatternCursor& cursor, CaseMode case_mode) {
   if (cursor.peek() == '\\') return parse_escape(cursor, case_mode);
   return {single(cursor.next_code_point()), false};
 }
 
-// A character, an escape or a range such as a-z.
+// Parses a character, an escape or a range such as a-z in a bracket expression.
 CharacterSet parse_bracket_range(PatternCursor& cursor, CaseMode case_mode) {
   Escape item = parse_bracket_item(cursor, case_mode);
   CharacterSet& set = item.characters;
@@ -86,14 +87,14 @@
   }
   if (letter == 'x') return {parse_hexadecimal(cursor), false};
   if (std::isalnum(static_cast<unsigned char>(letter)) != 0)
-    throw PatternError(std::string("'\\") + letter + "' is not offered");
+    throw PatternError(std::string("'\\") + letter + "' is not supported");
   return {single(cursor.next_code_point()), false};
 }
 
 CharacterSet parse_bracket_expression(PatternCursor& cursor, CaseMode case_mode) {
   CharacterSet set;
   const bool is_negated = cursor.consume("^");
-  bool is_first = true;  // a ']' in front is a literal
+  bool is_first = true;  // a ']' in the first place is a literal
   while (cursor.at_end() || cursor.peek() != ']' || is_first) {
     if (cursor.at_end()) throw PatternError("']' expected");
     is_first = false;
--- a/src/expression/character_class_parser.hpp
+++ b/src/expression/character_class_parser.hpp
@@ -7,18 +7,22 @@
 
 namespace dispatcher::expression {
 
+// Whether a letter matches only in its own case or in both cases.
 enum class CaseMode { kSensitive, kInsensitive };
 
-// What an escape denotes.
+// The characters that an escape denotes.
 struct Escape {
   CharacterSet characters;
-  bool is_perl_class = false;  // \d and the like: cases are already added, and it begins no range
+  // For a class such as \d, which already contains the other cases and cannot begin a range.
+  bool is_perl_class = false;
 };
 
-// Reads the escape whose backslash is at the cursor. Throws PatternError.
+// Parses the escape whose backslash is at the cursor. Throws PatternError if it is malformed or not
+// supported.
 [[nodiscard]] Escape parse_escape(PatternCursor& cursor, CaseMode case_mode);
 
-// Reads a bracket expression whose '[' has been consumed. Throws PatternError.
+// Parses a bracket expression whose '[' has been consumed. Throws PatternError if it is malformed or not
+// supported.
 [[nodiscard]] CharacterSet parse_bracket_expression(PatternCursor& cursor, CaseMode case_mode);
 
 }  // namespace dispatcher::expression
--- a/src/expression/character_set.cpp
+++ b/src/expression/character_set.cpp
@@ -74,11 +74,11 @@
 void add_other_cases_or_throw(CharacterSet& set) {
   add_other_cases(set);
   for (const CodePointRange& range : set) {
-    // A range up to the last code point is a complement, which contains both cases of nearly all letters; to
-    // find the cases of single letters takes Unicode's tables.
+    // A range up to the last code point comes from a complement, which contains both cases of nearly all
+    // letters. Finding the other cases of single letters would require Unicode's tables.
     const bool is_known = range.high <= kMaxAscii || range.low == kKelvinSign || range.low == kLongS ||
                           range.high == kMaxCodePoint;
-    if (!is_known) throw PatternError("(?i) is offered for ASCII letters only");
+    if (!is_known) throw PatternError("(?i) is supported for ASCII letters only");
   }
 }
 
--- a/src/expression/character_set.hpp
+++ b/src/expression/character_set.hpp
@@ -17,27 +17,29 @@
   std::uint32_t high = 0;
 };
 
-// The union of its ranges, which may overlap and are in any order until normalized() is applied.
+// A set of code points: the union of its ranges, which may overlap and are in any order until normalized() is
+// applied.
 using CharacterSet = std::vector<CodePointRange>;
 
-// The same set as sorted ranges that neither overlap nor touch.
+// Returns the same set as sorted ranges that neither overlap nor touch.
 [[nodiscard]] CharacterSet normalized(CharacterSet set);
 
-// All code points that `set` does not contain, normalized.
+// Returns all code points that `set` does not contain, normalized.
 [[nodiscard]] CharacterSet complement(CharacterSet set);
 
-// Adds the other case of each letter in `set`. Only the letters of ASCII are known, and the two characters
+// Adds the other case of each letter in `set`. Handles only the letters of ASCII and the two characters
 // beyond ASCII that fold to one of them: U+017F (long s) and U+212A (the Kelvin sign).
 void add_other_cases(CharacterSet& set);
 
-// As add_other_cases(). Throws PatternError where the set contains letters beyond ASCII, whose cases are not
-// known.
+// Does the same as add_other_cases(), but throws PatternError if the set contains letters beyond ASCII, whose
+// other cases are not known.
 void add_other_cases_or_throw(CharacterSet& set);
 
-// The set of \d, \s or \w, named by its lower-case letter. Only ASCII, as in RE2.
+// Returns the set of \d, \s or \w, selected by its lower-case letter. Contains only ASCII characters, as in
+// RE2.
 [[nodiscard]] const CharacterSet& perl_class(char letter);
 
-// The set of [:name:]; nullopt: there is no such class.
+// Returns the set of [:name:], or nullopt if there is no such class.
 [[nodiscard]] std::optional<CharacterSet> posix_class(std::string_view name);
 
 }  // namespace dispatcher::expression
--- a/src/expression/code_generator.cpp
+++ b/src/expression/code_generator.cpp
@@ -56,8 +56,9 @@
   return kind == Kind::kDouble ? kMaxDoubleText : kMaxIntText;
 }
 
-// One pass over the tree. Each generate function appends the code that leaves the node's value on the stack,
-// and returns the maximum length of that value in bytes; 0 where it is not a string.
+// Generates the code in one pass over the tree. Each generate function appends the code that leaves the
+// node's value on the stack, and returns the maximum length of that value in bytes, or 0 if it is not a
+// string.
 class CodeGenerator {
  public:
   explicit CodeGenerator(const Environment& fields) : fields_(fields) {}
@@ -74,7 +75,8 @@
   }
 
  private:
-  // Appends an instruction and returns its index. `stack_change`: values pushed minus values popped.
+  // Appends an instruction and returns its index. `stack_change` is the number of values that it pushes minus
+  // the number that it pops.
   std::size_t emit(Opcode opcode, double cost_ns, int stack_change, std::int32_t operand = 0) {
     code_.instructions.push_back({opcode, operand, 0});
     costs_.push_back(cost_ns);
@@ -83,7 +85,7 @@
     return code_.instructions.size() - 1;
   }
 
-  // The index of the instruction that is emitted next.
+  // Returns the index of the instruction that is emitted next.
   [[nodiscard]] std::int32_t next_index() const {
     return static_cast<std::int32_t>(code_.instructions.size());
   }
@@ -210,7 +212,7 @@
     return table;
   }
 
-  // For binary searches.
+  // Returns the table of a list, sorted for binary searches.
   LookupTable sorted_list_table(const Node& list) {
     LookupTable table = list_table(list);
     std::sort(table.keys.begin(), table.keys.end(), is_less);
@@ -240,7 +242,7 @@
     return static_cast<std::int32_t>(code_.tables.size()) - 1;
   }
 
-  // Replaces a key on the stack by what a binary search in the table gives.
+  // Emits an instruction that replaces the key on the stack with the result of a binary search in the table.
   void generate_lookup(Opcode opcode, Kind key_kind, std::size_t key_length, LookupTable table) {
     const double cost_ns = lookup_ns(key_kind, key_length, max_length(table.keys), table.keys.size());
     emit(opcode, cost_ns, 0, add_table(std::move(table)));
@@ -295,7 +297,7 @@
     return 0;
   }
 
-  // The size of a list or map is a constant: both have constants alone.
+  // The size of a list or map is a constant, because both contain only constants.
   std::size_t generate_size(const Node& node) {
     const Node& argument = node.children[0];
     const std::size_t count = argument.children.size();
@@ -341,7 +343,7 @@
 
   const Environment& fields_;
   Bytecode code_;
-  std::vector<double> costs_;  // of each instruction, ns
+  std::vector<double> costs_;  // the cost of each instruction, in ns
   int stack_depth_ = 0;
 };
 
--- a/src/expression/code_generator.hpp
+++ b/src/expression/code_generator.hpp
@@ -10,18 +10,19 @@
 
 namespace dispatcher::expression {
 
-// Bytes of strings that one evaluation may create: bounds the memory of a Scratch.
+// The maximum total size of the strings that one evaluation may create, in bytes. Bounds the memory of a
+// Scratch.
 inline constexpr std::size_t kMaxTextBytes = std::size_t{64} * 1024;
 
-// A program without its tree.
+// A compiled expression without its tree.
 struct GeneratedCode {
   Bytecode bytecode;
-  std::size_t max_length = 0;  // of the result, in bytes; 0 where it is not a string
-  double worst_ns = 0;         // the worst-case time of one evaluation, ns
+  std::size_t max_length = 0;  // maximum length of the result, in bytes; 0 if it is not a string
+  double worst_ns = 0;         // the worst-case time of one evaluation, in ns
 };
 
-// `tree`: as the type checker made it, for the same fields. Throws Errors where a pattern cannot be used, or
-// where an evaluation could make more than kMaxTextBytes of strings.
+// Generates the code of `tree`, which must be the result of the type checker for the same fields. Throws
+// Errors if a pattern cannot be used, or if an evaluation could create more than kMaxTextBytes of strings.
 [[nodiscard]] GeneratedCode generate_code(const Node& tree, const Environment& fields);
 
 }  // namespace dispatcher::expression
--- a/src/expression/cost_model.cpp
+++ b/src/expression/cost_model.cpp
@@ -8,18 +8,19 @@
 
 namespace {
 
-constexpr double kStringNs = 15;       // of reading a string, in addition to its bytes
-constexpr double kByteNs = 0.5;        // of a byte that is compared or copied
+// Worst-case costs of operations, in ns.
+constexpr double kStringNs = 15;       // reading a string, in addition to its bytes
+constexpr double kByteNs = 0.5;        // each byte that is compared or copied
 constexpr double kSizeFactor = 3;      // cost of counting a byte, relative to comparing it
-constexpr double kSearchNs = 150;      // of a search, in addition to its bytes
-constexpr double kSearchByteNs = 10;   // of a byte that is searched
-constexpr double kSearchPairNs = 0.2;  // of a byte that is searched, for each byte of the substring
+constexpr double kSearchNs = 150;      // a substring search, in addition to its bytes
+constexpr double kSearchByteNs = 10;   // each byte of the searched text
+constexpr double kSearchPairNs = 0.2;  // each byte of the searched text, for each byte of the substring
 constexpr double kIntToStringNs = 100;
 constexpr double kDoubleToStringNs = 600;
 constexpr double kStringToIntNs = 200;
 constexpr double kStringToDoubleNs = 1500;
 
-// Of a byte that is matched: a larger automaton does not fit into the L1 cache (32 KiB).
+// The cost of matching one byte depends on whether the automaton fits into the L1 cache (32 KiB).
 constexpr std::size_t kSmallAutomatonBytes = std::size_t{32} * 1024;
 constexpr double kSmallAutomatonNs = 5;
 constexpr double kLargeAutomatonNs = 15;
@@ -64,7 +65,8 @@
 double to_string_ns(Kind from) { return from == Kind::kDouble ? kDoubleToStringNs : kIntToStringNs; }
 
 double worst_path_ns(std::span<const Instruction> instructions, std::span<const double> costs) {
-  // As all jumps lead forwards, the worst cost from an instruction on follows from that of later ones.
+  // As all jumps lead forwards, the worst-case cost from an instruction on depends on later instructions
+  // only.
   std::vector<double> worst_from(instructions.size() + 1, 0);
   const auto worst_at = [&](std::int32_t target) { return worst_from[static_cast<std::size_t>(target)]; };
   for (std::size_t i = instructions.size(); i-- > 0;) {
--- a/src/expression/dfa.cpp
+++ b/src/expression/dfa.cpp
@@ -11,15 +11,15 @@
 
 namespace {
 
-constexpr std::size_t kMaxWork = 5'000'000;  // states looked at in all sets together
+constexpr std::size_t kMaxWork = 5'000'000;  // limit on the total size of the state sets that are processed
 constexpr unsigned kByteValues = 256;
 
 struct ByteClasses {
   std::array<std::uint8_t, kByteValues> class_of{};
-  std::vector<std::uint8_t> representatives;  // by class: one byte of it
+  std::vector<std::uint8_t> representatives;  // one byte of each class
 };
 
-// Bytes that no byte range of the automaton separates are one class.
+// Groups bytes into classes: bytes that no byte range of the automaton separates belong to one class.
 ByteClasses find_byte_classes(const Nfa& nfa) {
   std::array<bool, kByteValues + 1> begins_class{};
   for (const NfaState& state : nfa.states) {
@@ -36,6 +36,8 @@
   return classes;
 }
 
+// Builds a deterministic automaton. Each of its states stands for a set of states of the nondeterministic
+// one.
 class SubsetConstruction {
  public:
   explicit SubsetConstruction(const Nfa& nfa) : nfa_(nfa), closure_(nfa) {}
@@ -58,7 +60,7 @@
     return std::binary_search(set.begin(), set.end(), nfa_.match);
   }
 
-  // The rejecting and the accepting state, whose transitions all lead back to themselves.
+  // Adds the rejecting and the accepting state, whose transitions all lead back to themselves.
   void add_decided_states() {
     sets_.resize(Dfa::kFirstUndecided);
     dfa_.accepts_at_end = {0, 1};
@@ -66,8 +68,8 @@
     dfa_.transitions.insert(dfa_.transitions.end(), dfa_.row_width, Dfa::kAccepting * dfa_.row_width);
   }
 
-  // A separate state that is never reached again, as ^ matches at the text's begin only. That is also its end
-  // where the text is empty.
+  // Adds the start state and returns its number. It is a separate state that is never reached again, because
+  // ^ matches only at the start of the text. If the text is empty, its start is also its end.
   std::uint32_t add_start_state() {
     StateSet start = closure_.of({nfa_.start}, {.is_begin = true, .is_end = false});
     if (is_match(start)) return Dfa::kAccepting;
@@ -81,7 +83,7 @@
     return static_cast<std::uint32_t>(sets_.size()) - 1;
   }
 
-  // The state after `state` has consumed `byte`.
+  // Returns the state that `byte` leads to from `state`.
   std::uint32_t next_state(std::size_t state, std::uint8_t byte) {
     StateSet next;
     for (const NfaStateId id : sets_[state]) {
@@ -90,9 +92,9 @@
     }
     next.push_back(nfa_.start);  // a match may begin at any byte
     work_ += sets_[state].size() + next.size();
-    if (work_ > kMaxWork) throw PatternError("the pattern takes too much work to prepare");
+    if (work_ > kMaxWork) throw PatternError("the pattern takes too much work to compile");
     StateSet reached = closure_.of(next, {});
-    if (reached.empty()) return Dfa::kRejecting;  // the pattern is anchored at the text's begin
+    if (reached.empty()) return Dfa::kRejecting;  // the pattern is anchored at the start of the text
     return find_or_add_state(std::move(reached));
   }
 
@@ -108,7 +110,7 @@
 
   const Nfa& nfa_;
   EpsilonClosure closure_;
-  std::vector<StateSet> sets_;  // by state of the deterministic automaton
+  std::vector<StateSet> sets_;  // the set of each state of the deterministic automaton
   std::map<StateSet, std::uint32_t> ids_;
   std::size_t work_ = 0;
   Dfa dfa_;
--- a/src/expression/dfa.hpp
+++ b/src/expression/dfa.hpp
@@ -14,10 +14,10 @@
 
 inline constexpr std::size_t kMaxDfaStates = 1000;  // bounds the memory of one pattern
 
-// A transition table. A state is denoted by the offset of its row in `transitions`, so that a transition is
-// one addition and one load.
+// A deterministic automaton as a transition table. A state is denoted by the offset of its row in
+// `transitions`, so that a transition is one addition and one load.
 struct Dfa {
-  // The first two states decide: no continuation matches, or each one does.
+  // The first two states decide the result: no continuation of the text matches, or every one does.
   static constexpr std::uint32_t kRejecting = 0;
   static constexpr std::uint32_t kAccepting = 1;
   static constexpr std::uint32_t kFirstUndecided = 2;
@@ -26,11 +26,11 @@
   std::uint32_t row_width = 1;                 // the number of byte classes
   std::uint32_t start = 0;                     // offset of the start state's row
   std::vector<std::uint32_t> transitions;      // by state and byte class: the offset of the next state's row
-  std::vector<std::uint8_t> accepts_at_end;    // by state: 1 where a text that ends in it matches
+  std::vector<std::uint8_t> accepts_at_end;    // by state: 1 if a text that ends in it matches
 };
 
-// The automaton that accepts the texts which contain a match. Throws PatternError where it would have more
-// than kMaxDfaStates states, or where building it takes too much work.
+// Returns the automaton that accepts the texts that contain a match. Throws PatternError if it would have
+// more than kMaxDfaStates states, or if building it takes too much work.
 [[nodiscard]] Dfa build_dfa(const Nfa& nfa);
 
 }  // namespace dispatcher::expression
--- a/src/expression/errors.hpp
+++ b/src/expression/errors.hpp
@@ -15,8 +15,8 @@
   std::string what;
 };
 
-// Thrown where an expression is rejected, with all problems that were found. what() joins them into one line,
-// in which offsets count from 1.
+// Thrown if an expression is rejected, with all problems that were found. what() joins them into one line, in
+// which offsets count from 1.
 struct Errors : std::runtime_error {
   explicit Errors(std::vector<Problem> all);
   std::vector<Problem> problems;  // at least one
--- a/src/expression/first_match.cpp
+++ b/src/expression/first_match.cpp
@@ -8,12 +8,13 @@
 
 namespace {
 
-// Worst costs, ns.
-constexpr double kLookupNs = 40;     // of a field's value in its index, in addition to its bytes
-constexpr double kLookupByteNs = 1;  // of a byte of that value
-constexpr double kTryNs = 15;        // of evaluating a condition, in addition to its own cost
+// Worst-case costs, in ns.
+constexpr double kLookupNs = 40;     // looking up a field's value in its index, in addition to its bytes
+constexpr double kLookupByteNs = 1;  // each byte of that value
+constexpr double kTryNs = 15;        // evaluating a condition, in addition to its own cost
 
-// A membership test of more values is not indexed, as each value takes an entry: bounds the memory.
+// The maximum number of values of a membership test that is indexed. Bounds the memory, as each value takes
+// an entry.
 constexpr std::size_t kMaxIndexedValues = 64;
 
 }  // namespace
@@ -41,7 +42,8 @@
   compute_worst_ns(fields);
 }
 
-// The index of the field; null where kMaxIndexedFields other fields are indexed already.
+// Returns the index of the field, which is added if it does not exist yet, or null if kMaxIndexedFields other
+// fields are indexed already.
 FirstMatch::FieldIndex* FirstMatch::find_or_add_index(int field) {
   const auto it = std::find_if(field_indices_.begin(), field_indices_.end(),
                                [&](const FieldIndex& index) { return index.field == field; });
@@ -51,7 +53,8 @@
   return &field_indices_.back();
 }
 
-// The membership to index a condition by: of several, the one whose largest group is the smallest so far.
+// Returns the membership test to index a condition by, or nullopt if there is none. Of several tests, selects
+// the one whose largest group is the smallest so far.
 std::optional<Membership> FirstMatch::choose_membership(const Node& condition) {
   std::optional<Membership> best;
   std::size_t smallest = SIZE_MAX;
@@ -81,7 +84,7 @@
   FieldIndex& index = *find_or_add_index(membership->field);
   for (const Value& value : membership->values) {
     Indices& group = index.find_or_add(value);
-    const bool is_repeated = !group.empty() && group.back() == condition;  // of a repeated value
+    const bool is_repeated = !group.empty() && group.back() == condition;  // the test repeats a value
     if (!is_repeated) group.push_back(condition);
   }
 }
@@ -117,7 +120,7 @@
     const Indices* group = index.find(fields[static_cast<std::size_t>(index.field)]);
     if (group != nullptr) groups[count++] = *group;
   }
-  // Merges the groups, so that the conditions are tried in their order.
+  // Merges the groups, so that the conditions are evaluated in the order of the list.
   while (count > 0) {
     std::size_t first = 0;
     for (std::size_t i = 1; i < count; ++i) {
--- a/src/expression/first_match.hpp
+++ b/src/expression/first_match.hpp
@@ -1,4 +1,4 @@
-// Ordered lists of conditions, of which the first one that is true decides.
+// Ordered lists of conditions, in which the first condition that is true decides.
 #ifndef DISPATCHER_EXPRESSION_FIRST_MATCH_HPP_
 #define DISPATCHER_EXPRESSION_FIRST_MATCH_HPP_
 
@@ -17,20 +17,20 @@
 
 // Finds the first condition that is true. Conditions that can be true only for some values of a field are
 // indexed by these values, so that the worst-case cost grows with the largest group of one value rather than
-// with the list. Immutable, so that threads may share it.
+// with the length of the list. Immutable, so that threads may share it.
 class FirstMatch {
  public:
   FirstMatch() = default;
-  // Owns the conditions, which must be compiled for `fields` with a bool as their result.
+  // Takes ownership of the conditions, which must be compiled for `fields` with a bool as their result.
   FirstMatch(std::vector<Program> conditions, const Environment& fields);
 
-  // The index of the first condition that is true; -1 where there is none. A condition that ends in an error
-  // is not true.
-  // `fields` and `scratch` as in Program::run(), the scratch after reserve(). Allocates nothing.
+  // Returns the index of the first condition that is true, or -1 if there is none. A condition that ends in
+  // an error is not true. `fields` and `scratch` are as in Program::run(); reserve() must have been called
+  // for the scratch. Allocates no memory.
   [[nodiscard]] int find(std::span<const Value> fields, Scratch& scratch) const noexcept;
 
-  // An upper bound on the time that find() takes, in ns, and the index of the condition with the highest cost
-  // of its own; -1 where there are no conditions.
+  // worst_ns() returns an upper bound on the time that find() takes, in ns. costliest() returns the index of
+  // the condition with the highest cost of its own, or -1 if there are no conditions.
   [[nodiscard]] double worst_ns() const { return worst_ns_; }
   [[nodiscard]] int costliest() const { return costliest_; }
 
@@ -40,19 +40,19 @@
   // Makes the scratch large enough for all conditions.
   void reserve(Scratch& scratch) const;
 
-  // The memory that the conditions take, in bytes.
+  // Returns the memory that the conditions take, in bytes.
   [[nodiscard]] std::size_t bytes() const;
 
  private:
-  using Indices = std::vector<std::uint32_t>;  // of conditions, in ascending order
+  using Indices = std::vector<std::uint32_t>;  // indices of conditions, in ascending order
 
-  // The conditions that can be true only for some values of one field, by these values.
+  // The conditions that can be true only for some values of one field, grouped by these values.
   struct FieldIndex {
     int field = -1;
     std::unordered_map<std::string_view, Indices> by_string;
     std::unordered_map<std::int64_t, Indices> by_integer;
 
-    // Null where no condition can be true for this value.
+    // Returns null if no condition in this index can be true for `value`.
     [[nodiscard]] const Indices* find(const Value& value) const;
     Indices& find_or_add(const Value& value);
   };
@@ -64,7 +64,8 @@
   std::optional<Membership> choose_membership(const Node& condition);
   void add_to_index(std::uint32_t condition);
   void compute_worst_ns(const Environment& fields);
-  // The worst-case cost of evaluating all of these, ns. Also updates the costliest condition.
+  // Returns the worst-case cost of evaluating all of these conditions, in ns. Also updates the costliest
+  // condition.
   double group_ns(const Indices& indices);
 
   std::vector<Program> conditions_;
--- a/src/expression/from_cue.hpp
+++ b/src/expression/from_cue.hpp
@@ -10,9 +10,9 @@
 
 namespace dispatcher::expression {
 
-// Compiles the text of `field`, whose result must be of kind `expected`. nullopt where the record lacks the
-// field, or where it does not compile; all problems are then appended to `problems`, at the field's position
-// in the file.
+// Compiles the expression in `field`, whose result must be of kind `expected`. Returns nullopt if the record
+// lacks the field or if the expression does not compile; in the latter case all problems are appended to
+// `problems`, at the field's position in the file.
 [[nodiscard]] std::optional<Program> compile(const cue::Data& field, const Environment& fields, Kind expected,
                                              std::vector<cue::Problem>& problems);
 
--- a/src/expression/grammar.hpp
+++ b/src/expression/grammar.hpp
@@ -57,7 +57,7 @@
 struct ClosingBracket : one<']'> {};
 struct ClosingBrace : one<'}'> {};
 
-// Lists, maps, calls and what else begins an operand.
+// Lists, maps, calls and the other rules that an operand begins with.
 struct Arguments
     : if_must<one<'('>, Space, opt<Operand, Space, star<Comma, Operand, Space>>, ClosingParenthesis> {};
 // [a, b]; a trailing comma is allowed.
@@ -85,7 +85,8 @@
 struct Product : seq<Unary, star<Space, if_must<ProductOperator, Space, Unary>>> {};
 struct SumOperator : one<'+', '-'> {};
 struct Sum : seq<Product, star<Space, if_must<SumOperator, Space, Product>>> {};
-// The longer ones first, as a parsing expression grammar takes the first that matches.
+// The longer operators come first, because a parsing expression grammar takes the first alternative that
+// matches.
 struct RelationOperator : sor<string<'<', '='>, string<'>', '='>, string<'=', '='>, string<'!', '='>,
                               one<'<', '>'>, Word<'i', 'n'>> {};
 struct Relation : seq<Sum, star<Space, if_must<RelationOperator, Space, Sum>>> {};
@@ -95,7 +96,7 @@
 struct Conditional : seq<Disjunction, opt<Space, Branches>> {};
 struct Expression : must<Space, Operand, Space, eof> {};
 
-// The error where a rule must match and does not.
+// The error message if a rule must match and does not.
 template <typename Rule>
 inline constexpr const char* kExpected = "an operand expected";
 template <>
@@ -111,14 +112,15 @@
 template <>
 inline constexpr const char* kExpected<MemberName> = "a field's name expected";
 template <char Quote>
-inline constexpr const char* kExpected<ClosingQuote<Quote>> = "the text is not closed";
+inline constexpr const char* kExpected<ClosingQuote<Quote>> = "unterminated string";
 
-// PEGTL's control class: raises the message of a rule that must match as tao::pegtl::parse_error.
+// PEGTL's control class: throws tao::pegtl::parse_error with the message of a rule that must match and does
+// not.
 struct ErrorMessages {
   // NOLINTBEGIN(readability-identifier-naming): PEGTL's must_if looks these names up
   template <typename Rule>
   static constexpr const char* message = kExpected<Rule>;
-  // Where a rule need not match, its failure is no error.
+  // The failure of a rule that need not match is not an error.
   template <typename Rule>
   static constexpr bool raise_on_failure = false;
   // NOLINTEND(readability-identifier-naming)
--- a/src/expression/interpreter.cpp
+++ b/src/expression/interpreter.cpp
@@ -10,16 +10,18 @@
 
 namespace {
 
-// Bytes of a string that is converted to a number; a longer one is no number. Bounds the time of parsing.
+// The maximum length of a string that is converted to a number, in bytes; a longer one is not a number.
+// Bounds the time of parsing.
 constexpr std::size_t kMaxNumberLength = 64;
 
-// The costs and the scratch are computed for this length, so a longer string must not be evaluated.
+// Returns whether a string is longer than its field's maximum length. The costs and the size of the scratch
+// are computed for this length, so a longer string must not be evaluated.
 bool exceeds_max_length(const Instruction& instruction, const Value& field) {
   return field.kind == Kind::kString && field.size > static_cast<std::uint32_t>(instruction.second_operand);
 }
 
-// The result replaces the left side. Values are copied only where they change: a copy of 16 bytes right after
-// its parts were written waits for them.
+// The result replaces the left operand. Values are copied only if they change, because copying 16 bytes right
+// after their parts were written has to wait for these writes.
 void apply_and(Value& left, const Value& right) {
   if (right.is(false)) {
     left = Value::of(false);
@@ -62,7 +64,7 @@
   return table.values[static_cast<std::size_t>(it - table.keys.begin())];
 }
 
-// The number of characters, which is that of the bytes that begin one.
+// Returns the number of characters, which is the number of bytes that begin a character.
 Value size_of(std::string_view text) {
   const auto begins_character = [](char byte) { return (static_cast<unsigned char>(byte) & 0xC0U) != 0x80U; };
   return Value::of(static_cast<std::int64_t>(std::count_if(text.begin(), text.end(), begins_character)));
@@ -82,7 +84,7 @@
   if (value.kind == Kind::kString) return parse_number<std::int64_t>(value);
   if (value.kind == Kind::kInt) return value;
   constexpr double kTwoTo63 = 9223372036854775808.0;
-  const bool fits = value.real >= -kTwoTo63 && value.real < kTwoTo63;  // false of NaN
+  const bool fits = value.real >= -kTwoTo63 && value.real < kTwoTo63;  // false for NaN
   return fits ? Value::of(static_cast<std::int64_t>(value.real)) : Value::of(EvaluationError::kOverflow);
 }
 
@@ -91,7 +93,7 @@
   return value.kind == Kind::kInt ? Value::of(static_cast<double>(value.integer)) : value;
 }
 
-// Appends the string that it creates at `text_end`.
+// Converts a value to a string. A new string is written at `text_end`, which is advanced past it.
 Value to_string(const Value& value, char*& text_end) {
   if (value.kind == Kind::kString) return value;
   char* const begin = text_end;
@@ -141,8 +143,8 @@
   }
 }
 
-// Whether both operands of an instruction have values. Else the first error is the result, and takes the left
-// operand's place.
+// Returns whether both operands of an instruction have values. Otherwise the first error is the result and
+// replaces the left operand.
 bool have_values(Value& left, const Value& right) {
   if (left.failed()) return false;
   if (!right.failed()) return true;
@@ -150,7 +152,7 @@
   return false;
 }
 
-// Of two operands, whose result replaces the left one.
+// Applies an arithmetic instruction to two operands. The result replaces the left one.
 void apply_arithmetic(Opcode opcode, Value& left, const Value& right, char*& text_end) {
   if (!have_values(left, right)) return;
   if (left.kind == Kind::kInt) {
@@ -197,7 +199,7 @@
   }
 }
 
-// Of an operand that is no error.
+// Returns the result of a unary instruction. The operand must not be an error.
 Value compute_unary(Opcode opcode, const Value& value, char*& text_end) {
   switch (opcode) {
     case Opcode::kSize:
@@ -211,7 +213,7 @@
   }
 }
 
-// The index of the next instruction.
+// Executes kBranch. Returns the index of the next instruction.
 std::size_t branch(const Instruction& instruction, std::size_t next, Value*& top) {
   if (top->failed()) return static_cast<std::size_t>(instruction.second_operand);
   const bool condition = (top--)->boolean;
@@ -220,10 +222,10 @@
 
 }  // namespace
 
-// One case for each instruction; a table of handlers would cost a call for each of them.
+// Uses a switch over the opcodes, because a table of handlers would cost a call for each instruction.
 // NOLINTNEXTLINE(readability-function-size)
 Value interpret(const Bytecode& code, std::span<const Value> fields, Scratch& scratch) noexcept {
-  Value* top = scratch.stack() - 1;  // the last value; the stack grows upwards
+  Value* top = scratch.stack() - 1;  // the top value; the stack grows upwards
   char* text_end = scratch.text();
   const Instruction* const instructions = code.instructions.data();
   const std::size_t size = code.instructions.size();
--- a/src/expression/interpreter.hpp
+++ b/src/expression/interpreter.hpp
@@ -11,8 +11,8 @@
 
 namespace dispatcher::expression {
 
-// The memory that evaluations work in. One serves any number of programs, one after another, on one thread;
-// strings that a program made in it are valid until the next one runs.
+// The working memory of evaluations. One scratch serves any number of programs, one after another, on one
+// thread. Strings that a program created in it are valid until the next program runs.
 class Scratch {
  public:
   // Makes room for a stack of `values` values and for `text` bytes of strings. Never shrinks.
@@ -29,8 +29,9 @@
   std::vector<char> text_;
 };
 
-// Evaluates the code for one set of fields: their values in the order of the environment, an error in place
-// of an absent one. `scratch` must have room for the code's stack and text. Allocates nothing.
+// Evaluates the code for one set of fields. `fields` holds their values in the order of the environment, with
+// an error in place of an absent one. `scratch` must have room for the code's stack and text. Allocates no
+// memory.
 [[nodiscard]] Value interpret(const Bytecode& code, std::span<const Value> fields, Scratch& scratch) noexcept;
 
 }  // namespace dispatcher::expression
--- a/src/expression/literals.cpp
+++ b/src/expression/literals.cpp
@@ -15,9 +15,9 @@
 constexpr int kDecimal = 10;
 constexpr int kHexadecimal = 16;
 
-// How a code point is written after the backslash.
+// The form of a numeric escape, after its backslash.
 struct NumericEscape {
-  std::size_t prefix_length = 0;  // of the letter that selects the form
+  std::size_t prefix_length = 0;  // 1 if a letter selects the form, otherwise 0
   std::size_t digits = 0;
   int base = kHexadecimal;
 };
@@ -46,7 +46,8 @@
   return code_point <= 0x10FFFF && !is_surrogate;
 }
 
-// nullopt: not just digits of this base, or no character.
+// Returns nullopt if the text is not the required number of digits in this base, or if there is no such
+// character.
 std::optional<std::uint32_t> parse_code_point(std::string_view digits, const NumericEscape& escape) {
   if (digits.size() != escape.digits) return std::nullopt;
   std::uint32_t code_point = 0;
@@ -56,7 +57,7 @@
   return code_point;
 }
 
-// The character of an escape sequence of one letter; nullopt where the letter has none.
+// Returns the character of an escape sequence of one letter, or nullopt if the letter has none.
 std::optional<char> simple_escape(char letter) {
   constexpr std::string_view kLetters = "abfnrtv\\?\"'`";
   constexpr std::string_view kCharacters = "\a\b\f\n\r\t\v\\?\"'`";
@@ -65,8 +66,8 @@
   return kCharacters[index];
 }
 
-// Appends the character of the escape whose backslash has been removed from `text`. Returns the bytes that
-// the escape has after its backslash; 0: it is unknown.
+// Appends the character of the escape at the start of `text`, whose backslash has been removed. Returns the
+// length of the escape after its backslash, in bytes, or 0 if the escape is unknown.
 std::size_t append_escape(std::string_view text, std::string& result) {
   if (const auto character = simple_escape(text.front())) {
     result += *character;
@@ -112,7 +113,7 @@
     }
     // The grammar ensures that a character follows each backslash.
     const std::size_t length = append_escape(content.text.substr(i + 1), result);
-    if (length == 0) fail(content.at + i, "unknown escape in the text");
+    if (length == 0) fail(content.at + i, "unknown escape sequence in the string");
     i += 1 + length;
   }
   return result;
--- a/src/expression/membership.hpp
+++ b/src/expression/membership.hpp
@@ -11,17 +11,18 @@
 
 namespace dispatcher::expression {
 
-// A test whether the value of one field, a string or an int, is in a set of constants.
+// A test of whether the value of one field, a string or an int, is in a set of constants.
 struct Membership {
   int field = -1;             // its number in the environment
   std::vector<Value> values;  // views of the condition's tree
 };
 
-// The operands of the conjunction that a condition is, nested ones included; the condition itself where it is
-// no conjunction. Pointers into `condition`.
+// Returns the operands of a conjunction, including those of nested conjunctions, or the condition itself if
+// it is not a conjunction. The pointers refer to nodes of `condition`.
 [[nodiscard]] std::vector<const Node*> conjuncts(const Node& condition);
 
-// The test of a conjunct of the form field == constant or field in [constants]; nullopt for any other.
+// Returns the test of a conjunct of the form field == constant or field in [constants], or nullopt for any
+// other conjunct.
 [[nodiscard]] std::optional<Membership> membership(const Node& conjunct);
 
 }  // namespace dispatcher::expression
--- a/src/expression/nfa.cpp
+++ b/src/expression/nfa.cpp
@@ -11,8 +11,9 @@
 
 namespace {
 
-// Splits a range of code points into ranges whose UTF-8 sequences are of one length, and where each byte
-// either is the same in all of them or takes all values between its first and its last one. In order.
+// Splits a range of code points, in ascending order, into ranges whose UTF-8 sequences have one length, and
+// in which each byte either is the same in all sequences or takes all values between its first and its last
+// one.
 void split_for_utf8(CodePointRange range, std::vector<CodePointRange>& parts) {
   const auto [low, high] = range;
   if (low > high) return;
@@ -24,7 +25,7 @@
     return;
   }
   const bool is_ascii = high <= kLastOfLength[0];
-  constexpr unsigned kContinuationBits = 6;  // of a code point in each byte after the first
+  constexpr unsigned kContinuationBits = 6;  // bits of a code point in each byte after the first
   for (unsigned shift = kContinuationBits; shift <= 3 * kContinuationBits && !is_ascii;
        shift += kContinuationBits) {
     const std::uint32_t tail = (1U << shift) - 1;
@@ -43,7 +44,8 @@
   parts.push_back(range);
 }
 
-// Builds from the end of the pattern to its start: each part is given the state that follows it.
+// Builds the automaton from the end of the pattern to its start: each build function is given the state that
+// follows its part.
 class NfaBuilder {
  public:
   Nfa build(const PatternNode& pattern) {
@@ -67,7 +69,7 @@
     return add({NfaState::Kind::kByteRange, low, high, next, kNoState});
   }
 
-  // The state at which `node` begins.
+  // Builds the states of `node`. Returns the state at which it begins.
   NfaStateId build_node(const PatternNode& node, NfaStateId next) {
     switch (node.kind) {
       case PatternNode::Kind::kCharacters:
@@ -99,7 +101,7 @@
     return begin;
   }
 
-  // A counted repetition is unrolled: its child is built as often as it may match.
+  // Unrolls a counted repetition: its child is built as often as it may match.
   NfaStateId build_repetition(const PatternNode& node, NfaStateId next) {
     const PatternNode& child = node.children.front();
     if (node.max_count == PatternNode::kUnbounded) {
@@ -124,7 +126,7 @@
         begin = begin == kNoState ? bytes : add_split(begin, bytes);
       }
     }
-    // An empty set: a byte range without bytes.
+    // An empty set becomes a byte range that contains no byte.
     return begin == kNoState ? add_byte_range(1, 0, next) : begin;
   }
 
--- a/src/expression/nfa.hpp
+++ b/src/expression/nfa.hpp
@@ -23,8 +23,8 @@
   enum class Kind : std::uint8_t {
     kByteRange,  // consumes a byte from `low` to `high`, then continues at `next`
     kSplit,      // continues at `next` and at `alternative`
-    kTextBegin,  // continues at `next` where no byte has been consumed
-    kTextEnd,    // continues at `next` where no byte is left
+    kTextBegin,  // continues at `next` if no byte has been consumed
+    kTextEnd,    // continues at `next` if no byte is left
     kMatch
   };
   Kind kind = Kind::kSplit;
@@ -33,7 +33,7 @@
   NfaStateId next = kNoState;
   NfaStateId alternative = kNoState;
 
-  // Whether it is a byte range that contains `byte`.
+  // Returns whether this is a byte range that contains `byte`.
   [[nodiscard]] bool consumes(std::uint8_t byte) const {
     return kind == Kind::kByteRange && low <= byte && byte <= high;
   }
@@ -46,13 +46,14 @@
   NfaStateId match = kNoState;
 };
 
-// Throws PatternError where there would be more than kMaxNfaStates states.
+// Builds the automaton of a pattern. Throws PatternError if it would have more than kMaxNfaStates states.
 [[nodiscard]] Nfa build_nfa(const PatternNode& pattern);
 
-// States that are active at one place of a text, sorted.
+// The states that are active at one position in a text, sorted.
 using StateSet = std::vector<NfaStateId>;
 
-// The place in a text at which an epsilon closure is computed, which decides whether ^ and $ match.
+// Whether the position at which an epsilon closure is computed is the start or the end of the text. Decides
+// whether ^ and $ match.
 struct TextPlace {
   bool is_begin = false;
   bool is_end = false;
@@ -63,8 +64,8 @@
  public:
   explicit EpsilonClosure(const Nfa& nfa) : states_(nfa.states), is_visited_(nfa.states.size()) {}
 
-  // All states that are reached from `from` without consuming a byte. kTextEnd states are always in the set,
-  // but followed only at the text's end.
+  // Returns the byte range, match and kTextEnd states that are reached from `from` without consuming a byte.
+  // kTextEnd states are always in the set, but are followed only at the end of the text.
   [[nodiscard]] StateSet of(const StateSet& from, TextPlace place);
 
  private:
--- a/src/expression/parser.cpp
+++ b/src/expression/parser.cpp
@@ -37,7 +37,7 @@
   return Op::kEqual;
 }
 
-// Converts the parse tree into the syntax tree. `depth` is that of the node in the syntax tree.
+// Converts the parse tree into the syntax tree. `depth` is the depth of the node in the syntax tree.
 class AstBuilder {
  public:
   explicit AstBuilder(std::string_view text) : text_(text) {}
@@ -83,13 +83,13 @@
     return node;
   }
 
-  // A level of precedence whose operator does not occur is no node.
+  // A level of precedence whose operator does not occur gets no node in the syntax tree.
   [[nodiscard]] Node build_unless_single(Op operation, const ParseTree& tree, int depth) const {
     if (tree.children.size() == 1) return build(*tree.children.front(), depth);
     return build_with_children(operation, tree, depth);
   }
 
-  // Operands and operators in turn: a - b - c is (a - b) - c.
+  // Builds a chain of alternating operands and operators: a - b - c is (a - b) - c.
   [[nodiscard]] Node build_left_associative(const ParseTree& tree, int depth) const {
     check_depth(tree, static_cast<int>(tree.children.size()) / 2 + depth);
     Node left = build(*tree.children.front(), depth + 1);
@@ -106,7 +106,7 @@
   [[nodiscard]] Node build_negation(const ParseTree& tree, int depth) const {
     const ParseTree& operand = *tree.children.back();
     const bool is_minus = tree.string_view().front() == '-';
-    // The smallest integer has no positive counterpart, so a sign is a part of its literal.
+    // The smallest integer has no positive counterpart, so a minus sign is part of an integer literal.
     const bool is_integer = operand.is_type<grammar::Member>() && operand.children.size() == 1 &&
                             operand.children.front()->is_type<grammar::Integer>();
     if (!is_minus || !is_integer) return build_with_children(is_minus ? Op::kNegate : Op::kNot, tree, depth);
@@ -116,7 +116,7 @@
     return literal;
   }
 
-  // A primary expression, then any number of fields, methods and indices.
+  // Builds a primary expression with the fields, methods and indices that follow it.
   [[nodiscard]] Node build_member(const ParseTree& tree, int depth) const {
     check_depth(tree, static_cast<int>(tree.children.size()) + depth);
     Node object = build(*tree.children.front(), depth + 1);
@@ -174,7 +174,7 @@
   [[nodiscard]] Node build_literal(const ParseTree& tree) const {
     const Token token{tree.string_view(), position(tree)};
     if (tree.is_type<grammar::Null>())
-      fail(token.at, "null is not offered: has() tells whether a field is there");
+      fail(token.at, "null is not supported; use has() to test whether a field is present");
     if (tree.is_type<grammar::Boolean>()) {
       Node literal = make_literal(Kind::kBool, tree);
       literal.integer = token.text == "true" ? 1 : 0;
--- a/src/expression/parser.hpp
+++ b/src/expression/parser.hpp
@@ -1,4 +1,4 @@
-// Parses expressions. Neither types nor fields are known yet.
+// Parses expressions. The parser checks neither types nor the names of fields.
 #ifndef DISPATCHER_EXPRESSION_PARSER_HPP_
 #define DISPATCHER_EXPRESSION_PARSER_HPP_
 
@@ -11,10 +11,10 @@
 namespace dispatcher::expression {
 
 inline constexpr std::size_t kMaxExpressionBytes = std::size_t{16} * 1024;  // bounds the parser's work
-inline constexpr int kMaxDepth = 64;  // of the syntax tree: bounds the recursion
+inline constexpr int kMaxDepth = 64;  // maximum depth of the syntax tree; bounds the recursion
 
-// The syntax tree of `text`, which it does not refer to. Throws Errors with the first problem. Work and stack
-// are bounded by kMaxExpressionBytes and kMaxDepth.
+// Returns the syntax tree of `text`. The tree holds no references to `text`. Throws Errors with the first
+// problem. Work and stack are bounded by kMaxExpressionBytes and kMaxDepth.
 [[nodiscard]] Node parse(std::string_view text);
 
 }  // namespace dispatcher::expression
--- a/src/expression/pattern_cursor.hpp
+++ b/src/expression/pattern_cursor.hpp
@@ -18,31 +18,31 @@
 
   [[nodiscard]] bool at_end() const { return position_ >= text_.size(); }
 
-  // The byte at `offset` from here, '\0' past the end.
+  // Returns the byte at `offset` from the current position, or '\0' past the end.
   [[nodiscard]] char peek(std::size_t offset = 0) const {
     return position_ + offset < text_.size() ? text_[position_ + offset] : '\0';
   }
 
-  // What has not been read yet.
+  // Returns the part that has not been read yet.
   [[nodiscard]] std::string_view remaining() const { return text_.substr(position_); }
 
-  // Skips `count` bytes, not further than to the end.
+  // Skips `count` bytes, but stops at the end.
   void advance(std::size_t count = 1) {
     const std::size_t left = text_.size() - position_;
     position_ += count < left ? count : left;
   }
 
-  // Skips `token` and returns true where it comes next.
+  // If `token` comes next, skips it and returns true; otherwise returns false.
   bool consume(std::string_view token) {
     if (!remaining().starts_with(token)) return false;
     position_ += token.size();
     return true;
   }
 
-  // The byte here, which is skipped. Not to be called at the end.
+  // Reads and returns the next byte. Must not be called at the end.
   char next_byte() { return text_[position_++]; }
 
-  // The code point here, which is skipped. Throws PatternError where there is none.
+  // Reads and returns the next code point. Throws PatternError if the next bytes are not valid UTF-8.
   std::uint32_t next_code_point() {
     const std::string_view unread = remaining();
     const std::size_t length = cue::utf8_length(unread);
--- a/src/expression/pattern_error.hpp
+++ b/src/expression/pattern_error.hpp
@@ -6,8 +6,8 @@
 
 namespace dispatcher::expression {
 
-// Why a pattern is rejected: RE2 does not accept it, it uses a feature that is not supported, or its
-// automaton would be too large. what() is shown to operators as it is.
+// Thrown if a pattern is rejected because RE2 does not accept it, because it uses a feature that is not
+// supported, or because its automaton would be too large. what() is shown to operators unchanged.
 struct PatternError : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
--- a/src/expression/pattern_parser.cpp
+++ b/src/expression/pattern_parser.cpp
@@ -14,11 +14,12 @@
 
 namespace {
 
-constexpr int kMaxNesting = 100;  // of groups: bounds the recursion
-// A larger count of a repetition is reduced to this, which exceeds the limit of the automaton anyway.
+constexpr int kMaxNesting = 100;  // maximum nesting of groups; bounds the recursion
+// The maximum count of a repetition. A larger count is reduced to this one, which exceeds the automaton's
+// limit anyway.
 constexpr int kMaxCount = 100'000;
 
-// How often a repetition matches.
+// The minimum and maximum number of times that a repetition matches.
 struct CountRange {
   int min_count = 0;
   int max_count = PatternNode::kUnbounded;
@@ -36,7 +37,7 @@
   }
 
  private:
-  // Set by (?i) and (?s) for the remainder of their group.
+  // The flags that (?i) and (?s) set for the remainder of their group.
   struct Flags {
     CaseMode case_mode = CaseMode::kSensitive;
     bool dot_matches_newline = false;
@@ -61,7 +62,8 @@
     return sequence;
   }
 
-  // An atom with its repetitions, or the characters between \Q and \E, of which they apply to the last one.
+  // Parses an atom, or the characters between \Q and \E, with the quantifiers that follow. Quantifiers after
+  // \E apply to the last character.
   void parse_item(PatternNode& sequence, int depth) {
     if (cursor_.consume("\\Q")) {
       parse_quoted(sequence);
@@ -75,7 +77,8 @@
     last = parse_repetitions(std::move(last));
   }
 
-  // nullopt where there are only flags for the remainder of the group, which match nothing by themselves.
+  // Returns nullopt if there are only flags for the remainder of the group, which match nothing by
+  // themselves.
   std::optional<PatternNode> parse_atom(int depth) {
     if (cursor_.consume("(")) return parse_group(depth);
     if (cursor_.consume("^") || cursor_.consume("\\A")) return assertion(PatternNode::Kind::kTextBegin);
@@ -125,7 +128,7 @@
     return {{0, '\n' - 1}, {'\n' + 1, kMaxCodePoint}};
   }
 
-  // Called after "(". nullopt where the parentheses contain only flags.
+  // Called after "(". Returns nullopt if the parentheses contain only flags.
   std::optional<PatternNode> parse_group(int depth) {
     const Flags outer = flags_;
     if (cursor_.consume("?P<")) {
@@ -141,8 +144,8 @@
     return group;
   }
 
-  // Called after "(?". True where a group follows, false where the flags are for the remainder of the outer
-  // one.
+  // Called after "(?". Returns true if a group follows, and false if the flags apply to the remainder of the
+  // outer group.
   bool parse_flags() {
     bool is_set = true;
     while (!cursor_.at_end()) {
@@ -162,7 +165,7 @@
           flags_.dot_matches_newline = is_set;
           break;
         default:
-          throw PatternError(std::string("the flag '") + flag + "' is not offered");
+          throw PatternError(std::string("the flag '") + flag + "' is not supported");
       }
     }
     throw PatternError("')' expected");
@@ -170,7 +173,7 @@
 
   PatternNode parse_repetitions(PatternNode node) {
     while (const auto counts = parse_quantifier()) {
-      cursor_.consume("?");  // a lazy quantifier: the same texts match
+      cursor_.consume("?");  // a lazy quantifier matches the same texts
       PatternNode repetition;
       repetition.kind = PatternNode::Kind::kRepetition;
       repetition.min_count = counts->min_count;
@@ -181,7 +184,7 @@
     return node;
   }
 
-  // nullopt: there is no quantifier here.
+  // Returns nullopt if no quantifier comes next.
   std::optional<CountRange> parse_quantifier() {
     if (cursor_.consume("*")) return CountRange{0, PatternNode::kUnbounded};
     if (cursor_.consume("+")) return CountRange{1, PatternNode::kUnbounded};
@@ -189,7 +192,7 @@
     return parse_counts();
   }
 
-  // {2}, {2,} or {2,5}; anything else in braces is literal text.
+  // Parses {2}, {2,} or {2,5}. Returns nullopt for anything else in braces, which is literal text.
   std::optional<CountRange> parse_counts() {
     const PatternCursor begin = cursor_;
     if (!cursor_.consume("{")) return std::nullopt;
@@ -204,7 +207,7 @@
     return std::nullopt;
   }
 
-  // nullopt: there is no digit here.
+  // Returns nullopt if no digit comes next.
   std::optional<int> parse_count() {
     if (!at_digit()) return std::nullopt;
     int count = 0;
--- a/src/expression/pattern_parser.hpp
+++ b/src/expression/pattern_parser.hpp
@@ -1,5 +1,6 @@
 // Parses regular expressions, in the syntax of RE2 (https://github.com/google/re2/wiki/Syntax), into a syntax
-// tree. Supports what an automaton over bytes can match: no word boundaries, no Unicode classes.
+// tree. Supports what an automaton over bytes can match. Word boundaries and Unicode classes are not
+// supported.
 #ifndef DISPATCHER_EXPRESSION_PATTERN_PARSER_HPP_
 #define DISPATCHER_EXPRESSION_PATTERN_PARSER_HPP_
 
@@ -20,7 +21,7 @@
     kAlternation,  // any of the children
     kRepetition    // the only child, `min_count` to `max_count` times
   };
-  static constexpr int kUnbounded = -1;
+  static constexpr int kUnbounded = -1;  // max_count of a repetition without an upper limit
 
   Kind kind = Kind::kSequence;
   CharacterSet characters;
@@ -29,8 +30,8 @@
   int max_count = kUnbounded;
 };
 
-// Parses a pattern that RE2 has accepted; its groups capture nothing, as only whether a text matches counts.
-// Throws PatternError where the pattern uses an unsupported feature.
+// Parses a pattern that RE2 has accepted. Its groups capture nothing, because only whether a text matches is
+// needed. Throws PatternError if the pattern uses an unsupported feature.
 [[nodiscard]] PatternNode parse_pattern(std::string_view pattern);
 
 }  // namespace dispatcher::expression
--- a/src/expression/program.hpp
+++ b/src/expression/program.hpp
@@ -18,34 +18,35 @@
 // may share it, each with its own Scratch. A default-constructed one must not be run.
 class Program {
  public:
-  // `expected`: the kind that the result must have. Throws Errors with all problems, also where a pattern or
-  // the strings that an evaluation makes grow too large.
+  // Compiles an expression whose result must be of kind `expected`. Throws Errors with all problems,
+  // including a pattern that is too large, or strings created by an evaluation that may grow too large.
   static Program compile(std::string_view text, const Environment& fields, Kind expected);
 
-  // The expression's value. `fields`: the values in the environment's order, an error in place of one that is
-  // absent. `scratch` must have been reserved for max_values() and max_text(). Allocates and throws nothing.
+  // Returns the expression's value. `fields` holds the fields' values in the environment's order, with an
+  // error in place of one that is absent. `scratch` must have been reserved for max_values() and max_text().
+  // Allocates no memory and throws no exceptions.
   [[nodiscard]] Value run(std::span<const Value> fields, Scratch& scratch) const noexcept {
     return interpret(code_, fields, scratch);
   }
 
-  // A bound on the time that run() takes, in ns, computed from the lengths of the fields
+  // Returns an upper bound on the time that run() takes, in ns, computed from the lengths of the fields
   // (docs/design/matching.md).
   [[nodiscard]] double worst_ns() const { return worst_ns_; }
 
-  // What the scratch must have room for: values on its stack, and bytes of strings.
+  // The size that the scratch must have: the number of values on its stack, and the bytes of strings.
   [[nodiscard]] std::size_t max_values() const { return code_.max_stack; }
   [[nodiscard]] std::size_t max_text() const { return code_.max_text; }
 
-  // How long the result is at most, in bytes, where it is a string.
+  // Returns the maximum length of the result, in bytes, if it is a string.
   [[nodiscard]] std::size_t max_length() const { return max_length_; }
 
-  // The memory that it takes, without its tree, in bytes.
+  // Returns the memory that the program takes, without its tree, in bytes.
   [[nodiscard]] std::size_t bytes() const;
 
-  // The expression as it was checked.
+  // Returns the expression's tree as the type checker returned it.
   [[nodiscard]] const Node& tree() const { return tree_; }
 
-  // The number of instructions.
+  // Returns the number of instructions.
   [[nodiscard]] std::size_t size() const { return code_.instructions.size(); }
 
  private:
--- a/src/expression/type_checker.cpp
+++ b/src/expression/type_checker.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-// Ends a check whose tree grows beyond kMaxNodes. Thrown and caught in this file.
+// Thrown if the tree grows beyond kMaxNodes. Caught in this file.
 struct TooManyNodes {};
 
 bool is_literal(const Node& node) { return node.op == Op::kLiteral; }
@@ -51,7 +51,7 @@
   return literal;
 }
 
-// Joins conditions by kAnd or kOr. None at all give the operator's identity element.
+// Joins conditions by kAnd or kOr. Returns the operator's identity element if there are no conditions.
 Node join_conditions(Op operation, std::size_t at, std::vector<Node> conditions) {
   if (conditions.empty()) return make_bool_literal(at, operation == Op::kAnd);
   if (conditions.size() == 1) return std::move(conditions.front());
@@ -111,7 +111,7 @@
     if (has_failed_child(checked)) return as_failed(std::move(checked));
     checked.type = operator_type(checked);
     if (!has_failed(checked)) return checked;
-    return report(checked, "'" + std::string(symbol(checked.op)) + "' is not offered for " +
+    return report(checked, "'" + std::string(symbol(checked.op)) + "' is not defined for " +
                                operand_types(checked, " and "));
   }
 
@@ -126,7 +126,7 @@
   Node check_select(const Node& node) {
     const std::string path = field_path(node);
     if (!path.empty()) return make_field(node, path);
-    // CEL: map.key is the same as map["key"].
+    // In CEL, map.key is the same as map["key"].
     Node key;
     key.op = Op::kLiteral;
     key.at = node.at;
@@ -138,7 +138,7 @@
     return check_operator(index);
   }
 
-  // The path a.b.c of a node that consists of names only; empty for any other.
+  // Returns the path a.b.c of a node that consists of names only, or an empty string for any other node.
   [[nodiscard]] std::string field_path(const Node& node) const {
     if (node.op == Op::kName) return bound_names_.contains(node.text) ? std::string() : node.text;
     if (node.op != Op::kSelect) return {};
@@ -165,14 +165,14 @@
 
   // ---- Lists and maps ----
 
-  // A list literal has constant elements, except right of `in` and as the object of a macro.
+  // A list literal may only have constant elements, except to the right of `in` and as the object of a macro.
   Node check_list(const Node& node) {
     Node checked = check_elements(node);
     if (has_failed_child(checked)) return as_failed(std::move(checked));
     if (checked.children.empty()) return report(node, "an empty list has no type");
     const auto computed = std::find_if_not(checked.children.begin(), checked.children.end(), is_literal);
     if (computed != checked.children.end())
-      return report(*computed, "only constants are offered in a list that stands here");
+      return report(*computed, "only constants are supported in a list in this place");
     return checked;
   }
 
@@ -198,7 +198,7 @@
     for (std::size_t i = 0; i < checked.children.size(); ++i) {
       const Node& child = checked.children[i];
       const bool is_key = i % 2 == 0;
-      if (!is_literal(child)) return report(child, "only constants are offered in a map");
+      if (!is_literal(child)) return report(child, "only constants are supported in a map");
       if (child.type.kind != (is_key ? checked.type.key : checked.type.element))
         return report(child, "a map holds keys of one type and values of one type");
       if (!is_key) continue;
@@ -207,7 +207,7 @@
       const bool is_duplicate = std::any_of(keys.begin(), keys.end(), [&](const Node* key) {
         return key->text == child.text && key->integer == child.integer;
       });
-      if (is_duplicate) return report(child, "the key stands twice");
+      if (is_duplicate) return report(child, "duplicate key");
       keys.push_back(&child);
     }
     return checked;
@@ -227,7 +227,7 @@
     if (is_list && collection.children.empty()) return make_bool_literal(node.at, false);
     const Kind element = is_map ? collection.type.key : collection.type.element;
     if ((!is_map && !is_list) || value.type.kind != element)
-      return report(node, "'in' is not offered for " + operand_types(checked, " and "));
+      return report(node, "'in' is not defined for " + operand_types(checked, " and "));
     checked.type = {Kind::kBool};
     const bool is_constant =
         is_map || std::all_of(collection.children.begin(), collection.children.end(), is_literal);
@@ -261,7 +261,7 @@
     }
     checked.type = {function_result(checked)};
     if (has_failed(checked))
-      return report(node, "'" + node.text + "' is not offered for (" + operand_types(checked, ", ") + ")");
+      return report(node, "'" + node.text + "' is not defined for (" + operand_types(checked, ", ") + ")");
     if (checked.text == "matches" && !is_literal(checked.children[1]))
       return report(checked.children[1], "the pattern of matches() must be a constant");
     return checked;
@@ -285,9 +285,9 @@
     if (node.children.size() != 3 || node.children[1].op != Op::kName)
       return report(node, "'" + node.text + "' takes a name and a condition, such as exists(x, x > 0)");
     if (node.children[0].op != Op::kList)
-      return report(node, "'" + node.text + "' is offered for lists that are written out");
+      return report(node, "'" + node.text + "' is supported for list literals only");
     const Node list = check_elements(node.children[0]);
-    if (has_failed_child(list)) return report(node, "its list has errors");
+    if (has_failed_child(list)) return report(node, "the list has errors");
     const std::string& name = node.children[1].text;
     const Node& condition = node.children[2];
     std::vector<Node> conditions;
@@ -313,7 +313,7 @@
   }
 
   const Environment& fields_;
-  std::map<std::string, std::vector<Node>> bound_names_;  // of macros; the innermost value last
+  std::map<std::string, std::vector<Node>> bound_names_;  // by macros; the innermost value is last
   std::size_t node_count_ = 0;
 };
 
--- a/src/expression/type_checker.hpp
+++ b/src/expression/type_checker.hpp
@@ -11,7 +11,8 @@
 
 namespace dispatcher::expression {
 
-// Nodes of one expression, its macros expanded: bounds the time and memory that compiling it takes.
+// The maximum number of nodes of one expression after its macros are expanded. Bounds the time and memory
+// that compiling it takes.
 inline constexpr std::size_t kMaxNodes = 20'000;
 
 // Parses and checks an expression whose result must be of kind `expected`. Each node of the returned tree has
--- a/src/expression/type_rules.cpp
+++ b/src/expression/type_rules.cpp
@@ -50,7 +50,7 @@
       return is_number(operand.kind) ? operand : Type{};
     case Op::kRemainder:
       return operand.kind == Kind::kInt ? operand : Type{};
-    default:  // an order
+    default:  // <, <=, > and >=
       return {operand.kind == Kind::kBool ? Kind::kError : Kind::kBool};
   }
 }
--- a/src/expression/value.hpp
+++ b/src/expression/value.hpp
@@ -14,21 +14,22 @@
 
 namespace dispatcher::expression {
 
-// The kinds of values and types. kError: an evaluation without a value, or an ill-typed expression.
+// The kinds of values and types. kError stands for an evaluation without a value, or for an ill-typed
+// expression.
 enum class Kind : std::uint8_t { kError, kBool, kInt, kDouble, kString, kList, kMap };
 
-// The kind's name in error messages.
+// Returns the kind's name for error messages.
 [[nodiscard]] const char* name(Kind kind);
 
-// The type of an expression. Lists and maps contain scalars only, so that it needs no nesting.
+// The type of an expression. Lists and maps contain scalars only, so types are not nested.
 struct Type {
   Kind kind = Kind::kError;
-  Kind key = Kind::kError;      // of a map's keys
-  Kind element = Kind::kError;  // of a list's elements, or a map's values
+  Kind key = Kind::kError;      // kind of a map's keys
+  Kind element = Kind::kError;  // kind of a list's elements, or of a map's values
   bool operator==(const Type&) const = default;
 };
 
-// The type as error messages show it, such as map(string, int).
+// Returns the type as error messages show it, such as map(string, int).
 [[nodiscard]] std::string to_text(const Type& type);
 
 // Why an evaluation has no value.
@@ -38,18 +39,18 @@
   kDivisionByZero,
   kNoSuchKey,
   kIndexOutOfRange,
-  kInvalidNumber  // a string that is to be converted to a number
+  kInvalidNumber  // a string that cannot be converted to a number
 };
 
-// The error's description, as operators see it.
+// Returns the error's description, as operators see it.
 [[nodiscard]] const char* name(EvaluationError error);
 
-// A scalar, or the error in its place. A string is not owned: it is a view of the request, of a program's
-// constants or of the Scratch that it was made in.
+// A scalar, or an error in its place. Does not own its string, which is a view of the request, of a program's
+// constants or of the Scratch in which it was created.
 struct Value {
   Kind kind = Kind::kError;
-  EvaluationError error = EvaluationError::kAbsent;  // of kError
-  std::uint32_t size = 0;                            // of a string, in bytes
+  EvaluationError error = EvaluationError::kAbsent;  // if the kind is kError
+  std::uint32_t size = 0;                            // length of a string, in bytes
   union {
     bool boolean;
     std::int64_t integer;
@@ -72,7 +73,7 @@
     value.real = given;
     return value;
   }
-  // A view of `given`, which must be shorter than 4 GiB.
+  // Returns a view of `given`, which must be shorter than 4 GiB.
   static Value of(std::string_view given) {
     Value value(Kind::kString);
     value.size = static_cast<std::uint32_t>(given.size());
@@ -86,7 +87,7 @@
     value.error = given;
     return value;
   }
-  // Of a string only.
+  // Must be called for a string only.
   [[nodiscard]] std::string_view text() const { return {bytes, size}; }
   [[nodiscard]] bool is(bool given) const { return kind == Kind::kBool && boolean == given; }
   [[nodiscard]] bool failed() const { return kind == Kind::kError; }
@@ -95,11 +96,12 @@
   explicit Value(Kind of_kind) : kind(of_kind), integer(0) {}
 };
 
-// Equality in the expression language: values of different kinds are unequal, and so are two errors.
+// Returns whether two values are equal in the expression language: values of different kinds are unequal, and
+// so are two errors.
 [[nodiscard]] bool same(const Value& left, const Value& right);
 
-// Three-way comparison of two values of one scalar kind: negative, zero or positive. nullopt: unordered, as
-// NaN is to any number.
+// Compares two values of one scalar kind. Returns a negative number, zero or a positive number, or nullopt if
+// they are unordered, as NaN is to any number.
 [[nodiscard]] inline std::optional<int> compare(const Value& left, const Value& right) {
   const auto compare_numbers = [](auto first, auto second) {
     if (first < second) return -1;
@@ -120,8 +122,8 @@
   }
 }
 
-// Whether the first of two values of one scalar kind is the lesser one: a strict weak ordering where neither
-// is NaN.
+// Returns whether the first of two values of one scalar kind is the lesser one. This is a strict weak
+// ordering unless a value is NaN.
 [[nodiscard]] inline bool is_less(const Value& left, const Value& right) {
   switch (left.kind) {
     case Kind::kBool:
@@ -137,27 +139,27 @@
   }
 }
 
-// The value in the notation of expressions, for diagnostics: strings are quoted, but not escaped.
+// Returns the value in the notation of expressions, for diagnostics. Strings are quoted, but not escaped.
 [[nodiscard]] std::string to_text(const Value& value);
 
 // The declaration of a field that expressions may use, such as request.class.
 struct Field {
-  std::string path;  // as expressions write it
+  std::string path;  // as written in expressions
   Kind kind{};
-  bool optional = false;       // whether a request may lack it
-  std::size_t max_length = 0;  // of a string, in bytes; a longer one counts as absent
-  std::optional<std::vector<std::string>> domain = {};  // of a string: it is always one of these
+  bool optional = false;       // whether the field may be absent from a request
+  std::size_t max_length = 0;  // maximum length of a string, in bytes; a longer one counts as absent
+  std::optional<std::vector<std::string>> domain = {};  // if set, a string is always one of these
 };
 
-// The declared fields by number: an evaluation gets their values in this order.
+// The declared fields by number. An evaluation is given their values in this order.
 class Environment {
  public:
-  // Returns the field's number.
+  // Adds a field and returns its number.
   int add(Field field) {
     fields_.push_back(std::move(field));
     return static_cast<int>(fields_.size()) - 1;
   }
-  // The number of the field with this path; -1 where there is none.
+  // Returns the number of the field with this path, or -1 if there is none.
   [[nodiscard]] int find(std::string_view path) const;
   [[nodiscard]] const std::vector<Field>& fields() const { return fields_; }
 
--- a/tests/expression/expression_automaton_test.cpp
+++ b/tests/expression/expression_automaton_test.cpp
@@ -1,4 +1,4 @@
-// Automata of patterns, against RE2.
+// Compares the automata of patterns with RE2.
 #include <re2/re2.h>
 
 #include <catch2/catch.hpp>
@@ -14,8 +14,8 @@
 
 using namespace expression;
 
-// Parts of patterns.
-const std::vector<std::string>& atoms() {
+// Returns the parts that patterns are made from.
+const std::vector<std::string>& pattern_parts() {
   static const std::vector<std::string> all = {"a",
                                                "b",
                                                "\xC3\xA9",
@@ -46,8 +46,8 @@
   return all;
 }
 
-// Parts of texts.
-const std::vector<std::string>& letters() {
+// Returns the parts that texts are made from.
+const std::vector<std::string>& text_parts() {
   static const std::vector<std::string> all = {"a",
                                                "b",
                                                "k",
@@ -70,12 +70,12 @@
   const auto any = [&](const std::vector<std::string>& choices) {
     return choices[random() % choices.size()];
   };
-  std::size_t made = 0;
+  std::size_t compiled = 0;
   std::size_t matched = 0;
   for (int i = 0; i < 4000; ++i) {
     std::string pattern = random() % 4 == 0 ? "(?i)" : "";
     for (unsigned count = random() % 5; count > 0; --count) {
-      pattern += any(atoms());
+      pattern += any(pattern_parts());
       if (random() % 3 == 0) pattern += any({"*", "+", "?", "{2}", "{1,3}", "{2,}", "*?", "|"});
     }
     std::optional<Automaton> automaton;
@@ -84,18 +84,18 @@
     } catch (const PatternError&) {
       continue;
     }
-    ++made;
+    ++compiled;
     const re2::RE2 reference(pattern);
     for (int j = 0; j < 12; ++j) {
       std::string text;
-      for (unsigned count = random() % 6; count > 0; --count) text += any(letters());
+      for (unsigned count = random() % 6; count > 0; --count) text += any(text_parts());
       INFO(pattern << " on " << text);
       const bool found = re2::RE2::PartialMatch(text, reference);
       CHECK(automaton->matches(text) == found);
       matched += found ? 1 : 0;
     }
   }
-  CHECK(made > 2500);
+  CHECK(compiled > 2500);
   CHECK(matched > 8000);
 }
 
--- a/tests/expression/expression_first_match_test.cpp
+++ b/tests/expression/expression_first_match_test.cpp
@@ -1,4 +1,4 @@
-// The first of many conditions.
+// The search for the first condition that is true.
 #include <catch2/catch.hpp>
 #include <random>
 #include <string>
@@ -68,7 +68,8 @@
   }
 }
 
-TEST_CASE("the cost of conditions on values of one field does not grow with their number", "[match]") {
+TEST_CASE("the worst-case cost of conditions on values of one field does not grow with their number",
+          "[match]") {
   const auto worst_ns = [](int rules) {
     std::vector<Program> conditions;
     conditions.reserve(static_cast<std::size_t>(rules));
--- a/tests/expression/expression_fixture.hpp
+++ b/tests/expression/expression_fixture.hpp
@@ -1,4 +1,5 @@
-// What the tests of expressions share: an environment, one request's values in it, and evaluation to text.
+// Shared parts of the expression tests: an environment, the values of one request in it, and evaluation to
+// text.
 #ifndef DISPATCHER_TESTS_EXPRESSION_EXPRESSION_FIXTURE_HPP_
 #define DISPATCHER_TESTS_EXPRESSION_EXPRESSION_FIXTURE_HPP_
 
@@ -22,15 +23,17 @@
   kWeightField
 };
 
+// Returns the environment of the tests.
 const expression::Environment& expression_fields();
 
-// Values of expression_fields(); the session and the weight are absent.
+// Returns values of expression_fields(). The session and the weight are absent.
 std::vector<expression::Value> sample_values();
 
-// A scratch that is large enough for the program.
+// Returns a scratch that is large enough for the program.
 expression::Scratch scratch_for(const expression::Program& program);
 
-// The value of an expression of any kind on sample_values(), or the text of its errors.
+// Evaluates an expression of any scalar kind on sample_values(). Returns its value as text, or the text of
+// its errors.
 std::string evaluate_to_text(const std::string& text);
 
 }  // namespace dispatcher::testing
--- a/tests/expression/expression_generator.hpp
+++ b/tests/expression/expression_generator.hpp
@@ -1,4 +1,4 @@
-// Random well-typed expressions over expression_fields().
+// Generates random well-typed expressions over expression_fields().
 #ifndef DISPATCHER_TESTS_EXPRESSION_EXPRESSION_GENERATOR_HPP_
 #define DISPATCHER_TESTS_EXPRESSION_EXPRESSION_GENERATOR_HPP_
 
@@ -11,17 +11,18 @@
 
 namespace dispatcher::testing {
 
-// The same expressions for the same seed.
+// Generates the same expressions for the same seed.
 class ExpressionGenerator {
  public:
   explicit ExpressionGenerator(unsigned seed) : random_(seed) {}
 
-  // An expression of a scalar kind, nested up to `depth`.
+  // Returns an expression of a scalar kind, nested up to `depth`.
   std::string make(expression::Kind kind, int depth);
 
-  // A number below `count`.
+  // Returns a random number below `count`.
   std::size_t pick(std::size_t count) { return random_() % count; }
 
+  // Returns a random scalar kind.
   expression::Kind pick_kind();
 
  private:
--- a/tests/expression/expression_program_test.cpp
+++ b/tests/expression/expression_program_test.cpp
@@ -1,4 +1,5 @@
-// Compiled programs: against a second implementation, without an allocation, and their computed costs.
+// Compiled programs: comparison with a second implementation, evaluation without allocations, and computed
+// costs.
 #include <catch2/catch.hpp>
 #include <cmath>
 #include <optional>
@@ -18,7 +19,7 @@
 
 constexpr int kSets = 3;
 
-// Values of expression_fields(), different ones for each set.
+// Returns values of expression_fields(), which differ between sets.
 std::vector<Value> values_of_set(int set) {
   std::vector<Value> values = sample_values();
   if (set == 1) {
@@ -40,7 +41,8 @@
   return same(left, right);
 }
 
-// nullopt: the expression was rejected, which only its size may be the reason of.
+// Returns nullopt if the expression is rejected as too large. Fails the test if it is rejected for any other
+// reason.
 std::optional<Program> compile_unless_too_large(const std::string& text, Kind kind) {
   try {
     return Program::compile(text, expression_fields(), kind);
@@ -82,7 +84,8 @@
   CHECK(errors > 1000);
 }
 
-TEST_CASE("the worst cost grows with what the fields may hold and with the longer branch", "[match]") {
+TEST_CASE("the worst-case cost grows with the maximum length of a field and with the costlier branch",
+          "[match]") {
   const auto worst_ns = [](const std::string& text) {
     return Program::compile(text, expression_fields(), Kind::kBool).worst_ns();
   };
--- a/tests/expression/expression_semantics_test.cpp
+++ b/tests/expression/expression_semantics_test.cpp
@@ -1,4 +1,4 @@
-// What expressions mean: values, and evaluations that have none.
+// The semantics of expressions: their values, and evaluations without a value.
 #include <catch2/catch.hpp>
 #include <string>
 #include <utility>
@@ -11,7 +11,7 @@
 
 using namespace expression;
 
-TEST_CASE("expressions have the values that CEL gives them", "[match]") {
+TEST_CASE("expressions have the values that CEL defines", "[match]") {
   for (const auto& [text, expected] : std::vector<std::pair<std::string, std::string>>{
            {"1 + 2 * 3", "7"},
            {"(1 + 2) * 3 - -4", "13"},
@@ -53,7 +53,8 @@
   }
 }
 
-TEST_CASE("evaluations without a value end in an error, which logic absorbs as in CEL", "[match]") {
+TEST_CASE("evaluations without a value end in an error, which logical operators absorb as in CEL",
+          "[match]") {
   const std::string absent = "none: a field that the request lacks";
   const std::string overflow = "none: overflow";
   for (const auto& [text, expected] : std::vector<std::pair<std::string, std::string>>{
@@ -91,7 +92,7 @@
   }
 }
 
-TEST_CASE("a text longer than declared counts as absent", "[match]") {
+TEST_CASE("a string longer than its field's maximum length counts as absent", "[match]") {
   const Program program = Program::compile("request.session + 'x'", expression_fields(), Kind::kString);
   Scratch scratch = scratch_for(program);
   auto values = sample_values();
--- a/tests/expression/reference_evaluator.cpp
+++ b/tests/expression/reference_evaluator.cpp
@@ -80,8 +80,8 @@
 }
 
 Value ReferenceEvaluator::own(std::string text) {
-  made_.push_back(std::move(text));
-  return Value::of(std::string_view(made_.back()));
+  created_strings_.push_back(std::move(text));
+  return Value::of(std::string_view(created_strings_.back()));
 }
 
 Value ReferenceEvaluator::evaluate_logic(const Node& node) {
--- a/tests/expression/reference_evaluator.hpp
+++ b/tests/expression/reference_evaluator.hpp
@@ -1,4 +1,4 @@
-// A second implementation of the expression language, for comparison: a plain walk of the checked tree.
+// A second implementation of the expression language, for comparison. It walks the checked tree.
 #ifndef DISPATCHER_TESTS_EXPRESSION_REFERENCE_EVALUATOR_HPP_
 #define DISPATCHER_TESTS_EXPRESSION_REFERENCE_EVALUATOR_HPP_
 
@@ -11,11 +11,12 @@
 
 namespace dispatcher::testing {
 
-// Owns the strings that it makes, of which its results are views.
+// Evaluates checked trees. Owns the strings that it creates; results are views of them.
 class ReferenceEvaluator {
  public:
   explicit ReferenceEvaluator(const std::vector<expression::Value>& fields) : fields_(fields) {}
 
+  // Returns the value of the tree below `node`.
   expression::Value evaluate(const expression::Node& node);
 
  private:
@@ -31,7 +32,7 @@
   expression::Value evaluate_call(const expression::Node& node, const Values& arguments);
 
   const std::vector<expression::Value>& fields_;
-  std::deque<std::string> made_;
+  std::deque<std::string> created_strings_;
 };
 
 }  // namespace dispatcher::testing
