--- a/bench/routing_bench.cpp
+++ b/bench/routing_bench.cpp
@@ -1,6 +1,6 @@
-// Cost of decisions: one router with 100 endpoints in steady state and 100 open requests, each of which is
-// received, read, answered with a first token and served. Times are per request, over its four events, in ns;
-// the counters show each event and the router's timer separately.
+// Cost of routing decisions: one router with 100 endpoints in steady state and 100 open requests, each of
+// which is received, read, answered with a first token and served. Times are per request, over its four
+// events, in ns; the counters show each event and the router's timer separately.
 //   cmake -B build-bench -DCMAKE_BUILD_TYPE=Release -DDISPATCHER_BENCH=ON && cmake --build build-bench
 //   build-bench/bench/dispatcher_routing_bench --benchmark_repetitions=5
 //   --benchmark_report_aggregates_only=true
@@ -27,7 +27,8 @@
 constexpr int kMixed = 10;
 constexpr int kCells = 5;
 
-// The stages of a request, counted in arrivals after its own: kServedAfter requests are open at once.
+// The number of later arrivals after which a request reaches each stage. kServedAfter requests are open at a
+// time.
 constexpr Duration kArrivalInterval = milliseconds(2);
 constexpr std::size_t kReadAfter = 25;
 constexpr std::size_t kFirstTokenAfter = 50;
@@ -105,7 +106,8 @@
  public:
   Driver() : router_(make_settings(), kSeed) { router_.handle(now_, make_endpoint_list()); }
 
-  // One more request arrives, and one enters each of the other stages. Returns the time of the four events.
+  // Lets one more request arrive and one request enter each of the other stages. Returns the total time of
+  // the four events.
   std::chrono::nanoseconds step() {
     now_ += kArrivalInterval;
     if (arrived_ % kTimerInterval == 0) measure(times_.timers, TimerExpired{});
@@ -126,10 +128,10 @@
   struct Attempt {
     StartAttempt start;
     Time sent_at{};
-    int number = -1;  // -1: none yet
+    int number = -1;  // -1 before the first attempt
   };
 
-  // The attempt of the request of this number. Slots are reused once a request has been served.
+  // Returns the attempt of the request with this number. A slot is reused after its request has been served.
   Attempt& attempt_of(std::size_t number) { return attempts_[number % attempts_.size()]; }
 
   // Passes the event to the router. Returns the time that it took.
@@ -143,7 +145,7 @@
     return took;
   }
 
-  // Updates the attempt by the actions of the last event.
+  // Applies the actions of the last event to the attempt.
   void apply_actions(Attempt& attempt) {
     for (const Action& action : actions_) {
       if (const auto* start = std::get_if<StartAttempt>(&action)) {
@@ -172,7 +174,7 @@
     return took;
   }
 
-  // Completes the read of an attempt at a reader; mixed endpoints go on to write.
+  // Completes the read of an attempt at a reader. Attempts at mixed endpoints continue with the write.
   std::chrono::nanoseconds read(std::size_t number) {
     Attempt& attempt = attempt_of(number);
     if (attempt.number < 0) return {};
@@ -218,7 +220,7 @@
 };
 
 void request_life(benchmark::State& state) {
-  constexpr std::size_t kWarmUpSteps = 5000;  // until the averages and the indexes of prompts are full
+  constexpr std::size_t kWarmUpSteps = 5000;  // fill the averages and the indexes of prompts
   Driver driver;
   for (std::size_t i = 0; i < kWarmUpSteps; ++i) driver.step();
   driver.reset_times();
--- a/bench/rules_bench.cpp
+++ b/bench/rules_bench.cpp
@@ -1,6 +1,6 @@
-// Costs of rules: of deciding requests, with the computed worst cost beside the slowest requests that can be
-// made; of parsing a large file; and of the counter table under a million keys. Times are per request, in ns,
-// over a million requests each.
+// Costs of rules: of decisions on requests, with the computed worst-case cost next to the cost of the slowest
+// requests that can be constructed; of parsing a large file; and of the counter table with a million keys.
+// Times are per request, in ns, over a million requests each.
 //   cmake -B build-bench -DCMAKE_BUILD_TYPE=Release -DDISPATCHER_BENCH=ON && cmake --build build-bench -j4
 //   build-bench/bench/dispatcher_rules_bench
 #include <benchmark/benchmark.h>
@@ -50,7 +50,7 @@
          "{name: \"rest\", limits: [{key: \"request.account\", rate: 5, burst: 10}]}]\n";
 }
 
-// The slowest conditions that the default budget of costs admits: each processes all of a long text.
+// The slowest conditions that the default cost budget admits. Each one processes all of a long text.
 const std::vector<std::string>& slow_conditions() {
   static const std::vector<std::string> all = {
       "header.a.matches('(x+x+)+[yz]$')",
@@ -64,7 +64,7 @@
   return all;
 }
 
-// Rules with these conditions, all of which are evaluated.
+// Returns rules with these conditions, all of which are evaluated.
 std::string slow_rules_text(const std::vector<std::string>& conditions) {
   std::string text =
       "headers: {a: {name: \"X-A\", longest: 128}, b: {name: \"X-B\", longest: 128}}\nrules: [\n";
@@ -73,7 +73,7 @@
   return text + "]\n";
 }
 
-// A rule of each condition in turn, as long as any of them still fits into the budget.
+// Returns rules with each of the slow conditions in turn, as many as fit into the budget.
 std::shared_ptr<const RuleSet> slowest_allowed() {
   std::shared_ptr<const RuleSet> last;
   std::vector<std::string> conditions;
@@ -90,7 +90,7 @@
   return last;
 }
 
-// The duration of one call, in ns.
+// Returns the duration of one call, in ns.
 template <class Call>
 float measure_ns(const Call& call) {
   const auto begin = std::chrono::steady_clock::now();
@@ -98,13 +98,14 @@
   return std::chrono::duration<float, std::nano>(std::chrono::steady_clock::now() - begin).count();
 }
 
-// The time below which this fraction of the sorted, non-empty times lies.
+// Returns the time below which the given fraction of the times lies. The times must be sorted and not empty.
 float quantile(const std::vector<float>& sorted_times, double fraction) {
   const double index = fraction * static_cast<double>(sorted_times.size() - 1);
   return sorted_times[static_cast<std::size_t>(index)];
 }
 
-// The shortest time of a few decisions on each request, sorted: the rules' own cost, without interruptions.
+// Returns the shortest time of several decisions on each request, sorted. These times are the rules' own
+// cost, without interruptions.
 std::vector<float> measure_shortest_times(const RuleSet& rules,
                                           const std::vector<RequestAttributes>& requests,
                                           expression::Scratch& scratch) {
@@ -123,7 +124,7 @@
 
 using MakeAttributes = std::function<RequestAttributes(std::size_t)>;
 
-// Decides requests, `make_attributes(i)` being the i-th, and sets the counters from the times taken.
+// Decides requests and sets the counters from the times taken. `make_attributes(i)` returns the i-th request.
 void measure_decisions(benchmark::State& state, const RuleSet& rules, const MakeAttributes& make_attributes) {
   constexpr std::size_t kDistinctRequests = 4096;
   expression::Scratch scratch;
@@ -145,7 +146,7 @@
   state.counters["best5_p99.9"] = quantile(measure_shortest_times(rules, requests, scratch), 0.999);
 }
 
-// Names of accounts; more than have rules of their own.
+// Returns account names, more than there are accounts with their own rules.
 const std::vector<std::string>& accounts() {
   static const std::vector<std::string> all = [] {
     constexpr int kAccounts = 2500;
@@ -196,7 +197,8 @@
   });
 }
 
-// One expression on texts of the maximum length, repeatedly, with its computed worst cost beside.
+// Evaluates one expression repeatedly on texts of the maximum length, and reports its computed worst-case
+// cost and the ratio of this cost to the measured time.
 void one_expression(benchmark::State& state, const std::string& expression) {
   expression::Environment fields;
   fields.add({"a", expression::Kind::kString, false, 1024, {}});
@@ -245,8 +247,8 @@
   }
 }
 
-// Control: about as long as a slow request, but arithmetic only, so that the longest times are caused by the
-// machine.
+// Control measurement: takes about as long as a slow request, but does arithmetic only, so that its longest
+// times are caused by the machine.
 void control(benchmark::State& state) {
   // Knuth's linear congruential generator (MMIX).
   constexpr std::uint64_t kMultiplier = 6364136223846793005ULL;
--- a/fuzz/cue_fuzz.cpp
+++ b/fuzz/cue_fuzz.cpp
@@ -1,5 +1,5 @@
-// Fuzz target of the configuration files' reader: any bytes are either read or rejected with a bounded number
-// of problems.
+// Fuzz target for the reader of configuration files: any bytes are either read or rejected with a bounded
+// number of problems.
 #include <cstddef>
 #include <cstdint>
 #include <cstdlib>
@@ -9,8 +9,8 @@
 
 namespace {
 
-constexpr std::int64_t kMaxSize = 100;             // of the schema below
-constexpr std::size_t kMaxReportedProblems = 101;  // the limit of problems, and the problem that reports it
+constexpr std::int64_t kMaxSize = 100;             // limit of `size` in the schema below
+constexpr std::size_t kMaxReportedProblems = 101;  // the limit on problems, and the problem that reports it
 
 }  // namespace
 
--- a/fuzz/expression_fuzz.cpp
+++ b/fuzz/expression_fuzz.cpp
@@ -1,4 +1,4 @@
-// Fuzz target of the expression compiler: any bytes are compiled or rejected. A compiled expression runs
+// Fuzz target for the expression compiler: any bytes are compiled or rejected. A compiled expression runs
 // within its bounds, and has the same value as the expression that its canonical text compiles to.
 #include <cstddef>
 #include <cstdint>
--- a/fuzz/gossip_fuzz.cpp
+++ b/fuzz/gossip_fuzz.cpp
@@ -1,5 +1,5 @@
-// Fuzz target of a gossip node: any bytes as a datagram from another dispatcher are dropped or accepted
-// within the bounds, and never answered with a longer datagram than the platform allows.
+// Fuzz target for a gossip node: any bytes that arrive as a datagram from another dispatcher are dropped, or
+// accepted within the node's limits, and are never answered with a longer datagram than the platform allows.
 #include <cstddef>
 #include <cstdint>
 #include <cstdlib>
