--- a/tests/consumer/main.cpp
+++ b/tests/consumer/main.cpp
@@ -1,5 +1,5 @@
-// The installed package, used as a dispatcher uses it: one request is taken through reading and writing to
-// its end. Prints the two endpoints; the exit code is 0 if the request was served.
+// Uses the installed package as a dispatcher does: routes one request to a reader, then to a writer, until it
+// has been served. Prints the two endpoints; the exit code is 0 if the request was served.
 #include <chrono>
 #include <iostream>
 #include <routing/router.hpp>
@@ -43,7 +43,7 @@
   return request;
 }
 
-// Where the actions send a request; empty: nowhere.
+// Returns the endpoint to which the actions send an attempt, or an empty id if they send none.
 EndpointId target_of(const std::vector<Action>& actions) {
   for (const Action& action : actions) {
     if (const auto* start = std::get_if<StartAttempt>(&action)) return start->endpoint;
@@ -67,7 +67,7 @@
       now, AttemptCompleted{"one", writer, 1, AttemptStatus::kServed, milliseconds(900), true, 0, {}, {}});
   const bool is_served = reader == "r1" && writer == "w1" && router.table_sizes().requests == 0;
   if (!is_served) {
-    std::cout << "not served\n";
+    std::cout << "the request was not served\n";
     return 1;
   }
   std::cout << "served by " << reader << " and " << writer << "\n";
--- a/tests/consumer/run.sh
+++ b/tests/consumer/run.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Installs the package from a build folder and builds and runs the consumer against it.
+# Installs the package from a build folder, then builds the consumer against it and runs it.
 set -euo pipefail
 here=$(cd "$(dirname "$0")" && pwd)
 build=$(cd "$1" && pwd)
--- a/tools/account.py
+++ b/tools/account.py
@@ -3,9 +3,9 @@
 
     tools/account.py FOLDER [--aim ask=1200:40,command=800:60] [--by SECONDS] [--hosts]
 
-FOLDER holds one file per dispatcher. --aim: the latency objective of each class, in ms and ms per 1,000 prompt tokens. Prints,
-for each interval of --by seconds, how requests ended and what delayed the late ones: the time at readers, at writers, and
-failed attempts; with --hosts also each replica's attempts.
+FOLDER holds one file per dispatcher. --aim gives the latency objective of each class, in ms and in ms per 1,000 prompt
+tokens. Prints, for each interval of --by seconds, how requests ended and what delayed the late ones most: the time at
+readers, at writers, failed attempts, or waiting for an endpoint. With --hosts, prints the attempts of each endpoint as well.
 """
 import argparse
 import collections
@@ -15,7 +15,8 @@
 LINE = re.compile(r"(?:^|\s)(\d+\.\d+) request (\S+) (\w+) ?(.*)$")
 
 
-def read(folder):
+def read_requests(folder):
+    """Returns the requests of all log files in the folder, in the order of their arrival."""
     requests = collections.OrderedDict()
     lines = []
     for file in sorted(pathlib.Path(folder).iterdir()):
@@ -32,7 +33,7 @@
         if request is None:
             continue
         if what == "sent":
-            request["attempts"].append({"host": facts["host"], "at": at, "end": None, "verdict": "out"})
+            request["attempts"].append({"host": facts["host"], "at": at, "end": None, "verdict": "unfinished"})
         elif what == "first":
             request["first"] = at
         elif what == "ended":
@@ -43,23 +44,23 @@
     return list(requests.values())
 
 
-def cause(request, aims):
-    """How the request ended; for a late one, what took longest."""
-    base, slope = aims[request["facts"]["class"]]
-    aim = base + slope * int(request["facts"]["prompt"]) / 1000
+def classify_outcome(request, objectives):
+    """Returns how the request ended and, if it was late, what took longest."""
+    base, slope = objectives[request["facts"]["class"]]
+    objective = base + slope * int(request["facts"]["prompt"]) / 1000
     if request["first"] is not None:
-        took = 1000 * (request["first"] - request["at"])
-        if took <= aim:
-            broke = request["attempts"][-1]["verdict"] not in ("served", "out")
-            return "stream broke" if broke else "in time"
-        parts = collections.Counter()
+        elapsed_ms = 1000 * (request["first"] - request["at"])
+        if elapsed_ms <= objective:
+            stream_broke = request["attempts"][-1]["verdict"] not in ("served", "unfinished")
+            return "stream broke" if stream_broke else "in time"
+        time_by_cause = collections.Counter()
         for n, attempt in enumerate(request["attempts"]):
             last = n == len(request["attempts"]) - 1
             end = request["first"] if last else attempt["end"] or request["first"]
             kind = "writing" if last else {"read": "reading"}.get(attempt["verdict"], attempt["verdict"])
-            parts[kind] += end - attempt["at"]
-        parts["waiting for a host"] = request["first"] - request["at"] - sum(parts.values())
-        return "late: " + parts.most_common(1)[0][0]
+            time_by_cause[kind] += end - attempt["at"]
+        time_by_cause["waiting for an endpoint"] = request["first"] - request["at"] - sum(time_by_cause.values())
+        return "late: " + time_by_cause.most_common(1)[0][0]
     how = request["end"][1] if request["end"] else "open at the end"
     if not request["attempts"]:
         return how + " at once"
@@ -72,24 +73,24 @@
     options.add_argument("--aim", default="ask=1200:40,command=800:60")
     options.add_argument("--by", type=float, default=5)
     options.add_argument("--hosts", action="store_true")
-    given = options.parse_args()
-    aims = {}
-    for part in given.aim.split(","):
+    arguments = options.parse_args()
+    objectives = {}
+    for part in arguments.aim.split(","):
         name, _, figures = part.partition("=")
-        aims[name] = tuple(float(x) for x in figures.split(":"))
-    requests = read(given.folder)
+        objectives[name] = tuple(float(x) for x in figures.split(":"))
+    requests = read_requests(arguments.folder)
     if not requests:
-        raise SystemExit("no requests in " + given.folder)
+        raise SystemExit("no requests in " + arguments.folder)
     start = requests[0]["at"]
     table = collections.defaultdict(collections.Counter)
     for request in requests:
-        stretch = int((request["at"] - start) // given.by)
-        table[cause(request, aims)][stretch] += 1
-    stretches = range(1 + max(max(row) for row in table.values()))
-    print(f"{'from, s':48}" + "".join(f"{int(s * given.by):6}" for s in stretches) + "   all")
+        interval = int((request["at"] - start) // arguments.by)
+        table[classify_outcome(request, objectives)][interval] += 1
+    intervals = range(1 + max(max(row) for row in table.values()))
+    print(f"{'from, s':48}" + "".join(f"{int(s * arguments.by):6}" for s in intervals) + "   all")
     for name, row in sorted(table.items(), key=lambda kv: -sum(kv[1].values())):
-        print(f"{name:48}" + "".join(f"{row[s]:6}" for s in stretches) + f"{sum(row.values()):6}")
-    if given.hosts:
+        print(f"{name:48}" + "".join(f"{row[s]:6}" for s in intervals) + f"{sum(row.values()):6}")
+    if arguments.hosts:
         hosts = collections.defaultdict(lambda: [0, collections.Counter(), 0.0, 0, None, None])
         for request in requests:
             for n, attempt in enumerate(request["attempts"]):
@@ -102,7 +103,7 @@
                     host[3] += 1
                 host[4] = min(attempt["at"], host[4] or attempt["at"])
                 host[5] = max(attempt["at"], host[5] or 0)
-        print(f"\n{'host':14}{'sends':>7}{'ms':>8}  from   to  verdicts")
+        print(f"\n{'endpoint':14}{'sends':>7}{'ms':>8}  from   to  verdicts")
         for name, (sends, verdicts, total, n, first, last) in sorted(hosts.items(), key=lambda kv: -kv[1][0]):
             mean = 1000 * total / n if n else 0
             print(f"{name:14}{sends:7}{mean:8.0f}{first - start:6.1f}{last - start:6.1f}  {dict(verdicts)}")
