--- a/deploy/levels.cue
+++ b/deploy/levels.cue
@@ -1,19 +1,19 @@
-// Levels of reduced service, the mildest first. Off unless the dispatcher is started with --levels deploy/levels.cue
-// (or BITTERNFERRY_LEVELS). docs/levels.md has the fields and signals. The classes are those of the settings.
+// Degradation levels, the mildest first. Off unless the dispatcher is started with --levels deploy/levels.cue
+// (or BITTERNFERRY_LEVELS). docs/levels.md describes the fields and signals. The classes are those of the settings.
 levels: [
 	{
 		name:  "spare-commands"
 		enter: "late.command > 0.10"
 		leave: "late.command < 0.03"
-		// Accounts over their quota first, and retries.
+		// Sheds retries and the requests of accounts over their quota before any others.
 		shed: [{classes: ["ask"], when: "account.use > 1.0 || request.retry"}]
 	},
 	{
 		name:  "half-the-asks"
-		// A lost zone is no reason by itself: the others may carry its load.
+		// A lost zone alone does not enter the level, because the other zones may carry its load.
 		enter: "late.command > 0.25 || (ready.least_zone_readers < 0.5 && late.ask > 0.3)"
 		leave: "late.command < 0.08 && late.ask < 0.1"
-		// Selected by the conversation's key: a conversation that is served stays served.
+		// Sheds by the key of the conversation, so that a conversation that is served stays served.
 		shed: [{classes: ["ask"], when: "!has(request.session) || request.session < '8'", retry_ms: {least: 1000, most: 4000}}]
 	},
 	{
